--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -426,7 +426,7 @@
 func (m *module) serve(customer rules.CustomerID) (served bool) {
 	m.next++
 	id := m.next
-	m.handle(rules.Request{ID: id, Customer: customer, Units: 1, Gateways: 16, Deadline: m.now + 1})
+	m.handle(rules.Request{ID: id, Customer: customer, Units: 1, GatewayCount: 16, Deadline: m.now + 1})
 	for {
 		again := false
 		for _, action := range m.out {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -116,7 +116,7 @@
 	c, err := p.conn(a.ctx, a.backend)
 	switch {
 	case localFailure(err), errors.Is(err, errConnLimit):
-		return result{outcome: rules.Moot, err: err} // the backend had no part in it
+		return result{outcome: rules.NotStarted, err: err} // the backend had no part in it
 	case err != nil:
 		return result{outcome: rules.ConnectFailed, err: err}
 	}
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -345,7 +345,7 @@
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	// The limit is the gateway's own: nothing was sent, and the backend is not to blame.
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.Moot {
+	if got := p.attempt(newAttempt(patience)); got.outcome != rules.NotStarted {
 		t.Errorf("past the most connections: outcome %d", got.outcome)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -387,7 +387,7 @@
 		if _, err := r.ReadByte(); err != io.EOF {
 			t.Errorf("%s: the connection that rested: %v", name, err)
 		}
-		want, least := rules.Moot, 3
+		want, least := rules.NotStarted, 3
 		if failures == 1 {
 			want, least = rules.Served, 2
 			conn, r := backend.accept(t)
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -321,7 +321,7 @@
 		l.list(listing(true, "Ready", backend), rules.FullList)
 		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: s.PlanNames[0], method: "GET", uri: "/lookup",
 			host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, reply: make(chan answer, 2),
-			ask: rules.Request{Customer: 7, Units: 1, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
+			ask: rules.Request{Customer: 7, Units: 1, GatewayCount: 2, FirstGateway: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
 		l.take(arrival{x})
 		wait(t, dials, "dial")
 		l.take(clientGone{x})
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -71,7 +71,7 @@
 		return rules.Backend{}, fmt.Errorf("instance %q: impossible weight or start", i.ID)
 	}
 	return rules.Backend{ID: backendID(i.ID), Zone: zone, Kind: slices.Index(d.Kinds, i.MachineType), Cell: i.Cell,
-		State: state, Weight: i.Weight, Born: float64(i.StartedAtMs) / 1000}, nil
+		State: state, Weight: i.Weight, StartedAt: float64(i.StartedAtMs) / 1000}, nil
 }
 
 // listFollower keeps the loop's list up to date, by discovery or by list services.
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -232,7 +232,7 @@
 	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	b, err := backendOf(Instance{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
 		StartedAtMs: 1500}, d)
-	want := rules.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: rules.Draining, Weight: 1.5, Born: 1.5}
+	want := rules.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: rules.Draining, Weight: 1.5, StartedAt: 1.5}
 	if err != nil || b != want {
 		t.Errorf("%+v, %v; want %+v", b, err, want)
 	}
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -96,7 +96,7 @@
 
 func newFigures(c *Config) *figures {
 	f := &figures{bodies: budget{total: bodyMemory(c.MemoryMB)}}
-	if c.Scopes.subset.On() {
+	if c.Scopes.subset.Enabled() {
 		f.subset = &subsetMetrics{}
 	}
 	return f
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -356,7 +356,7 @@
 		x.body, x.trailer, x.memory = start.held, trailers(r.Trailer), f.figures.bodies.shrink(memory, len(start.held))
 		return 0, nil
 	}
-	x.ask.Open = true
+	x.ask.BodyPending = true
 	x.upload = &upload{request: r, length: r.ContentLength, left: seconds(x.ask.Deadline), budget: &f.figures.bodies,
 		start: start, rest: rest, memory: held, window: window{budget: &f.figures.bodies, own: leastWindow}}
 	x.upload.whole = func(until time.Time) { f.loop.post(uploaded{x, until}) }
@@ -429,7 +429,7 @@
 		return q, errors.New(leftHeader + " is not a time in milliseconds")
 	}
 	q.Deadline = float64(left) / 1000 // from when it is whole
-	q.Repeat = h.Get(repeatHeader) == "1"
+	q.ClientRetry = h.Get(repeatHeader) == "1"
 	return q, s.terms(&q, h.Get(termsHeader))
 }
 
@@ -442,9 +442,9 @@
 		case "units":
 			q.Units, err = strconv.ParseFloat(value, 64)
 		case "spread":
-			q.Gateways, err = strconv.Atoi(value)
+			q.GatewayCount, err = strconv.Atoi(value)
 		case "first":
-			q.FirstPeer, err = strconv.Atoi(value)
+			q.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %s is not a number", termsHeader, key)
@@ -454,8 +454,8 @@
 	if most <= 0 {
 		most = math.MaxInt32
 	}
-	if !(q.Units > 0 && q.Units <= most) || q.Gateways < 1 || q.Gateways > s.Fleet ||
-		q.FirstPeer < 0 || q.FirstPeer >= s.Fleet {
+	if !(q.Units > 0 && q.Units <= most) || q.GatewayCount < 1 || q.GatewayCount > s.Fleet ||
+		q.FirstGateway < 0 || q.FirstGateway >= s.Fleet {
 		return errors.New(termsHeader + ": units, spread or first is missing or out of range")
 	}
 	return nil
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	n.Snapshot.Rules.Shift(clockStep(n.Snapshot.At, asked, h.loop.clock.now()))
+	n.Snapshot.Rules.ShiftTimes(clockStep(n.Snapshot.At, asked, h.loop.clock.now()))
 	h.take(l, false)
 	return n.Snapshot, nil
 }
@@ -231,7 +231,7 @@
 			}
 			h.mu.Unlock()
 		case n.Leaving:
-			h.loop.post(told{rules.Leaving})
+			h.loop.post(told{rules.SiblingDraining})
 		}
 	}
 	l.conn.Close()
@@ -246,7 +246,7 @@
 	if h.other = nil; !h.ended {
 		slog.Info("the other process has ended", "it was the newer", h.heir)
 		h.paired(false)
-		h.loop.post(told{rules.Absent})
+		h.loop.post(told{rules.SiblingAbsent})
 		if !h.heir {
 			close(h.oldest)
 		}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -225,7 +225,7 @@
 		m.known <- l.ban(m.id, m.offline)
 	case retuned:
 		l.service = m.service
-		l.handle(rules.Retune{Settings: l.settings()})
+		l.handle(rules.ApplySettings{Settings: l.settings()})
 		l.resizeSubset(m.subset)
 	case news:
 		if m.kind == rules.ListFailed {
@@ -260,7 +260,7 @@
 		x.reply <- answer{status: http.StatusServiceUnavailable}
 		return
 	}
-	if l.service.MaxOpen > 0 && len(l.live) >= l.service.MaxOpen {
+	if l.service.MaxInProgress > 0 && len(l.live) >= l.service.MaxInProgress {
 		x.counts.dropped.Add(1)
 		x.reply <- answer{status: http.StatusServiceUnavailable} // nothing was sent for it
 		return
@@ -270,7 +270,7 @@
 	}
 	x.ask.ID, x.open, x.queued = l.nextID, true, l.clock.now()-x.ask.Sent
 	l.live[x.ask.ID] = x
-	if !x.ask.Open {
+	if !x.ask.BodyPending {
 		l.enter(x)
 	}
 	l.handle(x.ask)
@@ -314,7 +314,7 @@
 	if !x.open {
 		return
 	}
-	x.ask.Open, x.ask.Sent = false, l.clock.now()
+	x.ask.BodyPending, x.ask.Sent = false, l.clock.now()
 	x.ask.Deadline = x.ask.Sent + time.Until(until).Seconds()
 	l.enter(x)
 	if x.begun {
@@ -324,7 +324,7 @@
 		a.deadline = x.ask.Deadline
 		l.timers.add(timerEntry{at: a.deadline, attempt: a})
 	}
-	l.handle(rules.Whole{Request: x.ask.ID, Deadline: x.ask.Deadline})
+	l.handle(rules.BodyComplete{Request: x.ask.ID, Deadline: x.ask.Deadline})
 }
 
 // begin lets a long answer go to the client, if it is still owed one.
@@ -356,7 +356,7 @@
 // force. It keeps its class; its customer's quota is that of the plan of today.
 // Danger: the numbers of classes and plans mean others by now.
 func (l *Loop) carryOver(x *exchange) bool {
-	x.ask.Own = x.class
+	x.ask.ClassOverride = x.class
 	x.ask.Plan = slices.Index(l.service.PlanNames, x.plan)
 	return x.ask.Plan >= 0
 }
@@ -374,7 +374,7 @@
 	if offline {
 		l.pools.renew(b)
 	}
-	l.handle(rules.ByHand{Backend: b, Offline: offline})
+	l.handle(rules.OperatorOverride{Backend: b, Offline: offline})
 	if delete(l.offline, b); offline {
 		l.offline[b] = true
 	}
@@ -404,7 +404,7 @@
 			delete(l.instances, b.ID)
 		}
 		if b.State == rules.Ready {
-			l.pools.update(b.ID, i.HostPort, b.Born)
+			l.pools.update(b.ID, i.HostPort, b.StartedAt)
 		} else {
 			l.pools.remove(b.ID)
 		}
@@ -435,7 +435,7 @@
 		case rules.Fail:
 			l.reject(a.Request, a.Reason, answer{status: http.StatusBadGateway})
 		case rules.SetTimer:
-			l.timers.add(timerEntry{at: l.clock.now() + max(a.In, 0), token: a.Token, request: a.Request})
+			l.timers.add(timerEntry{at: l.clock.now() + max(a.Delay, 0), token: a.Token, request: a.Request})
 		case rules.Count:
 			l.call(a)
 		case rules.Exported:
@@ -463,10 +463,10 @@
 	if s.Timeout > 0 {
 		a.deadline = min(a.deadline, now+s.Timeout)
 	}
-	if s.Before > 0 {
-		a.before = l.clock.at(s.Before)
+	if s.WriteDeadline > 0 {
+		a.before = l.clock.at(s.WriteDeadline)
 	}
-	if x.ask.Open {
+	if x.ask.BodyPending {
 		a.deadline = math.Inf(1) // until its body is whole
 	} else {
 		a.until = l.clock.at(a.deadline)
@@ -487,14 +487,14 @@
 	x.attempts = append(x.attempts, a)
 	x.out++
 	if !x.open || a.number >= max(l.service.MaxAttempts, 1) || a.deadline <= now {
-		l.endAttempt(a, result{outcome: rules.Moot})
+		l.endAttempt(a, result{outcome: rules.NotStarted})
 		return
 	}
 	if a.number > 0 {
 		l.figures.retries.Add(1)
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
-	if !x.ask.Open {
+	if !x.ask.BodyPending {
 		l.timers.add(timerEntry{at: a.deadline, attempt: a})
 	}
 	l.attempts.Go(func() { // ends by a.until, or when the attempt is called off
@@ -530,7 +530,7 @@
 		l.answer(x.ask.ID, res.answer)
 	}
 	l.handle(rules.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
-		Took: a.took, Done: !x.open, Spent: res.spent, Units: res.units})
+		Took: a.took, Done: !x.open, BodyConsumed: res.spent, Units: res.units})
 	l.drop(x)
 }
 
@@ -542,8 +542,8 @@
 	a := x.attempts[c.Attempt]
 	a.callOff()
 	outcome := rules.Cancelled
-	if x.ask.Open {
-		outcome = rules.Moot // its backend does not have it whole
+	if x.ask.BodyPending {
+		outcome = rules.NotStarted // its backend does not have it whole
 	} else if l.clock.now() >= a.deadline-sameMoment {
 		outcome = rules.TimedOut // the module learns from it
 	}
@@ -592,14 +592,14 @@
 
 // count takes the module's own figures.
 func (l *Loop) count() {
-	known, skipped := l.gateway.Listed()
+	known, skipped := l.gateway.BackendCounts()
 	l.figures.known.Store(int64(known))
 	l.figures.skipped.Store(int64(skipped))
 }
 
 func (l *Loop) call(c rules.Count) {
 	k := &call{name: c.Name, amount: c.Amount, sent: l.clock.now(),
-		keep: min(max(time.Duration(c.Keep*float64(time.Second)), leastKeep), mostKeep)}
+		keep: min(max(time.Duration(c.TTL*float64(time.Second)), leastKeep), mostKeep)}
 	k.report = func(k *call, o rules.Outcome, total float64) { l.post(callDone{k, o, total}) }
 	if l.counter == nil || !l.counter.add(k) {
 		l.endCall(k, rules.Full, 0)
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -40,7 +40,7 @@
 	old.Classes = []rules.Class{{Worth: 1}, {Worth: 2}}
 	l := &Loop{service: &service{Deployment: wire.Deployment{ClassNames: []string{"a"}, PlanNames: []string{"q"}}}}
 	x := &exchange{service: old, class: &old.Classes[1], plan: "q", ask: rules.Request{Class: 1, Plan: 1}}
-	if !l.carryOver(x) || x.ask.Own != &old.Classes[1] || x.ask.Plan != 0 {
+	if !l.carryOver(x) || x.ask.ClassOverride != &old.Classes[1] || x.ask.Plan != 0 {
 		t.Errorf("carried over as %+v", x.ask)
 	}
 	if x.plan = "p"; l.carryOver(x) {
@@ -64,7 +64,7 @@
 		go l.run(ctx)
 		defer func() { cancel(); <-l.stopped }()
 		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: "basic", reply: make(chan answer, 2),
-			ask: rules.Request{Customer: 7, Units: 2, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
+			ask: rules.Request{Customer: 7, Units: 2, GatewayCount: 2, FirstGateway: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
 		l.post(arrival{x})
 		synctest.Wait()
 		var k *call
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -95,7 +95,7 @@
 				return real(ctx, to, within)
 			}
 			done := start(p, newAttempt(patience))
-			want := rules.Moot
+			want := rules.NotStarted
 			if failures == 3 {
 				want = rules.Served
 				conn, r := backend.accept(t)
@@ -146,8 +146,8 @@
 		if len(state.Rules.Backends) != 1 || len(state.Rules.Customers) != 1 {
 			t.Fatalf("%d backends, %d customers", len(state.Rules.Backends), len(state.Rules.Customers))
 		}
-		for what, at := range map[string]float64{"last answer": state.Rules.Backends[0].LastOK, "last request": state.Rules.Customers[0].Seen,
-			"local share": state.Rules.Customers[0].LocalAt} {
+		for what, at := range map[string]float64{"last answer": state.Rules.Backends[0].LastServed, "last request": state.Rules.Customers[0].LastSeen,
+			"local share": state.Rules.Customers[0].LocalUnitsAt} {
 			if age := now - at; age < -0.1 || age > 5 {
 				t.Errorf("step %v: the %s was %.1f s ago", step, what, age)
 			}
--- a/internal/gateway/scopes.go
+++ b/internal/gateway/scopes.go
@@ -65,7 +65,7 @@
 	switch {
 	case (len(c.scopes) > 0) != (len(next.scopes) > 0):
 		return errors.New("scopes: whether there are any needs a new start")
-	case c.subset.On() != next.subset.On():
+	case c.subset.Enabled() != next.subset.Enabled():
 		return errors.New("subset: whether one is chosen needs a new start")
 	}
 	return nil
@@ -167,7 +167,7 @@
 }
 
 func newBackendSubset(name string, settings subset.Settings, f *subsetMetrics) *backendSubset {
-	if !settings.On() {
+	if !settings.Enabled() {
 		return nil
 	}
 	return &backendSubset{selector: subset.New(name, settings), settings: settings, figures: f}
@@ -225,7 +225,7 @@
 
 // usableNow counts the backends that get requests now.
 func (l *Loop) usableNow() int {
-	known, skipped := l.gateway.Listed()
+	known, skipped := l.gateway.BackendCounts()
 	return known - skipped
 }
 
@@ -233,7 +233,7 @@
 func (l *Loop) settings() rules.Settings {
 	s := l.service.Settings
 	if l.subset != nil {
-		s.Sharing = l.subset.sharing
+		s.GatewaysPerBackend = l.subset.sharing
 	}
 	return s
 }
@@ -265,7 +265,7 @@
 // gateways comes first.
 func (l *Loop) use(chosen Listing, kind rules.ListKind) {
 	if l.subset.note() {
-		l.handle(rules.Retune{Settings: l.settings()})
+		l.handle(rules.ApplySettings{Settings: l.settings()})
 	}
 	for _, i := range chosen.Instances {
 		if i.Lifecycle == registry.Ready && l.outside[i.ID] {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -113,7 +113,7 @@
 	// The body broke off before its end was written, so the backend has run nothing.
 	res.outcome, res.err, res.cut = rules.ConnectFailed, err, cut
 	if cut != nil || errors.Is(err, errCutShort) && u.answered() {
-		res.outcome = rules.Moot // the backend is not to blame
+		res.outcome = rules.NotStarted // the backend is not to blame
 	}
 	return res, false
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -39,7 +39,7 @@
 
 var outcomeNames = map[rules.Outcome]string{rules.Served: "served", rules.Errored: "error", rules.Full: "full",
 	rules.TimedOut: "timeout", rules.ConnectFailed: "no_connection", rules.Broken: "reset",
-	rules.Cancelled: "cancelled", rules.Moot: "moot"}
+	rules.Cancelled: "cancelled", rules.NotStarted: "moot"}
 
 // trace writes where the time of a request went that ended badly. All times
 // are seconds since its last byte came in.
@@ -66,7 +66,7 @@
 	}
 	slog.Info(what, "id", x.header.Get(idHeader), "class", x.counts.name,
 		"plan", x.plan, "customer", uint64(x.ask.Customer), "units", x.ask.Units,
-		"repeat", x.ask.Repeat, "left", round(x.ask.Deadline-x.ask.Sent), "queued", round(x.queued),
+		"repeat", x.ask.ClientRetry, "left", round(x.ask.Deadline-x.ask.Sent), "queued", round(x.queued),
 		"took", round(now-x.ask.Sent), "reason", x.reason, "attempts", attempts.String())
 }
 
--- a/internal/subset/settings.go
+++ b/internal/subset/settings.go
@@ -4,9 +4,9 @@
 
 // Bounds of the settings.
 const (
-	MostSize     = 1 << 16
-	MostCoverage = 1 << 16
-	MostFleet    = 1 << 20
+	MaxSize     = 1 << 16
+	MaxCoverage = 1 << 16
+	MaxFleet    = 1 << 20
 )
 
 // Settings size the subsets. The zero value switches them off.
@@ -17,17 +17,17 @@
 }
 
 // On tells whether a subset is chosen at all.
-func (s Settings) On() bool { return s.Size > 0 || s.Coverage > 0 }
+func (s Settings) Enabled() bool { return s.Size > 0 || s.Coverage > 0 }
 
 // Check reports what makes the settings invalid.
 func (s Settings) Check() error {
 	switch {
-	case s.Size < 0 || s.Size > MostSize:
-		return fmt.Errorf("subset: a size of %d is not 0 to %d", s.Size, MostSize)
-	case s.Coverage < 0 || s.Coverage > MostCoverage:
-		return fmt.Errorf("subset: a coverage of %d is not 0 to %d", s.Coverage, MostCoverage)
-	case s.On() && (s.Fleet < 1 || s.Fleet > MostFleet):
-		return fmt.Errorf("subset: a fleet of %d is not 1 to %d", s.Fleet, MostFleet)
+	case s.Size < 0 || s.Size > MaxSize:
+		return fmt.Errorf("subset: a size of %d is not 0 to %d", s.Size, MaxSize)
+	case s.Coverage < 0 || s.Coverage > MaxCoverage:
+		return fmt.Errorf("subset: a coverage of %d is not 0 to %d", s.Coverage, MaxCoverage)
+	case s.Enabled() && (s.Fleet < 1 || s.Fleet > MaxFleet):
+		return fmt.Errorf("subset: a fleet of %d is not 1 to %d", s.Fleet, MaxFleet)
 	}
 	return nil
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -63,7 +63,7 @@
 // still has it is Terminating first and Gone after Linger. What the list says of members
 // of the subset passes at once.
 func (s *Selector) Apply(now time.Duration, news registry.Listing) registry.Listing {
-	if !s.settings.On() {
+	if !s.settings.Enabled() {
 		return news
 	}
 	s.version = news.Generation
@@ -89,7 +89,7 @@
 // Resize takes other settings, and returns what changes with them. It can't switch a
 // selector on or off.
 func (s *Selector) Resize(now time.Duration, settings Settings) registry.Listing {
-	if !s.settings.On() || !settings.On() {
+	if !s.settings.Enabled() || !settings.Enabled() {
 		return registry.Listing{}
 	}
 	s.settings = settings
@@ -102,7 +102,7 @@
 // them again, and returns what changes by that and by the passing of time. Services are
 // judged together, since their user counts them together.
 func (s *Selector) Report(now time.Duration, usable int) registry.Listing {
-	if !s.settings.On() {
+	if !s.settings.Enabled() {
 		return registry.Listing{}
 	}
 	if s.health.see(now, usable, s.extent()) {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -109,7 +109,7 @@
 func run(t *rapid.T, defect func(*Selector, registry.Listing) registry.Listing) error {
 	settings := Settings{Size: rapid.IntRange(0, 8).Draw(t, "size"), Coverage: rapid.IntRange(0, 6).Draw(t, "coverage"),
 		Fleet: rapid.IntRange(1, 12).Draw(t, "fleet")}
-	if !settings.On() {
+	if !settings.Enabled() {
 		settings.Size = 1
 	}
 	m := &model{member: "gw", settings: settings, listed: map[string]registry.Instance{}}
@@ -403,8 +403,8 @@
 			t.Errorf("%+v of %d: %d, want %d", c.settings, c.listed, got, c.out)
 		}
 	}
-	for _, bad := range []Settings{{Size: -1, Fleet: 1}, {Size: MostSize + 1, Fleet: 1}, {Coverage: -1, Fleet: 1},
-		{Coverage: MostCoverage + 1, Fleet: 1}, {Size: 1}, {Size: 1, Fleet: MostFleet + 1}} {
+	for _, bad := range []Settings{{Size: -1, Fleet: 1}, {Size: MaxSize + 1, Fleet: 1}, {Coverage: -1, Fleet: 1},
+		{Coverage: MaxCoverage + 1, Fleet: 1}, {Size: 1}, {Size: 1, Fleet: MaxFleet + 1}} {
 		if bad.Check() == nil {
 			t.Errorf("%+v was taken", bad)
 		}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -194,7 +194,7 @@
 		default:
 			return fmt.Errorf("availability %d is not known", state)
 		}
-		entries[i].Weight, entries[i].Born = c.f32(), c.f64()
+		entries[i].Weight, entries[i].StartedAt = c.f32(), c.f64()
 	}
 	d.sheets[sheet], d.known[sheet] = entries, true
 	return nil
@@ -223,7 +223,7 @@
 
 // outcomes maps the codes of the wire; the missing ones are errors.
 var outcomes = map[uint8]rules.Outcome{0: rules.Served, 255: rules.Errored, 254: rules.Full,
-	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.Broken, 250: rules.Cancelled, 249: rules.Moot}
+	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.Broken, 250: rules.Cancelled, 249: rules.NotStarted}
 
 // event reads the fields of an event that needs nothing but the record.
 func (c *cursor) event(code uint8) (rules.Event, error) {
@@ -260,9 +260,9 @@
 }
 
 func (c *cursor) ask() rules.Event {
-	r := rules.Request{ID: rules.RequestID(c.u32()), FirstPeer: int(c.f32()), Plan: int(c.u16()),
-		Customer: rules.CustomerID(c.u64()), Gateways: int(c.f32()), Units: c.f32()}
-	r.Repeat = c.u8()&flagRepeat != 0
+	r := rules.Request{ID: rules.RequestID(c.u32()), FirstGateway: int(c.f32()), Plan: int(c.u16()),
+		Customer: rules.CustomerID(c.u64()), GatewayCount: int(c.f32()), Units: c.f32()}
+	r.ClientRetry = c.u8()&flagRepeat != 0
 	r.Class, r.Deadline = int(c.u16()), c.f64()
 	return r
 }
@@ -273,7 +273,7 @@
 	var err error
 	e.Outcome, err = c.outcome()
 	e.Took, e.Done = c.f64(), c.u8() != 0
-	e.Use, e.Units = int(c.u16()), float64(c.u16())
+	e.CustomerUsage, e.Units = int(c.u16()), float64(c.u16())
 	e.LoadData = c.report()
 	return e, err
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -79,13 +79,13 @@
 		r.u32(uint32(a.Request))
 	case rules.SetTimer:
 		r.start(codeSleep)
-		r.f64(a.In)
+		r.f64(a.Delay)
 		r.u64(a.Token)
 	case rules.Count:
 		r.start(codeCount)
 		r.u64(a.Name)
 		r.u32(math.Float32bits(float32(a.Amount)))
-		r.f64(a.Keep)
+		r.f64(a.TTL)
 	case rules.Probe:
 		r.start(codeAskLoad)
 		r.u32(uint32(a.Backend))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -84,7 +84,7 @@
 var scopes = map[string]rules.DedupeScope{"": rules.ScopeAll, "all": rules.ScopeAll,
 	"zone": rules.ScopeZone, "cell": rules.ScopeCell}
 
-var loadFields = map[string]rules.LoadField{"busy_reqs": rules.LoadHeld, "pending": rules.LoadWaiting,
+var loadFields = map[string]rules.LoadField{"busy_reqs": rules.LoadInProgress, "pending": rules.LoadQueued,
 	"cpu_share": rules.LoadCPU, "svc_ms": rules.LoadServiceMillis,
 	"served_ps": rules.LoadServedPerSecond, "failed_ps": rules.LoadErrorsPerSecond}
 
@@ -137,7 +137,7 @@
 	}
 	for _, p := range o.Packages {
 		s.Plans = append(s.Plans, rules.Plan{Price: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
-			MaxConcurrent: int(p.AtOnce), OverWorth: p.OverWorth, OverCost: p.BeyondCosts,
+			MaxConcurrent: int(p.AtOnce), OverQuotaWorth: p.OverWorth, OverQuotaCost: p.BeyondCosts,
 			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CapSlack})
 	}
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
@@ -150,24 +150,24 @@
 func (o *options) figures() rules.Settings {
 	s := rules.Settings{
 		Rank: o.Rank, Fleet: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
-		AskDiscovery: o.Discovery == "ask",
-		RoughWeights: o.Weights == "rough" || o.Weights == "nominal",
+		SubscribeToDiscovery: o.Discovery == "ask",
+		ApproximateWeights: o.Weights == "rough" || o.Weights == "nominal",
 		LoadInline:   o.LoadReport.How == "inline",
 
 		Counter:        o.FamilyInfo.HasCounter,
 		CounterTimeout: o.FamilyInfo.CounterTimeoutS,
 		CounterPrice:   o.FamilyInfo.CounterPrice,
 		MaxUnits:       o.FamilyInfo.MostUnits,
-		UnitsSettled:   o.FamilyInfo.TruedUp,
+		UnitsEstimated:   o.FamilyInfo.TruedUp,
 
-		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanCopy: o.Allowed.MayDuplicate,
-		MaxAdvice:   o.Allowed.MaxRetryAfterS,
-		MaxAttempts: o.Allowed.MostTries, MaxOpen: o.Allowed.MaxOpen,
+		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanHedge: o.Allowed.MayDuplicate,
+		MaxRetryAfter:   o.Allowed.MaxRetryAfterS,
+		MaxAttempts: o.Allowed.MostTries, MaxInProgress: o.Allowed.MaxOpen,
 		ConnectTimeout: o.Allowed.ConnectTimeoutS, KeepAlive: o.Allowed.KeepaliveS,
 
 		AnswerSlack: o.Obligations.AnswerSlackS, DrainGrace: o.Obligations.DrainGraceS,
-		ColdFrom: o.Obligations.ColdFrom, ColdFor: o.Obligations.ColdS,
-		FallMultiple: o.Obligations.FallMultiple, FallFor: o.Obligations.OverloadForS,
+		InitialColdFraction: o.Obligations.ColdFrom, ColdDuration: o.Obligations.ColdS,
+		OverloadMultiple: o.Obligations.FallMultiple, OverloadDuration: o.Obligations.OverloadForS,
 
 		CrossZonePrice: o.Prices.CrossZone, WastePrice: o.Prices.Waste,
 		LateFailPrice: o.Prices.LateFail, ProbePrice: o.Prices.Probe,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("batch %d with %d records", b.Seq, len(b.Records))
 	}
 	r := b.Records[0].Event.(rules.Request)
-	want := rules.Request{ID: 0x5d3a91c4, FirstPeer: 1, Customer: 0x91f03b7c55d20a64, Gateways: 3, Units: 2,
+	want := rules.Request{ID: 0x5d3a91c4, FirstGateway: 1, Customer: 0x91f03b7c55d20a64, GatewayCount: 3, Units: 2,
 		Deadline: r.Deadline}
 	if r != want || r.Deadline <= b.Now || r.Deadline > b.Now+1 {
 		t.Errorf("got %+v", r)
@@ -62,7 +62,7 @@
 	if first.Entries[0].ID != 0x03124a07 || first.Entries[0].State != rules.Ready || first.Kind != rules.Delta {
 		t.Errorf("first list %+v", first)
 	}
-	if e := second.Entries[0]; e.ID != 0x2c9011f2 || e.State != rules.Draining || e.Weight != 1.5 || e.Born < 6 {
+	if e := second.Entries[0]; e.ID != 0x2c9011f2 || e.State != rules.Draining || e.Weight != 1.5 || e.StartedAt < 6 {
 		t.Errorf("second list %+v", second)
 	}
 }
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	e := b.Records[0].Event.(rules.AttemptEnd)
-	if e.Outcome != rules.Served || !e.Done || e.Use != 0x56 || e.Units != 3 || len(e.LoadData) != 2 || e.LoadData[0] != 7 {
+	if e.Outcome != rules.Served || !e.Done || e.CustomerUsage != 0x56 || e.Units != 3 || len(e.LoadData) != 2 || e.LoadData[0] != 7 {
 		t.Errorf("got %+v", e)
 	}
 	if c := b.Records[1].Event.(rules.CounterReply); c.Name != 0x89f690 || c.Total != 38 {
@@ -89,7 +89,7 @@
 	var r Reply
 	r.Reset(12)
 	err := r.Add(3, []rules.Action{rules.Send{Request: 0x5d3a91c4, Backend: 0x03124a07, Timeout: 0.08},
-		rules.SetTimer{In: 0.5, Token: 0x4d}})
+		rules.SetTimer{Delay: 0.5, Token: 0x4d}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,8 +153,8 @@
 	if p.Price != 0.5 || p.Rate != 2 || p.Burst != 4 || p.MaxConcurrent != 3 || p.CeilingRate != 9 {
 		t.Errorf("plan %+v", p)
 	}
-	if !s.AskDiscovery || !s.LoadInline || s.MaxAttempts != 4 || s.LoadFields[0] != rules.LoadOther ||
-		s.LoadFields[1] != rules.LoadWaiting {
+	if !s.SubscribeToDiscovery || !s.LoadInline || s.MaxAttempts != 4 || s.LoadFields[0] != rules.LoadOther ||
+		s.LoadFields[1] != rules.LoadQueued {
 		t.Errorf("settings %+v", s)
 	}
 	if _, err := ParseSettings([]byte(`{"classes": [{"effect": "thrice"}], "packages": [{}]}`)); err == nil {
--- a/rules/attempts_test.go
+++ b/rules/attempts_test.go
@@ -12,8 +12,8 @@
 	if first.Backend/2 != second.Backend/2 {
 		t.Errorf("repeat went from backend %d to %d, another cell", first.Backend, second.Backend)
 	}
-	if window := d.g.set.Classes[1].DedupeWindow; first.Before != 0 || second.Before >= 100+window || second.Before < 100+window-0.01 {
-		t.Errorf("to be written before %v and %v, its key is kept until %v", first.Before, second.Before, 100+window)
+	if window := d.g.set.Classes[1].DedupeWindow; first.WriteDeadline != 0 || second.WriteDeadline >= 100+window || second.WriteDeadline < 100+window-0.01 {
+		t.Errorf("to be written before %v and %v, its key is kept until %v", first.WriteDeadline, second.WriteDeadline, 100+window)
 	}
 	d.now += 0.9
 	out = d.handle(Timer{Token: timerEnd<<56 | uint64(id)})
@@ -112,7 +112,7 @@
 		sends int // once the first attempts are late
 	}{{80, 3, 3}, {3, 20, 0}} {
 		set := testSettings()
-		set.Fleet, set.CanCopy, set.Plans[1].Rate = c.fleet, false, 0
+		set.Fleet, set.CanHedge, set.Plans[1].Rate = c.fleet, false, 0
 		d := start(t, set, some(60)...)
 		d.g.bound, d.g.latency, d.g.spread = c.bound, 0.1, 0.02
 		var late []SetTimer
@@ -127,7 +127,7 @@
 		if len(late) != int(c.bound) {
 			t.Fatalf("%d attempts in flight with a bound of %v", len(late), c.bound)
 		}
-		d.now += late[0].In
+		d.now += late[0].Delay
 		sends := 0
 		for _, timer := range late {
 			sends += len(find[Send](d.handle(Timer{Token: timer.Token})))
@@ -172,7 +172,7 @@
 	set := testSettings()
 	d := start(t, set, some(4)...)
 	send := func(id RequestID, left float64) int {
-		out := d.handle(Request{ID: id, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + left})
+		out := d.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + left})
 		out = append(out, d.grantAll(out)...)
 		for _, s := range find[Send](out) {
 			d.now += 0.1
--- a/rules/counter_test.go
+++ b/rules/counter_test.go
@@ -11,7 +11,7 @@
 		n := 0
 		for i := range 400 {
 			d.now += 0.01
-			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 2, Customer: CustomerID(i), Deadline: d.now + 2})
+			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 2, Customer: CustomerID(i), Deadline: d.now + 2})
 			for _, c := range find[Count](out) {
 				n++
 				d.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
@@ -33,7 +33,7 @@
 		for range requests {
 			d.now += 0.01
 			d.nextID++
-			out := d.handle(Request{ID: d.nextID, Units: 1, Gateways: 2, Customer: CustomerID(d.nextID), Deadline: d.now + 2})
+			out := d.handle(Request{ID: d.nextID, Units: 1, GatewayCount: 2, Customer: CustomerID(d.nextID), Deadline: d.now + 2})
 			for _, c := range find[Count](out) {
 				n++
 				d.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
@@ -53,7 +53,7 @@
 	calls := func(how Outcome, seconds float64) (n int) {
 		for until := d.now + seconds; d.now < until; d.now += 0.1 {
 			d.nextID++
-			out := d.handle(Request{ID: d.nextID, Units: 1, Gateways: 60, Customer: CustomerID(d.nextID), Deadline: d.now + 2})
+			out := d.handle(Request{ID: d.nextID, Units: 1, GatewayCount: 60, Customer: CustomerID(d.nextID), Deadline: d.now + 2})
 			for _, c := range find[Count](out) {
 				n++
 				d.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
@@ -108,7 +108,7 @@
 			units := float64(1 + rng.IntN(int(c.mostUnits)))
 			asked += units
 			d.now = now
-			todo := d.handle(Request{ID: id, Units: units, Gateways: c.gateways, Customer: 5, Deadline: now + 2})
+			todo := d.handle(Request{ID: id, Units: units, GatewayCount: c.gateways, Customer: 5, Deadline: now + 2})
 			for ; len(todo) > 0; todo = todo[1:] {
 				switch a := todo[0].(type) {
 				case Count:
@@ -141,7 +141,7 @@
 	for i := range 20 {
 		d.now += 0.1
 		id := RequestID(i + 1)
-		out := d.handle(Request{ID: id, Plan: 1, Units: 1, Gateways: 2, Customer: CustomerID(i), Deadline: d.now + 2})
+		out := d.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: CustomerID(i), Deadline: d.now + 2})
 		call := one[Count](t, out)
 		again := one[Count](t, d.handle(CounterReply{Name: call.Name, Outcome: Broken}))
 		s := one[Send](t, d.handle(CounterReply{Name: again.Name, Total: call.Amount + again.Amount}))
@@ -151,7 +151,7 @@
 		d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Took: 0.1, Done: true})
 	}
 	// Twice in a row is another matter.
-	out := d.handle(Request{ID: 30, Plan: 1, Units: 1, Gateways: 2, Customer: 30, Deadline: d.now + 2})
+	out := d.handle(Request{ID: 30, Plan: 1, Units: 1, GatewayCount: 2, Customer: 30, Deadline: d.now + 2})
 	name := one[Count](t, out).Name
 	one[Count](t, d.handle(CounterReply{Name: name, Outcome: ConnectFailed}))
 	if n := len(find[Count](d.handle(CounterReply{Name: name, Outcome: ConnectFailed}))); n > 0 {
@@ -162,7 +162,7 @@
 // Units that were added without a total are ours: only the total is asked again.
 func TestUnitsOfAnUnreadableTotalAreNotTakenTwice(t *testing.T) {
 	d := start(t, testSettings(), some(4)...)
-	out := d.handle(Request{ID: 1, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2})
+	out := d.handle(Request{ID: 1, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2})
 	call := one[Count](t, out)
 	again := one[Count](t, d.handle(CounterReply{Name: call.Name, Outcome: Errored}))
 	if again.Name != call.Name || again.Amount != 0 {
--- a/rules/drive_test.go
+++ b/rules/drive_test.go
@@ -15,10 +15,10 @@
 	return Settings{
 		Classes: []Class{{Aim: 0.8, Deadline: 2, Worth: 1},
 			{Aim: 1, Deadline: 3, Worth: 3, Effect: ByKey, Scope: ScopeCell, DedupeWindow: 2}},
-		Plans: []Plan{{Price: 0.5, Rate: 2, Burst: 4, OverCost: 1}, {Price: 1.5, Rate: 20, Burst: 40, OverCost: 1}},
+		Plans: []Plan{{Price: 0.5, Rate: 2, Burst: 4, OverQuotaCost: 1}, {Price: 1.5, Rate: 20, Burst: 40, OverQuotaCost: 1}},
 		Fleet: 2, Tick: 0.002, Counter: true, CounterTimeout: 0.05,
-		CanCancel: true, CanCopy: true, MaxAdvice: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
-		DrainGrace: 1, ColdFrom: 0.2, ColdFor: 10, FallMultiple: 2, FallFor: 2,
+		CanCancel: true, CanHedge: true, MaxRetryAfter: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
+		DrainGrace: 1, InitialColdFraction: 0.2, ColdDuration: 10, OverloadMultiple: 2, OverloadDuration: 2,
 	}
 }
 
@@ -48,7 +48,7 @@
 func (d *drive) ask(class, plan int, who CustomerID) RequestID {
 	d.nextID++
 	set := d.g.set
-	out := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: who, Units: 1, Gateways: 2,
+	out := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: who, Units: 1, GatewayCount: 2,
 		Deadline: d.now + set.Classes[class].Deadline})
 	d.last = append(out, d.grantAll(out)...)
 	return d.nextID
--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestColdBackendGetsNoBurst(t *testing.T) {
-	cold := Backend{ID: 9, State: Ready, Born: 99.9}
+	cold := Backend{ID: 9, State: Ready, StartedAt: 99.9}
 	d := start(t, testSettings(), append(some(1), cold)...)
 	toCold := 0
 	var out []Send
@@ -100,7 +100,7 @@
 	play(104)
 	var fresh []Backend
 	for i := range cold {
-		fresh = append(fresh, Backend{ID: BackendID(warm + i + 1), State: Ready, Born: now})
+		fresh = append(fresh, Backend{ID: BackendID(warm + i + 1), State: Ready, StartedAt: now})
 	}
 	for _, d := range gates {
 		d.now = now
@@ -120,7 +120,7 @@
 			for n+i < len(times) && times[n+i] < times[i]+1 {
 				n++
 			}
-			if w := 0.2 + 0.08*(times[i]+1-fresh[0].Born); float64(n) > 2*w*bears+4 {
+			if w := 0.2 + 0.08*(times[i]+1-fresh[0].StartedAt); float64(n) > 2*w*bears+4 {
 				t.Fatalf("backend %d got %d requests in a second, a warm one %v", b.ID, n, bears)
 			}
 		}
@@ -211,7 +211,7 @@
 
 func TestFailedDiscoveryIsAskedAgainAfterAPause(t *testing.T) {
 	set := testSettings()
-	set.AskDiscovery = true
+	set.SubscribeToDiscovery = true
 	d := &drive{t: t, now: 100}
 	d.g, d.last = New(set, 7, d.now, nil)
 	one[Subscribe](t, d.last)
@@ -220,7 +220,7 @@
 		t.Error("asked again at once")
 	}
 	pause := one[SetTimer](t, out)
-	d.now += pause.In
+	d.now += pause.Delay
 	one[Subscribe](t, d.handle(Timer{Token: pause.Token}))
 }
 
@@ -228,7 +228,7 @@
 func TestManyGatewaysAskDiscoveryApart(t *testing.T) {
 	const fleet = 80
 	set := testSettings()
-	set.AskDiscovery, set.Fleet = true, fleet
+	set.SubscribeToDiscovery, set.Fleet = true, fleet
 	perSecond := map[int]int{}
 	for rank := range fleet {
 		set.Rank = rank
@@ -236,16 +236,16 @@
 		d.g, _ = New(set, uint64(rank+1), d.now, nil)
 		for d.now < 160 {
 			pause := one[SetTimer](t, d.handle(Backends{Kind: ListFailed}))
-			if pause.In > 3.6 {
-				t.Fatalf("asks after %v s: what is told within 6 s would be missed", pause.In)
+			if pause.Delay > 3.6 {
+				t.Fatalf("asks after %v s: what is told within 6 s would be missed", pause.Delay)
 			}
-			d.now += pause.In
+			d.now += pause.Delay
 			one[Subscribe](t, d.handle(Timer{Token: pause.Token}))
 			perSecond[int(d.now-100)]++
 		}
 		d.handle(Backends{Kind: Delta})
-		if pause := one[SetTimer](t, d.handle(Backends{Kind: ListFailed})); pause.In > 2*askRest {
-			t.Errorf("asks after %v s, though the last call went well", pause.In)
+		if pause := one[SetTimer](t, d.handle(Backends{Kind: ListFailed})); pause.Delay > 2*askRest {
+			t.Errorf("asks after %v s, though the last call went well", pause.Delay)
 		}
 	}
 	for second, n := range perSecond {
@@ -271,7 +271,7 @@
 		d.g.bound = 0.5
 		d.g.retries = 0
 		d.nextID++
-		sends := find[Send](d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, Gateways: 300, Customer: CustomerID(i),
+		sends := find[Send](d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, GatewayCount: 300, Customer: CustomerID(i),
 			Deadline: d.now + 2}))
 		for _, id := range []RequestID{d.nextID, d.nextID - 8} {
 			d.handle(Timer{Token: timerEnd<<56 | uint64(id)})
--- a/rules/operator_test.go
+++ b/rules/operator_test.go
@@ -1,6 +1,9 @@
 package rules
 
-import "testing"
+import (
+	"encoding/json"
+	"testing"
+)
 
 // Open requests keep the class, the attempts and the rules they came with; the
 // counts by level follow the new levels.
@@ -15,7 +18,7 @@
 	next.MaxAttempts = 1
 	next.Classes = []Class{{Aim: 0.8, Deadline: 2, Worth: 2, Effect: Once}, {Aim: 1, Deadline: 3, Worth: 7, Effect: Once},
 		{Aim: 1, Deadline: 3, Worth: 1, Effect: Repeatable}}
-	d.handle(Retune{Settings: next})
+	d.handle(ApplySettings{Settings: next})
 	total := 0
 	for _, s := range d.g.list {
 		for _, n := range s.levels {
@@ -35,7 +38,7 @@
 	// A request of a class that is no more brings it along.
 	was := set.Classes[1]
 	d.nextID++
-	late := d.handle(Request{ID: d.nextID, Class: 1, Own: &was, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 3})
+	late := d.handle(Request{ID: d.nextID, Class: 1, ClassOverride: &was, Plan: 1, Customer: 1, Units: 1, GatewayCount: 2, Deadline: d.now + 3})
 	s := one[Send](t, late)
 	if j := d.g.requests[s.Request]; j.class.Effect != ByKey || j.level != d.g.levelOf(was.Worth*next.Plans[1].Price) {
 		t.Errorf("a late request has class %+v and level %d", j.class, j.level)
@@ -55,7 +58,7 @@
 	s := one[Send](t, d.last)
 	next := set
 	next.MaxAttempts = 4
-	d.handle(Retune{Settings: next})
+	d.handle(ApplySettings{Settings: next})
 	out := d.handle(AttemptEnd{Request: id, Backend: s.Backend, Outcome: Full})
 	if n := len(find[Send](out)); n != 0 {
 		t.Errorf("sent %d more times", n)
@@ -67,7 +70,7 @@
 	set := testSettings()
 	set.Plans[1].Rate = 0
 	d := start(t, set, some(2)...)
-	d.handle(ByHand{Backend: 1, Offline: true})
+	d.handle(OperatorOverride{Backend: 1, Offline: true})
 	sends := func() (n int) {
 		for range 20 {
 			d.ask(0, 1, 1)
@@ -80,34 +83,34 @@
 		}
 		return n
 	}
-	for _, e := range []Event{ByHand{Backend: 1, Offline: true}, Backends{Kind: FullList, Entries: some(2)},
+	for _, e := range []Event{OperatorOverride{Backend: 1, Offline: true}, Backends{Kind: FullList, Entries: some(2)},
 		Backends{Kind: Delta, Entries: []Backend{{ID: 1, State: Gone}}}, Timer{Token: timerHousekeeping << 56},
 		Backends{Kind: Delta, Entries: []Backend{ready(1)}}} {
 		if d.handle(e); sends() != 0 {
 			t.Fatalf("sent to a banned backend after %+v", e)
 		}
 	}
-	if known, skipped := d.g.Listed(); known != 2 || skipped != 1 {
+	if known, skipped := d.g.BackendCounts(); known != 2 || skipped != 1 {
 		t.Errorf("%d known, %d skipped", known, skipped)
 	}
 	if d.g.Knows(3) || !d.g.Knows(1) {
 		t.Error("who is known is wrong")
 	}
-	d.handle(ByHand{Backend: 1})
-	if w := d.g.warmth(d.g.servers[1]); w != set.ColdFrom {
+	d.handle(OperatorOverride{Backend: 1})
+	if w := d.g.warmth(d.g.servers[1]); w != set.InitialColdFraction {
 		t.Errorf("warmth %f on return", w)
 	}
 	if n := sends(); n > 1 {
 		t.Errorf("%d sends at once to a cold backend", n)
 	}
-	d.now += 2 * set.ColdFor
+	d.now += 2 * set.ColdDuration
 	if sends() == 0 {
 		t.Error("nothing sent to a backend that is back and warm")
 	}
 	// What discovery says holds as well.
-	d.handle(ByHand{Backend: 1, Offline: true})
+	d.handle(OperatorOverride{Backend: 1, Offline: true})
 	d.handle(Backends{Kind: Delta, Entries: []Backend{{ID: 1, State: Draining}}})
-	d.handle(ByHand{Backend: 1})
+	d.handle(OperatorOverride{Backend: 1})
 	if sends() != 0 {
 		t.Error("the call back undid a drain")
 	}
@@ -121,10 +124,10 @@
 	old := start(t, set, some(3)...)
 	old.ask(0, 1, 1) // takes a lease
 	old.ask(0, 0, 2)
-	old.handle(ByHand{Backend: 2, Offline: true})
-	old.handle(ByHand{Backend: 3, Offline: true})
+	old.handle(OperatorOverride{Backend: 2, Offline: true})
+	old.handle(OperatorOverride{Backend: 3, Offline: true})
 	old.now++
-	old.handle(ByHand{Backend: 3}) // back, and so cold
+	old.handle(OperatorOverride{Backend: 3}) // back, and so cold
 	units := map[CustomerID]float64{}
 	locals := map[CustomerID]float64{}
 	for _, c := range old.g.roster {
@@ -157,7 +160,7 @@
 		if s := d.g.servers[2]; s.usable() || !d.g.servers[1].usable() {
 			t.Error("the ban is not in both states")
 		}
-		if w := d.g.warmth(d.g.servers[3]); w != set.ColdFrom {
+		if w := d.g.warmth(d.g.servers[3]); w != set.InitialColdFraction {
 			t.Errorf("a backend that has just come back has warmth %f", w)
 		}
 		d.g.bound, d.g.inFlight = 20, 10
@@ -170,12 +173,12 @@
 	if n := len(find[Count](next.last)); n != 0 {
 		t.Errorf("%d calls to the counter for a customer whose lease was handed over", n)
 	}
-	old.handle(Leave{Until: old.now + 1})
-	next.handle(Leaving)
+	old.handle(Shutdown{Deadline: old.now + 1})
+	next.handle(SiblingDraining)
 	if sum := old.g.share + next.g.share; sum > 1 {
 		t.Errorf("the shares are %f together", sum)
 	}
-	next.handle(Absent)
+	next.handle(SiblingAbsent)
 	if c := next.g.customers[1].terms; c.localRate != whole.localRate {
 		t.Errorf("alone, the local rate is %f of %f", c.localRate, whole.localRate)
 	}
@@ -184,11 +187,11 @@
 // A process that ends answers whom it holds before it does.
 func TestLeaveEndsRequestsInTime(t *testing.T) {
 	d := start(t, testSettings())
-	d.handle(Leave{Until: d.now + 0.5})
+	d.handle(Shutdown{Deadline: d.now + 0.5})
 	d.ask(1, 1, 1)
 	for _, timer := range find[SetTimer](d.last) {
-		if timer.Token>>56 == timerEnd && timer.In > 0.5 {
-			t.Errorf("answered after %f s, when the process is gone", timer.In)
+		if timer.Token>>56 == timerEnd && timer.Delay > 0.5 {
+			t.Errorf("answered after %f s, when the process is gone", timer.Delay)
 		}
 	}
 	if len(find[SetTimer](d.last)) == 0 {
@@ -203,8 +206,8 @@
 	d := start(t, set, some(2)...)
 	open := func() (RequestID, Send) {
 		d.nextID++
-		out := d.handle(Request{ID: d.nextID, Class: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2,
-			Open: true})
+		out := d.handle(Request{ID: d.nextID, Class: 1, Plan: 1, Customer: 1, Units: 1, GatewayCount: 2, Deadline: d.now + 2,
+			BodyPending: true})
 		s := one[Send](t, out)
 		if s.Timeout != 0 || d.g.inFlight != 0 {
 			t.Fatalf("time-out %f, %d in flight while the body comes", s.Timeout, d.g.inFlight)
@@ -218,13 +221,13 @@
 			t.Fatalf("given up while its body comes: %v", out)
 		}
 	}
-	out := d.handle(Whole{Request: id, Deadline: d.now + 2})
+	out := d.handle(BodyComplete{Request: id, Deadline: d.now + 2})
 	if d.g.inFlight != 1 {
 		t.Errorf("%d in flight once it is whole", d.g.inFlight)
 	}
 	ends := false
 	for _, timer := range find[SetTimer](out) {
-		ends = ends || timer.Token>>56 == timerEnd && timer.In > 0.9 && timer.In < 2
+		ends = ends || timer.Token>>56 == timerEnd && timer.Delay > 0.9 && timer.Delay < 2
 	}
 	if !ends {
 		t.Errorf("no end for it in %v", out)
@@ -236,7 +239,7 @@
 	}
 	// What broke off before its end never ran, and is not sent again once its body is used up.
 	id, s = open()
-	out = d.handle(AttemptEnd{Request: id, Backend: s.Backend, Outcome: ConnectFailed, Spent: true})
+	out = d.handle(AttemptEnd{Request: id, Backend: s.Backend, Outcome: ConnectFailed, BodyConsumed: true})
 	if n := len(find[Send](out)); n != 0 {
 		t.Errorf("sent %d more times", n)
 	}
@@ -251,7 +254,7 @@
 	id := d.ask(0, 1, 1)
 	s := one[Send](t, d.last)
 	d.now += 0.1
-	d.g.set.UnitsSettled = true
+	d.g.set.UnitsEstimated = true
 	had := d.g.customers[1].units
 	d.handle(Established{Request: id, Backend: s.Backend, Took: 0.1, Units: 3})
 	if c := d.g.customers[1]; c.units != had-2 { // of which the request named one
@@ -271,3 +274,22 @@
 		t.Errorf("%d in flight, latency %f, failures %f", d.g.inFlight, d.g.latency, d.g.servers[s.Backend].fail)
 	}
 }
+
+// Processes of two versions exchange snapshots during a hand-over, so the encoded names must not change.
+func TestSnapshotKeepsItsEncodedNames(t *testing.T) {
+	snapshot := Snapshot{ConcurrencyLimit: 1, Latency: 2, Spread: 3, Pressure: 4, CounterFailureRate: 5, WarmSendRate: 6,
+		Backends: []BackendRecord{{Backend: Backend{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: Ready, Weight: 6, StartedAt: 7},
+			Banned: true, FailureRate: 8, Latency: 9, LastServed: 10, TrialAt: 11, TrialInterval: 12, ColdBudget: 13,
+			ColdBudgetAt: 14, ColdSince: 15}},
+		Customers: []CustomerRecord{{ID: 1, Plan: 2, Gateways: 3, Index: 4, Demand: 5, LastSeen: 6, Units: 7, Expires: 8,
+			LeaseWindow: 9, Window: 10, KnownTotal: 11, TotalReceived: true, ExhaustedUntil: 12, Backoff: 13,
+			BackoffUntil: 14, LocalUnits: 15, LocalUnitsAt: 16}}}
+	const want = `{"Bound":1,"Latency":2,"Spread":3,"Pressure":4,"Crowd":5,"WarmRate":6` +
+		`,"Backends":[{"ID":1,"Zone":2,"Kind":3,"Cell":4,"State":1,"Weight":6,"Born":7` +
+		`,"Banned":true,"Fail":8,"Latency":9,"LastOK":10,"TrialAt":11,"TrialGap":12,"Budget":13,"BudgetedAt":14,"WarmsFrom":15}]` +
+		`,"Customers":[{"ID":1,"Plan":2,"Gateways":3,"Index":4,"Demand":5,"Seen":6,"Units":7,"Expires":8` +
+		`,"Leased":9,"Window":10,"Known":11,"Met":true,"DryUntil":12,"Rest":13,"RestTill":14,"Local":15,"LocalAt":16}]}`
+	if got, err := json.Marshal(snapshot); err != nil || string(got) != want {
+		t.Errorf("encoded as %s (error %v), want %s", got, err, want)
+	}
+}
--- a/rules/places_test.go
+++ b/rules/places_test.go
@@ -7,7 +7,7 @@
 	set.Plans[0] = Plan{Price: 1, MaxConcurrent: 2}
 	d := start(t, set, some(4)...)
 	d.now += 1 // at its start a window hears of the places that are held
-	out := d.handle(Request{ID: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2})
+	out := d.handle(Request{ID: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2})
 	call := one[Count](t, out)
 	if len(find[Send](out)) != 0 || call.Amount != 1 {
 		t.Fatalf("want one call for one place first: %v", out)
@@ -33,7 +33,7 @@
 		set.Rank = (4 + rank) % 5 // the customer's set is 4, 0, 1
 		d := start(t, set, some(8)...)
 		for i := range 3 {
-			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, FirstPeer: 4, Gateways: 3, Customer: 5, Deadline: d.now + 2})
+			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, FirstGateway: 4, GatewayCount: 3, Customer: 5, Deadline: d.now + 2})
 			sent += len(find[Send](out))
 		}
 	}
@@ -52,7 +52,7 @@
 	names := map[uint64]bool{}
 	for i := range 60 { // 60 requests within one window
 		d.now += 0.001
-		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 50, Customer: 5, Deadline: d.now + 2})
+		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 50, Customer: 5, Deadline: d.now + 2})
 		for _, c := range find[Count](out) {
 			names[c.Name] = true
 			total += c.Amount
--- a/rules/quota_test.go
+++ b/rules/quota_test.go
@@ -8,7 +8,7 @@
 
 func TestBeyondQuotaIsRefusedUntilTheStoreHasRefilled(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	out := d.handle(Request{ID: 1, Units: 1, Gateways: 20, Customer: 5, Deadline: d.now + 2})
+	out := d.handle(Request{ID: 1, Units: 1, GatewayCount: 20, Customer: 5, Deadline: d.now + 2})
 	call := one[Count](t, out)
 	// Others have used the store up.
 	out = d.handle(CounterReply{Name: call.Name, Total: 1000})
@@ -23,7 +23,7 @@
 	for since := 0.1; since < 4 && asked == 0; since += 0.1 {
 		d.now += 0.1
 		d.nextID += 10
-		out = d.handle(Request{ID: d.nextID, Units: 1, Gateways: 20, Customer: 5, Deadline: d.now + 2})
+		out = d.handle(Request{ID: d.nextID, Units: 1, GatewayCount: 20, Customer: 5, Deadline: d.now + 2})
 		if len(find[Count](out)) > 0 {
 			asked = since
 		}
@@ -90,7 +90,7 @@
 					d := ds[rng.IntN(gateways)]
 					d.now = now
 					id, asked = id+1, asked+1
-					follow(d, d.handle(Request{ID: id, Units: 1, Gateways: gateways, Customer: 5, Deadline: now + 2}))
+					follow(d, d.handle(Request{ID: id, Units: 1, GatewayCount: gateways, Customer: 5, Deadline: now + 2}))
 				}
 			}
 			return asked, sent, calls
@@ -121,7 +121,7 @@
 	d := start(t, testSettings(), some(2)...)
 	sent, refused := 0, 0
 	for i := range 10 {
-		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2})
+		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2})
 		for _, c := range find[Count](out) {
 			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
 		}
@@ -146,7 +146,7 @@
 func TestCeilingHoldsWhateverOrderGatewaysAskIn(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		plan := Plan{Price: 1, Rate: 10, Burst: 10, OverCost: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
+		plan := Plan{Price: 1, Rate: 10, Burst: 10, OverQuotaCost: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
 		set := testSettings()
 		set.Plans[0], set.MaxUnits = plan, 1
 		gateways := []int{3, 8, 40}[seed%3] // few and many
@@ -164,7 +164,7 @@
 			id++
 			var todo []Action
 			if now < 102 || rng.Float64() < 0.2+0.2*math.Sin(now) || math.Mod(now, 19) < 7 {
-				todo = d.handle(Request{ID: id, Units: 1, Gateways: gateways, Customer: 5, Deadline: now + 2})
+				todo = d.handle(Request{ID: id, Units: 1, GatewayCount: gateways, Customer: 5, Deadline: now + 2})
 			} else if step%9 == 0 {
 				todo = d.handle(Timer{Token: timerHousekeeping << 56})
 			}
@@ -201,13 +201,13 @@
 // What settling leaves in debt is paid by the next lease, in one call, and what it leaves over is used first.
 func TestLeaseCountsWhatSettlingLeft(t *testing.T) {
 	set := testSettings()
-	set.UnitsSettled, set.MaxUnits = true, 4
+	set.UnitsEstimated, set.MaxUnits = true, 4
 	d := start(t, set, some(4)...)
 	total := 0.0
 	ask := func(units, asked, settled float64) {
 		t.Helper()
 		d.nextID++
-		todo := d.handle(Request{ID: d.nextID, Plan: 1, Units: units, Gateways: 5000, Customer: 5, Deadline: d.now + 2})
+		todo := d.handle(Request{ID: d.nextID, Plan: 1, Units: units, GatewayCount: 5000, Customer: 5, Deadline: d.now + 2})
 		first, sent := 0.0, false
 		for ; len(todo) > 0; todo = todo[1:] {
 			switch a := todo[0].(type) {
@@ -242,7 +242,7 @@
 	totals, last := map[uint64]float64{}, 0.0
 	ask := func() {
 		d.nextID++
-		todo := d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, Gateways: 9, Customer: 5, Deadline: d.now + 2})
+		todo := d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, GatewayCount: 9, Customer: 5, Deadline: d.now + 2})
 		for ; len(todo) > 0; todo = todo[1:] {
 			switch a := todo[0].(type) {
 			case Count:
@@ -274,7 +274,7 @@
 	d := start(t, testSettings(), some(4)...)
 	for i := range 20 { // a customer seen once in ten seconds at this gateway
 		d.now += 10
-		out := d.handle(Request{ID: RequestID(i + 1), Plan: 1, Units: 1, Gateways: 100, Customer: 5, Deadline: d.now + 2})
+		out := d.handle(Request{ID: RequestID(i + 1), Plan: 1, Units: 1, GatewayCount: 100, Customer: 5, Deadline: d.now + 2})
 		if call := one[Count](t, out); call.Amount != 1 {
 			t.Fatalf("took %v units for one request", call.Amount)
 		}
@@ -310,7 +310,7 @@
 	ask := func(d *drive, n int) (sent int) {
 		for range n {
 			id++
-			sent += run(d, d.handle(Request{ID: id, Plan: 1, Units: 1, Gateways: 2, Customer: customer, Deadline: d.now + 2}))
+			sent += run(d, d.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: customer, Deadline: d.now + 2}))
 		}
 		return sent
 	}
@@ -340,7 +340,7 @@
 func TestLostCorrectionIsMadeAgain(t *testing.T) {
 	for _, added := range []bool{false, true} {
 		d := start(t, testSettings(), some(4)...)
-		first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2}))
+		first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2}))
 		// Another gateway has written off the same refill and taken 30 of the burst of 40, so 11 of the 21
 		// that were asked for are too many.
 		refill := first.Amount - 21
@@ -366,7 +366,7 @@
 	}
 	// A call that was turned away has added nothing: what it should tell goes with the next.
 	d := start(t, testSettings(), some(4)...)
-	first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2}))
+	first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2}))
 	excess := one[Count](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 9}))
 	d.handle(CounterReply{Name: excess.Name, Outcome: ConnectFailed})
 	if c := d.g.customers[5]; c.idle != -excess.Amount {
@@ -378,7 +378,7 @@
 func TestLeaseAsksForNoMoreThanTheStoreHolds(t *testing.T) {
 	d := start(t, testSettings(), some(4)...)
 	ask := func(id RequestID) []Action {
-		return d.handle(Request{ID: id, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2})
+		return d.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2})
 	}
 	first := one[Count](t, ask(1))
 	refill := first.Amount - 21
@@ -403,7 +403,7 @@
 	set.Classes[0].LateWorth, set.Classes[0].Deadline = 0.2, 10
 	d := start(t, set) // no backend: what is paid for is held
 	ask := func(id RequestID) (out []Action, startTimer SetTimer) {
-		out = d.handle(Request{ID: id, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 10})
+		out = d.handle(Request{ID: id, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 10})
 		for _, timer := range find[SetTimer](out) {
 			if timer.Token>>56 == timerStart {
 				startTimer = timer
@@ -416,12 +416,12 @@
 	d.g.customers[5].units = 0 // spent by others
 	out, unpaid := ask(2)
 	call := one[Count](t, out)
-	if math.Abs(paid.In-0.8) > 1e-6 || math.Abs(unpaid.In-0.8) > 1e-6 {
-		t.Fatalf("timers after %v and %v, want the aim", paid.In, unpaid.In)
+	if math.Abs(paid.Delay-0.8) > 1e-6 || math.Abs(unpaid.Delay-0.8) > 1e-6 {
+		t.Fatalf("timers after %v and %v, want the aim", paid.Delay, unpaid.Delay)
 	}
 	d.now += 0.8
-	if again := one[SetTimer](t, d.handle(Timer{Token: paid.Token})); again.In < 9 {
-		t.Errorf("the paid request is looked at again after %v, want its deadline", again.In)
+	if again := one[SetTimer](t, d.handle(Timer{Token: paid.Token})); again.Delay < 9 {
+		t.Errorf("the paid request is looked at again after %v, want its deadline", again.Delay)
 	}
 	if r := one[Refuse](t, d.handle(Timer{Token: unpaid.Token})); r.Request != 2 {
 		t.Errorf("refused %d", r.Request)
@@ -432,7 +432,7 @@
 // A counter whose line is long for a moment turns calls away, and at one of many gateways too the next may do.
 func TestRequestWaitsForTheNextCall(t *testing.T) {
 	d := start(t, testSettings(), some(4)...)
-	out := d.handle(Request{ID: 1, Units: 1, Gateways: 100, Customer: 5, Deadline: d.now + 2})
+	out := d.handle(Request{ID: 1, Units: 1, GatewayCount: 100, Customer: 5, Deadline: d.now + 2})
 	d.g.customers[5].local = 0
 	out = d.handle(CounterReply{Name: one[Count](t, out).Name, Outcome: Full})
 	if len(find[Refuse](out)) > 0 {
@@ -447,7 +447,7 @@
 	d := start(t, testSettings(), some(4)...)
 	d.g.crowd = 0.2
 	for i := range 3 {
-		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 100, Customer: 5, Deadline: d.now + 2})
+		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 100, Customer: 5, Deadline: d.now + 2})
 		for _, c := range find[Count](out) {
 			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
 		}
@@ -463,7 +463,7 @@
 // was the counter's to grant, and is no debt.
 func TestLeasesLeaveNoDebtOnTheLocalShare(t *testing.T) {
 	set := testSettings()
-	set.CanCopy = false
+	set.CanHedge = false
 	d := start(t, set, some(4)...)
 	totals, down := map[uint64]float64{}, false
 	sent := 0
@@ -490,7 +490,7 @@
 		d.now += 0.25
 		follow(d.handle(Timer{Token: timerHousekeeping << 56}))
 		d.nextID++
-		follow(d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
+		follow(d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, GatewayCount: 2, Deadline: d.now + 2}))
 	}
 	for range 40 {
 		ask() // four units a second: more than the quota, of which the local share is one
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -22,14 +22,14 @@
 		answered := 0
 		for i, gateways := range []int{0, 1, 3, 1000} {
 			id := RequestID(i + 1)
-			out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstPeer: 7, Customer: 5, Deadline: d.now + 2})
+			out := d.handle(Request{ID: id, Units: 1, GatewayCount: gateways, FirstGateway: 7, Customer: 5, Deadline: d.now + 2})
 			for _, c := range find[Count](out) {
 				out = append(out, d.handle(CounterReply{Name: c.Name, Total: math.Inf(1)})...)
 				out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: Full})...) // twice
 			}
 			d.handle(CounterReply{Name: 99})
 			d.handle(AttemptEnd{Request: id, Attempt: 9, Backend: 77, Outcome: Served})
-			d.handle(AttemptEnd{Request: 12345, Backend: 1, Outcome: Moot})
+			d.handle(AttemptEnd{Request: 12345, Backend: 1, Outcome: NotStarted})
 			d.handle(Backends{Kind: FullList})
 			d.handle(Backends{Kind: Delta, Entries: some(1)})
 			out = append(out, d.handle(Timer{Token: timerHousekeeping << 56})...)
@@ -69,7 +69,7 @@
 func randomRun(t *testing.T, seed uint64) (log []Action) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	set := testSettings()
-	set.CanCopy = seed%2 == 0
+	set.CanHedge = seed%2 == 0
 	set.Counter = seed%3 != 0
 	set.Classes = append(set.Classes, Class{Aim: 0.5, Deadline: 1, Worth: 2, Effect: Once})
 	d := start(t, set, some(5)...)
@@ -94,7 +94,7 @@
 				if notReady[a.Backend] {
 					t.Fatalf("seed %d: sent to %d, which drains", seed, a.Backend)
 				}
-				if len(o.out) > 0 && !set.CanCopy {
+				if len(o.out) > 0 && !set.CanHedge {
 					t.Fatalf("seed %d: two attempts out", seed)
 				}
 				o.out = append(o.out, len(o.attempts))
@@ -114,7 +114,7 @@
 				}
 				open[a.Request].ended = true
 			case SetTimer:
-				timers = append(timers, timer{d.now + a.In, a.Token})
+				timers = append(timers, timer{d.now + a.Delay, a.Token})
 			case Count:
 				calls = append(calls, a)
 			}
@@ -139,7 +139,7 @@
 		case 0, 1:
 			d.nextID++
 			r := Request{ID: d.nextID, Class: rng.IntN(3), Plan: rng.IntN(2), Customer: CustomerID(rng.IntN(4)), Units: 1,
-				Gateways: 2}
+				GatewayCount: 2}
 			r.Deadline = d.now + set.Classes[r.Class].Deadline*(0.5+rng.Float64()/2)
 			open[r.ID] = &openRequest{Request: r}
 			order = append(order, r.ID)
--- a/rules/reason.go
+++ b/rules/reason.go
@@ -5,15 +5,15 @@
 
 // The reasons.
 const (
-	RejectedTooLate   Reason = iota // no time was left when it came
-	RejectedOverQuota               // the counter has no units for its customer
-	RejectedNoCounter               // the counter is silent and the local share is spent
-	RejectedNoLease                 // the counter's answer came too late
-	RejectedNoRoom                  // the bound is full and the wait would be too long
-	RejectedHeldOut                 // it waited for the bound for all of its time
-	RejectedNoRetry                 // its attempt failed and there was none further
-	RejectedNoAnswer                // its attempt took all of its time
-	RejectedStopping                // the process ends before its time is over
+	RejectedTooLate      Reason = iota // no time was left when it came
+	RejectedOverQuota                  // the counter has no units for its customer
+	RejectedNoCounter                  // the counter is silent and the local share is spent
+	RejectedNoLease                    // the counter's answer came too late
+	RejectedNoRoom                     // the bound is full and the wait would be too long
+	RejectedQueueTimeout               // it waited for the bound for all of its time
+	RejectedNoRetry                    // its attempt failed and there was none further
+	RejectedNoAnswer                   // its attempt took all of its time
+	RejectedStopping                   // the process ends before its time is over
 
 	// ReasonCount is the number of reasons.
 	ReasonCount
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -97,7 +97,7 @@
 		retries: retryMost, share: 1, endsAt: math.Inf(1), startLag: math.Inf(1)}
 	g.rank()
 	g.makeRoom(seed)
-	if set.AskDiscovery {
+	if set.SubscribeToDiscovery {
 		g.do(Subscribe{})
 	}
 	g.timer(housekeepingInterval, timerHousekeeping, 0, 0)
@@ -115,7 +115,7 @@
 		g.attemptEnd(e)
 	case Established:
 		g.established(e)
-	case Whole:
+	case BodyComplete:
 		g.whole(e)
 	case ClientGone:
 		if j := g.live(e.Request); j != nil {
@@ -131,16 +131,16 @@
 		g.exportState()
 	case Import:
 		g.importState(e.Snapshot)
-	case Neighbour:
-		g.shareOut([]float64{Absent: 1, Beside: pairShare, Leaving: 1 - leaverShare}[e])
-	case Leave:
-		g.endBy(e.Until)
+	case SiblingProcess:
+		g.shareOut([]float64{SiblingAbsent: 1, SiblingServing: pairShare, SiblingDraining: 1 - leaverShare}[e])
+	case Shutdown:
+		g.endBy(e.Deadline)
 	case Members:
 		g.present = e.Present
 		g.here = g.presentOf(0, g.set.Fleet)
-	case ByHand:
+	case OperatorOverride:
 		g.byHand(e)
-	case Retune:
+	case ApplySettings:
 		// Leases, backends, the bound and what is open live on. Requests hold on to their class.
 		worths := g.worths
 		g.set = e.Settings
@@ -153,7 +153,7 @@
 
 // request takes in a try. Two timers see to it that it is answered in time.
 func (g *Gateway) request(r Request) {
-	c, p := r.Own, &g.set.Plans[r.Plan]
+	c, p := r.ClassOverride, &g.set.Plans[r.Plan]
 	if c == nil {
 		c = &g.set.Classes[r.Class]
 	}
@@ -199,7 +199,7 @@
 // Danger: a repeat whose aim has passed earns nothing, yet takes units, a call and a backend's time from
 // requests that may still earn; a fresh try must not be taken for one, so an unknown patience says nothing.
 func (g *Gateway) elapsed(r Request, c *Class) float64 {
-	if r.Own != nil {
+	if r.ClassOverride != nil {
 		return 0 // nothing is kept of a class that is no more
 	}
 	left, usual := r.Deadline-r.Sent, &g.patience[r.Class*len(g.set.Plans)+r.Plan]
@@ -229,14 +229,14 @@
 		// Units are had, and a late answer earns more than none. Without them it would take them from a
 		// request that can still be in time: while units are scarce, one late request makes the next late.
 		g.timer(j.giveUp-g.now-g.latency, timerStart, 0, j.ID)
-	case j.Open && len(j.attempts) > 0 && g.now < g.lastAnswer(): // its time has not begun
+	case j.BodyPending && len(j.attempts) > 0 && g.now < g.lastAnswer(): // its time has not begun
 	case !j.done && !j.streams && (kind == timerEnd || kind == timerStart && len(j.attempts) == 0):
 		why := RejectedNoLease
 		switch {
 		case len(j.attempts) > 0:
 			why = RejectedNoAnswer
 		case j.paid:
-			why = RejectedHeldOut
+			why = RejectedQueueTimeout
 		}
 		g.reject(j, g.orStopping(j, why))
 	}
@@ -390,7 +390,7 @@
 		before = j.mayAt + j.class.DedupeWindow - 2*g.set.Tick
 	}
 	if j.done || j.streams || !j.paid || !s.usable() || !j.inGroup(s) || before > 0 && g.now > before ||
-		j.spent || tries >= min(j.mostTries, max(g.set.MaxAttempts, 1)) || j.out > 0 && !g.set.CanCopy {
+		j.spent || tries >= min(j.mostTries, max(g.set.MaxAttempts, 1)) || j.out > 0 && !g.set.CanHedge {
 		return false
 	}
 	if tries == 0 {
@@ -408,11 +408,11 @@
 	} else {
 		g.warmSent++
 	}
-	if j.Open {
-		g.do(Send{Request: j.ID, Backend: s.ID, Before: before}) // its time counts from its last byte
+	if j.BodyPending {
+		g.do(Send{Request: j.ID, Backend: s.ID, WriteDeadline: before}) // its time counts from its last byte
 		return true
 	}
-	g.do(Send{Request: j.ID, Backend: s.ID, Timeout: max(j.giveUp-g.now, g.set.Tick), Before: before})
+	g.do(Send{Request: j.ID, Backend: s.ID, Timeout: max(j.giveUp-g.now, g.set.Tick), WriteDeadline: before})
 	g.begin(j, tries)
 	return true
 }
@@ -427,12 +427,12 @@
 
 // whole starts the time of a request whose body took its own to come. Until then it is no work for a backend
 // and takes no place under the bound.
-func (g *Gateway) whole(e Whole) {
+func (g *Gateway) whole(e BodyComplete) {
 	j := g.live(e.Request)
-	if j == nil || !j.Open || len(j.attempts) == 0 {
+	if j == nil || !j.BodyPending || len(j.attempts) == 0 {
 		return
 	}
-	j.Open, j.Sent, j.Deadline = false, g.now, e.Deadline
+	j.BodyPending, j.Sent, j.Deadline = false, g.now, e.Deadline
 	j.giveUp = g.lastUse(j)
 	g.timer(j.giveUp-g.now, timerEnd, 0, j.ID)
 	if n := len(j.attempts) - 1; !j.attempts[n].ended {
@@ -470,7 +470,7 @@
 	a.ended = true
 	j.out--
 	c.open--
-	j.spent = j.spent || e.Spent
+	j.spent = j.spent || e.BodyConsumed
 	if (e.Outcome == TimedOut || e.Outcome == Cancelled) && a.counted {
 		// Danger: a time-out or a cancel may stop no work. If given-up attempts left the count, each would
 		// make room for one more at a full backend. It stays the longer the more in a row the backend has
@@ -504,7 +504,7 @@
 
 // settle puts the guess right, once the true units are told.
 func (g *Gateway) settle(j *pendingRequest, units float64) {
-	if g.set.UnitsSettled && units > 0 {
+	if g.set.UnitsEstimated && units > 0 {
 		j.customer.units -= units - j.Units
 	}
 }
@@ -550,7 +550,7 @@
 			g.inFlight--
 		}
 	}
-	if !j.done && len(j.attempts) == n+1 && !g.full(0) && g.set.CanCopy && j.customer.terms.places == 0 {
+	if !j.done && len(j.attempts) == n+1 && !g.full(0) && g.set.CanHedge && j.customer.terms.places == 0 {
 		g.again(j)
 	}
 }
@@ -561,7 +561,7 @@
 	g.rejected[why]++
 	if j.class.Effect == Repeatable || !j.mayRun || j.class.Effect == ByKey && j.class.Scope == ScopeAll {
 		// Clients that follow it come back when there may be room, and not before.
-		advice := g.set.MaxAdvice
+		advice := g.set.MaxRetryAfter
 		if !j.paid {
 			advice = min(advice, max(j.customer.dryUntil-g.now, j.customer.restTill-g.now, 0))
 		}
@@ -681,10 +681,10 @@
 	for _, b := range e.Entries {
 		known := g.servers[b.ID] != nil
 		s := g.serverOf(b)
-		if !known || b.Born > s.Born {
+		if !known || b.StartedAt > s.StartedAt {
 			g.resetColdStart(s, g.startOf(b)) // a new process
 		} else {
-			b.Born = s.Born
+			b.StartedAt = s.StartedAt
 		}
 		s.Backend = b
 	}
@@ -699,13 +699,13 @@
 
 // byHand takes a backend out, or back in. Danger: while out it is restarted, and discovery tells of that
 // late. So it counts as started when it comes back, unless it is known to have started later.
-func (g *Gateway) byHand(e ByHand) {
+func (g *Gateway) byHand(e OperatorOverride) {
 	s := g.servers[e.Backend]
 	if s == nil || s.banned == e.Offline {
 		return
 	}
 	if s.banned = e.Offline; !s.banned {
-		s.Born = max(s.Born, g.now)
+		s.StartedAt = max(s.StartedAt, g.now)
 		g.resetColdStart(s, g.now)
 	}
 }
@@ -843,12 +843,12 @@
 		// Danger: a gateway that starts again may have spent its share in its last life. Under a ceiling
 		// it earns the share anew; elsewhere a full store costs little.
 		if p := g.set.Plans[r.Plan]; p.CeilingRate <= 0 {
-			c.local = g.terms(&p, r.Gateways, 0).localBurst
+			c.local = g.terms(&p, r.GatewayCount, 0).localBurst
 		}
 	}
 	fleet := max(g.set.Fleet, 1)
-	index := (g.set.Rank - r.FirstPeer + fleet) % fleet // this gateway's place in the customer's set
-	c.plan, c.gateways, c.index = r.Plan, r.Gateways, max(min(index, r.Gateways-1), 0)
+	index := (g.set.Rank - r.FirstGateway + fleet) % fleet // this gateway's place in the customer's set
+	c.plan, c.gateways, c.index = r.Plan, r.GatewayCount, max(min(index, r.GatewayCount-1), 0)
 	c.terms = g.terms(&g.set.Plans[r.Plan], c.gateways, c.index)
 	c.demand = c.demand*math.Exp(-(g.now-c.seen)/demandSpan) + r.Units/demandSpan
 	c.seen = g.now
@@ -1175,4 +1175,4 @@
 }
 
 // neverRan tells which outcomes prove that an attempt had no effect.
-func neverRan(o Outcome) bool { return o == Full || o == ConnectFailed || o == Moot }
+func neverRan(o Outcome) bool { return o == Full || o == ConnectFailed || o == NotStarted }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -88,7 +88,7 @@
 		t.Fatalf("timers of a request that was let in: %v", timers)
 	}
 	d.nextID++
-	out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now})
+	out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, GatewayCount: 2, Deadline: d.now})
 	one[Refuse](t, out)
 	if timers := find[SetTimer](out); len(timers) > 0 {
 		t.Errorf("timers of a refused request: %v", timers)
@@ -105,7 +105,7 @@
 		d.now += 1
 		d.nextID++
 		sent := d.now - lag
-		out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Sent: sent, Deadline: sent + 1.5})
+		out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, GatewayCount: 2, Sent: sent, Deadline: sent + 1.5})
 		if s := one[Send](t, out); math.Abs(s.Timeout-(0.8-lag)) > 1e-6 {
 			t.Errorf("request %d: time-out %g, want %g", i, s.Timeout, 0.8-lag)
 		}
--- a/rules/sharing_test.go
+++ b/rules/sharing_test.go
@@ -5,7 +5,7 @@
 // boundOf returns the bound that a gateway begins with before so many backends.
 func boundOf(t *testing.T, backends, fleet, sharing int) float64 {
 	t.Helper()
-	g, _ := New(Settings{Fleet: fleet, Sharing: sharing, Tick: 0.002, MaxAttempts: 3,
+	g, _ := New(Settings{Fleet: fleet, GatewaysPerBackend: sharing, Tick: 0.002, MaxAttempts: 3,
 		Classes: []Class{{Worth: 1, Aim: 1, Deadline: 2}}, Plans: []Plan{{Price: 1}}}, 1, 0, nil)
 	news := Backends{Kind: FullList}
 	for n := range backends {
@@ -14,7 +14,7 @@
 	g.Handle(1, news, nil)
 	for _, action := range g.Handle(2, Export{}, nil) {
 		if h, ok := action.(Exported); ok {
-			return h.Snapshot.Bound
+			return h.Snapshot.ConcurrencyLimit
 		}
 	}
 	t.Fatal("no state was exported")
--- a/rules/slow_start.go
+++ b/rules/slow_start.go
@@ -22,13 +22,13 @@
 // the process lives. Starts that are told while it runs show by how much. Those of the first
 // list are of any age and show nothing.
 func (g *Gateway) startOf(b Backend) float64 {
-	if b.Born == 0 {
+	if b.StartedAt == 0 {
 		return 0
 	}
 	if !g.listed {
-		return min(b.Born, g.now)
+		return min(b.StartedAt, g.now)
 	}
-	g.startLag = min(g.startLag, g.now-b.Born)
+	g.startLag = min(g.startLag, g.now-b.StartedAt)
 	step := 0.0
 	switch {
 	case g.startLag < 0:
@@ -36,16 +36,16 @@
 	case g.startLag > promptLag:
 		step = g.startLag - promptLag
 	}
-	return min(b.Born+step, g.now)
+	return min(b.StartedAt+step, g.now)
 }
 
 // warmth is the least share of its capacity that a backend can be trusted with.
 func (g *Gateway) warmth(s *server) float64 {
-	if s.warmsFrom == 0 || g.set.ColdFor <= 0 || g.now-s.warmsFrom >= g.set.ColdFor {
+	if s.warmsFrom == 0 || g.set.ColdDuration <= 0 || g.now-s.warmsFrom >= g.set.ColdDuration {
 		return 1
 	}
-	age := max(g.now-s.warmsFrom, 0) / g.set.ColdFor
-	return g.set.ColdFrom + (1-g.set.ColdFrom)*age
+	age := max(g.now-s.warmsFrom, 0) / g.set.ColdDuration
+	return g.set.InitialColdFraction + (1-g.set.InitialColdFraction)*age
 }
 
 // coldRoom keeps a cold backend from being pushed over with no agreement among gateways: each sends it at
@@ -56,7 +56,7 @@
 	if w >= 1 {
 		return true
 	}
-	rate := max(w*g.warmRate, coldMin/float64(cmp.Or(g.set.Sharing, g.here, g.set.Fleet, 1))) * g.share
+	rate := max(w*g.warmRate, coldMin/float64(cmp.Or(g.set.GatewaysPerBackend, g.here, g.set.Fleet, 1))) * g.share
 	s.budget = min(s.budget+rate*(g.now-s.budgetedAt), max(coldSave*g.share, 1))
 	s.budgetedAt = g.now
 	return s.budget >= 1
--- a/rules/slow_start_test.go
+++ b/rules/slow_start_test.go
@@ -17,12 +17,12 @@
 		d.handle(Backends{Kind: FullList, Entries: some(4)})
 		const lag = 0.3 // until a start is told
 		fresh := ready(9)
-		fresh.Born = d.now - step - lag
+		fresh.StartedAt = d.now - step - lag
 		d.handle(Backends{Kind: Delta, Entries: []Backend{fresh}})
-		if w, most := d.g.warmth(d.g.servers[9]), d.g.set.ColdFrom+0.1; w > most {
+		if w, most := d.g.warmth(d.g.servers[9]), d.g.set.InitialColdFraction+0.1; w > most {
 			t.Errorf("step %v: warmth %.2f as it is told, at most %.2f is sure", step, w, most)
 		}
-		d.now += d.g.set.ColdFor
+		d.now += d.g.set.ColdDuration
 		d.handle(Backends{Kind: Delta})
 		if w := d.g.warmth(d.g.servers[9]); w < 1 {
 			t.Errorf("step %v: warmth %.2f when it has been warm for long", step, w)
@@ -41,9 +41,9 @@
 	d.handle(Backends{Kind: FullList, Entries: some(4)})
 	for n, lag := range []float64{0.2, 6} {
 		b := ready(BackendID(20 + n))
-		b.Born = d.now - lag
+		b.StartedAt = d.now - lag
 		d.handle(Backends{Kind: Delta, Entries: []Backend{b}})
-		want := d.g.set.ColdFrom + (1-d.g.set.ColdFrom)*lag/d.g.set.ColdFor
+		want := d.g.set.InitialColdFraction + (1-d.g.set.InitialColdFraction)*lag/d.g.set.ColdDuration
 		if w := d.g.warmth(d.g.servers[b.ID]); w < want-0.01 || w > want+0.01 {
 			t.Errorf("told %v s late: warmth %.2f, want %.2f", lag, w, want)
 		}
--- a/rules/state.go
+++ b/rules/state.go
@@ -122,7 +122,7 @@
 func (g *Gateway) do(a Action) { g.out = append(g.out, a) }
 
 func (g *Gateway) timer(in float64, kind uint64, attempt int, id RequestID) {
-	g.do(SetTimer{In: max(in, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
+	g.do(SetTimer{Delay: max(in, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
 }
 
 // uncount takes an attempt out of the work in flight, if it is counted there.
@@ -309,7 +309,7 @@
 }
 
 // sharing is how many gateways use one backend.
-func (s *Settings) sharing() int { return max(cmp.Or(s.Sharing, s.Fleet), 1) }
+func (s *Settings) sharing() int { return max(cmp.Or(s.GatewaysPerBackend, s.Fleet), 1) }
 
 // Knows tells whether a backend is on the list, or was when it was banned.
 func (g *Gateway) Knows(id BackendID) bool {
@@ -318,7 +318,7 @@
 }
 
 // Listed counts the backends on the list, and those of them that get no requests now.
-func (g *Gateway) Listed() (known, skipped int) {
+func (g *Gateway) BackendCounts() (known, skipped int) {
 	for _, s := range g.list {
 		if s.State == Gone {
 			continue
@@ -350,7 +350,7 @@
 	if k.added {
 		amount = 0
 	}
-	g.do(Count{Name: k.name, Amount: amount, Keep: keep})
+	g.do(Count{Name: k.name, Amount: amount, TTL: keep})
 }
 
 // called takes the call that a reply answers off the list.
--- a/rules/stop_test.go
+++ b/rules/stop_test.go
@@ -5,7 +5,7 @@
 // fire lets the timers of the actions that are due by then come, and returns what they brought.
 func (d *drive) fire(actions []Action, until float64) (out []Action) {
 	for _, timer := range find[SetTimer](actions) {
-		if at := d.now + timer.In; timer.Request != 0 && at <= until {
+		if at := d.now + timer.Delay; timer.Request != 0 && at <= until {
 			out = append(out, d.g.Handle(at, Timer{Token: timer.Token}, nil)...)
 		}
 	}
@@ -29,7 +29,7 @@
 		t.Fatal("the bound does not hold")
 	}
 	d.now += 0.1
-	actions := d.handle(Leave{Until: d.now + 0.5})
+	actions := d.handle(Shutdown{Deadline: d.now + 0.5})
 	if early := d.fire(actions, d.now+0.4); len(find[Refuse](early))+len(find[Fail](early)) > 0 {
 		t.Errorf("ended before its time: %v", early)
 	}
@@ -57,10 +57,10 @@
 func TestStopEndsOpenBodies(t *testing.T) {
 	d := start(t, testSettings(), some(1)...)
 	d.nextID++
-	actions := d.handle(Request{ID: d.nextID, Class: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 3, Open: true})
+	actions := d.handle(Request{ID: d.nextID, Class: 1, Plan: 1, Customer: 1, Units: 1, GatewayCount: 2, Deadline: d.now + 3, BodyPending: true})
 	actions = append(actions, d.grantAll(actions)...)
 	one[Send](t, actions)
-	actions = d.handle(Leave{Until: d.now + 0.5})
+	actions = d.handle(Shutdown{Deadline: d.now + 0.5})
 	ended := d.fire(actions, d.now+0.5)
 	if n := len(find[Refuse](ended)) + len(find[Fail](ended)); n != 1 {
 		t.Errorf("%d answers at the end: %v", n, ended)
@@ -71,8 +71,8 @@
 func TestStopIsToldAnew(t *testing.T) {
 	d := start(t, testSettings(), some(1)...)
 	d.ask(1, 1, 1)
-	d.handle(Leave{Until: d.now + 2})
-	ended := d.fire(d.handle(Leave{Until: d.now + 1}), d.now+1)
+	d.handle(Shutdown{Deadline: d.now + 2})
+	ended := d.fire(d.handle(Shutdown{Deadline: d.now + 1}), d.now+1)
 	if n := len(find[Refuse](ended)) + len(find[Fail](ended)); n != 1 {
 		t.Errorf("%d answers at the sooner end", n)
 	}
--- a/rules/types.go
+++ b/rules/types.go
@@ -1,132 +1,131 @@
-// Package rules decides, for one gateway, what happens to each request of a
-// customer that is held to a quota before a shared back end.
-//
-// This file is the whole interface: settings go in once, events go in one at a
-// time, actions come out. Times are seconds on the clock of the caller. The
-// decisions are in rules.go.
+// Package rules decides, for one gateway, what happens to each request and to each attempt at a backend.
+// It does no input or output: the caller passes events to a Gateway and carries out the actions it returns.
 package rules
 
-// RequestID names one try of a client at one gateway.
+// The interface of the package: settings, events and actions. Times and durations are in seconds; times are
+// on the caller's clock.
+
+// RequestID identifies one client request at one gateway.
 type RequestID uint32
 
-// BackendID names a backend; it is the same at every gateway.
+// BackendID identifies a backend. All gateways use the same ID for it.
 type BackendID uint32
 
-// CustomerID names a customer.
+// CustomerID identifies a customer. All gateways use the same ID for it.
 type CustomerID uint64
 
-// Effect says how often a request of a class may take effect.
+// Effect states how often a request of a class may take effect.
 type Effect int
 
-// The kinds of effect.
+// The values of Effect.
 const (
-	Repeatable Effect = iota // may run any number of times
-	ByKey                    // a group of backends drops repeats for a while
-	Once                     // must not run twice
+	Repeatable Effect = iota // any number of times
+	ByKey                    // once per key: a group of backends drops duplicates within a time window
+	Once                     // at most once: never resent unless the earlier attempt provably did not run
 )
 
-// DedupeScope is the group of backends that drops repeats of a keyed request.
+// DedupeScope is the group of backends that drops duplicates of a keyed request.
 type DedupeScope int
 
-// The scopes, widest first.
+// The values of DedupeScope, widest first.
 const (
 	ScopeAll DedupeScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// Class is one class of requests.
+// Class describes one class of requests.
 type Class struct {
-	Aim          float64 // an answer within this time earns the full worth
-	AimStretch   float64 // the aim grows by this many times the request's own work
-	Deadline     float64 // the client's patience over all its tries
+	Aim          float64 // latency objective: an answer within it earns the full worth
+	AimStretch   float64 // the aim is extended by this multiple of the request's own service time
+	Deadline     float64 // total client timeout, over the first request and all client retries
 	Worth        float64
-	LateWorth    float64 // share of the worth between aim and deadline
+	LateWorth    float64 // fraction of the worth earned by an answer between aim and deadline
 	Effect       Effect
 	Scope        DedupeScope
-	DedupeWindow float64 // how long the scope remembers a keyed request
+	DedupeWindow float64 // how long the scope remembers a key
 	Streamed     bool
 }
 
-// Plan is what a customer has bought. A rate or limit of 0 means none.
+// Plan describes the quota that a customer has bought. A rate or limit of 0 means unlimited.
 type Plan struct {
-	Price         float64 // factor on the worth of a request
-	Rate          float64 // units a second
-	Burst         float64 // units the quota's store holds at most
-	MaxConcurrent int     // attempts out at once, over all gateways
-	OverWorth     float64 // share of the worth earned beyond the quota
-	OverCost      float64 // share of the worth that a send beyond the quota costs
-	CeilingRate   float64
-	CeilingBurst  float64
-	CeilingSlack  float64
+	Price          float64 // factor on the worth of a request
+	Rate           float64 // units per second
+	Burst          float64 // capacity of the quota's token bucket, units
+	MaxConcurrent  int     // attempts in flight, over all gateways
+	OverQuotaWorth float64 // fraction of the worth earned by an over-quota request
+	OverQuotaCost  float64 // fraction of the worth charged for sending an over-quota request
+	CeilingRate    float64 // hard limit, units per second
+	CeilingBurst   float64 // burst of the hard limit, units
+	CeilingSlack   float64 // tolerated excess over the ceiling, units
 }
 
-// LoadField is one value of a backend's load report.
+// LoadField identifies one value of a backend's load report.
 type LoadField int
 
-// The values a load report can hold.
+// The values of LoadField.
 const (
-	LoadOther LoadField = iota
-	LoadHeld            // requests held
-	LoadWaiting
+	LoadOther      LoadField = iota // any other value
+	LoadInProgress                  // requests in progress
+	LoadQueued                      // requests queued
 	LoadCPU
 	LoadServiceMillis
 	LoadServedPerSecond
 	LoadErrorsPerSecond
 )
 
-// Settings is what an operator states about a deployment.
+// Settings describes a deployment. The operator provides it; a Gateway does not modify it.
 type Settings struct {
 	Classes []Class
 	Plans   []Plan
 
-	Rank  int // this gateway's number among Fleet
-	Fleet int // gateways
+	Rank  int // number of this gateway, from 0 to Fleet-1
+	Fleet int // number of gateways
 
-	// Sharing is how many of them use one backend, where each is told a subset of the
-	// backends; 0: all.
-	Sharing int
+	// GatewaysPerBackend is the number of gateways that use the same backend, where each gateway is given
+	// a subset of the backends; 0 means all gateways.
+	GatewaysPerBackend int
 
 	Zone int
-	Tick float64 // events come at most this often
+	Tick float64 // shortest interval between two events
 
-	AskDiscovery bool // changes of the list come only when asked for
-	RoughWeights bool // Backend.Weight says something about size
-	LoadFields   []LoadField
-	LoadInline   bool // reports come with outcomes, not with probes alone
+	SubscribeToDiscovery bool // discovery sends updates only after a Subscribe action
+	ApproximateWeights   bool // Backend.Weight is a rough indication of capacity
+	LoadFields           []LoadField
+	LoadInline           bool // load reports come with attempt outcomes, not only with probes
 
-	Counter        bool
+	Counter        bool // a shared counter is available
 	CounterTimeout float64
 	CounterPrice   float64
-	MaxUnits       float64
-	UnitsSettled   bool // a request's units are a guess until it is answered
+	MaxUnits       float64 // units of the largest request
+	UnitsEstimated bool    // a request's units are an estimate until it is answered
 
 	CanCancel      bool
 	CanProbe       bool
-	CanCopy        bool    // two attempts of a request may be out at once
-	MaxAdvice      float64 // longest time that clients stay away when told to
-	MaxAttempts    int
-	MaxOpen        int
+	CanHedge       bool    // a request may have two attempts in flight
+	MaxRetryAfter  float64 // upper limit of Refuse.RetryAfter
+	MaxAttempts    int     // per request
+	MaxInProgress  int     // requests accepted and not yet answered
 	ConnectTimeout float64
-	KeepAlive      float64 // idle connections are closed after it
+	KeepAlive      float64 // backends close connections that are idle for this long
 
-	AnswerSlack  float64
-	DrainGrace   float64
-	ColdFrom     float64 // least share of its capacity a backend starts at
-	ColdFor      float64 // it is warm after this time
-	FallMultiple float64 // this many times its capacity pushes it over
-	FallFor      float64 // when sent for this long
+	AnswerSlack         float64 // tolerated delay of an answer after its deadline
+	DrainGrace          float64 // time after the start of a drain in which attempts are still tolerated
+	InitialColdFraction float64 // fraction of its capacity that a backend has when it starts
+	ColdDuration        float64 // time from start to full capacity
+	OverloadMultiple    float64 // load, as a multiple of its capacity, that makes a backend fail
+	OverloadDuration    float64 // how long that load must last
 
-	CrossZonePrice float64
+	CrossZonePrice float64 // fraction added to the cost of a backend in another zone
 	WastePrice     float64
 	LateFailPrice  float64
 	ProbePrice     float64
 }
 
-// BackendState is what discovery says of a backend.
+// BackendState is the state of a backend according to discovery.
 type BackendState int
 
-// The states of a backend.
+// The values of BackendState.
 const (
 	Gone BackendState = iota
 	Ready
@@ -135,97 +134,97 @@
 
 // Backend is one entry of the list of backends.
 type Backend struct {
-	ID     BackendID
-	Zone   int
-	Kind   int
-	Cell   int
-	State  BackendState
-	Weight float64
-	Born   float64 // time of its last start; 0: long ago
+	ID        BackendID
+	Zone      int
+	Kind      int
+	Cell      int
+	State     BackendState
+	Weight    float64
+	StartedAt float64 `json:"Born"` // time of its last start; 0 if that is unknown or long ago
 }
 
-// ListKind says what a Backends event holds.
+// ListKind says how the entries of a Backends event relate to the current list.
 type ListKind int
 
-// The kinds of list.
+// The values of ListKind.
 const (
-	FullList   ListKind = iota // all there are
+	FullList   ListKind = iota // replaces the list
 	Delta                      // changed entries only
-	CachedList                 // all, as last known to a gateway that starts
-	ListFailed                 // discovery failed; the old list stands
+	CachedList                 // replaces the list with the last known one, when a gateway starts
+	ListFailed                 // discovery failed; the current list remains valid
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the way in which an attempt, a probe or a counter call ended.
 type Outcome int
 
-// The outcomes. NeverRan tells which of them prove that nothing happened.
+// The values of Outcome. Full, ConnectFailed and NotStarted prove that an attempt had no effect.
 const (
-	Served Outcome = iota
-	Errored
-	Full
-	TimedOut
-	ConnectFailed
-	Broken
+	Served        Outcome = iota
+	Errored               // answered with an error
+	Full                  // rejected before any work was done
+	TimedOut              // no answer in time
+	ConnectFailed         // no connection
+	Broken                // the connection broke
 	Cancelled
-	Moot
+	NotStarted // the attempt was abandoned before its backend received it
 )
 
-// Event is one thing that happened to this gateway.
+// Event is an input of Gateway.Handle.
 type Event interface{ event() }
 
-// Backends is news from discovery.
+// Backends is an update from discovery.
 type Backends struct {
 	Kind    ListKind
 	Entries []Backend
 }
 
-// Request is a client's try, which is owed one final answer.
+// Request is a request received from a client. The gateway owes it exactly one final answer.
 type Request struct {
-	ID        RequestID
-	Customer  CustomerID
-	Plan      int
-	Class     int
-	Own       *Class // the class as the request came with it, where that is no longer Settings.Classes[Class]
-	Units     float64
-	FirstPeer int // the gateways of this customer are Gateways in a row from here
-	Gateways  int
-	Sent      float64 // clock time at which the client sent it; 0: just now
-	Deadline  float64 // clock time at which the client stops waiting
-	Repeat    bool    // marked by the client as another try
-	Open      bool    // the end of its body is still to come; its time counts from then
+	ID            RequestID
+	Customer      CustomerID
+	Plan          int    // index into Settings.Plans
+	Class         int    // index into Settings.Classes
+	ClassOverride *Class // overrides Class, when that class has changed since the request was received
+	Units         float64
+	FirstGateway  int     // rank of the first of the GatewayCount consecutive gateways that serve this customer
+	GatewayCount  int     // number of gateways that serve this customer
+	Sent          float64 // time at which the client sent it; 0 means now
+	Deadline      float64 // time at which the client stops waiting
+	ClientRetry   bool    // marked by the client as a retry
+	BodyPending   bool    // the body is incomplete; Sent and Deadline take effect with BodyComplete
 }
 
-// Whole says that the end of a request's body has come. It can only come while
-// an attempt takes the body on, and the attempt counts as sent now.
-type Whole struct {
+// BodyComplete reports that the body of a request with BodyPending has been received completely. It can
+// only come while an attempt is forwarding the body; the attempt counts as sent at that moment.
+type BodyComplete struct {
 	Request  RequestID
-	Deadline float64
+	Deadline float64 // replaces Request.Deadline
 }
 
-// Established says that a streamed answer has begun.
+// Established reports that a streamed answer has begun.
 type Established struct {
 	Request RequestID
 	Attempt int
 	Backend BackendID
-	Took    float64
-	Units   float64 // true units, 0: not told
+	Took    float64 // time since the attempt was sent
+	Units   float64 // actual units; 0 if unknown
 }
 
-// AttemptEnd is the one end of an attempt.
+// AttemptEnd reports the end of an attempt. Each attempt ends exactly once.
 type AttemptEnd struct {
-	Request  RequestID
-	Attempt  int
-	Backend  BackendID
-	Outcome  Outcome
-	Took     float64
-	Done     bool    // the request is over
-	Spent    bool    // its body is used up: it can't be sent again
-	Use      int     // 1 + use of the customer in percent, 0: not told
-	Units    float64 // true units, 0: not told
-	LoadData []float64
+	Request       RequestID
+	Attempt       int
+	Backend       BackendID
+	Outcome       Outcome
+	Took          float64 // time since the attempt was sent
+	Done          bool    // the client has its final answer
+	BodyConsumed  bool    // the request body is used up, so the request cannot be resent
+	CustomerUsage int     // 1 + the customer's quota usage in percent; 0 if unknown
+	Units         float64 // actual units; 0 if unknown
+	LoadData      []float64
 }
 
-// Probed is the result of a probe.
+// Probed reports the result of a probe.
 type Probed struct {
 	Backend  BackendID
 	Outcome  Outcome
@@ -233,15 +232,15 @@
 	LoadData []float64
 }
 
-// ClientGone says that a request is over without our answer.
+// ClientGone reports that a client no longer waits for its answer.
 type ClientGone struct{ Request RequestID }
 
-// Timer is a timer that is due.
+// Timer reports that the timer with this token has expired.
 type Timer struct{ Token uint64 }
 
-// CounterReply answers one Count. Served tells the total. Errored says that the
-// amount was added and the total is not known, Full and ConnectFailed that nothing
-// was added, TimedOut and Broken that it may have been.
+// CounterReply answers one Count. With Served, Total is the new total. With Errored the amount was added and
+// the total is unknown. With Full and ConnectFailed nothing was added; with TimedOut and Broken the amount
+// may have been added.
 type CounterReply struct {
 	Name    uint64
 	Outcome Outcome
@@ -249,159 +248,168 @@
 	Took    float64
 }
 
-// PeerMessage is data from another gateway.
+// PeerMessage carries data from another gateway.
 type PeerMessage struct {
 	From int
 	Data []byte
 }
 
-// Retune puts new settings in force, among them other classes. Requests that
-// are open keep the class they came with.
-type Retune struct{ Settings Settings }
+// ApplySettings replaces the settings. Requests in progress keep the class they were received with.
+type ApplySettings struct{ Settings Settings }
 
-// ByHand takes a backend out of use, or back into it, at an operator's word. It
-// stands beside what discovery says, and neither undoes the other.
-type ByHand struct {
+// OperatorOverride takes a backend out of use, or puts it back. It is independent of the backend's state in
+// discovery: a backend gets requests only if both allow it.
+type OperatorOverride struct {
 	Backend BackendID
 	Offline bool
 }
 
-// Export asks for the state of a gateway whose next process has come up beside
-// it. The answer is a Exported.
+// Export requests the state for a sibling process that has just started. The answer is an Exported action.
 type Export struct{}
 
-// Import gives a new process the state of the one beside it, before its first
-// request.
+// Import loads the state exported by the sibling process. It precedes the first request.
 type Import struct{ Snapshot Snapshot }
 
-// Neighbour tells what the other process of this gateway does, whose state
-// were taken or given.
-type Neighbour int
+// SiblingProcess reports the state of the sibling process: the other process of this gateway during a
+// hand-over, with which this process exchanged a Snapshot.
+type SiblingProcess int
 
-// What it may do.
+// The values of SiblingProcess.
 const (
-	Absent  Neighbour = iota // it has ended
-	Beside                   // it serves too
-	Leaving                  // it takes no more clients
+	SiblingAbsent   SiblingProcess = iota // it has ended
+	SiblingServing                        // it accepts clients as well
+	SiblingDraining                       // it accepts no more clients
 )
 
-// Members tells which gateways are present, by their numbers, as far as this one
-// knows. Other gateways may know otherwise.
+// Members reports which gateways are present, by rank. Other gateways may have a different view.
 type Members struct{ Present []bool }
 
-// Leave says that the process ends then, and can answer nobody after it.
-type Leave struct{ Until float64 }
+// Shutdown announces that the process ends at Deadline and can send no answer after it.
+type Shutdown struct{ Deadline float64 }
 
-// Snapshot is what one process of a gateway leaves to the next: its bans and what
-// it knows of backends, and a part of its leases, which it then has no longer.
+// Snapshot is the state that one process of a gateway hands over to the next: operator overrides, statistics of
+// backends, and a part of its leases, which the exporting process gives up.
 type Snapshot struct {
-	Bound, Latency, Spread float64
-	Pressure, Crowd        float64
-	WarmRate               float64
-	Backends               []BackendRecord
-	Customers              []CustomerRecord
+	ConcurrencyLimit   float64 `json:"Bound"` // attempts in flight
+	Latency            float64 // mean
+	Spread             float64 // mean deviation of the latency
+	Pressure           float64 // mean of latency divided by aim
+	CounterFailureRate float64 `json:"Crowd"`
+	WarmSendRate       float64 `json:"WarmRate"` // attempts per second to each warm backend
+	Backends           []BackendRecord
+	Customers          []CustomerRecord
 }
 
-// BackendRecord is what is known of one backend.
+// BackendRecord is the state of one backend in a Snapshot.
 type BackendRecord struct {
 	Backend
-	Banned        bool
-	Fail, Latency float64
-	LastOK        float64
-	TrialAt       float64
-	TrialGap      float64
-	Budget        float64
-	BudgetedAt    float64
-	WarmsFrom     float64
+	Banned        bool    // by operator override
+	FailureRate   float64 `json:"Fail"`
+	Latency       float64 // mean; 0 if there has been no answer
+	LastServed    float64 `json:"LastOK"` // time of the last successful answer
+	TrialAt       float64 // time of the next trial of an ejected backend
+	TrialInterval float64 `json:"TrialGap"`
+	ColdBudget    float64 `json:"Budget"`     // attempts that it may get during slow start
+	ColdBudgetAt  float64 `json:"BudgetedAt"` // time at which ColdBudget was computed
+	ColdSince     float64 `json:"WarmsFrom"`  // time of its last start, on the clock of the exporting process; 0 if long ago
 }
 
-// CustomerRecord is the quota of one customer.
+// CustomerRecord is the quota state of one customer in a Snapshot.
 type CustomerRecord struct {
-	ID                    CustomerID
-	Plan, Gateways, Index int
-	Demand, Seen          float64
-	Units, Expires        float64
-	Leased, Window, Known float64
-	Met                   bool
-	DryUntil              float64
-	Rest, RestTill        float64
-	Local, LocalAt        float64
+	ID             CustomerID
+	Plan           int
+	Gateways       int     // number of gateways that serve the customer
+	Index          int     // position of this gateway among them
+	Demand         float64 // units per second at this gateway
+	LastSeen       float64 `json:"Seen"` // time of its last request
+	Units          float64 // leased and not spent
+	Expires        float64 // time at which the lease expires
+	LeaseWindow    float64 `json:"Leased"` // number of the window in which the units were leased
+	Window         float64 // number of the current window of the counter
+	KnownTotal     float64 `json:"Known"` // last known total of the window; 0 if unknown
+	TotalReceived  bool    `json:"Met"`   // the counter has answered for this customer
+	ExhaustedUntil float64 `json:"DryUntil"`
+	Backoff        float64 `json:"Rest"`     // delay after a failed call
+	BackoffUntil   float64 `json:"RestTill"` // time of the next call after a failed one
+	LocalUnits     float64 `json:"Local"`    // local allowance for when the counter does not answer
+	LocalUnitsAt   float64 `json:"LocalAt"`  // time at which LocalUnits was computed
 }
 
-func (Backends) event()     {}
-func (Whole) event()        {}
-func (Export) event()       {}
-func (Import) event()       {}
-func (Neighbour) event()    {}
-func (Leave) event()        {}
-func (Members) event()      {}
-func (ByHand) event()       {}
-func (Retune) event()       {}
-func (Request) event()      {}
-func (Established) event()  {}
-func (AttemptEnd) event()   {}
-func (Probed) event()       {}
-func (ClientGone) event()   {}
-func (Timer) event()        {}
-func (CounterReply) event() {}
-func (PeerMessage) event()  {}
-
-// Action is one thing for the gateway to do.
+func (Backends) event()         {}
+func (BodyComplete) event()     {}
+func (Export) event()           {}
+func (Import) event()           {}
+func (SiblingProcess) event()   {}
+func (Shutdown) event()         {}
+func (Members) event()          {}
+func (OperatorOverride) event() {}
+func (ApplySettings) event()    {}
+func (Request) event()          {}
+func (Established) event()      {}
+func (AttemptEnd) event()       {}
+func (Probed) event()           {}
+func (ClientGone) event()       {}
+func (Timer) event()            {}
+func (CounterReply) event()     {}
+func (PeerMessage) event()      {}
+
+// Action is an output of Gateway.Handle that the caller carries out.
 type Action interface{ action() }
 
-// Send starts the next attempt of a request. Timeout 0: the client's deadline.
+// Send starts the next attempt of a request.
 type Send struct {
-	Request RequestID
-	Backend BackendID
-	Timeout float64
-	Before  float64 // clock time from which on it must not be written any more; 0: any time
+	Request       RequestID
+	Backend       BackendID
+	Timeout       float64 // 0 means until the request's deadline
+	WriteDeadline float64 // time from which the attempt must not be written to the backend; 0 means none
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel abandons an attempt.
 type Cancel struct {
 	Request RequestID
 	Attempt int
 }
 
-// Refuse is a final answer: turned away, trying again is harmless.
+// Refuse is a final answer after which a client retry is safe: the request had no effect, or repeating it
+// does no harm.
 type Refuse struct {
 	Request    RequestID
-	RetryAfter float64
+	RetryAfter float64 // how long the client should wait before a client retry
 	Reason     Reason
 }
 
-// Fail is a final answer with no promise about the effect.
+// Fail is a final answer with no promise about the effect of the request.
 type Fail struct {
 	Request RequestID
 	Reason  Reason
 }
 
-// SetTimer asks for a Timer event. With a Request it may be left out once that
-// request is over and none of its attempts is out.
+// SetTimer asks for a Timer event. If Request is set, the caller may drop the timer once that request is
+// answered and has no attempt in flight.
 type SetTimer struct {
-	In      float64
+	Delay   float64
 	Token   uint64
-	Request RequestID // 0: none
+	Request RequestID // 0 means none
 }
 
-// Count adds to a shared number and asks for its total. A name that is new
-// starts at 0 and is forgotten after Keep.
+// Count adds Amount to a number on the shared counter and asks for the total. A number starts at 0 with its
+// first Count; the counter deletes it after TTL.
 type Count struct {
 	Name   uint64
 	Amount float64
-	Keep   float64
+	TTL    float64
 }
 
 // Probe asks a backend for its load.
 type Probe struct{ Backend BackendID }
 
-// Subscribe asks discovery for changes.
+// Subscribe asks discovery for updates.
 type Subscribe struct{}
 
-// Exported answers a Export.
+// Exported answers an Export.
 type Exported struct{ Snapshot Snapshot }
 
-// Log writes a line for the operators.
+// Log writes one line to the operators' log.
 type Log struct{ Text string }
 
 func (Send) action()      {}
