--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -151,18 +151,18 @@
 	s := rules.Settings{
 		Rank: o.Rank, Fleet: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
 		SubscribeToDiscovery: o.Discovery == "ask",
-		ApproximateWeights: o.Weights == "rough" || o.Weights == "nominal",
-		LoadInline:   o.LoadReport.How == "inline",
+		ApproximateWeights:   o.Weights == "rough" || o.Weights == "nominal",
+		LoadInline:           o.LoadReport.How == "inline",
 
 		Counter:        o.FamilyInfo.HasCounter,
 		CounterTimeout: o.FamilyInfo.CounterTimeoutS,
 		CounterPrice:   o.FamilyInfo.CounterPrice,
 		MaxUnits:       o.FamilyInfo.MostUnits,
-		UnitsEstimated:   o.FamilyInfo.TruedUp,
+		UnitsEstimated: o.FamilyInfo.TruedUp,
 
 		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanHedge: o.Allowed.MayDuplicate,
-		MaxRetryAfter:   o.Allowed.MaxRetryAfterS,
-		MaxAttempts: o.Allowed.MostTries, MaxInProgress: o.Allowed.MaxOpen,
+		MaxRetryAfter: o.Allowed.MaxRetryAfterS,
+		MaxAttempts:   o.Allowed.MostTries, MaxInProgress: o.Allowed.MaxOpen,
 		ConnectTimeout: o.Allowed.ConnectTimeoutS, KeepAlive: o.Allowed.KeepaliveS,
 
 		AnswerSlack: o.Obligations.AnswerSlackS, DrainGrace: o.Obligations.DrainGraceS,
