--- a/cmd/dunlintray/permits.go
+++ b/cmd/dunlintray/permits.go
@@ -361,7 +361,7 @@
 	switch {
 	case err != nil:
 		return fmt.Sprintf("it can't be heard: %v", err)
-	case v.Beside:
+	case v.SiblingRunning:
 		return "two processes of it run, and one's work is not told"
 	case v.History != history:
 		return fmt.Sprintf("its list is of history %q, not %q", v.History, history)
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -41,13 +41,13 @@
 	net.Listener
 	name   string // for the log
 	pause  retryPause
-	lines  lineLimit
+	lines  logLimiter
 	closed chan struct{}
 	close  sync.Once
 }
 
 func newSteadyListener(l net.Listener, name string) *steadyListener {
-	return &steadyListener{Listener: l, name: name, lines: lineLimit{most: 1}, closed: make(chan struct{})}
+	return &steadyListener{Listener: l, name: name, lines: logLimiter{max: 1}, closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -13,90 +13,90 @@
 )
 
 const (
-	mostUnread  = 64 << 10 // bytes of a discarded body that are read so that its connection can be reused
-	mostHead    = 64 << 10 // bytes of the head of a response
-	mostInterim = 8        // 1xx responses before the final one
+	maxDiscard      = 64 << 10 // bytes of a discarded body that are read so that its connection can be reused
+	maxResponseHead = 64 << 10 // bytes of the head of a response
+	maxInterim      = 8        // 1xx responses before the final one
 )
 
 // errTwoWays says that the framing of a response is ambiguous.
-var errTwoWays = errors.New("the length of the answer is told twice")
+var errAmbiguousLength = errors.New("the length of the answer is told twice")
 
 // noLimit is the limit of a connection's reader once the head of a response has been read.
 // The length of a body is not bounded; what the gateway holds of it is, elsewhere.
-const noLimit = math.MaxInt64
+const noReadLimit = math.MaxInt64
 
 // answer reads the response to an attempt. The second result reports whether the
 // connection may be reused. A response for the client is held until it is complete or
 // until it is time to pass its beginning on.
-func (p *pools) answer(a *attempt, c *backendConn) (result, bool) {
-	asked := &http.Request{Method: a.x.method}
-	for range mostInterim {
-		c.left.N = mostHead
-		resp, err := http.ReadResponse(c.r, asked)
-		if err == nil && c.read.doubt {
-			err = errTwoWays
+func (p *pools) readResponse(a *attempt, c *backendConn) (result, bool) {
+	asked := &http.Request{Method: a.exchange.method}
+	for range maxInterim {
+		c.remaining.N = maxResponseHead
+		resp, err := http.ReadResponse(c.reader, asked)
+		if err == nil && c.framing.doubt {
+			err = errAmbiguousLength
 		}
 		if err != nil {
-			return result{outcome: broken(err), err: err}, false
+			return result{outcome: errorOutcome(err), err: err}, false
 		}
 		if resp.StatusCode/100 == 1 {
 			if resp.StatusCode == http.StatusSwitchingProtocols {
 				break // no request asks for an upgrade
 			}
 			if resp.StatusCode != http.StatusContinue {
-				a.interim(answer{status: resp.StatusCode, header: resp.Header})
+				a.onInterim(answer{status: resp.StatusCode, header: resp.Header})
 			}
 			continue
 		}
-		c.left.N = noLimit
-		if !a.x.good(resp.StatusCode) {
-			n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, mostUnread+1)) // nobody reads its text
+		c.remaining.N = noReadLimit
+		if !a.exchange.passesStatus(resp.StatusCode) {
+			n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscard+1)) // nobody reads its text
 			if err != nil {
-				return result{outcome: broken(err), err: err}, false
+				return result{outcome: errorOutcome(err), err: err}, false
 			}
 			outcome := rules.Errored
 			if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-				resp.Header.Get(notRunHeader) == "1" {
+				resp.Header.Get(unprocessedHeader) == "1" {
 				outcome = rules.Full
 			}
-			return result{outcome: outcome}, !resp.Close && n <= mostUnread && c.r.Buffered() == 0
+			return result{outcome: outcome}, !resp.Close && n <= maxDiscard && c.reader.Buffered() == 0
 		}
-		res := p.good(a, c, resp)
-		return res, res.outcome == rules.Served && !resp.Close && c.r.Buffered() == 0
+		res := p.relayResponse(a, c, resp)
+		return res, res.outcome == rules.Served && !resp.Close && c.reader.Buffered() == 0
 	}
 	return result{outcome: rules.Errored}, false
 }
 
 // good reports whether a response with this status goes to the client.
-func (x *exchange) good(status int) bool {
+func (x *exchange) passesStatus(status int) bool {
 	return status == http.StatusOK || status == http.StatusNoContent ||
 		status == http.StatusNotModified && (x.header.Get("If-None-Match") != "" || x.header.Get("If-Modified-Since") != "")
 }
 
 // good reads a response that goes to the client.
-func (p *pools) good(a *attempt, c *backendConn, resp *http.Response) result {
+func (p *pools) relayResponse(a *attempt, c *backendConn, resp *http.Response) result {
 	start := answer{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength}
 	if resp.Body == http.NoBody {
-		return result{outcome: rules.Served, answer: start, units: trueUnits(resp.Header)}
+		return result{outcome: rules.Served, answer: start, units: reportedUnits(resp.Header)}
 	}
-	d := &download{body: resp.Body, length: resp.ContentLength, conn: c, window: window{budget: &p.figures.bodies}, figures: p.figures, end: make(chan rules.Outcome, 1)}
+	d := &download{body: resp.Body, length: resp.ContentLength, conn: c, window: window{budget: &p.metrics.bodies}, figures: p.metrics, end: make(chan rules.Outcome, 1)}
 	most := mostHeld
 	if l := resp.ContentLength; l >= 0 && l < mostHeld {
 		most = int(l)
 	}
-	d.memory, most = p.figures.bodies.room(most)
+	d.memory, most = p.metrics.bodies.room(most)
 	if len(resp.TransferEncoding) > 0 {
-		d.chunks = &chunkedReader{r: c.r}
+		d.chunks = &chunkedReader{r: c.reader}
 		d.body = d.chunks
 	}
 	d.start = newIntake(d.body, resp.ContentLength, most)
 	start.rest = d
 	begin := func() {
-		if !a.begun(start) {
+		if !a.onStart(start) {
 			d.drop() // the client no longer waits
 		}
 	}
-	if l := resp.ContentLength; l < 0 || l > int64(c.r.Buffered()) {
+	if l := resp.ContentLength; l < 0 || l > int64(c.reader.Buffered()) {
 		defer time.AfterFunc(holdFor, func() {
 			if d.start.release() {
 				begin()
@@ -109,23 +109,23 @@
 		// The timer has released it to the client.
 	case whole:
 		start.body, start.rest, start.trailer = d.start.held, nil, d.trailers()
-		start.memory = p.figures.bodies.shrink(d.memory, len(start.body))
-		return result{outcome: rules.Served, answer: start, units: trueUnits(resp.Header)}
+		start.memory = p.metrics.bodies.shrink(d.memory, len(start.body))
+		return result{outcome: rules.Served, answer: start, units: reportedUnits(resp.Header)}
 	case err != nil:
-		p.figures.bodies.give(d.memory)
-		return result{outcome: broken(err), err: err}
+		p.metrics.bodies.give(d.memory)
+		return result{outcome: errorOutcome(err), err: err}
 	default:
 		begin()
 	}
 	outcome := <-d.end
-	p.figures.bodies.give(d.memory)
+	p.metrics.bodies.give(d.memory)
 	return result{outcome: outcome}
 }
 
 // trueUnits returns the units of the quota that a request really took, as the backend
 // reports them. A header that is not a positive number counts as absent: it must not cost
 // the client its response.
-func trueUnits(h http.Header) float64 {
+func reportedUnits(h http.Header) float64 {
 	units, err := strconv.ParseFloat(h.Get(costHeader), 64)
 	if err != nil || !(units > 0) || math.IsInf(units, 0) {
 		return 0
@@ -134,7 +134,7 @@
 }
 
 // broken returns the outcome for an error of the connection: a time-out or a break.
-func broken(err error) rules.Outcome {
+func errorOutcome(err error) rules.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return rules.TimedOut
 	}
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -24,7 +24,7 @@
 }
 
 // patience bounds every wait of a test; none is expected to last so long.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // peer is the other side of connections: it hands each one on, and closes what
 // is left at the end of the test.
@@ -59,7 +59,7 @@
 func (p *peer) accept(t testing.TB) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c := wait(t, p.conns, "a connection")
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
@@ -68,7 +68,7 @@
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s came", what)
 		panic("unreachable")
 	}
@@ -88,30 +88,30 @@
 }
 
 func newAttempt(timeout time.Duration) *attempt {
-	a := &attempt{backend: 1, until: time.Now().Add(timeout), x: &exchange{method: "POST", uri: "/booking/7?a=%2F",
+	a := &attempt{backend: 1, wallDeadline: time.Now().Add(timeout), exchange: &exchange{method: "POST", uri: "/booking/7?a=%2F",
 		host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, body: []byte("pickup")}}
-	a.begun, a.interim = func(answer) bool { return false }, func(answer) {}
+	a.onStart, a.onInterim = func(answer) bool { return false }, func(answer) {}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
 
-func poolFor(t testing.TB, address string) *pools {
-	p := newPools(patience, time.Minute, 8, &figures{bodies: budget{total: bodyMemory(16)}})
+func newTestPools(t testing.TB, address string) *pools {
+	p := newPools(testTimeout, time.Minute, 8, &figures{bodies: budget{total: bodyMemory(16)}})
 	p.update(1, address, 0)
 	t.Cleanup(func() { p.remove(1) })
 	return p
 }
 
-func start(p *pools, a *attempt) <-chan result {
+func startAttempt(p *pools, a *attempt) <-chan result {
 	done := make(chan result, 1)
-	go func() { done <- p.attempt(a) }()
+	go func() { done <- p.runAttempt(a) }()
 	return done
 }
 
 // What comes back decides whether a request may be sent again: each row is one
 // line of the protocol's table.
 func TestOutcomes(t *testing.T) {
-	long := strings.Repeat("x", mostUnread+1)
+	long := strings.Repeat("x", maxDiscard+1)
 	for _, c := range []struct {
 		name, reply string
 		want        rules.Outcome
@@ -137,8 +137,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newPeer(t)
-			p := poolFor(t, backend.address())
-			done := start(p, newAttempt(patience))
+			p := newTestPools(t, backend.address())
+			done := startAttempt(p, newAttempt(testTimeout))
 			conn, r := backend.accept(t)
 			readRequest(t, r)
 			go func() {
@@ -164,7 +164,7 @@
 func TestTrueUnits(t *testing.T) {
 	for text, want := range map[string]float64{"3": 3, "2.5": 2.5, "": 0, "x": 0, "NaN": 0, "inf": 0, "-1": 0} {
 		backend := newPeer(t)
-		done := start(poolFor(t, backend.address()), newAttempt(patience))
+		done := startAttempt(newTestPools(t, backend.address()), newAttempt(testTimeout))
 		conn, r := backend.accept(t)
 		readRequest(t, r)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Cost-Units: %s\r\nContent-Length: 0\r\n\r\n", text)
@@ -176,15 +176,15 @@
 
 func TestRequestUnchanged(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	a := newAttempt(patience)
-	a.x.header[keyHeader] = []string{"key-1"}
-	a.x.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, mostUnread/4)
-	done := start(p, a)
+	p := newTestPools(t, backend.address())
+	a := newAttempt(testTimeout)
+	a.exchange.header[keyHeader] = []string{"key-1"}
+	a.exchange.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, maxDiscard/4)
+	done := startAttempt(p, a)
 	conn, r := backend.accept(t)
 	req, body := readRequest(t, r)
-	if req.Method != "POST" || req.RequestURI != a.x.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.x.body) ||
-		req.Header.Get(idHeader) != "id-1" || req.Header.Get(keyHeader) != "key-1" || req.Header.Get(leftHeader) == "" {
+	if req.Method != "POST" || req.RequestURI != a.exchange.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.exchange.body) ||
+		req.Header.Get(idHeader) != "id-1" || req.Header.Get(keyHeader) != "key-1" || req.Header.Get(timeLeftHeader) == "" {
 		t.Errorf("got %s %s with %d bytes and %v", req.Method, req.RequestURI, len(body), req.Header)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -193,13 +193,13 @@
 
 func TestNeverConnected(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
+	p := newTestPools(t, backend.address())
 	backend.listener.Close()
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed {
+	if got := p.runAttempt(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed {
 		t.Errorf("refused: outcome %d", got.outcome)
 	}
 	p.remove(1)
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed || p.open != 0 {
+	if got := p.runAttempt(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed || p.open != 0 {
 		t.Errorf("not listed: outcome %d, %d open", got.outcome, p.open)
 	}
 }
@@ -208,8 +208,8 @@
 // the wait, and the connection with it.
 func TestSilentBackend(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	got := p.attempt(newAttempt(50 * time.Millisecond))
+	p := newTestPools(t, backend.address())
+	got := p.runAttempt(newAttempt(50 * time.Millisecond))
 	if got.outcome != rules.TimedOut || p.open != 0 {
 		t.Errorf("outcome %d, %d open", got.outcome, p.open)
 	}
@@ -224,22 +224,22 @@
 // may leave for it: neither by a dial that comes up later, nor on a connection.
 func TestCalledOff(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	a := newAttempt(patience)
-	a.callOff()
+	p := newTestPools(t, backend.address())
+	a := newAttempt(testTimeout)
+	a.abort()
 	a.ctx = context.Background() // as if the dial had come up all the same
-	p.attempt(a)
+	p.runAttempt(a)
 	conn, r := backend.accept(t)
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("sent after the call-off: %v", err)
 	}
 	conn.Close()
 
-	a = newAttempt(patience)
-	done := start(p, a)
+	a = newAttempt(testTimeout)
+	done := startAttempt(p, a)
 	_, r = backend.accept(t)
 	readRequest(t, r)
-	a.callOff()
+	a.abort()
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("the connection after the call-off: %v", err)
 	}
@@ -253,18 +253,18 @@
 // a reset and could not be sent again; so the socket is looked at first.
 func TestClosedIdleConnection(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	done := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.address())
+	done := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	wait(t, done, "result")
 	conn.Close()
-	until := time.Now().Add(patience)
+	until := time.Now().Add(testTimeout)
 	for idle := p.targets[1].idle[0]; alive(idle.Conn) && time.Now().Before(until); {
 		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
 	}
-	done = start(p, newAttempt(patience))
+	done = startAttempt(p, newAttempt(testTimeout))
 	conn, r = backend.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -277,8 +277,8 @@
 // anew; a request written there is lost or in doubt.
 func TestNewLife(t *testing.T) {
 	backend, moved := newPeer(t), newPeer(t)
-	p := poolFor(t, backend.address())
-	out := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.address())
+	out := startAttempt(p, newAttempt(testTimeout))
 	_, r := backend.accept(t)
 	readRequest(t, r)
 	p.update(1, backend.address(), 5)
@@ -287,7 +287,7 @@
 	}
 	for n, address := range []string{backend.address(), moved.address()} {
 		p.update(1, address, 5)
-		done := start(p, newAttempt(patience))
+		done := startAttempt(p, newAttempt(testTimeout))
 		conn, r := []*peer{backend, moved}[n].accept(t)
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -300,12 +300,12 @@
 // A draining backend gets nothing new, but what it has it may finish.
 func TestDrain(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	out := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.address())
+	out := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	p.remove(1)
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed {
+	if got := p.runAttempt(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed {
 		t.Errorf("new work: outcome %d", got.outcome)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -318,8 +318,8 @@
 // costs its backend work.
 func TestReuseAfterOldDeadline(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	done := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.address())
+	done := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	for i := range 2 {
 		readRequest(t, r)
@@ -329,7 +329,7 @@
 		}
 		p.targets[1].idle[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
 		if i == 0 {
-			done = start(p, newAttempt(patience))
+			done = startAttempt(p, newAttempt(testTimeout))
 		}
 	}
 	if len(backend.conns) != 0 || p.open != 1 {
@@ -339,23 +339,23 @@
 
 func TestIdleLimitAndMostOpen(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	p.mostOpen = 1
-	first := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.address())
+	p.maxOpen = 1
+	first := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	// The limit is the gateway's own: nothing was sent, and the backend is not to blame.
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.Moot {
+	if got := p.runAttempt(newAttempt(testTimeout)); got.outcome != rules.Moot {
 		t.Errorf("past the most connections: outcome %d", got.outcome)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	wait(t, first, "result")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closeOldest(p.targets[1], time.Now().Add(-time.Hour)); p.open != 1 {
+	if p.closeIdleSince(p.targets[1], time.Now().Add(-time.Hour)); p.open != 1 {
 		t.Errorf("a fresh connection was closed")
 	}
-	if p.closeOldest(p.targets[1], time.Now().Add(time.Hour)); p.open != 0 || len(p.targets[1].idle) != 0 {
+	if p.closeIdleSince(p.targets[1], time.Now().Add(time.Hour)); p.open != 0 || len(p.targets[1].idle) != 0 {
 		t.Errorf("%d open after the idle limit", p.open)
 	}
 }
@@ -366,12 +366,12 @@
 func TestNoDescriptorForBackend(t *testing.T) {
 	for name, failures := range map[string]int{"once": 1, "on": 1000} {
 		rested, backend := newPeer(t), newPeer(t)
-		p := poolFor(t, backend.address())
+		p := newTestPools(t, backend.address())
 		p.update(2, rested.address(), 0)
 		t.Cleanup(func() { p.remove(2) })
-		a := newAttempt(patience)
+		a := newAttempt(testTimeout)
 		a.backend = 2
-		done := start(p, a)
+		done := startAttempt(p, a)
 		conn, r := rested.accept(t)
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -383,7 +383,7 @@
 			}
 			return real(ctx, to, within)
 		}
-		done = start(p, newAttempt(patience))
+		done = startAttempt(p, newAttempt(testTimeout))
 		if _, err := r.ReadByte(); err != io.EOF {
 			t.Errorf("%s: the connection that rested: %v", name, err)
 		}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -50,16 +50,16 @@
 // the gateway. Its peers allocate nothing.
 func BenchmarkShort(b *testing.B) {
 	for _, c := range []struct{ name, request, answer string }{
-		{"get", ask("GET", "lookup", ""), "Content-Length: 300\r\n\r\n" + strings.Repeat("x", 300)},
-		{"post", ask("POST", "booking", strings.Repeat("x", 300)), "Content-Length: 300\r\n\r\n" + strings.Repeat("x", 300)},
-		{"post20k", ask("POST", "booking", strings.Repeat("x", 20<<10)),
+		{"get", requestText("GET", "lookup", ""), "Content-Length: 300\r\n\r\n" + strings.Repeat("x", 300)},
+		{"post", requestText("POST", "booking", strings.Repeat("x", 300)), "Content-Length: 300\r\n\r\n" + strings.Repeat("x", 300)},
+		{"post20k", requestText("POST", "booking", strings.Repeat("x", 20<<10)),
 			"Content-Length: 20480\r\n\r\n" + strings.Repeat("x", 20<<10)},
-		{"chunked", ask("POST", "booking", "", "Transfer-Encoding", "chunked") + "12c\r\n" + strings.Repeat("x", 300) + "\r\n0\r\n\r\n",
+		{"chunked", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "12c\r\n" + strings.Repeat("x", 300) + "\r\n0\r\n\r\n",
 			"Transfer-Encoding: chunked\r\n\r\n12c\r\n" + strings.Repeat("x", 300) + "\r\n0\r\n\r\n"},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			_, body, _ := strings.Cut(c.request, "\r\n\r\n")
-			r := newRig(b, pipeline(b, strings.Count(body, "x"), []byte("HTTP/1.1 200 OK\r\n"+c.answer)))
+			r := newTestGateway(b, pipeline(b, strings.Count(body, "x"), []byte("HTTP/1.1 200 OK\r\n"+c.answer)))
 			conn, err := net.Dial("tcp", r.address)
 			if err != nil {
 				b.Fatal(err)
@@ -93,13 +93,13 @@
 	for _, chunked := range []bool{false, true} {
 		b.Run(fmt.Sprintf("chunked=%t", chunked), func(b *testing.B) {
 			backend := newPeer(b)
-			r := newRig(b, backend)
+			r := newTestGateway(b, backend)
 			piece, framing, end := bytes.Repeat([]byte("x"), 1<<20), fmt.Sprintf("Content-Length: %d\r\n\r\n", b.N<<20), ""
 			if chunked {
 				piece = append([]byte("100000\r\n"), append(piece, '\r', '\n')...)
 				framing, end = "Transfer-Encoding: chunked\r\n\r\n", "0\r\n\r\n"
 			}
-			conn := r.send(b, ask("GET", "lookup", ""))
+			conn := r.send(b, requestText("GET", "lookup", ""))
 			to, br := backend.accept(b)
 			readRequest(b, br)
 			in := make([]byte, 256<<10)
@@ -125,7 +125,7 @@
 
 // BenchmarkIdle counts the memory of a connection that rests after a request.
 func BenchmarkIdle(b *testing.B) {
-	r := newRig(b, pipeline(b, 0, []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")))
+	r := newTestGateway(b, pipeline(b, 0, []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")))
 	use := func() int64 {
 		runtime.GC()
 		runtime.GC()
@@ -136,7 +136,7 @@
 	const conns = 400
 	var all []net.Conn
 	in := make([]byte, 4096)
-	request := []byte(ask("GET", "lookup", ""))
+	request := []byte(requestText("GET", "lookup", ""))
 	connect := func() {
 		conn, err := net.Dial("tcp", r.address)
 		if err != nil {
--- a/internal/gateway/client_connection.go
+++ b/internal/gateway/client_connection.go
@@ -161,7 +161,7 @@
 		c.owner.room.Broadcast()
 	}
 	// What waits to be read came before the end, and is answered.
-	if goes = c.owner.goes(c.place) && !unreadBytes(c.Conn); goes {
+	if goes = c.owner.goes(c.place) && !hasUnreadBytes(c.Conn); goes {
 		c.owner.giveUp(c.place, closedStop)
 	}
 	return goes
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -76,7 +76,7 @@
 	shared bool // other processes accept from the same queue
 
 	lingering int // connections that wait for their end behind a rejection
-	tells     lineLimit
+	tells     logLimiter
 
 	onState func(*clientConn, http.ConnState) // for tests, before a state is taken note of
 
@@ -100,7 +100,7 @@
 
 func newClients(l net.Listener, most int) *clients {
 	c := &clients{Listener: l, began: time.Now(), table: connlimit.NewTable(connlimit.Limits{Total: most}),
-		conns: map[*connlimit.Conn]*clientConn{}, tells: lineLimit{most: 1}}
+		conns: map[*connlimit.Conn]*clientConn{}, tells: logLimiter{max: 1}}
 	c.room.L = &c.mu
 	return c
 }
@@ -156,7 +156,7 @@
 	l.ends = how
 	var gone []*clientConn
 	for place, c := range l.conns {
-		if !c.givenUp && !c.lingers && l.goes(place) && !unreadBytes(c.Conn) {
+		if !c.givenUp && !c.lingers && l.goes(place) && !hasUnreadBytes(c.Conn) {
 			gone = append(gone, l.giveUp(place, closedStop))
 		}
 	}
@@ -252,7 +252,7 @@
 // acceptFailed counts an error that passes and, once a second at most, logs it.
 func (l *clients) acceptFailed(err error) {
 	text := "accepting a client failed"
-	if noDescriptor(err) {
+	if outOfResources(err) {
 		l.starved.Add(1)
 		text = "no descriptor for a client"
 	} else {
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -68,7 +68,7 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	first := l.take(near)
-	go io.WriteString(far, ask("GET", "lookup", ""))
+	go io.WriteString(far, requestText("GET", "lookup", ""))
 	first.Read(make([]byte, 4096))
 	l.connState(first, http.StateActive)
 	l.connState(first, http.StateIdle)
@@ -110,7 +110,7 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	c := l.take(near)
-	go io.WriteString(far, ask("GET", "lookup", "")+"GET /")
+	go io.WriteString(far, requestText("GET", "lookup", "")+"GET /")
 	c.Read(make([]byte, 4096))
 	l.connState(c, http.StateActive)
 	l.connState(c, http.StateIdle)
@@ -125,25 +125,25 @@
 func TestIdleGoesForNew(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	busy, held := r.client(t, ask("POST", "booking", "held"))
+	r := newTestGateway(t, backend)
+	busy, held := r.request(t, requestText("POST", "booking", "held"))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	var idle []net.Conn
 	for n := range 3 {
-		conn, answers := r.client(t, ask("GET", "lookup", "", idHeader, ""))
+		conn, answers := r.request(t, requestText("GET", "lookup", "", idHeader, ""))
 		wait(t, answers, "answer")
 		idle = append(idle, conn)
 		// The next comes once this one rests, which may be later than its answer.
 		r.tells(t, fmt.Sprintf("app.clients.idle:%d|g", n+1), "app.clients.busy:1|g")
 	}
 	r.figures.clients.limit(4)
-	_, answers := r.client(t, ask("GET", "lookup", "", idHeader, ""))
+	_, answers := r.request(t, requestText("GET", "lookup", "", idHeader, ""))
 	wait(t, answers, "answer")
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil {
 		t.Error("the one that was idle longest is still there")
 	}
-	io.WriteString(idle[1], ask("GET", "lookup", "", idHeader, ""))
+	io.WriteString(idle[1], requestText("GET", "lookup", "", idHeader, ""))
 	if resp, err := http.ReadResponse(bufio.NewReader(idle[1]), nil); err != nil || resp.StatusCode != 400 {
 		t.Errorf("one that was kept: %v %v", resp, err)
 	}
@@ -159,9 +159,9 @@
 // and leaves what is in a request; one that fits drops nobody.
 func TestReloadTakesNewLimits(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newPeer(t))
+	r := newTestGateway(t, newPeer(t))
 	for range 80 {
-		_, answers := r.client(t, ask("GET", "lookup", "", idHeader, ""))
+		_, answers := r.request(t, requestText("GET", "lookup", "", idHeader, ""))
 		wait(t, answers, "answer")
 	}
 	r.tells(t, "app.clients.idle:80|g")
@@ -186,19 +186,19 @@
 	t.Parallel()
 	b := &registered{id: "b", backend: newPeer(t)}
 	go b.answerAll()
-	r := newRigWith(t, func(text string) string { return strings.Replace(text, `"sockets": 1024`, `"sockets": 128`, 1) }, b.backend)
+	r := newTestGatewayWith(t, func(text string) string { return strings.Replace(text, `"sockets": 1024`, `"sockets": 128`, 1) }, b.backend)
 	var wg sync.WaitGroup
 	begun := make(chan struct{}, 1000)
 	for range 200 {
 		wg.Go(func() {
 			defer func() { begun <- struct{}{} }()
 			for range 3 {
-				conn, err := net.DialTimeout("tcp", r.address, patience)
+				conn, err := net.DialTimeout("tcp", r.address, testTimeout)
 				if err != nil {
 					return // the listener has closed
 				}
-				conn.SetDeadline(time.Now().Add(patience))
-				_, err = io.WriteString(conn, ask("GET", "lookup", ""))
+				conn.SetDeadline(time.Now().Add(testTimeout))
+				_, err = io.WriteString(conn, requestText("GET", "lookup", ""))
 				resp, readErr := http.ReadResponse(bufio.NewReader(conn), nil)
 				switch {
 				case err != nil || readErr != nil:
@@ -235,7 +235,7 @@
 	if err := limitSilence(c); err != nil {
 		t.Error(err)
 	}
-	if waited, ok := sinceLastWord(c); !ok || waited > patience {
+	if waited, ok := sinceLastWord(c); !ok || waited > testTimeout {
 		t.Errorf("%v, %t", waited, ok)
 	}
 }
@@ -247,8 +247,8 @@
 		client, server := net.Pipe()
 		defer client.Close()
 		p.conns <- server
-		io.WriteString(client, ask("GET", "lookup", ""))
-		x := (<-f.loop.inbox).(arrival).x
+		io.WriteString(client, requestText("GET", "lookup", ""))
+		x := (<-f.loop.inbox).(requestArrived).exchange
 		began := time.Now()
 		x.reply <- answer{status: http.StatusOK, served: true, header: http.Header{}, body: make([]byte, 5000)}
 		for f.clients.counts().Open > 0 {
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -7,18 +7,18 @@
 // no deadline. All gateways must share its origin: the windows of their leases
 // are cut from it.
 type clock struct {
-	base time.Time
-	unix float64
+	start     time.Time
+	startUnix float64
 }
 
 func newClock() clock {
 	base := time.Now()
-	return clock{base: base, unix: float64(base.UnixNano()) / 1e9}
+	return clock{start: base, startUnix: float64(base.UnixNano()) / 1e9}
 }
 
-func (c clock) now() float64 { return c.unix + time.Since(c.base).Seconds() }
+func (c clock) now() float64 { return c.startUnix + time.Since(c.start).Seconds() }
 
 // at is the moment t for deadlines of sockets.
 func (c clock) at(t float64) time.Time {
-	return c.base.Add(time.Duration((t - c.unix) * float64(time.Second)))
+	return c.start.Add(time.Duration((t - c.startUnix) * float64(time.Second)))
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -55,11 +55,11 @@
 
 // least are the limits below which a gateway can't do its work.
 const (
-	leastMemoryMB = 16
-	leastSockets  = 128
+	minMemoryMB = 16
+	minSockets  = 128
 )
 
-func (c *Config) mostBody() int64 { return int64(c.BodyMB) << 20 }
+func (c *Config) maxBodyBytes() int64 { return int64(c.BodyMB) << 20 }
 
 // ReadConfig reads the configuration file at path.
 func ReadConfig(path string) (Config, error) {
@@ -132,7 +132,7 @@
 
 // lacks finds a key that the configuration in force has and the next has not. A
 // file that was not written to its end, or by hand in haste, may still be JSON.
-func (c *Config) lacks(next *Config) error {
+func (c *Config) checkReload(next *Config) error {
 	if at := missingKey(c.document, next.document); at != "" {
 		return fmt.Errorf("%s is missing", at[1:])
 	}
@@ -229,7 +229,7 @@
 	switch {
 	case c.MaxAttempts <= 0:
 		return fmt.Errorf("settings: %d attempts are none", c.MaxAttempts)
-	case c.Cores <= 0 || c.MemoryMB < leastMemoryMB || c.Sockets < leastSockets:
+	case c.Cores <= 0 || c.MemoryMB < minMemoryMB || c.Sockets < minSockets:
 		return fmt.Errorf("limits: %g cores, %d MB and %d sockets are too little", c.Cores, c.MemoryMB, c.Sockets)
 	case c.BodyMB < 0:
 		return fmt.Errorf("limits: a body of %d MB is none", c.BodyMB)
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -69,7 +69,7 @@
 func TestClock(t *testing.T) {
 	c := newClock()
 	at := c.now()
-	if d := time.Since(c.at(at)); d < 0 || d > patience || time.Since(time.Unix(int64(at), 0)) > patience {
+	if d := time.Since(c.at(at)); d < 0 || d > testTimeout || time.Since(time.Unix(int64(at), 0)) > testTimeout {
 		t.Errorf("now is %f, %v ago", at, d)
 	}
 }
@@ -106,7 +106,7 @@
 		}
 		next, err := parseConfig([]byte(strings.Replace(text, change.from, change.to, 1)))
 		if err == nil {
-			err = c.lacks(&next)
+			err = c.checkReload(&next)
 		}
 		if (err == nil) != change.good {
 			t.Errorf("%q for %q: %v", change.to, change.from, err)
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -12,28 +12,28 @@
 // backendConn is a connection to a backend. It carries one request at a time.
 type backendConn struct {
 	net.Conn
-	raw  syscall.RawConn    // to peek at the socket; nil if the connection has none
-	look func(uintptr) bool // peeks at the socket and sets seen
-	seen error              // result of the last look
-	left *io.LimitedReader  // bytes that the response may still have, headers included
-	r    *bufio.Reader      // reads from left, which reads from the connection
-	w    *bufio.Writer
-	read framing       // checks that the framing of the response is unambiguous
-	home *target       // the pool that the connection belongs to
-	idle time.Time     // since when it has been idle; zero: in use
-	uses int           // requests so far, the present one included
-	rest time.Duration // how long it was idle before the present request
+	raw       syscall.RawConn    // to peek at the socket; nil if the connection has none
+	peekFD    func(uintptr) bool // peeks at the socket and sets seen
+	peekErr   error              // result of the last look
+	remaining *io.LimitedReader  // bytes that the response may still have, headers included
+	reader    *bufio.Reader      // reads from left, which reads from the connection
+	writer    *bufio.Writer
+	framing   framing       // checks that the framing of the response is unambiguous
+	target    *target       // the pool that the connection belongs to
+	idleSince time.Time     // since when it has been idle; zero: in use
+	requests  int           // requests so far, the present one included
+	idleFor   time.Duration // how long it was idle before the present request
 }
 
 // newBackendConn wraps a connection that belongs to the pool home.
 func newBackendConn(conn net.Conn, home *target) *backendConn {
-	c := &backendConn{Conn: conn, w: bufio.NewWriter(conn), home: home}
-	c.left = &io.LimitedReader{R: c}
-	c.r = bufio.NewReader(c.left)
+	c := &backendConn{Conn: conn, writer: bufio.NewWriter(conn), target: home}
+	c.remaining = &io.LimitedReader{R: c}
+	c.reader = bufio.NewReader(c.remaining)
 	c.raw = rawConn(conn)
-	c.look = func(fd uintptr) bool {
-		c.seen = peek(fd)
-		return !errors.Is(c.seen, syscall.EAGAIN)
+	c.peekFD = func(fd uintptr) bool {
+		c.peekErr = peek(fd)
+		return !errors.Is(c.peekErr, syscall.EAGAIN)
 	}
 	return c
 }
@@ -55,21 +55,21 @@
 // framing.
 func (c *backendConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.read.read(p[:n])
+	c.framing.read(p[:n])
 	return n, err
 }
 
 // await waits until the socket is readable and consumes nothing, so that waiting needs
 // no buffer. A socket reports a reset only once: a later read sees the end of the stream
 // instead, so the caller must act on the error that await returns.
-func (c *backendConn) await() error {
+func (c *backendConn) awaitReadable() error {
 	if c.raw == nil {
 		return nil
 	}
-	if err := c.raw.Read(c.look); err != nil {
+	if err := c.raw.Read(c.peekFD); err != nil {
 		return err
 	}
-	return c.seen
+	return c.peekErr
 }
 
 // peek returns nil if the socket has data or has reached its end, and EAGAIN if it is
@@ -117,7 +117,7 @@
 
 // unreadBytes reports whether bytes have come on a connection that nobody has read yet. It
 // may be called beside a read.
-func unreadBytes(conn net.Conn) bool {
+func hasUnreadBytes(conn net.Conn) bool {
 	raw := rawConn(conn)
 	if raw == nil {
 		return false
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -13,14 +13,14 @@
 )
 
 // operate makes one call to the operators' address.
-func (r *rig) operate(t *testing.T, method, path string) (int, string) {
+func (r *testGateway) operate(t *testing.T, method, path string) (int, string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.control)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: control\r\n\r\n", method, path)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -34,10 +34,10 @@
 }
 
 // tells waits until the figures hold all of the lines.
-func (r *rig) tells(t *testing.T, lines ...string) {
+func (r *testGateway) tells(t *testing.T, lines ...string) {
 	t.Helper()
 	text := ""
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		_, text = r.operate(t, "GET", "/control/counters")
 		missing := false
 		for _, line := range lines {
@@ -51,7 +51,7 @@
 }
 
 // says tells whether the figures have a line now.
-func (r *rig) says(t *testing.T, line string) bool {
+func (r *testGateway) says(t *testing.T, line string) bool {
 	t.Helper()
 	_, text := r.operate(t, "GET", "/control/counters")
 	return strings.Contains("\n"+text, "\n"+line+"\n")
@@ -60,22 +60,22 @@
 func TestFigures(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	r.tells(t, "app.handled.booking.passed:0|c", "app.known_backends:1|g", "app.skipped_backends:0|g", "app.loads:0|c")
-	_, first := r.client(t, ask("POST", "booking", "x"))
+	_, first := r.request(t, requestText("POST", "booking", "x"))
 	conn, br := backend.accept(t)
 	readRequest(t, br)
 	r.tells(t, "app.in_progress:1|g", "app.upstream_tries:1|c")
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	wait(t, first, "answer")
-	_, second := r.client(t, ask("POST", "payment", "x"))
+	_, second := r.request(t, requestText("POST", "payment", "x"))
 	readRequest(t, br)
 	conn.Close() // it may have run
 	wait(t, second, "answer")
 	r.tells(t, "app.handled.booking.passed:1|c", "app.handled.payment.bad_gateway:1|c", "app.handled.lookup.passed:0|c",
 		"app.handled.payment.dropped:0|c", "app.in_progress:0|g", "app.upstream_tries:2|c")
 	backend.listener.Close()
-	_, third := r.client(t, ask("GET", "glance", ""))
+	_, third := r.request(t, requestText("GET", "glance", ""))
 	wait(t, third, "answer")
 	r.tells(t, "app.handled.glance.dropped:1|c", "app.upstream_tries:2|c")
 }
@@ -83,7 +83,7 @@
 // Callers that finish no call must not keep others waiting.
 func TestControlWithSilentCallers(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newPeer(t))
+	r := newTestGateway(t, newPeer(t))
 	for range controlConns / 2 {
 		c, err := net.Dial("tcp", r.control)
 		if err != nil {
@@ -105,7 +105,7 @@
 		}
 	}
 	r.stop()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if status, _ := r.operate(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
 			return
 		}
@@ -120,7 +120,7 @@
 func TestByHand(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	wait(t, r.registry.calls, "first list")
 	wait(t, r.registry.calls, "watch")
 	path := "/control/backends/" + backend.address()
@@ -138,16 +138,16 @@
 		t.Helper()
 		_, text := r.operate(t, "GET", "/control/backends")
 		var v BackendsView
-		if err := json.Unmarshal([]byte(text), &v); err != nil || v.Version != 1 || v.Rank != 1 || v.Fleet != 2 || len(v.Backends) != 1 || v.Backends[0].ID != backend.address() || v.Backends[0].ByHand != byHand {
+		if err := json.Unmarshal([]byte(text), &v); err != nil || v.Version != 1 || v.Rank != 1 || v.Fleet != 2 || len(v.Backends) != 1 || v.Backends[0].ID != backend.address() || v.Backends[0].Overridden != byHand {
 			t.Errorf("%v: %s", err, text)
 		}
 	}
 	shown(true)
 	for _, state := range []string{"Gone", "Ready"} {
-		r.registry.answers <- listing(false, state, backend)
+		r.registry.answers <- newListing(false, state, backend)
 		wait(t, r.registry.calls, "next watch") // shows that the last one was heard
 	}
-	_, refused := r.client(t, ask("GET", "glance", ""))
+	_, refused := r.request(t, requestText("GET", "glance", ""))
 	if resp := wait(t, refused, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the backend that is out", resp.StatusCode, len(backend.conns))
 	}
@@ -155,7 +155,7 @@
 		t.Errorf("online: status %d", status)
 	}
 	shown(false)
-	_, served := r.client(t, ask("GET", "lookup", ""))
+	_, served := r.request(t, requestText("GET", "lookup", ""))
 	serveOne(t, backend, "ok")
 	if resp := wait(t, served, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d once it is back", resp.StatusCode)
@@ -168,16 +168,16 @@
 func TestViewOfOneBackend(t *testing.T) {
 	t.Parallel()
 	first, second := newPeer(t), newPeer(t)
-	r := newRig(t, first, second)
+	r := newTestGateway(t, first, second)
 	wait(t, r.registry.calls, "first list")
 	wait(t, r.registry.calls, "watch")
-	_, served := r.client(t, ask("GET", "lookup", ""))
+	_, served := r.request(t, requestText("GET", "lookup", ""))
 	busy := first
 	select {
 	case <-first.conns:
 	case <-second.conns:
 		busy = second
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no attempt")
 	}
 	for _, c := range []struct {
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -21,62 +21,62 @@
 )
 
 const (
-	lanes           = 8                // connections to the counter; it holds 32 of a gateway
-	mostCalls       = 512              // calls that wait on one lane
-	counterIdle     = 5 * time.Second  // well below the 10 s after which the counter closes
-	counterStuck    = 1 * time.Second  // an answer so late is given up with its connection
-	counterIdleLook = 1 * time.Second  // between looks for idle lanes
-	mostTotal       = 64               // bytes of a total
-	mostKeep        = 60 * time.Second // the counter takes longer ones for this
-	leastKeep       = time.Millisecond
-	countPath       = "/v1/count/"
-	mostCounterHead = 16 << 10 // bytes of an answer with its headers
+	laneCount                = 8                // connections to the counter; it holds 32 of a gateway
+	maxQueuedCalls           = 512              // calls that wait on one lane
+	counterIdleLimit         = 5 * time.Second  // well below the 10 s after which the counter closes
+	counterStallTimeout      = 1 * time.Second  // an answer so late is given up with its connection
+	counterIdleCheckInterval = 1 * time.Second  // between looks for idle lanes
+	maxTotalLength           = 64               // bytes of a total
+	maxTTL                   = 60 * time.Second // the counter takes longer ones for this
+	minTTL                   = time.Millisecond
+	countPath                = "/v1/count/"
+	maxCounterResponse       = 16 << 10 // bytes of an answer with its headers
 )
 
 // call is one addition on the counter. The loop owns ended.
-type call struct {
+type counterCall struct {
 	name   uint64
 	amount float64
-	keep   time.Duration
+	ttl    time.Duration
 	sent   float64
 	ended  bool
 
-	givenUp atomic.Bool // by the loop: not to be written any more
-	report  func(*call, rules.Outcome, float64)
+	abandoned atomic.Bool // by the loop: not to be written any more
+	report    func(*counterCall, rules.Outcome, float64)
 }
 
 // counter makes calls over a few pipelined connections. The calls for one name
 // keep to one connection, so their answers come in the order of the calls.
 type counter struct {
-	place   atomic.Pointer[counterPlace]
-	lanes   [lanes]chan *call
-	readers sync.WaitGroup // one for each connection
+	endpoint atomic.Pointer[counterEndpoint]
+	lanes    [laneCount]chan *counterCall
+	readers  sync.WaitGroup // one for each connection
 }
 
 // counterPlace is where the counter is and how long a call to it may take.
-type counterPlace struct {
+type counterEndpoint struct {
 	address string
 	timeout time.Duration
 }
 
 func newCounter(address string, timeout time.Duration) *counter {
 	c := &counter{}
-	c.move(address, timeout)
+	c.setEndpoint(address, timeout)
 	for i := range c.lanes {
-		c.lanes[i] = make(chan *call, mostCalls)
+		c.lanes[i] = make(chan *counterCall, maxQueuedCalls)
 	}
 	return c
 }
 
 // move sends later calls to another address.
-func (c *counter) move(address string, timeout time.Duration) {
-	c.place.Store(&counterPlace{address, timeout})
+func (c *counter) setEndpoint(address string, timeout time.Duration) {
+	c.endpoint.Store(&counterEndpoint{address, timeout})
 }
 
 // add hands a call over without waiting. It returns false where too many wait.
-func (c *counter) add(k *call) bool {
+func (c *counter) add(k *counterCall) bool {
 	select {
-	case c.lanes[k.name%lanes] <- k:
+	case c.lanes[k.name%laneCount] <- k:
 		return true
 	default:
 		return false
@@ -87,21 +87,21 @@
 func (c *counter) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, calls := range c.lanes {
-		wg.Go(func() { c.lane(ctx, calls) })
+		wg.Go(func() { c.runLane(ctx, calls) })
 	}
 	wg.Wait()
 	c.readers.Wait()
 }
 
 // lane writes the calls of one channel.
-func (c *counter) lane(ctx context.Context, calls <-chan *call) {
+func (c *counter) runLane(ctx context.Context, calls <-chan *counterCall) {
 	var conn *counterConn
 	defer func() {
 		if conn != nil {
 			conn.Close()
 		}
 	}()
-	look := time.NewTicker(counterIdleLook)
+	look := time.NewTicker(counterIdleCheckInterval)
 	defer look.Stop()
 	used := time.Now()
 	for {
@@ -109,19 +109,19 @@
 		case <-ctx.Done():
 			return
 		case <-look.C:
-			if conn != nil && time.Since(used) > counterIdle {
+			if conn != nil && time.Since(used) > counterIdleLimit {
 				conn.Close()
 				conn = nil
 			}
 		case k := <-calls:
-			if k.givenUp.Load() {
+			if k.abandoned.Load() {
 				k.report(k, rules.TimedOut, 0) // nobody waits; never written, so never added
 				continue
 			}
 			switch {
 			case conn == nil:
-			case conn.host != c.place.Load().address:
-				conn.finish(c.place.Load().timeout)
+			case conn.address != c.endpoint.Load().address:
+				conn.drain(c.endpoint.Load().timeout)
 				conn = nil
 			case !conn.usable(used):
 				conn.Close()
@@ -136,7 +136,7 @@
 				}
 			}
 			used = time.Now()
-			conn.call(k)
+			conn.send(k)
 		}
 	}
 }
@@ -146,24 +146,24 @@
 // not taken for the next call's.
 type counterConn struct {
 	net.Conn
-	timeout time.Duration // for the rest of an answer that has begun
-	host    string
-	dead    atomic.Bool
-	out     atomic.Int64 // calls without an answer
-	waiting chan *call   // written, in order
-	once    sync.Once
-	read    chan struct{} // closed when the last answer has come
+	timeout     time.Duration // for the rest of an answer that has begun
+	address     string
+	failed      atomic.Bool
+	outstanding atomic.Int64      // calls without an answer
+	unanswered  chan *counterCall // written, in order
+	closeOnce   sync.Once
+	readerDone  chan struct{} // closed when the last answer has come
 }
 
 func (c *counter) dial(ctx context.Context) (*counterConn, error) {
-	at := c.place.Load()
+	at := c.endpoint.Load()
 	d := net.Dialer{Timeout: at.timeout, KeepAlive: -1}
 	nc, err := d.DialContext(ctx, "tcp", at.address)
 	if err != nil {
 		return nil, err
 	}
-	conn := &counterConn{Conn: nc, timeout: at.timeout, host: at.address, waiting: make(chan *call, mostCalls), read: make(chan struct{})}
-	c.readers.Go(conn.readAll)
+	conn := &counterConn{Conn: nc, timeout: at.timeout, address: at.address, unanswered: make(chan *counterCall, maxQueuedCalls), readerDone: make(chan struct{})}
+	c.readers.Go(conn.readReplies)
 	return conn, nil
 }
 
@@ -171,20 +171,20 @@
 // what the next connection answers must come after. Only the lane's writer calls
 // it, so nothing joins waiting afterwards.
 func (c *counterConn) Close() error {
-	c.once.Do(func() { close(c.waiting) })
+	c.closeOnce.Do(func() { close(c.unanswered) })
 	err := c.Conn.Close()
-	<-c.read
+	<-c.readerDone
 	return err
 }
 
 // finish ends a connection to an address that is left, once the calls that are
 // out have had their time: the next connection must not be answered before.
-func (c *counterConn) finish(within time.Duration) {
-	c.once.Do(func() { close(c.waiting) })
+func (c *counterConn) drain(within time.Duration) {
+	c.closeOnce.Do(func() { close(c.unanswered) })
 	patience := time.NewTimer(within)
 	defer patience.Stop()
 	select {
-	case <-c.read:
+	case <-c.readerDone:
 	case <-patience.C:
 	}
 	c.Close()
@@ -193,44 +193,44 @@
 // usable tells whether another call may be written. The counter may close an
 // idle connection sooner than agreed, and a call written then is in doubt.
 func (c *counterConn) usable(used time.Time) bool {
-	return !c.dead.Load() && time.Since(used) <= counterIdle && (c.out.Load() > 0 || alive(c.Conn))
+	return !c.failed.Load() && time.Since(used) <= counterIdleLimit && (c.outstanding.Load() > 0 || alive(c.Conn))
 }
 
 // call writes one call. Its answer is read only once it stands in the line;
 // where the line is full the connection is stuck.
-func (c *counterConn) call(k *call) {
-	if len(c.waiting) == cap(c.waiting) {
+func (c *counterConn) send(k *counterCall) {
+	if len(c.unanswered) == cap(c.unanswered) {
 		k.report(k, rules.ConnectFailed, 0)
 		return
 	}
 	text := fmt.Appendf(nil, "POST %s%016x?add=%s&ttl_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
-		countPath, k.name, strconv.FormatFloat(k.amount, 'f', -1, 64), k.keep.Milliseconds(), c.host)
-	c.out.Add(1)
-	c.SetWriteDeadline(time.Now().Add(counterStuck))
+		countPath, k.name, strconv.FormatFloat(k.amount, 'f', -1, 64), k.ttl.Milliseconds(), c.address)
+	c.outstanding.Add(1)
+	c.SetWriteDeadline(time.Now().Add(counterStallTimeout))
 	if _, err := c.Write(text); err != nil {
 		// The last byte was not written, so nothing was added.
-		c.dead.Store(true)
+		c.failed.Store(true)
 		k.report(k, rules.ConnectFailed, 0)
 		return
 	}
-	c.waiting <- k
+	c.unanswered <- k
 }
 
 // readAll takes the answers in. What is out when the connection ends may have
 // been added.
-func (c *counterConn) readAll() {
-	defer close(c.read)
+func (c *counterConn) readReplies() {
+	defer close(c.readerDone)
 	left := &io.LimitedReader{R: c.Conn}
 	r := bufio.NewReader(left)
 	asked := &http.Request{Method: http.MethodPost}
 	failed := false
-	for k := range c.waiting {
+	for k := range c.unanswered {
 		if failed {
 			k.report(k, rules.Broken, 0)
 			continue
 		}
-		left.N = mostCounterHead
-		c.SetReadDeadline(time.Now().Add(counterStuck))
+		left.N = maxCounterResponse
+		c.SetReadDeadline(time.Now().Add(counterStallTimeout))
 		outcome, total, err := rules.TimedOut, 0.0, error(nil)
 		switch _, err = r.Peek(1); {
 		case err == nil:
@@ -242,11 +242,11 @@
 		}
 		if err != nil {
 			failed = true
-			slog.Warn("counter: connection lost", "error", err, "calls_out", c.out.Load())
-			c.dead.Store(true)
+			slog.Warn("counter: connection lost", "error", err, "calls_out", c.outstanding.Load())
+			c.failed.Store(true)
 			c.Conn.Close()
 		}
-		c.out.Add(-1)
+		c.outstanding.Add(-1)
 		k.report(k, outcome, total)
 	}
 }
@@ -259,7 +259,7 @@
 	if err != nil {
 		return rules.Errored, 0, fmt.Errorf("answer: %w", err)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostTotal+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxTotalLength+1))
 	resp.Body.Close()
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable:
@@ -270,7 +270,7 @@
 		return rules.Errored, 0, fmt.Errorf("total: %w", err)
 	}
 	total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
-	if err != nil || math.IsNaN(total) || math.IsInf(total, 0) || len(body) > mostTotal {
+	if err != nil || math.IsNaN(total) || math.IsInf(total, 0) || len(body) > maxTotalLength {
 		return rules.Errored, 0, fmt.Errorf("total: %.20q is no number", body)
 	}
 	return rules.Served, total, nil
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -17,16 +17,16 @@
 	total   float64
 }
 
-func startCounter(t *testing.T, address string, timeout time.Duration) (c *counter, add func(amount float64) *call, replies chan reply) {
+func startCounter(t *testing.T, address string, timeout time.Duration) (c *counter, add func(amount float64) *counterCall, replies chan reply) {
 	c = newCounter(address, timeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { c.run(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	replies = make(chan reply, 64)
-	return c, func(amount float64) *call {
-		k := &call{name: 7, amount: amount, keep: time.Minute}
-		k.report = func(k *call, o rules.Outcome, total float64) { replies <- reply{k.amount, o, total} }
+	return c, func(amount float64) *counterCall {
+		k := &counterCall{name: 7, amount: amount, ttl: time.Minute}
+		k.report = func(k *counterCall, o rules.Outcome, total float64) { replies <- reply{k.amount, o, total} }
 		if !c.add(k) {
 			t.Fatal("the lane is full")
 		}
@@ -34,13 +34,13 @@
 	}, replies
 }
 
-func total(conn net.Conn, status int, body string) {
+func writeTotal(conn net.Conn, status int, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
 func TestCounterPipeline(t *testing.T) {
 	far := newPeer(t)
-	_, add, replies := startCounter(t, far.address(), patience)
+	_, add, replies := startCounter(t, far.address(), testTimeout)
 	late := add(1)
 	add(-2.5)
 	add(3)
@@ -54,11 +54,11 @@
 	}
 	// The first is given up by the loop. Its late answer keeps its place, lest each
 	// later call be told the total of the one before.
-	late.givenUp.Store(true)
-	total(conn, 200, "1")
-	total(conn, 200, "-1.5\n")
-	total(conn, 503, "")
-	total(conn, 404, "")
+	late.abandoned.Store(true)
+	writeTotal(conn, 200, "1")
+	writeTotal(conn, 200, "-1.5\n")
+	writeTotal(conn, 503, "")
+	writeTotal(conn, 404, "")
 	for _, want := range []reply{{1, rules.Served, 1}, {-2.5, rules.Served, -1.5}, {3, rules.Full, 0}, {4, rules.ConnectFailed, 0}} {
 		if got := wait(t, replies, "reply"); got != want {
 			t.Errorf("reply %v, want %v", got, want)
@@ -78,7 +78,7 @@
 	// One with no number in it was added, and what comes behind it is in doubt.
 	add(7)
 	readRequest(t, r)
-	total(conn, 200, "1e")
+	writeTotal(conn, 200, "1e")
 	for _, want := range []reply{{6, rules.Errored, 0}, {7, rules.Broken, 0}} {
 		if got := wait(t, replies, "reply"); got != want {
 			t.Errorf("reply %v, want %v", got, want)
@@ -88,7 +88,7 @@
 		add(8)
 		conn, r = far.accept(t)
 		readRequest(t, r)
-		total(conn, 200, text)
+		writeTotal(conn, 200, text)
 		if got := wait(t, replies, "reply"); got.outcome != rules.Errored {
 			t.Errorf("reply to total %q: %v", text, got)
 		}
@@ -111,7 +111,7 @@
 		add(2)
 		conn, r = far.accept(t)
 		readRequest(t, r)
-		total(conn, 200, "3")
+		writeTotal(conn, 200, "3")
 		if got := wait(t, replies, "reply"); got != (reply{2, rules.Served, 3}) {
 			t.Errorf("the next call after %q: %v", text, got)
 		}
@@ -122,7 +122,7 @@
 func TestCounterAway(t *testing.T) {
 	far := newPeer(t)
 	far.listener.Close()
-	_, add, replies := startCounter(t, far.address(), patience)
+	_, add, replies := startCounter(t, far.address(), testTimeout)
 	add(1)
 	if got := wait(t, replies, "reply"); got.outcome != rules.ConnectFailed {
 		t.Errorf("reply %v", got)
@@ -132,12 +132,12 @@
 // A call that was given up before it was written must not be added later.
 func TestCounterGivenUpUnwritten(t *testing.T) {
 	far := newPeer(t)
-	c := newCounter(far.address(), patience)
+	c := newCounter(far.address(), testTimeout)
 	reported := make(chan rules.Outcome, 2)
-	report := func(_ *call, o rules.Outcome, _ float64) { reported <- o }
-	k := &call{name: 1, amount: 1, keep: time.Minute, report: report}
-	k.givenUp.Store(true)
-	next := &call{name: 1, amount: 2, keep: time.Minute, report: report}
+	report := func(_ *counterCall, o rules.Outcome, _ float64) { reported <- o }
+	k := &counterCall{name: 1, amount: 1, ttl: time.Minute, report: report}
+	k.abandoned.Store(true)
+	next := &counterCall{name: 1, amount: 2, ttl: time.Minute, report: report}
 	c.add(k)
 	c.add(next)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -156,7 +156,7 @@
 // doubt.
 func TestCounterClosedIdle(t *testing.T) {
 	far := newPeer(t)
-	c := newCounter(far.address(), patience)
+	c := newCounter(far.address(), testTimeout)
 	conn, err := c.dial(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -167,11 +167,11 @@
 	if !conn.usable(time.Now()) {
 		t.Error("a connection in good health is not usable")
 	}
-	if conn.usable(time.Now().Add(-counterIdle - time.Second)) {
+	if conn.usable(time.Now().Add(-counterIdleLimit - time.Second)) {
 		t.Error("usable after the idle limit")
 	}
 	other.Close()
-	until := time.Now().Add(patience)
+	until := time.Now().Add(testTimeout)
 	for alive(conn.Conn) && time.Now().Before(until) {
 		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
 	}
@@ -184,16 +184,16 @@
 // is still answered, first: replies for one name come in the order of the calls.
 func TestCounterMoves(t *testing.T) {
 	old, next := newPeer(t), newPeer(t)
-	c, add, replies := startCounter(t, old.address(), patience)
+	c, add, replies := startCounter(t, old.address(), testTimeout)
 	add(1)
 	conn, r := old.accept(t)
 	readRequest(t, r)
-	c.move(next.address(), time.Second)
+	c.setEndpoint(next.address(), time.Second)
 	add(2)
-	total(conn, 200, "1")
+	writeTotal(conn, 200, "1")
 	conn, r = next.accept(t)
 	readRequest(t, r)
-	total(conn, 200, "3")
+	writeTotal(conn, 200, "3")
 	for _, want := range []reply{{1, rules.Served, 1}, {2, rules.Served, 3}} {
 		if got := wait(t, replies, "reply"); got != want {
 			t.Errorf("reply %v, want %v", got, want)
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -19,7 +19,7 @@
 // docs/design.md.
 
 // half splits a request in the middle of its head.
-func half(text string) (first, rest string) {
+func splitHead(text string) (first, rest string) {
 	at := strings.Index(text, "Host:")
 	return text[:at], text[at:]
 }
@@ -32,12 +32,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRig(t, backend)
-			first, rest := half(ask("POST", "booking", "pickup"))
+			r := newTestGateway(t, backend)
+			first, rest := splitHead(requestText("POST", "booking", "pickup"))
 			conn := r.send(t, "")
 			from := bufio.NewReader(conn)
 			if served {
-				io.WriteString(conn, ask("GET", "lookup", "", idHeader, ""))
+				io.WriteString(conn, requestText("GET", "lookup", "", idHeader, ""))
 				if resp, err := http.ReadResponse(from, nil); err != nil {
 					t.Fatal(err)
 				} else {
@@ -49,7 +49,7 @@
 			r.tells(t, "app.clients.head:1|g")
 			r.stop()
 			// Until the listener has closed, as the rest of a slow head may.
-			for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 				c, err := net.Dial("tcp", r.address)
 				if err != nil {
 					break
@@ -81,7 +81,7 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	c := l.take(near)
-	go io.WriteString(far, ask("GET", "lookup", ""))
+	go io.WriteString(far, requestText("GET", "lookup", ""))
 	c.Read(make([]byte, 4096))
 	l.connState(c, http.StateActive)
 	l.connState(c, http.StateIdle)
@@ -93,7 +93,7 @@
 		t.Error("a byte was read on a connection that rested at the stop")
 	}
 	c.Close() // as the server does then
-	go io.WriteString(other, ask("GET", "lookup", ""))
+	go io.WriteString(other, requestText("GET", "lookup", ""))
 	if n, err := f.Read(make([]byte, 4096)); n == 0 || err != nil {
 		t.Fatalf("a new connection at the stop: %d, %v", n, err)
 	}
@@ -120,16 +120,16 @@
 }
 
 // crossingConn calls a function between a read from its peer and the return of what was read.
-type crossingConn struct {
+type hookedConn struct {
 	net.Conn
-	crosses func()
+	afterRead func()
 }
 
-func (c *crossingConn) Read(p []byte) (int, error) {
+func (c *hookedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && c.crosses != nil {
-		c.crosses()
-		c.crosses = nil
+	if n > 0 && c.afterRead != nil {
+		c.afterRead()
+		c.afterRead = nil
 	}
 	return n, err
 }
@@ -152,15 +152,15 @@
 		for _, served := range []bool{false, true} {
 			l := newClients(newPipes(), 1)
 			near, far := net.Pipe()
-			conn := &crossingConn{Conn: near}
+			conn := &hookedConn{Conn: near}
 			c := l.take(conn)
 			answer := make(chan string, 1)
 			go func() {
 				if served {
-					io.WriteString(far, ask("GET", "lookup", ""))
+					io.WriteString(far, requestText("GET", "lookup", ""))
 				}
-				io.WriteString(far, ask("GET", "lookup", ""))
-				far.SetDeadline(time.Now().Add(patience))
+				io.WriteString(far, requestText("GET", "lookup", ""))
+				far.SetDeadline(time.Now().Add(testTimeout))
 				got, _ := io.ReadAll(far)
 				answer <- string(got)
 			}()
@@ -171,7 +171,7 @@
 			} else {
 				l.began = l.began.Add(-connlimit.Grace) // it may be given up for another
 			}
-			conn.crosses = func() { giveUp(l) }
+			conn.afterRead = func() { giveUp(l) }
 			if n, err := c.Read(make([]byte, 4096)); n != 0 || err == nil {
 				t.Errorf("%s, served %t: %d bytes go on, %v", name, served, n, err)
 			}
@@ -189,13 +189,13 @@
 func TestStopAnswersPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn := r.send(t, ask("POST", "booking", "first")+ask("POST", "booking", "second", keyHeader, "k2")+ask("GET", "lookup", ""))
+	r := newTestGateway(t, backend)
+	conn := r.send(t, requestText("POST", "booking", "first")+requestText("POST", "booking", "second", keyHeader, "k2")+requestText("GET", "lookup", ""))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	r.tells(t, "app.clients.busy:1|g")
 	r.stop()
-	r.until(t, http.StatusServiceUnavailable)
+	r.awaitReadiness(t, http.StatusServiceUnavailable)
 	from := bufio.NewReader(conn)
 	for n := range 3 {
 		if n > 0 {
@@ -228,8 +228,8 @@
 		}
 	}
 	p.conns <- server
-	io.WriteString(client, ask("GET", "lookup", ""))
-	client.SetReadDeadline(time.Now().Add(patience))
+	io.WriteString(client, requestText("GET", "lookup", ""))
+	client.SetReadDeadline(time.Now().Add(testTimeout))
 	if got, err := io.ReadAll(client); string(got) != turnedAwayText || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -245,16 +245,16 @@
 func TestCloseOverUnreadBytes(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	dialer := net.Dialer{}
 	conn, err := dialer.Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10) // most of the answer waits at the gateway
-	io.WriteString(conn, ask("POST", "booking", "pickup", "Connection", "close")+strings.Repeat("x", 32<<10))
+	io.WriteString(conn, requestText("POST", "booking", "pickup", "Connection", "close")+strings.Repeat("x", 32<<10))
 	want := bytes.Repeat([]byte("answer"), 10<<10)
 	serveOne(t, backend, string(want))
 	r.tells(t, "app.handled.booking.passed:1|c", "app.clients.busy:0|g")
@@ -274,18 +274,18 @@
 func TestRepeatCrossesItsWindow(t *testing.T) {
 	for name, length := range map[string]int{"a short request": 6, "a long one": 1 << 20} {
 		backend := newPeer(t)
-		p := poolFor(t, backend.address())
-		a := newAttempt(patience)
-		a.x.body = make([]byte, length)
+		p := newTestPools(t, backend.address())
+		a := newAttempt(testTimeout)
+		a.exchange.body = make([]byte, length)
 		real, up := p.dial, make(chan struct{})
 		p.dial = func(ctx context.Context, to *target, within time.Duration) (*backendConn, error) {
 			c, err := real(ctx, to, within)
 			<-up
 			return c, err
 		}
-		done := start(p, a)
+		done := startAttempt(p, a)
 		conn, r := backend.accept(t)
-		a.before = time.Now() // the window ends while the connection comes up
+		a.writeBefore = time.Now() // the window ends while the connection comes up
 		close(up)
 		if got := wait(t, done, "result"); got.outcome != rules.ConnectFailed {
 			t.Errorf("%s: outcome %d, which says that it may have run", name, got.outcome)
@@ -309,7 +309,7 @@
 		}
 		f := newFigures(&c)
 		s := f.service(c.Deployment, 0)
-		p := newPools(patience, time.Minute, 8, f)
+		p := newPools(testTimeout, time.Minute, 8, f)
 		dials, up := make(chan struct{}, 1), make(chan struct{})
 		real := p.dial
 		p.dial = func(_ context.Context, to *target, within time.Duration) (*backendConn, error) {
@@ -318,17 +318,17 @@
 			return real(context.Background(), to, within) // it comes up in the moment of the end
 		}
 		l := newLoop(&c, s, f, p, nil, func() {})
-		l.list(listing(true, "Ready", backend), rules.FullList)
+		l.applyList(newListing(true, "Ready", backend), rules.FullList)
 		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: s.PlanNames[0], method: "GET", uri: "/lookup",
 			host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, reply: make(chan answer, 2),
 			ask: rules.Request{Customer: 7, Units: 1, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
-		l.take(arrival{x})
+		l.dispatch(requestArrived{x})
 		wait(t, dials, "dial")
-		l.take(clientGone{x})
+		l.dispatch(clientGone{x})
 		close(up)
 		l.attempts.Wait()
 		for len(l.inbox) > 0 {
-			l.take(<-l.inbox)
+			l.dispatch(<-l.inbox)
 		}
 		conn, r := backend.accept(t)
 		if n, err := r.Read(make([]byte, 1)); n != 0 || err != io.EOF {
@@ -346,14 +346,14 @@
 // next request on that connection.
 func TestLateSecondAnswer(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	p.settle = patience // until the test says otherwise
-	done := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.address())
+	p.settle = testTimeout // until the test says otherwise
+	done := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 	wait(t, done, "result")
-	done = start(p, newAttempt(patience)) // in the moment in which the other has ended
+	done = startAttempt(p, newAttempt(testTimeout)) // in the moment in which the other has ended
 	next, nr := backend.accept(t)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 	readRequest(t, nr)
@@ -363,11 +363,11 @@
 	}
 	// Once it has come, the connection is not used any more.
 	idle := p.targets[1].idle[0]
-	for end := time.Now().Add(patience); alive(idle.Conn) && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); alive(idle.Conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // on its way through the kernel
 	}
 	p.settle = 0
-	done = start(p, newAttempt(patience))
+	done = startAttempt(p, newAttempt(testTimeout))
 	readRequest(t, nr)
 	io.WriteString(next, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast")
 	if got := wait(t, done, "result"); got.outcome != rules.Served || string(got.answer.body) != "last" {
@@ -386,14 +386,14 @@
 		"goes at an end": func(p *pools, _ string) { ctx, end := context.WithCancel(context.Background()); end(); p.sweep(ctx) },
 	} {
 		backend := newPeer(t)
-		p := poolFor(t, backend.address())
+		p := newTestPools(t, backend.address())
 		real, up := p.dial, make(chan struct{})
 		p.dial = func(ctx context.Context, to *target, within time.Duration) (*backendConn, error) {
 			c, err := real(ctx, to, within)
 			<-up
 			return c, err
 		}
-		done := start(p, newAttempt(patience))
+		done := startAttempt(p, newAttempt(testTimeout))
 		conn, r := backend.accept(t)
 		change(p, backend.address())
 		close(up)
@@ -411,13 +411,13 @@
 // attempt that is out ends, and none begins.
 func TestClientLeavesBehindNextRequest(t *testing.T) {
 	t.Parallel()
-	for name, text := range map[string]string{"a part": "G", "a whole one": ask("GET", "lookup", ""),
-		"a crowd": strings.Repeat(ask("GET", "lookup", ""), 30), "a flood": strings.Repeat(ask("GET", "lookup", ""), 40000)} {
+	for name, text := range map[string]string{"a part": "G", "a whole one": requestText("GET", "lookup", ""),
+		"a crowd": strings.Repeat(requestText("GET", "lookup", ""), 30), "a flood": strings.Repeat(requestText("GET", "lookup", ""), 40000)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRig(t, backend)
-			conn, _ := r.client(t, ask("POST", "booking", "x"))
+			r := newTestGateway(t, backend)
+			conn, _ := r.request(t, requestText("POST", "booking", "x"))
 			to, br := backend.accept(t)
 			readRequest(t, br)
 			r.tells(t, "app.clients.busy:1|g")
@@ -446,9 +446,9 @@
 	for name, text := range map[string]string{"held": "abc", "let go": strings.Repeat("x", 2*mostHeld)} {
 		for _, class := range []string{"lookup", "payment"} {
 			backend := newPeer(t)
-			r := newRig(t, backend)
+			r := newTestGateway(t, backend)
 			method := map[string]string{"lookup": "GET", "payment": "POST"}[class]
-			_, answer := r.get(t, ask(method, class, "", keyHeader, ""))
+			_, answer := r.get(t, requestText(method, class, "", keyHeader, ""))
 			to, br := backend.accept(t)
 			readRequest(t, br)
 			io.WriteString(to, "HTTP/1.1 200 OK\r\n\r\n"+text)
--- a/internal/gateway/dial.go
+++ b/internal/gateway/dial.go
@@ -24,7 +24,7 @@
 }
 
 // noDescriptor reports whether the system has run out of descriptors or buffers.
-func noDescriptor(err error) bool {
+func outOfResources(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
 		errors.Is(err, syscall.ENOMEM)
 }
@@ -32,12 +32,12 @@
 // localFailure reports whether a dial failed for a reason that lies in this machine or this
 // gateway: it says nothing of the peer, and nothing was sent.
 func localFailure(err error) bool {
-	return noDescriptor(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENETUNREACH) ||
+	return outOfResources(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENETUNREACH) ||
 		errors.Is(err, syscall.ENETDOWN) || errors.Is(err, syscall.EAGAIN)
 }
 
 // waited sleeps for d. It returns false if ctx ends first.
-func waited(ctx context.Context, d time.Duration) bool {
+func sleepFor(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -93,7 +93,7 @@
 		if told.Reset {
 			kind = rules.FullList
 		}
-		l.post(news{told, kind, history})
+		l.post(listUpdate{told, kind, history})
 	}
 	if len(c.Registries) > 0 {
 		var unknown unknownScopes
@@ -113,7 +113,7 @@
 			f.services.SetScopes(f.scopes)
 		}
 	} else {
-		f.agent = newWatcher(c.Discovery, func(told Listing) { tell(told, "") }, l.turnedAway)
+		f.agent = newWatcher(c.Discovery, func(told Listing) { tell(told, "") }, l.awaitListRetry)
 	}
 	return f
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -187,7 +187,7 @@
 				}
 			}, func(ctx context.Context) {
 				refusals++
-				waited(ctx, []time.Duration{2 * time.Second, 3600 * time.Millisecond}[min(refusals, 2)-1])
+				sleepFor(ctx, []time.Duration{2 * time.Second, 3600 * time.Millisecond}[min(refusals, 2)-1])
 			})
 			w.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 				calls++
--- a/internal/gateway/download_test.go
+++ b/internal/gateway/download_test.go
@@ -34,8 +34,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRig(t, backend)
-			_, head := r.get(t, ask("GET", "lookup", ""))
+			r := newTestGateway(t, backend)
+			_, head := r.get(t, requestText("GET", "lookup", ""))
 			to, br := backend.accept(t)
 			readRequest(t, br)
 			io.WriteString(to, "HTTP/1.1 200 OK\r\n"+c.head+c.piece(whole[:2*mostHeld]))
@@ -69,8 +69,8 @@
 	t.Parallel()
 	for _, head := range []string{"Content-Length: 1000000", "Transfer-Encoding: chunked"} {
 		backend := newPeer(t)
-		r := newRig(t, backend)
-		_, answer := r.get(t, ask("GET", "lookup", ""))
+		r := newTestGateway(t, backend)
+		_, answer := r.get(t, requestText("GET", "lookup", ""))
 		to, br := backend.accept(t)
 		readRequest(t, br)
 		fmt.Fprintf(to, "HTTP/1.1 200 OK\r\n%s\r\n\r\n20000\r\n%s", head, strings.Repeat("x", 2*mostHeld))
@@ -93,8 +93,8 @@
 func TestClientLeavesDuringLongAnswer(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, head := r.get(t, ask("GET", "lookup", ""))
+	r := newTestGateway(t, backend)
+	conn, head := r.get(t, requestText("GET", "lookup", ""))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	fmt.Fprintf(to, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", mostHeld))
@@ -113,8 +113,8 @@
 func TestDrippingAnswer(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, head := r.get(t, ask("GET", "lookup", ""))
+	r := newTestGateway(t, backend)
+	_, head := r.get(t, requestText("GET", "lookup", ""))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	io.WriteString(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n\r\n")
@@ -145,8 +145,8 @@
 	t.Parallel()
 	for _, framing := range []string{"Content-Length: 20", "Transfer-Encoding: chunked"} {
 		backend := newPeer(t)
-		r := newRig(t, backend)
-		_, answers := r.client(t, ask("GET", "lookup", ""))
+		r := newTestGateway(t, backend)
+		_, answers := r.request(t, requestText("GET", "lookup", ""))
 		to, br := backend.accept(t)
 		readRequest(t, br)
 		io.WriteString(to, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n14\r\nabc")
@@ -165,15 +165,15 @@
 		request, answer string
 		check           func(*http.Response, string) bool
 	}{
-		"HEAD": {ask("HEAD", "lookup", ""), "200 OK\r\nContent-Length: 1234567\r\n\r\n",
+		"HEAD": {requestText("HEAD", "lookup", ""), "200 OK\r\nContent-Length: 1234567\r\n\r\n",
 			func(r *http.Response, body string) bool { return r.StatusCode == 200 && r.ContentLength == 1234567 }},
-		"no content": {ask("GET", "lookup", ""), "204 No Content\r\nX-A: b\r\n\r\n",
+		"no content": {requestText("GET", "lookup", ""), "204 No Content\r\nX-A: b\r\n\r\n",
 			func(r *http.Response, body string) bool { return r.StatusCode == 204 && r.Header.Get("X-A") == "b" }},
-		"not modified": {ask("GET", "lookup", "", "If-None-Match", `"1"`), "304 Not Modified\r\nETag: \"1\"\r\n\r\n",
+		"not modified": {requestText("GET", "lookup", "", "If-None-Match", `"1"`), "304 Not Modified\r\nETag: \"1\"\r\n\r\n",
 			func(r *http.Response, body string) bool { return r.StatusCode == 304 && r.Header.Get("ETag") == `"1"` }},
-		"a trailer": {ask("GET", "lookup", ""), "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Sum: 3\r\n\r\n",
+		"a trailer": {requestText("GET", "lookup", ""), "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Sum: 3\r\n\r\n",
 			func(r *http.Response, body string) bool { return body == "abc" && r.Trailer.Get("X-Sum") == "3" }},
-		"a trailer far behind": {ask("GET", "lookup", ""), "200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n20000\r\n" +
+		"a trailer far behind": {requestText("GET", "lookup", ""), "200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n20000\r\n" +
 			strings.Repeat("x", 2*mostHeld) + "\r\n0\r\nX-Sum: 3\r\n\r\n",
 			func(r *http.Response, body string) bool {
 				return len(body) == 2*mostHeld && r.Trailer.Get("X-Sum") == "3"
@@ -182,7 +182,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRig(t, backend)
+			r := newTestGateway(t, backend)
 			conn := r.send(t, c.request)
 			for range 2 { // the connections of both sides serve again
 				to, br := backend.accept(t)
@@ -208,8 +208,8 @@
 func TestInterimAnswers(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn := r.send(t, ask("GET", "lookup", ""))
+	r := newTestGateway(t, backend)
+	conn := r.send(t, requestText("GET", "lookup", ""))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	io.WriteString(to, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
@@ -228,16 +228,16 @@
 func TestTwoWays(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	for name, text := range map[string]string{
-		"a length and chunks": ask("POST", "booking", "", "Content-Length", "5", "Transfer-Encoding", "chunked") + "0\r\n\r\n",
-		"the length twice":    strings.Replace(ask("POST", "booking", "hello"), "Content-Length", "Content-Length: 5\r\nContent-Length", 1),
-		"a bad chunk size":    ask("POST", "booking", "", "Transfer-Encoding", "chunked") + "-1\r\n\r\n",
-		"endless extensions":  ask("POST", "booking", "", "Transfer-Encoding", "chunked") + "1;" + strings.Repeat("x", 8<<10) + "\r\na\r\n0\r\n\r\n",
-		"endless trailers": ask("POST", "booking", "", "Transfer-Encoding", "chunked") + "0\r\n" +
+		"a length and chunks": requestText("POST", "booking", "", "Content-Length", "5", "Transfer-Encoding", "chunked") + "0\r\n\r\n",
+		"the length twice":    strings.Replace(requestText("POST", "booking", "hello"), "Content-Length", "Content-Length: 5\r\nContent-Length", 1),
+		"a bad chunk size":    requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "-1\r\n\r\n",
+		"endless extensions":  requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "1;" + strings.Repeat("x", 8<<10) + "\r\na\r\n0\r\n\r\n",
+		"endless trailers": requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "0\r\n" +
 			strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 10) + "\r\n",
 	} {
-		_, answers := r.client(t, text)
+		_, answers := r.request(t, text)
 		if resp := wait(t, answers, "answer to "+name); resp.StatusCode != 400 || !resp.Close {
 			t.Errorf("%s: status %d, closed %t", name, resp.StatusCode, resp.Close)
 		}
@@ -247,7 +247,7 @@
 	}
 	for _, answer := range []string{"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
 		"Content-Length: 2\r\nContent-Length: 2\r\n\r\nok"} {
-		_, answers := r.client(t, ask("POST", "payment", "x"))
+		_, answers := r.request(t, requestText("POST", "payment", "x"))
 		to, br := backend.accept(t)
 		readRequest(t, br)
 		io.WriteString(to, "HTTP/1.1 200 OK\r\n"+answer)
@@ -262,8 +262,8 @@
 func TestCutAnswerInHTTP10(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, head := r.get(t, strings.Replace(ask("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
+	r := newTestGateway(t, backend)
+	_, head := r.get(t, strings.Replace(requestText("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	io.WriteString(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
@@ -290,16 +290,16 @@
 				client, server := net.Pipe()
 				defer client.Close()
 				p.conns <- server
-				io.WriteString(client, ask("GET", "lookup", ""))
-				x := (<-f.loop.inbox).(arrival).x
+				io.WriteString(client, requestText("GET", "lookup", ""))
+				x := (<-f.loop.inbox).(requestArrived).exchange
 				near, far := net.Pipe()
 				conn := newBackendConn(near, nil)
-				conn.left.N = noLimit
+				conn.remaining.N = noReadLimit
 				go func() {
 					io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
 					far.Write(make([]byte, 100000))
 				}()
-				resp, err := http.ReadResponse(conn.r, nil)
+				resp, err := http.ReadResponse(conn.reader, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -25,7 +25,7 @@
 	open  atomic.Int64 // that go on before they are whole
 	bytes atomic.Int64 // of all bodies
 	ended [len(causeNames)]atomic.Int64
-	lines lineLimit
+	lines logLimiter
 }
 
 // cause is why a transfer ended.
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -204,7 +204,7 @@
 	if x.upload != nil {
 		defer x.upload.free()
 	}
-	if !f.loop.post(arrival{x}) {
+	if !f.loop.post(requestArrived{x}) {
 		http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		return
 	}
@@ -308,9 +308,9 @@
 		now = f.loop.clock.now() // a request's time counts from its last byte
 	}
 	x.ask.Sent = now
-	x.ask.Deadline += now - answerMargin
+	x.ask.Deadline += now - responseMargin
 	x.header = passedOn(r.Header)
-	delete(x.header, leftHeader) // each attempt has its own
+	delete(x.header, timeLeftHeader) // each attempt has its own
 	return x, 0, nil
 }
 
@@ -359,7 +359,7 @@
 	x.ask.Open = true
 	x.upload = &upload{request: r, length: r.ContentLength, left: seconds(x.ask.Deadline), budget: &f.figures.bodies,
 		start: start, rest: rest, memory: held, window: window{budget: &f.figures.bodies, own: leastWindow}}
-	x.upload.whole = func(until time.Time) { f.loop.post(uploaded{x, until}) }
+	x.upload.whole = func(until time.Time) { f.loop.post(bodyComplete{x, until}) }
 	return 0, nil
 }
 
@@ -424,9 +424,9 @@
 		return q, errors.New(clientHeader + " is not the number of a customer")
 	}
 	q.Customer = rules.CustomerID(n)
-	left, err := strconv.ParseInt(h.Get(leftHeader), 10, 64)
+	left, err := strconv.ParseInt(h.Get(timeLeftHeader), 10, 64)
 	if err != nil || left <= 0 || left > mostPatience.Milliseconds() {
-		return q, errors.New(leftHeader + " is not a time in milliseconds")
+		return q, errors.New(timeLeftHeader + " is not a time in milliseconds")
 	}
 	q.Deadline = float64(left) / 1000 // from when it is whole
 	q.Repeat = h.Get(repeatHeader) == "1"
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -59,7 +59,7 @@
 		"silent":       "",
 		"half a line":  "GET /loo",
 		"half headers": "GET /lookup HTTP/1.1\r\nHost: origin.svc\r\n",
-		"half a body":  ask("POST", "booking", "pickup")[:len(ask("POST", "booking", "pickup"))-1],
+		"half a body":  requestText("POST", "booking", "pickup")[:len(requestText("POST", "booking", "pickup"))-1],
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -83,7 +83,7 @@
 
 // The limits on reading are not for clients that wait for their answer.
 func TestHeldRequestOutlastsTheLimitsOnReading(t *testing.T) {
-	for name, text := range map[string]string{"without a body": ask("GET", "lookup", ""), "with one": ask("POST", "booking", "x")} {
+	for name, text := range map[string]string{"without a body": requestText("GET", "lookup", ""), "with one": requestText("POST", "booking", "x")} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f, p := newPipedFrontend(t)
@@ -91,7 +91,7 @@
 				defer client.Close()
 				p.conns <- server
 				io.WriteString(client, text)
-				x := (<-f.loop.inbox).(arrival).x
+				x := (<-f.loop.inbox).(requestArrived).exchange
 				time.Sleep(10 * time.Second) // of the bubble's time
 				select {
 				case m := <-f.loop.inbox:
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	reserved    = 64              // descriptors for the counter, discovery, control and the runtime
-	clientShare = 0.55            // of the other descriptors, for clients; backends get the rest
-	knownAfter  = 3 * time.Second // without discovery, the list known from before has to do
+	reservedDescriptors = 64              // descriptors for the counter, discovery, control and the runtime
+	clientFraction      = 0.55            // of the other descriptors, for clients; backends get the rest
+	cachedListDelay     = 3 * time.Second // without discovery, the list known from before has to do
 )
 
 // Run serves clients until ctx ends, then answers what it holds and returns.
@@ -38,7 +38,7 @@
 }
 
 func serve(ctx context.Context, c *Config, reloads <-chan Reload, listener, operators net.Listener, figures *figures) error {
-	_, backends := split(c.Sockets - reserved)
+	_, backends := splitDescriptors(c.Sockets - reservedDescriptors)
 	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), backends, figures)
 	var calls *counter
 	if c.Settings.Counter {
@@ -47,7 +47,7 @@
 	front := &frontend{figures: figures, clients: newClients(listener, 1)}
 	front.clients.shared = c.Inherited != "" || c.HandoverDir != ""
 	figures.clients = front.clients
-	front.use(figures.service(c.Deployment, c.mostBody()))
+	front.use(figures.service(c.Deployment, c.maxBodyBytes()))
 	front.loop = newLoop(c, front.service.Load(), figures, pools, calls, func() { front.ready.Store(true) })
 
 	inner, stop := context.WithCancel(context.Background())
@@ -55,14 +55,14 @@
 	defer front.loop.attempts.Wait() // after the loop, which starts them, and the sweep, which ends them
 	defer wg.Wait()
 	defer stop()
-	limits := &limits{config: c, apply: func(clients, backends, memory int) {
+	limits := &resourceLimits{config: c, apply: func(clients, backends, memory int) {
 		front.clients.limit(clients)
-		pools.keep(backends)
+		pools.setMaxOpen(backends)
 		figures.bodies.limit(memory)
 	}}
-	limits.pair(false)
-	pair := &handover{loop: front.loop, oldest: make(chan struct{}), paired: limits.pair}
-	front.loop.receive(news{listing: c.Scopes.cached(c.Known), kind: rules.CachedList})
+	limits.setPaired(false)
+	pair := &handover{loop: front.loop, oldest: make(chan struct{}), paired: limits.setPaired}
+	front.loop.receive(listUpdate{listing: c.Scopes.cached(c.Known), kind: rules.CachedList})
 	if c.HandoverDir != "" {
 		before, err := pair.join(ctx, c.HandoverDir)
 		if err != nil {
@@ -112,7 +112,7 @@
 			case r := <-reloads:
 				next := &r.Config
 				if r.Err == nil {
-					r.Err = inForce.lacks(next)
+					r.Err = inForce.checkReload(next)
 				}
 				if r.Err != nil {
 					figures.loadErrors.Add(1)
@@ -122,20 +122,20 @@
 				figures.loads.Add(1)
 				slog.Info("reloaded", "discovery", next.Discovery, "counter", next.Counter,
 					"deployment", fmt.Sprintf("%+v", next.Deployment))
-				in := figures.service(next.Deployment, next.mostBody())
-				pools.retune(seconds(next.ConnectTimeout), seconds(next.KeepAlive))
-				front.loop.post(retuned{in, next.Scopes.subset})
+				in := figures.service(next.Deployment, next.maxBodyBytes())
+				pools.setTimeouts(seconds(next.ConnectTimeout), seconds(next.KeepAlive))
+				front.loop.post(settingsChanged{in, next.Scopes.subset})
 				front.use(in) // the loop knows it before any request that is read under it
 				if calls != nil {
-					calls.move(next.Counter, seconds(next.CounterTimeout))
+					calls.setEndpoint(next.Counter, seconds(next.CounterTimeout))
 				}
 				follow.move(inner, next)
-				limits.take(next)
+				limits.setConfig(next)
 				inForce = next
 			}
 		}
 	})
-	known := time.AfterFunc(knownAfter, func() {
+	known := time.AfterFunc(cachedListDelay, func() {
 		if len(c.Known.Instances) > 0 {
 			front.ready.Store(true)
 		}
@@ -161,7 +161,7 @@
 
 // limits shares out what the configuration allows, all of it to a process that is
 // alone, and half of it to one of two.
-type limits struct {
+type resourceLimits struct {
 	apply func(clients, backends, memory int)
 
 	mu     sync.Mutex
@@ -169,32 +169,32 @@
 	paired bool
 }
 
-func (l *limits) pair(paired bool) {
+func (l *resourceLimits) setPaired(paired bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.paired = paired
-	l.share()
+	l.divide()
 }
 
-func (l *limits) take(c *Config) {
+func (l *resourceLimits) setConfig(c *Config) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.config = c
-	l.share()
+	l.divide()
 }
 
-func (l *limits) share() {
-	sockets, memory := l.config.Sockets-reserved, l.config.MemoryMB
+func (l *resourceLimits) divide() {
+	sockets, memory := l.config.Sockets-reservedDescriptors, l.config.MemoryMB
 	if l.paired {
-		sockets, memory = l.config.Sockets/2-reserved/2, memory/2
+		sockets, memory = l.config.Sockets/2-reservedDescriptors/2, memory/2
 	}
-	clients, backends := split(sockets)
+	clients, backends := splitDescriptors(sockets)
 	l.apply(min(clients, memory<<20/connShare/connMemory), backends, bodyMemory(memory))
 }
 
 // split divides descriptors between clients and backends.
-func split(sockets int) (clients, backends int) {
-	clients = int(float64(sockets) * clientShare)
+func splitDescriptors(sockets int) (clients, backends int) {
+	clients = int(float64(sockets) * clientFraction)
 	return clients, sockets - clients
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 )
 
 // rig is a whole gateway between loopback sockets.
-type rig struct {
+type testGateway struct {
 	address  string
 	control  string
 	registry *agent
@@ -28,15 +28,15 @@
 
 // newRig starts a gateway that knows the given backends and waits until it is
 // ready.
-func newRig(t testing.TB, backends ...*peer) *rig {
+func newTestGateway(t testing.TB, backends ...*peer) *testGateway {
 	t.Helper()
-	return newRigWith(t, func(text string) string { return text }, backends...)
+	return newTestGatewayWith(t, func(text string) string { return text }, backends...)
 }
 
 // newRigWith does so with another configuration.
-func newRigWith(t testing.TB, change func(config string) string, backends ...*peer) *rig {
+func newTestGatewayWith(t testing.TB, change func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
-	r := &rig{registry: newAgent(t), ended: make(chan error, 1)}
+	r := &testGateway{registry: newAgent(t), ended: make(chan error, 1)}
 	c, err := parseConfig([]byte(change(configText(r.registry.address(), testSettings))))
 	if err != nil {
 		t.Fatal(err)
@@ -49,13 +49,13 @@
 	if got := r.ready(t); got != http.StatusServiceUnavailable {
 		t.Errorf("ready before the list is had: %d", got)
 	}
-	r.registry.answers <- listing(true, "Ready", backends...)
-	r.until(t, http.StatusOK)
+	r.registry.answers <- newListing(true, "Ready", backends...)
+	r.awaitReadiness(t, http.StatusOK)
 	return r
 }
 
 // serve runs the gateway on a socket until the test ends.
-func (r *rig) serve(t testing.TB, c *Config, l net.Listener) {
+func (r *testGateway) serve(t testing.TB, c *Config, l net.Listener) {
 	t.Helper()
 	r.address = l.Addr().String()
 	operators, err := listenControl("127.0.0.1:0")
@@ -72,7 +72,7 @@
 		stop()
 		<-done
 		// Nothing is left of any transfer, however it ended.
-		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 			used, _ := r.figures.bodies.usage()
 			up, down := r.figures.up.open.Load(), r.figures.down.open.Load()
 			open := r.figures.clients.counts().Open
@@ -87,7 +87,7 @@
 	})
 }
 
-func listing(reset bool, lifecycle string, backends ...*peer) Listing {
+func newListing(reset bool, lifecycle string, backends ...*peer) Listing {
 	l := Listing{Generation: 1, Reset: reset}
 	for _, b := range backends {
 		l.Instances = append(l.Instances, Instance{ID: b.address(), HostPort: b.address(), Zone: "a", MachineType: "m",
@@ -96,7 +96,7 @@
 	return l
 }
 
-func (r *rig) ready(t testing.TB) int {
+func (r *testGateway) ready(t testing.TB) int {
 	t.Helper()
 	resp, err := http.Get("http://" + r.address + readyPath)
 	if err != nil {
@@ -106,18 +106,18 @@
 	return resp.StatusCode
 }
 
-func (r *rig) until(t testing.TB, status int) {
+func (r *testGateway) awaitReadiness(t testing.TB, status int) {
 	t.Helper()
-	for end := time.Now().Add(patience); r.ready(t) != status; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.ready(t) != status; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("readiness never became %d", status)
 		}
 	}
 }
 
-func ask(method, class, body string, change ...string) string {
+func requestText(method, class, body string, change ...string) string {
 	headers := map[string]string{idHeader: "9b1f03aa5c7e2d41", classHeader: class, planHeader: "basic",
-		clientHeader: "00000000b4d65521", leftHeader: "15000", termsHeader: "units=2,spread=2,first=1", keyHeader: "k1"}
+		clientHeader: "00000000b4d65521", timeLeftHeader: "15000", termsHeader: "units=2,spread=2,first=1", keyHeader: "k1"}
 	path := "/" + class
 	for i := 0; i < len(change); i += 2 {
 		if change[i] == "path" {
@@ -137,14 +137,14 @@
 }
 
 // send writes a request, or the start of one, on a connection of its own.
-func (r *rig) send(t testing.TB, text string) net.Conn {
+func (r *testGateway) send(t testing.TB, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 }
 
 // client sends one request and returns the channel of its answer.
-func (r *rig) client(t testing.TB, text string) (net.Conn, <-chan *http.Response) {
+func (r *testGateway) request(t testing.TB, text string) (net.Conn, <-chan *http.Response) {
 	t.Helper()
 	conn := r.send(t, text)
 	answers := make(chan *http.Response, 1)
@@ -174,8 +174,8 @@
 func TestServed(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, answers := r.client(t, ask("POST", "booking", "pickup"))
+	r := newTestGateway(t, backend)
+	_, answers := r.request(t, requestText("POST", "booking", "pickup"))
 	serveOne(t, backend, "booked\n")
 	resp := wait(t, answers, "answer")
 	body, err := io.ReadAll(resp.Body)
@@ -188,34 +188,34 @@
 // customer, or repeat what must not run twice.
 func TestMalformed(t *testing.T) {
 	t.Parallel()
-	r := newRigWith(t, func(text string) string { return strings.Replace(text, `"cores"`, `"body_mb": 5, "cores"`, 1) }, newPeer(t))
+	r := newTestGatewayWith(t, func(text string) string { return strings.Replace(text, `"cores"`, `"body_mb": 5, "cores"`, 1) }, newPeer(t))
 	for _, c := range []struct {
 		name, text string
 		status     int
 	}{
-		{"no id", ask("GET", "lookup", "", idHeader, ""), 400},
-		{"unknown class", ask("GET", "lookups", ""), 400},
-		{"another path", ask("GET", "lookup", "", "path", "/booking"), 400},
-		{"a path with no first part", ask("GET", "lookup", "", "path", "//lookup"), 400},
-		{"unknown plan", ask("GET", "lookup", "", planHeader, "gold"), 400},
-		{"a short customer", ask("GET", "lookup", "", clientHeader, "b4d65521"), 400},
-		{"a customer too high", ask("GET", "lookup", "", clientHeader, "0000000200000000"), 400},
-		{"no time", ask("GET", "lookup", "", leftHeader, ""), 400},
-		{"no time left", ask("GET", "lookup", "", leftHeader, "0"), 400},
-		{"time without end", ask("GET", "lookup", "", leftHeader, "99999999999999999999"), 400},
-		{"no terms", ask("GET", "lookup", "", termsHeader, ""), 400},
-		{"no number", ask("GET", "lookup", "", termsHeader, "units=NaN,spread=2,first=0"), 400},
-		{"too many units", ask("GET", "lookup", "", termsHeader, "units=5,spread=2,first=0"), 400},
-		{"a set beyond the fleet", ask("GET", "lookup", "", termsHeader, "units=1,spread=3,first=0"), 400},
-		{"a gateway beyond the fleet", ask("GET", "lookup", "", termsHeader, "units=1,spread=2,first=2"), 400},
-		{"no key", ask("POST", "booking", "x", keyHeader, ""), 400},
-		{"the wrong method", ask("POST", "lookup", "x"), 405},
-		{"a keyed GET", ask("GET", "booking", ""), 405},
-		{"a body too long", ask("POST", "booking", "", "Content-Length", strconv.Itoa(5<<20+1)), 413},
-		{"a body in bad chunks", ask("POST", "booking", "", "Transfer-Encoding", "chunked") + "x\r\n", 400},
-		{"endless headers", ask("GET", "lookup", "", "X", strings.Repeat("x", 4*mostHeader)), 431},
+		{"no id", requestText("GET", "lookup", "", idHeader, ""), 400},
+		{"unknown class", requestText("GET", "lookups", ""), 400},
+		{"another path", requestText("GET", "lookup", "", "path", "/booking"), 400},
+		{"a path with no first part", requestText("GET", "lookup", "", "path", "//lookup"), 400},
+		{"unknown plan", requestText("GET", "lookup", "", planHeader, "gold"), 400},
+		{"a short customer", requestText("GET", "lookup", "", clientHeader, "b4d65521"), 400},
+		{"a customer too high", requestText("GET", "lookup", "", clientHeader, "0000000200000000"), 400},
+		{"no time", requestText("GET", "lookup", "", timeLeftHeader, ""), 400},
+		{"no time left", requestText("GET", "lookup", "", timeLeftHeader, "0"), 400},
+		{"time without end", requestText("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400},
+		{"no terms", requestText("GET", "lookup", "", termsHeader, ""), 400},
+		{"no number", requestText("GET", "lookup", "", termsHeader, "units=NaN,spread=2,first=0"), 400},
+		{"too many units", requestText("GET", "lookup", "", termsHeader, "units=5,spread=2,first=0"), 400},
+		{"a set beyond the fleet", requestText("GET", "lookup", "", termsHeader, "units=1,spread=3,first=0"), 400},
+		{"a gateway beyond the fleet", requestText("GET", "lookup", "", termsHeader, "units=1,spread=2,first=2"), 400},
+		{"no key", requestText("POST", "booking", "x", keyHeader, ""), 400},
+		{"the wrong method", requestText("POST", "lookup", "x"), 405},
+		{"a keyed GET", requestText("GET", "booking", ""), 405},
+		{"a body too long", requestText("POST", "booking", "", "Content-Length", strconv.Itoa(5<<20+1)), 413},
+		{"a body in bad chunks", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "x\r\n", 400},
+		{"endless headers", requestText("GET", "lookup", "", "X", strings.Repeat("x", 4*mostHeader)), 431},
 	} {
-		_, answers := r.client(t, c.text)
+		_, answers := r.request(t, c.text)
 		if resp := wait(t, answers, "answer to "+c.name); resp.StatusCode != c.status {
 			t.Errorf("%s: status %d, want %d", c.name, resp.StatusCode, c.status)
 		}
@@ -228,8 +228,8 @@
 	t.Parallel()
 	for class, status := range map[string]int{"payment": 502, "booking": 200} {
 		backend := newPeer(t)
-		r := newRig(t, backend)
-		_, answers := r.client(t, ask("POST", class, "x"))
+		r := newTestGateway(t, backend)
+		_, answers := r.request(t, requestText("POST", class, "x"))
 		conn, br := backend.accept(t)
 		readRequest(t, br)
 		conn.Close()
@@ -250,8 +250,8 @@
 func TestSilence(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, answers := r.client(t, ask("GET", "glance", ""))
+	r := newTestGateway(t, backend)
+	conn, answers := r.request(t, requestText("GET", "glance", ""))
 	_, br := backend.accept(t)
 	readRequest(t, br)
 	resp := wait(t, answers, "answer")
@@ -262,7 +262,7 @@
 		t.Errorf("the given-up attempt's connection: %v", err)
 	}
 	// The client's connection carries the next request, and that one's answer only.
-	io.WriteString(conn, ask("GET", "lookup", ""))
+	io.WriteString(conn, requestText("GET", "lookup", ""))
 	serveOne(t, backend, "second")
 	next, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || next.StatusCode != 200 {
@@ -278,10 +278,10 @@
 func TestSilentCounter(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
+	r := newTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 5, "depth": 20}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 1`).Replace, backend)
-	_, answers := r.client(t, ask("GET", "lookup", ""))
+	_, answers := r.request(t, requestText("GET", "lookup", ""))
 	_, calls := counter.accept(t)
 	readRequest(t, calls)
 	serveOne(t, backend, "ok")
@@ -295,28 +295,28 @@
 func TestTrueUnitsAreSettled(t *testing.T) {
 	t.Parallel()
 	backend, count := newPeer(t), newPeer(t)
-	r := newRigWith(t, func(text string) string {
+	r := newTestGatewayWith(t, func(text string) string {
 		text = strings.Replace(text, "127.0.0.1:1\"", count.address()+"\"", 1)
 		text = strings.Replace(text, `"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 4}`, 1)
 		return strings.Replace(text, `"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 20, "truedUp": true`, 1)
 	}, backend)
-	_, first := r.client(t, ask("GET", "lookup", ""))
+	_, first := r.request(t, requestText("GET", "lookup", ""))
 	conn, calls := count.accept(t)
 	readRequest(t, calls)
-	total(conn, 200, "4") // of which two are spent now, and two are left
+	writeTotal(conn, 200, "4") // of which two are spent now, and two are left
 	to, requests := backend.accept(t)
 	readRequest(t, requests)
 	io.WriteString(to, "HTTP/1.1 200 OK\r\nX-Cost-Units: 4\r\nContent-Length: 0\r\n\r\n")
 	wait(t, first, "answer")
-	r.client(t, ask("GET", "lookup", ""))
+	r.request(t, requestText("GET", "lookup", ""))
 	readRequest(t, calls) // the two that were left have gone to the first
 }
 
 func TestClientLeaves(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, _ := r.client(t, ask("POST", "booking", "x"))
+	r := newTestGateway(t, backend)
+	conn, _ := r.request(t, requestText("POST", "booking", "x"))
 	_, br := backend.accept(t)
 	readRequest(t, br)
 	conn.Close()
@@ -328,10 +328,10 @@
 func TestRefusedBackendAndDrain(t *testing.T) {
 	t.Parallel()
 	dead, backend := newPeer(t), newPeer(t)
-	r := newRig(t, dead, backend)
+	r := newTestGateway(t, dead, backend)
 	dead.listener.Close()
 	for range 4 { // none is lost, whichever is picked first
-		_, answers := r.client(t, ask("POST", "payment", "x"))
+		_, answers := r.request(t, requestText("POST", "payment", "x"))
 		conn, br := backend.accept(t)
 		readRequest(t, br)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
@@ -342,9 +342,9 @@
 	// The call after the one that told of the drain shows that it was heard.
 	wait(t, r.registry.calls, "first list")
 	wait(t, r.registry.calls, "watch")
-	r.registry.answers <- listing(false, "Terminating", backend)
+	r.registry.answers <- newListing(false, "Terminating", backend)
 	wait(t, r.registry.calls, "next watch")
-	_, answers := r.client(t, ask("GET", "glance", ""))
+	_, answers := r.request(t, requestText("GET", "glance", ""))
 	if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.conns))
 	}
@@ -355,8 +355,8 @@
 func TestStop(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, held := r.client(t, ask("POST", "booking", "held"))
+	r := newTestGateway(t, backend)
+	_, held := r.request(t, requestText("POST", "booking", "held"))
 	conn, br := backend.accept(t)
 	readRequest(t, br)
 	unused, err := net.Dial("tcp", r.address) // must not hold up the end
@@ -364,20 +364,20 @@
 		t.Fatal(err)
 	}
 	defer unused.Close()
-	idle, first := r.client(t, ask("GET", "lookup", "", idHeader, ""))
+	idle, first := r.request(t, requestText("GET", "lookup", "", idHeader, ""))
 	wait(t, first, "answer") // leaves an idle connection behind
-	idle.SetReadDeadline(time.Now().Add(patience))
+	idle.SetReadDeadline(time.Now().Add(testTimeout))
 	r.stop()
 	if _, err := io.ReadAll(idle); err != nil {
 		t.Errorf("the idle connection after the stop: %v", err)
 	}
-	r.until(t, http.StatusServiceUnavailable)
-	_, late := r.client(t, ask("POST", "booking", "late"))
+	r.awaitReadiness(t, http.StatusServiceUnavailable)
+	_, late := r.request(t, requestText("POST", "booking", "late"))
 	serveOne(t, backend, "late")
 	if resp := wait(t, late, "answer"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("a late request: status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", r.address)
 		if err != nil {
 			break // clients are taken no longer
@@ -397,12 +397,12 @@
 }
 
 // reload gives the gateway another configuration, as a hangup does.
-func (r *rig) reload(t testing.TB, settings string) {
+func (r *testGateway) reload(t testing.TB, settings string) {
 	t.Helper()
 	c, err := parseConfig([]byte(configText(r.registry.address(), settings)))
 	select {
 	case r.reloads <- Reload{Config: c, Err: err}:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nobody took the configuration")
 	}
 }
@@ -412,8 +412,8 @@
 func TestRetune(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, open := r.client(t, ask("POST", "payment", "open"))
+	r := newTestGateway(t, backend)
+	_, open := r.request(t, requestText("POST", "payment", "open"))
 	conn, br := backend.accept(t)
 	readRequest(t, br)
 	retuned := strings.Replace(testSettings, `{"name": "payment", "objectiveS": 10, "deadlineS": 20, "points": 3, "effect": "once"},`,
@@ -422,7 +422,7 @@
 	r.tells(t, "app.loads:1|c", "app.load_errors:0|c", "app.handled.audit.passed:0|c")
 	r.reload(t, strings.Replace(retuned, `"mostTries": 4`, `"mostTries": 0`, 1))
 	r.tells(t, "app.loads:1|c", "app.load_errors:1|c")
-	_, dropped := r.client(t, ask("POST", "payment", "x"))
+	_, dropped := r.request(t, requestText("POST", "payment", "x"))
 	if resp := wait(t, dropped, "answer"); resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("a class that is no more: status %d", resp.StatusCode)
 	}
@@ -430,7 +430,7 @@
 	if resp := wait(t, open, "answer"); resp.StatusCode != http.StatusBadGateway || len(backend.conns) != 0 {
 		t.Errorf("the open request: status %d, %d more connections", resp.StatusCode, len(backend.conns))
 	}
-	_, added := r.client(t, ask("POST", "audit", "x"))
+	_, added := r.request(t, requestText("POST", "audit", "x"))
 	serveOne(t, backend, "ok")
 	if resp := wait(t, added, "answer"); resp.StatusCode != 200 {
 		t.Errorf("a class that is new: status %d", resp.StatusCode)
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -219,7 +219,7 @@
 		}
 		switch {
 		case n.Call != nil:
-			n.Call.Known = h.loop.byHand(n.Call.ID, n.Call.Offline)
+			n.Call.Known = h.loop.override(n.Call.ID, n.Call.Offline)
 			l.send(note{Said: n.Call})
 		case n.Said != nil:
 			l.answered(*n.Said)
@@ -231,7 +231,7 @@
 			}
 			h.mu.Unlock()
 		case n.Leaving:
-			h.loop.post(told{rules.Leaving})
+			h.loop.post(moduleEvent{rules.Leaving})
 		}
 	}
 	l.conn.Close()
@@ -246,7 +246,7 @@
 	if h.other = nil; !h.ended {
 		slog.Info("the other process has ended", "it was the newer", h.heir)
 		h.paired(false)
-		h.loop.post(told{rules.Absent})
+		h.loop.post(moduleEvent{rules.Absent})
 		if !h.heir {
 			close(h.oldest)
 		}
@@ -311,7 +311,7 @@
 		return errors.New("this process has another beside it, or ends")
 	}
 	written := make(chan snapshot, 1)
-	if !h.loop.post(join{written}) {
+	if !h.loop.post(snapshotRequest{written}) {
 		return errors.New("this process has ended")
 	}
 	select {
@@ -359,7 +359,7 @@
 // byHand tells both processes an operator's word. It is true to say yes only
 // once both have it.
 func (h *handover) byHand(id string, offline bool) (known bool, err error) {
-	known = h.loop.byHand(id, offline)
+	known = h.loop.override(id, offline)
 	h.mu.Lock()
 	other, starting := h.other, h.heir && !h.up
 	h.mu.Unlock()
@@ -424,7 +424,7 @@
 
 // importState takes the state of the process before, which the loop does before it runs.
 func (l *Loop) importState(b *snapshot) {
-	l.list(b.Listing, rules.CachedList)
+	l.applyList(b.Listing, rules.CachedList)
 	if !slices.Equal(b.Plans, l.service.PlanNames) {
 		b.Rules.Customers = nil // the numbers mean other plans
 	}
@@ -434,7 +434,7 @@
 		}
 	}
 	if l.subset != nil {
-		l.outside = namedOnce(b.Outside)
+		l.offlineOutside = namedOnce(b.Outside)
 	}
 	l.handle(rules.Import{Snapshot: b.Rules})
 }
@@ -442,9 +442,9 @@
 // exportState writes the state.
 func (l *Loop) exportState() snapshot {
 	l.handle(rules.Export{})
-	b := snapshot{At: l.clock.now(), Listing: Listing{Reset: true}, Plans: l.service.PlanNames, Rules: l.exported,
-		Outside: slices.Sorted(maps.Keys(l.outside))}
-	l.exported = rules.Snapshot{}
+	b := snapshot{At: l.clock.now(), Listing: Listing{Reset: true}, Plans: l.service.PlanNames, Rules: l.exportedState,
+		Outside: slices.Sorted(maps.Keys(l.offlineOutside))}
+	l.exportedState = rules.Snapshot{}
 	for _, i := range l.instances {
 		b.Listing.Instances = append(b.Listing.Instances, i)
 	}
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -27,7 +27,7 @@
 
 // newPair starts two gateways on one listening socket, the second beside the
 // first, which has an idle connection of a client.
-func newPair(t *testing.T, backend *peer) (old, next *rig, kept net.Conn) {
+func newPair(t *testing.T, backend *peer) (old, next *testGateway, kept net.Conn) {
 	t.Helper()
 	l, dir := newPlatform(t)
 	// What a process left that was killed does no harm.
@@ -35,15 +35,15 @@
 		t.Fatal(err)
 	}
 	old = newRigOn(t, l, dir, backend)
-	kept, answers := old.client(t, ask("GET", "lookup", "", idHeader, ""))
+	kept, answers := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
 	wait(t, answers, "answer") // an error, which leaves the connection open
 	return old, newRigOn(t, l, dir, backend), kept
 }
 
 // newRigOn starts a gateway as one process of several with the given socket.
-func newRigOn(t *testing.T, shared net.Listener, dir string, backends ...*peer) *rig {
+func newRigOn(t *testing.T, shared net.Listener, dir string, backends ...*peer) *testGateway {
 	t.Helper()
-	r := &rig{registry: newAgent(t), ended: make(chan error, 1)}
+	r := &testGateway{registry: newAgent(t), ended: make(chan error, 1)}
 	c, err := parseConfig([]byte(configText(r.registry.address(), testSettings)))
 	if err != nil {
 		t.Fatal(err)
@@ -60,9 +60,9 @@
 	}
 	r.serve(t, &c, l)
 	wait(t, r.registry.calls, "list")
-	r.registry.answers <- listing(true, "Ready", backends...)
+	r.registry.answers <- newListing(true, "Ready", backends...)
 	wait(t, r.registry.calls, "watch")
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if status, _ := r.operate(t, "GET", "/control/ready"); status == http.StatusOK {
 			return r
 		}
@@ -80,7 +80,7 @@
 	l, dir := newPlatform(t)
 	old := newRigOn(t, l, dir, backend)
 	path := "/control/backends/" + backend.address()
-	say := func(r *rig, word string) {
+	say := func(r *testGateway, word string) {
 		t.Helper()
 		if status, _ := r.operate(t, "POST", path+word); status != http.StatusOK {
 			t.Errorf("%s: status %d", word, status)
@@ -110,13 +110,13 @@
 	t.Parallel()
 	backend := newPeer(t)
 	old, next, conn := newPair(t, backend)
-	memory := func(r *rig) int {
+	memory := func(r *testGateway) int {
 		r.figures.bodies.mu.Lock()
 		defer r.figures.bodies.mu.Unlock()
 		return r.figures.bodies.total
 	}
-	for _, r := range []*rig{old, next} {
-		for end := time.Now().Add(patience); memory(r) != bodyMemory(192)/2; time.Sleep(time.Millisecond) {
+	for _, r := range []*testGateway{old, next} {
+		for end := time.Now().Add(testTimeout); memory(r) != bodyMemory(192)/2; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%d bytes for the bodies of one of two processes", memory(r))
 			}
@@ -125,7 +125,7 @@
 	old.stop()
 	old.untilLeaving(t)
 	for range 8 { // none meets a closed door
-		_, answers := next.client(t, ask("POST", "booking", "x"))
+		_, answers := next.request(t, requestText("POST", "booking", "x"))
 		to, br := backend.accept(t)
 		readRequest(t, br)
 		to.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
@@ -133,7 +133,7 @@
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
-	if _, err := conn.Write([]byte(ask("GET", "lookup", ""))); err != nil {
+	if _, err := conn.Write([]byte(requestText("GET", "lookup", ""))); err != nil {
 		t.Fatal(err)
 	}
 	serveOne(t, backend, "kept")
@@ -147,7 +147,7 @@
 	if status, _ := next.operate(t, "GET", "/control/ready"); status != http.StatusOK {
 		t.Errorf("the new process: status %d", status)
 	}
-	for end := time.Now().Add(patience); memory(next) != bodyMemory(192); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); memory(next) != bodyMemory(192); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d bytes for the bodies of a process that is alone", memory(next))
 		}
@@ -183,7 +183,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	stalled := newLink(conn)
 	var n note
 	if err := stalled.send(note{Join: true}); err != nil {
@@ -199,7 +199,7 @@
 		t.Errorf("the word was not passed on: %+v, %v", n, err)
 	}
 	old.stop()
-	old.until(t, http.StatusServiceUnavailable) // it still answers on new connections
+	old.awaitReadiness(t, http.StatusServiceUnavailable) // it still answers on new connections
 	if err := wait(t, old.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
@@ -212,14 +212,14 @@
 	backend := newPeer(t)
 	l, dir := newPlatform(t)
 	old := newRigOn(t, l, dir, backend)
-	kept, answers := old.client(t, ask("GET", "lookup", "", idHeader, ""))
+	kept, answers := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
 	wait(t, answers, "answer")
 	conn, err := net.Dial("unix", filepath.Join(dir, handoverName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	next := newLink(conn)
 	var n note
 	if err := next.send(note{Join: true}); err != nil {
@@ -236,7 +236,7 @@
 	if err := next.in.Decode(&n); err != nil || !n.Leaving {
 		t.Fatalf("%+v, %v", n, err)
 	}
-	if _, err := kept.Write([]byte(ask("GET", "lookup", ""))); err != nil {
+	if _, err := kept.Write([]byte(requestText("GET", "lookup", ""))); err != nil {
 		t.Fatal(err)
 	}
 	serveOne(t, backend, "kept")
@@ -246,9 +246,9 @@
 }
 
 // untilLeaving waits until the gateway knows that it is to end.
-func (r *rig) untilLeaving(t *testing.T) {
+func (r *testGateway) untilLeaving(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if status, _ := r.operate(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
 			return
 		}
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -14,11 +14,11 @@
 // the decision module and takes part in the membership as a gateway does, and opens
 // no connection to a backend or to the counter. Many fit into one process.
 type Hollow struct {
-	loop    *Loop
-	pools   *pools
-	follow  *listFollower
-	members *membership.Agent
-	stands  *standing
+	loop         *Loop
+	pools        *pools
+	follower     *listFollower
+	members      *membership.Agent
+	connectivity *standing
 }
 
 var errNoRegistries = errors.New("registries: a gateway without clients follows list services")
@@ -38,18 +38,18 @@
 	}
 	c.observe = observe
 	figures := newFigures(&c)
-	_, backends := split(c.Sockets - reserved)
+	_, backends := splitDescriptors(c.Sockets - reservedDescriptors)
 	h := &Hollow{pools: newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), backends, figures)}
-	h.loop = newLoop(&c, figures.service(c.Deployment, c.mostBody()), figures, h.pools, nil, func() {})
-	h.follow = newListFollower(&c, h.loop)
+	h.loop = newLoop(&c, figures.service(c.Deployment, c.maxBodyBytes()), figures, h.pools, nil, func() {})
+	h.follower = newListFollower(&c, h.loop)
 	if len(scopes) > 0 {
-		h.follow.services.SetScopes(scopes)
+		h.follower.services.SetScopes(scopes)
 	}
 	if h.members, err = newMembers(&c, h.loop); err != nil {
 		return nil, err
 	}
 	if h.members != nil {
-		h.stands = newStanding(h.members, h.follow.services.Age, h.loop.contact, time.Now())
+		h.connectivity = newStanding(h.members, h.follower.services.Age, h.loop.contact, time.Now())
 	}
 	return h, nil
 }
@@ -60,10 +60,10 @@
 	defer wg.Wait()
 	wg.Go(func() { h.loop.run(ctx) })
 	wg.Go(func() { h.pools.sweep(ctx) })
-	wg.Go(func() { h.follow.run(ctx) })
+	wg.Go(func() { h.follower.run(ctx) })
 	if h.members != nil {
 		wg.Go(func() { h.members.Run(ctx) })
-		wg.Go(func() { h.stands.run(ctx) })
+		wg.Go(func() { h.connectivity.run(ctx) })
 	}
 }
 
@@ -71,7 +71,7 @@
 // has ended.
 func (h *Hollow) Backends() BackendsView {
 	view := make(chan BackendsView, 1)
-	if !h.loop.post(asked{backendsQuery{all: true}, view}) {
+	if !h.loop.post(backendsViewRequest{backendsQuery{all: true}, view}) {
 		return BackendsView{}
 	}
 	select {
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -15,7 +15,7 @@
 var hostile = map[string]func(c net.Conn, over <-chan struct{}){
 	"says nothing": func(c net.Conn, over <-chan struct{}) { c.Read(make([]byte, 1)) },
 	"sends a head by bytes": func(c net.Conn, over <-chan struct{}) {
-		for _, b := range []byte(ask("GET", "lookup", "")) {
+		for _, b := range []byte(requestText("GET", "lookup", "")) {
 			if _, err := c.Write([]byte{b}); err != nil {
 				return
 			}
@@ -28,7 +28,7 @@
 	},
 	"never reads": func(c net.Conn, over <-chan struct{}) {
 		for {
-			if _, err := io.WriteString(c, ask("GET", "lookup", "", idHeader, "")); err != nil {
+			if _, err := io.WriteString(c, requestText("GET", "lookup", "", idHeader, "")); err != nil {
 				return
 			}
 			select {
@@ -53,7 +53,7 @@
 			t.Run(name, func(t *testing.T) {
 				b := &registered{id: "b", backend: newPeer(t)}
 				go b.answerAll()
-				r := newRigWith(t, func(text string) string {
+				r := newTestGatewayWith(t, func(text string) string {
 					return strings.Replace(text, `"sockets": 1024`, `"sockets": 256`, 1) // 105 for clients
 				}, b.backend)
 				over := make(chan struct{})
@@ -97,7 +97,7 @@
 								}
 								defer c.Close()
 								c.SetDeadline(time.Now().Add(inTime))
-								io.WriteString(c, ask("GET", "lookup", ""))
+								io.WriteString(c, requestText("GET", "lookup", ""))
 								resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 								return err == nil && resp.StatusCode == 200
 							}()
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -19,17 +19,17 @@
 	History string `json:"history,omitempty"` // of the version; discovery names none
 	Version int64  `json:"version"`
 	// Beside says that another process of this gateway runs, whose work is not in here.
-	Beside   bool          `json:"beside,omitempty"`
-	Backends []BackendWork `json:"backends"`
+	SiblingRunning bool          `json:"beside,omitempty"`
+	Backends       []BackendWork `json:"backends"`
 }
 
 // BackendWork is the work at one backend.
 type BackendWork struct {
-	ID        string             `json:"id,omitempty"` // none: it is not on the list any more
-	Number    uint32             `json:"number"`       // by which gateways know it, see BackendNumber
-	Lifecycle registry.Lifecycle `json:"lifecycle"`
-	InFlight  int                `json:"inFlight"`         // attempts that are not over
-	ByHand    bool               `json:"byHand,omitempty"` // out by a call to this gateway
+	ID         string             `json:"id,omitempty"` // none: it is not on the list any more
+	Number     uint32             `json:"number"`       // by which gateways know it, see BackendNumber
+	Lifecycle  registry.Lifecycle `json:"lifecycle"`
+	InFlight   int                `json:"inFlight"`         // attempts that are not over
+	Overridden bool               `json:"byHand,omitempty"` // out by a call to this gateway
 }
 
 // BackendNumber is by which number gateways know a backend.
@@ -55,14 +55,14 @@
 
 // backends collects the view. It looks through all that is out when it is asked, so that
 // nothing has to be counted before.
-func (l *Loop) backends(q backendsQuery) BackendsView {
-	v := BackendsView{Name: l.name, Rank: l.service.Rank, Fleet: l.service.Fleet, History: l.history, Version: l.version, Backends: []BackendWork{}}
+func (l *Loop) backendsView(q backendsQuery) BackendsView {
+	v := BackendsView{Name: l.name, Rank: l.service.Rank, Fleet: l.service.Fleet, History: l.listHistory, Version: l.listVersion, Backends: []BackendWork{}}
 	held := map[rules.BackendID]*BackendWork{}
 	for id, i := range l.instances {
 		if !q.includes(id) {
 			continue
 		}
-		held[id] = &BackendWork{ID: i.ID, Number: uint32(id), Lifecycle: i.Lifecycle, ByHand: l.offline[id]}
+		held[id] = &BackendWork{ID: i.ID, Number: uint32(id), Lifecycle: i.Lifecycle, Overridden: l.offline[id]}
 	}
 	for _, x := range l.live {
 		for _, a := range x.attempts {
@@ -90,13 +90,13 @@
 		// A process that comes beside this one later has the list that this one has.
 		also := beside()
 		view := make(chan BackendsView, 1)
-		if !l.post(asked{readBackendsQuery(r), view}) {
+		if !l.post(backendsViewRequest{readBackendsQuery(r), view}) {
 			http.Error(w, "this gateway ends", http.StatusServiceUnavailable)
 			return
 		}
 		select {
 		case v := <-view:
-			v.Beside = also || beside()
+			v.SiblingRunning = also || beside()
 			w.Header().Set("Content-Type", "application/json")
 			json.NewEncoder(w).Encode(v)
 		case <-l.stopped:
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -16,59 +16,59 @@
 )
 
 const (
-	inboxSize    = 1024
-	answerMargin = 0.005 // seconds kept of a deadline for the way to the client, the loop and the write
-	sameMoment   = 0.001 // a cancel so close before an attempt's time-out is one
+	inboxSize        = 1024
+	responseMargin   = 0.005 // seconds kept of a deadline for the way to the client, the loop and the write
+	timeoutTolerance = 0.001 // a cancel so close before an attempt's time-out is one
 
 	// So many of the stated time-outs the counter's answer is waited for.
 	//
 	// Danger: it comes, however late, once the call has had its turn. What a call
 	// that was given up has added is missing to all gateways for the window.
-	counterPatience = 4
+	counterTimeoutFactor = 4
 )
 
 // What sockets tell the loop.
 type (
-	arrival    struct{ x *exchange }
-	clientGone struct{ x *exchange }
-	uploaded   struct { // the rest of a body has come
-		x     *exchange
-		until time.Time
-	}
-	answerBegun struct { // an answer is let go
-		a        *attempt
-		answer   answer
+	requestArrived struct{ exchange *exchange }
+	clientGone     struct{ exchange *exchange }
+	bodyComplete   struct { // the rest of a body has come
+		exchange *exchange
+		deadline time.Time
+	}
+	responseStarted struct { // an answer is let go
+		attempt  *attempt
+		response answer
 		accepted chan<- bool // has room for one
 	}
-	interim struct { // an answer before the answer
-		a      *attempt
-		answer answer
+	interimResponse struct { // an answer before the answer
+		attempt  *attempt
+		response answer
 	}
 	attemptDone struct {
-		a      *attempt
-		result result
+		attempt *attempt
+		result  result
 	}
-	callDone struct {
-		k       *call
+	counterCallDone struct {
+		call    *counterCall
 		outcome rules.Outcome
 		total   float64
 	}
-	byHand struct {
+	operatorOverride struct {
 		id      string
 		offline bool
 		known   chan<- bool // has room for one
 	}
-	told    struct{ event rules.Event } // news of this process or the one beside it
-	join    struct{ snapshot chan<- snapshot }
-	retuned struct {
+	moduleEvent     struct{ event rules.Event } // news of this process or the one beside it
+	snapshotRequest struct{ snapshot chan<- snapshot }
+	settingsChanged struct {
 		service *service
 		subset  subset.Settings
 	}
-	asked struct {
+	backendsViewRequest struct {
 		query backendsQuery
 		view  chan<- BackendsView // has room for one
 	}
-	news struct {
+	listUpdate struct {
 		listing Listing
 		kind    rules.ListKind
 		history string // of its version, where it has a name
@@ -78,52 +78,52 @@
 // Loop is the one owner of the decision module. All that happens comes to it
 // in order; it runs the module's actions and waits for no socket.
 type Loop struct {
-	clock    clock
-	service  *service
-	figures  *figures
-	gateway  *rules.Gateway
-	pools    *pools
-	counter  *counter
-	contact  *contact // with the counter; nil where nobody watches it
-	onListed func()
-	askAgain chan struct{} // the module wants discovery asked again
+	clock         clock
+	service       *service
+	metrics       *figures
+	gateway       *rules.Gateway
+	pools         *pools
+	counter       *counter
+	contact       *contact // with the counter; nil where nobody watches it
+	onListApplied func()
+	resubscribe   chan struct{} // the module wants discovery asked again
 
 	inbox    chan any
 	stopped  chan struct{}  // closed when run ends
 	attempts sync.WaitGroup // those that use sockets
 
-	live      map[rules.RequestID]*exchange // until the last attempt has ended
-	nextID    rules.RequestID
-	instances map[rules.BackendID]Instance // on the list
-	name      string                       // of the gateway
-	history   string                       // of the list that was applied last
-	version   int64
-	subset    *backendSubset           // of the list that it is told; nil: all of it is used
-	offline   map[rules.BackendID]bool // by hand, as this process has heard
-	outside   map[string]bool          // of the subset, and out by hand
-	exported  rules.Snapshot
-	timers    timerHeap
-	actions   []rules.Action
-	pending   []rules.Event // events that actions brought about
-
-	traced   int     // lines about single requests
-	tracedAt float64 // in the second from here on
-	lag      float64 // most that a timer came late since lagAt
-	lagAt    float64
+	live           map[rules.RequestID]*exchange // until the last attempt has ended
+	nextID         rules.RequestID
+	instances      map[rules.BackendID]Instance // on the list
+	name           string                       // of the gateway
+	listHistory    string                       // of the list that was applied last
+	listVersion    int64
+	subset         *backendSubset           // of the list that it is told; nil: all of it is used
+	offline        map[rules.BackendID]bool // by hand, as this process has heard
+	offlineOutside map[string]bool          // of the subset, and out by hand
+	exportedState  rules.Snapshot
+	timers         timerHeap
+	actions        []rules.Action
+	pendingEvents  []rules.Event // events that actions brought about
+
+	traceLines       int     // lines about single requests
+	traceWindowStart float64 // in the second from here on
+	maxLag           float64 // most that a timer came late since lagAt
+	lagLoggedAt      float64
 }
 
 func newLoop(c *Config, s *service, f *figures, p *pools, k *counter, onListed func()) *Loop {
-	l := &Loop{clock: newClock(), service: s, figures: f, pools: p, counter: k, onListed: onListed,
-		askAgain: make(chan struct{}, 1), inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
+	l := &Loop{clock: newClock(), service: s, metrics: f, pools: p, counter: k, onListApplied: onListed,
+		resubscribe: make(chan struct{}, 1), inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
 		live: map[rules.RequestID]*exchange{}, instances: map[rules.BackendID]Instance{}, name: c.Name, offline: map[rules.BackendID]bool{}}
 	if c.Members.Membership {
 		l.contact = &contact{}
 	}
 	if l.subset = newBackendSubset(c.Name, c.Scopes.subset, f.subset); l.subset != nil {
-		l.outside = map[string]bool{}
+		l.offlineOutside = map[string]bool{}
 	}
 	l.gateway, l.actions = rules.New(c.Settings, c.Seed, l.clock.now(), nil)
-	l.act(l.actions)
+	l.execute(l.actions)
 	return l
 }
 
@@ -138,9 +138,9 @@
 }
 
 // byHand hands on an operator's word and waits until the module has it.
-func (l *Loop) byHand(id string, offline bool) (known bool) {
+func (l *Loop) override(id string, offline bool) (known bool) {
 	done := make(chan bool, 1)
-	if !l.post(byHand{id, offline, done}) {
+	if !l.post(operatorOverride{id, offline, done}) {
 		return false
 	}
 	select {
@@ -152,14 +152,14 @@
 
 // turnedAway tells the module that discovery has turned a call away, and returns
 // when it wants the next one made.
-func (l *Loop) turnedAway(ctx context.Context) {
+func (l *Loop) awaitListRetry(ctx context.Context) {
 	select {
-	case <-l.askAgain: // of before
+	case <-l.resubscribe: // of before
 	default:
 	}
-	l.post(news{kind: rules.ListFailed})
+	l.post(listUpdate{kind: rules.ListFailed})
 	select {
-	case <-l.askAgain:
+	case <-l.resubscribe:
 	case <-ctx.Done():
 	case <-l.stopped:
 	}
@@ -175,14 +175,14 @@
 		case <-ctx.Done():
 			return
 		case m := <-l.inbox:
-			l.take(m)
+			l.dispatch(m)
 		case <-timer.C:
 		}
 		now := l.clock.now()
-		for len(l.timers) > 0 && (l.timers[0].at <= now || l.void(l.timers[0])) {
-			if t := heap.Pop(&l.timers).(timerEntry); !l.void(t) {
-				l.lagged(now - t.at)
-				l.due(t)
+		for len(l.timers) > 0 && (l.timers[0].at <= now || l.obsolete(l.timers[0])) {
+			if t := heap.Pop(&l.timers).(timerEntry); !l.obsolete(t) {
+				l.recordLag(now - t.at)
+				l.fire(t)
 			}
 		}
 		if len(l.timers) > 0 {
@@ -191,66 +191,66 @@
 	}
 }
 
-func (l *Loop) take(m any) {
+func (l *Loop) dispatch(m any) {
 	switch m := m.(type) {
-	case arrival:
-		l.arrive(m.x)
+	case requestArrived:
+		l.arrive(m.exchange)
 	case clientGone:
-		if m.x.open {
-			l.trace(m.x, "client left")
-			l.forsake(m.x)
+		if m.exchange.open {
+			l.trace(m.exchange, "client left")
+			l.abandon(m.exchange)
 		}
-		m.x.abandon(&l.figures.bodies) // its handler has gone
-	case uploaded:
-		l.whole(m.x, m.until)
-	case answerBegun:
-		m.accepted <- l.begin(m.a, m.answer)
-	case interim:
-		if x := m.a.x; x.open && !x.begun && !m.a.ended && len(x.reply) == 0 {
-			x.reply <- m.answer // the place behind it is that of the final one
+		m.exchange.abandon(&l.metrics.bodies) // its handler has gone
+	case bodyComplete:
+		l.completeBody(m.exchange, m.deadline)
+	case responseStarted:
+		m.accepted <- l.startResponse(m.attempt, m.response)
+	case interimResponse:
+		if x := m.attempt.exchange; x.open && !x.begun && !m.attempt.ended && len(x.reply) == 0 {
+			x.reply <- m.response // the place behind it is that of the final one
 		}
 	case attemptDone:
-		if x := m.a.x; m.result.cut != nil && x.open && !x.begun {
-			x.reply <- answer{status: uploadStatus(m.result.cut)}
-			l.forsake(x)
+		if x := m.attempt.exchange; m.result.bodyErr != nil && x.open && !x.begun {
+			x.reply <- answer{status: uploadStatus(m.result.bodyErr)}
+			l.abandon(x)
 		}
-		l.endAttempt(m.a, m.result)
-	case callDone:
-		l.endCall(m.k, m.outcome, m.total)
-	case told:
+		l.endAttempt(m.attempt, m.result)
+	case counterCallDone:
+		l.endCounterCall(m.call, m.outcome, m.total)
+	case moduleEvent:
 		l.handle(m.event)
-	case join:
+	case snapshotRequest:
 		m.snapshot <- l.exportState()
-	case byHand:
-		m.known <- l.ban(m.id, m.offline)
-	case retuned:
+	case operatorOverride:
+		m.known <- l.applyOverride(m.id, m.offline)
+	case settingsChanged:
 		l.service = m.service
 		l.handle(rules.Retune{Settings: l.settings()})
 		l.resizeSubset(m.subset)
-	case news:
+	case listUpdate:
 		if m.kind == rules.ListFailed {
 			l.handle(rules.Backends{Kind: m.kind})
 			break
 		}
 		l.receive(m)
-		l.history, l.version = m.history, m.listing.Generation
-	case asked:
-		m.view <- l.backends(m.query)
+		l.listHistory, l.listVersion = m.history, m.listing.Generation
+	case backendsViewRequest:
+		m.view <- l.backendsView(m.query)
 	}
 }
 
 // handle gives the module an event, and then what its actions brought about.
 func (l *Loop) handle(ev rules.Event) {
-	l.pending = append(l.pending, ev)
-	if len(l.pending) > 1 {
+	l.pendingEvents = append(l.pendingEvents, ev)
+	if len(l.pendingEvents) > 1 {
 		return // an outer call is at it
 	}
-	for n := 0; n < len(l.pending); n++ {
-		l.actions = l.gateway.Handle(l.clock.now(), l.pending[n], l.actions[:0])
-		l.act(l.actions)
+	for n := 0; n < len(l.pendingEvents); n++ {
+		l.actions = l.gateway.Handle(l.clock.now(), l.pendingEvents[n], l.actions[:0])
+		l.execute(l.actions)
 	}
-	clear(l.pending)
-	l.pending = l.pending[:0]
+	clear(l.pendingEvents)
+	l.pendingEvents = l.pendingEvents[:0]
 }
 
 // arrive gives a request an id of its own and hands it to the module.
@@ -271,52 +271,52 @@
 	x.ask.ID, x.open, x.queued = l.nextID, true, l.clock.now()-x.ask.Sent
 	l.live[x.ask.ID] = x
 	if !x.ask.Open {
-		l.enter(x)
+		l.accept(x)
 	}
 	l.handle(x.ask)
 }
 
 // enter counts a request whose last byte has come.
-func (l *Loop) enter(x *exchange) {
+func (l *Loop) accept(x *exchange) {
 	x.taken = true
-	l.figures.inProgress.Add(1)
+	l.metrics.inProgress.Add(1)
 }
 
 // shut ends what an exchange is owed.
 //
 // Danger: where the settings allow no cancel, the module leaves its attempts out.
 // One whose connection is not up yet would begin for nobody.
-func (l *Loop) shut(x *exchange) {
+func (l *Loop) finish(x *exchange) {
 	if x.open = false; x.taken {
-		l.figures.inProgress.Add(-1)
+		l.metrics.inProgress.Add(-1)
 	}
 	for _, a := range x.attempts {
 		if !a.ended {
-			a.callOffDial()
+			a.abortDial()
 		}
 	}
 }
 
 // forsake ends a request whose client has left, or has sent none that is whole.
-func (l *Loop) forsake(x *exchange) {
-	l.shut(x)
+func (l *Loop) abandon(x *exchange) {
+	l.finish(x)
 	l.handle(rules.ClientGone{Request: x.ask.ID})
 	for _, a := range x.attempts {
-		if a.rest != nil {
-			a.rest.drop() // in case nobody took it
+		if a.download != nil {
+			a.download.drop() // in case nobody took it
 		}
 	}
-	l.drop(x)
+	l.forget(x)
 }
 
 // whole starts the time of a request whose body has come.
-func (l *Loop) whole(x *exchange, until time.Time) {
+func (l *Loop) completeBody(x *exchange, until time.Time) {
 	if !x.open {
 		return
 	}
 	x.ask.Open, x.ask.Sent = false, l.clock.now()
 	x.ask.Deadline = x.ask.Sent + time.Until(until).Seconds()
-	l.enter(x)
+	l.accept(x)
 	if x.begun {
 		return // the module has let go of it
 	}
@@ -328,14 +328,14 @@
 }
 
 // begin lets a long answer go to the client, if it is still owed one.
-func (l *Loop) begin(a *attempt, start answer) bool {
-	x := a.x
+func (l *Loop) startResponse(a *attempt, start answer) bool {
+	x := a.exchange
 	if a.ended || !x.open || x.begun {
 		return false
 	}
-	x.begun, a.rest = true, start.rest
-	units := trueUnits(start.header)
-	start.toClient()
+	x.begun, a.download = true, start.rest
+	units := reportedUnits(start.header)
+	start.prepareForClient()
 	l.handle(rules.Established{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Took: l.clock.now() - a.sent,
 		Units: units})
 	if l.clock.now()-x.ask.Sent > x.class.Aim {
@@ -346,7 +346,7 @@
 }
 
 // toClient makes an answer of a backend one for its client.
-func (a *answer) toClient() {
+func (a *answer) prepareForClient() {
 	a.served = true
 	a.header = passedOn(a.header)
 	a.header.Del(loadHeader) // for gateways, not for clients
@@ -363,7 +363,7 @@
 
 // ban carries out an operator's word. Connections follow it before the module
 // hears of it: a dial that waits must not become an attempt.
-func (l *Loop) ban(id string, offline bool) (known bool) {
+func (l *Loop) applyOverride(id string, offline bool) (known bool) {
 	b := backendID(id)
 	if i, listed := l.instances[b]; listed && i.ID != id {
 		return false
@@ -378,14 +378,14 @@
 	if delete(l.offline, b); offline {
 		l.offline[b] = true
 	}
-	l.count()
+	l.updateBackendCounts()
 	slog.Info("by hand", "backend", id, "offline", offline)
 	return true
 }
 
 // list takes in what discovery told. Connections follow it before the module
 // hears of it.
-func (l *Loop) list(told Listing, kind rules.ListKind) {
+func (l *Loop) applyList(told Listing, kind rules.ListKind) {
 	ev := rules.Backends{Kind: kind}
 	kept := map[rules.BackendID]bool{}
 	for _, i := range told.Instances {
@@ -419,17 +419,17 @@
 	}
 	l.handle(ev)
 	if kind != rules.CachedList {
-		l.onListed()
+		l.onListApplied()
 	}
 }
 
-func (l *Loop) act(actions []rules.Action) {
+func (l *Loop) execute(actions []rules.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case rules.Send:
-			l.send(a)
+			l.startAttempt(a)
 		case rules.Cancel:
-			l.cancel(a)
+			l.cancelAttempt(a)
 		case rules.Refuse:
 			l.reject(a.Request, a.Reason, answer{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter})
 		case rules.Fail:
@@ -437,14 +437,14 @@
 		case rules.SetTimer:
 			l.timers.add(timerEntry{at: l.clock.now() + max(a.In, 0), token: a.Token, request: a.Request})
 		case rules.Count:
-			l.call(a)
+			l.callCounter(a)
 		case rules.Exported:
-			l.exported = a.Snapshot
+			l.exportedState = a.Snapshot
 		case rules.Log:
 			log.Print(a.Text)
 		case rules.Subscribe:
 			select {
-			case l.askAgain <- struct{}{}:
+			case l.resubscribe <- struct{}{}:
 			default: // the watch runs as it is
 			}
 		}
@@ -452,29 +452,29 @@
 }
 
 // send starts an attempt. What is over or was tried too often gets none.
-func (l *Loop) send(s rules.Send) {
+func (l *Loop) startAttempt(s rules.Send) {
 	x := l.live[s.Request]
 	if x == nil {
 		log.Printf("request %d is not known", s.Request)
 		return
 	}
 	now := l.clock.now()
-	a := &attempt{x: x, number: len(x.attempts), backend: s.Backend, sent: now, deadline: x.ask.Deadline}
+	a := &attempt{exchange: x, number: len(x.attempts), backend: s.Backend, sent: now, deadline: x.ask.Deadline}
 	if s.Timeout > 0 {
 		a.deadline = min(a.deadline, now+s.Timeout)
 	}
 	if s.Before > 0 {
-		a.before = l.clock.at(s.Before)
+		a.writeBefore = l.clock.at(s.Before)
 	}
 	if x.ask.Open {
 		a.deadline = math.Inf(1) // until its body is whole
 	} else {
-		a.until = l.clock.at(a.deadline)
+		a.wallDeadline = l.clock.at(a.deadline)
 	}
-	a.interim = func(told answer) { l.post(interim{a, told}) }
-	a.begun = func(start answer) bool {
+	a.onInterim = func(told answer) { l.post(interimResponse{a, told}) }
+	a.onStart = func(start answer) bool {
 		accepted := make(chan bool, 1)
-		if !l.post(answerBegun{a, start, accepted}) {
+		if !l.post(responseStarted{a, start, accepted}) {
 			return false
 		}
 		select {
@@ -491,17 +491,17 @@
 		return
 	}
 	if a.number > 0 {
-		l.figures.retries.Add(1)
+		l.metrics.retries.Add(1)
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	if !x.ask.Open {
 		l.timers.add(timerEntry{at: a.deadline, attempt: a})
 	}
 	l.attempts.Go(func() { // ends by a.until, or when the attempt is called off
-		res := l.pools.attempt(a)
+		res := l.pools.runAttempt(a)
 		a.cancel()
 		if !l.post(attemptDone{a, res}) {
-			res.answer.drop(&l.figures.bodies)
+			res.answer.drop(&l.metrics.bodies)
 		}
 	})
 }
@@ -509,42 +509,42 @@
 // endAttempt takes an attempt's one end; what comes after it is dropped.
 func (l *Loop) endAttempt(a *attempt, res result) {
 	if a.ended {
-		res.answer.drop(&l.figures.bodies)
+		res.answer.drop(&l.metrics.bodies)
 		return
 	}
 	a.ended, a.outcome, a.err, a.took = true, res.outcome, res.err, l.clock.now()-a.sent
-	x := a.x
+	x := a.exchange
 	x.out--
 	switch {
 	case !x.open:
-		res.answer.drop(&l.figures.bodies)
+		res.answer.drop(&l.metrics.bodies)
 	case x.begun && res.outcome == rules.Served:
-		l.shut(x)
+		l.finish(x)
 		x.counts.passed.Add(1)
 	case x.begun:
-		l.shut(x) // the client can tell: its connection ends before the answer does
+		l.finish(x) // the client can tell: its connection ends before the answer does
 		x.counts.badGateway.Add(1)
 		l.trace(x, "not served")
 	case res.outcome == rules.Served:
-		res.answer.toClient()
-		l.answer(x.ask.ID, res.answer)
+		res.answer.prepareForClient()
+		l.respond(x.ask.ID, res.answer)
 	}
 	l.handle(rules.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
-		Took: a.took, Done: !x.open, Spent: res.spent, Units: res.units})
-	l.drop(x)
+		Took: a.took, Done: !x.open, Spent: res.bodyConsumed, Units: res.units})
+	l.forget(x)
 }
 
-func (l *Loop) cancel(c rules.Cancel) {
+func (l *Loop) cancelAttempt(c rules.Cancel) {
 	x := l.live[c.Request]
 	if x == nil || c.Attempt >= len(x.attempts) || x.attempts[c.Attempt].ended {
 		return
 	}
 	a := x.attempts[c.Attempt]
-	a.callOff()
+	a.abort()
 	outcome := rules.Cancelled
 	if x.ask.Open {
 		outcome = rules.Moot // its backend does not have it whole
-	} else if l.clock.now() >= a.deadline-sameMoment {
+	} else if l.clock.now() >= a.deadline-timeoutTolerance {
 		outcome = rules.TimedOut // the module learns from it
 	}
 	l.endAttempt(a, result{outcome: outcome})
@@ -554,18 +554,18 @@
 func (l *Loop) reject(id rules.RequestID, why rules.Reason, a answer) {
 	if x := l.live[id]; x != nil && x.open {
 		x.reason = why.String()
-		l.figures.rejected[why].Add(1)
+		l.metrics.rejected[why].Add(1)
 	}
-	l.answer(id, a)
+	l.respond(id, a)
 }
 
 // answer gives a request its final answer, if it has none.
-func (l *Loop) answer(id rules.RequestID, a answer) {
+func (l *Loop) respond(id rules.RequestID, a answer) {
 	x := l.live[id]
 	if x == nil || !x.open {
 		return
 	}
-	l.shut(x)
+	l.finish(x)
 	switch {
 	case a.served:
 		x.counts.passed.Add(1)
@@ -580,35 +580,35 @@
 		l.trace(x, "not served")
 	}
 	x.reply <- a // it has room for it, and one is all it gets
-	l.drop(x)
+	l.forget(x)
 }
 
 // drop forgets a request that has its answer and nothing out.
-func (l *Loop) drop(x *exchange) {
+func (l *Loop) forget(x *exchange) {
 	if !x.open && x.out == 0 {
 		delete(l.live, x.ask.ID)
 	}
 }
 
 // count takes the module's own figures.
-func (l *Loop) count() {
+func (l *Loop) updateBackendCounts() {
 	known, skipped := l.gateway.Listed()
-	l.figures.known.Store(int64(known))
-	l.figures.skipped.Store(int64(skipped))
+	l.metrics.known.Store(int64(known))
+	l.metrics.skipped.Store(int64(skipped))
 }
 
-func (l *Loop) call(c rules.Count) {
-	k := &call{name: c.Name, amount: c.Amount, sent: l.clock.now(),
-		keep: min(max(time.Duration(c.Keep*float64(time.Second)), leastKeep), mostKeep)}
-	k.report = func(k *call, o rules.Outcome, total float64) { l.post(callDone{k, o, total}) }
+func (l *Loop) callCounter(c rules.Count) {
+	k := &counterCall{name: c.Name, amount: c.Amount, sent: l.clock.now(),
+		ttl: min(max(time.Duration(c.Keep*float64(time.Second)), minTTL), maxTTL)}
+	k.report = func(k *counterCall, o rules.Outcome, total float64) { l.post(counterCallDone{k, o, total}) }
 	if l.counter == nil || !l.counter.add(k) {
-		l.endCall(k, rules.Full, 0)
+		l.endCounterCall(k, rules.Full, 0)
 		return
 	}
-	l.timers.add(timerEntry{at: k.sent + counterPatience*l.service.CounterTimeout, call: k})
+	l.timers.add(timerEntry{at: k.sent + counterTimeoutFactor*l.service.CounterTimeout, call: k})
 }
 
-func (l *Loop) endCall(k *call, o rules.Outcome, total float64) {
+func (l *Loop) endCounterCall(k *counterCall, o rules.Outcome, total float64) {
 	if k.ended {
 		return
 	}
@@ -619,10 +619,10 @@
 
 // void tells whether nobody waits for a timer any more. Such timers are most of
 // all, and the process is not woken for them.
-func (l *Loop) void(t timerEntry) bool {
+func (l *Loop) obsolete(t timerEntry) bool {
 	switch {
 	case t.attempt != nil:
-		return t.attempt.ended || t.attempt.rest != nil // an answer that has begun is not cut off
+		return t.attempt.ended || t.attempt.download != nil // an answer that has begun is not cut off
 	case t.call != nil:
 		return t.call.ended
 	case t.request != 0:
@@ -631,18 +631,18 @@
 	return false
 }
 
-func (l *Loop) due(t timerEntry) {
+func (l *Loop) fire(t timerEntry) {
 	switch {
 	case t.attempt != nil:
-		t.attempt.callOff()
+		t.attempt.abort()
 		l.endAttempt(t.attempt, result{outcome: rules.TimedOut})
 	case t.call != nil:
-		t.call.givenUp.Store(true)
-		l.endCall(t.call, rules.TimedOut, 0)
+		t.call.abandoned.Store(true)
+		l.endCounterCall(t.call, rules.TimedOut, 0)
 	default:
 		l.handle(rules.Timer{Token: t.token})
 		if t.request == 0 { // housekeeping, as often as what the module avoids may change
-			l.count()
+			l.updateBackendCounts()
 			if l.subset != nil {
 				l.reviewSubset()
 			}
@@ -656,7 +656,7 @@
 	token   uint64
 	request rules.RequestID // 0: the timer belongs to none
 	attempt *attempt
-	call    *call
+	call    *counterCall
 }
 
 // timerHeap has the earliest timer first.
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -24,10 +24,10 @@
 		{"of a request that is over", timerEntry{request: 8}, true},
 		{"of an attempt that is out", timerEntry{attempt: &attempt{}}, false},
 		{"of an attempt that has ended", timerEntry{attempt: &attempt{ended: true}}, true},
-		{"of a call that is out", timerEntry{call: &call{}}, false},
-		{"of an answered call", timerEntry{call: &call{ended: true}}, true},
+		{"of a call that is out", timerEntry{call: &counterCall{}}, false},
+		{"of an answered call", timerEntry{call: &counterCall{ended: true}}, true},
 	} {
-		if got := l.void(c.t); got != c.want {
+		if got := l.obsolete(c.t); got != c.want {
 			t.Errorf("%s: void %t", c.name, got)
 		}
 	}
@@ -65,9 +65,9 @@
 		defer func() { cancel(); <-l.stopped }()
 		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: "basic", reply: make(chan answer, 2),
 			ask: rules.Request{Customer: 7, Units: 2, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
-		l.post(arrival{x})
+		l.post(requestArrived{x})
 		synctest.Wait()
-		var k *call
+		var k *counterCall
 		for _, lane := range calls.lanes {
 			if len(lane) > 0 {
 				k = <-lane
@@ -78,12 +78,12 @@
 		}
 		time.Sleep(190 * time.Millisecond)
 		synctest.Wait()
-		if k.givenUp.Load() {
+		if k.abandoned.Load() {
 			t.Error("given up though its answer may come")
 		}
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
-		if !k.givenUp.Load() {
+		if !k.abandoned.Load() {
 			t.Error("waited for without end")
 		}
 	})
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -44,7 +44,7 @@
 // Evidence: forced here, each error on each socket.
 func TestAcceptGoesOn(t *testing.T) {
 	t.Parallel()
-	r := &rig{registry: newAgent(t), ended: make(chan error, 1)}
+	r := &testGateway{registry: newAgent(t), ended: make(chan error, 1)}
 	c, err := parseConfig([]byte(configText(r.registry.address(), testSettings)))
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- serve(ctx, &c, nil, clients, operators, newFigures(&c)) }()
 	for name, url := range map[string]string{"clients": "http://" + address + readyPath, "operators": "http://" + control + "/control/counters"} {
-		resp, err := (&http.Client{Timeout: patience}).Get(url)
+		resp, err := (&http.Client{Timeout: testTimeout}).Get(url)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -86,7 +86,7 @@
 	for _, failure := range []error{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM} {
 		for name, failures := range map[string]int{"for a moment": 3, "on": 1000} {
 			backend := newPeer(t)
-			p := poolFor(t, backend.address())
+			p := newTestPools(t, backend.address())
 			dials, real := 0, p.dial
 			p.dial = func(ctx context.Context, to *target, within time.Duration) (*backendConn, error) {
 				if dials++; dials <= failures {
@@ -94,7 +94,7 @@
 				}
 				return real(ctx, to, within)
 			}
-			done := start(p, newAttempt(patience))
+			done := startAttempt(p, newAttempt(testTimeout))
 			want := rules.Moot
 			if failures == 3 {
 				want = rules.Served
@@ -124,7 +124,7 @@
 		backend := newPeer(t)
 		l, dir := newPlatform(t)
 		old := newRigOn(t, l, dir, backend)
-		_, answers := old.client(t, ask("GET", "lookup", ""))
+		_, answers := old.request(t, requestText("GET", "lookup", ""))
 		serveOne(t, backend, "ok")
 		wait(t, answers, "answer")
 		c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
@@ -133,8 +133,8 @@
 		}
 		f := newFigures(&c)
 		next := newLoop(&c, f.service(c.Deployment, 0), f, newPools(time.Second, time.Minute, 8, f), nil, func() {})
-		next.clock.unix += step.Seconds()
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		next.clock.startUnix += step.Seconds()
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		h := &handover{loop: next, oldest: make(chan struct{}), paired: func(bool) {}}
 		state, err := h.join(ctx, dir)
 		cancel()
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -64,7 +64,7 @@
 	}
 	a.Start = time.Now()
 	return membership.NewAgent(a, rand.New(rand.NewPCG(c.Seed, uint64(c.Rank))), func(present []bool) {
-		l.post(told{rules.Members{Present: present}})
+		l.post(moduleEvent{rules.Members{Present: present}})
 	})
 }
 
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -54,7 +54,7 @@
 	}
 	next, _ := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	on, _ := parseConfig([]byte(good))
-	if err := next.lacks(&on); err == nil {
+	if err := next.checkReload(&on); err == nil {
 		t.Error("a reload turns it on")
 	}
 }
@@ -151,10 +151,10 @@
 	go func() { defer close(ended); a.Run(ctx) }()
 	select {
 	case m := <-l.inbox:
-		if _, ok := m.(told); !ok {
+		if _, ok := m.(moduleEvent); !ok {
 			t.Errorf("%T", m)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the module hears nothing")
 	}
 	w := httptest.NewRecorder()
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	idleMargin = time.Second            // how long before the backend's keep-alive limit a connection is given up
-	sweepGap   = 500 * time.Millisecond // between two sweeps for connections that have been idle too long
+	idleMargin    = time.Second            // how long before the backend's keep-alive limit a connection is given up
+	sweepInterval = 500 * time.Millisecond // between two sweeps for connections that have been idle too long
 
-	localFailureTime = 250 * time.Millisecond // how long a dial is tried again after failures of this machine
+	localFailureRetryTime = 250 * time.Millisecond // how long a dial is tried again after failures of this machine
 )
 
 // settleTime is how long a connection stays unused after a response. Bytes that the
@@ -47,9 +47,9 @@
 	connectTimeout time.Duration
 	idleLimit      time.Duration // idle connections that are older are closed
 	settle         time.Duration // see settleTime
-	mostOpen       int           // limit of connections and dials over all backends
-	figures        *figures
-	tells          lineLimit // of log lines about missing descriptors
+	maxOpen        int           // limit of connections and dials over all backends
+	metrics        *figures
+	logLimit       logLimiter // of log lines about missing descriptors
 	dial           func(context.Context, *target, time.Duration) (*backendConn, error)
 
 	mu      sync.Mutex
@@ -60,18 +60,18 @@
 // newPools returns pools without backends.
 func newPools(connectTimeout, keepAlive time.Duration, mostOpen int, f *figures) *pools {
 	return &pools{connectTimeout: connectTimeout, idleLimit: idleLimit(keepAlive),
-		settle: settleTime, mostOpen: mostOpen, figures: f, tells: lineLimit{most: 1}, dial: dial, targets: map[rules.BackendID]*target{}}
+		settle: settleTime, maxOpen: mostOpen, metrics: f, logLimit: logLimiter{max: 1}, dial: dial, targets: map[rules.BackendID]*target{}}
 }
 
 // keep sets the limit of connections over all backends.
-func (p *pools) keep(most int) {
+func (p *pools) setMaxOpen(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mostOpen = most
+	p.maxOpen = most
 }
 
 // retune sets the time-outs of connections that are opened or returned from now on.
-func (p *pools) retune(connectTimeout, keepAlive time.Duration) {
+func (p *pools) setTimeouts(connectTimeout, keepAlive time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connectTimeout, p.idleLimit = connectTimeout, idleLimit(keepAlive)
@@ -125,7 +125,7 @@
 	t.retired = true
 	t.cancel()
 	for c := range t.conns {
-		if inUse || !c.idle.IsZero() {
+		if inUse || !c.idleSince.IsZero() {
 			c.Close()
 		}
 	}
@@ -143,7 +143,7 @@
 )
 
 // conn returns an idle connection to the backend, or dials a new one.
-func (p *pools) conn(ctx context.Context, id rules.BackendID) (*backendConn, error) {
+func (p *pools) acquire(ctx context.Context, id rules.BackendID) (*backendConn, error) {
 	p.mu.Lock()
 	t := p.targets[id]
 	if t == nil {
@@ -155,26 +155,26 @@
 	// finds them. A connection is reused at once only if the limit allows no other.
 	for n := len(t.idle) - 1; n >= 0; n-- {
 		c := t.idle[n]
-		if c.rest = time.Since(c.idle); c.rest < p.settle && p.open < p.mostOpen {
+		if c.idleFor = time.Since(c.idleSince); c.idleFor < p.settle && p.open < p.maxOpen {
 			continue
 		}
 		t.idle = slices.Delete(t.idle, n, n+1)
-		if c.rest < p.idleLimit && alive(c.Conn) {
-			c.idle = time.Time{}
+		if c.idleFor < p.idleLimit && alive(c.Conn) {
+			c.idleSince = time.Time{}
 			p.mu.Unlock()
 			return c, nil
 		}
 		c.Close()
 		p.forget(c)
 	}
-	if p.open >= p.mostOpen {
+	if p.open >= p.maxOpen {
 		p.mu.Unlock()
 		return nil, errConnLimit
 	}
 	p.open++
 	within := p.connectTimeout
 	p.mu.Unlock()
-	c, err := p.dialAgain(ctx, t, within)
+	c, err := p.dialWithRetry(ctx, t, within)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil && t.retired {
@@ -190,21 +190,21 @@
 }
 
 // dialAgain dials, again after a pause while the failure is this machine's own.
-func (p *pools) dialAgain(ctx context.Context, t *target, within time.Duration) (*backendConn, error) {
+func (p *pools) dialWithRetry(ctx context.Context, t *target, within time.Duration) (*backendConn, error) {
 	var pause retryPause
 	for began := time.Now(); ; {
 		c, err := p.dial(ctx, t, within)
 		if !localFailure(err) {
 			return c, err
 		}
-		if p.tells.allow() {
+		if p.logLimit.allow() {
 			slog.Error("no connection to a backend can be opened", "error", err)
 		}
-		if noDescriptor(err) {
-			p.giveUpIdle() // an idle connection to another backend makes room
+		if outOfResources(err) {
+			p.closeLongestIdle() // an idle connection to another backend makes room
 		}
 		next := pause.after()
-		if time.Since(began)+next > localFailureTime || !waited(ctx, next) {
+		if time.Since(began)+next > localFailureRetryTime || !sleepFor(ctx, next) {
 			return nil, err
 		}
 	}
@@ -214,13 +214,13 @@
 func (p *pools) put(c *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.home.retired {
+	if c.target.retired {
 		c.Close()
 		p.forget(c)
 		return
 	}
-	c.idle = time.Now()
-	c.home.idle = append(c.home.idle, c)
+	c.idleSince = time.Now()
+	c.target.idle = append(c.target.idle, c)
 }
 
 // discard closes a connection that must not be reused.
@@ -233,8 +233,8 @@
 
 // forget removes a closed connection from its target. The caller holds mu.
 func (p *pools) forget(c *backendConn) {
-	if _, here := c.home.conns[c]; here {
-		delete(c.home.conns, c)
+	if _, here := c.target.conns[c]; here {
+		delete(c.target.conns, c)
 		p.open--
 	}
 }
@@ -242,7 +242,7 @@
 // sweep closes connections that have been idle too long. When ctx ends it closes all
 // connections and returns.
 func (p *pools) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepGap)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -257,7 +257,7 @@
 		case <-tick.C:
 			p.mu.Lock()
 			for _, t := range p.targets {
-				p.closeOldest(t, time.Now().Add(-p.idleLimit))
+				p.closeIdleSince(t, time.Now().Add(-p.idleLimit))
 			}
 			p.mu.Unlock()
 		}
@@ -266,9 +266,9 @@
 
 // closeOldest closes the connections that have been idle since before the given time.
 // The caller holds mu.
-func (p *pools) closeOldest(t *target, before time.Time) {
+func (p *pools) closeIdleSince(t *target, before time.Time) {
 	n := 0
-	for ; n < len(t.idle) && t.idle[n].idle.Before(before); n++ {
+	for ; n < len(t.idle) && t.idle[n].idleSince.Before(before); n++ {
 		t.idle[n].Close()
 		p.forget(t.idle[n])
 	}
@@ -276,12 +276,12 @@
 }
 
 // giveUpIdle closes the connection that has been idle longest over all backends.
-func (p *pools) giveUpIdle() {
+func (p *pools) closeLongestIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest *target
 	for _, t := range p.targets {
-		if len(t.idle) > 0 && (oldest == nil || t.idle[0].idle.Before(oldest.idle[0].idle)) {
+		if len(t.idle) > 0 && (oldest == nil || t.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
 			oldest = t
 		}
 	}
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -133,7 +133,7 @@
 	b.mu.Lock()
 	b.cycle = "Terminating"
 	b.mu.Unlock()
-	for end := time.Now().Add(patience); b.call("POST", "/lifecycle", `{"startedAtMs":5,"lifecycle":"Terminating"}`) != 200; {
+	for end := time.Now().Add(testTimeout); b.call("POST", "/lifecycle", `{"startedAtMs":5,"lifecycle":"Terminating"}`) != 200; {
 		if time.Now().After(end) {
 			t.Fatal("the drain was never heard")
 		}
@@ -169,14 +169,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{ended: make(chan error, 1)}
+	r := &testGateway{ended: make(chan error, 1)}
 	r.serve(t, &c, l)
-	r.until(t, http.StatusOK)
+	r.awaitReadiness(t, http.StatusOK)
 	r.tells(t, "app.known_backends:3|g")
 	serves := func(when string) {
 		t.Helper()
 		for range 20 {
-			_, answers := r.client(t, ask("GET", "lookup", ""))
+			_, answers := r.request(t, requestText("GET", "lookup", ""))
 			if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
 				t.Fatalf("%s: status %d", when, resp.StatusCode)
 			}
@@ -197,7 +197,7 @@
 		b.mu.Unlock()
 		// A call that its caller has given up may be heard late, so the end is told until
 		// the gateway knows of it.
-		for end := time.Now().Add(patience); !r.says(t, "app.skipped_backends:0|g"); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !r.says(t, "app.skipped_backends:0|g"); time.Sleep(time.Millisecond) {
 			b.call("POST", "/lifecycle", `{"startedAtMs":5,"lifecycle":"Ready"}`)
 			if time.Now().After(end) {
 				for _, s := range []*listService{writer, copied} {
--- a/internal/gateway/scopes.go
+++ b/internal/gateway/scopes.go
@@ -239,9 +239,9 @@
 }
 
 // receive takes in what list services or discovery tell.
-func (l *Loop) receive(m news) {
+func (l *Loop) receive(m listUpdate) {
 	if l.subset == nil {
-		l.list(m.listing, m.kind)
+		l.applyList(m.listing, m.kind)
 		return
 	}
 	l.use(l.subset.choose(l.clock.now(), m.listing, m.kind), m.kind)
@@ -268,21 +268,21 @@
 		l.handle(rules.Retune{Settings: l.settings()})
 	}
 	for _, i := range chosen.Instances {
-		if i.Lifecycle == registry.Ready && l.outside[i.ID] {
+		if i.Lifecycle == registry.Ready && l.offlineOutside[i.ID] {
 			l.enterBanned(i)
 		}
 	}
-	l.list(chosen, kind)
+	l.applyList(chosen, kind)
 }
 
 // banOutside keeps an operator's word on a backend outside the subset, which the module
 // does not know, for when it enters.
 func (l *Loop) banOutside(id string, offline bool) (known bool) {
-	if l.subset == nil || !l.outside[id] && !l.subset.selector.Listed(id) {
+	if l.subset == nil || !l.offlineOutside[id] && !l.subset.selector.Listed(id) {
 		return false
 	}
-	if delete(l.outside, id); offline {
-		l.outside[id] = true
+	if delete(l.offlineOutside, id); offline {
+		l.offlineOutside[id] = true
 	}
 	slog.Info("by hand, outside the subset", "backend", id, "offline", offline)
 	return true
@@ -300,8 +300,8 @@
 // enterBanned makes a backend known to the module that is out by hand. It enters as one
 // that drains, since nothing may go there before the module has the operator's word.
 func (l *Loop) enterBanned(i Instance) {
-	delete(l.outside, i.ID)
+	delete(l.offlineOutside, i.ID)
 	i.Lifecycle = registry.Terminating
-	l.list(Listing{Instances: []Instance{i}}, rules.Delta)
-	l.ban(i.ID, true)
+	l.applyList(Listing{Instances: []Instance{i}}, rules.Delta)
+	l.applyOverride(i.ID, true)
 }
--- a/internal/gateway/scopes_test.go
+++ b/internal/gateway/scopes_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := (&http.Client{Timeout: patience}).Do(req)
+	resp, err := (&http.Client{Timeout: testTimeout}).Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 }
 
 // gateway starts one and waits until it is ready.
-func (s *scopedList) gateway(t *testing.T, name, keys string) *rig {
+func (s *scopedList) gateway(t *testing.T, name, keys string) *testGateway {
 	t.Helper()
 	c, err := parseConfig([]byte(s.config(name, keys)))
 	if err != nil {
@@ -131,14 +131,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{ended: make(chan error, 1)}
+	r := &testGateway{ended: make(chan error, 1)}
 	r.serve(t, &c, l)
-	r.until(t, http.StatusOK)
+	r.awaitReadiness(t, http.StatusOK)
 	return r
 }
 
 // view is what a gateway tells of its backends.
-func (r *rig) view(t *testing.T) (v BackendsView) {
+func (r *testGateway) view(t *testing.T) (v BackendsView) {
 	t.Helper()
 	_, text := r.operate(t, "GET", "/control/backends")
 	if err := json.Unmarshal([]byte(text), &v); err != nil {
@@ -148,7 +148,7 @@
 }
 
 // inUse returns the backends that a gateway has as Ready.
-func (r *rig) inUse(t *testing.T) (ids []string) {
+func (r *testGateway) inUse(t *testing.T) (ids []string) {
 	t.Helper()
 	for _, b := range r.view(t).Backends {
 		if b.Lifecycle == registry.Ready {
@@ -160,14 +160,14 @@
 
 // requests sends so many, one after the other, and returns how many were served, and
 // which backends served them.
-func (s *scopedList) requests(t *testing.T, r *rig, count int) (ok int, by []string) {
+func (s *scopedList) requests(t *testing.T, r *testGateway, count int) (ok int, by []string) {
 	t.Helper()
 	before := map[string]int64{}
 	for id, b := range s.backends {
 		before[id] = b.served.Load()
 	}
 	for range count {
-		_, answers := r.client(t, ask("GET", "lookup", ""))
+		_, answers := r.request(t, requestText("GET", "lookup", ""))
 		if wait(t, answers, "answer").StatusCode == http.StatusOK {
 			ok++
 		}
@@ -182,7 +182,7 @@
 }
 
 // allServed sends requests that have to be served, by the given backends alone.
-func (s *scopedList) allServed(t *testing.T, r *rig, by []string) {
+func (s *scopedList) allServed(t *testing.T, r *testGateway, by []string) {
 	t.Helper()
 	const count = 40
 	ok, served := s.requests(t, r, count)
@@ -199,7 +199,7 @@
 // until waits for a condition.
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -311,15 +311,15 @@
 	t.Parallel()
 	s := newScopedList(t, map[registry.Placement]int{checkoutHere: 4})
 	l, dir := newPlatform(t)
-	start := func() *rig {
+	start := func() *testGateway {
 		c, err := parseConfig([]byte(s.config("gw-1", scopesHere)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.HandoverDir = dir
-		r := &rig{ended: make(chan error, 1)}
+		r := &testGateway{ended: make(chan error, 1)}
 		r.serve(t, &c, duplicate(t, l))
-		r.until(t, http.StatusOK)
+		r.awaitReadiness(t, http.StatusOK)
 		return r
 	}
 	old := start()
@@ -342,14 +342,14 @@
 	next := start()
 	next.tells(t, "app.subset.chosen:3|g", "app.skipped_backends:0|g")
 	s.drain(t, first[0]) // now the last one enters
-	for _, r := range []*rig{old, next} {
+	for _, r := range []*testGateway{old, next} {
 		r.tells(t, "app.known_backends:4|g", "app.skipped_backends:2|g")
 	}
 	s.allServed(t, next, first[1:]) // by either process, as they have one socket
 	if status, _ := next.operate(t, "POST", "/control/backends/"+last+"/online"); status != 200 {
 		t.Errorf("back: %d", status)
 	}
-	for _, r := range []*rig{old, next} {
+	for _, r := range []*testGateway{old, next} {
 		r.tells(t, "app.known_backends:4|g", "app.skipped_backends:1|g")
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -13,31 +13,31 @@
 )
 
 // lastMoment is how long a sender may take to notice that the whole body has been sent.
-const lastMoment = 20 * time.Millisecond
+const senderGrace = 20 * time.Millisecond
 
 // write sends a request whose body is held in memory.
-func (a *attempt) write(c *backendConn) error {
-	x := a.x
+func (a *attempt) writeRequest(c *backendConn) error {
+	x := a.exchange
 	length := int64(len(x.body))
 	if x.trailer != nil {
 		length = -1 // only chunked bodies have trailers
 	}
-	a.writeHead(c.w, time.Until(a.until), length)
+	a.writeHead(c.writer, time.Until(a.wallDeadline), length)
 	if length >= 0 {
-		c.w.Write(x.body) // the writer keeps an error until Flush
-		return c.w.Flush()
+		c.writer.Write(x.body) // the writer keeps an error until Flush
+		return c.writer.Flush()
 	}
-	writeChunk(c.w, x.body)
-	writeTrailer(c.w, x.trailer)
-	return c.w.Flush()
+	writeChunk(c.writer, x.body)
+	writeTrailer(c.writer, x.trailer)
+	return c.writer.Flush()
 }
 
 // writeHead writes the request line and the headers: those of the client, the time that
 // this attempt has left, and the framing of the body. A negative length means chunks.
 func (a *attempt) writeHead(w *bufio.Writer, left time.Duration, length int64) {
-	x := a.x
+	x := a.exchange
 	var digits [20]byte
-	for _, part := range [...]string{x.method, " ", x.uri, " HTTP/1.1\r\nHost: ", x.host, "\r\n" + leftHeader + ": "} {
+	for _, part := range [...]string{x.method, " ", x.uri, " HTTP/1.1\r\nHost: ", x.host, "\r\n" + timeLeftHeader + ": "} {
 		w.WriteString(part)
 	}
 	w.Write(strconv.AppendInt(digits[:0], max(left.Milliseconds(), 1), 10))
@@ -78,40 +78,40 @@
 // stream sends a request whose body is still arriving from the client. It reads the
 // response at the same time, since a backend may answer before the body has ended. The
 // second result reports whether the connection may be reused.
-func (p *pools) stream(a *attempt, c *backendConn) (result, bool) {
-	u := a.x.upload
-	c.SetDeadline(a.until) // zero, so without a deadline, unless the body is complete by now
+func (p *pools) streamBody(a *attempt, c *backendConn) (result, bool) {
+	u := a.exchange.upload
+	c.SetDeadline(a.wallDeadline) // zero, so without a deadline, unless the body is complete by now
 	u.take(a)
 	sent := make(chan error, 1)
-	p.figures.up.open.Add(1)
+	p.metrics.up.open.Add(1)
 	go func() {
-		defer p.figures.up.open.Add(-1)
+		defer p.metrics.up.open.Add(-1)
 		defer u.done(a)
-		why, err := a.send(c)
+		why, err := a.sendBody(c)
 		if err == nil {
-			p.figures.tries.Add(1)
+			p.metrics.tries.Add(1)
 		}
-		p.figures.up.end(why, a.x.header.Get(idHeader), err)
+		p.metrics.up.end(why, a.exchange.header.Get(idHeader), err)
 		if sent <- err; err != nil {
 			c.Close() // which also ends the wait for a response
 		}
 	}()
-	res, reuse := p.answer(a, c)
+	res, reuse := p.readResponse(a, c)
 	var cut error
-	over, err := a.sentBy(sent)
+	over, err := a.awaitSender(sent)
 	if !over {
 		c.Close() // nothing more of the body may leave
 		reuse = false
-		if err = errCutShort; a.last.Load() {
+		if err = errCutShort; a.lastPiece.Load() {
 			err = <-sent // the sender is at the last piece
 		}
 	}
-	res.spent, cut = u.leave()
+	res.bodyConsumed, cut = u.leave()
 	if err == nil || res.outcome != rules.Broken && res.outcome != rules.TimedOut {
 		return res, reuse && err == nil // a response, or a failure after the whole body was sent
 	}
 	// The body broke off before its end was written, so the backend has run nothing.
-	res.outcome, res.err, res.cut = rules.ConnectFailed, err, cut
+	res.outcome, res.err, res.bodyErr = rules.ConnectFailed, err, cut
 	if cut != nil || errors.Is(err, errCutShort) && u.answered() {
 		res.outcome = rules.Moot // the backend is not to blame
 	}
@@ -121,8 +121,8 @@
 // sentBy reports whether the sender has finished, and with which error. The response may
 // arrive a moment before the sender has noticed that the whole body is sent, so sentBy
 // waits up to lastMoment for one that is at the last piece.
-func (a *attempt) sentBy(sent <-chan error) (over bool, err error) {
-	if !a.last.Load() {
+func (a *attempt) awaitSender(sent <-chan error) (over bool, err error) {
+	if !a.lastPiece.Load() {
 		select {
 		case err = <-sent:
 			return true, err
@@ -130,7 +130,7 @@
 			return false, nil
 		}
 	}
-	moment := time.NewTimer(lastMoment)
+	moment := time.NewTimer(senderGrace)
 	defer moment.Stop()
 	select {
 	case err = <-sent:
@@ -141,13 +141,13 @@
 }
 
 // send writes the body of an upload as it arrives. It returns why the upload ended.
-func (a *attempt) send(c *backendConn) (cause, error) {
-	u, to := a.x.upload, pace{pause: stall, grace: stall, rate: leastRate}
+func (a *attempt) sendBody(c *backendConn) (cause, error) {
+	u, to := a.exchange.upload, pace{pause: stall, grace: stall, rate: leastRate}
 	left := u.timeLeft()
-	if !a.until.IsZero() {
-		left = min(left, time.Until(a.until))
+	if !a.wallDeadline.IsZero() {
+		left = min(left, time.Until(a.wallDeadline))
 	}
-	a.writeHead(c.w, left, u.length)
+	a.writeHead(c.writer, left, u.length)
 	for at, total := 0, int64(0); ; {
 		piece, err := u.next(a, at)
 		if err != nil && err != io.EOF {
@@ -156,19 +156,19 @@
 		at += len(piece)
 		total += int64(len(piece))
 		if err == io.EOF || total == u.length {
-			a.last.Store(true)
+			a.lastPiece.Store(true)
 		}
 		before := time.Now()
-		c.SetWriteDeadline(a.writeBy(before.Add(to.wait())))
+		c.SetWriteDeadline(a.writeDeadline(before.Add(to.wait())))
 		if u.length >= 0 {
-			c.w.Write(piece)
+			c.writer.Write(piece)
 		} else {
-			writeChunk(c.w, piece)
+			writeChunk(c.writer, piece)
 		}
 		if err == io.EOF && u.length < 0 {
-			writeTrailer(c.w, trailers(u.request.Trailer))
+			writeTrailer(c.writer, trailers(u.request.Trailer))
 		}
-		if err := c.w.Flush(); err != nil {
+		if err := c.writer.Flush(); err != nil {
 			return slowOr(err, backendSlow, backendBroke), err
 		}
 		if err == io.EOF {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -126,7 +126,7 @@
 	}
 	s.told = answers
 	clock := s.front.loop.clock
-	s.front.loop.post(told{rules.Leave{Until: clock.now() + (answers - time.Since(s.began)).Seconds()}})
+	s.front.loop.post(moduleEvent{rules.Leave{Until: clock.now() + (answers - time.Since(s.began)).Seconds()}})
 }
 
 // left returns the time until a step of the schedule, and at most scheduleCheck.
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -57,9 +57,9 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		io.WriteString(c, ask("GET", "lookup", ""))
+		io.WriteString(c, requestText("GET", "lookup", ""))
 		go func() {
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				answers <- err.Error()
@@ -97,11 +97,11 @@
 func TestStopEndsWhatIsIncomplete(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRigWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
-	head, _ := half(ask("POST", "booking", "x"))
+	r := newTestGatewayWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
+	head, _ := splitHead(requestText("POST", "booking", "x"))
 	inHead := r.send(t, head)
-	inBody := r.send(t, strings.TrimSuffix(ask("POST", "booking", "pickup"), "up"))
-	old := r.send(t, strings.Replace(ask("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
+	inBody := r.send(t, strings.TrimSuffix(requestText("POST", "booking", "pickup"), "up"))
+	old := r.send(t, strings.Replace(requestText("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	io.WriteString(to, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*mostHeld))
--- a/internal/gateway/slopes_test.go
+++ b/internal/gateway/slopes_test.go
@@ -43,7 +43,7 @@
 	}
 	f := newFigures(&c)
 	l := newLoop(&c, f.service(c.Deployment, 0), f, newPools(time.Second, time.Minute, 8, f), nil, func() {})
-	l.list(list, rules.FullList)
+	l.applyList(list, rules.FullList)
 	return l
 }
 
@@ -70,7 +70,7 @@
 		l := largeLoop(t, list)
 		held.Points = append(held.Points, capacity.Point{Size: size, Value: float64(heapInUse() - before)})
 		runtime.KeepAlive(list)
-		text, err := json.Marshal(l.backends(backendsQuery{all: true}))
+		text, err := json.Marshal(l.backendsView(backendsQuery{all: true}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,12 +90,12 @@
 		Command: "go test -run - -bench Round -benchtime 1x ./internal/gateway"}
 	for _, size := range slopeSizes {
 		l := largeLoop(b, largeList(size))
-		l.due(timerEntry{})
+		l.fire(timerEntry{})
 		took := math.Inf(1)
 		for range 5 { // the least counts: others use the machine too
 			began, rounds := processorTime(b), 0
 			for rounds < 3 || processorTime(b)-began < 100*time.Millisecond {
-				l.due(timerEntry{})
+				l.fire(timerEntry{})
 				rounds++
 			}
 			took = min(took, float64((processorTime(b)-began).Nanoseconds())/1e3/float64(rounds))
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -339,7 +339,7 @@
 		u.err = errCutShort // by the handler's own hand
 	}
 	if err == io.EOF {
-		u.until = u.rest.arrival.at().Add(u.left - seconds(answerMargin))
+		u.until = u.rest.arrival.at().Add(u.left - seconds(responseMargin))
 		u.whole(u.until)
 	}
 	return u.err
@@ -504,7 +504,7 @@
 	if d.chunks != nil {
 		return d.chunks.ready()
 	}
-	return d.conn.r.Buffered() > 0
+	return d.conn.reader.Buffered() > 0
 }
 
 // read waits for the next piece. While there is none, it takes no memory but the
@@ -519,7 +519,7 @@
 	d.conn.SetReadDeadline(before.Add(from.wait()))
 	if !d.more() {
 		d.window.close()
-		if err := d.conn.await(); err != nil {
+		if err := d.conn.awaitReadable(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/gateway/stream_memory_test.go
+++ b/internal/gateway/stream_memory_test.go
@@ -22,11 +22,11 @@
 	const transfers = 4
 	for _, size := range []int{1 << 20, 256 << 20} {
 		backend := newPeer(t)
-		r := newRig(t, backend)
+		r := newTestGateway(t, backend)
 		piece := make([]byte, 1<<20)
 		var wg sync.WaitGroup
 		for range transfers {
-			_, head := r.get(t, ask("GET", "lookup", ""))
+			_, head := r.get(t, requestText("GET", "lookup", ""))
 			to, br := backend.accept(t)
 			readRequest(t, br)
 			wg.Go(func() {
@@ -54,7 +54,7 @@
 	t.Parallel()
 	const fit = 8
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	r.figures.bodies.limit(fit * leastWindow)
 	size := 64 * mostHeld
 	type outcome struct {
@@ -64,7 +64,7 @@
 	}
 	refused := make(chan outcome, 10*fit)
 	for range 10 * fit {
-		conn := r.send(t, ask("POST", "booking", "", "Content-Length", strconv.Itoa(size), "Expect", "100-continue"))
+		conn := r.send(t, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(size), "Expect", "100-continue"))
 		go func() {
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err == nil {
@@ -131,12 +131,12 @@
 	t.Parallel()
 	const fit = 4
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	r.figures.bodies.limit(fit * mostHeld)
 	whole := noise(1, 8<<20)
 	var heads []func() *http.Response
 	for range 10 * fit {
-		conn, head := r.get(t, ask("GET", "lookup", ""))
+		conn, head := r.get(t, requestText("GET", "lookup", ""))
 		conn.(*net.TCPConn).SetReadBuffer(256 << 10) // so that not all of it is under way
 		heads = append(heads, head)
 		to, br := backend.accept(t)
@@ -167,7 +167,7 @@
 func TestBothWaysInLittleMemory(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	r.figures.bodies.limit(4 * leastWindow)
 	done := make(chan struct{})
 	defer close(done)
@@ -198,7 +198,7 @@
 	for i := range 100 {
 		wg.Go(func() {
 			body := noise(uint64(i), 20<<10+i*4096)
-			conn, head := r.get(t, ask("POST", "booking", "", "Content-Length", strconv.Itoa(len(body))))
+			conn, head := r.get(t, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(len(body))))
 			go conn.Write(body)
 			resp := head()
 			got, err := io.ReadAll(resp.Body)
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -15,7 +15,7 @@
 )
 
 // get sends a request and reads the head of the answer when it is asked to.
-func (r *rig) get(t *testing.T, text string) (net.Conn, func() *http.Response) {
+func (r *testGateway) get(t *testing.T, text string) (net.Conn, func() *http.Response) {
 	t.Helper()
 	conn := r.send(t, text)
 	return conn, func() *http.Response {
@@ -43,9 +43,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRig(t, backend)
+			r := newTestGateway(t, backend)
 			// A class that runs once: a second attempt would hide what became of the first.
-			conn, head := r.get(t, ask("POST", "payment", "", "Content-Length", "1000000")+strings.Repeat("x", 2*mostHeld))
+			conn, head := r.get(t, requestText("POST", "payment", "", "Content-Length", "1000000")+strings.Repeat("x", 2*mostHeld))
 			to, br := backend.accept(t)
 			req, err := http.ReadRequest(br)
 			if err != nil {
@@ -72,8 +72,8 @@
 func TestAnswerFlowsBesideUpload(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, head := r.get(t, ask("POST", "booking", "", "Transfer-Encoding", "chunked")+"1\r\na\r\n")
+	r := newTestGateway(t, backend)
+	conn, head := r.get(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked")+"1\r\na\r\n")
 	to, br := backend.accept(t)
 	req, err := http.ReadRequest(br)
 	if err != nil {
@@ -135,7 +135,7 @@
 func TestRandomBodies(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	size := func(random *rand.Rand) int { return random.IntN(1 << (1 + random.IntN(20))) }
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -155,7 +155,7 @@
 			return "Content-Length", strconv.Itoa(len(body))
 		}
 		name, value := head(upChunked, up)
-		conn := r.send(t, ask("POST", "payment", "", name, value))
+		conn := r.send(t, requestText("POST", "payment", "", name, value))
 		sent := make(chan struct{})
 		go func() {
 			defer close(sent)
@@ -182,7 +182,7 @@
 				}
 			}
 			defer to.Close()
-			to.SetDeadline(time.Now().Add(patience))
+			to.SetDeadline(time.Now().Add(testTimeout))
 			req, err := http.ReadRequest(bufio.NewReader(to))
 			if err != nil {
 				if upTo == len(up) {
@@ -221,14 +221,14 @@
 func TestStopLetsStreamsEnd(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, head := r.get(t, ask("GET", "lookup", ""))
+	r := newTestGateway(t, backend)
+	_, head := r.get(t, requestText("GET", "lookup", ""))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	io.WriteString(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n")
 	resp := head()
 	r.stop()
-	r.until(t, http.StatusServiceUnavailable)
+	r.awaitReadiness(t, http.StatusServiceUnavailable)
 	io.WriteString(to, "1\r\nb\r\n0\r\n\r\n")
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != "ab" {
 		t.Errorf("%q, %v", got, err)
@@ -242,8 +242,8 @@
 func TestStopCutsStreams(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRigWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
-	_, head := r.get(t, ask("GET", "lookup", ""))
+	r := newTestGatewayWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
+	_, head := r.get(t, requestText("GET", "lookup", ""))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	io.WriteString(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n")
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -22,14 +22,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRig(t, backend)
+			r := newTestGateway(t, backend)
 			framing, value, piece, tail := "Content-Length", strconv.Itoa(len(whole)), func(s string) string { return s }, ""
 			if chunked {
 				framing, value = "Transfer-Encoding", "chunked"
 				piece = func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 				tail = "0\r\nX-Sum: 1\r\n\r\n"
 			}
-			conn, head := r.get(t, ask("POST", "booking", "", framing, value, "Expect", "100-continue"))
+			conn, head := r.get(t, requestText("POST", "booking", "", framing, value, "Expect", "100-continue"))
 			if resp := head(); resp.StatusCode != http.StatusContinue {
 				t.Errorf("status %d before the body", resp.StatusCode)
 			}
@@ -59,8 +59,8 @@
 func TestLongBodyThatBreaks(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, _ := r.get(t, ask("POST", "booking", "", "Content-Length", "1000000")+strings.Repeat("x", 2*mostHeld))
+	r := newTestGateway(t, backend)
+	conn, _ := r.get(t, requestText("POST", "booking", "", "Content-Length", "1000000")+strings.Repeat("x", 2*mostHeld))
 	_, br := backend.accept(t)
 	req, err := http.ReadRequest(br)
 	if err != nil {
@@ -81,12 +81,12 @@
 // on a connection that is then closed.
 func TestAnswerBeforeTheEndOfLongBody(t *testing.T) {
 	t.Parallel()
-	r := newRigWith(t, func(text string) string {
+	r := newTestGatewayWith(t, func(text string) string {
 		return strings.Replace(text, `"name": "booking", "objectiveS": 10`, `"name": "booking", "objectiveS": 0.2`, 1)
 	}) // no backend
 	for status, text := range map[int]string{
-		http.StatusTooManyRequests: ask("POST", "booking", "", "Content-Length", "1000000"),
-		http.StatusBadRequest:      ask("POST", "booking", "", "Content-Length", "1000000", termsHeader, ""),
+		http.StatusTooManyRequests: requestText("POST", "booking", "", "Content-Length", "1000000"),
+		http.StatusBadRequest:      requestText("POST", "booking", "", "Content-Length", "1000000", termsHeader, ""),
 	} {
 		_, head := r.get(t, text+strings.Repeat("x", mostHeld)) // and no more: a wait for it would end in 408
 		if resp := head(); resp.StatusCode != status || !resp.Close {
@@ -116,8 +116,8 @@
 				defer client.Close()
 				p.conns <- server
 				const length = 480 << 10
-				io.WriteString(client, ask("POST", "booking", "", "Content-Length", strconv.Itoa(length)))
-				x := (<-f.loop.inbox).(arrival).x
+				io.WriteString(client, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(length)))
+				x := (<-f.loop.inbox).(requestArrived).exchange
 				begun, broke := time.Now(), make(chan time.Time, 1)
 				go func() {
 					var a attempt
@@ -146,7 +146,7 @@
 				}
 				client.Close()
 				if !c.lost {
-					if _, whole := (<-f.loop.inbox).(uploaded); !whole {
+					if _, whole := (<-f.loop.inbox).(bodyComplete); !whole {
 						t.Error("the loop was not told of the end")
 					}
 				}
@@ -162,13 +162,13 @@
 		client, server := net.Pipe()
 		defer client.Close()
 		p.conns <- server
-		text := ask("GET", "lookup", "")
+		text := requestText("GET", "lookup", "")
 		for _, piece := range []string{text[:1], text[1:10], text[10 : len(text)-1]} {
 			io.WriteString(client, piece)
 			time.Sleep(700 * time.Millisecond) // of the bubble's time
 		}
 		io.WriteString(client, text[len(text)-1:])
-		if _, ok := (<-f.loop.inbox).(arrival); !ok {
+		if _, ok := (<-f.loop.inbox).(requestArrived); !ok {
 			t.Error("the request did not arrive")
 		}
 	})
@@ -192,7 +192,7 @@
 		client, server := net.Pipe()
 		defer client.Close()
 		p.conns <- server
-		io.WriteString(client, ask("POST", "booking", "", "Content-Length", "1000000"))
+		io.WriteString(client, requestText("POST", "booking", "", "Content-Length", "1000000"))
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Fatalf("%v %v", resp, err)
@@ -208,8 +208,8 @@
 func TestDrippingUpload(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, answers := r.client(t, ask("POST", "booking", "", "Transfer-Encoding", "chunked", "Trailer", "X-Sum")+"3\r\nabc\r\n")
+	r := newTestGateway(t, backend)
+	conn, answers := r.request(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked", "Trailer", "X-Sum")+"3\r\nabc\r\n")
 	to, br := backend.accept(t)
 	req, err := http.ReadRequest(br)
 	if err != nil {
@@ -245,9 +245,9 @@
 func TestStreamedUploadLeavesItsConnection(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	body := strings.Repeat("x", 2*mostHeld)
-	conn := r.send(t, ask("POST", "booking", body))
+	conn := r.send(t, requestText("POST", "booking", body))
 	to, br := backend.accept(t)
 	for range 3 {
 		if _, got := readRequest(t, br); string(got) != body {
@@ -259,6 +259,6 @@
 			t.Fatalf("%v %v", resp, err)
 		}
 		r.tells(t, "app.in_progress:0|g", "app.transfers.up.open:0|g")
-		io.WriteString(conn, ask("POST", "booking", body))
+		io.WriteString(conn, requestText("POST", "booking", body))
 	}
 }
--- a/internal/gateway/upload_time_test.go
+++ b/internal/gateway/upload_time_test.go
@@ -28,7 +28,7 @@
 		t.Helper()
 		conn, r := backend.accept(t)
 		req, _ := readRequest(t, r)
-		left, err := strconv.Atoi(req.Header.Get(leftHeader))
+		left, err := strconv.Atoi(req.Header.Get(timeLeftHeader))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,8 +37,8 @@
 	t.Run("again behind a failed attempt", func(t *testing.T) {
 		t.Parallel()
 		backend := newPeer(t)
-		r := newRig(t, backend)
-		conn := r.send(t, ask("POST", "booking", "", "Transfer-Encoding", "chunked")+"4\r\npick\r\n")
+		r := newTestGateway(t, backend)
+		conn := r.send(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked")+"4\r\npick\r\n")
 		time.Sleep(2 * holdFor) // its start is let go
 		io.WriteString(conn, "2\r\nup\r\n0\r\n\r\n")
 		_, first := told(t, backend)
@@ -52,19 +52,19 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRig(t, backend)
+			r := newTestGateway(t, backend)
 			var busy []net.Conn
 			for range 3 { // all that may be out at once
-				r.send(t, ask("GET", "lookup", ""))
+				r.send(t, requestText("GET", "lookup", ""))
 				_, conn := told(t, backend)
 				busy = append(busy, conn)
 			}
 			body := strings.Repeat("x", 2*mostHeld)
 			if chunked {
-				r.send(t, ask("POST", "booking", "", "Transfer-Encoding", "chunked")+
+				r.send(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked")+
 					strconv.FormatInt(int64(len(body)), 16)+"\r\n"+body+"\r\n0\r\n\r\n")
 			} else {
-				r.send(t, ask("POST", "booking", body))
+				r.send(t, requestText("POST", "booking", body))
 			}
 			r.tells(t, "app.clients.busy:4|g")
 			time.Sleep(waited)
@@ -81,14 +81,14 @@
 func TestUploadThatStillComes(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	body := strings.Repeat("x", 2*mostHeld)
-	conn := r.send(t, strings.TrimSuffix(ask("POST", "booking", body), "x"))
+	conn := r.send(t, strings.TrimSuffix(requestText("POST", "booking", body), "x"))
 	_, br := backend.accept(t)
 	time.Sleep(300 * time.Millisecond)
 	io.WriteString(conn, "x")
 	req, _ := readRequest(t, br)
-	if left, err := strconv.Atoi(req.Header.Get(leftHeader)); left < 14900 || left > 15000 || err != nil {
+	if left, err := strconv.Atoi(req.Header.Get(timeLeftHeader)); left < 14900 || left > 15000 || err != nil {
 		t.Errorf("told %d ms, %v", left, err)
 	}
 }
