--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	maxDiscard      = 64 << 10 // bytes of a discarded body that are read so that its connection can be reused
-	maxResponseHead = 64 << 10 // bytes of the head of a response
+	maxDiscard      = 64 << 10 // bytes of a discarded body that are read to reuse the connection
+	maxResponseHead = 64 << 10 // bytes
 	maxInterim      = 8        // 1xx responses before the final one
 )
 
-// errTwoWays says that the framing of a response is ambiguous.
-var errAmbiguousLength = errors.New("the length of the answer is told twice")
+// errAmbiguousLength reports that the framing of a response is ambiguous.
+var errAmbiguousLength = errors.New("ambiguous response: body length given more than once")
 
-// noLimit is the limit of a connection's reader once the head of a response has been read.
-// The length of a body is not bounded; what the gateway holds of it is, elsewhere.
+// noReadLimit is the limit of a connection's reader once the head of a response has been
+// read. The body may have any length; only a bounded part of it is held in memory.
 const noReadLimit = math.MaxInt64
 
-// answer reads the response to an attempt. The second result reports whether the
+// readResponse reads the response to an attempt. The second result reports whether the
 // connection may be reused. A response for the client is held until it is complete or
-// until it is time to pass its beginning on.
-func (p *pools) readResponse(a *attempt, c *backendConn) (result, bool) {
-	asked := &http.Request{Method: a.exchange.method}
+// starts to be streamed.
+func (p *pools) readResponse(attempt *attempt, conn *backendConn) (result, bool) {
+	request := &http.Request{Method: attempt.exchange.method}
 	for range maxInterim {
-		c.remaining.N = maxResponseHead
-		resp, err := http.ReadResponse(c.reader, asked)
-		if err == nil && c.framing.doubt {
+		conn.remaining.N = maxResponseHead
+		resp, err := http.ReadResponse(conn.reader, request)
+		if err == nil && conn.framing.doubt {
 			err = errAmbiguousLength
 		}
 		if err != nil {
@@ -41,16 +41,16 @@
 		}
 		if resp.StatusCode/100 == 1 {
 			if resp.StatusCode == http.StatusSwitchingProtocols {
-				break // no request asks for an upgrade
+				break // no request asked for an upgrade
 			}
 			if resp.StatusCode != http.StatusContinue {
-				a.onInterim(answer{status: resp.StatusCode, header: resp.Header})
+				attempt.onInterim(answer{status: resp.StatusCode, header: resp.Header})
 			}
 			continue
 		}
-		c.remaining.N = noReadLimit
-		if !a.exchange.passesStatus(resp.StatusCode) {
-			n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscard+1)) // nobody reads its text
+		conn.remaining.N = noReadLimit
+		if !attempt.exchange.passesStatus(resp.StatusCode) {
+			discarded, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscard+1)) // the body is not used
 			if err != nil {
 				return result{outcome: errorOutcome(err), err: err}, false
 			}
@@ -59,81 +59,82 @@
 				resp.Header.Get(unprocessedHeader) == "1" {
 				outcome = rules.Full
 			}
-			return result{outcome: outcome}, !resp.Close && n <= maxDiscard && c.reader.Buffered() == 0
+			return result{outcome: outcome}, !resp.Close && discarded <= maxDiscard && conn.reader.Buffered() == 0
 		}
-		res := p.relayResponse(a, c, resp)
-		return res, res.outcome == rules.Served && !resp.Close && c.reader.Buffered() == 0
+		res := p.relayResponse(attempt, conn, resp)
+		return res, res.outcome == rules.Served && !resp.Close && conn.reader.Buffered() == 0
 	}
 	return result{outcome: rules.Errored}, false
 }
 
-// good reports whether a response with this status goes to the client.
+// passesStatus reports whether a response with this status goes to the client.
 func (x *exchange) passesStatus(status int) bool {
 	return status == http.StatusOK || status == http.StatusNoContent ||
 		status == http.StatusNotModified && (x.header.Get("If-None-Match") != "" || x.header.Get("If-Modified-Since") != "")
 }
 
-// good reads a response that goes to the client.
-func (p *pools) relayResponse(a *attempt, c *backendConn, resp *http.Response) result {
-	start := answer{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength}
+// relayResponse reads a response that goes to the client.
+func (p *pools) relayResponse(attempt *attempt, conn *backendConn, resp *http.Response) result {
+	head := answer{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength}
 	if resp.Body == http.NoBody {
-		return result{outcome: rules.Served, answer: start, units: reportedUnits(resp.Header)}
+		return result{outcome: rules.Served, answer: head, units: reportedUnits(resp.Header)}
 	}
-	d := &download{body: resp.Body, length: resp.ContentLength, conn: c, window: window{budget: &p.metrics.bodies}, figures: p.metrics, end: make(chan rules.Outcome, 1)}
-	most := mostHeld
-	if l := resp.ContentLength; l >= 0 && l < mostHeld {
-		most = int(l)
+	download := &download{body: resp.Body, length: resp.ContentLength, conn: conn, window: window{budget: &p.metrics.bodies}, figures: p.metrics, end: make(chan rules.Outcome, 1)}
+	maxStart := mostHeld
+	if length := resp.ContentLength; length >= 0 && length < mostHeld {
+		maxStart = int(length)
 	}
-	d.memory, most = p.metrics.bodies.room(most)
+	download.memory, maxStart = p.metrics.bodies.room(maxStart)
 	if len(resp.TransferEncoding) > 0 {
-		d.chunks = &chunkedReader{r: c.reader}
-		d.body = d.chunks
+		download.chunks = &chunkedReader{r: conn.reader}
+		download.body = download.chunks
 	}
-	d.start = newIntake(d.body, resp.ContentLength, most)
-	start.rest = d
-	begin := func() {
-		if !a.onStart(start) {
-			d.drop() // the client no longer waits
+	download.start = newIntake(download.body, resp.ContentLength, maxStart)
+	head.rest = download
+	startStreaming := func() {
+		if !attempt.onStart(head) {
+			download.drop() // the client no longer waits
 		}
 	}
-	if l := resp.ContentLength; l < 0 || l > int64(c.reader.Buffered()) {
+	if length := resp.ContentLength; length < 0 || length > int64(conn.reader.Buffered()) {
 		defer time.AfterFunc(holdFor, func() {
-			if d.start.release() {
-				begin()
+			if download.start.release() {
+				startStreaming()
 			}
 		}).Stop()
 	}
-	whole, err := d.start.fill()
+	complete, err := download.start.fill()
 	switch {
-	case d.start.released():
+	case download.start.released():
 		// The timer has released it to the client.
-	case whole:
-		start.body, start.rest, start.trailer = d.start.held, nil, d.trailers()
-		start.memory = p.metrics.bodies.shrink(d.memory, len(start.body))
-		return result{outcome: rules.Served, answer: start, units: reportedUnits(resp.Header)}
+	case complete:
+		head.body, head.rest, head.trailer = download.start.held, nil, download.trailers()
+		head.memory = p.metrics.bodies.shrink(download.memory, len(head.body))
+		return result{outcome: rules.Served, answer: head, units: reportedUnits(resp.Header)}
 	case err != nil:
-		p.metrics.bodies.give(d.memory)
+		p.metrics.bodies.give(download.memory)
 		return result{outcome: errorOutcome(err), err: err}
 	default:
-		begin()
+		startStreaming()
 	}
-	outcome := <-d.end
-	p.metrics.bodies.give(d.memory)
+	outcome := <-download.end
+	p.metrics.bodies.give(download.memory)
 	return result{outcome: outcome}
 }
 
-// trueUnits returns the units of the quota that a request really took, as the backend
-// reports them. A header that is not a positive number counts as absent: it must not cost
-// the client its response.
-func reportedUnits(h http.Header) float64 {
-	units, err := strconv.ParseFloat(h.Get(costHeader), 64)
+// reportedUnits returns the units of the quota that a request took, as the backend reports
+// them. A header that is not a positive finite number counts as absent, so that the client
+// still gets the response.
+func reportedUnits(header http.Header) float64 {
+	units, err := strconv.ParseFloat(header.Get(costHeader), 64)
 	if err != nil || !(units > 0) || math.IsInf(units, 0) {
 		return 0
 	}
 	return units
 }
 
-// broken returns the outcome for an error of the connection: a time-out or a break.
+// errorOutcome returns the outcome for a connection error: a time-out or a broken
+// connection.
 func errorOutcome(err error) rules.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return rules.TimedOut
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -22,46 +22,46 @@
 // result is how an attempt ended.
 type result struct {
 	outcome      rules.Outcome
-	err          error   // why no whole response came
+	err          error   // why there is no complete response
 	answer       answer  // if the outcome is rules.Served
-	units        float64 // of the quota that the request really took; 0: the backend did not say
-	bodyErr      error   // why the client's body was incomplete; the backend has run nothing then
+	units        float64 // of the quota, as the backend reports them; 0: not reported
+	bodyErr      error   // why the client's body is incomplete; the backend has run nothing then
 	bodyConsumed bool    // the client's body can't be sent to another backend
 }
 
-// attempt is one try of a request at one backend. The loop owns all fields but those that
-// mu guards.
+// attempt sends a request to one backend, once. The loop owns all fields but those that mu
+// guards.
 type attempt struct {
 	exchange     *exchange
 	number       int
 	backend      rules.BackendID
-	sent         float64
-	deadline     float64
-	wallDeadline time.Time // the deadline as a time of the wall clock
-	writeBefore  time.Time // the request's last byte must be written before; zero: no such bound
+	sent         float64   // seconds on the loop's clock
+	deadline     float64   // seconds on the loop's clock
+	wallDeadline time.Time // deadline as a wall-clock time; zero: no deadline yet
+	writeBefore  time.Time // limit for writing the request's last byte; zero: no limit
 	ended        bool
 	outcome      rules.Outcome // valid once ended
-	took         float64
+	took         float64       // seconds
 	err          error
 	download     *download // a response that is being passed on to the client
 
-	// begun tells the loop that the head of a response may go to the client. It returns
+	// onStart notifies the loop that the head of a response may go to the client. It returns
 	// false if the client no longer waits.
 	onStart func(answer) bool
-	// interim tells the loop of a 1xx response.
+	// onInterim notifies the loop of a 1xx response.
 	onInterim func(answer)
 
 	lastPiece atomic.Bool // the end of a streamed body is about to be written, or has been
 
-	ctx    context.Context // cancelled when the attempt is called off; bounds the dial
+	ctx    context.Context // cancelled when the attempt is aborted; bounds the dial
 	cancel context.CancelFunc
 
 	mu      sync.Mutex
 	conn    *backendConn
-	aborted bool // callOff or callOffDial has been called
+	aborted bool // abort has been called, or abortDial before there was a connection
 }
 
-// callOff cancels the attempt. Once it has returned, no further byte of the request leaves
+// abort cancels the attempt. Once it has returned, no further byte of the request leaves
 // the gateway: a dial that succeeds later is not used, and a connection in use is closed.
 func (a *attempt) abort() {
 	a.cancel()
@@ -73,7 +73,7 @@
 	}
 }
 
-// callOffDial cancels the attempt if it has no connection yet.
+// abortDial cancels the attempt if it has no connection yet.
 func (a *attempt) abortDial() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// writeBy returns the earlier of end and the time by which the request must be written.
+// writeDeadline returns the earlier of end and the time by which the request must be written.
 func (a *attempt) writeDeadline(end time.Time) time.Time {
 	if !a.writeBefore.IsZero() && (end.IsZero() || a.writeBefore.Before(end)) {
 		return a.writeBefore
@@ -91,18 +91,18 @@
 	return end
 }
 
-// hold gives the attempt a connection. It returns false if the attempt has been called off.
-func (a *attempt) attach(c *backendConn) bool {
+// attach gives the attempt a connection. It returns false if the attempt has been aborted.
+func (a *attempt) attach(conn *backendConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.aborted {
-		a.conn = c
+		a.conn = conn
 	}
 	return !a.aborted
 }
 
-// release takes the connection from the attempt. It returns false if the attempt has been
-// called off, which has closed the connection.
+// detach takes the connection from the attempt. It returns false if the attempt has been
+// aborted, which has closed the connection.
 func (a *attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,44 +110,44 @@
 	return !a.aborted
 }
 
-// attempt sends a request and waits for the response. An error before the last byte is
+// runAttempt sends a request and waits for the response. An error before the last byte is
 // written proves that the backend has run nothing; a later one proves nothing.
-func (p *pools) runAttempt(a *attempt) result {
-	c, err := p.acquire(a.ctx, a.backend)
+func (p *pools) runAttempt(attempt *attempt) result {
+	conn, err := p.acquire(attempt.ctx, attempt.backend)
 	switch {
 	case localFailure(err), errors.Is(err, errConnLimit):
-		return result{outcome: rules.Moot, err: err} // the backend had no part in it
+		return result{outcome: rules.Moot, err: err} // says nothing about the backend
 	case err != nil:
 		return result{outcome: rules.ConnectFailed, err: err}
 	}
-	if !a.attach(c) {
-		p.discard(c)
+	if !attempt.attach(conn) {
+		p.discard(conn)
 		return result{outcome: rules.ConnectFailed}
 	}
 	var res result
 	var reuse bool
-	c.requests++
-	c.framing.begin()
-	if a.exchange.upload != nil {
-		res, reuse = p.streamBody(a, c)
+	conn.requests++
+	conn.framing.begin()
+	if attempt.exchange.upload != nil {
+		res, reuse = p.streamBody(attempt, conn)
 	} else {
-		c.SetReadDeadline(a.wallDeadline)
-		c.SetWriteDeadline(a.writeDeadline(a.wallDeadline))
-		if err := a.writeRequest(c); err != nil {
-			a.detach()
-			p.discard(c)
+		conn.SetReadDeadline(attempt.wallDeadline)
+		conn.SetWriteDeadline(attempt.writeDeadline(attempt.wallDeadline))
+		if err := attempt.writeRequest(conn); err != nil {
+			attempt.detach()
+			p.discard(conn)
 			return result{outcome: rules.ConnectFailed, err: err}
 		}
 		p.metrics.tries.Add(1)
-		res, reuse = p.readResponse(a, c)
+		res, reuse = p.readResponse(attempt, conn)
 	}
 	if res.err != nil {
-		res.err = fmt.Errorf("request %d after %v idle: %w", c.requests, c.idleFor, res.err)
+		res.err = fmt.Errorf("request %d on its connection, after %v idle: %w", conn.requests, conn.idleFor, res.err)
 	}
-	if a.detach() && reuse {
-		p.put(c)
+	if attempt.detach() && reuse {
+		p.put(conn)
 	} else {
-		p.discard(c)
+		p.discard(conn)
 	}
 	return res
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,7 +1,5 @@
-// Package gateway is the real gateway round the decision module: it turns what
-// happens on sockets into the module's events and carries out its actions.
-// Which request goes where, and when it is refused, is decided in package
-// rules alone.
+// Package gateway implements the gateway's network side: it turns what happens on sockets into
+// events for the decision module, package rules, and carries out the module's actions.
 package gateway
 
 import (
@@ -18,50 +16,51 @@
 	"dunlintray/internal/wire"
 )
 
-// Config is what a gateway is told at its start.
+// Config is the configuration of a gateway, from a file and from the environment.
 type Config struct {
 	Name      string
-	Listen    string // where clients connect
-	Control   string // where operators call; empty where they do not
-	Discovery string
-	// Registries are list services, of which any will do, that are asked in
-	// discovery's place; empty: discovery is.
+	Listen    string // address for clients
+	Control   string // address for operators; empty: none
+	Discovery string // address; unused with Registries
+	// Registries are the addresses of service registries, any of which can serve the list.
+	// If empty, the gateway uses Discovery.
 	Registries []string
-	Counter    string // empty where the deployment has none
+	Counter    string // address; empty: the deployment has none
 	Seed       uint64
 	Cores      float64
 	MemoryMB   int
-	Sockets    int // file descriptors
-	BodyMB     int // megabytes that a client may send in one body; 0: any number
-	Known      Listing
+	Sockets    int     // file descriptors
+	BodyMB     int     // limit of a request body; 0: none
+	Known      Listing // cached list, used until discovery or a registry answers
 	Members    membersConfig
 	Scopes     scopesConfig
 
-	// Of the environment, where the platform lets two processes of a gateway serve
-	// side by side:
+	// From the environment, if the platform runs two processes of a gateway during an
+	// upgrade:
 	Inherited   string // descriptor of the clients' socket
-	HandoverDir string // where the processes meet
+	HandoverDir string // directory of the hand-over socket
 	wire.Deployment
 
-	document any                 // the file as it was read
-	observe  func(registry.Told) // of a Hollow: is told first what list services tell; else nil
+	document any                 // the file as decoded JSON, for checkReload
+	observe  func(registry.Told) // set for a Hollow, see NewHollow
 }
 
-// Reload is what a configuration that was read again came to.
+// Reload is the result of reading the configuration again.
 type Reload struct {
-	Config Config
+	Config Config // valid if Err is nil
 	Err    error
 }
 
-// least are the limits below which a gateway can't do its work.
+// Minimum limits of a gateway.
 const (
 	minMemoryMB = 16
 	minSockets  = 128
 )
 
+// maxBodyBytes returns the limit of a request body; 0: none.
 func (c *Config) maxBodyBytes() int64 { return int64(c.BodyMB) << 20 }
 
-// ReadConfig reads the configuration file at path.
+// ReadConfig reads and checks the configuration file at path.
 func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -74,6 +73,7 @@
 	return c, nil
 }
 
+// parseConfig parses and checks the text of a configuration.
 func parseConfig(text []byte) (Config, error) {
 	var raw struct {
 		Name, Listen, Control, Discovery, Counter, Seed string
@@ -96,21 +96,21 @@
 		return Config{}, err
 	}
 	if raw.Settings == nil {
-		return Config{}, errors.New("no settings")
+		return Config{}, errors.New("settings is missing")
 	}
-	c := Config{Name: raw.Name, Listen: raw.Listen, Control: raw.Control, Discovery: raw.Discovery, Counter: raw.Counter,
+	config := Config{Name: raw.Name, Listen: raw.Listen, Control: raw.Control, Discovery: raw.Discovery, Counter: raw.Counter,
 		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, BodyMB: raw.Limits.BodyMB, Registries: raw.Registries, Known: raw.Known}
 	var err error
-	if c.Deployment, err = wire.ParseDeployment(raw.Settings); err != nil {
+	if config.Deployment, err = wire.ParseDeployment(raw.Settings); err != nil {
 		return Config{}, err
 	}
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
+	if config.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
 		return Config{}, fmt.Errorf("seed: %w", err)
 	}
-	if c.Scopes, err = readScopes(raw.Scopes, raw.Subset, c.Fleet); err != nil {
+	if config.Scopes, err = readScopes(raw.Scopes, raw.Subset, config.Fleet); err != nil {
 		return Config{}, err
 	}
-	if err := json.Unmarshal(text, &c.document); err != nil {
+	if err := json.Unmarshal(text, &config.document); err != nil {
 		return Config{}, err
 	}
 	if raw.Membership {
@@ -122,19 +122,19 @@
 		if err := json.Unmarshal(raw.Settings, &peers); err != nil {
 			return Config{}, err
 		}
-		c.Members = membersConfig{true, raw.PeerListen, raw.Peers, peers.FamilyInfo.InboxPerS}
-		if _, err := c.agent(); err != nil {
+		config.Members = membersConfig{true, raw.PeerListen, raw.Peers, peers.FamilyInfo.InboxPerS}
+		if _, err := config.agent(); err != nil {
 			return Config{}, err
 		}
 	}
-	return c, c.check()
+	return config, config.check()
 }
 
-// lacks finds a key that the configuration in force has and the next has not. A
-// file that was not written to its end, or by hand in haste, may still be JSON.
+// checkReload reports why the next configuration can't replace the current one: a change that
+// needs a restart, or a missing key, since a truncated file may still be valid JSON.
 func (c *Config) checkReload(next *Config) error {
-	if at := missingKey(c.document, next.document); at != "" {
-		return fmt.Errorf("%s is missing", at[1:])
+	if key := missingKey(c.document, next.document); key != "" {
+		return fmt.Errorf("%s is missing", key[1:])
 	}
 	if c.Members.Membership != next.Members.Membership || !slices.Equal(c.Members.Peers, next.Members.Peers) || c.Members.PeerListen != next.Members.PeerListen {
 		return errors.New("membership, peer_listen, peers: others need a new start")
@@ -145,19 +145,19 @@
 	return c.Scopes.lacks(&next.Scopes)
 }
 
-// missingKey names the first key that is in have and not in next. Of the
-// elements of a list, each needs the keys that all had before.
+// missingKey returns the path of the first key that is in have but not in next, or "". Each
+// element of a list needs the keys that all elements of the list in have share.
 func missingKey(have, next any) string {
 	switch have := have.(type) {
 	case map[string]any:
 		next, ok := next.(map[string]any)
 		for _, key := range slices.Sorted(maps.Keys(have)) {
-			value, there := next[key]
-			if !ok || !there {
+			value, present := next[key]
+			if !ok || !present {
 				return "." + key
 			}
-			if at := missingKey(have[key], value); at != "" {
-				return "." + key + at
+			if path := missingKey(have[key], value); path != "" {
+				return "." + key + path
 			}
 		}
 	case []any:
@@ -167,15 +167,16 @@
 		}
 		common := commonKeys(have)
 		for _, element := range next {
-			if at := missingKey(common, element); at != "" {
-				return at
+			if path := missingKey(common, element); path != "" {
+				return path
 			}
 		}
 	}
 	return ""
 }
 
-// commonKeys returns what all elements of a list have, if they are objects.
+// commonKeys returns an object with the keys that all elements of a list share, or nil if
+// not all are objects.
 func commonKeys(list []any) any {
 	var common map[string]any
 	for _, element := range list {
@@ -186,7 +187,7 @@
 		if common == nil {
 			common = maps.Clone(object)
 		}
-		maps.DeleteFunc(common, func(key string, _ any) bool { _, there := object[key]; return !there })
+		maps.DeleteFunc(common, func(key string, _ any) bool { _, present := object[key]; return !present })
 	}
 	if common == nil {
 		return nil
@@ -194,7 +195,7 @@
 	return common
 }
 
-// check finds what a gateway could not run with, before any socket is opened.
+// check reports the first value that a gateway can't run with.
 func (c *Config) check() error {
 	addresses := map[string]string{"listen": c.Listen}
 	for n, address := range c.Registries {
@@ -217,28 +218,30 @@
 	for key, names := range map[string][]string{"class": c.ClassNames, "plan": c.PlanNames} {
 		for i, name := range names {
 			if name == "" || slices.Contains(names[:i], name) {
-				return fmt.Errorf("%s %q: the name is empty or stands twice", key, name)
+				return fmt.Errorf("%s %q: the name is empty or appears twice", key, name)
 			}
 		}
 	}
 	for i, class := range c.Classes {
 		if class.Deadline <= 0 || class.Aim <= 0 {
-			return fmt.Errorf("class %q: aim and deadline must be above 0", c.ClassNames[i])
+			return fmt.Errorf("class %q: aim of %g s and deadline of %g s must be above 0", c.ClassNames[i], class.Aim, class.Deadline)
 		}
 	}
 	switch {
 	case c.MaxAttempts <= 0:
-		return fmt.Errorf("settings: %d attempts are none", c.MaxAttempts)
+		return fmt.Errorf("settings: %d attempts for a request, must be above 0", c.MaxAttempts)
 	case c.Cores <= 0 || c.MemoryMB < minMemoryMB || c.Sockets < minSockets:
-		return fmt.Errorf("limits: %g cores, %d MB and %d sockets are too little", c.Cores, c.MemoryMB, c.Sockets)
+		return fmt.Errorf("limits: %g cores, %d MB and %d sockets; the cores must be above 0, the others at least %d MB and %d sockets",
+			c.Cores, c.MemoryMB, c.Sockets, minMemoryMB, minSockets)
 	case c.BodyMB < 0:
-		return fmt.Errorf("limits: a body of %d MB is none", c.BodyMB)
+		return fmt.Errorf("limits: body_mb of %d must not be negative", c.BodyMB)
 	case c.Fleet < 1 || c.Rank < 0 || c.Rank >= c.Fleet:
-		return fmt.Errorf("settings: rank %d is not among %d gateways", c.Rank, c.Fleet)
+		return fmt.Errorf("settings: rank %d is out of range for a fleet of %d gateways", c.Rank, c.Fleet)
 	case c.Tick <= 0 || c.ConnectTimeout <= 0 || c.KeepAlive <= 0:
-		return errors.New("settings: tick, connect time-out and keep-alive must be above 0")
+		return fmt.Errorf("settings: tick of %g s, connect time-out of %g s and keep-alive of %g s must be above 0",
+			c.Tick, c.ConnectTimeout, c.KeepAlive)
 	case c.Settings.Counter && c.CounterTimeout <= 0:
-		return errors.New("settings: the counter's time-out must be above 0")
+		return fmt.Errorf("settings: counter time-out of %g s must be above 0", c.CounterTimeout)
 	}
 	return c.Scopes.check(len(c.Registries))
 }
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -12,22 +12,22 @@
 // backendConn is a connection to a backend. It carries one request at a time.
 type backendConn struct {
 	net.Conn
-	raw       syscall.RawConn    // to peek at the socket; nil if the connection has none
-	peekFD    func(uintptr) bool // peeks at the socket and sets seen
-	peekErr   error              // result of the last look
-	remaining *io.LimitedReader  // bytes that the response may still have, headers included
-	reader    *bufio.Reader      // reads from left, which reads from the connection
+	raw       syscall.RawConn    // to peek at the socket; nil if unavailable
+	peekFD    func(uintptr) bool // peeks at the socket and sets peekErr
+	peekErr   error              // result of the last peek
+	remaining *io.LimitedReader  // bytes of the response that may still be read, headers included
+	reader    *bufio.Reader      // reads from remaining, which reads from the connection
 	writer    *bufio.Writer
 	framing   framing       // checks that the framing of the response is unambiguous
 	target    *target       // the pool that the connection belongs to
-	idleSince time.Time     // since when it has been idle; zero: in use
-	requests  int           // requests so far, the present one included
-	idleFor   time.Duration // how long it was idle before the present request
+	idleSince time.Time     // zero: in use
+	requests  int           // requests so far, including the current one
+	idleFor   time.Duration // idle time before the current request
 }
 
-// newBackendConn wraps a connection that belongs to the pool home.
-func newBackendConn(conn net.Conn, home *target) *backendConn {
-	c := &backendConn{Conn: conn, writer: bufio.NewWriter(conn), target: home}
+// newBackendConn wraps a connection that belongs to the target.
+func newBackendConn(conn net.Conn, target *target) *backendConn {
+	c := &backendConn{Conn: conn, writer: bufio.NewWriter(conn), target: target}
 	c.remaining = &io.LimitedReader{R: c}
 	c.reader = bufio.NewReader(c.remaining)
 	c.raw = rawConn(conn)
@@ -38,13 +38,13 @@
 	return c
 }
 
-// rawConn returns the means to look at a connection's socket, or nil where there is none.
+// rawConn returns access to a connection's socket, or nil if there is none.
 func rawConn(conn net.Conn) syscall.RawConn {
-	s, ok := conn.(syscall.Conn)
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := s.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return nil
 	}
@@ -59,9 +59,9 @@
 	return n, err
 }
 
-// await waits until the socket is readable and consumes nothing, so that waiting needs
-// no buffer. A socket reports a reset only once: a later read sees the end of the stream
-// instead, so the caller must act on the error that await returns.
+// awaitReadable waits until the socket is readable and consumes nothing, so that waiting
+// needs no buffer. A socket reports a reset only once: a later read sees the end of the stream
+// instead, so the caller must act on the error that awaitReadable returns.
 func (c *backendConn) awaitReadable() error {
 	if c.raw == nil {
 		return nil
@@ -72,8 +72,8 @@
 	return c.peekErr
 }
 
-// peek returns nil if the socket has data or has reached its end, and EAGAIN if it is
-// quiet.
+// peek returns nil if the socket has data or has reached its end, and EAGAIN
+// otherwise.
 func peek(fd uintptr) error {
 	_, err := peekByte(fd)
 	return err
@@ -82,10 +82,10 @@
 // peekByte returns 1 if the socket has data, and 0 at its end. It consumes nothing and does
 // not wait.
 func peekByte(fd uintptr) (n int, err error) {
-	var b [1]byte
+	var buf [1]byte
 	for {
-		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		if err != syscall.EINTR { // which says nothing of the connection
+		n, _, err = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		if err != syscall.EINTR { // says nothing about the connection
 			return n, err
 		}
 	}
@@ -96,11 +96,11 @@
 // the backend has closed ends in a reset, which does not prove that the request had no
 // effect.
 func alive(conn net.Conn) bool {
-	s, ok := conn.(syscall.Conn)
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := s.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -115,8 +115,8 @@
 	return err == nil && quiet
 }
 
-// unreadBytes reports whether bytes have come on a connection that nobody has read yet. It
-// may be called beside a read.
+// hasUnreadBytes reports whether the socket holds bytes that have not been read yet. It may
+// be called during a read.
 func hasUnreadBytes(conn net.Conn) bool {
 	raw := rawConn(conn)
 	if raw == nil {
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -21,39 +21,39 @@
 )
 
 const (
-	laneCount                = 8                // connections to the counter; it holds 32 of a gateway
-	maxQueuedCalls           = 512              // calls that wait on one lane
-	counterIdleLimit         = 5 * time.Second  // well below the 10 s after which the counter closes
-	counterStallTimeout      = 1 * time.Second  // an answer so late is given up with its connection
-	counterIdleCheckInterval = 1 * time.Second  // between looks for idle lanes
-	maxTotalLength           = 64               // bytes of a total
-	maxTTL                   = 60 * time.Second // the counter takes longer ones for this
+	laneCount                = 8                // connections to the counter, which accepts 32 from a gateway
+	maxQueuedCalls           = 512              // on one lane
+	counterIdleLimit         = 5 * time.Second  // the counter closes connections that are idle for 10 s
+	counterStallTimeout      = 1 * time.Second  // for a write, and for a reply to begin
+	counterIdleCheckInterval = 1 * time.Second  // between checks for idle connections
+	maxTotalLength           = 64               // bytes
+	maxTTL                   = 60 * time.Second // the counter caps longer ones at this
 	minTTL                   = time.Millisecond
 	countPath                = "/v1/count/"
-	maxCounterResponse       = 16 << 10 // bytes of an answer with its headers
+	maxCounterResponse       = 16 << 10 // bytes, headers included
 )
 
-// call is one addition on the counter. The loop owns ended.
+// counterCall adds an amount to a total on the counter. The loop owns sent and ended.
 type counterCall struct {
-	name   uint64
+	name   uint64 // of the total
 	amount float64
-	ttl    time.Duration
-	sent   float64
+	ttl    time.Duration // of the total
+	sent   float64       // seconds on the loop's clock
 	ended  bool
 
-	abandoned atomic.Bool // by the loop: not to be written any more
+	abandoned atomic.Bool // set by the loop: the call must not be written any more
 	report    func(*counterCall, rules.Outcome, float64)
 }
 
-// counter makes calls over a few pipelined connections. The calls for one name
-// keep to one connection, so their answers come in the order of the calls.
+// counter makes calls over a few pipelined connections, its lanes. All calls for one name use
+// the same lane, so their replies arrive in the order of the calls.
 type counter struct {
 	endpoint atomic.Pointer[counterEndpoint]
 	lanes    [laneCount]chan *counterCall
 	readers  sync.WaitGroup // one for each connection
 }
 
-// counterPlace is where the counter is and how long a call to it may take.
+// counterEndpoint is the counter's address and the time-out of a call to it.
 type counterEndpoint struct {
 	address string
 	timeout time.Duration
@@ -68,22 +68,22 @@
 	return c
 }
 
-// move sends later calls to another address.
+// setEndpoint sets the address and the time-out of later calls.
 func (c *counter) setEndpoint(address string, timeout time.Duration) {
 	c.endpoint.Store(&counterEndpoint{address, timeout})
 }
 
-// add hands a call over without waiting. It returns false where too many wait.
-func (c *counter) add(k *counterCall) bool {
+// add queues a call without blocking. It returns false if the lane's queue is full.
+func (c *counter) add(call *counterCall) bool {
 	select {
-	case c.lanes[k.name%laneCount] <- k:
+	case c.lanes[call.name%laneCount] <- call:
 		return true
 	default:
 		return false
 	}
 }
 
-// run keeps the lanes until ctx ends.
+// run runs the lanes until ctx ends.
 func (c *counter) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, calls := range c.lanes {
@@ -93,7 +93,7 @@
 	c.readers.Wait()
 }
 
-// lane writes the calls of one channel.
+// runLane writes the calls of one lane until ctx ends.
 func (c *counter) runLane(ctx context.Context, calls <-chan *counterCall) {
 	var conn *counterConn
 	defer func() {
@@ -101,21 +101,21 @@
 			conn.Close()
 		}
 	}()
-	look := time.NewTicker(counterIdleCheckInterval)
-	defer look.Stop()
-	used := time.Now()
+	idleCheck := time.NewTicker(counterIdleCheckInterval)
+	defer idleCheck.Stop()
+	lastUsed := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
-			if conn != nil && time.Since(used) > counterIdleLimit {
+		case <-idleCheck.C:
+			if conn != nil && time.Since(lastUsed) > counterIdleLimit {
 				conn.Close()
 				conn = nil
 			}
-		case k := <-calls:
-			if k.abandoned.Load() {
-				k.report(k, rules.TimedOut, 0) // nobody waits; never written, so never added
+		case call := <-calls:
+			if call.abandoned.Load() {
+				call.report(call, rules.TimedOut, 0) // never written, so never added
 				continue
 			}
 			switch {
@@ -123,7 +123,7 @@
 			case conn.address != c.endpoint.Load().address:
 				conn.drain(c.endpoint.Load().timeout)
 				conn = nil
-			case !conn.usable(used):
+			case !conn.usable(lastUsed):
 				conn.Close()
 				conn = nil
 			}
@@ -131,45 +131,46 @@
 				var err error
 				if conn, err = c.dial(ctx); err != nil {
 					conn = nil
-					k.report(k, rules.ConnectFailed, 0)
+					call.report(call, rules.ConnectFailed, 0)
 					continue
 				}
 			}
-			used = time.Now()
-			conn.send(k)
+			lastUsed = time.Now()
+			conn.send(call)
 		}
 	}
 }
 
-// counterConn is one connection: calls go out in order and so do the answers
-// come. A call that was given up keeps its place, so that its late answer is
-// not taken for the next call's.
+// counterConn is a pipelined connection to the counter: replies arrive in the order of the
+// calls. An abandoned call keeps its place, so that its late reply is not taken for that of
+// the next call.
 type counterConn struct {
 	net.Conn
-	timeout     time.Duration // for the rest of an answer that has begun
+	timeout     time.Duration // for the rest of a reply that has begun
 	address     string
 	failed      atomic.Bool
-	outstanding atomic.Int64      // calls without an answer
-	unanswered  chan *counterCall // written, in order
+	outstanding atomic.Int64      // calls without a reply
+	unanswered  chan *counterCall // calls that were written, in order
 	closeOnce   sync.Once
-	readerDone  chan struct{} // closed when the last answer has come
+	readerDone  chan struct{} // closed when readReplies returns
 }
 
+// dial opens a connection and starts its reader.
 func (c *counter) dial(ctx context.Context) (*counterConn, error) {
-	at := c.endpoint.Load()
-	d := net.Dialer{Timeout: at.timeout, KeepAlive: -1}
-	nc, err := d.DialContext(ctx, "tcp", at.address)
+	endpoint := c.endpoint.Load()
+	dialer := net.Dialer{Timeout: endpoint.timeout, KeepAlive: -1}
+	netConn, err := dialer.DialContext(ctx, "tcp", endpoint.address)
 	if err != nil {
 		return nil, err
 	}
-	conn := &counterConn{Conn: nc, timeout: at.timeout, address: at.address, unanswered: make(chan *counterCall, maxQueuedCalls), readerDone: make(chan struct{})}
+	conn := &counterConn{Conn: netConn, timeout: endpoint.timeout, address: endpoint.address, unanswered: make(chan *counterCall, maxQueuedCalls), readerDone: make(chan struct{})}
 	c.readers.Go(conn.readReplies)
 	return conn, nil
 }
 
-// Close ends the connection, once its reader has reported what is still out:
-// what the next connection answers must come after. Only the lane's writer calls
-// it, so nothing joins waiting afterwards.
+// Close closes the connection and waits until its reader has reported all outstanding calls,
+// so that they end before any call on the next connection. Only the lane's writer calls it,
+// so no further call is written.
 func (c *counterConn) Close() error {
 	c.closeOnce.Do(func() { close(c.unanswered) })
 	err := c.Conn.Close()
@@ -177,66 +178,66 @@
 	return err
 }
 
-// finish ends a connection to an address that is left, once the calls that are
-// out have had their time: the next connection must not be answered before.
-func (c *counterConn) drain(within time.Duration) {
+// drain waits up to the time-out for the replies to outstanding calls, and closes the
+// connection. It is used when the counter's address changes.
+func (c *counterConn) drain(timeout time.Duration) {
 	c.closeOnce.Do(func() { close(c.unanswered) })
-	patience := time.NewTimer(within)
-	defer patience.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-c.readerDone:
-	case <-patience.C:
+	case <-timer.C:
 	}
 	c.Close()
 }
 
-// usable tells whether another call may be written. The counter may close an
-// idle connection sooner than agreed, and a call written then is in doubt.
-func (c *counterConn) usable(used time.Time) bool {
-	return !c.failed.Load() && time.Since(used) <= counterIdleLimit && (c.outstanding.Load() > 0 || alive(c.Conn))
+// usable reports whether another call may be written. The counter may close an idle
+// connection early, and the result of a call that is written then is unknown.
+func (c *counterConn) usable(lastUsed time.Time) bool {
+	return !c.failed.Load() && time.Since(lastUsed) <= counterIdleLimit && (c.outstanding.Load() > 0 || alive(c.Conn))
 }
 
-// call writes one call. Its answer is read only once it stands in the line;
-// where the line is full the connection is stuck.
-func (c *counterConn) send(k *counterCall) {
+// send writes a call and queues it for the reader. The call fails if the queue is full, since
+// the connection has then stalled.
+func (c *counterConn) send(call *counterCall) {
 	if len(c.unanswered) == cap(c.unanswered) {
-		k.report(k, rules.ConnectFailed, 0)
+		call.report(call, rules.ConnectFailed, 0)
 		return
 	}
-	text := fmt.Appendf(nil, "POST %s%016x?add=%s&ttl_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
-		countPath, k.name, strconv.FormatFloat(k.amount, 'f', -1, 64), k.ttl.Milliseconds(), c.address)
+	request := fmt.Appendf(nil, "POST %s%016x?add=%s&ttl_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
+		countPath, call.name, strconv.FormatFloat(call.amount, 'f', -1, 64), call.ttl.Milliseconds(), c.address)
 	c.outstanding.Add(1)
 	c.SetWriteDeadline(time.Now().Add(counterStallTimeout))
-	if _, err := c.Write(text); err != nil {
+	if _, err := c.Write(request); err != nil {
 		// The last byte was not written, so nothing was added.
 		c.failed.Store(true)
-		k.report(k, rules.ConnectFailed, 0)
+		call.report(call, rules.ConnectFailed, 0)
 		return
 	}
-	c.unanswered <- k
+	c.unanswered <- call
 }
 
-// readAll takes the answers in. What is out when the connection ends may have
-// been added.
+// readReplies reads the replies until the connection ends. Calls without a reply by then may
+// have been added.
 func (c *counterConn) readReplies() {
 	defer close(c.readerDone)
-	left := &io.LimitedReader{R: c.Conn}
-	r := bufio.NewReader(left)
-	asked := &http.Request{Method: http.MethodPost}
+	limited := &io.LimitedReader{R: c.Conn}
+	reader := bufio.NewReader(limited)
+	request := &http.Request{Method: http.MethodPost}
 	failed := false
-	for k := range c.unanswered {
+	for call := range c.unanswered {
 		if failed {
-			k.report(k, rules.Broken, 0)
+			call.report(call, rules.Broken, 0)
 			continue
 		}
-		left.N = maxCounterResponse
+		limited.N = maxCounterResponse
 		c.SetReadDeadline(time.Now().Add(counterStallTimeout))
 		outcome, total, err := rules.TimedOut, 0.0, error(nil)
-		switch _, err = r.Peek(1); {
+		switch _, err = reader.Peek(1); {
 		case err == nil:
-			// Danger: an answer that has begun comes whole or never, and all calls behind it wait.
+			// Later calls wait for this reply, so the time for the rest of it is limited.
 			c.SetReadDeadline(time.Now().Add(c.timeout))
-			outcome, total, err = readTotal(r, asked)
+			outcome, total, err = readTotal(reader, request)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			outcome = rules.Broken
 		}
@@ -247,17 +248,16 @@
 			c.Conn.Close()
 		}
 		c.outstanding.Add(-1)
-		k.report(k, outcome, total)
+		call.report(call, outcome, total)
 	}
 }
 
-// readTotal reads an answer that has begun, so the call has had its turn: where
-// no number can be read, and no other status, the amount was added all the same.
-// After an error the connection is of no further use.
-func readTotal(r *bufio.Reader, asked *http.Request) (rules.Outcome, float64, error) {
-	resp, err := http.ReadResponse(r, asked)
+// readTotal reads the rest of a reply. The outcome rules.Errored means that the amount was
+// added but the total is unknown. After an error the connection can't be used any more.
+func readTotal(reader *bufio.Reader, request *http.Request) (rules.Outcome, float64, error) {
+	resp, err := http.ReadResponse(reader, request)
 	if err != nil {
-		return rules.Errored, 0, fmt.Errorf("answer: %w", err)
+		return rules.Errored, 0, fmt.Errorf("reading the reply: %w", err)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxTotalLength+1))
 	resp.Body.Close()
@@ -267,11 +267,11 @@
 	case resp.StatusCode != http.StatusOK:
 		return rules.ConnectFailed, 0, err
 	case err != nil:
-		return rules.Errored, 0, fmt.Errorf("total: %w", err)
+		return rules.Errored, 0, fmt.Errorf("reading the total: %w", err)
 	}
 	total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
 	if err != nil || math.IsNaN(total) || math.IsInf(total, 0) || len(body) > maxTotalLength {
-		return rules.Errored, 0, fmt.Errorf("total: %.20q is no number", body)
+		return rules.Errored, 0, fmt.Errorf("total %.20q is not a finite number of at most %d bytes", body, maxTotalLength)
 	}
 	return rules.Served, total, nil
 }
--- a/internal/gateway/dial.go
+++ b/internal/gateway/dial.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// dial opens a connection to a target within the given time, unless ctx ends or the
-// target is retired first.
-func dial(ctx context.Context, t *target, within time.Duration) (*backendConn, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// dial opens a connection to a target within the time-out, unless ctx ends or the target is
+// retired first.
+func dial(ctx context.Context, target *target, timeout time.Duration) (*backendConn, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	defer context.AfterFunc(t.ctx, cancel)()
-	var d net.Dialer
-	conn, err := d.DialContext(ctx, "tcp", t.address)
+	defer context.AfterFunc(target.ctx, cancel)()
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", target.address)
 	if err != nil {
 		return nil, err
 	}
-	limitSilence(conn) // for peers that vanish without a word
-	return newBackendConn(conn, t), nil
+	limitSilence(conn) // a peer may vanish without closing
+	return newBackendConn(conn, target), nil
 }
 
-// noDescriptor reports whether the system has run out of descriptors or buffers.
+// outOfResources reports whether the system has run out of descriptors or buffers.
 func outOfResources(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
 		errors.Is(err, syscall.ENOMEM)
 }
 
-// localFailure reports whether a dial failed for a reason that lies in this machine or this
-// gateway: it says nothing of the peer, and nothing was sent.
+// localFailure reports whether a dial failed because of this machine or this gateway. Such a
+// failure says nothing about the peer, and nothing was sent.
 func localFailure(err error) bool {
 	return outOfResources(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENETUNREACH) ||
 		errors.Is(err, syscall.ENETDOWN) || errors.Is(err, syscall.EAGAIN)
 }
 
-// waited sleeps for d. It returns false if ctx ends first.
+// sleepFor sleeps for d. It returns false if ctx ends first.
 func sleepFor(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,163 +12,165 @@
 )
 
 const (
-	reservedDescriptors = 64              // descriptors for the counter, discovery, control and the runtime
-	clientFraction      = 0.55            // of the other descriptors, for clients; backends get the rest
-	cachedListDelay     = 3 * time.Second // without discovery, the list known from before has to do
+	reservedDescriptors = 64              // descriptors for the counter, discovery, operators and the runtime
+	clientFraction      = 0.55            // of the other descriptors; backends get the rest
+	cachedListDelay     = 3 * time.Second // without discovery, the gateway is ready with a cached list after this
 )
 
-// Run serves clients until ctx ends, then answers what it holds and returns.
-// Of a configuration that comes later, the settings and the addresses of
-// discovery and of the counter are taken; the rest needs a new start. One that
-// is no good changes nothing.
-func Run(ctx context.Context, c *Config, reloads <-chan Reload) error {
+// Run serves clients until ctx ends, then answers the requests in progress and returns. From
+// a reloaded configuration it applies the settings and the addresses of discovery and of the
+// counter; other changes need a restart. An invalid configuration is logged and ignored.
+func Run(ctx context.Context, config *Config, reloads <-chan Reload) error {
 	var operators net.Listener
-	if c.Control != "" {
+	if config.Control != "" {
 		var err error
-		if operators, err = listenControl(c.Control); err != nil {
+		if operators, err = listenControl(config.Control); err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
 		defer operators.Close()
 	}
-	listener, err := listenClients(c.Listen, c.Inherited)
+	listener, err := listenClients(config.Listen, config.Inherited)
 	if err != nil {
 		return fmt.Errorf("clients: %w", err)
 	}
-	return serve(ctx, c, reloads, listener, operators, newFigures(c))
+	return serve(ctx, config, reloads, listener, operators, newFigures(config))
 }
 
-func serve(ctx context.Context, c *Config, reloads <-chan Reload, listener, operators net.Listener, figures *figures) error {
-	_, backends := splitDescriptors(c.Sockets - reservedDescriptors)
-	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), backends, figures)
-	var calls *counter
-	if c.Settings.Counter {
-		calls = newCounter(c.Counter, seconds(c.CounterTimeout))
+// serve runs a gateway on sockets that are open. Without an address for operators, the
+// operators' listener is nil.
+func serve(ctx context.Context, config *Config, reloads <-chan Reload, listener, operators net.Listener, metrics *figures) error {
+	_, backends := splitDescriptors(config.Sockets - reservedDescriptors)
+	pools := newPools(seconds(config.ConnectTimeout), seconds(config.KeepAlive), backends, metrics)
+	var counter *counter
+	if config.Settings.Counter {
+		counter = newCounter(config.Counter, seconds(config.CounterTimeout))
 	}
-	front := &frontend{figures: figures, clients: newClients(listener, 1)}
-	front.clients.shared = c.Inherited != "" || c.HandoverDir != ""
-	figures.clients = front.clients
-	front.use(figures.service(c.Deployment, c.maxBodyBytes()))
-	front.loop = newLoop(c, front.service.Load(), figures, pools, calls, func() { front.ready.Store(true) })
+	front := &frontend{figures: metrics, clients: newClients(listener, 1)}
+	front.clients.shared = config.Inherited != "" || config.HandoverDir != ""
+	metrics.clients = front.clients
+	front.use(metrics.service(config.Deployment, config.maxBodyBytes()))
+	front.loop = newLoop(config, front.service.Load(), metrics, pools, counter, func() { front.ready.Store(true) })
 
-	inner, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	defer front.loop.attempts.Wait() // after the loop, which starts them, and the sweep, which ends them
+	defer front.loop.attempts.Wait() // after the loop, which starts attempts, and the sweep, which ends them
 	defer wg.Wait()
 	defer stop()
-	limits := &resourceLimits{config: c, apply: func(clients, backends, memory int) {
+	limits := &resourceLimits{config: config, apply: func(clients, backends, memory int) {
 		front.clients.limit(clients)
 		pools.setMaxOpen(backends)
-		figures.bodies.limit(memory)
+		metrics.bodies.limit(memory)
 	}}
 	limits.setPaired(false)
-	pair := &handover{loop: front.loop, oldest: make(chan struct{}), paired: limits.setPaired}
-	front.loop.receive(listUpdate{listing: c.Scopes.cached(c.Known), kind: rules.CachedList})
-	if c.HandoverDir != "" {
-		before, err := pair.join(ctx, c.HandoverDir)
+	handover := &handover{loop: front.loop, oldest: make(chan struct{}), paired: limits.setPaired}
+	front.loop.receive(listUpdate{listing: config.Scopes.cached(config.Known), kind: rules.CachedList})
+	if config.HandoverDir != "" {
+		imported, err := handover.join(ctx, config.HandoverDir)
 		if err != nil {
 			slog.Error("starting without state", "error", err)
 		}
-		if before != nil {
-			front.loop.importState(before)
-			slog.Info("state imported", "backends", len(before.Rules.Backends), "customers", len(before.Rules.Customers))
-			front.ready.Store(len(before.Listing.Instances) > 0)
+		if imported != nil {
+			front.loop.importState(imported)
+			slog.Info("state imported", "backends", len(imported.Rules.Backends), "customers", len(imported.Rules.Customers))
+			front.ready.Store(len(imported.Listing.Instances) > 0)
 		}
 		wg.Go(func() {
-			if err := pair.serve(inner, c.HandoverDir); err != nil {
+			if err := handover.serve(runCtx, config.HandoverDir); err != nil {
 				slog.Error("no later process can take over", "error", err)
 			}
 		})
-		defer pair.close()
+		defer handover.close()
 	}
-	wg.Go(func() { front.loop.run(inner) })
-	wg.Go(func() { pools.sweep(inner) })
-	if calls != nil {
-		wg.Go(func() { calls.run(inner) })
+	wg.Go(func() { front.loop.run(runCtx) })
+	wg.Go(func() { pools.sweep(runCtx) })
+	if counter != nil {
+		wg.Go(func() { counter.run(runCtx) })
 	}
-	members, err := newMembers(c, front.loop)
+	members, err := newMembers(config, front.loop)
 	if err != nil {
 		return err
 	}
-	follow := newListFollower(c, front.loop)
-	var stands *standing
+	follower := newListFollower(config, front.loop)
+	var connectivity *standing
 	if members != nil {
-		present, gone := context.WithCancel(ctx) // a gateway that takes no more clients has left
-		defer gone()
-		wg.Go(func() { members.Run(present) })
-		var lists func() time.Duration
-		if follow.services != nil {
-			lists = follow.services.Age
+		memberCtx, leave := context.WithCancel(ctx) // a gateway that takes no more clients leaves
+		defer leave()
+		wg.Go(func() { members.Run(memberCtx) })
+		var listAge func() time.Duration
+		if follower.services != nil {
+			listAge = follower.services.Age
 		}
-		stands = newStanding(members, lists, front.loop.contact, time.Now())
-		wg.Go(func() { stands.run(present) })
+		connectivity = newStanding(members, listAge, front.loop.contact, time.Now())
+		wg.Go(func() { connectivity.run(memberCtx) })
 	}
-	inForce := c
-	wg.Go(func() { follow.run(inner) })
+	active := config
+	wg.Go(func() { follower.run(runCtx) })
 	wg.Go(func() {
 		for {
 			select {
-			case <-inner.Done():
+			case <-runCtx.Done():
 				return
-			case r := <-reloads:
-				next := &r.Config
-				if r.Err == nil {
-					r.Err = inForce.checkReload(next)
+			case reload := <-reloads:
+				next := &reload.Config
+				if reload.Err == nil {
+					reload.Err = active.checkReload(next)
 				}
-				if r.Err != nil {
-					figures.loadErrors.Add(1)
-					slog.Error("not reloaded", "error", r.Err)
+				if reload.Err != nil {
+					metrics.loadErrors.Add(1)
+					slog.Error("not reloaded", "error", reload.Err)
 					continue
 				}
-				figures.loads.Add(1)
+				metrics.loads.Add(1)
 				slog.Info("reloaded", "discovery", next.Discovery, "counter", next.Counter,
 					"deployment", fmt.Sprintf("%+v", next.Deployment))
-				in := figures.service(next.Deployment, next.maxBodyBytes())
+				service := metrics.service(next.Deployment, next.maxBodyBytes())
 				pools.setTimeouts(seconds(next.ConnectTimeout), seconds(next.KeepAlive))
-				front.loop.post(settingsChanged{in, next.Scopes.subset})
-				front.use(in) // the loop knows it before any request that is read under it
-				if calls != nil {
-					calls.setEndpoint(next.Counter, seconds(next.CounterTimeout))
+				front.loop.post(settingsChanged{service, next.Scopes.subset})
+				front.use(service) // after the loop, which must know it before any request that is read under it
+				if counter != nil {
+					counter.setEndpoint(next.Counter, seconds(next.CounterTimeout))
 				}
-				follow.move(inner, next)
+				follower.move(runCtx, next)
 				limits.setConfig(next)
-				inForce = next
+				active = next
 			}
 		}
 	})
-	known := time.AfterFunc(cachedListDelay, func() {
-		if len(c.Known.Instances) > 0 {
+	cachedListTimer := time.AfterFunc(cachedListDelay, func() {
+		if len(config.Known.Instances) > 0 {
 			front.ready.Store(true)
 		}
 	})
-	defer known.Stop()
+	defer cachedListTimer.Stop()
 
 	server := front.server()
-	failed := make(chan error, 2) // one for each server
-	wg.Go(func() { failed <- server.Serve(front.clients) })
-	pair.serving()
+	serverErrors := make(chan error, 2) // one for each server
+	wg.Go(func() { serverErrors <- server.Serve(front.clients) })
+	handover.serving()
 	if operators != nil {
-		call := (&control{figures: figures, ready: front.takesClients, byHand: pair.byHand, members: stands, loop: front.loop, beside: pair.beside}).server()
-		wg.Go(func() { failed <- call.Serve(newSteadyListener(operators, "operators")) })
-		defer call.Close() // they may call until the end
+		operatorServer := (&control{figures: metrics, ready: front.takesClients, byHand: handover.byHand, members: connectivity, loop: front.loop, beside: handover.beside}).server()
+		wg.Go(func() { serverErrors <- operatorServer.Serve(newSteadyListener(operators, "operators")) })
+		defer operatorServer.Close() // operators may call until the end
 	}
 	select {
-	case err := <-failed:
+	case err := <-serverErrors:
 		return fmt.Errorf("clients: %w", err)
 	case <-ctx.Done():
 	}
-	return shutdown(front, server, pair)
+	return shutdown(front, server, handover)
 }
 
-// limits shares out what the configuration allows, all of it to a process that is
-// alone, and half of it to one of two.
+// resourceLimits divides the descriptors and the memory that the configuration allows. While
+// two processes of a gateway run, each gets half.
 type resourceLimits struct {
-	apply func(clients, backends, memory int)
+	apply func(clients, backends, memory int) // limits of connections, and bytes for bodies
 
 	mu     sync.Mutex
 	config *Config
 	paired bool
 }
 
+// setPaired sets whether a sibling process runs.
 func (l *resourceLimits) setPaired(paired bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,13 +178,15 @@
 	l.divide()
 }
 
-func (l *resourceLimits) setConfig(c *Config) {
+// setConfig sets the configuration that the limits come from.
+func (l *resourceLimits) setConfig(config *Config) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.config = c
+	l.config = config
 	l.divide()
 }
 
+// divide applies the limits of this process. The caller holds mu.
 func (l *resourceLimits) divide() {
 	sockets, memory := l.config.Sockets-reservedDescriptors, l.config.MemoryMB
 	if l.paired {
@@ -192,10 +196,11 @@
 	l.apply(min(clients, memory<<20/connShare/connMemory), backends, bodyMemory(memory))
 }
 
-// split divides descriptors between clients and backends.
+// splitDescriptors divides descriptors between clients and backends.
 func splitDescriptors(sockets int) (clients, backends int) {
 	clients = int(float64(sockets) * clientFraction)
 	return clients, sockets - clients
 }
 
+// seconds converts seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -10,9 +10,9 @@
 	"dunlintray/internal/registry"
 )
 
-// Hollow is a gateway without clients, for scale runs: it follows the list services, feeds
-// the decision module and takes part in the membership as a gateway does, and opens
-// no connection to a backend or to the counter. Many fit into one process.
+// Hollow is a gateway without clients, for scale runs. It follows the service registries,
+// feeds the decision module and takes part in the membership as a gateway does, but opens no
+// connection to a backend or to the counter. A process can run many of them.
 type Hollow struct {
 	loop         *Loop
 	pools        *pools
@@ -23,38 +23,37 @@
 
 var errNoRegistries = errors.New("registries: a gateway without clients follows list services")
 
-// NewHollow makes a gateway of the text of a configuration. It reads the scopes in place of
-// those of the configuration, if there are any: they may be of several services, as a
-// gateway with routes by service would read them. Each answer of the list services that
-// tells something new goes to observe, from a goroutine of the gateway, before the gateway
-// takes it in.
+// NewHollow returns a gateway for the text of a configuration, which must name registries.
+// If scopes is not empty, it replaces the scopes of the configuration and may span several
+// services. The gateway passes each answer of a service registry that has changes to observe,
+// from one of its goroutines, before it applies the answer.
 func NewHollow(config []byte, scopes []registry.Scope, observe func(registry.Told)) (*Hollow, error) {
-	c, err := parseConfig(config)
+	parsed, err := parseConfig(config)
 	if err != nil {
 		return nil, err
 	}
-	if len(c.Registries) == 0 {
+	if len(parsed.Registries) == 0 {
 		return nil, errNoRegistries
 	}
-	c.observe = observe
-	figures := newFigures(&c)
-	_, backends := splitDescriptors(c.Sockets - reservedDescriptors)
-	h := &Hollow{pools: newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), backends, figures)}
-	h.loop = newLoop(&c, figures.service(c.Deployment, c.maxBodyBytes()), figures, h.pools, nil, func() {})
-	h.follower = newListFollower(&c, h.loop)
+	parsed.observe = observe
+	metrics := newFigures(&parsed)
+	_, backends := splitDescriptors(parsed.Sockets - reservedDescriptors)
+	hollow := &Hollow{pools: newPools(seconds(parsed.ConnectTimeout), seconds(parsed.KeepAlive), backends, metrics)}
+	hollow.loop = newLoop(&parsed, metrics.service(parsed.Deployment, parsed.maxBodyBytes()), metrics, hollow.pools, nil, func() {})
+	hollow.follower = newListFollower(&parsed, hollow.loop)
 	if len(scopes) > 0 {
-		h.follower.services.SetScopes(scopes)
+		hollow.follower.services.SetScopes(scopes)
 	}
-	if h.members, err = newMembers(&c, h.loop); err != nil {
+	if hollow.members, err = newMembers(&parsed, hollow.loop); err != nil {
 		return nil, err
 	}
-	if h.members != nil {
-		h.connectivity = newStanding(h.members, h.follower.services.Age, h.loop.contact, time.Now())
+	if hollow.members != nil {
+		hollow.connectivity = newStanding(hollow.members, hollow.follower.services.Age, hollow.loop.contact, time.Now())
 	}
-	return h, nil
+	return hollow, nil
 }
 
-// Run works until ctx ends.
+// Run runs the gateway until ctx ends.
 func (h *Hollow) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -67,8 +66,8 @@
 	}
 }
 
-// Backends returns what the gateway holds of the list. It is empty once the gateway
-// has ended.
+// Backends returns the list that the gateway has applied. The view is empty once Run has
+// returned.
 func (h *Hollow) Backends() BackendsView {
 	view := make(chan BackendsView, 1)
 	if !h.loop.post(backendsViewRequest{backendsQuery{all: true}, view}) {
@@ -82,7 +81,7 @@
 	}
 }
 
-// Members returns who is present by this gateway's view; without membership, ok is false.
+// Members returns this gateway's view of the membership. Without membership, ok is false.
 func (h *Hollow) Members() (view membership.View, ok bool) {
 	if h.members == nil {
 		return membership.View{}, false
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -10,97 +10,100 @@
 	"dunlintray/rules"
 )
 
-// BackendsView is what operators are told of the list that a gateway has applied, and of
-// its work at each backend.
+// BackendsView is the answer to GET /control/backends: the list that a gateway has applied,
+// and its work at each backend.
 type BackendsView struct {
 	Name    string `json:"name"`
-	Rank    int    `json:"rank"`              // among Fleet, by its settings
-	Fleet   int    `json:"fleet"`             // gateways
-	History string `json:"history,omitempty"` // of the version; discovery names none
+	Rank    int    `json:"rank"`              // among the gateways of the fleet, from 0
+	Fleet   int    `json:"fleet"`             // number of gateways
+	History string `json:"history,omitempty"` // identifies the sequence of versions; empty with discovery
 	Version int64  `json:"version"`
-	// Beside says that another process of this gateway runs, whose work is not in here.
+	// SiblingRunning reports that another process of this gateway runs. Its work is not
+	// included.
 	SiblingRunning bool          `json:"beside,omitempty"`
 	Backends       []BackendWork `json:"backends"`
 }
 
 // BackendWork is the work at one backend.
 type BackendWork struct {
-	ID         string             `json:"id,omitempty"` // none: it is not on the list any more
-	Number     uint32             `json:"number"`       // by which gateways know it, see BackendNumber
+	ID         string             `json:"id,omitempty"` // empty if it is no longer on the list
+	Number     uint32             `json:"number"`       // see BackendNumber
 	Lifecycle  registry.Lifecycle `json:"lifecycle"`
-	InFlight   int                `json:"inFlight"`         // attempts that are not over
-	Overridden bool               `json:"byHand,omitempty"` // out by a call to this gateway
+	InFlight   int                `json:"inFlight"`         // attempts in flight
+	Overridden bool               `json:"byHand,omitempty"` // taken offline by an operator at this gateway
 }
 
-// BackendNumber is by which number gateways know a backend.
+// BackendNumber returns the number that gateways derive from a backend's id.
 func BackendNumber(id string) uint32 { return uint32(backendID(id)) }
 
-// backendsQuery is which backends a view is about.
+// backendsQuery selects the backends of a view.
 type backendsQuery struct {
 	all    bool
-	number rules.BackendID // of the one, where not all are asked for
+	number rules.BackendID // of the only backend, unless all is set
 }
 
-// includes reports whether the view has a backend.
+// includes reports whether the query selects a backend.
 func (q backendsQuery) includes(number rules.BackendID) bool { return q.all || q.number == number }
 
-// readBackendsQuery reads the call's "backend", the name of the one that it asks for.
+// readBackendsQuery reads the query parameter "backend", a backend's id. Without it the query
+// selects all backends.
 func readBackendsQuery(r *http.Request) backendsQuery {
-	names := r.URL.Query()
-	if !names.Has("backend") {
+	values := r.URL.Query()
+	if !values.Has("backend") {
 		return backendsQuery{all: true}
 	}
-	return backendsQuery{number: backendID(names.Get("backend"))}
+	return backendsQuery{number: backendID(values.Get("backend"))}
 }
 
-// backends collects the view. It looks through all that is out when it is asked, so that
-// nothing has to be counted before.
-func (l *Loop) backendsView(q backendsQuery) BackendsView {
-	v := BackendsView{Name: l.name, Rank: l.service.Rank, Fleet: l.service.Fleet, History: l.listHistory, Version: l.listVersion, Backends: []BackendWork{}}
-	held := map[rules.BackendID]*BackendWork{}
-	for id, i := range l.instances {
-		if !q.includes(id) {
+// backendsView returns the view. It counts the attempts in flight on demand.
+func (l *Loop) backendsView(query backendsQuery) BackendsView {
+	view := BackendsView{Name: l.name, Rank: l.service.Rank, Fleet: l.service.Fleet, History: l.listHistory, Version: l.listVersion, Backends: []BackendWork{}}
+	work := map[rules.BackendID]*BackendWork{}
+	for id, instance := range l.instances {
+		if !query.includes(id) {
 			continue
 		}
-		held[id] = &BackendWork{ID: i.ID, Number: uint32(id), Lifecycle: i.Lifecycle, Overridden: l.offline[id]}
+		work[id] = &BackendWork{ID: instance.ID, Number: uint32(id), Lifecycle: instance.Lifecycle, Overridden: l.offline[id]}
 	}
-	for _, x := range l.live {
-		for _, a := range x.attempts {
-			if a.ended || !q.includes(a.backend) {
+	for _, exchange := range l.live {
+		for _, attempt := range exchange.attempts {
+			if attempt.ended || !query.includes(attempt.backend) {
 				continue
 			}
-			w := held[a.backend]
-			if w == nil { // it has left the list meanwhile
-				w = &BackendWork{Number: uint32(a.backend), Lifecycle: registry.Gone}
-				held[a.backend] = w
+			entry := work[attempt.backend]
+			if entry == nil { // it has left the list
+				entry = &BackendWork{Number: uint32(attempt.backend), Lifecycle: registry.Gone}
+				work[attempt.backend] = entry
 			}
-			w.InFlight++
+			entry.InFlight++
 		}
 	}
-	for _, w := range held {
-		v.Backends = append(v.Backends, *w)
+	for _, entry := range work {
+		view.Backends = append(view.Backends, *entry)
 	}
-	slices.SortFunc(v.Backends, func(a, b BackendWork) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Number, b.Number)) })
-	return v
+	slices.SortFunc(view.Backends, func(a, b BackendWork) int {
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Number, b.Number))
+	})
+	return view
 }
 
-// backendsHandler answers operators.
-func backendsHandler(l *Loop, beside func() bool) http.HandlerFunc {
+// backendsHandler serves BackendsView to operators.
+func backendsHandler(loop *Loop, siblingRunning func() bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// A process that comes beside this one later has the list that this one has.
-		also := beside()
-		view := make(chan BackendsView, 1)
-		if !l.post(backendsViewRequest{readBackendsQuery(r), view}) {
-			http.Error(w, "this gateway ends", http.StatusServiceUnavailable)
+		// A sibling that starts later begins with the list of this process.
+		runningBefore := siblingRunning()
+		reply := make(chan BackendsView, 1)
+		if !loop.post(backendsViewRequest{readBackendsQuery(r), reply}) {
+			http.Error(w, "the gateway is shutting down", http.StatusServiceUnavailable)
 			return
 		}
 		select {
-		case v := <-view:
-			v.SiblingRunning = also || beside()
+		case view := <-reply:
+			view.SiblingRunning = runningBefore || siblingRunning()
 			w.Header().Set("Content-Type", "application/json")
-			json.NewEncoder(w).Encode(v)
-		case <-l.stopped:
-			http.Error(w, "this gateway ends", http.StatusServiceUnavailable)
+			json.NewEncoder(w).Encode(view)
+		case <-loop.stopped:
+			http.Error(w, "the gateway is shutting down", http.StatusServiceUnavailable)
 		}
 	}
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,30 +17,29 @@
 
 const (
 	inboxSize        = 1024
-	responseMargin   = 0.005 // seconds kept of a deadline for the way to the client, the loop and the write
-	timeoutTolerance = 0.001 // a cancel so close before an attempt's time-out is one
+	responseMargin   = 0.005 // seconds of a deadline reserved for delivering the response
+	timeoutTolerance = 0.001 // seconds; a cancel this close to the attempt's deadline counts as a time-out
 
-	// So many of the stated time-outs the counter's answer is waited for.
-	//
-	// Danger: it comes, however late, once the call has had its turn. What a call
-	// that was given up has added is missing to all gateways for the window.
+	// counterTimeoutFactor is the number of counter time-outs that the loop waits for a
+	// reply. A counter under load replies late, and units added by an abandoned call are
+	// lost to all gateways for the rest of the window.
 	counterTimeoutFactor = 4
 )
 
-// What sockets tell the loop.
+// Messages to the loop.
 type (
 	requestArrived struct{ exchange *exchange }
 	clientGone     struct{ exchange *exchange }
-	bodyComplete   struct { // the rest of a body has come
+	bodyComplete   struct { // the last byte of a streamed request body has arrived
 		exchange *exchange
-		deadline time.Time
+		deadline time.Time // of the request
 	}
-	responseStarted struct { // an answer is let go
+	responseStarted struct { // the head of a response is ready to be streamed to the client
 		attempt  *attempt
 		response answer
-		accepted chan<- bool // has room for one
+		accepted chan<- bool // buffered
 	}
-	interimResponse struct { // an answer before the answer
+	interimResponse struct { // a 1xx response
 		attempt  *attempt
 		response answer
 	}
@@ -53,12 +52,12 @@
 		outcome rules.Outcome
 		total   float64
 	}
-	operatorOverride struct {
+	operatorOverride struct { // an operator takes a backend offline or online
 		id      string
 		offline bool
-		known   chan<- bool // has room for one
+		known   chan<- bool // buffered
 	}
-	moduleEvent     struct{ event rules.Event } // news of this process or the one beside it
+	moduleEvent     struct{ event rules.Event } // an event of this process or its sibling
 	snapshotRequest struct{ snapshot chan<- snapshot }
 	settingsChanged struct {
 		service *service
@@ -66,17 +65,17 @@
 	}
 	backendsViewRequest struct {
 		query backendsQuery
-		view  chan<- BackendsView // has room for one
+		view  chan<- BackendsView // buffered
 	}
 	listUpdate struct {
 		listing Listing
 		kind    rules.ListKind
-		history string // of its version, where it has a name
+		history string // identifies the sequence of versions; may be empty
 	}
 )
 
-// Loop is the one owner of the decision module. All that happens comes to it
-// in order; it runs the module's actions and waits for no socket.
+// Loop owns the decision module. It receives all events in order, carries out the module's
+// actions and never blocks on a socket.
 type Loop struct {
 	clock         clock
 	service       *service
@@ -84,60 +83,61 @@
 	gateway       *rules.Gateway
 	pools         *pools
 	counter       *counter
-	contact       *contact // with the counter; nil where nobody watches it
-	onListApplied func()
-	resubscribe   chan struct{} // the module wants discovery asked again
+	contact       *contact      // with the counter; nil if membership is off
+	onListApplied func()        // called after each list that is not a cached one
+	resubscribe   chan struct{} // the module wants discovery called again
 
 	inbox    chan any
-	stopped  chan struct{}  // closed when run ends
-	attempts sync.WaitGroup // those that use sockets
+	stopped  chan struct{}  // closed when run returns
+	attempts sync.WaitGroup // attempts that use sockets
 
 	live           map[rules.RequestID]*exchange // until the last attempt has ended
 	nextID         rules.RequestID
-	instances      map[rules.BackendID]Instance // on the list
+	instances      map[rules.BackendID]Instance // on the current list
 	name           string                       // of the gateway
 	listHistory    string                       // of the list that was applied last
 	listVersion    int64
-	subset         *backendSubset           // of the list that it is told; nil: all of it is used
-	offline        map[rules.BackendID]bool // by hand, as this process has heard
-	offlineOutside map[string]bool          // of the subset, and out by hand
+	subset         *backendSubset           // nil: all listed backends are used
+	offline        map[rules.BackendID]bool // operator overrides that this process knows
+	offlineOutside map[string]bool          // backends outside the subset that an operator has taken offline
 	exportedState  rules.Snapshot
 	timers         timerHeap
 	actions        []rules.Action
-	pendingEvents  []rules.Event // events that actions brought about
+	pendingEvents  []rules.Event // events that actions caused
 
-	traceLines       int     // lines about single requests
-	traceWindowStart float64 // in the second from here on
-	maxLag           float64 // most that a timer came late since lagAt
+	traceLines       int     // lines about single requests since traceWindowStart
+	traceWindowStart float64 // start of the current second of traceLines
+	maxLag           float64 // seconds; largest timer delay since lagLoggedAt
 	lagLoggedAt      float64
 }
 
-func newLoop(c *Config, s *service, f *figures, p *pools, k *counter, onListed func()) *Loop {
-	l := &Loop{clock: newClock(), service: s, metrics: f, pools: p, counter: k, onListApplied: onListed,
+func newLoop(config *Config, service *service, metrics *figures, pools *pools, counter *counter, onListApplied func()) *Loop {
+	loop := &Loop{clock: newClock(), service: service, metrics: metrics, pools: pools, counter: counter, onListApplied: onListApplied,
 		resubscribe: make(chan struct{}, 1), inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
-		live: map[rules.RequestID]*exchange{}, instances: map[rules.BackendID]Instance{}, name: c.Name, offline: map[rules.BackendID]bool{}}
-	if c.Members.Membership {
-		l.contact = &contact{}
+		live: map[rules.RequestID]*exchange{}, instances: map[rules.BackendID]Instance{}, name: config.Name, offline: map[rules.BackendID]bool{}}
+	if config.Members.Membership {
+		loop.contact = &contact{}
 	}
-	if l.subset = newBackendSubset(c.Name, c.Scopes.subset, f.subset); l.subset != nil {
-		l.offlineOutside = map[string]bool{}
+	if loop.subset = newBackendSubset(config.Name, config.Scopes.subset, metrics.subset); loop.subset != nil {
+		loop.offlineOutside = map[string]bool{}
 	}
-	l.gateway, l.actions = rules.New(c.Settings, c.Seed, l.clock.now(), nil)
-	l.execute(l.actions)
-	return l
+	loop.gateway, loop.actions = rules.New(config.Settings, config.Seed, loop.clock.now(), nil)
+	loop.execute(loop.actions)
+	return loop
 }
 
-// post tells the loop something. It returns false once the loop has ended.
-func (l *Loop) post(m any) bool {
+// post sends the loop a message. It returns false once the loop has ended.
+func (l *Loop) post(message any) bool {
 	select {
-	case l.inbox <- m:
+	case l.inbox <- message:
 		return true
 	case <-l.stopped:
 		return false
 	}
 }
 
-// byHand hands on an operator's word and waits until the module has it.
+// override applies an operator override and waits until the decision module has it. It
+// returns false if the backend is unknown or the loop has ended.
 func (l *Loop) override(id string, offline bool) (known bool) {
 	done := make(chan bool, 1)
 	if !l.post(operatorOverride{id, offline, done}) {
@@ -150,11 +150,11 @@
 	return known
 }
 
-// turnedAway tells the module that discovery has turned a call away, and returns
-// when it wants the next one made.
+// awaitListRetry reports to the decision module that discovery refused a call, and returns
+// when the module wants the next call.
 func (l *Loop) awaitListRetry(ctx context.Context) {
 	select {
-	case <-l.resubscribe: // of before
+	case <-l.resubscribe: // left from an earlier call
 	default:
 	}
 	l.post(listUpdate{kind: rules.ListFailed})
@@ -165,85 +165,86 @@
 	}
 }
 
-// run works until ctx ends.
+// run processes messages and timers until ctx ends.
 func (l *Loop) run(ctx context.Context) {
 	defer close(l.stopped)
-	timer := time.NewTimer(0)
-	defer timer.Stop()
+	wakeup := time.NewTimer(0)
+	defer wakeup.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-l.inbox:
-			l.dispatch(m)
-		case <-timer.C:
+		case message := <-l.inbox:
+			l.dispatch(message)
+		case <-wakeup.C:
 		}
 		now := l.clock.now()
 		for len(l.timers) > 0 && (l.timers[0].at <= now || l.obsolete(l.timers[0])) {
-			if t := heap.Pop(&l.timers).(timerEntry); !l.obsolete(t) {
-				l.recordLag(now - t.at)
-				l.fire(t)
+			if timer := heap.Pop(&l.timers).(timerEntry); !l.obsolete(timer) {
+				l.recordLag(now - timer.at)
+				l.fire(timer)
 			}
 		}
 		if len(l.timers) > 0 {
-			timer.Reset(time.Until(l.clock.at(l.timers[0].at)))
+			wakeup.Reset(time.Until(l.clock.at(l.timers[0].at)))
 		}
 	}
 }
 
-func (l *Loop) dispatch(m any) {
-	switch m := m.(type) {
+// dispatch handles one message.
+func (l *Loop) dispatch(message any) {
+	switch message := message.(type) {
 	case requestArrived:
-		l.arrive(m.exchange)
+		l.arrive(message.exchange)
 	case clientGone:
-		if m.exchange.open {
-			l.trace(m.exchange, "client left")
-			l.abandon(m.exchange)
+		if message.exchange.open {
+			l.trace(message.exchange, "client left")
+			l.abandon(message.exchange)
 		}
-		m.exchange.abandon(&l.metrics.bodies) // its handler has gone
+		message.exchange.abandon(&l.metrics.bodies) // its handler has returned
 	case bodyComplete:
-		l.completeBody(m.exchange, m.deadline)
+		l.completeBody(message.exchange, message.deadline)
 	case responseStarted:
-		m.accepted <- l.startResponse(m.attempt, m.response)
+		message.accepted <- l.startResponse(message.attempt, message.response)
 	case interimResponse:
-		if x := m.attempt.exchange; x.open && !x.begun && !m.attempt.ended && len(x.reply) == 0 {
-			x.reply <- m.response // the place behind it is that of the final one
+		if exchange := message.attempt.exchange; exchange.open && !exchange.begun && !message.attempt.ended && len(exchange.reply) == 0 {
+			exchange.reply <- message.response // the second slot is reserved for the final response
 		}
 	case attemptDone:
-		if x := m.attempt.exchange; m.result.bodyErr != nil && x.open && !x.begun {
-			x.reply <- answer{status: uploadStatus(m.result.bodyErr)}
-			l.abandon(x)
+		if exchange := message.attempt.exchange; message.result.bodyErr != nil && exchange.open && !exchange.begun {
+			exchange.reply <- answer{status: uploadStatus(message.result.bodyErr)}
+			l.abandon(exchange)
 		}
-		l.endAttempt(m.attempt, m.result)
+		l.endAttempt(message.attempt, message.result)
 	case counterCallDone:
-		l.endCounterCall(m.call, m.outcome, m.total)
+		l.endCounterCall(message.call, message.outcome, message.total)
 	case moduleEvent:
-		l.handle(m.event)
+		l.handle(message.event)
 	case snapshotRequest:
-		m.snapshot <- l.exportState()
+		message.snapshot <- l.exportState()
 	case operatorOverride:
-		m.known <- l.applyOverride(m.id, m.offline)
+		message.known <- l.applyOverride(message.id, message.offline)
 	case settingsChanged:
-		l.service = m.service
+		l.service = message.service
 		l.handle(rules.Retune{Settings: l.settings()})
-		l.resizeSubset(m.subset)
+		l.resizeSubset(message.subset)
 	case listUpdate:
-		if m.kind == rules.ListFailed {
-			l.handle(rules.Backends{Kind: m.kind})
+		if message.kind == rules.ListFailed {
+			l.handle(rules.Backends{Kind: message.kind})
 			break
 		}
-		l.receive(m)
-		l.listHistory, l.listVersion = m.history, m.listing.Generation
+		l.receive(message)
+		l.listHistory, l.listVersion = message.history, message.listing.Generation
 	case backendsViewRequest:
-		m.view <- l.backendsView(m.query)
+		message.view <- l.backendsView(message.query)
 	}
 }
 
-// handle gives the module an event, and then what its actions brought about.
-func (l *Loop) handle(ev rules.Event) {
-	l.pendingEvents = append(l.pendingEvents, ev)
+// handle passes an event to the decision module, and then the events that its actions cause.
+func (l *Loop) handle(event rules.Event) {
+	l.pendingEvents = append(l.pendingEvents, event)
 	if len(l.pendingEvents) > 1 {
-		return // an outer call is at it
+		return // an outer call handles it
 	}
 	for n := 0; n < len(l.pendingEvents); n++ {
 		l.actions = l.gateway.Handle(l.clock.now(), l.pendingEvents[n], l.actions[:0])
@@ -253,39 +254,38 @@
 	l.pendingEvents = l.pendingEvents[:0]
 }
 
-// arrive gives a request an id of its own and hands it to the module.
-func (l *Loop) arrive(x *exchange) {
-	if x.service != l.service && !l.carryOver(x) {
-		x.counts.dropped.Add(1)
-		x.reply <- answer{status: http.StatusServiceUnavailable}
+// arrive gives a request an unused id and passes it to the decision module.
+func (l *Loop) arrive(exchange *exchange) {
+	if exchange.service != l.service && !l.carryOver(exchange) {
+		exchange.counts.dropped.Add(1)
+		exchange.reply <- answer{status: http.StatusServiceUnavailable}
 		return
 	}
 	if l.service.MaxOpen > 0 && len(l.live) >= l.service.MaxOpen {
-		x.counts.dropped.Add(1)
-		x.reply <- answer{status: http.StatusServiceUnavailable} // nothing was sent for it
+		exchange.counts.dropped.Add(1)
+		exchange.reply <- answer{status: http.StatusServiceUnavailable} // nothing has been sent to a backend
 		return
 	}
-	for taken := true; taken; _, taken = l.live[l.nextID] {
-		l.nextID = max(l.nextID+1, 1) // 0 stands for no request
+	for inUse := true; inUse; _, inUse = l.live[l.nextID] {
+		l.nextID = max(l.nextID+1, 1) // 0 means no request
 	}
-	x.ask.ID, x.open, x.queued = l.nextID, true, l.clock.now()-x.ask.Sent
-	l.live[x.ask.ID] = x
-	if !x.ask.Open {
-		l.accept(x)
+	exchange.ask.ID, exchange.open, exchange.queued = l.nextID, true, l.clock.now()-exchange.ask.Sent
+	l.live[exchange.ask.ID] = exchange
+	if !exchange.ask.Open {
+		l.accept(exchange)
 	}
-	l.handle(x.ask)
+	l.handle(exchange.ask)
 }
 
-// enter counts a request whose last byte has come.
+// accept counts a request whose last byte has arrived as in progress.
 func (l *Loop) accept(x *exchange) {
 	x.taken = true
 	l.metrics.inProgress.Add(1)
 }
 
-// shut ends what an exchange is owed.
-//
-// Danger: where the settings allow no cancel, the module leaves its attempts out.
-// One whose connection is not up yet would begin for nobody.
+// finish marks an exchange as answered. It cancels attempts that are still dialing: if the
+// settings allow no cancellation, the decision module leaves attempts in flight, and one
+// that is not connected yet would run without a client.
 func (l *Loop) finish(x *exchange) {
 	if x.open = false; x.taken {
 		l.metrics.inProgress.Add(-1)
@@ -297,184 +297,187 @@
 	}
 }
 
-// forsake ends a request whose client has left, or has sent none that is whole.
-func (l *Loop) abandon(x *exchange) {
-	l.finish(x)
-	l.handle(rules.ClientGone{Request: x.ask.ID})
-	for _, a := range x.attempts {
-		if a.download != nil {
-			a.download.drop() // in case nobody took it
+// abandon ends a request whose client has left or has not sent a complete body.
+func (l *Loop) abandon(exchange *exchange) {
+	l.finish(exchange)
+	l.handle(rules.ClientGone{Request: exchange.ask.ID})
+	for _, attempt := range exchange.attempts {
+		if attempt.download != nil {
+			attempt.download.drop() // no effect if the client's handler owns it
 		}
 	}
-	l.forget(x)
+	l.forget(exchange)
 }
 
-// whole starts the time of a request whose body has come.
-func (l *Loop) completeBody(x *exchange, until time.Time) {
-	if !x.open {
+// completeBody starts the deadline of a request whose body has arrived.
+func (l *Loop) completeBody(exchange *exchange, deadline time.Time) {
+	if !exchange.open {
 		return
 	}
-	x.ask.Open, x.ask.Sent = false, l.clock.now()
-	x.ask.Deadline = x.ask.Sent + time.Until(until).Seconds()
-	l.accept(x)
-	if x.begun {
-		return // the module has let go of it
+	exchange.ask.Open, exchange.ask.Sent = false, l.clock.now()
+	exchange.ask.Deadline = exchange.ask.Sent + time.Until(deadline).Seconds()
+	l.accept(exchange)
+	if exchange.begun {
+		return // the decision module no longer tracks it
 	}
-	if a := x.attempts[len(x.attempts)-1]; !a.ended {
-		a.deadline = x.ask.Deadline
-		l.timers.add(timerEntry{at: a.deadline, attempt: a})
+	if attempt := exchange.attempts[len(exchange.attempts)-1]; !attempt.ended {
+		attempt.deadline = exchange.ask.Deadline
+		l.timers.add(timerEntry{at: attempt.deadline, attempt: attempt})
 	}
-	l.handle(rules.Whole{Request: x.ask.ID, Deadline: x.ask.Deadline})
+	l.handle(rules.Whole{Request: exchange.ask.ID, Deadline: exchange.ask.Deadline})
 }
 
-// begin lets a long answer go to the client, if it is still owed one.
-func (l *Loop) startResponse(a *attempt, start answer) bool {
-	x := a.exchange
-	if a.ended || !x.open || x.begun {
+// startResponse lets the client's handler stream a response. It returns false if the
+// client is not waiting for one.
+func (l *Loop) startResponse(attempt *attempt, response answer) bool {
+	exchange := attempt.exchange
+	if attempt.ended || !exchange.open || exchange.begun {
 		return false
 	}
-	x.begun, a.download = true, start.rest
-	units := reportedUnits(start.header)
-	start.prepareForClient()
-	l.handle(rules.Established{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Took: l.clock.now() - a.sent,
+	exchange.begun, attempt.download = true, response.rest
+	units := reportedUnits(response.header)
+	response.prepareForClient()
+	l.handle(rules.Established{Request: exchange.ask.ID, Attempt: attempt.number, Backend: attempt.backend, Took: l.clock.now() - attempt.sent,
 		Units: units})
-	if l.clock.now()-x.ask.Sent > x.class.Aim {
-		l.trace(x, "served late")
+	if l.clock.now()-exchange.ask.Sent > exchange.class.Aim {
+		l.trace(exchange, "served late")
 	}
-	x.reply <- start // it has room for it, and one is all it gets
+	exchange.reply <- response // buffered, and receives only one final response
 	return true
 }
 
-// toClient makes an answer of a backend one for its client.
+// prepareForClient removes what a backend's response holds for the gateway only.
 func (a *answer) prepareForClient() {
 	a.served = true
 	a.header = passedOn(a.header)
-	a.header.Del(loadHeader) // for gateways, not for clients
+	a.header.Del(loadHeader) // meant for gateways
 }
 
-// carryOver fits a request that was read under earlier settings to those in
-// force. It keeps its class; its customer's quota is that of the plan of today.
-// Danger: the numbers of classes and plans mean others by now.
+// carryOver adapts a request that was read under earlier settings to the current ones,
+// whose class and plan indexes may differ. The request keeps its class; the quota is that
+// of the plan's current settings. It returns false if the plan no longer exists.
 func (l *Loop) carryOver(x *exchange) bool {
 	x.ask.Own = x.class
 	x.ask.Plan = slices.Index(l.service.PlanNames, x.plan)
 	return x.ask.Plan >= 0
 }
 
-// ban carries out an operator's word. Connections follow it before the module
-// hears of it: a dial that waits must not become an attempt.
+// applyOverride takes a backend offline or online. The connections change before the
+// decision module does, so that a pending dial does not become an attempt. It returns false
+// if the backend is unknown.
 func (l *Loop) applyOverride(id string, offline bool) (known bool) {
-	b := backendID(id)
-	if i, listed := l.instances[b]; listed && i.ID != id {
+	backend := backendID(id)
+	if instance, listed := l.instances[backend]; listed && instance.ID != id {
 		return false
 	}
-	if !l.gateway.Knows(b) {
+	if !l.gateway.Knows(backend) {
 		return l.banOutside(id, offline)
 	}
 	if offline {
-		l.pools.renew(b)
+		l.pools.renew(backend)
 	}
-	l.handle(rules.ByHand{Backend: b, Offline: offline})
-	if delete(l.offline, b); offline {
-		l.offline[b] = true
+	l.handle(rules.ByHand{Backend: backend, Offline: offline})
+	if delete(l.offline, backend); offline {
+		l.offline[backend] = true
 	}
 	l.updateBackendCounts()
 	slog.Info("by hand", "backend", id, "offline", offline)
 	return true
 }
 
-// list takes in what discovery told. Connections follow it before the module
-// hears of it.
-func (l *Loop) applyList(told Listing, kind rules.ListKind) {
-	ev := rules.Backends{Kind: kind}
-	kept := map[rules.BackendID]bool{}
-	for _, i := range told.Instances {
-		b, err := backendOf(i, &l.service.Deployment)
+// applyList applies a list or a change from discovery. The connections change before the
+// decision module does.
+func (l *Loop) applyList(listing Listing, kind rules.ListKind) {
+	event := rules.Backends{Kind: kind}
+	listed := map[rules.BackendID]bool{}
+	for _, instance := range listing.Instances {
+		backend, err := backendOf(instance, &l.service.Deployment)
 		if err != nil {
 			log.Printf("discovery: %v", err)
 			continue
 		}
-		if first, known := l.instances[b.ID]; known && first.ID != i.ID {
-			log.Printf("discovery: instances %q and %q have one id; the second is left out", first.ID, i.ID)
+		if existing, known := l.instances[backend.ID]; known && existing.ID != instance.ID {
+			log.Printf("discovery: instances %q and %q have one id; the second is left out", existing.ID, instance.ID)
 			continue
 		}
-		kept[b.ID] = true
-		ev.Entries = append(ev.Entries, b)
-		if l.instances[b.ID] = i; b.State == rules.Gone {
-			delete(l.instances, b.ID)
+		listed[backend.ID] = true
+		event.Entries = append(event.Entries, backend)
+		if l.instances[backend.ID] = instance; backend.State == rules.Gone {
+			delete(l.instances, backend.ID)
 		}
-		if b.State == rules.Ready {
-			l.pools.update(b.ID, i.HostPort, b.Born)
+		if backend.State == rules.Ready {
+			l.pools.update(backend.ID, instance.HostPort, backend.Born)
 		} else {
-			l.pools.remove(b.ID)
+			l.pools.remove(backend.ID)
 		}
 	}
 	if kind != rules.Delta {
 		for id := range l.instances {
-			if !kept[id] {
+			if !listed[id] {
 				delete(l.instances, id)
 				l.pools.remove(id)
 			}
 		}
 	}
-	l.handle(ev)
+	l.handle(event)
 	if kind != rules.CachedList {
 		l.onListApplied()
 	}
 }
 
+// execute carries out the decision module's actions.
 func (l *Loop) execute(actions []rules.Action) {
 	for _, action := range actions {
-		switch a := action.(type) {
+		switch action := action.(type) {
 		case rules.Send:
-			l.startAttempt(a)
+			l.startAttempt(action)
 		case rules.Cancel:
-			l.cancelAttempt(a)
+			l.cancelAttempt(action)
 		case rules.Refuse:
-			l.reject(a.Request, a.Reason, answer{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter})
+			l.reject(action.Request, action.Reason, answer{status: http.StatusTooManyRequests, retryAfter: action.RetryAfter})
 		case rules.Fail:
-			l.reject(a.Request, a.Reason, answer{status: http.StatusBadGateway})
+			l.reject(action.Request, action.Reason, answer{status: http.StatusBadGateway})
 		case rules.SetTimer:
-			l.timers.add(timerEntry{at: l.clock.now() + max(a.In, 0), token: a.Token, request: a.Request})
+			l.timers.add(timerEntry{at: l.clock.now() + max(action.In, 0), token: action.Token, request: action.Request})
 		case rules.Count:
-			l.callCounter(a)
+			l.callCounter(action)
 		case rules.Exported:
-			l.exportedState = a.Snapshot
+			l.exportedState = action.Snapshot
 		case rules.Log:
-			log.Print(a.Text)
+			log.Print(action.Text)
 		case rules.Subscribe:
 			select {
 			case l.resubscribe <- struct{}{}:
-			default: // the watch runs as it is
+			default: // already signalled
 			}
 		}
 	}
 }
 
-// send starts an attempt. What is over or was tried too often gets none.
-func (l *Loop) startAttempt(s rules.Send) {
-	x := l.live[s.Request]
-	if x == nil {
-		log.Printf("request %d is not known", s.Request)
+// startAttempt starts an attempt, unless the request has ended or has used up its attempts.
+func (l *Loop) startAttempt(action rules.Send) {
+	exchange := l.live[action.Request]
+	if exchange == nil {
+		log.Printf("attempt not started: request %d is unknown", action.Request)
 		return
 	}
 	now := l.clock.now()
-	a := &attempt{exchange: x, number: len(x.attempts), backend: s.Backend, sent: now, deadline: x.ask.Deadline}
-	if s.Timeout > 0 {
-		a.deadline = min(a.deadline, now+s.Timeout)
+	attempt := &attempt{exchange: exchange, number: len(exchange.attempts), backend: action.Backend, sent: now, deadline: exchange.ask.Deadline}
+	if action.Timeout > 0 {
+		attempt.deadline = min(attempt.deadline, now+action.Timeout)
 	}
-	if s.Before > 0 {
-		a.writeBefore = l.clock.at(s.Before)
+	if action.Before > 0 {
+		attempt.writeBefore = l.clock.at(action.Before)
 	}
-	if x.ask.Open {
-		a.deadline = math.Inf(1) // until its body is whole
+	if exchange.ask.Open {
+		attempt.deadline = math.Inf(1) // until its body is complete
 	} else {
-		a.wallDeadline = l.clock.at(a.deadline)
+		attempt.wallDeadline = l.clock.at(attempt.deadline)
 	}
-	a.onInterim = func(told answer) { l.post(interimResponse{a, told}) }
-	a.onStart = func(start answer) bool {
+	attempt.onInterim = func(response answer) { l.post(interimResponse{attempt, response}) }
+	attempt.onStart = func(response answer) bool {
 		accepted := make(chan bool, 1)
-		if !l.post(responseStarted{a, start, accepted}) {
+		if !l.post(responseStarted{attempt, response, accepted}) {
 			return false
 		}
 		select {
@@ -484,164 +487,170 @@
 			return false
 		}
 	}
-	x.attempts = append(x.attempts, a)
-	x.out++
-	if !x.open || a.number >= max(l.service.MaxAttempts, 1) || a.deadline <= now {
-		l.endAttempt(a, result{outcome: rules.Moot})
+	exchange.attempts = append(exchange.attempts, attempt)
+	exchange.out++
+	if !exchange.open || attempt.number >= max(l.service.MaxAttempts, 1) || attempt.deadline <= now {
+		l.endAttempt(attempt, result{outcome: rules.Moot})
 		return
 	}
-	if a.number > 0 {
+	if attempt.number > 0 {
 		l.metrics.retries.Add(1)
 	}
-	a.ctx, a.cancel = context.WithCancel(context.Background())
-	if !x.ask.Open {
-		l.timers.add(timerEntry{at: a.deadline, attempt: a})
+	attempt.ctx, attempt.cancel = context.WithCancel(context.Background())
+	if !exchange.ask.Open {
+		l.timers.add(timerEntry{at: attempt.deadline, attempt: attempt})
 	}
-	l.attempts.Go(func() { // ends by a.until, or when the attempt is called off
-		res := l.pools.runAttempt(a)
-		a.cancel()
-		if !l.post(attemptDone{a, res}) {
+	l.attempts.Go(func() { // ends by attempt.wallDeadline, or when the attempt is aborted
+		res := l.pools.runAttempt(attempt)
+		attempt.cancel()
+		if !l.post(attemptDone{attempt, res}) {
 			res.answer.drop(&l.metrics.bodies)
 		}
 	})
 }
 
-// endAttempt takes an attempt's one end; what comes after it is dropped.
-func (l *Loop) endAttempt(a *attempt, res result) {
-	if a.ended {
+// endAttempt records the result of an attempt. It drops any later result.
+func (l *Loop) endAttempt(attempt *attempt, res result) {
+	if attempt.ended {
 		res.answer.drop(&l.metrics.bodies)
 		return
 	}
-	a.ended, a.outcome, a.err, a.took = true, res.outcome, res.err, l.clock.now()-a.sent
-	x := a.exchange
-	x.out--
+	attempt.ended, attempt.outcome, attempt.err, attempt.took = true, res.outcome, res.err, l.clock.now()-attempt.sent
+	exchange := attempt.exchange
+	exchange.out--
 	switch {
-	case !x.open:
+	case !exchange.open:
 		res.answer.drop(&l.metrics.bodies)
-	case x.begun && res.outcome == rules.Served:
-		l.finish(x)
-		x.counts.passed.Add(1)
-	case x.begun:
-		l.finish(x) // the client can tell: its connection ends before the answer does
-		x.counts.badGateway.Add(1)
-		l.trace(x, "not served")
+	case exchange.begun && res.outcome == rules.Served:
+		l.finish(exchange)
+		exchange.counts.passed.Add(1)
+	case exchange.begun:
+		l.finish(exchange) // its connection ends before the response does, so the client notices
+		exchange.counts.badGateway.Add(1)
+		l.trace(exchange, "not served")
 	case res.outcome == rules.Served:
 		res.answer.prepareForClient()
-		l.respond(x.ask.ID, res.answer)
+		l.respond(exchange.ask.ID, res.answer)
 	}
-	l.handle(rules.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
-		Took: a.took, Done: !x.open, Spent: res.bodyConsumed, Units: res.units})
-	l.forget(x)
+	l.handle(rules.AttemptEnd{Request: exchange.ask.ID, Attempt: attempt.number, Backend: attempt.backend, Outcome: res.outcome,
+		Took: attempt.took, Done: !exchange.open, Spent: res.bodyConsumed, Units: res.units})
+	l.forget(exchange)
 }
 
-func (l *Loop) cancelAttempt(c rules.Cancel) {
-	x := l.live[c.Request]
-	if x == nil || c.Attempt >= len(x.attempts) || x.attempts[c.Attempt].ended {
+// cancelAttempt cancels an attempt for the decision module.
+func (l *Loop) cancelAttempt(action rules.Cancel) {
+	exchange := l.live[action.Request]
+	if exchange == nil || action.Attempt >= len(exchange.attempts) || exchange.attempts[action.Attempt].ended {
 		return
 	}
-	a := x.attempts[c.Attempt]
-	a.abort()
+	attempt := exchange.attempts[action.Attempt]
+	attempt.abort()
 	outcome := rules.Cancelled
-	if x.ask.Open {
-		outcome = rules.Moot // its backend does not have it whole
-	} else if l.clock.now() >= a.deadline-timeoutTolerance {
-		outcome = rules.TimedOut // the module learns from it
+	if exchange.ask.Open {
+		outcome = rules.Moot // its backend does not have the whole request
+	} else if l.clock.now() >= attempt.deadline-timeoutTolerance {
+		outcome = rules.TimedOut // counts against the backend
 	}
-	l.endAttempt(a, result{outcome: outcome})
+	l.endAttempt(attempt, result{outcome: outcome})
 }
 
-// reject gives a request its final answer where no backend made one.
-func (l *Loop) reject(id rules.RequestID, why rules.Reason, a answer) {
+// reject sends a final response that no backend produced.
+func (l *Loop) reject(id rules.RequestID, reason rules.Reason, response answer) {
 	if x := l.live[id]; x != nil && x.open {
-		x.reason = why.String()
-		l.metrics.rejected[why].Add(1)
+		x.reason = reason.String()
+		l.metrics.rejected[reason].Add(1)
 	}
-	l.respond(id, a)
+	l.respond(id, response)
 }
 
-// answer gives a request its final answer, if it has none.
-func (l *Loop) respond(id rules.RequestID, a answer) {
-	x := l.live[id]
-	if x == nil || !x.open {
+// respond sends the final response to a request, unless it already has one.
+func (l *Loop) respond(id rules.RequestID, response answer) {
+	exchange := l.live[id]
+	if exchange == nil || !exchange.open {
 		return
 	}
-	l.finish(x)
+	l.finish(exchange)
 	switch {
-	case a.served:
-		x.counts.passed.Add(1)
-		if l.clock.now()-x.ask.Sent > x.class.Aim {
-			l.trace(x, "served late")
+	case response.served:
+		exchange.counts.passed.Add(1)
+		if l.clock.now()-exchange.ask.Sent > exchange.class.Aim {
+			l.trace(exchange, "served late")
 		}
-	case a.status == http.StatusTooManyRequests:
-		x.counts.dropped.Add(1)
-		l.trace(x, "not served")
+	case response.status == http.StatusTooManyRequests:
+		exchange.counts.dropped.Add(1)
+		l.trace(exchange, "not served")
 	default:
-		x.counts.badGateway.Add(1)
-		l.trace(x, "not served")
+		exchange.counts.badGateway.Add(1)
+		l.trace(exchange, "not served")
 	}
-	x.reply <- a // it has room for it, and one is all it gets
-	l.forget(x)
+	exchange.reply <- response // buffered, and receives only one final response
+	l.forget(exchange)
 }
 
-// drop forgets a request that has its answer and nothing out.
+// forget removes a request that has its response and no attempt in flight.
 func (l *Loop) forget(x *exchange) {
 	if !x.open && x.out == 0 {
 		delete(l.live, x.ask.ID)
 	}
 }
 
-// count takes the module's own figures.
+// updateBackendCounts publishes the decision module's counts of backends.
 func (l *Loop) updateBackendCounts() {
 	known, skipped := l.gateway.Listed()
 	l.metrics.known.Store(int64(known))
 	l.metrics.skipped.Store(int64(skipped))
 }
 
-func (l *Loop) callCounter(c rules.Count) {
-	k := &counterCall{name: c.Name, amount: c.Amount, sent: l.clock.now(),
-		ttl: min(max(time.Duration(c.Keep*float64(time.Second)), minTTL), maxTTL)}
-	k.report = func(k *counterCall, o rules.Outcome, total float64) { l.post(counterCallDone{k, o, total}) }
-	if l.counter == nil || !l.counter.add(k) {
-		l.endCounterCall(k, rules.Full, 0)
+// callCounter starts a counter call for the decision module.
+func (l *Loop) callCounter(action rules.Count) {
+	call := &counterCall{name: action.Name, amount: action.Amount, sent: l.clock.now(),
+		ttl: min(max(time.Duration(action.Keep*float64(time.Second)), minTTL), maxTTL)}
+	call.report = func(call *counterCall, outcome rules.Outcome, total float64) {
+		l.post(counterCallDone{call, outcome, total})
+	}
+	if l.counter == nil || !l.counter.add(call) {
+		l.endCounterCall(call, rules.Full, 0)
 		return
 	}
-	l.timers.add(timerEntry{at: k.sent + counterTimeoutFactor*l.service.CounterTimeout, call: k})
+	l.timers.add(timerEntry{at: call.sent + counterTimeoutFactor*l.service.CounterTimeout, call: call})
 }
 
-func (l *Loop) endCounterCall(k *counterCall, o rules.Outcome, total float64) {
-	if k.ended {
+// endCounterCall passes the result of a counter call to the decision module, once.
+func (l *Loop) endCounterCall(call *counterCall, outcome rules.Outcome, total float64) {
+	if call.ended {
 		return
 	}
-	k.ended = true
-	l.contact.note(o)
-	l.handle(rules.CounterReply{Name: k.name, Outcome: o, Total: total, Took: l.clock.now() - k.sent})
+	call.ended = true
+	l.contact.note(outcome)
+	l.handle(rules.CounterReply{Name: call.name, Outcome: outcome, Total: total, Took: l.clock.now() - call.sent})
 }
 
-// void tells whether nobody waits for a timer any more. Such timers are most of
-// all, and the process is not woken for them.
-func (l *Loop) obsolete(t timerEntry) bool {
+// obsolete reports whether nothing waits for a timer any more. Most timers become obsolete,
+// so the process does not wake up for them.
+func (l *Loop) obsolete(timer timerEntry) bool {
 	switch {
-	case t.attempt != nil:
-		return t.attempt.ended || t.attempt.download != nil // an answer that has begun is not cut off
-	case t.call != nil:
-		return t.call.ended
-	case t.request != 0:
-		return l.live[t.request] == nil
+	case timer.attempt != nil:
+		return timer.attempt.ended || timer.attempt.download != nil // a response that has started has no deadline
+	case timer.call != nil:
+		return timer.call.ended
+	case timer.request != 0:
+		return l.live[timer.request] == nil
 	}
 	return false
 }
 
-func (l *Loop) fire(t timerEntry) {
+// fire handles a timer that has expired.
+func (l *Loop) fire(timer timerEntry) {
 	switch {
-	case t.attempt != nil:
-		t.attempt.abort()
-		l.endAttempt(t.attempt, result{outcome: rules.TimedOut})
-	case t.call != nil:
-		t.call.abandoned.Store(true)
-		l.endCounterCall(t.call, rules.TimedOut, 0)
+	case timer.attempt != nil:
+		timer.attempt.abort()
+		l.endAttempt(timer.attempt, result{outcome: rules.TimedOut})
+	case timer.call != nil:
+		timer.call.abandoned.Store(true)
+		l.endCounterCall(timer.call, rules.TimedOut, 0)
 	default:
-		l.handle(rules.Timer{Token: t.token})
-		if t.request == 0 { // housekeeping, as often as what the module avoids may change
+		l.handle(rules.Timer{Token: timer.token})
+		if timer.request == 0 { // housekeeping: the set of avoided backends may have changed
 			l.updateBackendCounts()
 			if l.subset != nil {
 				l.reviewSubset()
@@ -650,27 +659,28 @@
 	}
 }
 
-// timerEntry is a timer of the module's, or the time-out of an attempt or call.
+// timerEntry is a timer of the decision module, or the time-out of an attempt or a counter
+// call.
 type timerEntry struct {
-	at      float64
-	token   uint64
-	request rules.RequestID // 0: the timer belongs to none
+	at      float64         // seconds on the loop's clock
+	token   uint64          // of the decision module
+	request rules.RequestID // 0: belongs to no request
 	attempt *attempt
 	call    *counterCall
 }
 
-// timerHeap has the earliest timer first.
+// timerHeap is a heap.Interface with the earliest timer first.
 type timerHeap []timerEntry
 
-func (h *timerHeap) add(t timerEntry)  { heap.Push(h, t) }
-func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *timerHeap) Push(t any)        { *h = append(*h, t.(timerEntry)) }
+func (h *timerHeap) add(timer timerEntry) { heap.Push(h, timer) }
+func (h timerHeap) Len() int              { return len(h) }
+func (h timerHeap) Less(i, j int) bool    { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int)         { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(timer any)       { *h = append(*h, timer.(timerEntry)) }
 func (h *timerHeap) Pop() any {
 	old := *h
-	t := old[len(old)-1]
+	last := old[len(old)-1]
 	old[len(old)-1] = timerEntry{}
 	*h = old[:len(old)-1]
-	return t
+	return last
 }
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	idleMargin    = time.Second            // how long before the backend's keep-alive limit a connection is given up
-	sweepInterval = 500 * time.Millisecond // between two sweeps for connections that have been idle too long
+	idleMargin    = time.Second            // a connection is closed this long before the backend's keep-alive limit
+	sweepInterval = 500 * time.Millisecond // between two sweeps that close idle connections
 
-	localFailureRetryTime = 250 * time.Millisecond // how long a dial is tried again after failures of this machine
+	localFailureRetryTime = 250 * time.Millisecond // how long a dial is retried after local failures
 )
 
-// settleTime is how long a connection stays unused after a response. Bytes that the
-// backend sends in that time belong to no request and are found by alive. Tests whose
-// backends send nothing late shorten it.
+// settleTime is how long a connection stays unused after a response, so that alive can
+// detect surplus bytes that the backend sends in that time. Tests whose backends send none
+// shorten it.
 var settleTime = 50 * time.Millisecond
 
 // target is the pool of connections to one backend process at one address. Retiring the
 // target closes its idle connections and cancels its dials.
 type target struct {
 	address string
-	born    float64         // start of the backend process, as discovery reports it
+	born    float64         // start of the backend process in Unix seconds, as discovery reports it
 	ctx     context.Context // cancelled when the target is retired; dials stop with it
 	cancel  context.CancelFunc
 	conns   map[*backendConn]struct{} // all, idle or in use
@@ -45,11 +45,11 @@
 // pools holds the connections to all backends. It is safe for concurrent use.
 type pools struct {
 	connectTimeout time.Duration
-	idleLimit      time.Duration // idle connections that are older are closed
+	idleLimit      time.Duration // connections that have been idle for longer are closed
 	settle         time.Duration // see settleTime
 	maxOpen        int           // limit of connections and dials over all backends
 	metrics        *figures
-	logLimit       logLimiter // of log lines about missing descriptors
+	logLimit       logLimiter // for log lines about local failures
 	dial           func(context.Context, *target, time.Duration) (*backendConn, error)
 
 	mu      sync.Mutex
@@ -58,19 +58,19 @@
 }
 
 // newPools returns pools without backends.
-func newPools(connectTimeout, keepAlive time.Duration, mostOpen int, f *figures) *pools {
+func newPools(connectTimeout, keepAlive time.Duration, maxOpen int, metrics *figures) *pools {
 	return &pools{connectTimeout: connectTimeout, idleLimit: idleLimit(keepAlive),
-		settle: settleTime, maxOpen: mostOpen, metrics: f, logLimit: logLimiter{max: 1}, dial: dial, targets: map[rules.BackendID]*target{}}
+		settle: settleTime, maxOpen: maxOpen, metrics: metrics, logLimit: logLimiter{max: 1}, dial: dial, targets: map[rules.BackendID]*target{}}
 }
 
-// keep sets the limit of connections over all backends.
-func (p *pools) setMaxOpen(most int) {
+// setMaxOpen sets the limit of connections over all backends.
+func (p *pools) setMaxOpen(maxOpen int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.maxOpen = most
+	p.maxOpen = maxOpen
 }
 
-// retune sets the time-outs of connections that are opened or returned from now on.
+// setTimeouts sets the time-outs of connections that are opened or returned from now on.
 func (p *pools) setTimeouts(connectTimeout, keepAlive time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,13 +86,13 @@
 func (p *pools) update(id rules.BackendID, address string, born float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.targets[id]
-	if old != nil && old.address == address && old.born >= born {
+	existing := p.targets[id]
+	if existing != nil && existing.address == address && existing.born >= born {
 		return
 	}
-	if old != nil {
+	if existing != nil {
 		// Requests in flight at an earlier process will never be answered.
-		p.retire(old, old.born < born)
+		p.retire(existing, existing.born < born)
 	}
 	p.targets[id] = newTarget(address, born)
 }
@@ -136,105 +136,106 @@
 }
 
 var (
-	// errNoConn says that the backend is not known, or retired.
+	// errNoConn reports that the backend is unknown or retired.
 	errNoConn = errors.New("no connection to be had")
-	// errConnLimit says that this gateway holds as many connections as it may.
+	// errConnLimit reports that the gateway has reached its limit of connections.
 	errConnLimit = errors.New("the limit of connections to backends is reached")
 )
 
-// conn returns an idle connection to the backend, or dials a new one.
+// acquire returns an idle connection to the backend, or dials a new one.
 func (p *pools) acquire(ctx context.Context, id rules.BackendID) (*backendConn, error) {
 	p.mu.Lock()
-	t := p.targets[id]
-	if t == nil {
+	target := p.targets[id]
+	if target == nil {
 		p.mu.Unlock()
 		return nil, errNoConn
 	}
 	// A backend may send surplus bytes some milliseconds after a response. On a reused
-	// connection they would pass for the next response; on one that settles first, alive
-	// finds them. A connection is reused at once only if the limit allows no other.
-	for n := len(t.idle) - 1; n >= 0; n-- {
-		c := t.idle[n]
-		if c.idleFor = time.Since(c.idleSince); c.idleFor < p.settle && p.open < p.maxOpen {
+	// connection they would be taken for the next response; on one that settles first, alive
+	// detects them. A connection is reused at once only if the limit allows no new one.
+	for i := len(target.idle) - 1; i >= 0; i-- {
+		conn := target.idle[i]
+		if conn.idleFor = time.Since(conn.idleSince); conn.idleFor < p.settle && p.open < p.maxOpen {
 			continue
 		}
-		t.idle = slices.Delete(t.idle, n, n+1)
-		if c.idleFor < p.idleLimit && alive(c.Conn) {
-			c.idleSince = time.Time{}
+		target.idle = slices.Delete(target.idle, i, i+1)
+		if conn.idleFor < p.idleLimit && alive(conn.Conn) {
+			conn.idleSince = time.Time{}
 			p.mu.Unlock()
-			return c, nil
+			return conn, nil
 		}
-		c.Close()
-		p.forget(c)
+		conn.Close()
+		p.forget(conn)
 	}
 	if p.open >= p.maxOpen {
 		p.mu.Unlock()
 		return nil, errConnLimit
 	}
 	p.open++
-	within := p.connectTimeout
+	connectTimeout := p.connectTimeout
 	p.mu.Unlock()
-	c, err := p.dialWithRetry(ctx, t, within)
+	conn, err := p.dialWithRetry(ctx, target, connectTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err == nil && t.retired {
-		c.Close()
+	if err == nil && target.retired {
+		conn.Close()
 		err = errNoConn
 	}
 	if err != nil {
 		p.open--
 		return nil, err
 	}
-	t.conns[c] = struct{}{}
-	return c, nil
+	target.conns[conn] = struct{}{}
+	return conn, nil
 }
 
-// dialAgain dials, again after a pause while the failure is this machine's own.
-func (p *pools) dialWithRetry(ctx context.Context, t *target, within time.Duration) (*backendConn, error) {
+// dialWithRetry dials, and retries after a pause for up to localFailureRetryTime while the
+// failure is local.
+func (p *pools) dialWithRetry(ctx context.Context, target *target, timeout time.Duration) (*backendConn, error) {
 	var pause retryPause
-	for began := time.Now(); ; {
-		c, err := p.dial(ctx, t, within)
+	for start := time.Now(); ; {
+		conn, err := p.dial(ctx, target, timeout)
 		if !localFailure(err) {
-			return c, err
+			return conn, err
 		}
 		if p.logLimit.allow() {
 			slog.Error("no connection to a backend can be opened", "error", err)
 		}
 		if outOfResources(err) {
-			p.closeLongestIdle() // an idle connection to another backend makes room
+			p.closeLongestIdle() // an idle connection to any backend makes room
 		}
-		next := pause.after()
-		if time.Since(began)+next > localFailureRetryTime || !sleepFor(ctx, next) {
+		delay := pause.after()
+		if time.Since(start)+delay > localFailureRetryTime || !sleepFor(ctx, delay) {
 			return nil, err
 		}
 	}
 }
 
 // put returns a connection to its pool, or closes it if the pool has been retired.
-func (p *pools) put(c *backendConn) {
+func (p *pools) put(conn *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.target.retired {
-		c.Close()
-		p.forget(c)
+	if conn.target.retired {
+		conn.Close()
+		p.forget(conn)
 		return
 	}
-	c.idleSince = time.Now()
-	c.target.idle = append(c.target.idle, c)
+	conn.idleSince = time.Now()
+	conn.target.idle = append(conn.target.idle, conn)
 }
 
 // discard closes a connection that must not be reused.
-func (p *pools) discard(c *backendConn) {
-	c.Close()
+func (p *pools) discard(conn *backendConn) {
+	conn.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(c)
+	p.forget(conn)
 }
 
 // forget removes a closed connection from its target. The caller holds mu.
-func (p *pools) forget(c *backendConn) {
-	if _, here := c.target.conns[c]; here {
-		delete(c.target.conns, c)
+func (p *pools) forget(conn *backendConn) {
+	if _, open := conn.target.conns[conn]; open {
+		delete(conn.target.conns, conn)
 		p.open--
 	}
 }
@@ -242,53 +243,53 @@
 // sweep closes connections that have been idle too long. When ctx ends it closes all
 // connections and returns.
 func (p *pools) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			for id, t := range p.targets {
-				p.retire(t, true)
+			for id, target := range p.targets {
+				p.retire(target, true)
 				delete(p.targets, id)
 			}
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			p.mu.Lock()
-			for _, t := range p.targets {
-				p.closeIdleSince(t, time.Now().Add(-p.idleLimit))
+			for _, target := range p.targets {
+				p.closeIdleSince(target, time.Now().Add(-p.idleLimit))
 			}
 			p.mu.Unlock()
 		}
 	}
 }
 
-// closeOldest closes the connections that have been idle since before the given time.
-// The caller holds mu.
-func (p *pools) closeIdleSince(t *target, before time.Time) {
+// closeIdleSince closes the connections that have been idle since before the cutoff. The
+// caller holds mu.
+func (p *pools) closeIdleSince(target *target, cutoff time.Time) {
 	n := 0
-	for ; n < len(t.idle) && t.idle[n].idleSince.Before(before); n++ {
-		t.idle[n].Close()
-		p.forget(t.idle[n])
+	for ; n < len(target.idle) && target.idle[n].idleSince.Before(cutoff); n++ {
+		target.idle[n].Close()
+		p.forget(target.idle[n])
 	}
-	t.idle = append(t.idle[:0], t.idle[n:]...)
+	target.idle = append(target.idle[:0], target.idle[n:]...)
 }
 
-// giveUpIdle closes the connection that has been idle longest over all backends.
+// closeLongestIdle closes the connection that has been idle longest over all backends.
 func (p *pools) closeLongestIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest *target
-	for _, t := range p.targets {
-		if len(t.idle) > 0 && (oldest == nil || t.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
-			oldest = t
+	for _, target := range p.targets {
+		if len(target.idle) > 0 && (oldest == nil || target.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
+			oldest = target
 		}
 	}
 	if oldest != nil {
-		c := oldest.idle[0]
+		conn := oldest.idle[0]
 		oldest.idle = slices.Delete(oldest.idle, 0, 1)
-		c.Close()
-		p.forget(c)
+		conn.Close()
+		p.forget(conn)
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -12,59 +12,59 @@
 	"dunlintray/rules"
 )
 
-// lastMoment is how long a sender may take to notice that the whole body has been sent.
+// senderGrace is how long a sender may take to notice that the whole body has been sent.
 const senderGrace = 20 * time.Millisecond
 
-// write sends a request whose body is held in memory.
-func (a *attempt) writeRequest(c *backendConn) error {
-	x := a.exchange
-	length := int64(len(x.body))
-	if x.trailer != nil {
+// writeRequest sends a request whose body is held in memory.
+func (a *attempt) writeRequest(conn *backendConn) error {
+	exchange := a.exchange
+	length := int64(len(exchange.body))
+	if exchange.trailer != nil {
 		length = -1 // only chunked bodies have trailers
 	}
-	a.writeHead(c.writer, time.Until(a.wallDeadline), length)
+	a.writeHead(conn.writer, time.Until(a.wallDeadline), length)
 	if length >= 0 {
-		c.writer.Write(x.body) // the writer keeps an error until Flush
-		return c.writer.Flush()
+		conn.writer.Write(exchange.body) // the writer keeps an error until Flush
+		return conn.writer.Flush()
 	}
-	writeChunk(c.writer, x.body)
-	writeTrailer(c.writer, x.trailer)
-	return c.writer.Flush()
+	writeChunk(conn.writer, exchange.body)
+	writeTrailer(conn.writer, exchange.trailer)
+	return conn.writer.Flush()
 }
 
-// writeHead writes the request line and the headers: those of the client, the time that
-// this attempt has left, and the framing of the body. A negative length means chunks.
-func (a *attempt) writeHead(w *bufio.Writer, left time.Duration, length int64) {
-	x := a.exchange
+// writeHead writes the request line and the headers: those of the client, the time
+// remaining for this attempt, and the framing of the body. A negative length means chunks.
+func (a *attempt) writeHead(writer *bufio.Writer, remaining time.Duration, length int64) {
+	exchange := a.exchange
 	var digits [20]byte
-	for _, part := range [...]string{x.method, " ", x.uri, " HTTP/1.1\r\nHost: ", x.host, "\r\n" + timeLeftHeader + ": "} {
-		w.WriteString(part)
+	for _, part := range [...]string{exchange.method, " ", exchange.uri, " HTTP/1.1\r\nHost: ", exchange.host, "\r\n" + timeLeftHeader + ": "} {
+		writer.WriteString(part)
 	}
-	w.Write(strconv.AppendInt(digits[:0], max(left.Milliseconds(), 1), 10))
-	w.WriteString("\r\n")
-	x.header.Write(w)
+	writer.Write(strconv.AppendInt(digits[:0], max(remaining.Milliseconds(), 1), 10))
+	writer.WriteString("\r\n")
+	exchange.header.Write(writer)
 	switch {
-	case length > 0 || length == 0 && x.method == http.MethodPost:
-		w.WriteString("Content-Length: ")
-		w.Write(strconv.AppendInt(digits[:0], length, 10))
-		w.WriteString("\r\n")
+	case length > 0 || length == 0 && exchange.method == http.MethodPost:
+		writer.WriteString("Content-Length: ")
+		writer.Write(strconv.AppendInt(digits[:0], length, 10))
+		writer.WriteString("\r\n")
 	case length < 0:
-		w.WriteString("Transfer-Encoding: chunked\r\n")
-		if len(x.announced) > 0 {
-			w.WriteString("Trailer: " + strings.Join(x.announced, ", ") + "\r\n")
+		writer.WriteString("Transfer-Encoding: chunked\r\n")
+		if len(exchange.announced) > 0 {
+			writer.WriteString("Trailer: " + strings.Join(exchange.announced, ", ") + "\r\n")
 		}
 	}
-	w.WriteString("\r\n")
+	writer.WriteString("\r\n")
 }
 
-// writeChunk writes one chunk of a body, or nothing if p is empty.
-func writeChunk(w *bufio.Writer, p []byte) {
-	if len(p) == 0 {
+// writeChunk writes one chunk of a body, or nothing if data is empty.
+func writeChunk(w *bufio.Writer, data []byte) {
+	if len(data) == 0 {
 		return // an empty chunk would end the body
 	}
 	var digits [20]byte
-	w.Write(append(strconv.AppendInt(digits[:0], int64(len(p)), 16), '\r', '\n'))
-	w.Write(p)
+	w.Write(append(strconv.AppendInt(digits[:0], int64(len(data)), 16), '\r', '\n'))
+	w.Write(data)
 	w.WriteString("\r\n")
 }
 
@@ -75,53 +75,53 @@
 	w.WriteString("\r\n")
 }
 
-// stream sends a request whose body is still arriving from the client. It reads the
+// streamBody sends a request whose body is still arriving from the client. It reads the
 // response at the same time, since a backend may answer before the body has ended. The
 // second result reports whether the connection may be reused.
-func (p *pools) streamBody(a *attempt, c *backendConn) (result, bool) {
-	u := a.exchange.upload
-	c.SetDeadline(a.wallDeadline) // zero, so without a deadline, unless the body is complete by now
-	u.take(a)
+func (p *pools) streamBody(attempt *attempt, conn *backendConn) (result, bool) {
+	upload := attempt.exchange.upload
+	conn.SetDeadline(attempt.wallDeadline) // no deadline unless the body is already complete
+	upload.take(attempt)
 	sent := make(chan error, 1)
 	p.metrics.up.open.Add(1)
 	go func() {
 		defer p.metrics.up.open.Add(-1)
-		defer u.done(a)
-		why, err := a.sendBody(c)
+		defer upload.done(attempt)
+		cause, err := attempt.sendBody(conn)
 		if err == nil {
 			p.metrics.tries.Add(1)
 		}
-		p.metrics.up.end(why, a.exchange.header.Get(idHeader), err)
+		p.metrics.up.end(cause, attempt.exchange.header.Get(idHeader), err)
 		if sent <- err; err != nil {
-			c.Close() // which also ends the wait for a response
+			conn.Close() // which also ends the wait for a response
 		}
 	}()
-	res, reuse := p.readResponse(a, c)
-	var cut error
-	over, err := a.awaitSender(sent)
-	if !over {
-		c.Close() // nothing more of the body may leave
+	res, reuse := p.readResponse(attempt, conn)
+	var bodyErr error
+	finished, err := attempt.awaitSender(sent)
+	if !finished {
+		conn.Close() // nothing more of the body may leave
 		reuse = false
-		if err = errCutShort; a.lastPiece.Load() {
+		if err = errCutShort; attempt.lastPiece.Load() {
 			err = <-sent // the sender is at the last piece
 		}
 	}
-	res.bodyConsumed, cut = u.leave()
+	res.bodyConsumed, bodyErr = upload.leave()
 	if err == nil || res.outcome != rules.Broken && res.outcome != rules.TimedOut {
 		return res, reuse && err == nil // a response, or a failure after the whole body was sent
 	}
 	// The body broke off before its end was written, so the backend has run nothing.
-	res.outcome, res.err, res.bodyErr = rules.ConnectFailed, err, cut
-	if cut != nil || errors.Is(err, errCutShort) && u.answered() {
-		res.outcome = rules.Moot // the backend is not to blame
+	res.outcome, res.err, res.bodyErr = rules.ConnectFailed, err, bodyErr
+	if bodyErr != nil || errors.Is(err, errCutShort) && upload.answered() {
+		res.outcome = rules.Moot // says nothing about the backend
 	}
 	return res, false
 }
 
-// sentBy reports whether the sender has finished, and with which error. The response may
-// arrive a moment before the sender has noticed that the whole body is sent, so sentBy
-// waits up to lastMoment for one that is at the last piece.
-func (a *attempt) awaitSender(sent <-chan error) (over bool, err error) {
+// awaitSender reports whether the sender has finished, and with which error. The response
+// may arrive before the sender has noticed that the whole body is sent, so awaitSender waits
+// up to senderGrace for a sender that is at the last piece.
+func (a *attempt) awaitSender(sent <-chan error) (finished bool, err error) {
 	if !a.lastPiece.Load() {
 		select {
 		case err = <-sent:
@@ -130,50 +130,51 @@
 			return false, nil
 		}
 	}
-	moment := time.NewTimer(senderGrace)
-	defer moment.Stop()
+	timer := time.NewTimer(senderGrace)
+	defer timer.Stop()
 	select {
 	case err = <-sent:
 		return true, err
-	case <-moment.C:
+	case <-timer.C:
 		return false, nil
 	}
 }
 
-// send writes the body of an upload as it arrives. It returns why the upload ended.
-func (a *attempt) sendBody(c *backendConn) (cause, error) {
-	u, to := a.exchange.upload, pace{pause: stall, grace: stall, rate: leastRate}
-	left := u.timeLeft()
+// sendBody writes a request and its body as the body arrives. It returns why the upload
+// ended.
+func (a *attempt) sendBody(conn *backendConn) (cause, error) {
+	upload, writePace := a.exchange.upload, pace{pause: stall, grace: stall, rate: leastRate}
+	remaining := upload.timeLeft()
 	if !a.wallDeadline.IsZero() {
-		left = min(left, time.Until(a.wallDeadline))
+		remaining = min(remaining, time.Until(a.wallDeadline))
 	}
-	a.writeHead(c.writer, left, u.length)
-	for at, total := 0, int64(0); ; {
-		piece, err := u.next(a, at)
+	a.writeHead(conn.writer, remaining, upload.length)
+	for offset, total := 0, int64(0); ; {
+		piece, err := upload.next(a, offset)
 		if err != nil && err != io.EOF {
 			return bodyCause(err), err
 		}
-		at += len(piece)
+		offset += len(piece)
 		total += int64(len(piece))
-		if err == io.EOF || total == u.length {
+		if err == io.EOF || total == upload.length {
 			a.lastPiece.Store(true)
 		}
-		before := time.Now()
-		c.SetWriteDeadline(a.writeDeadline(before.Add(to.wait())))
-		if u.length >= 0 {
-			c.writer.Write(piece)
+		writeStart := time.Now()
+		conn.SetWriteDeadline(a.writeDeadline(writeStart.Add(writePace.wait())))
+		if upload.length >= 0 {
+			conn.writer.Write(piece)
 		} else {
-			writeChunk(c.writer, piece)
+			writeChunk(conn.writer, piece)
 		}
-		if err == io.EOF && u.length < 0 {
-			writeTrailer(c.writer, trailers(u.request.Trailer))
+		if err == io.EOF && upload.length < 0 {
+			writeTrailer(conn.writer, trailers(upload.request.Trailer))
 		}
-		if err := c.writer.Flush(); err != nil {
+		if err := conn.writer.Flush(); err != nil {
 			return slowOr(err, backendSlow, backendBroke), err
 		}
 		if err == io.EOF {
 			return endedWhole, nil
 		}
-		to.moved(len(piece), time.Since(before))
+		writePace.moved(len(piece), time.Since(writeStart))
 	}
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -11,18 +11,19 @@
 	"dunlintray/rules"
 )
 
-// mostTraces bounds the lines a second about single requests, so that an
-// outage does not cost the gateway the time it needs for its work.
+// maxTraceLines limits the log lines a second about single requests, so that logging does not
+// slow the gateway down during an outage.
 const maxTraceLines = 10
 
-// lineLimit bounds the lines a second of one kind.
+// logLimiter limits the log lines a second of one kind. It is safe for concurrent use.
 type logLimiter struct {
 	mu          sync.Mutex
 	windowStart time.Time
 	lines       int
-	max         int // a second; 0: mostTraces
+	max         int // a second; 0: maxTraceLines
 }
 
+// allow reports whether another line may be logged, and counts it.
 func (l *logLimiter) allow() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,17 +34,16 @@
 	return l.lines <= cmp.Or(l.max, maxTraceLines)
 }
 
-// worthTelling is the lag of a timer, in seconds, from which on the process had
-// too little of its core.
+// lagThreshold is the timer delay, in seconds, from which on the loop logs that it is late.
 const lagThreshold = 0.02
 
 var outcomeNames = map[rules.Outcome]string{rules.Served: "served", rules.Errored: "error", rules.Full: "full",
 	rules.TimedOut: "timeout", rules.ConnectFailed: "no_connection", rules.Broken: "reset",
 	rules.Cancelled: "cancelled", rules.Moot: "moot"}
 
-// trace writes where the time of a request went that ended badly. All times
-// are seconds since its last byte came in.
-func (l *Loop) trace(x *exchange, what string) {
+// trace logs how a request that ended badly spent its time. All times are in seconds; those
+// of attempts count from the arrival of the request's last byte.
+func (l *Loop) trace(exchange *exchange, event string) {
 	now := l.clock.now()
 	if now-l.traceWindowStart >= 1 {
 		l.traceLines, l.traceWindowStart = 0, now
@@ -52,28 +52,28 @@
 		return
 	}
 	var attempts strings.Builder
-	for i, a := range x.attempts {
+	for i, attempt := range exchange.attempts {
 		if i > 0 {
 			attempts.WriteByte(',')
 		}
-		fmt.Fprintf(&attempts, "%08x@%.3f", uint32(a.backend), a.sent-x.ask.Sent)
-		if a.ended {
-			fmt.Fprintf(&attempts, "+%.3f:%s", a.took, outcomeNames[a.outcome])
+		fmt.Fprintf(&attempts, "%08x@%.3f", uint32(attempt.backend), attempt.sent-exchange.ask.Sent)
+		if attempt.ended {
+			fmt.Fprintf(&attempts, "+%.3f:%s", attempt.took, outcomeNames[attempt.outcome])
 		}
-		if a.err != nil {
-			fmt.Fprintf(&attempts, "(%v)", a.err)
+		if attempt.err != nil {
+			fmt.Fprintf(&attempts, "(%v)", attempt.err)
 		}
 	}
-	slog.Info(what, "id", x.header.Get(idHeader), "class", x.counts.name,
-		"plan", x.plan, "customer", uint64(x.ask.Customer), "units", x.ask.Units,
-		"repeat", x.ask.Repeat, "left", roundToMillis(x.ask.Deadline-x.ask.Sent), "queued", roundToMillis(x.queued),
-		"took", roundToMillis(now-x.ask.Sent), "reason", x.reason, "attempts", attempts.String())
+	slog.Info(event, "id", exchange.header.Get(idHeader), "class", exchange.counts.name,
+		"plan", exchange.plan, "customer", uint64(exchange.ask.Customer), "units", exchange.ask.Units,
+		"repeat", exchange.ask.Repeat, "left", roundToMillis(exchange.ask.Deadline-exchange.ask.Sent), "queued", roundToMillis(exchange.queued),
+		"took", roundToMillis(now-exchange.ask.Sent), "reason", exchange.reason, "attempts", attempts.String())
 }
 
-// lagged notes how late a timer came, and writes at most once a second how late
-// they have been.
-func (l *Loop) recordLag(by float64) {
-	l.maxLag = max(l.maxLag, by)
+// recordLag records how late a timer fired, in seconds, and logs the largest delay at most
+// once a second.
+func (l *Loop) recordLag(delay float64) {
+	l.maxLag = max(l.maxLag, delay)
 	now := l.clock.now()
 	if l.maxLag < lagThreshold || now-l.lagLoggedAt < 1 {
 		return
@@ -82,5 +82,5 @@
 	l.maxLag, l.lagLoggedAt = 0, now
 }
 
-// round keeps milliseconds.
+// roundToMillis rounds seconds to milliseconds.
 func roundToMillis(seconds float64) float64 { return float64(int(seconds*1000+0.5)) / 1000 }
