--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -24,20 +24,20 @@
 	Head              // the head of a request is coming
 	Busy              // in a request
 	Idle              // between requests
-	states
+	stateCount
 )
 
 const (
-	// Grace is how long a new connection may say nothing before it can be given up
+	// NewGrace is how long a new connection may say nothing before it can be given up
 	// for another, and HeadGrace how long a head may take.
-	Grace     = 250 * time.Millisecond
+	NewGrace  = 250 * time.Millisecond
 	HeadGrace = time.Second
 	// A part of the places is what the New and Head ones of one source may take
 	// together: a client that has a request sends it.
-	opening = 2
+	openingDivisor = 2
 	// An eighth of the places is free or idle, or goes to sources below their share
 	// alone: those in a request can't be given up, however many one source has.
-	reserve = 8
+	reserveDivisor = 8
 )
 
 // Conn is one connection. Its owner keeps it and hands it back.
@@ -53,9 +53,9 @@
 func (c *Conn) State() State { return c.state }
 
 // list has the connections of one source in one state, those longest in it first.
-type list struct{ oldest, newest *Conn }
+type connList struct{ oldest, newest *Conn }
 
-func (l *list) push(c *Conn) {
+func (l *connList) push(c *Conn) {
 	if c.older = l.newest; l.newest != nil {
 		l.newest.newer = c
 	} else {
@@ -64,7 +64,7 @@
 	l.newest = c
 }
 
-func (l *list) remove(c *Conn) {
+func (l *connList) remove(c *Conn) {
 	if c.older != nil {
 		c.older.newer = c.newer
 	} else {
@@ -80,25 +80,25 @@
 
 // source is where connections come from. It is forgotten with the last of them.
 type source struct {
-	address netip.Addr
-	open    int
-	opening int          // New and Head
-	in      [states]list // but Busy, which are in none
-	at      int          // in the heap; -1: it has none to give up
+	address     netip.Addr
+	connections int
+	opening     int                  // New and Head
+	byState     [stateCount]connList // but Busy, which are in none
+	heapIndex   int                  // in the heap; -1: it has none to give up
 }
 
 // first returns the connection that the source would give up first, and from when
 // on it may.
-func (s *source) first() (c *Conn, from time.Duration) {
+func (s *source) nextVictim() (c *Conn, from time.Duration) {
 	switch {
-	case s.in[Idle].oldest != nil:
-		c = s.in[Idle].oldest
+	case s.byState[Idle].oldest != nil:
+		c = s.byState[Idle].oldest
 		return c, c.since
-	case s.in[New].oldest != nil:
-		c = s.in[New].oldest
-		return c, c.since + Grace
-	case s.in[Head].oldest != nil:
-		c = s.in[Head].oldest
+	case s.byState[New].oldest != nil:
+		c = s.byState[New].oldest
+		return c, c.since + NewGrace
+	case s.byState[Head].oldest != nil:
+		c = s.byState[Head].oldest
 		return c, c.since + HeadGrace
 	}
 	return nil, 0
@@ -107,11 +107,11 @@
 // Table has all connections. Its cost for an event grows with the logarithm of the
 // number of sources, of which there are no more than connections.
 type Table struct {
-	limits  Limits
-	open    int
-	in      [states]int
-	sources map[netip.Addr]*source
-	giving  givers
+	limits      Limits
+	connections int
+	byState     [stateCount]int
+	sources     map[netip.Addr]*source
+	evictable   victimHeap
 }
 
 // New returns a table with nothing in it.
@@ -119,41 +119,41 @@
 	return &Table{limits: limits, sources: map[netip.Addr]*source{}}
 }
 
-// Source is the address that connections are counted by: an IPv4 address is the
+// SourceAddress is the address that connections are counted by: an IPv4 address is the
 // same however it is written.
-func Source(a netip.Addr) netip.Addr { return a.Unmap().WithZone("") }
+func SourceAddress(a netip.Addr) netip.Addr { return a.Unmap().WithZone("") }
 
 // Open takes a new connection from an address, and names one that gives its place
 // up, or none. If there is no place it returns nil, and whether the source has its
 // share already. Whoever has most gives up first, so that all have as many, but for
 // one, when all want more.
 func (t *Table) Open(now time.Duration, address netip.Addr) (c *Conn, over bool, victim *Conn) {
-	address = Source(address)
+	address = SourceAddress(address)
 	s := t.sources[address]
 	has := 0
 	if s != nil {
-		has = s.open
+		has = s.connections
 	}
-	over = t.over(s, has)
+	over = t.atShare(s, has)
 	switch {
-	case s != nil && s.opening >= max(t.limits.Total/opening, 1):
-		if victim = s.unread(now); victim == nil {
+	case s != nil && s.opening >= max(t.limits.Total/openingDivisor, 1):
+		if victim = s.nextOpeningVictim(now); victim == nil {
 			return nil, true, nil
 		}
-	case t.open >= t.limits.Total || over && t.limits.Total-t.open+t.in[Idle] <= t.limits.Total/reserve:
+	case t.connections >= t.limits.Total || over && t.limits.Total-t.connections+t.byState[Idle] <= t.limits.Total/reserveDivisor:
 		if victim = t.victim(now, s, has); victim == nil {
 			return nil, over, nil
 		}
 	}
 	if s == nil {
-		s = &source{address: address, at: -1}
+		s = &source{address: address, heapIndex: -1}
 		t.sources[address] = s
 	}
 	c = &Conn{source: s, state: New, since: now}
-	s.open++
-	t.open++
-	t.enter(c)
-	t.fix(s)
+	s.connections++
+	t.connections++
+	t.link(c)
+	t.updateHeap(s)
 	if victim != nil {
 		t.Close(victim)
 	}
@@ -162,7 +162,7 @@
 
 // over tells whether a source that has so many, and wants one more, has its share
 // already. A source that is alone may have all.
-func (t *Table) over(s *source, has int) bool {
+func (t *Table) atShare(s *source, has int) bool {
 	sources := len(t.sources)
 	if s == nil {
 		sources++
@@ -173,17 +173,17 @@
 // victim returns the connection that makes room for one of a source that has so
 // many: that of the source that has most, which may be its own.
 func (t *Table) victim(now time.Duration, s *source, has int) *Conn {
-	if t.giving.Len() == 0 {
+	if t.evictable.Len() == 0 {
 		return nil
 	}
-	v := t.giving.sources[0]
-	if v.open <= has && v != s {
+	v := t.evictable.sources[0]
+	if v.connections <= has && v != s {
 		// It has no more than the one that wants a place, which makes do with its own.
-		if v = s; s == nil || s.at < 0 {
+		if v = s; s == nil || s.heapIndex < 0 {
 			return nil
 		}
 	}
-	if c, from := v.first(); from <= now {
+	if c, from := v.nextVictim(); from <= now {
 		return c
 	}
 	return nil
@@ -191,11 +191,11 @@
 
 // unread returns the connection of a source with too many New and Head ones that
 // makes room for another.
-func (s *source) unread(now time.Duration) *Conn {
-	if c := s.in[New].oldest; c != nil && c.since+Grace <= now {
+func (s *source) nextOpeningVictim(now time.Duration) *Conn {
+	if c := s.byState[New].oldest; c != nil && c.since+NewGrace <= now {
 		return c
 	}
-	if c := s.in[Head].oldest; c != nil && c.since+HeadGrace <= now {
+	if c := s.byState[Head].oldest; c != nil && c.since+HeadGrace <= now {
 		return c
 	}
 	return nil
@@ -205,13 +205,13 @@
 // look again, if nothing happens before; 0: only then. While all places are in use
 // by requests, connections wait in the listener's queue.
 func (t *Table) Room(now time.Duration) (ok bool, look time.Duration) {
-	if t.open < t.limits.Total {
+	if t.connections < t.limits.Total {
 		return true, 0
 	}
-	if t.giving.Len() == 0 {
+	if t.evictable.Len() == 0 {
 		return false, 0
 	}
-	if _, from := t.giving.sources[0].first(); from > now {
+	if _, from := t.evictable.sources[0].nextVictim(); from > now {
 		return false, from - now
 	}
 	return true, 0
@@ -223,26 +223,26 @@
 	if c.source == nil || c.state == state {
 		return
 	}
-	t.leave(c)
+	t.unlink(c)
 	c.state, c.since = state, now
-	t.enter(c)
-	t.fix(c.source)
+	t.link(c)
+	t.updateHeap(c.source)
 }
 
-func (t *Table) enter(c *Conn) {
-	t.in[c.state]++
+func (t *Table) link(c *Conn) {
+	t.byState[c.state]++
 	if c.state != Busy {
-		c.source.in[c.state].push(c)
+		c.source.byState[c.state].push(c)
 	}
 	if c.state == New || c.state == Head {
 		c.source.opening++
 	}
 }
 
-func (t *Table) leave(c *Conn) {
-	t.in[c.state]--
+func (t *Table) unlink(c *Conn) {
+	t.byState[c.state]--
 	if c.state != Busy {
-		c.source.in[c.state].remove(c)
+		c.source.byState[c.state].remove(c)
 	}
 	if c.state == New || c.state == Head {
 		c.source.opening--
@@ -255,30 +255,30 @@
 	if s == nil {
 		return
 	}
-	t.leave(c)
+	t.unlink(c)
 	c.source = nil
-	t.open--
-	if s.open--; s.open == 0 {
+	t.connections--
+	if s.connections--; s.connections == 0 {
 		delete(t.sources, s.address)
 	}
-	t.fix(s)
+	t.updateHeap(s)
 }
 
-// Limit puts other limits in force, and returns those that have to go for them. No
+// SetLimits puts other limits in force, and returns those that have to go for them. No
 // head is cut off, and no request.
-func (t *Table) Limit(limits Limits) (victims []*Conn) {
+func (t *Table) SetLimits(limits Limits) (victims []*Conn) {
 	t.limits = limits
-	for t.open > limits.Total {
+	for t.connections > limits.Total {
 		var most *source
 		for _, s := range t.sources {
-			if (s.in[Idle].oldest != nil || s.in[New].oldest != nil) && (most == nil || s.open > most.open) {
+			if (s.byState[Idle].oldest != nil || s.byState[New].oldest != nil) && (most == nil || s.connections > most.connections) {
 				most = s
 			}
 		}
 		if most == nil {
 			break
 		}
-		c := cmp.Or(most.in[Idle].oldest, most.in[New].oldest)
+		c := cmp.Or(most.byState[Idle].oldest, most.byState[New].oldest)
 		t.Close(c)
 		victims = append(victims, c)
 	}
@@ -287,19 +287,19 @@
 
 // Counts are a Table's figures.
 type Counts struct {
-	Open    int
-	In      [states]int
-	Sources int
-	Over    int // sources with more than their share, while places run short
+	Open      int
+	ByState   [stateCount]int
+	Sources   int
+	OverShare int // sources with more than their share, while places run short
 }
 
 // Counts returns them.
 func (t *Table) Counts() Counts {
-	n := Counts{Open: t.open, In: t.in, Sources: len(t.sources)}
-	if t.open >= t.limits.Total-t.limits.Total/reserve {
+	n := Counts{Open: t.connections, ByState: t.byState, Sources: len(t.sources)}
+	if t.connections >= t.limits.Total-t.limits.Total/reserveDivisor {
 		for _, s := range t.sources {
-			if t.over(s, s.open-1) {
-				n.Over++
+			if t.atShare(s, s.connections-1) {
+				n.OverShare++
 			}
 		}
 	}
@@ -307,50 +307,50 @@
 }
 
 // fix puts a source where it belongs among those that can give up connections.
-func (t *Table) fix(s *source) {
-	c, _ := s.first()
+func (t *Table) updateHeap(s *source) {
+	c, _ := s.nextVictim()
 	gives := c != nil
 	switch {
-	case gives && s.at < 0:
-		heap.Push(&t.giving, s)
+	case gives && s.heapIndex < 0:
+		heap.Push(&t.evictable, s)
 	case gives:
-		heap.Fix(&t.giving, s.at)
-	case s.at >= 0:
-		heap.Remove(&t.giving, s.at)
+		heap.Fix(&t.evictable, s.heapIndex)
+	case s.heapIndex >= 0:
+		heap.Remove(&t.evictable, s.heapIndex)
 	}
 }
 
 // givers has the source first that has most; of equals, that with the connection
 // that stands longest.
-type givers struct {
-	sources  []*source
-	compared int // so often, for measurements
+type victimHeap struct {
+	sources     []*source
+	comparisons int // so often, for measurements
 }
 
-func (g *givers) Len() int { return len(g.sources) }
-func (g *givers) Less(i, j int) bool {
-	g.compared++
+func (g *victimHeap) Len() int { return len(g.sources) }
+func (g *victimHeap) Less(i, j int) bool {
+	g.comparisons++
 	a, b := g.sources[i], g.sources[j]
-	if a.open != b.open {
-		return a.open > b.open
+	if a.connections != b.connections {
+		return a.connections > b.connections
 	}
-	_, from := a.first()
-	_, other := b.first()
+	_, from := a.nextVictim()
+	_, other := b.nextVictim()
 	return from < other
 }
-func (g *givers) Swap(i, j int) {
+func (g *victimHeap) Swap(i, j int) {
 	g.sources[i], g.sources[j] = g.sources[j], g.sources[i]
-	g.sources[i].at, g.sources[j].at = i, j
+	g.sources[i].heapIndex, g.sources[j].heapIndex = i, j
 }
-func (g *givers) Push(s any) {
-	s.(*source).at = len(g.sources)
+func (g *victimHeap) Push(s any) {
+	s.(*source).heapIndex = len(g.sources)
 	g.sources = append(g.sources, s.(*source))
 }
-func (g *givers) Pop() any {
+func (g *victimHeap) Pop() any {
 	last := len(g.sources) - 1
 	s := g.sources[last]
 	g.sources[last] = nil
 	g.sources = g.sources[:last]
-	s.at = -1
+	s.heapIndex = -1
 	return s
 }
--- a/internal/connlimit/table_test.go
+++ b/internal/connlimit/table_test.go
@@ -21,7 +21,7 @@
 		t.Fatalf("%d open, %d known, %d allowed", n.Open, len(conns), tab.limits.Total)
 	}
 	sum := 0
-	for _, in := range n.In {
+	for _, in := range n.ByState {
 		sum += in
 	}
 	bySource := map[*source]int{}
@@ -33,21 +33,21 @@
 	}
 	giving := 0
 	for s, has := range bySource {
-		if s.open != has || tab.sources[s.address] != s {
-			t.Fatalf("%s has %d, the table says %d", s.address, has, s.open)
+		if s.connections != has || tab.sources[s.address] != s {
+			t.Fatalf("%s has %d, the table says %d", s.address, has, s.connections)
 		}
-		if c, _ := s.first(); c != nil {
+		if c, _ := s.nextVictim(); c != nil {
 			giving++
-			if s.at < 0 || tab.giving.sources[s.at] != s {
+			if s.heapIndex < 0 || tab.evictable.sources[s.heapIndex] != s {
 				t.Fatalf("%s is not among those that can give", s.address)
 			}
 		}
 	}
-	if giving != tab.giving.Len() {
-		t.Fatalf("%d can give, %d are known", giving, tab.giving.Len())
+	if giving != tab.evictable.Len() {
+		t.Fatalf("%d can give, %d are known", giving, tab.evictable.Len())
 	}
-	for i := range tab.giving.sources {
-		if i > 0 && tab.giving.Less(i, (i-1)/2) {
+	for i := range tab.evictable.sources {
+		if i > 0 && tab.evictable.Less(i, (i-1)/2) {
 			t.Fatal("those that can give are out of order")
 		}
 	}
@@ -86,18 +86,18 @@
 				from := address(random.IntN(1 + random.IntN(30)))
 				has := 0
 				if s := tab.sources[from]; s != nil {
-					has = s.open
+					has = s.connections
 				}
 				most := 0
 				for _, s := range tab.sources {
-					if s.at >= 0 {
-						most = max(most, s.open)
+					if s.heapIndex >= 0 {
+						most = max(most, s.connections)
 					}
 				}
 				ok, _ := tab.Room(now)
 				c, over, victim := tab.Open(now, from)
-				if c == nil && victim != nil || c == nil && tab.open < tab.limits.Total && !over && has < tab.limits.Total/opening {
-					t.Fatalf("seed %d: no place, with %d of %d open", seed, tab.open, tab.limits.Total)
+				if c == nil && victim != nil || c == nil && tab.connections < tab.limits.Total && !over && has < tab.limits.Total/openingDivisor {
+					t.Fatalf("seed %d: no place, with %d of %d open", seed, tab.connections, tab.limits.Total)
 				}
 				if c != nil && !ok && victim == nil {
 					t.Fatalf("seed %d: a place where there is no room", seed)
@@ -119,13 +119,13 @@
 				}
 			case 4:
 				if random.IntN(20) == 0 {
-					for _, c := range tab.Limit(Limits{Total: 1 + random.IntN(40)}) {
+					for _, c := range tab.SetLimits(Limits{Total: 1 + random.IntN(40)}) {
 						drop(c, "for a limit")
 					}
-					for tab.open > tab.limits.Total { // those in requests end by themselves
+					for tab.connections > tab.limits.Total { // those in requests end by themselves
 						c := pick()
 						if c.state == New || c.state == Idle {
-							t.Fatalf("seed %d: %d open of %d, and one rests", seed, tab.open, tab.limits.Total)
+							t.Fatalf("seed %d: %d open of %d, and one rests", seed, tab.connections, tab.limits.Total)
 						}
 						tab.Close(c)
 						delete(conns, c)
@@ -133,7 +133,7 @@
 				}
 			default:
 				if c := pick(); c != nil {
-					tab.Set(now, c, State(random.IntN(int(states))))
+					tab.Set(now, c, State(random.IntN(int(stateCount))))
 				}
 			}
 			sound(t, tab, conns)
@@ -141,7 +141,7 @@
 		for c := range conns {
 			tab.Close(c)
 		}
-		if tab.open != 0 || len(tab.sources) != 0 || tab.giving.Len() != 0 {
+		if tab.connections != 0 || len(tab.sources) != 0 || tab.evictable.Len() != 0 {
 			t.Fatalf("seed %d: something is left", seed)
 		}
 	}
@@ -222,7 +222,7 @@
 	a3, b1 := open(2, 1), open(3, 2)
 	tab.Set(3, a1, Idle)
 	tab.Set(3, a1, New)
-	if ok, look := tab.Room(4); ok || look != Grace-3 {
+	if ok, look := tab.Room(4); ok || look != NewGrace-3 {
 		t.Errorf("room %t, look after %v, while all are new", ok, look)
 	}
 	if c, over, _ := tab.Open(4, address(1)); c != nil || !over {
@@ -253,7 +253,7 @@
 	if n := lone.Counts(); n.Sources != 1 {
 		t.Errorf("%d sources", n.Sources)
 	}
-	if ok, _ := lone.Room(Grace); !ok {
+	if ok, _ := lone.Room(NewGrace); !ok {
 		t.Error("one that says nothing keeps its place past its grace")
 	}
 }
@@ -271,7 +271,7 @@
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
-				tab.giving.compared = 0
+				tab.evictable.comparisons = 0
 				for i := range b.N {
 					now := time.Duration(i)
 					c, _, _ := tab.Open(now, address(n+i%n))
@@ -279,7 +279,7 @@
 					tab.Set(now, c, Busy)
 					tab.Set(now, c, Idle)
 				}
-				b.ReportMetric(float64(tab.giving.compared)/float64(b.N)/5, "comparisons/event")
+				b.ReportMetric(float64(tab.evictable.comparisons)/float64(b.N)/5, "comparisons/event")
 			})
 		}
 	}
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -10,13 +10,13 @@
 )
 
 // lastingAcceptErrors say that a listener will never accept anything.
-var lastingAcceptErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT}
+var permanentAcceptErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT}
 
 // acceptPasses reports whether accepting may succeed again after an error. accept returns
 // errors of the connection that was to be accepted, of the network and of filters as well:
 // none of them says anything about the listener.
-func acceptPasses(err error) bool {
-	for _, lasting := range lastingAcceptErrors {
+func isTemporaryAcceptError(err error) bool {
+	for _, lasting := range permanentAcceptErrors {
 		if errors.Is(err, lasting) {
 			return false
 		}
@@ -26,46 +26,46 @@
 
 // retryPause is the pause before a call is made again that failed. It doubles from error to error,
 // from leastPause to mostPause.
-type retryPause struct{ next time.Duration }
+type backoff struct{ delay time.Duration }
 
-func (p *retryPause) reset() { p.next = 0 }
+func (p *backoff) reset() { p.delay = 0 }
 
-func (p *retryPause) after() time.Duration {
-	p.next = min(max(2*p.next, leastPause), mostPause)
-	return p.next
+func (p *backoff) nextDelay() time.Duration {
+	p.delay = min(max(2*p.delay, minRetryDelay), maxRetryDelay)
+	return p.delay
 }
 
 // steadyListener tries again when accepting fails with an error that passes, so that it does
 // not end a server. One goroutine accepts.
-type steadyListener struct {
+type retryingListener struct {
 	net.Listener
-	name   string // for the log
-	pause  retryPause
-	lines  lineLimit
-	closed chan struct{}
-	close  sync.Once
+	name      string // for the log
+	backoff   backoff
+	logLimit  lineLimit
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func newSteadyListener(l net.Listener, name string) *steadyListener {
-	return &steadyListener{Listener: l, name: name, lines: lineLimit{most: 1}, closed: make(chan struct{})}
+func newRetryingListener(l net.Listener, name string) *retryingListener {
+	return &retryingListener{Listener: l, name: name, logLimit: lineLimit{most: 1}, closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
-func (l *steadyListener) Accept() (net.Conn, error) {
+func (l *retryingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err == nil {
-			l.pause.reset()
+			l.backoff.reset()
 			return conn, nil
 		}
-		if !acceptPasses(err) {
+		if !isTemporaryAcceptError(err) {
 			return nil, err
 		}
-		if l.lines.allow() {
+		if l.logLimit.allow() {
 			slog.Error("accepting failed", "listener", l.name, "error", err)
 		}
 		select {
-		case <-time.After(l.pause.after()):
+		case <-time.After(l.backoff.nextDelay()):
 		case <-l.closed:
 			return nil, net.ErrClosed
 		}
@@ -73,7 +73,7 @@
 }
 
 // Close implements net.Listener.
-func (l *steadyListener) Close() error {
-	l.close.Do(func() { close(l.closed) })
+func (l *retryingListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/gateway/ahead.go
+++ b/internal/gateway/ahead.go
@@ -10,7 +10,7 @@
 )
 
 // aheadMost is how many bytes of later requests are held while one is under way.
-const aheadMost = 16 << 10
+const maxReadAhead = 16 << 10
 
 // aheadReader reads on behind a request that is under way, if its client has sent
 // more. Danger: net/http stops listening at the first byte of a next request, and
@@ -18,52 +18,52 @@
 //
 // net/http's side reads one call at a time. Between a begin and the next Read a
 // goroutine of its own has the socket.
-type aheadReader struct {
+type readAheadConn struct {
 	net.Conn
-	left chan struct{} // closed once the client has ended, or its connection has
+	peerClosed chan struct{} // closed once the client has ended, or its connection has
 
 	mu       sync.Mutex
 	deadline time.Time     // that net/http has set
 	running  chan struct{} // closed when the goroutine has ended; nil: there is none
 	stopped  bool          // nothing more is read from the connection
 
-	held    []byte       // not yet read by net/http
-	err     error        // behind what is held
-	waiting atomic.Int64 // bytes that are held, for whoever asks beside the goroutine
+	buffered      []byte       // not yet read by net/http
+	err           error        // behind what is held
+	bufferedBytes atomic.Int64 // bytes that are held, for whoever asks beside the goroutine
 }
 
-func newAheadReader(c net.Conn) *aheadReader {
-	return &aheadReader{Conn: c, left: make(chan struct{})}
+func newReadAheadConn(c net.Conn) *readAheadConn {
+	return &readAheadConn{Conn: c, peerClosed: make(chan struct{})}
 }
 
-func (a *aheadReader) Read(p []byte) (int, error) {
-	a.end()
-	if len(a.held) > 0 {
-		n := copy(p, a.held)
-		if a.held = a.held[n:]; len(a.held) == 0 {
-			a.held = nil
+func (a *readAheadConn) Read(p []byte) (int, error) {
+	a.stop()
+	if len(a.buffered) > 0 {
+		n := copy(p, a.buffered)
+		if a.buffered = a.buffered[n:]; len(a.buffered) == 0 {
+			a.buffered = nil
 		}
-		a.waiting.Store(int64(len(a.held)))
+		a.bufferedBytes.Store(int64(len(a.buffered)))
 		return n, nil
 	}
 	if a.err != nil {
 		return 0, a.err
 	}
 	n, err := a.Conn.Read(p)
-	a.ended(err)
+	a.recordEnd(err)
 	return n, err
 }
 
 // ended takes note of the connection's end.
-func (a *aheadReader) ended(err error) {
+func (a *readAheadConn) recordEnd(err error) {
 	if err != nil && a.err == nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		a.err = err
-		close(a.left)
+		close(a.peerClosed)
 	}
 }
 
 // begin reads on until the next Read, the client's end, or until enough is held.
-func (a *aheadReader) begin() {
+func (a *readAheadConn) start() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.running != nil || a.err != nil || a.stopped {
@@ -74,22 +74,22 @@
 	go a.run(a.running)
 }
 
-func (a *aheadReader) run(done chan struct{}) {
+func (a *readAheadConn) run(done chan struct{}) {
 	defer close(done)
 	var piece [1 << 10]byte
-	for len(a.held) < aheadMost {
-		n, err := a.Conn.Read(piece[:min(len(piece), aheadMost-len(a.held))])
-		a.held = append(a.held, piece[:n]...)
-		a.waiting.Store(int64(len(a.held)))
+	for len(a.buffered) < maxReadAhead {
+		n, err := a.Conn.Read(piece[:min(len(piece), maxReadAhead-len(a.buffered))])
+		a.buffered = append(a.buffered, piece[:n]...)
+		a.bufferedBytes.Store(int64(len(a.buffered)))
 		if err != nil {
-			a.ended(err)
+			a.recordEnd(err)
 			return
 		}
 	}
 }
 
 // end has the goroutine end and puts the deadline in force that was set meanwhile.
-func (a *aheadReader) end() {
+func (a *readAheadConn) stop() {
 	a.mu.Lock()
 	running := a.running
 	if running == nil {
@@ -109,7 +109,7 @@
 
 // interrupt ends the read that is under way, if nothing has come, and every later one. What
 // has been read before is still returned.
-func (a *aheadReader) interrupt() {
+func (a *readAheadConn) interrupt() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stopped = true
@@ -117,7 +117,7 @@
 }
 
 // SetReadDeadline is for net/http's own reads.
-func (a *aheadReader) SetReadDeadline(t time.Time) error {
+func (a *readAheadConn) SetReadDeadline(t time.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.deadline = t
@@ -129,7 +129,7 @@
 
 // full tells whether the client has sent more ahead than is held. It may be asked by
 // the handler of the request that is under way.
-func (a *aheadReader) full() bool {
+func (a *readAheadConn) full() bool {
 	a.mu.Lock()
 	running := a.running
 	a.mu.Unlock()
@@ -138,7 +138,7 @@
 	}
 	select {
 	case <-running:
-		return len(a.held) >= aheadMost
+		return len(a.buffered) >= maxReadAhead
 	default:
 		return false
 	}
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -33,7 +33,7 @@
 	for range mostInterim {
 		c.left.N = mostHead
 		resp, err := http.ReadResponse(c.r, asked)
-		if err == nil && c.read.doubt {
+		if err == nil && c.read.ambiguous {
 			err = errTwoWays
 		}
 		if err != nil {
@@ -44,7 +44,7 @@
 				break // no request asks for an upgrade
 			}
 			if resp.StatusCode != http.StatusContinue {
-				a.interim(answer{status: resp.StatusCode, header: resp.Header})
+				a.interim(response{status: resp.StatusCode, header: resp.Header})
 			}
 			continue
 		}
@@ -75,50 +75,50 @@
 
 // good reads a response that goes to the client.
 func (p *pools) good(a *attempt, c *backendConn, resp *http.Response) result {
-	start := answer{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength}
+	start := response{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength}
 	if resp.Body == http.NoBody {
 		return result{outcome: rules.Served, answer: start, units: trueUnits(resp.Header)}
 	}
-	d := &download{body: resp.Body, length: resp.ContentLength, conn: c, window: window{budget: &p.figures.bodies}, figures: p.figures, end: make(chan rules.Outcome, 1)}
-	most := mostHeld
-	if l := resp.ContentLength; l >= 0 && l < mostHeld {
+	d := &download{body: resp.Body, length: resp.ContentLength, conn: c, window: window{budget: &p.figures.bodies}, metrics: p.figures, done: make(chan rules.Outcome, 1)}
+	most := maxHeldBody
+	if l := resp.ContentLength; l >= 0 && l < maxHeldBody {
 		most = int(l)
 	}
-	d.memory, most = p.figures.bodies.room(most)
+	d.reservedMemory, most = p.figures.bodies.reserveUpTo(most)
 	if len(resp.TransferEncoding) > 0 {
-		d.chunks = &chunkedReader{r: c.r}
-		d.body = d.chunks
+		d.chunked = &chunkedReader{r: c.r}
+		d.body = d.chunked
 	}
-	d.start = newIntake(d.body, resp.ContentLength, most)
-	start.rest = d
+	d.prefix = newBodyPrefix(d.body, resp.ContentLength, most)
+	start.download = d
 	begin := func() {
 		if !a.begun(start) {
-			d.drop() // the client no longer waits
+			d.discard() // the client no longer waits
 		}
 	}
 	if l := resp.ContentLength; l < 0 || l > int64(c.r.Buffered()) {
-		defer time.AfterFunc(holdFor, func() {
-			if d.start.release() {
+		defer time.AfterFunc(maxHoldTime, func() {
+			if d.prefix.release() {
 				begin()
 			}
 		}).Stop()
 	}
-	whole, err := d.start.fill()
+	whole, err := d.prefix.fill()
 	switch {
-	case d.start.released():
+	case d.prefix.released():
 		// The timer has released it to the client.
 	case whole:
-		start.body, start.rest, start.trailer = d.start.held, nil, d.trailers()
-		start.memory = p.figures.bodies.shrink(d.memory, len(start.body))
+		start.body, start.download, start.trailer = d.prefix.held, nil, d.trailers()
+		start.reservedMemory = p.figures.bodies.shrink(d.reservedMemory, len(start.body))
 		return result{outcome: rules.Served, answer: start, units: trueUnits(resp.Header)}
 	case err != nil:
-		p.figures.bodies.give(d.memory)
+		p.figures.bodies.release(d.reservedMemory)
 		return result{outcome: broken(err), err: err}
 	default:
 		begin()
 	}
-	outcome := <-d.end
-	p.figures.bodies.give(d.memory)
+	outcome := <-d.done
+	p.figures.bodies.release(d.reservedMemory)
 	return result{outcome: outcome}
 }
 
--- a/internal/gateway/arrival.go
+++ b/internal/gateway/arrival.go
@@ -20,66 +20,66 @@
 type bodyArrival struct {
 	conn *clientConn // nil: it is not known what waits in the socket
 
-	mu         sync.Mutex
-	incomplete time.Time // the latest moment at which the body was known not to be whole
-	ended      bool      // the last byte has been read
+	mu             sync.Mutex
+	lastIncomplete time.Time // the latest moment at which the body was known not to be whole
+	complete       bool      // the last byte has been read
 }
 
 // begin begins with a body of which nothing has been read.
-func (a *bodyArrival) begin(conn *clientConn) {
-	a.conn, a.incomplete = conn, time.Now()
+func (a *bodyArrival) start(conn *clientConn) {
+	a.conn, a.lastIncomplete = conn, time.Now()
 }
 
 // look reports whether the rest of the body has still to be sent.
-func (a *bodyArrival) look() (missing bool) {
-	if a.conn != nil && (a.conn.between() || a.conn.probe.unread(a.conn.Conn) > 0) {
+func (a *bodyArrival) checkMissing() (missing bool) {
+	if a.conn != nil && (a.conn.betweenRequests() || a.conn.unread.unread(a.conn.Conn) > 0) {
 		return false
 	}
-	a.still()
+	a.markIncomplete()
 	return true
 }
 
 // still notes that the body is not whole yet.
-func (a *bodyArrival) still() {
+func (a *bodyArrival) markIncomplete() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.ended {
-		a.incomplete = time.Now()
+	if !a.complete {
+		a.lastIncomplete = time.Now()
 	}
 }
 
 // end notes that the last byte has been read.
-func (a *bodyArrival) end() {
+func (a *bodyArrival) markComplete() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ended = true
+	a.complete = true
 }
 
 // at returns when the last byte was sent at the earliest. It may be called behind end.
-func (a *bodyArrival) at() time.Time {
+func (a *bodyArrival) lastByteTime() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.incomplete
+	return a.lastIncomplete
 }
 
 // left returns how much of a patience from the last byte on remains at least.
-func (a *bodyArrival) left(patience time.Duration) time.Duration {
+func (a *bodyArrival) remaining(patience time.Duration) time.Duration {
 	a.mu.Lock()
-	ended := a.ended
+	ended := a.complete
 	a.mu.Unlock()
-	if !ended && a.look() {
+	if !ended && a.checkMissing() {
 		return patience
 	}
-	return time.Until(a.at().Add(patience))
+	return time.Until(a.lastByteTime().Add(patience))
 }
 
 // unreadProbe counts the bytes that wait in a socket. It keeps what a look needs, so that a
 // look allocates nothing, and is safe for concurrent use.
 type unreadProbe struct {
-	mu    sync.Mutex
-	raw   syscall.RawConn // nil: there has been no look, or the connection has none
-	look  func(fd uintptr)
-	count int32
+	mu        sync.Mutex
+	raw       syscall.RawConn // nil: there has been no look, or the connection has none
+	readCount func(fd uintptr)
+	count     int32
 }
 
 // unread returns how many bytes wait in the connection's socket, or 0 where the system does
@@ -91,14 +91,14 @@
 		if p.raw = rawConn(conn); p.raw == nil {
 			return 0
 		}
-		p.look = p.read
+		p.readCount = p.readUnread
 	}
 	p.count = 0
-	p.raw.Control(p.look)
+	p.raw.Control(p.readCount)
 	return int(p.count)
 }
 
-func (p *unreadProbe) read(fd uintptr) {
+func (p *unreadProbe) readUnread(fd uintptr) {
 	if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, fd, syscall.TIOCINQ, uintptr(unsafe.Pointer(&p.count))); errno != 0 {
 		p.count = 0
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -22,11 +22,11 @@
 // result is how an attempt ended.
 type result struct {
 	outcome rules.Outcome
-	err     error   // why no whole response came
-	answer  answer  // if the outcome is rules.Served
-	units   float64 // of the quota that the request really took; 0: the backend did not say
-	cut     error   // why the client's body was incomplete; the backend has run nothing then
-	spent   bool    // the client's body can't be sent to another backend
+	err     error    // why no whole response came
+	answer  response // if the outcome is rules.Served
+	units   float64  // of the quota that the request really took; 0: the backend did not say
+	cut     error    // why the client's body was incomplete; the backend has run nothing then
+	spent   bool     // the client's body can't be sent to another backend
 }
 
 // attempt is one try of a request at one backend. The loop owns all fields but those that
@@ -47,9 +47,9 @@
 
 	// begun tells the loop that the head of a response may go to the client. It returns
 	// false if the client no longer waits.
-	begun func(answer) bool
+	begun func(response) bool
 	// interim tells the loop of a 1xx response.
-	interim func(answer)
+	interim func(response)
 
 	last atomic.Bool // the end of a streamed body is about to be written, or has been
 
@@ -127,7 +127,7 @@
 	var res result
 	var reuse bool
 	c.uses++
-	c.read.begin()
+	c.read.beginResponse()
 	if a.x.upload != nil {
 		res, reuse = p.stream(a, c)
 	} else {
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -90,7 +90,7 @@
 func newAttempt(timeout time.Duration) *attempt {
 	a := &attempt{backend: 1, until: time.Now().Add(timeout), x: &exchange{method: "POST", uri: "/booking/7?a=%2F",
 		host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, body: []byte("pickup")}}
-	a.begun, a.interim = func(answer) bool { return false }, func(answer) {}
+	a.begun, a.interim = func(response) bool { return false }, func(response) {}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
@@ -178,13 +178,13 @@
 	backend := newPeer(t)
 	p := poolFor(t, backend.address())
 	a := newAttempt(patience)
-	a.x.header[keyHeader] = []string{"key-1"}
+	a.x.header[idempotencyHeader] = []string{"key-1"}
 	a.x.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, mostUnread/4)
 	done := start(p, a)
 	conn, r := backend.accept(t)
 	req, body := readRequest(t, r)
 	if req.Method != "POST" || req.RequestURI != a.x.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.x.body) ||
-		req.Header.Get(idHeader) != "id-1" || req.Header.Get(keyHeader) != "key-1" || req.Header.Get(leftHeader) == "" {
+		req.Header.Get(idHeader) != "id-1" || req.Header.Get(idempotencyHeader) != "key-1" || req.Header.Get(leftHeader) == "" {
 		t.Errorf("got %s %s with %d bytes and %v", req.Method, req.RequestURI, len(body), req.Header)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -27,21 +27,21 @@
 				n, hold := 1+random.IntN(40), time.Duration(random.IntN(3000))*time.Millisecond
 				patience := time.Duration(1+random.IntN(4000)) * time.Millisecond
 				if random.IntN(3) == 0 { // one that only tries
-					if b.try(n) {
-						time.AfterFunc(hold, func() { b.give(n) })
+					if b.tryReserve(n) {
+						time.AfterFunc(hold, func() { b.release(n) })
 					}
 				}
 				if used, most := b.usage(); used > b.total || most > b.total {
 					t.Fatalf("seed %d: %d of %d, at most %d", seed, used, b.total, most)
 				}
-				free := !b.crowded() && b.used+n <= b.total
+				free := !b.hasWaiters() && b.used+n <= b.total
 				go func() {
 					defer func() { done <- struct{}{} }()
 					ctx, cancel := context.WithTimeout(context.Background(), patience)
 					defer cancel()
 					began := time.Now()
-					err := b.take(ctx, n)
-					if took := time.Since(began); took > min(budgetWait, patience) || free && took > 0 {
+					err := b.reserve(ctx, n)
+					if took := time.Since(began); took > min(budgetTimeout, patience) || free && took > 0 {
 						t.Errorf("seed %d: a word after %v", seed, took)
 					}
 					if err != nil {
@@ -53,7 +53,7 @@
 					}
 					mu.Unlock()
 					time.Sleep(hold)
-					b.give(n)
+					b.release(n)
 				}()
 				synctest.Wait()
 			}
@@ -65,8 +65,8 @@
 			if len(served) == 0 || !slices.IsSortedFunc(served, func(i, j int) int { return at[i].Compare(at[j]) }) {
 				t.Errorf("seed %d: of %v one was served before one that had come first", seed, served)
 			}
-			if b.used != 0 || len(b.line) != 0 {
-				t.Errorf("seed %d: %d left, %d wait", seed, b.used, len(b.line))
+			if b.used != 0 || len(b.waiters) != 0 {
+				t.Errorf("seed %d: %d left, %d wait", seed, b.used, len(b.waiters))
 			}
 		})
 	}
@@ -75,47 +75,47 @@
 // A window grows for a body that fills it while there is room, shrinks when
 // others wait, is never less than the small one, and gives all back.
 func TestWindow(t *testing.T) {
-	b := &budget{total: 2 * mostWindow}
+	b := &budget{total: 2 * maxWindow}
 	w := window{budget: b}
 	size := func(want int) {
 		t.Helper()
-		if got := len(w.open()); got != want {
+		if got := len(w.buffer()); got != want {
 			t.Errorf("a window of %d bytes, want %d; %d taken", got, want, b.used)
 		}
 	}
-	size(leastWindow)
-	w.passed(leastWindow - 1)
-	size(leastWindow)
-	w.passed(leastWindow)
-	size(mostWindow)
-	w.close()
-	size(mostWindow) // it fills what it has, as before
+	size(minWindow)
+	w.recordUse(minWindow - 1)
+	size(minWindow)
+	w.recordUse(minWindow)
+	size(maxWindow)
+	w.release()
+	size(maxWindow) // it fills what it has, as before
 	other := window{budget: b}
-	other.open()
-	other.passed(leastWindow)
-	if len(other.open()) != leastWindow {
+	other.buffer()
+	other.recordUse(minWindow)
+	if len(other.buffer()) != minWindow {
 		t.Error("a window grew into what is kept for those that come")
 	}
 	waits := make(chan error)
-	go func() { waits <- b.take(t.Context(), 2*mostWindow-leastWindow-leastWindow) }()
-	for !b.crowded() {
+	go func() { waits <- b.reserve(t.Context(), 2*maxWindow-minWindow-minWindow) }()
+	for !b.hasWaiters() {
 		time.Sleep(time.Millisecond) // until it waits
 	}
-	size(leastWindow)
+	size(minWindow)
 	if err := <-waits; err != nil {
 		t.Error(err)
 	}
 	none := window{budget: b}
-	if len(none.open()) != uncounted {
+	if len(none.buffer()) != uncountedBytes {
 		t.Error("no window at all without a budget")
 	}
-	own := window{budget: b, own: leastWindow}
-	if len(own.open()) != leastWindow {
+	own := window{budget: b, prepaid: minWindow}
+	if len(own.buffer()) != minWindow {
 		t.Error("what a transfer holds already is not its window")
 	}
-	b.give(2*mostWindow - leastWindow - leastWindow)
+	b.release(2*maxWindow - minWindow - minWindow)
 	for _, w := range []*window{&w, &other, &none, &own} {
-		w.close()
+		w.release()
 	}
 	if b.used != 0 {
 		t.Errorf("%d left", b.used)
@@ -125,23 +125,23 @@
 // A peer is given up for a pause, or for too little over all, and not for what
 // the other side took.
 func TestPace(t *testing.T) {
-	p := pace{pause: 10 * time.Second, grace: 10 * time.Second, rate: 1000}
-	if w := p.wait(); w != 10*time.Second {
+	p := pace{maxPause: 10 * time.Second, grace: 10 * time.Second, minRate: 1000}
+	if w := p.allowedWait(); w != 10*time.Second {
 		t.Errorf("at first %v", w)
 	}
 	for range 9 { // a byte a second
-		p.moved(1, time.Second)
+		p.record(1, time.Second)
 	}
-	if w := p.wait(); w < time.Second || w > 1100*time.Millisecond {
+	if w := p.allowedWait(); w < time.Second || w > 1100*time.Millisecond {
 		t.Errorf("a byte now and then: %v", w)
 	}
-	p.moved(1e6, time.Second)
-	if w := p.wait(); w != 10*time.Second {
+	p.record(1e6, time.Second)
+	if w := p.allowedWait(); w != 10*time.Second {
 		t.Errorf("after a second's megabyte: %v", w)
 	}
-	events := pace{pause: 10 * time.Second, grace: 10 * time.Second}
-	events.moved(1, time.Hour)
-	if w := events.wait(); w != 10*time.Second {
+	events := pace{maxPause: 10 * time.Second, grace: 10 * time.Second}
+	events.record(1, time.Hour)
+	if w := events.allowedWait(); w != 10*time.Second {
 		t.Errorf("without a rate: %v", w)
 	}
 }
--- a/internal/gateway/chunked.go
+++ b/internal/gateway/chunked.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	mostTrailer = 4 << 10  // bytes, all lines together
-	mostExcess  = 16 << 10 // bytes beside the data, beyond 16 for each chunk and what the data pays for
+	maxTrailerBytes  = 4 << 10  // bytes, all lines together
+	maxChunkOverhead = 16 << 10 // bytes beside the data, beyond 16 for each chunk and what the data pays for
 )
 
-var errChunks = errors.New("bad chunks")
+var errInvalidChunks = errors.New("bad chunks")
 
 // chunkedReader reads the chunks of an answer. Unlike that of net/http, it does not
 // wait for the rest of a chunk: who makes an answer may take its time with it.
 type chunkedReader struct {
-	r       *bufio.Reader
-	trailer http.Header // once the end has come
-	left    uint64      // bytes of the chunk
-	excess  int64
-	began   bool // a chunk has been read, whose line end is still to come
-	err     error
+	r          *bufio.Reader
+	trailer    http.Header // once the end has come
+	remaining  uint64      // bytes of the chunk
+	overhead   int64
+	lineEndDue bool // a chunk has been read, whose line end is still to come
+	err        error
 }
 
 // Read waits for a byte and returns what there is of the chunk that it is in.
 func (c *chunkedReader) Read(p []byte) (int, error) {
-	if c.err == nil && c.left == 0 {
-		c.err = c.next()
+	if c.err == nil && c.remaining == 0 {
+		c.err = c.nextChunk()
 	}
 	if c.err != nil || len(p) == 0 {
 		return 0, c.err
 	}
-	if uint64(len(p)) > c.left {
-		p = p[:c.left]
+	if uint64(len(p)) > c.remaining {
+		p = p[:c.remaining]
 	}
 	n, err := c.r.Read(p)
-	c.left -= uint64(n)
+	c.remaining -= uint64(n)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
@@ -52,31 +52,31 @@
 func (c *chunkedReader) ready() bool {
 	buffered, _ := c.r.Peek(c.r.Buffered())
 	switch {
-	case c.left > 0:
+	case c.remaining > 0:
 		return len(buffered) > 0
-	case c.began:
+	case c.lineEndDue:
 		buffered = buffered[min(len("\r\n"), len(buffered)):]
 	}
 	return bytes.IndexByte(buffered, '\n') >= 0
 }
 
 // next reads up to the data of the next chunk, or to the end.
-func (c *chunkedReader) next() error {
-	if c.began {
-		if line, err := c.line(); err != nil {
+func (c *chunkedReader) nextChunk() error {
+	if c.lineEndDue {
+		if line, err := c.readLine(); err != nil {
 			return err
 		} else if len(line) > 0 {
-			return errChunks
+			return errInvalidChunks
 		}
 	}
-	line, err := c.line()
+	line, err := c.readLine()
 	if err != nil {
 		return err
 	}
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	size, ok := parseHex(bytes.TrimRight(digits, " \t"))
 	if !ok {
-		return errChunks
+		return errInvalidChunks
 	}
 	if size == 0 {
 		if err := c.readTrailer(); err != nil {
@@ -84,28 +84,28 @@
 		}
 		return io.EOF
 	}
-	c.excess = max(c.excess+int64(len(line))-16-2*int64(min(size, mostExcess)), 0)
-	if c.excess > mostExcess {
-		return errChunks
+	c.overhead = max(c.overhead+int64(len(line))-16-2*int64(min(size, maxChunkOverhead)), 0)
+	if c.overhead > maxChunkOverhead {
+		return errInvalidChunks
 	}
-	c.left, c.began = size, true
+	c.remaining, c.lineEndDue = size, true
 	return nil
 }
 
 // line reads a line that ends as it has to.
-func (c *chunkedReader) line() ([]byte, error) {
+func (c *chunkedReader) readLine() ([]byte, error) {
 	line, err := c.r.ReadSlice('\n')
 	switch {
 	case err == io.EOF:
 		return nil, io.ErrUnexpectedEOF
 	case err == bufio.ErrBufferFull:
-		return nil, errChunks
+		return nil, errInvalidChunks
 	case err != nil:
 		return nil, err
 	}
 	line, proper := bytes.CutSuffix(line, []byte("\r\n"))
 	if !proper || bytes.IndexByte(line, '\r') >= 0 {
-		return nil, errChunks
+		return nil, errInvalidChunks
 	}
 	return line, nil
 }
@@ -113,7 +113,7 @@
 func (c *chunkedReader) readTrailer() error {
 	var lines []byte
 	for {
-		line, err := c.line()
+		line, err := c.readLine()
 		if err != nil {
 			return err
 		}
@@ -121,8 +121,8 @@
 		if len(line) == 0 {
 			break
 		}
-		if len(lines) > mostTrailer {
-			return errChunks
+		if len(lines) > maxTrailerBytes {
+			return errInvalidChunks
 		}
 	}
 	if len(lines) == len("\r\n") {
@@ -130,7 +130,7 @@
 	}
 	h, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(lines))).ReadMIMEHeader()
 	if err != nil {
-		return errChunks
+		return errInvalidChunks
 	}
 	c.trailer = http.Header(h)
 	return nil
--- a/internal/gateway/chunked_test.go
+++ b/internal/gateway/chunked_test.go
@@ -22,16 +22,16 @@
 		{"3\r\nabc", "abc", "", io.ErrUnexpectedEOF},
 		{"3\r\nab", "ab", "", io.ErrUnexpectedEOF},
 		{"3\r\nabc\r\n0\r\n", "abc", "", io.ErrUnexpectedEOF},
-		{"3\r\nabcd\r\n0\r\n\r\n", "abc", "", errChunks},
-		{"3\nabc\r\n0\r\n\r\n", "", "", errChunks},
-		{"0x3\r\nabc\r\n0\r\n\r\n", "", "", errChunks},
-		{"-3\r\nabc\r\n0\r\n\r\n", "", "", errChunks},
-		{"\r\nabc\r\n0\r\n\r\n", "", "", errChunks},
-		{"10000000000000003\r\nabc\r\n0\r\n\r\n", "", "", errChunks},
-		{"3\r\rabc\r\n", "", "", errChunks},
-		{"1;" + strings.Repeat("x", 5000) + "\r\na\r\n0\r\n\r\n", "", "", errChunks},
-		{strings.Repeat("1;"+strings.Repeat("x", 2000)+"\r\na\r\n", 50) + "0\r\n\r\n", "aaaaaaaa", "", errChunks},
-		{"0\r\n" + strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 9) + "\r\n", "", "", errChunks},
+		{"3\r\nabcd\r\n0\r\n\r\n", "abc", "", errInvalidChunks},
+		{"3\nabc\r\n0\r\n\r\n", "", "", errInvalidChunks},
+		{"0x3\r\nabc\r\n0\r\n\r\n", "", "", errInvalidChunks},
+		{"-3\r\nabc\r\n0\r\n\r\n", "", "", errInvalidChunks},
+		{"\r\nabc\r\n0\r\n\r\n", "", "", errInvalidChunks},
+		{"10000000000000003\r\nabc\r\n0\r\n\r\n", "", "", errInvalidChunks},
+		{"3\r\rabc\r\n", "", "", errInvalidChunks},
+		{"1;" + strings.Repeat("x", 5000) + "\r\na\r\n0\r\n\r\n", "", "", errInvalidChunks},
+		{strings.Repeat("1;"+strings.Repeat("x", 2000)+"\r\na\r\n", 50) + "0\r\n\r\n", "aaaaaaaa", "", errInvalidChunks},
+		{"0\r\n" + strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 9) + "\r\n", "", "", errInvalidChunks},
 	} {
 		for _, in := range []io.Reader{strings.NewReader(c.text), iotest.OneByteReader(strings.NewReader(c.text))} {
 			r := &chunkedReader{r: bufio.NewReader(in)}
@@ -54,7 +54,7 @@
 			if !r.ready() {
 				break
 			}
-			line := r.left == 0 // behind which the data may be missing
+			line := r.remaining == 0 // behind which the data may be missing
 			n, err := r.Read(buf)
 			if errors.Is(err, errWaits) && !line {
 				t.Fatalf("%q: ready, and waited", text[:end])
--- a/internal/gateway/client_connection.go
+++ b/internal/gateway/client_connection.go
@@ -15,27 +15,27 @@
 // clientConn is one connection of a client.
 type clientConn struct {
 	net.Conn
-	owner *clients
-	place *connlimit.Conn
-	ahead *aheadReader // of Conn
+	listener  *clientListener
+	entry     *connlimit.Conn
+	readAhead *readAheadConn // of Conn
 
 	// Of the owner's mu:
-	givenUp bool
-	lingers bool // its end is on the way to the client
-	busy    bool // it was given up in the middle of a request
-	cause   int
+	evicted     bool
+	lingering   bool // its end is on the way to the client
+	evictedBusy bool // it was given up in the middle of a request
+	closeCause  int
 
-	resting  atomic.Bool // New or Idle: the next byte begins a request
-	answered atomic.Bool // something was written since the last request began
-	ended    atomic.Bool // there is nobody, or nothing more, to wait for
-	untold   atomic.Bool // its answer ends with the connection, so a client can't tell a part from the whole
-	over     sync.Once
-	probe    unreadProbe
+	idle            atomic.Bool // New or Idle: the next byte begins a request
+	responseStarted atomic.Bool // something was written since the last request began
+	skipLinger      atomic.Bool // there is nobody, or nothing more, to wait for
+	closeDelimited  atomic.Bool // its answer ends with the connection, so a client can't tell a part from the whole
+	closeOnce       sync.Once
+	unread          unreadProbe
 
-	mu       sync.Mutex
-	read     framing
-	heads    int  // of requests that the server has taken
-	rejected bool // it has had its last answer; the server writes nothing more
+	mu          sync.Mutex
+	framing     framingScanner
+	headsServed int  // of requests that the server has taken
+	rejected    bool // it has had its last answer; the server writes nothing more
 }
 
 // Read reads along, for heads that could be read in two ways, and tells that a
@@ -43,73 +43,73 @@
 // further. Its bytes have been read, so its client is told: from a close alone it
 // could not know that the request never ran.
 func (c *clientConn) Read(p []byte) (int, error) {
-	n, err := c.ahead.Read(p)
-	if n > 0 && c.resting.Load() && !c.begin() {
-		c.reject(turnedAwayText)
+	n, err := c.readAhead.Read(p)
+	if n > 0 && c.idle.Load() && !c.beginRequest() {
+		c.rejectRequest(unavailableResponse)
 		return 0, io.EOF
 	}
 	if n == 1 && len(p) == 1 {
-		c.ahead.begin() // net/http listens for the client's end byte by byte, and has found another
+		c.readAhead.start() // net/http listens for the client's end byte by byte, and has found another
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.ended.Store(true)
+		c.skipLinger.Store(true)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.read.read(p[:n])
+	c.framing.scan(p[:n])
 	return n, err
 }
 
 func (c *clientConn) Write(p []byte) (int, error) {
-	if !c.answers() {
+	if !c.startWrite() {
 		return 0, net.ErrClosed
 	}
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		c.ended.Store(true) // the client takes nothing more
+		c.skipLinger.Store(true) // the client takes nothing more
 	}
 	return n, err
 }
 
 // answers notes that the server writes, and reports whether it may.
-func (c *clientConn) answers() bool {
+func (c *clientConn) startWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.rejected {
-		c.answered.Store(true)
+		c.responseStarted.Store(true)
 	}
 	return !c.rejected
 }
 
 // reject gives the request on the connection its answer, unless the server has begun to,
 // and nothing behind it.
-func (c *clientConn) reject(text string) {
+func (c *clientConn) rejectRequest(text string) {
 	c.mu.Lock()
-	if c.rejected || c.answered.Load() {
+	if c.rejected || c.responseStarted.Load() {
 		c.mu.Unlock()
 		return
 	}
 	c.rejected = true
-	c.answered.Store(true)
+	c.responseStarted.Store(true)
 	c.mu.Unlock()
-	c.owner.rejected.Add(1)
-	c.SetWriteDeadline(time.Now().Add(rejectWait))
+	c.listener.rejectedRequests.Add(1)
+	c.SetWriteDeadline(time.Now().Add(rejectRequestTimeout))
 	io.WriteString(c.Conn, text)
 }
 
 // endGivenUp ends a connection that was given up. One that rests is closed by whoever reads
 // it, since only the reader knows whether a byte of a request has come.
-func (c *clientConn) endGivenUp() {
+func (c *clientConn) closeEvicted() {
 	switch {
-	case c.resting.Load():
-		c.ahead.interrupt()
+	case c.idle.Load():
+		c.readAhead.interrupt()
 		return
-	case c.busy:
-		c.reject(cutOffText)
+	case c.evictedBusy:
+		c.rejectRequest(badGatewayResponse)
 	default:
-		c.reject(turnedAwayText)
+		c.rejectRequest(unavailableResponse)
 	}
-	if c.cutShort() {
+	if c.truncatesResponse() {
 		c.reset()
 	}
 	c.Close()
@@ -117,52 +117,54 @@
 
 // cutShort reports whether the connection ends in the middle of an answer whose client
 // could take the part for the whole.
-func (c *clientConn) cutShort() bool { return c.untold.Load() && c.answered.Load() }
+func (c *clientConn) truncatesResponse() bool {
+	return c.closeDelimited.Load() && c.responseStarted.Load()
+}
 
 // SetReadDeadline is for reads of the server's.
-func (c *clientConn) SetReadDeadline(t time.Time) error { return c.ahead.SetReadDeadline(t) }
+func (c *clientConn) SetReadDeadline(t time.Time) error { return c.readAhead.SetReadDeadline(t) }
 
-func (c *clientConn) begin() bool {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.givenUp {
+func (c *clientConn) beginRequest() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.evicted {
 		return false
 	}
-	c.resting.Store(false)
-	c.answered.Store(false)
-	c.owner.table.Set(c.owner.now(), c.place, connlimit.Head)
+	c.idle.Store(false)
+	c.responseStarted.Store(false)
+	c.listener.table.Set(c.listener.now(), c.entry, connlimit.Head)
 	return true
 }
 
-func (c *clientConn) set(s connlimit.State) {
+func (c *clientConn) setState(s connlimit.State) {
 	if s == connlimit.Busy {
 		c.mu.Lock()
-		c.heads++
+		c.headsServed++
 		c.mu.Unlock()
 	}
-	if c.enter(s) {
+	if c.enterState(s) {
 		c.Close()
 	}
 }
 
 // enter takes note of the state, and tells whether the connection goes for it.
-func (c *clientConn) enter(s connlimit.State) (goes bool) {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.givenUp {
+func (c *clientConn) enterState(s connlimit.State) (goes bool) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.evicted {
 		return false
 	}
-	c.resting.Store(s == connlimit.Idle)
-	c.owner.table.Set(c.owner.now(), c.place, s)
+	c.idle.Store(s == connlimit.Idle)
+	c.listener.table.Set(c.listener.now(), c.entry, s)
 	if s != connlimit.Busy {
-		c.answered.Store(false)
+		c.responseStarted.Store(false)
 	}
 	if s == connlimit.Idle {
-		c.owner.room.Broadcast()
+		c.listener.placeFreed.Broadcast()
 	}
 	// What waits to be read came before the end, and is answered.
-	if goes = c.owner.goes(c.place) && !unreadBytes(c.Conn); goes {
-		c.owner.giveUp(c.place, closedStop)
+	if goes = c.listener.closesInPhase(c.entry) && !unreadBytes(c.Conn); goes {
+		c.listener.evict(c.entry, closedShutdown)
 	}
 	return goes
 }
@@ -170,17 +172,17 @@
 // dropped tells whether the connection was given up. Danger: a head may have been
 // read whole in the moment in which it was given up for taking too long. Sent on,
 // its request would run for nobody.
-func (c *clientConn) dropped() bool {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	return c.givenUp
+func (c *clientConn) wasEvicted() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.evicted
 }
 
 // gone tells whether the client has ended the connection, behind a request that has
 // been read before.
-func (c *clientConn) gone() bool {
+func (c *clientConn) peerClosed() bool {
 	select {
-	case <-c.ahead.left:
+	case <-c.readAhead.peerClosed:
 		return true
 	default:
 		return false
@@ -188,39 +190,41 @@
 }
 
 // between tells whether no byte of a next request has come.
-func (c *clientConn) between() bool {
+func (c *clientConn) betweenRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.read.heads == c.heads && c.read.between()
+	return c.framing.heads == c.headsServed && c.framing.betweenMessages()
 }
 
 // pipelined reports whether bytes of a next request have been read, beside the one that is
 // under way.
-func (c *clientConn) pipelined() bool { return c.ahead.waiting.Load() > 0 || !c.between() }
+func (c *clientConn) pipelined() bool {
+	return c.readAhead.bufferedBytes.Load() > 0 || !c.betweenRequests()
+}
 
-func (c *clientConn) doubt() bool {
+func (c *clientConn) ambiguousFraming() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.read.doubt
+	return c.framing.ambiguous
 }
 
 // bodies is how many bytes of bodies have come.
-func (c *clientConn) bodies() uint64 {
+func (c *clientConn) bodyBytes() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.read.data
+	return c.framing.bodyBytes
 }
 
 // before is how many had come before the last head.
-func (c *clientConn) before() uint64 {
+func (c *clientConn) earlierBodyBytes() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.read.passed
+	return c.framing.earlierBodyBytes
 }
 
 // reset makes the connection's end one that the peer can tell from a proper one.
 func (c *clientConn) reset() {
-	c.ended.Store(true)
+	c.skipLinger.Store(true)
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
@@ -228,14 +232,14 @@
 
 // turnAway ends a connection for which there is no place. At a stop it waits for the client
 // to hear so, which in a crowd would cost too much.
-func (c *clientConn) turnAway(stops bool) {
-	c.SetWriteDeadline(time.Now().Add(refusalWait))
-	io.WriteString(c.Conn, turnedAwayText)
+func (c *clientConn) rejectConnection(stops bool) {
+	c.SetWriteDeadline(time.Now().Add(rejectConnTimeout))
+	io.WriteString(c.Conn, unavailableResponse)
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && stops {
 		go c.linger(tcp, rejectedLingerTime)
 		return
 	}
-	c.end()
+	c.closeNow()
 }
 
 // Close ends the connection and frees its place, once. Behind an answer it ends
@@ -244,12 +248,12 @@
 func (c *clientConn) Close() error {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	switch {
-	case !ok || !c.answered.Load() || c.ended.Load():
-		return c.end()
+	case !ok || !c.responseStarted.Load() || c.skipLinger.Load():
+		return c.closeNow()
 	case c.wasRejected():
 		return c.closeRejected(tcp)
 	case !c.beginLinger():
-		return c.end()
+		return c.closeNow()
 	}
 	go c.linger(tcp, lingerTime)
 	return nil
@@ -258,14 +262,14 @@
 // beginLinger reports whether to wait for the client's end: not where its place is wanted,
 // and not twice.
 func (c *clientConn) beginLinger() bool {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.lingers || c.place == nil || c.givenUp && !c.busy {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.lingering || c.entry == nil || c.evicted && !c.evictedBusy {
 		return false
 	}
-	c.lingers = true
-	c.owner.table.Set(c.owner.now(), c.place, connlimit.Idle) // it may go for another
-	c.owner.room.Broadcast()
+	c.lingering = true
+	c.listener.table.Set(c.listener.now(), c.entry, connlimit.Idle) // it may go for another
+	c.listener.placeFreed.Broadcast()
 	return true
 }
 
@@ -278,25 +282,25 @@
 // closeRejected waits for the client's end behind a rejection, once, for a short time. The
 // server closes the connection too, which must not end it sooner.
 func (c *clientConn) closeRejected(tcp *net.TCPConn) error {
-	c.owner.mu.Lock()
-	first := !c.lingers
-	wait := first && c.owner.lingering < rejectedLingerMost
+	c.listener.mu.Lock()
+	first := !c.lingering
+	wait := first && c.listener.rejectedLingering < maxRejectedLingering
 	if wait {
-		c.lingers = true
-		c.owner.lingering++
+		c.lingering = true
+		c.listener.rejectedLingering++
 	}
-	c.owner.mu.Unlock()
+	c.listener.mu.Unlock()
 	switch {
 	case !first:
 		return nil
 	case !wait:
-		return c.end()
+		return c.closeNow()
 	}
 	go func() {
 		c.linger(tcp, rejectedLingerTime)
-		c.owner.mu.Lock()
-		c.owner.lingering--
-		c.owner.mu.Unlock()
+		c.listener.mu.Lock()
+		c.listener.rejectedLingering--
+		c.listener.mu.Unlock()
 	}()
 	return nil
 }
@@ -304,24 +308,24 @@
 // linger waits for the client's end. Whoever wants the place closes the connection
 // under it.
 func (c *clientConn) linger(tcp *net.TCPConn, wait time.Duration) {
-	defer c.end()
+	defer c.closeNow()
 	if tcp.CloseWrite() == nil && tcp.SetReadDeadline(time.Now().Add(wait)) == nil {
-		io.Copy(io.Discard, io.LimitReader(tcp, lingerMost))
+		io.Copy(io.Discard, io.LimitReader(tcp, maxLingerBytes))
 	}
 }
 
-func (c *clientConn) end() error {
+func (c *clientConn) closeNow() error {
 	err := c.Conn.Close()
-	c.over.Do(func() {
-		l := c.owner
+	c.closeOnce.Do(func() {
+		l := c.listener
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if c.place != nil {
-			l.table.Close(c.place)
-			delete(l.conns, c.place)
+		if c.entry != nil {
+			l.table.Close(c.entry)
+			delete(l.conns, c.entry)
 		}
-		l.ended[c.cause].Add(1)
-		l.room.Broadcast()
+		l.closeCounts[c.closeCause].Add(1)
+		l.placeFreed.Broadcast()
 	})
 	return err
 }
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -19,42 +19,42 @@
 )
 
 const (
-	connMemory   = 20 << 10              // bytes that an idle connection of a client takes
-	connShare    = 4                     // a part of the memory, for them
-	leastPause   = 5 * time.Millisecond  // of accepting, while descriptors have run out
-	mostPause    = time.Second           // it doubles to this
-	crowdTellGap = time.Second           // between lines about a crowd, or about descriptors
-	refusalWait  = 20 * time.Millisecond // for the word to one that is turned away
-	rejectWait   = 200 * time.Millisecond
+	idleConnBytes        = 20 << 10              // bytes that an idle connection of a client takes
+	clientMemoryDivisor  = 4                     // a part of the memory, for them
+	minRetryDelay        = 5 * time.Millisecond  // of accepting, while descriptors have run out
+	maxRetryDelay        = time.Second           // it doubles to this
+	overloadLogInterval  = time.Second           // between lines about a crowd, or about descriptors
+	rejectConnTimeout    = 20 * time.Millisecond // for the word to one that is turned away
+	rejectRequestTimeout = 200 * time.Millisecond
 
 	// A client whose connection ends behind its answer has so long to end its side,
 	// and may send so many bytes more, which nobody reads.
-	lingerTime = 500 * time.Millisecond
-	lingerMost = 256 << 10
+	lingerTime     = 500 * time.Millisecond
+	maxLingerBytes = 256 << 10
 
 	// One that was rejected in the middle of a request lingers for a shorter time, and so
 	// many at once: the table does not count them any more.
-	rejectedLingerTime = 100 * time.Millisecond
-	rejectedLingerMost = 32
+	rejectedLingerTime   = 100 * time.Millisecond
+	maxRejectedLingering = 32
 
-	queueWait = 10 * time.Millisecond  // for the next connection of a queue that is emptied
-	queueMost = 100 * time.Millisecond // for all of them
+	queueAcceptTimeout = 10 * time.Millisecond  // for the next connection of a queue that is emptied
+	queueDrainTimeout  = 100 * time.Millisecond // for all of them
 )
 
 // A connection that is turned away is told so, as far as it listens: nothing of
 // it has been read.
-const turnedAwayText = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+const unavailableResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // What a client is told whose request may have gone on to a backend.
-const cutOffText = "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+const badGatewayResponse = "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // closeCauses are why the gateway's side closed a connection, or that it did not.
 const (
 	closedByPeer   = iota // or after an answer, or a time-out of the server's
 	closedIdle            // given up between requests, for another
 	closedNew             // given up before its first byte, for another
-	closedStop            // at the stop, between requests or before the first byte
-	closedTurnAway        // there was no place for it
+	closedShutdown        // at the stop, between requests or before the first byte
+	closedRejected        // there was no place for it
 	closeCauseCount
 )
 
@@ -62,81 +62,81 @@
 
 // clients owns the connections of clients, from the listener to their end. What
 // is given up for what is decided by its table.
-type clients struct {
+type clientListener struct {
 	net.Listener
 
-	mu     sync.Mutex
-	room   sync.Cond // on mu: a place may have come free
-	began  time.Time
-	table  *connlimit.Table
-	conns  map[*connlimit.Conn]*clientConn
-	closed bool
-	last   bool // what is in the queue is accepted, and nothing behind it
-	ends   ending
-	shared bool // other processes accept from the same queue
+	mu            sync.Mutex
+	placeFreed    sync.Cond // on mu: a place may have come free
+	startedAt     time.Time
+	table         *connlimit.Table
+	conns         map[*connlimit.Conn]*clientConn
+	closed        bool
+	drainingQueue bool // what is in the queue is accepted, and nothing behind it
+	phase         shutdownPhase
+	sharedQueue   bool // other processes accept from the same queue
 
-	lingering int // connections that wait for their end behind a rejection
-	tells     lineLimit
+	rejectedLingering int // connections that wait for their end behind a rejection
+	logLimit          lineLimit
 
 	onState func(*clientConn, http.ConnState) // for tests, before a state is taken note of
 
-	accepted atomic.Int64
-	ended    [closeCauseCount]atomic.Int64
-	unset    atomic.Int64 // connections on which no limit on silence could be set
-	waited   atomic.Int64 // milliseconds that the last connection stood in the queue, where the system tells
-	starved  atomic.Int64 // times that no descriptor was to be had
-	failed   atomic.Int64 // times that accepting failed otherwise
-	rejected atomic.Int64 // connections that were given up and had to be answered
+	accepted         atomic.Int64
+	closeCounts      [closeCauseCount]atomic.Int64
+	silenceUnlimited atomic.Int64 // connections on which no limit on silence could be set
+	queueWaitMs      atomic.Int64 // milliseconds that the last connection stood in the queue, where the system tells
+	descriptorErrors atomic.Int64 // times that no descriptor was to be had
+	acceptErrors     atomic.Int64 // times that accepting failed otherwise
+	rejectedRequests atomic.Int64 // connections that were given up and had to be answered
 }
 
 // ending is how far a stop has come.
-type ending int
+type shutdownPhase int
 
 const (
-	serving    ending = iota
-	leavesIdle        // what is between requests is given up, now and from now on
-	leavesNew         // and so is what no byte has come on
+	phaseServing     shutdownPhase = iota
+	phaseClosingIdle               // what is between requests is given up, now and from now on
+	phaseClosingNew                // and so is what no byte has come on
 )
 
-func newClients(l net.Listener, most int) *clients {
-	c := &clients{Listener: l, began: time.Now(), table: connlimit.NewTable(connlimit.Limits{Total: most}),
-		conns: map[*connlimit.Conn]*clientConn{}, tells: lineLimit{most: 1}}
-	c.room.L = &c.mu
+func newClientListener(l net.Listener, most int) *clientListener {
+	c := &clientListener{Listener: l, startedAt: time.Now(), table: connlimit.NewTable(connlimit.Limits{Total: most}),
+		conns: map[*connlimit.Conn]*clientConn{}, logLimit: lineLimit{most: 1}}
+	c.placeFreed.L = &c.mu
 	return c
 }
 
-func (l *clients) now() time.Duration { return time.Since(l.began) }
+func (l *clientListener) now() time.Duration { return time.Since(l.startedAt) }
 
 // limit changes how many connections there may be. Those that may go for it, go.
-func (l *clients) limit(most int) {
+func (l *clientListener) setLimit(most int) {
 	l.mu.Lock()
 	var gone []*clientConn
-	for _, c := range l.table.Limit(connlimit.Limits{Total: most}) {
-		gone = append(gone, l.giveUp(c, causeOf(c)))
+	for _, c := range l.table.SetLimits(connlimit.Limits{Total: most}) {
+		gone = append(gone, l.evict(c, evictionCause(c)))
 	}
-	l.room.Broadcast()
+	l.placeFreed.Broadcast()
 	l.mu.Unlock()
-	endAll(gone)
+	closeEvicted(gone)
 }
 
 // giveUp marks a connection that is given up and frees its place. Its end has to follow,
 // outside the lock.
-func (l *clients) giveUp(c *connlimit.Conn, cause int) *clientConn {
+func (l *clientListener) evict(c *connlimit.Conn, cause int) *clientConn {
 	conn := l.conns[c]
 	l.table.Close(c)
-	conn.givenUp, conn.cause = true, cause
+	conn.evicted, conn.closeCause = true, cause
 	return conn
 }
 
 // endAll ends connections that were given up.
-func endAll(gone []*clientConn) {
+func closeEvicted(gone []*clientConn) {
 	for _, c := range gone {
-		c.endGivenUp()
+		c.closeEvicted()
 	}
 }
 
 // causeOf is why a connection is given up for another.
-func causeOf(c *connlimit.Conn) int {
+func evictionCause(c *connlimit.Conn) int {
 	if c.State() == connlimit.New {
 		return closedNew
 	}
@@ -151,61 +151,61 @@
 // read in part or whole, and its answer would be lost. Here a connection is given up in
 // one step with the look at its state, and whoever reads beside it owes an answer for
 // the bytes.
-func (l *clients) leave(how ending) {
+func (l *clientListener) setPhase(how shutdownPhase) {
 	l.mu.Lock()
-	l.ends = how
+	l.phase = how
 	var gone []*clientConn
 	for place, c := range l.conns {
-		if !c.givenUp && !c.lingers && l.goes(place) && !unreadBytes(c.Conn) {
-			gone = append(gone, l.giveUp(place, closedStop))
+		if !c.evicted && !c.lingering && l.closesInPhase(place) && !unreadBytes(c.Conn) {
+			gone = append(gone, l.evict(place, closedShutdown))
 		}
 	}
 	l.mu.Unlock()
-	endAll(gone)
+	closeEvicted(gone)
 }
 
 // finish ends every request that has no answer with an error, since the process is about to
 // be killed. Answers that are under way go on. It returns how many it ended.
-func (l *clients) finish() int {
-	return l.endWhere(func(c *clientConn) bool { return !c.answered.Load() })
+func (l *clientListener) failUnanswered() int {
+	return l.evictWhere(func(c *clientConn) bool { return !c.responseStarted.Load() })
 }
 
 // cut ends all that is left: an answer whose client could take a part for the whole with a
 // reset. It returns how many it ended.
-func (l *clients) cut() int { return l.endWhere(func(*clientConn) bool { return true }) }
+func (l *clientListener) closeAll() int { return l.evictWhere(func(*clientConn) bool { return true }) }
 
 // endWhere gives up the connections that are chosen, whatever they are doing.
-func (l *clients) endWhere(chosen func(*clientConn) bool) int {
+func (l *clientListener) evictWhere(chosen func(*clientConn) bool) int {
 	l.mu.Lock()
 	var gone []*clientConn
 	for place, c := range l.conns {
-		if !c.givenUp && !c.lingers && chosen(c) {
-			c.busy = place.State() == connlimit.Busy
-			gone = append(gone, l.giveUp(place, closedStop))
+		if !c.evicted && !c.lingering && chosen(c) {
+			c.evictedBusy = place.State() == connlimit.Busy
+			gone = append(gone, l.evict(place, closedShutdown))
 		}
 	}
 	l.mu.Unlock()
-	endAll(gone)
+	closeEvicted(gone)
 	return len(gone)
 }
 
 // goes tells whether a connection goes at this point of a stop.
-func (l *clients) goes(place *connlimit.Conn) bool {
+func (l *clientListener) closesInPhase(place *connlimit.Conn) bool {
 	switch place.State() {
 	case connlimit.Idle:
-		return l.ends >= leavesIdle
+		return l.phase >= phaseClosingIdle
 	case connlimit.New:
-		return l.ends >= leavesNew
+		return l.phase >= phaseClosingNew
 	}
 	return false
 }
 
 // drained waits until no connection is left.
-func (l *clients) drained(ctx context.Context) error {
+func (l *clientListener) waitDrained(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.room.Broadcast()
+		l.placeFreed.Broadcast()
 	})()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -213,7 +213,7 @@
 		if ctx.Err() != nil {
 			return fmt.Errorf("%d connections of clients: %w", len(l.conns), ctx.Err())
 		}
-		l.room.Wait()
+		l.placeFreed.Wait()
 	}
 	return nil
 }
@@ -222,8 +222,8 @@
 // requests, connections wait in the queue, where another process may take them.
 // One whose source has more than its share is told at once, as the queue behind it
 // would wait for it.
-func (l *clients) Accept() (net.Conn, error) {
-	var pause retryPause
+func (l *clientListener) Accept() (net.Conn, error) {
+	var pause backoff
 	for {
 		if !l.awaitRoom() {
 			return nil, net.ErrClosed
@@ -232,16 +232,16 @@
 		switch {
 		case err != nil && l.queueEnded(err):
 			return nil, net.ErrClosed
-		case err != nil && !acceptPasses(err):
+		case err != nil && !isTemporaryAcceptError(err):
 			return nil, err
 		case err != nil:
-			l.acceptFailed(err)
-			l.sleep(pause.after())
+			l.recordAcceptError(err)
+			l.sleep(pause.nextDelay())
 			continue
 		}
 		pause.reset()
 		l.accepted.Add(1)
-		if conn := l.take(c); conn != nil {
+		if conn := l.admit(c); conn != nil {
 			// Who has a connection goes before who wants one.
 			runtime.Gosched()
 			return conn, nil
@@ -250,15 +250,15 @@
 }
 
 // acceptFailed counts an error that passes and, once a second at most, logs it.
-func (l *clients) acceptFailed(err error) {
+func (l *clientListener) recordAcceptError(err error) {
 	text := "accepting a client failed"
 	if noDescriptor(err) {
-		l.starved.Add(1)
+		l.descriptorErrors.Add(1)
 		text = "no descriptor for a client"
 	} else {
-		l.failed.Add(1)
+		l.acceptErrors.Add(1)
 	}
-	if l.tells.allow() {
+	if l.logLimit.allow() {
 		slog.Error(text, "error", err)
 	}
 }
@@ -266,12 +266,12 @@
 // endQueue takes the connections that already wait in the listener's queue, and ends
 // accepting. Their requests may have been taken by this machine; closing the listener over
 // them would reset them. A queue that other processes have too is left to those.
-func (l *clients) endQueue() {
+func (l *clientListener) drainQueue() {
 	l.mu.Lock()
-	l.last = !l.shared && l.awaitNext()
-	l.room.Broadcast()
-	for began := l.now(); l.last && !l.closed && l.now()-began < queueMost; {
-		l.wait(queueMost)
+	l.drainingQueue = !l.sharedQueue && l.extendQueueDeadline()
+	l.placeFreed.Broadcast()
+	for began := l.now(); l.drainingQueue && !l.closed && l.now()-began < queueDrainTimeout; {
+		l.wait(queueDrainTimeout)
 	}
 	l.mu.Unlock()
 	l.Close()
@@ -279,16 +279,16 @@
 
 // awaitNext leaves time for the next connection of a queue that is emptied, and reports
 // whether the listener can. The caller holds mu.
-func (l *clients) awaitNext() bool {
+func (l *clientListener) extendQueueDeadline() bool {
 	listener, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
-	return ok && listener.SetDeadline(time.Now().Add(queueWait)) == nil
+	return ok && listener.SetDeadline(time.Now().Add(queueAcceptTimeout)) == nil
 }
 
 // queueEnded reports whether an error of Accept says that the last connection of the queue
 // has been taken. It closes the listener then.
-func (l *clients) queueEnded(err error) bool {
+func (l *clientListener) queueEnded(err error) bool {
 	l.mu.Lock()
-	ended := l.last && errors.Is(err, os.ErrDeadlineExceeded)
+	ended := l.drainingQueue && errors.Is(err, os.ErrDeadlineExceeded)
 	l.mu.Unlock()
 	if ended {
 		l.Close()
@@ -297,7 +297,7 @@
 }
 
 // sleep waits, or until the listener is closed.
-func (l *clients) sleep(d time.Duration) {
+func (l *clientListener) sleep(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	over := false
@@ -305,114 +305,114 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		over = true
-		l.room.Broadcast()
+		l.placeFreed.Broadcast()
 	}).Stop()
 	for !over && !l.closed {
-		l.room.Wait()
+		l.placeFreed.Wait()
 	}
 }
 
 // awaitRoom returns false once the listener is closed.
-func (l *clients) awaitRoom() bool {
+func (l *clientListener) awaitRoom() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for !l.closed {
-		if l.last {
-			return l.awaitNext()
+		if l.drainingQueue {
+			return l.extendQueueDeadline()
 		}
 		ok, look := l.table.Room(l.now())
 		if ok {
 			return true
 		}
-		l.tellCrowd()
+		l.logOverload()
 		l.wait(look)
 	}
 	return false
 }
 
 // wait waits until a place may have come free, or for so long, if that is not 0.
-func (l *clients) wait(most time.Duration) {
+func (l *clientListener) wait(most time.Duration) {
 	if most > 0 {
 		defer time.AfterFunc(most, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			l.room.Broadcast()
+			l.placeFreed.Broadcast()
 		}).Stop()
 	}
-	l.room.Wait()
+	l.placeFreed.Wait()
 }
 
-func (l *clients) tellCrowd() {
-	if n := l.table.Counts(); l.tells.allow() {
-		slog.Warn("many connections of clients", "open", n.Open, "new", n.In[connlimit.New], "head", n.In[connlimit.Head],
-			"busy", n.In[connlimit.Busy], "idle", n.In[connlimit.Idle], "sources", n.Sources, "over_share", n.Over)
+func (l *clientListener) logOverload() {
+	if n := l.table.Counts(); l.logLimit.allow() {
+		slog.Warn("many connections of clients", "open", n.Open, "new", n.ByState[connlimit.New], "head", n.ByState[connlimit.Head],
+			"busy", n.ByState[connlimit.Busy], "idle", n.ByState[connlimit.Idle], "sources", n.Sources, "over_share", n.OverShare)
 	}
 }
 
 // take finds a place for a connection, or turns it away and returns nil.
-func (l *clients) take(c net.Conn) *clientConn {
+func (l *clientListener) admit(c net.Conn) *clientConn {
 	address := netip.Addr{}
 	if tcp, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		address = tcp.AddrPort().Addr()
 	}
-	conn := &clientConn{Conn: c, owner: l, ahead: newAheadReader(c)}
-	conn.resting.Store(true)
+	conn := &clientConn{Conn: c, listener: l, readAhead: newReadAheadConn(c)}
+	conn.idle.Store(true)
 	l.mu.Lock()
 	var victim *clientConn
 	for {
 		place, over, out := l.table.Open(l.now(), address)
 		if out != nil {
-			victim = l.giveUp(out, causeOf(out))
+			victim = l.evict(out, evictionCause(out))
 		}
-		if place != nil && l.ends < leavesNew {
-			conn.place = place
+		if place != nil && l.phase < phaseClosingNew {
+			conn.entry = place
 			l.conns[place] = conn
 			break
 		}
 		if place != nil {
 			l.table.Close(place)
 		}
-		if over || l.closed || l.last {
-			conn.cause = closedTurnAway
-			stops := l.closed || l.last
+		if over || l.closed || l.drainingQueue {
+			conn.closeCause = closedRejected
+			stops := l.closed || l.drainingQueue
 			l.mu.Unlock()
-			conn.turnAway(stops)
+			conn.rejectConnection(stops)
 			return nil
 		}
 		// What had room for it is in a request by now.
-		l.tellCrowd()
-		l.wait(connlimit.Grace)
+		l.logOverload()
+		l.wait(connlimit.NewGrace)
 	}
 	l.mu.Unlock()
 	if victim != nil {
-		victim.endGivenUp()
+		victim.closeEvicted()
 	}
-	l.limitSilence(c) // not before: one that is turned away has to be cheap
+	l.setSilenceTimeout(c) // not before: one that is turned away has to be cheap
 	return conn
 }
 
 // limitSilence makes the system end a connection whose peer has vanished, without a
 // byte that a client could see, and reads how long it has waited.
-func (l *clients) limitSilence(c net.Conn) {
-	if err := limitSilence(c); err != nil {
-		l.unset.Add(1)
+func (l *clientListener) setSilenceTimeout(c net.Conn) {
+	if err := setSilenceTimeout(c); err != nil {
+		l.silenceUnlimited.Add(1)
 	}
-	if waited, ok := sinceLastWord(c); ok {
-		l.waited.Store(waited.Milliseconds())
+	if waited, ok := sinceLastSegment(c); ok {
+		l.queueWaitMs.Store(waited.Milliseconds())
 	}
 }
 
 // Close ends accepting.
-func (l *clients) Close() error {
+func (l *clientListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
-	l.room.Broadcast()
+	l.placeFreed.Broadcast()
 	l.mu.Unlock()
 	return l.Listener.Close()
 }
 
 // connState follows what the server does with its connections.
-func (l *clients) connState(c net.Conn, s http.ConnState) {
+func (l *clientListener) connState(c net.Conn, s http.ConnState) {
 	conn, ok := c.(*clientConn)
 	if !ok {
 		return
@@ -422,33 +422,33 @@
 	}
 	switch s {
 	case http.StateActive:
-		conn.set(connlimit.Busy)
+		conn.setState(connlimit.Busy)
 	case http.StateIdle:
-		if conn.between() {
-			conn.set(connlimit.Idle)
+		if conn.betweenRequests() {
+			conn.setState(connlimit.Idle)
 		} else {
-			conn.set(connlimit.Head) // the next request has come behind the last
+			conn.setState(connlimit.Head) // the next request has come behind the last
 		}
 	}
 }
 
-func (l *clients) counts() connlimit.Counts {
+func (l *clientListener) counts() connlimit.Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Counts()
 }
 
 // write puts the figures out, a line each.
-func (l *clients) write(w io.Writer) {
+func (l *clientListener) writeMetrics(w io.Writer) {
 	n := l.counts()
 	for state, name := range map[connlimit.State]string{connlimit.New: "new", connlimit.Head: "head", connlimit.Busy: "busy",
 		connlimit.Idle: "idle"} {
-		fmt.Fprintf(w, "app.clients.%s:%d|g\n", name, n.In[state])
+		fmt.Fprintf(w, "app.clients.%s:%d|g\n", name, n.ByState[state])
 	}
-	fmt.Fprintf(w, "app.clients.sources:%d|g\napp.clients.sources_over:%d|g\napp.clients.accepted:%d|c\n", n.Sources, n.Over, l.accepted.Load())
+	fmt.Fprintf(w, "app.clients.sources:%d|g\napp.clients.sources_over:%d|g\napp.clients.accepted:%d|c\n", n.Sources, n.OverShare, l.accepted.Load())
 	for cause, name := range closeCauseNames {
-		fmt.Fprintf(w, "app.clients.closed.%s:%d|c\n", name, l.ended[cause].Load())
+		fmt.Fprintf(w, "app.clients.closed.%s:%d|c\n", name, l.closeCounts[cause].Load())
 	}
 	fmt.Fprintf(w, "app.clients.wait_ms:%d|g\napp.clients.no_descriptor:%d|c\napp.clients.silence_unlimited:%d|c\napp.clients.rejected:%d|c\napp.clients.accept_failed:%d|c\n",
-		l.waited.Load(), l.starved.Load(), l.unset.Load(), l.rejected.Load(), l.failed.Load())
+		l.queueWaitMs.Load(), l.descriptorErrors.Load(), l.silenceUnlimited.Load(), l.rejectedRequests.Load(), l.acceptErrors.Load())
 }
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(func() { slog.SetDefault(was) })
 	synctest.Test(t, func(t *testing.T) {
 		s := &scarce{pipes: newPipes(), failures: 10}
-		l := newClients(s, 4)
+		l := newClientListener(s, 4)
 		began := time.Now()
 		near, far := net.Pipe()
 		defer far.Close()
@@ -53,8 +53,8 @@
 		if took := time.Since(began); s.accepts != 11 || took < 2*time.Second || took > 10*time.Second {
 			t.Errorf("%d tries in %v", s.accepts, took)
 		}
-		if n := strings.Count(text.String(), "no descriptor"); n < 1 || n > 4 || l.starved.Load() != 10 {
-			t.Errorf("%d lines, %d counted", n, l.starved.Load())
+		if n := strings.Count(text.String(), "no descriptor"); n < 1 || n > 4 || l.descriptorErrors.Load() != 10 {
+			t.Errorf("%d lines, %d counted", n, l.descriptorErrors.Load())
 		}
 		c.Close()
 		l.Close()
@@ -64,17 +64,17 @@
 // A connection that is given up reads no byte of a request any more, and one on
 // which a request has begun is not given up.
 func TestGivenUp(t *testing.T) {
-	l := newClients(newPipes(), 1)
+	l := newClientListener(newPipes(), 1)
 	near, far := net.Pipe()
 	defer far.Close()
-	first := l.take(near)
+	first := l.admit(near)
 	go io.WriteString(far, ask("GET", "lookup", ""))
 	first.Read(make([]byte, 4096))
 	l.connState(first, http.StateActive)
 	l.connState(first, http.StateIdle)
 	next, other := net.Pipe()
 	defer other.Close()
-	second := l.take(next)
+	second := l.admit(next)
 	if second == nil {
 		t.Fatal("turned away")
 	}
@@ -83,7 +83,7 @@
 	}
 	first.Close() // by its reader, who alone knows whether a byte has come
 	first.Close()
-	if n := l.ended[closedIdle].Load(); n != 1 {
+	if n := l.closeCounts[closedIdle].Load(); n != 1 {
 		t.Errorf("%d given up", n)
 	}
 	l.connState(first, http.StateIdle)
@@ -91,10 +91,10 @@
 	if _, err := second.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if n := l.counts(); n.Open != 1 || n.In[connlimit.Head] != 1 {
+	if n := l.counts(); n.Open != 1 || n.ByState[connlimit.Head] != 1 {
 		t.Errorf("%+v", n)
 	}
-	l.limit(0)
+	l.setLimit(0)
 	if n := l.counts(); n.Open != 1 {
 		t.Errorf("one that has begun a request was given up: %+v", n)
 	}
@@ -106,15 +106,15 @@
 
 // Between the byte of a next request and its handler a connection does not rest.
 func TestPipelinedRequestIsNotIdle(t *testing.T) {
-	l := newClients(newPipes(), 1)
+	l := newClientListener(newPipes(), 1)
 	near, far := net.Pipe()
 	defer far.Close()
-	c := l.take(near)
+	c := l.admit(near)
 	go io.WriteString(far, ask("GET", "lookup", "")+"GET /")
 	c.Read(make([]byte, 4096))
 	l.connState(c, http.StateActive)
 	l.connState(c, http.StateIdle)
-	if n := l.counts(); n.In[connlimit.Idle] != 0 || n.In[connlimit.Head] != 1 {
+	if n := l.counts(); n.ByState[connlimit.Idle] != 0 || n.ByState[connlimit.Head] != 1 {
 		t.Errorf("%+v", n)
 	}
 	c.Close()
@@ -137,7 +137,7 @@
 		// The next comes once this one rests, which may be later than its answer.
 		r.tells(t, fmt.Sprintf("app.clients.idle:%d|g", n+1), "app.clients.busy:1|g")
 	}
-	r.figures.clients.limit(4)
+	r.figures.clients.setLimit(4)
 	_, answers := r.client(t, ask("GET", "lookup", "", idHeader, ""))
 	wait(t, answers, "answer")
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil {
@@ -232,10 +232,10 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := limitSilence(c); err != nil {
+	if err := setSilenceTimeout(c); err != nil {
 		t.Error(err)
 	}
-	if waited, ok := sinceLastWord(c); !ok || waited > patience {
+	if waited, ok := sinceLastSegment(c); !ok || waited > patience {
 		t.Errorf("%v, %t", waited, ok)
 	}
 }
@@ -250,7 +250,7 @@
 		io.WriteString(client, ask("GET", "lookup", ""))
 		x := (<-f.loop.inbox).(arrival).x
 		began := time.Now()
-		x.reply <- answer{status: http.StatusOK, served: true, header: http.Header{}, body: make([]byte, 5000)}
+		x.reply <- response{status: http.StatusOK, fromBackend: true, header: http.Header{}, body: make([]byte, 5000)}
 		for f.clients.counts().Open > 0 {
 			time.Sleep(100 * time.Millisecond) // of the bubble's time
 			if time.Since(began) > 6*time.Second {
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -18,11 +18,11 @@
 	left *io.LimitedReader  // bytes that the response may still have, headers included
 	r    *bufio.Reader      // reads from left, which reads from the connection
 	w    *bufio.Writer
-	read framing       // checks that the framing of the response is unambiguous
-	home *target       // the pool that the connection belongs to
-	idle time.Time     // since when it has been idle; zero: in use
-	uses int           // requests so far, the present one included
-	rest time.Duration // how long it was idle before the present request
+	read framingScanner // checks that the framing of the response is unambiguous
+	home *target        // the pool that the connection belongs to
+	idle time.Time      // since when it has been idle; zero: in use
+	uses int            // requests so far, the present one included
+	rest time.Duration  // how long it was idle before the present request
 }
 
 // newBackendConn wraps a connection that belongs to the pool home.
@@ -55,7 +55,7 @@
 // framing.
 func (c *backendConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.read.read(p[:n])
+	c.read.scan(p[:n])
 	return n, err
 }
 
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -50,7 +50,7 @@
 			}
 		})
 	}
-	s := &http.Server{Handler: mux, MaxHeaderBytes: mostHeader, ReadHeaderTimeout: controlRead,
+	s := &http.Server{Handler: mux, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: controlRead,
 		ReadTimeout: controlRead, WriteTimeout: controlWrite}
 	s.SetKeepAlivesEnabled(false)
 	return s
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -77,18 +77,18 @@
 // A request on a resting connection in the moment of the stop is either answered or
 // not taken at all: then nothing of it goes on.
 func TestStopCrossesRestingConnection(t *testing.T) {
-	l := newClients(newPipes(), 8)
+	l := newClientListener(newPipes(), 8)
 	near, far := net.Pipe()
 	defer far.Close()
-	c := l.take(near)
+	c := l.admit(near)
 	go io.WriteString(far, ask("GET", "lookup", ""))
 	c.Read(make([]byte, 4096))
 	l.connState(c, http.StateActive)
 	l.connState(c, http.StateIdle)
 	fresh, other := net.Pipe()
 	defer other.Close()
-	f := l.take(fresh)
-	l.leave(leavesIdle)
+	f := l.admit(fresh)
+	l.setPhase(phaseClosingIdle)
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Error("a byte was read on a connection that rested at the stop")
 	}
@@ -97,8 +97,8 @@
 	if n, err := f.Read(make([]byte, 4096)); n == 0 || err != nil {
 		t.Fatalf("a new connection at the stop: %d, %v", n, err)
 	}
-	l.leave(leavesNew)
-	if n := l.counts(); n.Open != 1 || n.In[connlimit.Head] != 1 {
+	l.setPhase(phaseClosingNew)
+	if n := l.counts(); n.Open != 1 || n.ByState[connlimit.Head] != 1 {
 		t.Errorf("the one whose request has begun: %+v", n)
 	}
 	l.connState(f, http.StateActive)
@@ -107,14 +107,14 @@
 		t.Error("a byte was read on a connection that came to rest behind the stop")
 	}
 	f.Close()
-	if n := l.counts(); n.Open != 0 || len(l.conns) != 0 || l.ended[closedStop].Load() != 2 {
-		t.Errorf("behind its answer: %+v, %d at the stop", n, l.ended[closedStop].Load())
+	if n := l.counts(); n.Open != 0 || len(l.conns) != 0 || l.closeCounts[closedShutdown].Load() != 2 {
+		t.Errorf("behind its answer: %+v, %d at the stop", n, l.closeCounts[closedShutdown].Load())
 	}
 	l.Close()
 	late, end := net.Pipe()
 	defer end.Close()
 	go io.Copy(io.Discard, end)
-	if l.take(late) != nil {
+	if l.admit(late) != nil {
 		t.Error("one that was accepted before the listener closed was kept")
 	}
 }
@@ -144,16 +144,16 @@
 // read before it. Evidence: forced here for each way to give up a connection.
 func TestReadCrossesGivingUp(t *testing.T) {
 	t.Parallel()
-	for name, giveUp := range map[string]func(l *clients){
-		"at the stop":      func(l *clients) { l.leave(leavesNew) },
-		"for a new limit":  func(l *clients) { l.limit(0) },
-		"for a new client": func(l *clients) { l.take(new(net.TCPConn)) },
+	for name, giveUp := range map[string]func(l *clientListener){
+		"at the stop":      func(l *clientListener) { l.setPhase(phaseClosingNew) },
+		"for a new limit":  func(l *clientListener) { l.setLimit(0) },
+		"for a new client": func(l *clientListener) { l.admit(new(net.TCPConn)) },
 	} {
 		for _, served := range []bool{false, true} {
-			l := newClients(newPipes(), 1)
+			l := newClientListener(newPipes(), 1)
 			near, far := net.Pipe()
 			conn := &crossingConn{Conn: near}
-			c := l.take(conn)
+			c := l.admit(conn)
 			answer := make(chan string, 1)
 			go func() {
 				if served {
@@ -169,14 +169,14 @@
 				l.connState(c, http.StateActive)
 				l.connState(c, http.StateIdle)
 			} else {
-				l.began = l.began.Add(-connlimit.Grace) // it may be given up for another
+				l.startedAt = l.startedAt.Add(-connlimit.NewGrace) // it may be given up for another
 			}
 			conn.crosses = func() { giveUp(l) }
 			if n, err := c.Read(make([]byte, 4096)); n != 0 || err == nil {
 				t.Errorf("%s, served %t: %d bytes go on, %v", name, served, n, err)
 			}
 			c.Close()
-			if got := wait(t, answer, "end"); got != turnedAwayText {
+			if got := wait(t, answer, "end"); got != unavailableResponse {
 				t.Errorf("%s, served %t: a request that was read got %q", name, served, got)
 			}
 			far.Close()
@@ -190,7 +190,7 @@
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	conn := r.send(t, ask("POST", "booking", "first")+ask("POST", "booking", "second", keyHeader, "k2")+ask("GET", "lookup", ""))
+	conn := r.send(t, ask("POST", "booking", "first")+ask("POST", "booking", "second", idempotencyHeader, "k2")+ask("GET", "lookup", ""))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	r.tells(t, "app.clients.busy:1|g")
@@ -224,13 +224,13 @@
 		if s == http.StateActive {
 			f.clients.mu.Lock()
 			defer f.clients.mu.Unlock()
-			f.clients.giveUp(c.place, closedNew)
+			f.clients.evict(c.entry, closedNew)
 		}
 	}
 	p.conns <- server
 	io.WriteString(client, ask("GET", "lookup", ""))
 	client.SetReadDeadline(time.Now().Add(patience))
-	if got, err := io.ReadAll(client); string(got) != turnedAwayText || err != nil {
+	if got, err := io.ReadAll(client); string(got) != unavailableResponse || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 	select {
@@ -320,8 +320,8 @@
 		l := newLoop(&c, s, f, p, nil, func() {})
 		l.list(listing(true, "Ready", backend), rules.FullList)
 		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: s.PlanNames[0], method: "GET", uri: "/lookup",
-			host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, reply: make(chan answer, 2),
-			ask: rules.Request{Customer: 7, Units: 1, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
+			host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, reply: make(chan response, 2),
+			request: rules.Request{Customer: 7, Units: 1, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
 		l.take(arrival{x})
 		wait(t, dials, "dial")
 		l.take(clientGone{x})
@@ -335,7 +335,7 @@
 			t.Errorf("cancel %s: written for a client that has gone: %d, %v", cancel, n, err)
 		}
 		conn.Close()
-		if len(l.live) > 0 || x.out > 0 {
+		if len(l.live) > 0 || x.inFlight > 0 {
 			t.Errorf("cancel %s: %d requests are left", cancel, len(l.live))
 		}
 		p.remove(backendID(backend.address()))
@@ -443,19 +443,19 @@
 // is made again where its class permits; let go, its client can tell.
 func TestAnswerWithoutLengthIsReset(t *testing.T) {
 	t.Parallel()
-	for name, text := range map[string]string{"held": "abc", "let go": strings.Repeat("x", 2*mostHeld)} {
+	for name, text := range map[string]string{"held": "abc", "let go": strings.Repeat("x", 2*maxHeldBody)} {
 		for _, class := range []string{"lookup", "payment"} {
 			backend := newPeer(t)
 			r := newRig(t, backend)
 			method := map[string]string{"lookup": "GET", "payment": "POST"}[class]
-			_, answer := r.get(t, ask(method, class, "", keyHeader, ""))
+			_, answer := r.get(t, ask(method, class, "", idempotencyHeader, ""))
 			to, br := backend.accept(t)
 			readRequest(t, br)
 			io.WriteString(to, "HTTP/1.1 200 OK\r\n\r\n"+text)
 			var resp *http.Response
 			if name == "let go" {
 				resp = answer()
-				if _, err := io.ReadFull(resp.Body, make([]byte, mostHeld)); err != nil {
+				if _, err := io.ReadFull(resp.Body, make([]byte, maxHeldBody)); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/gateway/dial.go
+++ b/internal/gateway/dial.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, err
 	}
-	limitSilence(conn) // for peers that vanish without a word
+	setSilenceTimeout(conn) // for peers that vanish without a word
 	return newBackendConn(conn, t), nil
 }
 
--- a/internal/gateway/download_test.go
+++ b/internal/gateway/download_test.go
@@ -20,7 +20,7 @@
 // framing, and unchanged.
 func TestLongAnswerGoesOnAsItComes(t *testing.T) {
 	t.Parallel()
-	whole := bytes.Repeat([]byte("0123456789abcdef"), 20*mostHeld/16)
+	whole := bytes.Repeat([]byte("0123456789abcdef"), 20*maxHeldBody/16)
 	for name, c := range map[string]struct {
 		head, tail string
 		piece      func([]byte) string
@@ -38,16 +38,16 @@
 			_, head := r.get(t, ask("GET", "lookup", ""))
 			to, br := backend.accept(t)
 			readRequest(t, br)
-			io.WriteString(to, "HTTP/1.1 200 OK\r\n"+c.head+c.piece(whole[:2*mostHeld]))
+			io.WriteString(to, "HTTP/1.1 200 OK\r\n"+c.head+c.piece(whole[:2*maxHeldBody]))
 			resp := head()
-			start := make([]byte, 2*mostHeld)
+			start := make([]byte, 2*maxHeldBody)
 			if _, err := io.ReadFull(resp.Body, start); err != nil { // before the backend has given more
 				t.Fatal(err)
 			}
 			r.tells(t, "app.in_progress:1|g", "app.handled.lookup.passed:0|c")
 			go func() {
-				for rest := whole[2*mostHeld:]; len(rest) > 0; rest = rest[mostHeld:] {
-					io.WriteString(to, c.piece(rest[:mostHeld]))
+				for rest := whole[2*maxHeldBody:]; len(rest) > 0; rest = rest[maxHeldBody:] {
+					io.WriteString(to, c.piece(rest[:maxHeldBody]))
 				}
 				io.WriteString(to, c.tail)
 				if strings.Contains(c.head, "close") {
@@ -73,9 +73,9 @@
 		_, answer := r.get(t, ask("GET", "lookup", ""))
 		to, br := backend.accept(t)
 		readRequest(t, br)
-		fmt.Fprintf(to, "HTTP/1.1 200 OK\r\n%s\r\n\r\n20000\r\n%s", head, strings.Repeat("x", 2*mostHeld))
+		fmt.Fprintf(to, "HTTP/1.1 200 OK\r\n%s\r\n\r\n20000\r\n%s", head, strings.Repeat("x", 2*maxHeldBody))
 		resp := answer()
-		if _, err := io.ReadFull(resp.Body, make([]byte, mostHeld)); err != nil {
+		if _, err := io.ReadFull(resp.Body, make([]byte, maxHeldBody)); err != nil {
 			t.Fatal(err)
 		}
 		to.Close()
@@ -97,11 +97,11 @@
 	conn, head := r.get(t, ask("GET", "lookup", ""))
 	to, br := backend.accept(t)
 	readRequest(t, br)
-	fmt.Fprintf(to, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", mostHeld))
+	fmt.Fprintf(to, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", maxHeldBody))
 	head()
 	conn.Close()
 	for {
-		if _, err := io.WriteString(to, strings.Repeat("x", mostHeld)); err != nil {
+		if _, err := io.WriteString(to, strings.Repeat("x", maxHeldBody)); err != nil {
 			break // the gateway has closed
 		}
 	}
@@ -174,9 +174,9 @@
 		"a trailer": {ask("GET", "lookup", ""), "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Sum: 3\r\n\r\n",
 			func(r *http.Response, body string) bool { return body == "abc" && r.Trailer.Get("X-Sum") == "3" }},
 		"a trailer far behind": {ask("GET", "lookup", ""), "200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n20000\r\n" +
-			strings.Repeat("x", 2*mostHeld) + "\r\n0\r\nX-Sum: 3\r\n\r\n",
+			strings.Repeat("x", 2*maxHeldBody) + "\r\n0\r\nX-Sum: 3\r\n\r\n",
 			func(r *http.Response, body string) bool {
-				return len(body) == 2*mostHeld && r.Trailer.Get("X-Sum") == "3"
+				return len(body) == 2*maxHeldBody && r.Trailer.Get("X-Sum") == "3"
 			}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -303,9 +303,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				d := &download{body: resp.Body, length: 100000, conn: conn, start: newIntake(resp.Body, 100000, 0), window: window{budget: &f.figures.bodies},
-					figures: f.figures, end: make(chan rules.Outcome, 1)}
-				x.reply <- answer{status: 200, served: true, header: resp.Header, length: 100000, rest: d}
+				d := &download{body: resp.Body, length: 100000, conn: conn, prefix: newBodyPrefix(resp.Body, 100000, 0), window: window{budget: &f.metrics.bodies},
+					metrics: f.metrics, done: make(chan rules.Outcome, 1)}
+				x.reply <- response{status: 200, fromBackend: true, header: resp.Header, length: 100000, download: d}
 				began, gone := time.Now(), make(chan struct{})
 				go func() {
 					defer close(gone)
@@ -316,7 +316,7 @@
 						}
 					}
 				}()
-				outcome := <-d.end
+				outcome := <-d.done
 				if lost := outcome != rules.Served; lost != c.lost {
 					t.Errorf("outcome %d after %v", outcome, time.Since(began))
 				}
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -68,9 +68,9 @@
 // bodyCause is why a body of a client ended.
 func bodyCause(err error) cause {
 	switch {
-	case errors.Is(err, errCutShort):
+	case errors.Is(err, errUploadAborted):
 		return calledOff
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLong):
 		return bodyTooLong
 	}
 	return slowOr(err, clientSlow, clientLeft)
@@ -88,7 +88,7 @@
 	up, down          transfers    // bodies to backends and to clients
 	bodies            budget       // of all bodies
 	subset            *subsetMetrics
-	clients           *clients // their connections; nil before they are served
+	clients           *clientListener // their connections; nil before they are served
 
 	mu      sync.Mutex // of the list, not of the counts
 	classes []*classCounts
@@ -156,7 +156,7 @@
 		}
 	}
 	f.subset.write(w)
-	f.clients.write(w)
+	f.clients.writeMetrics(w)
 	used, most := f.bodies.usage()
 	fmt.Fprintf(w, "app.transfers.memory:%d|g\napp.transfers.memory_most:%d|g\n", used, most)
 }
--- a/internal/gateway/framing_test.go
+++ b/internal/gateway/framing_test.go
@@ -36,12 +36,12 @@
 	for _, c := range framed {
 		for _, before := range []string{"", framed[0].text, framed[1].text, framed[2].text} {
 			for size := 1; size < 50; size++ {
-				var f framing
+				var f framingScanner
 				for rest := []byte(before + c.text); len(rest) > 0; rest = rest[min(size, len(rest)):] {
-					f.read(rest[:min(size, len(rest))])
+					f.scan(rest[:min(size, len(rest))])
 				}
-				if f.doubt != c.doubt {
-					t.Fatalf("%s behind %d bytes, in pieces of %d: doubt %t", c.name, len(before), size, f.doubt)
+				if f.ambiguous != c.doubt {
+					t.Fatalf("%s behind %d bytes, in pieces of %d: doubt %t", c.name, len(before), size, f.ambiguous)
 				}
 			}
 		}
@@ -57,13 +57,13 @@
 		"HTTP/1.1 103 Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc":                   false,
 		"HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n":                                                  true,
 	} {
-		var f framing
-		f.begin()
+		var f framingScanner
+		f.beginResponse()
 		for i := range len(text) {
-			f.read([]byte(text[i : i+1]))
+			f.scan([]byte(text[i : i+1]))
 		}
-		if f.doubt != want {
-			t.Errorf("%q: doubt %t", text, f.doubt)
+		if f.ambiguous != want {
+			t.Errorf("%q: doubt %t", text, f.ambiguous)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 		f.Add([]byte(framed[2].text + a.text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var read framing
+		var read framingScanner
 		in := &seen{r: bytes.NewReader(text)}
 		for range 10 {
 			br := bufio.NewReaderSize(in, 16)
@@ -98,7 +98,7 @@
 				return
 			}
 			head := text[start : in.n-br.Buffered()]
-			if len(head) > mostHeader {
+			if len(head) > maxHeaderBytes {
 				return
 			}
 			_, rest, _ := bytes.Cut(head, []byte("\n"))
@@ -108,11 +108,11 @@
 			}
 			codings := len(h["Transfer-Encoding"])
 			want := len(h["Content-Length"]) > 1 || codings > 0 && (len(h["Content-Length"]) > 0 || !req.ProtoAtLeast(1, 1))
-			read.read(head)
-			if want && !read.doubt {
+			read.scan(head)
+			if want && !read.ambiguous {
 				t.Fatalf("no doubt about %q", head)
 			}
-			if read.doubt {
+			if read.ambiguous {
 				return // the connection ends
 			}
 			at := in.n - br.Buffered()
@@ -122,9 +122,9 @@
 			if br.Buffered() > 0 {
 				t.Fatal("read ahead")
 			}
-			read.read(text[at:in.n])
-			if read.part != frameFirst {
-				t.Fatalf("behind %q framing is at %d", text[:in.n], read.part)
+			read.scan(text[at:in.n])
+			if read.state != frameStartLine {
+				t.Fatalf("behind %q framing is at %d", text[:in.n], read.state)
 			}
 		}
 	})
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -18,43 +18,43 @@
 )
 
 const (
-	mostHeader    = 16 << 10 // bytes
-	mostName      = 256      // bytes of an id or a key
-	mostPatience  = time.Hour
-	headerTimeout = 2600 * time.Millisecond // a client may take 2 s; a peer that sends no request is owed an end within 3 s
-	readTimeout   = 2800 * time.Millisecond // and one that stops short of a whole request as well
-	writeTimeout  = 5 * time.Second         // for a short answer; a peer that takes none is owed an end within 6 s
-	idleTimeout   = 2 * time.Minute
-	readyPath     = "/health/ready"
-
-	idHeader     = "X-Correlation-Id"
-	classHeader  = "X-Service-Class"
-	planHeader   = "X-Tier"
-	clientHeader = "X-Api-Key"
-	keyHeader    = "Idempotency-Key"
-	termsHeader  = "X-Call-Terms"
-	repeatHeader = "X-Repeat"
-
-	customers = 1 << 33 // ids are below it
+	maxHeaderBytes   = 16 << 10 // bytes
+	maxIDBytes       = 256      // bytes of an id or a key
+	maxClientTimeout = time.Hour
+	headerTimeout    = 2600 * time.Millisecond // a client may take 2 s; a peer that sends no request is owed an end within 3 s
+	readTimeout      = 2800 * time.Millisecond // and one that stops short of a whole request as well
+	writeTimeout     = 5 * time.Second         // for a short answer; a peer that takes none is owed an end within 6 s
+	idleTimeout      = 2 * time.Minute
+	readyPath        = "/health/ready"
+
+	idHeader          = "X-Correlation-Id"
+	classHeader       = "X-Service-Class"
+	planHeader        = "X-Tier"
+	customerHeader    = "X-Api-Key"
+	idempotencyHeader = "Idempotency-Key"
+	termsHeader       = "X-Call-Terms"
+	repeatHeader      = "X-Repeat"
+
+	customerIDLimit = 1 << 33 // ids are below it
 )
 
 // exchange is one request of a client, from its last byte to its final answer.
 type exchange struct {
-	ask    rules.Request // the loop gives it its id
-	method string
-	uri    string
-	host   string
-	header http.Header // what goes on to a backend
-	body   []byte      // the whole
-	memory int         // of the budget, for the body
-	upload *upload     // a body that is still to come; nil: body is all
-
-	announced []string    // names of the body's trailers, as far as they are known
-	trailer   http.Header // of a whole body; nil: none
+	request        rules.Request // the loop gives it its id
+	method         string
+	uri            string
+	host           string
+	header         http.Header // what goes on to a backend
+	body           []byte      // the whole
+	reservedMemory int         // of the budget, for the body
+	upload         *upload     // a body that is still to come; nil: body is all
+
+	announcedTrailers []string    // names of the body's trailers, as far as they are known
+	trailer           http.Header // of a whole body; nil: none
 
 	// reply takes the one final answer, and may take one of 1xx before; the loop
 	// sends them and never waits.
-	reply chan answer
+	reply chan response
 
 	service *service // that it was read under, and in it
 	class   *rules.Class
@@ -62,21 +62,21 @@
 	plan    string
 
 	// The loop's own:
-	queued   float64 // seconds until the loop took it in
-	open     bool    // the final answer has not been given
-	taken    bool    // its last byte has come
-	begun    bool    // its answer is on the way to the client
-	out      int     // attempts out
-	attempts []*attempt
-	reason   string // why it was rejected; empty: it was not
+	queueDelay      float64 // seconds until the loop took it in
+	inProgress      bool    // the final answer has not been given
+	accepted        bool    // its last byte has come
+	responseStarted bool    // its answer is on the way to the client
+	inFlight        int     // attempts out
+	attempts        []*attempt
+	rejectReason    string // why it was rejected; empty: it was not
 }
 
 // abandon ends answers that nobody takes, as their handler has gone.
-func (x *exchange) abandon(b *budget) {
+func (x *exchange) discardReplies(b *budget) {
 	for {
 		select {
 		case a := <-x.reply:
-			a.drop(b)
+			a.discard(b)
 		default:
 			return
 		}
@@ -84,23 +84,23 @@
 }
 
 // answer is what a client is told.
-type answer struct {
-	status     int
-	served     bool    // a backend made it
-	retryAfter float64 // seconds; 0: no advice
-	header     http.Header
-	trailer    http.Header // behind the body; nil: none
-	body       []byte
-	memory     int       // of the budget, for the body
-	length     int64     // of the body, or -1
-	rest       *download // the body, where it is let go; nil: it is whole
+type response struct {
+	status         int
+	fromBackend    bool    // a backend made it
+	retryAfter     float64 // seconds; 0: no advice
+	header         http.Header
+	trailer        http.Header // behind the body; nil: none
+	body           []byte
+	reservedMemory int       // of the budget, for the body
+	length         int64     // of the body, or -1
+	download       *download // the body, where it is let go; nil: it is whole
 }
 
 // drop frees what an answer takes that goes to nobody.
-func (a answer) drop(b *budget) {
-	b.give(a.memory)
-	if a.rest != nil {
-		a.rest.drop()
+func (a response) discard(b *budget) {
+	b.release(a.reservedMemory)
+	if a.download != nil {
+		a.download.discard()
 	}
 }
 
@@ -111,55 +111,55 @@
 
 	longestDeadline atomic.Int64 // of a class, nanoseconds: the shortest of all settings so far
 
-	ready   atomic.Bool
-	leaving atomic.Bool // connections are closed after their answer
-	clients *clients
-	figures *figures
+	ready        atomic.Bool
+	shuttingDown atomic.Bool // connections are closed after their answer
+	clients      *clientListener
+	metrics      *figures
 }
 
 // server serves clients. The time for a body and for an answer depends on their
 // length, and is set where they are read and written.
 func (f *frontend) server() *http.Server {
-	return &http.Server{Handler: f, MaxHeaderBytes: mostHeader, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+	return &http.Server{Handler: f, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ConnState: f.clients.connState, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, firstKey{}, &firstRequest{accepted: time.Now(), conn: c})
+			return context.WithValue(ctx, connInfoKey{}, &connInfo{acceptedAt: time.Now(), conn: c})
 		}}
 }
 
 // takesClients is what "ready" means to the platform and to operators.
-func (f *frontend) takesClients() bool { return f.ready.Load() && !f.leaving.Load() }
+func (f *frontend) acceptsClients() bool { return f.ready.Load() && !f.shuttingDown.Load() }
 
 // firstRequest tells the first request on a connection from later ones. Its
 // client's time counts from the connection, so that a slow head takes from it.
-type firstRequest struct {
-	accepted time.Time
-	conn     net.Conn
-	over     bool // read and set by one request after the other
+type connInfo struct {
+	acceptedAt       time.Time
+	conn             net.Conn
+	firstRequestDone bool // read and set by one request after the other
 }
 
-type firstKey struct{}
+type connInfoKey struct{}
 
 // requestSince is when a request may have begun.
-func requestSince(r *http.Request) time.Time {
-	first, ok := r.Context().Value(firstKey{}).(*firstRequest)
-	if !ok || first.over {
+func requestStart(r *http.Request) time.Time {
+	first, ok := r.Context().Value(connInfoKey{}).(*connInfo)
+	if !ok || first.firstRequestDone {
 		return time.Now()
 	}
-	return first.accepted
+	return first.acceptedAt
 }
 
-func requestOver(r *http.Request) {
-	if first, ok := r.Context().Value(firstKey{}).(*firstRequest); ok {
-		first.over = true
+func markRequestDone(r *http.Request) {
+	if first, ok := r.Context().Value(connInfoKey{}).(*connInfo); ok {
+		first.firstRequestDone = true
 	}
 }
 
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if f.leaving.Load() {
+	if f.shuttingDown.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == readyPath {
-		if !f.takesClients() {
+		if !f.acceptsClients() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -167,16 +167,16 @@
 		return
 	}
 	control := http.NewResponseController(w)
-	defer requestOver(r)
+	defer markRequestDone(r)
 	c := connOf(r)
-	if c != nil && c.dropped() {
-		c.reject(turnedAwayText) // the request has been read
+	if c != nil && c.wasEvicted() {
+		c.rejectRequest(unavailableResponse) // the request has been read
 		panic(http.ErrAbortHandler)
 	}
-	if c != nil && c.gone() {
+	if c != nil && c.peerClosed() {
 		panic(http.ErrAbortHandler)
 	}
-	if c != nil && c.doubt() {
+	if c != nil && c.ambiguousFraming() {
 		w.Header().Set("Connection", "close")
 		control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		http.Error(w, "the length of a request is told twice", http.StatusBadRequest)
@@ -186,37 +186,37 @@
 		// The answer may come before the end of the body, and the server reads a part
 		// of what is left over.
 		control.EnableFullDuplex()
-		control.SetReadDeadline(requestSince(r).Add(readTimeout))
+		control.SetReadDeadline(requestStart(r).Add(readTimeout))
 	}
 	x, status, err := f.read(r, control)
 	if err != nil {
 		if r.ContentLength != 0 {
 			w.Header().Set("Connection", "close") // the rest of its body may still come
 		}
-		if errors.Is(err, errCrowded) {
-			w.Header().Set("Retry-After", strconv.Itoa(budgetAdvice))
+		if errors.Is(err, errNoBodyMemory) {
+			w.Header().Set("Retry-After", strconv.Itoa(budgetRetryAfter))
 		}
 		control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		http.Error(w, err.Error(), status)
 		return
 	}
-	defer func() { f.figures.bodies.give(x.memory) }()
+	defer func() { f.metrics.bodies.release(x.reservedMemory) }()
 	if x.upload != nil {
-		defer x.upload.free()
+		defer x.upload.releaseMemory()
 	}
 	if !f.loop.post(arrival{x}) {
 		http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		return
 	}
-	f.await(w, r, x, control)
+	f.awaitResponse(w, r, x, control)
 }
 
 // await gives the client what the loop says, or tells the loop that it has left.
-func (f *frontend) await(w http.ResponseWriter, r *http.Request, x *exchange, control *http.ResponseController) {
+func (f *frontend) awaitResponse(w http.ResponseWriter, r *http.Request, x *exchange, control *http.ResponseController) {
 	var left <-chan struct{}
 	c := connOf(r)
 	if c != nil {
-		left = c.ahead.left
+		left = c.readAhead.peerClosed
 	}
 	for {
 		select {
@@ -229,31 +229,31 @@
 				continue
 			}
 			w.Header().Del("Connection")
-			if f.leaving.Load() && (c == nil || !c.pipelined()) || !x.upload.over() || c != nil && c.ahead.full() {
+			if f.shuttingDown.Load() && (c == nil || !c.pipelined()) || !x.upload.complete() || c != nil && c.readAhead.full() {
 				w.Header().Set("Connection", "close")
 			}
 			control.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if c != nil && !r.ProtoAtLeast(1, 1) {
-				c.untold.Store(true)
+				c.closeDelimited.Store(true)
 			}
-			err := f.write(a, x.header.Get(idHeader), w, control)
+			err := f.writeResponse(a, x.header.Get(idHeader), w, control)
 			if x.upload != nil {
 				x.upload.close(control)
 			}
 			if err != nil {
-				cutOff(r)
+				abortConnection(r)
 			}
 		case <-left:
 			if !f.loop.post(clientGone{x}) {
-				x.abandon(&f.figures.bodies)
+				x.discardReplies(&f.metrics.bodies)
 			}
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			if !f.loop.post(clientGone{x}) {
-				x.abandon(&f.figures.bodies)
+				x.discardReplies(&f.metrics.bodies)
 			}
 		case <-f.loop.stopped:
-			x.abandon(&f.figures.bodies)
+			x.discardReplies(&f.metrics.bodies)
 			http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		}
 		return
@@ -262,7 +262,7 @@
 
 // connOf returns the connection of a request, if it is one of the gateway's own.
 func connOf(r *http.Request) *clientConn {
-	if first, ok := r.Context().Value(firstKey{}).(*firstRequest); ok {
+	if first, ok := r.Context().Value(connInfoKey{}).(*connInfo); ok {
 		c, _ := first.conn.(*clientConn)
 		return c
 	}
@@ -271,7 +271,7 @@
 
 // cutOff ends the connection of a client whose answer is not whole. It must not
 // take a part for the whole, as it would after a proper end in HTTP/1.0.
-func cutOff(r *http.Request) {
+func abortConnection(r *http.Request) {
 	if c := connOf(r); c != nil && !r.ProtoAtLeast(1, 1) {
 		c.reset()
 	}
@@ -282,24 +282,24 @@
 // turned down.
 func (f *frontend) read(r *http.Request, control *http.ResponseController) (*exchange, int, error) {
 	now := f.loop.clock.now()
-	x := &exchange{method: r.Method, uri: originForm(r.RequestURI), host: r.Host, reply: make(chan answer, 2)}
+	x := &exchange{method: r.Method, uri: originForm(r.RequestURI), host: r.Host, reply: make(chan response, 2)}
 	x.service = f.service.Load()
-	ask, err := x.service.parse(r)
+	ask, err := x.service.parseRequest(r)
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
 	class := &x.service.Classes[ask.Class]
-	x.ask, x.class, x.counts, x.plan = ask, class, x.service.counts[ask.Class], x.service.PlanNames[ask.Plan]
-	switch key := r.Header.Get(keyHeader); {
+	x.request, x.class, x.counts, x.plan = ask, class, x.service.counts[ask.Class], x.service.PlanNames[ask.Plan]
+	switch key := r.Header.Get(idempotencyHeader); {
 	case class.Effect == rules.Repeatable && r.Method != http.MethodGet && r.Method != http.MethodHead,
 		class.Effect != rules.Repeatable && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, fmt.Errorf("method %s does not fit the class", r.Method)
 	case class.Effect == rules.ByKey && key == "":
-		return nil, http.StatusBadRequest, errors.New(keyHeader + " is missing")
-	case len(key) > mostName:
-		return nil, http.StatusBadRequest, errors.New(keyHeader + " is too long")
+		return nil, http.StatusBadRequest, errors.New(idempotencyHeader + " is missing")
+	case len(key) > maxIDBytes:
+		return nil, http.StatusBadRequest, errors.New(idempotencyHeader + " is too long")
 	case x.service.mostBody > 0 && r.ContentLength > x.service.mostBody:
-		return nil, http.StatusRequestEntityTooLarge, errTooLong
+		return nil, http.StatusRequestEntityTooLarge, errBodyTooLong
 	}
 	if r.ContentLength != 0 {
 		if status, err := f.readBody(x, r, control); err != nil {
@@ -307,65 +307,65 @@
 		}
 		now = f.loop.clock.now() // a request's time counts from its last byte
 	}
-	x.ask.Sent = now
-	x.ask.Deadline += now - answerMargin
-	x.header = passedOn(r.Header)
+	x.request.Sent = now
+	x.request.Deadline += now - answerMargin
+	x.header = endToEndHeaders(r.Header)
 	delete(x.header, leftHeader) // each attempt has its own
 	return x, 0, nil
 }
 
 // readBody takes in the body of a request until it is whole or has to go on.
 func (f *frontend) readBody(x *exchange, r *http.Request, control *http.ResponseController) (int, error) {
-	long := r.ContentLength > mostHeld
+	long := r.ContentLength > maxHeldBody
 	held := int(r.ContentLength)
 	memory := held
 	switch {
 	case long:
-		held, memory = 0, leastWindow
+		held, memory = 0, minWindow
 	case held < 0:
-		held, memory = mostHeld, mostHeld+leastWindow
+		held, memory = maxHeldBody, maxHeldBody+minWindow
 	}
-	if memory > uncounted {
-		if err := f.figures.bodies.take(r.Context(), memory); err != nil {
+	if memory > uncountedBytes {
+		if err := f.metrics.bodies.reserve(r.Context(), memory); err != nil {
 			x.counts.dropped.Add(1)
-			f.figures.up.ended[noMemory].Add(1)
+			f.metrics.up.ended[noMemory].Add(1)
 			return http.StatusServiceUnavailable, err
 		}
 	} else {
 		memory = 0
 	}
-	rest := newClientBody(r, control, x.service.mostBody, &f.figures.up.bytes)
-	start := newIntake(rest, r.ContentLength, held)
+	rest := newClientBody(r, control, x.service.mostBody, &f.metrics.up.bytes)
+	start := newBodyPrefix(rest, r.ContentLength, held)
 	whole, err := false, error(nil)
 	switch {
 	case long:
 	case r.ContentLength > 0:
 		whole, err = start.fill()
 	default:
-		whole, err = fillFor(start, holdFor)
+		whole, err = fillWithin(start, maxHoldTime)
 	}
 	if err != nil {
-		f.figures.bodies.give(memory)
-		f.figures.up.end(bodyCause(err), r.Header.Get(idHeader), err)
+		f.metrics.bodies.release(memory)
+		f.metrics.up.end(bodyCause(err), r.Header.Get(idHeader), err)
 		return uploadStatus(err), fmt.Errorf("body: %w", err)
 	}
 	for name := range r.Trailer {
-		x.announced = append(x.announced, name)
+		x.announcedTrailers = append(x.announcedTrailers, name)
 	}
 	if whole {
-		x.body, x.trailer, x.memory = start.held, trailers(r.Trailer), f.figures.bodies.shrink(memory, len(start.held))
+		x.body, x.trailer, x.reservedMemory = start.held, forwardableTrailers(r.Trailer), f.metrics.bodies.shrink(memory, len(start.held))
 		return 0, nil
 	}
-	x.ask.Open = true
-	x.upload = &upload{request: r, length: r.ContentLength, left: seconds(x.ask.Deadline), budget: &f.figures.bodies,
-		start: start, rest: rest, memory: held, window: window{budget: &f.figures.bodies, own: leastWindow}}
-	x.upload.whole = func(until time.Time) { f.loop.post(uploaded{x, until}) }
+	x.request.Open = true
+	x.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(x.request.Deadline), budget: &f.metrics.bodies,
+		prefix: start, remainder: rest, memory: held, window: window{budget: &f.metrics.bodies, prepaid: minWindow}}
+	x.upload.onComplete = func(until time.Time) { f.loop.post(uploaded{x, until}) }
 	return 0, nil
 }
 
 // fillFor fills an intake for so long. Longer than that, it goes on filling, and
 // the body is let go.
-func fillFor(in *intake, d time.Duration) (whole bool, err error) {
+func fillWithin(in *bodyPrefix, d time.Duration) (whole bool, err error) {
 	type end struct {
 		whole bool
 		err   error
@@ -402,10 +402,10 @@
 // parse reads the headers that the decisions need. Nothing has a default: a
 // request that is not understood might be charged to the wrong customer or
 // repeated against its class.
-func (s *service) parse(r *http.Request) (rules.Request, error) {
+func (s *service) parseRequest(r *http.Request) (rules.Request, error) {
 	var q rules.Request
 	h := r.Header
-	if id := h.Get(idHeader); id == "" || len(id) > mostName {
+	if id := h.Get(idHeader); id == "" || len(id) > maxIDBytes {
 		return q, errors.New(idHeader + " is missing or too long")
 	}
 	class := h.Get(classHeader)
@@ -418,23 +418,23 @@
 	if q.Plan = slices.Index(s.PlanNames, h.Get(planHeader)); q.Plan < 0 {
 		return q, errors.New(planHeader + " names no plan")
 	}
-	customer := h.Get(clientHeader)
+	customer := h.Get(customerHeader)
 	n, err := strconv.ParseUint(customer, 16, 64)
-	if err != nil || len(customer) != 16 || n >= customers {
-		return q, errors.New(clientHeader + " is not the number of a customer")
+	if err != nil || len(customer) != 16 || n >= customerIDLimit {
+		return q, errors.New(customerHeader + " is not the number of a customer")
 	}
 	q.Customer = rules.CustomerID(n)
 	left, err := strconv.ParseInt(h.Get(leftHeader), 10, 64)
-	if err != nil || left <= 0 || left > mostPatience.Milliseconds() {
+	if err != nil || left <= 0 || left > maxClientTimeout.Milliseconds() {
 		return q, errors.New(leftHeader + " is not a time in milliseconds")
 	}
 	q.Deadline = float64(left) / 1000 // from when it is whole
 	q.Repeat = h.Get(repeatHeader) == "1"
-	return q, s.terms(&q, h.Get(termsHeader))
+	return q, s.parseTerms(&q, h.Get(termsHeader))
 }
 
 // terms reads the units of a request and the gateways of its customer.
-func (s *service) terms(q *rules.Request, text string) error {
+func (s *service) parseTerms(q *rules.Request, text string) error {
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		var err error
@@ -462,30 +462,30 @@
 }
 
 // hopByHop are the headers that end at this gateway.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
 // passedOn returns the headers for the other side: all but those that belong to
 // the connection. It uses up h.
-func passedOn(h http.Header) http.Header {
+func endToEndHeaders(h http.Header) http.Header {
 	for _, named := range h["Connection"] {
 		for name := range strings.SplitSeq(named, ",") {
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name != idHeader && name != keyHeader {
+			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name != idHeader && name != idempotencyHeader {
 				delete(h, name)
 			}
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 	return h
 }
 
 // trailers returns what goes on of the headers behind a body, or nil.
-func trailers(h http.Header) http.Header {
+func forwardableTrailers(h http.Header) http.Header {
 	var kept http.Header
 	for name, values := range h {
-		if len(values) > 0 && !slices.Contains(hopByHop, name) {
+		if len(values) > 0 && !slices.Contains(hopByHopHeaders, name) {
 			if kept == nil {
 				kept = http.Header{}
 			}
@@ -495,12 +495,12 @@
 	return kept
 }
 
-func (a answer) interim() bool { return a.status/100 == 1 }
+func (a response) interim() bool { return a.status/100 == 1 }
 
 // writeInterim passes a 1xx on, whose headers are its own.
-func (a answer) writeInterim(w http.ResponseWriter) {
+func (a response) writeInterim(w http.ResponseWriter) {
 	h := w.Header()
-	for k, v := range passedOn(a.header) {
+	for k, v := range endToEndHeaders(a.header) {
 		h[k] = v
 	}
 	w.WriteHeader(a.status)
@@ -509,13 +509,13 @@
 
 // write gives the answer to the client. An error says that it is not whole, and
 // that the client can't tell so far.
-func (f *frontend) write(a answer, id string, w http.ResponseWriter, control *http.ResponseController) error {
-	defer f.figures.bodies.give(a.memory)
+func (f *frontend) writeResponse(a response, id string, w http.ResponseWriter, control *http.ResponseController) error {
+	defer f.metrics.bodies.release(a.reservedMemory)
 	h := w.Header()
 	for k, v := range a.header {
 		h[k] = v
 	}
-	if !a.served {
+	if !a.fromBackend {
 		if a.retryAfter > 0 {
 			h["Retry-After"] = []string{strconv.FormatFloat(math.Ceil(a.retryAfter*1000)/1000, 'f', -1, 64)}
 		}
@@ -526,33 +526,33 @@
 	if _, typed := h["Content-Type"]; !typed {
 		h["Content-Type"] = nil // the backend named none, and guessing costs time
 	}
-	if a.length < 0 && a.rest == nil && a.trailer == nil {
+	if a.length < 0 && a.download == nil && a.trailer == nil {
 		a.length = int64(len(a.body))
 	}
 	if a.length >= 0 && a.status != http.StatusNoContent && a.status != http.StatusNotModified {
 		h["Content-Length"] = []string{strconv.FormatInt(a.length, 10)}
 	}
-	if a.rest == nil {
+	if a.download == nil {
 		addTrailers(h, a.trailer) // before the head, so that the body goes in chunks
 		w.WriteHeader(a.status)
 		w.Write(a.body) // an error means that the client has left
 		return nil
 	}
-	return f.stream(a, id, w, control)
+	return f.streamResponse(a, id, w, control)
 }
 
 // stream gives an answer to the client that is let go.
-func (f *frontend) stream(a answer, id string, w http.ResponseWriter, control *http.ResponseController) error {
-	d := a.rest
-	if !d.take() {
-		return errCutShort // the loop has dropped it, as the client has left
+func (f *frontend) streamResponse(a response, id string, w http.ResponseWriter, control *http.ResponseController) error {
+	d := a.download
+	if !d.claim() {
+		return errUploadAborted // the loop has dropped it, as the client has left
 	}
-	f.figures.down.open.Add(1)
-	defer f.figures.down.open.Add(-1)
+	f.metrics.down.open.Add(1)
+	defer f.metrics.down.open.Add(-1)
 	w.WriteHeader(a.status)
 	outcome, err := rules.Cancelled, control.Flush()
 	if err == nil {
-		outcome, err = d.pass(w, control)
+		outcome, err = d.copyTo(w, control)
 	}
 	if outcome == rules.Served {
 		addTrailers(w.Header(), d.trailers())
@@ -562,13 +562,13 @@
 	}
 	switch outcome {
 	case rules.Served:
-		f.figures.down.end(endedWhole, "", nil)
+		f.metrics.down.end(endedWhole, "", nil)
 	case rules.Cancelled:
-		f.figures.down.end(slowOr(err, clientSlow, clientLeft), id, err)
+		f.metrics.down.end(slowOr(err, clientSlow, clientLeft), id, err)
 	default:
-		f.figures.down.end(slowOr(err, backendSlow, backendBroke), id, err)
+		f.metrics.down.end(slowOr(err, backendSlow, backendBroke), id, err)
 	}
-	d.end <- outcome
+	d.done <- outcome
 	return err
 }
 
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -42,9 +42,9 @@
 		t.Fatal(err)
 	}
 	p := newPipes()
-	f := &frontend{figures: &figures{bodies: budget{total: bodyMemory(16)}}, clients: newClients(p, 100),
+	f := &frontend{metrics: &figures{bodies: budget{total: bodyMemory(16)}}, clients: newClientListener(p, 100),
 		loop: &Loop{clock: newClock(), inbox: make(chan any, 1), stopped: make(chan struct{})}}
-	f.service.Store(f.figures.service(deploy, 0))
+	f.service.Store(f.metrics.service(deploy, 0))
 	server := f.server()
 	ended := make(chan struct{})
 	go func() { defer close(ended); server.Serve(f.clients) }()
@@ -98,7 +98,7 @@
 					t.Fatalf("the loop was told %T", m)
 				default:
 				}
-				x.reply <- answer{status: http.StatusOK, served: true, body: []byte("booked")}
+				x.reply <- response{status: http.StatusOK, fromBackend: true, body: []byte("booked")}
 				resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 				if err != nil || resp.StatusCode != http.StatusOK {
 					t.Fatalf("%v %v", resp, err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,8 +44,8 @@
 	if c.Settings.Counter {
 		calls = newCounter(c.Counter, seconds(c.CounterTimeout))
 	}
-	front := &frontend{figures: figures, clients: newClients(listener, 1)}
-	front.clients.shared = c.Inherited != "" || c.HandoverDir != ""
+	front := &frontend{metrics: figures, clients: newClientListener(listener, 1)}
+	front.clients.sharedQueue = c.Inherited != "" || c.HandoverDir != ""
 	figures.clients = front.clients
 	front.use(figures.service(c.Deployment, c.mostBody()))
 	front.loop = newLoop(c, front.service.Load(), figures, pools, calls, func() { front.ready.Store(true) })
@@ -56,9 +56,9 @@
 	defer wg.Wait()
 	defer stop()
 	limits := &limits{config: c, apply: func(clients, backends, memory int) {
-		front.clients.limit(clients)
+		front.clients.setLimit(clients)
 		pools.keep(backends)
-		figures.bodies.limit(memory)
+		figures.bodies.setTotal(memory)
 	}}
 	limits.pair(false)
 	pair := &handover{loop: front.loop, oldest: make(chan struct{}), paired: limits.pair}
@@ -147,8 +147,8 @@
 	wg.Go(func() { failed <- server.Serve(front.clients) })
 	pair.serving()
 	if operators != nil {
-		call := (&control{figures: figures, ready: front.takesClients, byHand: pair.byHand, members: stands, loop: front.loop, beside: pair.beside}).server()
-		wg.Go(func() { failed <- call.Serve(newSteadyListener(operators, "operators")) })
+		call := (&control{figures: figures, ready: front.acceptsClients, byHand: pair.byHand, members: stands, loop: front.loop, beside: pair.beside}).server()
+		wg.Go(func() { failed <- call.Serve(newRetryingListener(operators, "operators")) })
 		defer call.Close() // they may call until the end
 	}
 	select {
@@ -189,7 +189,7 @@
 		sockets, memory = l.config.Sockets/2-reserved/2, memory/2
 	}
 	clients, backends := split(sockets)
-	l.apply(min(clients, memory<<20/connShare/connMemory), backends, bodyMemory(memory))
+	l.apply(min(clients, memory<<20/clientMemoryDivisor/idleConnBytes), backends, bodyMemory(memory))
 }
 
 // split divides descriptors between clients and backends.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -117,7 +117,7 @@
 
 func ask(method, class, body string, change ...string) string {
 	headers := map[string]string{idHeader: "9b1f03aa5c7e2d41", classHeader: class, planHeader: "basic",
-		clientHeader: "00000000b4d65521", leftHeader: "15000", termsHeader: "units=2,spread=2,first=1", keyHeader: "k1"}
+		customerHeader: "00000000b4d65521", leftHeader: "15000", termsHeader: "units=2,spread=2,first=1", idempotencyHeader: "k1"}
 	path := "/" + class
 	for i := 0; i < len(change); i += 2 {
 		if change[i] == "path" {
@@ -198,8 +198,8 @@
 		{"another path", ask("GET", "lookup", "", "path", "/booking"), 400},
 		{"a path with no first part", ask("GET", "lookup", "", "path", "//lookup"), 400},
 		{"unknown plan", ask("GET", "lookup", "", planHeader, "gold"), 400},
-		{"a short customer", ask("GET", "lookup", "", clientHeader, "b4d65521"), 400},
-		{"a customer too high", ask("GET", "lookup", "", clientHeader, "0000000200000000"), 400},
+		{"a short customer", ask("GET", "lookup", "", customerHeader, "b4d65521"), 400},
+		{"a customer too high", ask("GET", "lookup", "", customerHeader, "0000000200000000"), 400},
 		{"no time", ask("GET", "lookup", "", leftHeader, ""), 400},
 		{"no time left", ask("GET", "lookup", "", leftHeader, "0"), 400},
 		{"time without end", ask("GET", "lookup", "", leftHeader, "99999999999999999999"), 400},
@@ -208,12 +208,12 @@
 		{"too many units", ask("GET", "lookup", "", termsHeader, "units=5,spread=2,first=0"), 400},
 		{"a set beyond the fleet", ask("GET", "lookup", "", termsHeader, "units=1,spread=3,first=0"), 400},
 		{"a gateway beyond the fleet", ask("GET", "lookup", "", termsHeader, "units=1,spread=2,first=2"), 400},
-		{"no key", ask("POST", "booking", "x", keyHeader, ""), 400},
+		{"no key", ask("POST", "booking", "x", idempotencyHeader, ""), 400},
 		{"the wrong method", ask("POST", "lookup", "x"), 405},
 		{"a keyed GET", ask("GET", "booking", ""), 405},
 		{"a body too long", ask("POST", "booking", "", "Content-Length", strconv.Itoa(5<<20+1)), 413},
 		{"a body in bad chunks", ask("POST", "booking", "", "Transfer-Encoding", "chunked") + "x\r\n", 400},
-		{"endless headers", ask("GET", "lookup", "", "X", strings.Repeat("x", 4*mostHeader)), 431},
+		{"endless headers", ask("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431},
 	} {
 		_, answers := r.client(t, c.text)
 		if resp := wait(t, answers, "answer to "+c.name); resp.StatusCode != c.status {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -37,12 +37,12 @@
 	}
 	answerBegun struct { // an answer is let go
 		a        *attempt
-		answer   answer
+		answer   response
 		accepted chan<- bool // has room for one
 	}
 	interim struct { // an answer before the answer
 		a      *attempt
-		answer answer
+		answer response
 	}
 	attemptDone struct {
 		a      *attempt
@@ -196,22 +196,22 @@
 	case arrival:
 		l.arrive(m.x)
 	case clientGone:
-		if m.x.open {
+		if m.x.inProgress {
 			l.trace(m.x, "client left")
 			l.forsake(m.x)
 		}
-		m.x.abandon(&l.figures.bodies) // its handler has gone
+		m.x.discardReplies(&l.figures.bodies) // its handler has gone
 	case uploaded:
 		l.whole(m.x, m.until)
 	case answerBegun:
 		m.accepted <- l.begin(m.a, m.answer)
 	case interim:
-		if x := m.a.x; x.open && !x.begun && !m.a.ended && len(x.reply) == 0 {
+		if x := m.a.x; x.inProgress && !x.responseStarted && !m.a.ended && len(x.reply) == 0 {
 			x.reply <- m.answer // the place behind it is that of the final one
 		}
 	case attemptDone:
-		if x := m.a.x; m.result.cut != nil && x.open && !x.begun {
-			x.reply <- answer{status: uploadStatus(m.result.cut)}
+		if x := m.a.x; m.result.cut != nil && x.inProgress && !x.responseStarted {
+			x.reply <- response{status: uploadStatus(m.result.cut)}
 			l.forsake(x)
 		}
 		l.endAttempt(m.a, m.result)
@@ -257,28 +257,28 @@
 func (l *Loop) arrive(x *exchange) {
 	if x.service != l.service && !l.carryOver(x) {
 		x.counts.dropped.Add(1)
-		x.reply <- answer{status: http.StatusServiceUnavailable}
+		x.reply <- response{status: http.StatusServiceUnavailable}
 		return
 	}
 	if l.service.MaxOpen > 0 && len(l.live) >= l.service.MaxOpen {
 		x.counts.dropped.Add(1)
-		x.reply <- answer{status: http.StatusServiceUnavailable} // nothing was sent for it
+		x.reply <- response{status: http.StatusServiceUnavailable} // nothing was sent for it
 		return
 	}
 	for taken := true; taken; _, taken = l.live[l.nextID] {
 		l.nextID = max(l.nextID+1, 1) // 0 stands for no request
 	}
-	x.ask.ID, x.open, x.queued = l.nextID, true, l.clock.now()-x.ask.Sent
-	l.live[x.ask.ID] = x
-	if !x.ask.Open {
+	x.request.ID, x.inProgress, x.queueDelay = l.nextID, true, l.clock.now()-x.request.Sent
+	l.live[x.request.ID] = x
+	if !x.request.Open {
 		l.enter(x)
 	}
-	l.handle(x.ask)
+	l.handle(x.request)
 }
 
 // enter counts a request whose last byte has come.
 func (l *Loop) enter(x *exchange) {
-	x.taken = true
+	x.accepted = true
 	l.figures.inProgress.Add(1)
 }
 
@@ -287,7 +287,7 @@
 // Danger: where the settings allow no cancel, the module leaves its attempts out.
 // One whose connection is not up yet would begin for nobody.
 func (l *Loop) shut(x *exchange) {
-	if x.open = false; x.taken {
+	if x.inProgress = false; x.accepted {
 		l.figures.inProgress.Add(-1)
 	}
 	for _, a := range x.attempts {
@@ -300,10 +300,10 @@
 // forsake ends a request whose client has left, or has sent none that is whole.
 func (l *Loop) forsake(x *exchange) {
 	l.shut(x)
-	l.handle(rules.ClientGone{Request: x.ask.ID})
+	l.handle(rules.ClientGone{Request: x.request.ID})
 	for _, a := range x.attempts {
 		if a.rest != nil {
-			a.rest.drop() // in case nobody took it
+			a.rest.discard() // in case nobody took it
 		}
 	}
 	l.drop(x)
@@ -311,34 +311,34 @@
 
 // whole starts the time of a request whose body has come.
 func (l *Loop) whole(x *exchange, until time.Time) {
-	if !x.open {
+	if !x.inProgress {
 		return
 	}
-	x.ask.Open, x.ask.Sent = false, l.clock.now()
-	x.ask.Deadline = x.ask.Sent + time.Until(until).Seconds()
+	x.request.Open, x.request.Sent = false, l.clock.now()
+	x.request.Deadline = x.request.Sent + time.Until(until).Seconds()
 	l.enter(x)
-	if x.begun {
+	if x.responseStarted {
 		return // the module has let go of it
 	}
 	if a := x.attempts[len(x.attempts)-1]; !a.ended {
-		a.deadline = x.ask.Deadline
+		a.deadline = x.request.Deadline
 		l.timers.add(timerEntry{at: a.deadline, attempt: a})
 	}
-	l.handle(rules.Whole{Request: x.ask.ID, Deadline: x.ask.Deadline})
+	l.handle(rules.Whole{Request: x.request.ID, Deadline: x.request.Deadline})
 }
 
 // begin lets a long answer go to the client, if it is still owed one.
-func (l *Loop) begin(a *attempt, start answer) bool {
+func (l *Loop) begin(a *attempt, start response) bool {
 	x := a.x
-	if a.ended || !x.open || x.begun {
+	if a.ended || !x.inProgress || x.responseStarted {
 		return false
 	}
-	x.begun, a.rest = true, start.rest
+	x.responseStarted, a.rest = true, start.download
 	units := trueUnits(start.header)
 	start.toClient()
-	l.handle(rules.Established{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Took: l.clock.now() - a.sent,
+	l.handle(rules.Established{Request: x.request.ID, Attempt: a.number, Backend: a.backend, Took: l.clock.now() - a.sent,
 		Units: units})
-	if l.clock.now()-x.ask.Sent > x.class.Aim {
+	if l.clock.now()-x.request.Sent > x.class.Aim {
 		l.trace(x, "served late")
 	}
 	x.reply <- start // it has room for it, and one is all it gets
@@ -346,9 +346,9 @@
 }
 
 // toClient makes an answer of a backend one for its client.
-func (a *answer) toClient() {
-	a.served = true
-	a.header = passedOn(a.header)
+func (a *response) toClient() {
+	a.fromBackend = true
+	a.header = endToEndHeaders(a.header)
 	a.header.Del(loadHeader) // for gateways, not for clients
 }
 
@@ -356,9 +356,9 @@
 // force. It keeps its class; its customer's quota is that of the plan of today.
 // Danger: the numbers of classes and plans mean others by now.
 func (l *Loop) carryOver(x *exchange) bool {
-	x.ask.Own = x.class
-	x.ask.Plan = slices.Index(l.service.PlanNames, x.plan)
-	return x.ask.Plan >= 0
+	x.request.Own = x.class
+	x.request.Plan = slices.Index(l.service.PlanNames, x.plan)
+	return x.request.Plan >= 0
 }
 
 // ban carries out an operator's word. Connections follow it before the module
@@ -431,9 +431,9 @@
 		case rules.Cancel:
 			l.cancel(a)
 		case rules.Refuse:
-			l.reject(a.Request, a.Reason, answer{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter})
+			l.reject(a.Request, a.Reason, response{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter})
 		case rules.Fail:
-			l.reject(a.Request, a.Reason, answer{status: http.StatusBadGateway})
+			l.reject(a.Request, a.Reason, response{status: http.StatusBadGateway})
 		case rules.SetTimer:
 			l.timers.add(timerEntry{at: l.clock.now() + max(a.In, 0), token: a.Token, request: a.Request})
 		case rules.Count:
@@ -459,20 +459,20 @@
 		return
 	}
 	now := l.clock.now()
-	a := &attempt{x: x, number: len(x.attempts), backend: s.Backend, sent: now, deadline: x.ask.Deadline}
+	a := &attempt{x: x, number: len(x.attempts), backend: s.Backend, sent: now, deadline: x.request.Deadline}
 	if s.Timeout > 0 {
 		a.deadline = min(a.deadline, now+s.Timeout)
 	}
 	if s.Before > 0 {
 		a.before = l.clock.at(s.Before)
 	}
-	if x.ask.Open {
+	if x.request.Open {
 		a.deadline = math.Inf(1) // until its body is whole
 	} else {
 		a.until = l.clock.at(a.deadline)
 	}
-	a.interim = func(told answer) { l.post(interim{a, told}) }
-	a.begun = func(start answer) bool {
+	a.interim = func(told response) { l.post(interim{a, told}) }
+	a.begun = func(start response) bool {
 		accepted := make(chan bool, 1)
 		if !l.post(answerBegun{a, start, accepted}) {
 			return false
@@ -485,8 +485,8 @@
 		}
 	}
 	x.attempts = append(x.attempts, a)
-	x.out++
-	if !x.open || a.number >= max(l.service.MaxAttempts, 1) || a.deadline <= now {
+	x.inFlight++
+	if !x.inProgress || a.number >= max(l.service.MaxAttempts, 1) || a.deadline <= now {
 		l.endAttempt(a, result{outcome: rules.Moot})
 		return
 	}
@@ -494,14 +494,14 @@
 		l.figures.retries.Add(1)
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
-	if !x.ask.Open {
+	if !x.request.Open {
 		l.timers.add(timerEntry{at: a.deadline, attempt: a})
 	}
 	l.attempts.Go(func() { // ends by a.until, or when the attempt is called off
 		res := l.pools.attempt(a)
 		a.cancel()
 		if !l.post(attemptDone{a, res}) {
-			res.answer.drop(&l.figures.bodies)
+			res.answer.discard(&l.figures.bodies)
 		}
 	})
 }
@@ -509,28 +509,28 @@
 // endAttempt takes an attempt's one end; what comes after it is dropped.
 func (l *Loop) endAttempt(a *attempt, res result) {
 	if a.ended {
-		res.answer.drop(&l.figures.bodies)
+		res.answer.discard(&l.figures.bodies)
 		return
 	}
 	a.ended, a.outcome, a.err, a.took = true, res.outcome, res.err, l.clock.now()-a.sent
 	x := a.x
-	x.out--
+	x.inFlight--
 	switch {
-	case !x.open:
-		res.answer.drop(&l.figures.bodies)
-	case x.begun && res.outcome == rules.Served:
+	case !x.inProgress:
+		res.answer.discard(&l.figures.bodies)
+	case x.responseStarted && res.outcome == rules.Served:
 		l.shut(x)
 		x.counts.passed.Add(1)
-	case x.begun:
+	case x.responseStarted:
 		l.shut(x) // the client can tell: its connection ends before the answer does
 		x.counts.badGateway.Add(1)
 		l.trace(x, "not served")
 	case res.outcome == rules.Served:
 		res.answer.toClient()
-		l.answer(x.ask.ID, res.answer)
+		l.answer(x.request.ID, res.answer)
 	}
-	l.handle(rules.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
-		Took: a.took, Done: !x.open, Spent: res.spent, Units: res.units})
+	l.handle(rules.AttemptEnd{Request: x.request.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
+		Took: a.took, Done: !x.inProgress, Spent: res.spent, Units: res.units})
 	l.drop(x)
 }
 
@@ -542,7 +542,7 @@
 	a := x.attempts[c.Attempt]
 	a.callOff()
 	outcome := rules.Cancelled
-	if x.ask.Open {
+	if x.request.Open {
 		outcome = rules.Moot // its backend does not have it whole
 	} else if l.clock.now() >= a.deadline-sameMoment {
 		outcome = rules.TimedOut // the module learns from it
@@ -551,25 +551,25 @@
 }
 
 // reject gives a request its final answer where no backend made one.
-func (l *Loop) reject(id rules.RequestID, why rules.Reason, a answer) {
-	if x := l.live[id]; x != nil && x.open {
-		x.reason = why.String()
+func (l *Loop) reject(id rules.RequestID, why rules.Reason, a response) {
+	if x := l.live[id]; x != nil && x.inProgress {
+		x.rejectReason = why.String()
 		l.figures.rejected[why].Add(1)
 	}
 	l.answer(id, a)
 }
 
 // answer gives a request its final answer, if it has none.
-func (l *Loop) answer(id rules.RequestID, a answer) {
+func (l *Loop) answer(id rules.RequestID, a response) {
 	x := l.live[id]
-	if x == nil || !x.open {
+	if x == nil || !x.inProgress {
 		return
 	}
 	l.shut(x)
 	switch {
-	case a.served:
+	case a.fromBackend:
 		x.counts.passed.Add(1)
-		if l.clock.now()-x.ask.Sent > x.class.Aim {
+		if l.clock.now()-x.request.Sent > x.class.Aim {
 			l.trace(x, "served late")
 		}
 	case a.status == http.StatusTooManyRequests:
@@ -585,8 +585,8 @@
 
 // drop forgets a request that has its answer and nothing out.
 func (l *Loop) drop(x *exchange) {
-	if !x.open && x.out == 0 {
-		delete(l.live, x.ask.ID)
+	if !x.inProgress && x.inFlight == 0 {
+		delete(l.live, x.request.ID)
 	}
 }
 
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -39,9 +39,9 @@
 	old := &service{Deployment: wire.Deployment{ClassNames: []string{"a", "b"}, PlanNames: []string{"p", "q"}}}
 	old.Classes = []rules.Class{{Worth: 1}, {Worth: 2}}
 	l := &Loop{service: &service{Deployment: wire.Deployment{ClassNames: []string{"a"}, PlanNames: []string{"q"}}}}
-	x := &exchange{service: old, class: &old.Classes[1], plan: "q", ask: rules.Request{Class: 1, Plan: 1}}
-	if !l.carryOver(x) || x.ask.Own != &old.Classes[1] || x.ask.Plan != 0 {
-		t.Errorf("carried over as %+v", x.ask)
+	x := &exchange{service: old, class: &old.Classes[1], plan: "q", request: rules.Request{Class: 1, Plan: 1}}
+	if !l.carryOver(x) || x.request.Own != &old.Classes[1] || x.request.Plan != 0 {
+		t.Errorf("carried over as %+v", x.request)
 	}
 	if x.plan = "p"; l.carryOver(x) {
 		t.Error("a request of a plan that is no more was carried over")
@@ -63,8 +63,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go l.run(ctx)
 		defer func() { cancel(); <-l.stopped }()
-		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: "basic", reply: make(chan answer, 2),
-			ask: rules.Request{Customer: 7, Units: 2, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
+		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: "basic", reply: make(chan response, 2),
+			request: rules.Request{Customer: 7, Units: 2, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
 		l.post(arrival{x})
 		synctest.Wait()
 		var k *call
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -191,7 +191,7 @@
 
 // dialAgain dials, again after a pause while the failure is this machine's own.
 func (p *pools) dialAgain(ctx context.Context, t *target, within time.Duration) (*backendConn, error) {
-	var pause retryPause
+	var pause backoff
 	for began := time.Now(); ; {
 		c, err := p.dial(ctx, t, within)
 		if !localFailure(err) {
@@ -203,7 +203,7 @@
 		if noDescriptor(err) {
 			p.giveUpIdle() // an idle connection to another backend makes room
 		}
-		next := pause.after()
+		next := pause.nextDelay()
 		if time.Since(began)+next > localFailureTime || !waited(ctx, next) {
 			return nil, err
 		}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -50,8 +50,8 @@
 		w.WriteString("\r\n")
 	case length < 0:
 		w.WriteString("Transfer-Encoding: chunked\r\n")
-		if len(x.announced) > 0 {
-			w.WriteString("Trailer: " + strings.Join(x.announced, ", ") + "\r\n")
+		if len(x.announcedTrailers) > 0 {
+			w.WriteString("Trailer: " + strings.Join(x.announcedTrailers, ", ") + "\r\n")
 		}
 	}
 	w.WriteString("\r\n")
@@ -81,12 +81,12 @@
 func (p *pools) stream(a *attempt, c *backendConn) (result, bool) {
 	u := a.x.upload
 	c.SetDeadline(a.until) // zero, so without a deadline, unless the body is complete by now
-	u.take(a)
+	u.assign(a)
 	sent := make(chan error, 1)
 	p.figures.up.open.Add(1)
 	go func() {
 		defer p.figures.up.open.Add(-1)
-		defer u.done(a)
+		defer u.releaseWindow(a)
 		why, err := a.send(c)
 		if err == nil {
 			p.figures.tries.Add(1)
@@ -102,17 +102,17 @@
 	if !over {
 		c.Close() // nothing more of the body may leave
 		reuse = false
-		if err = errCutShort; a.last.Load() {
+		if err = errUploadAborted; a.last.Load() {
 			err = <-sent // the sender is at the last piece
 		}
 	}
-	res.spent, cut = u.leave()
+	res.spent, cut = u.unassign()
 	if err == nil || res.outcome != rules.Broken && res.outcome != rules.TimedOut {
 		return res, reuse && err == nil // a response, or a failure after the whole body was sent
 	}
 	// The body broke off before its end was written, so the backend has run nothing.
 	res.outcome, res.err, res.cut = rules.ConnectFailed, err, cut
-	if cut != nil || errors.Is(err, errCutShort) && u.answered() {
+	if cut != nil || errors.Is(err, errUploadAborted) && u.responseSent() {
 		res.outcome = rules.Moot // the backend is not to blame
 	}
 	return res, false
@@ -142,8 +142,8 @@
 
 // send writes the body of an upload as it arrives. It returns why the upload ended.
 func (a *attempt) send(c *backendConn) (cause, error) {
-	u, to := a.x.upload, pace{pause: stall, grace: stall, rate: leastRate}
-	left := u.timeLeft()
+	u, to := a.x.upload, pace{maxPause: stallTimeout, grace: stallTimeout, minRate: minTransferRate}
+	left := u.remaining()
 	if !a.until.IsZero() {
 		left = min(left, time.Until(a.until))
 	}
@@ -159,14 +159,14 @@
 			a.last.Store(true)
 		}
 		before := time.Now()
-		c.SetWriteDeadline(a.writeBy(before.Add(to.wait())))
+		c.SetWriteDeadline(a.writeBy(before.Add(to.allowedWait())))
 		if u.length >= 0 {
 			c.w.Write(piece)
 		} else {
 			writeChunk(c.w, piece)
 		}
 		if err == io.EOF && u.length < 0 {
-			writeTrailer(c.w, trailers(u.request.Trailer))
+			writeTrailer(c.w, forwardableTrailers(u.request.Trailer))
 		}
 		if err := c.w.Flush(); err != nil {
 			return slowOr(err, backendSlow, backendBroke), err
@@ -174,6 +174,6 @@
 		if err == io.EOF {
 			return endedWhole, nil
 		}
-		to.moved(len(piece), time.Since(before))
+		to.record(len(piece), time.Since(before))
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -75,26 +75,26 @@
 func shutdown(front *frontend, server *http.Server, pair *handover) error {
 	s := &stop{front: front, began: time.Now()}
 	s.tellModule()
-	front.leaving.Store(true)
+	front.shuttingDown.Store(true)
 	succeeded := pair.leave()
 	s.log("stopping", "successor", succeeded, "answers_due", s.schedule().answers, "exit_due", s.schedule().exit)
 	if succeeded {
 		front.clients.Close()
 		s.until(func(t stopSchedule) time.Duration { return t.closeIdle })
 	} else {
-		front.clients.leave(leavesIdle)
+		front.clients.setPhase(phaseClosingIdle)
 		s.until(func(t stopSchedule) time.Duration { return t.closeListener })
-		front.clients.endQueue()
+		front.clients.drainQueue()
 	}
 	s.log("stop: idle connections are closed")
-	front.clients.leave(leavesNew)
+	front.clients.setPhase(phaseClosingNew)
 	err := s.drain(func(t stopSchedule) time.Duration { return t.finish })
 	if err != nil {
-		s.log("stop: requests without an answer are ended", "requests", front.clients.finish())
+		s.log("stop: requests without an answer are ended", "requests", front.clients.failUnanswered())
 		err = s.drain(func(t stopSchedule) time.Duration { return t.exit })
 	}
 	if err != nil {
-		s.log("stop: connections are cut", "connections", front.clients.cut())
+		s.log("stop: connections are cut", "connections", front.clients.closeAll())
 	}
 	s.log("stopped", "error", err)
 	server.Close()
@@ -147,7 +147,7 @@
 	for {
 		left := s.left(step)
 		ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
-		err := s.front.clients.drained(ctx)
+		err := s.front.clients.waitDrained(ctx)
 		cancel()
 		if err == nil || left <= 0 {
 			return err
@@ -158,6 +158,6 @@
 // log logs a step with what is still open.
 func (s *stop) log(step string, attributes ...any) {
 	open := s.front.clients.counts()
-	slog.Info(step, append(attributes, "after", time.Since(s.began), "new", open.In[connlimit.New], "head", open.In[connlimit.Head],
-		"busy", open.In[connlimit.Busy], "idle", open.In[connlimit.Idle], "in_progress", s.front.figures.inProgress.Load())...)
+	slog.Info(step, append(attributes, "after", time.Since(s.began), "new", open.ByState[connlimit.New], "head", open.ByState[connlimit.Head],
+		"busy", open.ByState[connlimit.Busy], "idle", open.ByState[connlimit.Idle], "in_progress", s.front.metrics.inProgress.Load())...)
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(inner, 8)
+	l := newClientListener(inner, 8)
 	const queued = 20 // more than there are places
 	answers := make(chan string, queued)
 	for range queued {
@@ -75,11 +75,11 @@
 	ended := make(chan error, 1)
 	go func() { // accepting begins with the stop
 		l.mu.Lock()
-		l.last = true
+		l.drainingQueue = true
 		l.mu.Unlock()
 		ended <- server.Serve(l)
 	}()
-	l.endQueue()
+	l.drainQueue()
 	wait(t, ended, "end of accepting")
 	for range queued {
 		if got := wait(t, answers, "answer"); !strings.HasPrefix(got, "200") && !strings.HasPrefix(got, "503") {
@@ -104,7 +104,7 @@
 	old := r.send(t, strings.Replace(ask("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
 	to, br := backend.accept(t)
 	readRequest(t, br)
-	io.WriteString(to, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*mostHeld))
+	io.WriteString(to, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*maxHeldBody))
 	from := bufio.NewReader(old)
 	resp, err := http.ReadResponse(from, nil)
 	if err != nil {
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -11,15 +11,15 @@
 // A peer that has vanished is ended after so long, if something goes
 // unacknowledged, be it one of the probes that package net sends after 15 s.
 const (
-	mostSilence    = 30 * time.Second
+	silenceTimeout = 30 * time.Second
 	tcpUserTimeout = 18 // TCP_USER_TIMEOUT, which package syscall does not name
 )
 
-var errNotKept = errors.New("the system did not keep the limit")
+var errTimeoutNotSet = errors.New("the system did not keep the limit")
 
 // limitSilence sets the limit on a connection and looks whether it holds. Where
 // there is no such thing, as on a platform's emulated sockets, it says so.
-func limitSilence(c net.Conn) error {
+func setSilenceTimeout(c net.Conn) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return nil
@@ -30,13 +30,13 @@
 	}
 	var failed error
 	err = raw.Control(func(fd uintptr) {
-		most := int(mostSilence.Milliseconds())
+		most := int(silenceTimeout.Milliseconds())
 		if failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, most); failed != nil {
 			return
 		}
 		var kept int
 		if kept, failed = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout); failed == nil && kept != most {
-			failed = errNotKept
+			failed = errTimeoutNotSet
 		}
 	})
 	return errors.Join(err, failed)
@@ -44,7 +44,7 @@
 
 // sinceLastWord is how long ago the last segment of a peer came. For one that was
 // just accepted, this is how long it stood in the queue.
-func sinceLastWord(c net.Conn) (time.Duration, bool) {
+func sinceLastSegment(c net.Conn) (time.Duration, bool) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return 0, false
--- a/internal/gateway/stream_memory_test.go
+++ b/internal/gateway/stream_memory_test.go
@@ -42,7 +42,7 @@
 			})
 		}
 		wg.Wait()
-		if _, most := r.figures.bodies.usage(); most > transfers*mostWindow {
+		if _, most := r.figures.bodies.usage(); most > transfers*maxWindow {
 			t.Errorf("%d transfers of %d bytes took %d", transfers, size, most)
 		}
 	}
@@ -55,8 +55,8 @@
 	const fit = 8
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	r.figures.bodies.limit(fit * leastWindow)
-	size := 64 * mostHeld
+	r.figures.bodies.setTotal(fit * minWindow)
+	size := 64 * maxHeldBody
 	type outcome struct {
 		conn net.Conn
 		in   *bufio.Reader
@@ -78,7 +78,7 @@
 	// send sends a body, slowly until all have been told: one that is not slow has no end,
 	// also on a machine on which that takes long.
 	send := func(conn net.Conn) {
-		const drip = 2 * clientRate / 10
+		const drip = 2 * minClientRate / 10
 		left, drips := size, time.NewTicker(100*time.Millisecond)
 		defer drips.Stop()
 		for slowly := true; slowly && left > size/2; {
@@ -104,7 +104,7 @@
 		case o.resp.StatusCode != http.StatusServiceUnavailable || o.resp.Header.Get("Retry-After") != "1":
 			t.Errorf("status %d, advice %q", o.resp.StatusCode, o.resp.Header.Get("Retry-After"))
 		}
-		if used, most := r.figures.bodies.usage(); most > fit*leastWindow {
+		if used, most := r.figures.bodies.usage(); most > fit*minWindow {
 			t.Errorf("%d taken, at most %d", used, most)
 		}
 	}
@@ -132,7 +132,7 @@
 	const fit = 4
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	r.figures.bodies.limit(fit * mostHeld)
+	r.figures.bodies.setTotal(fit * maxHeldBody)
 	whole := noise(1, 8<<20)
 	var heads []func() *http.Response
 	for range 10 * fit {
@@ -157,7 +157,7 @@
 		})
 	}
 	wg.Wait()
-	if _, most := r.figures.bodies.usage(); most > fit*mostHeld {
+	if _, most := r.figures.bodies.usage(); most > fit*maxHeldBody {
 		t.Errorf("%d taken", most)
 	}
 }
@@ -168,7 +168,7 @@
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	r.figures.bodies.limit(4 * leastWindow)
+	r.figures.bodies.setTotal(4 * minWindow)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -216,7 +216,7 @@
 	if served.Load() == 0 {
 		t.Errorf("none served, %d refused", refused.Load())
 	}
-	if _, most := r.figures.bodies.usage(); most > 4*leastWindow {
+	if _, most := r.figures.bodies.usage(); most > 4*minWindow {
 		t.Errorf("%d taken", most)
 	}
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -45,13 +45,13 @@
 			backend := newPeer(t)
 			r := newRig(t, backend)
 			// A class that runs once: a second attempt would hide what became of the first.
-			conn, head := r.get(t, ask("POST", "payment", "", "Content-Length", "1000000")+strings.Repeat("x", 2*mostHeld))
+			conn, head := r.get(t, ask("POST", "payment", "", "Content-Length", "1000000")+strings.Repeat("x", 2*maxHeldBody))
 			to, br := backend.accept(t)
 			req, err := http.ReadRequest(br)
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.ReadFull(req.Body, make([]byte, mostHeld))
+			io.ReadFull(req.Body, make([]byte, maxHeldBody))
 			io.WriteString(to, "HTTP/1.1 "+c.answer)
 			if resp := head(); resp.StatusCode != c.status || !resp.Close {
 				t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
@@ -171,10 +171,10 @@
 			select {
 			case to = <-backend.conns:
 			case <-sent: // a short one that breaks reaches nobody
-				if upTo < len(up) && (len(up) <= mostHeld || upTo <= mostHeld) {
+				if upTo < len(up) && (len(up) <= maxHeldBody || upTo <= maxHeldBody) {
 					select {
 					case to = <-backend.conns:
-					case <-time.After(3 * holdFor):
+					case <-time.After(3 * maxHoldTime):
 						return
 					}
 				} else {
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -56,7 +56,7 @@
 		if i > 0 {
 			attempts.WriteByte(',')
 		}
-		fmt.Fprintf(&attempts, "%08x@%.3f", uint32(a.backend), a.sent-x.ask.Sent)
+		fmt.Fprintf(&attempts, "%08x@%.3f", uint32(a.backend), a.sent-x.request.Sent)
 		if a.ended {
 			fmt.Fprintf(&attempts, "+%.3f:%s", a.took, outcomeNames[a.outcome])
 		}
@@ -65,9 +65,9 @@
 		}
 	}
 	slog.Info(what, "id", x.header.Get(idHeader), "class", x.counts.name,
-		"plan", x.plan, "customer", uint64(x.ask.Customer), "units", x.ask.Units,
-		"repeat", x.ask.Repeat, "left", round(x.ask.Deadline-x.ask.Sent), "queued", round(x.queued),
-		"took", round(now-x.ask.Sent), "reason", x.reason, "attempts", attempts.String())
+		"plan", x.plan, "customer", uint64(x.request.Customer), "units", x.request.Units,
+		"repeat", x.request.Repeat, "left", round(x.request.Deadline-x.request.Sent), "queued", round(x.queueDelay),
+		"took", round(now-x.request.Sent), "reason", x.rejectReason, "attempts", attempts.String())
 }
 
 // lagged notes how late a timer came, and writes at most once a second how late
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -17,7 +17,7 @@
 // last byte, and only then is it taken.
 func TestLongBodyGoesOnAsItComes(t *testing.T) {
 	t.Parallel()
-	whole := strings.Repeat("0123456789abcdef", 4*mostHeld/16)
+	whole := strings.Repeat("0123456789abcdef", 4*maxHeldBody/16)
 	for name, chunked := range map[string]bool{"of known length": false, "in chunks": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -33,18 +33,18 @@
 			if resp := head(); resp.StatusCode != http.StatusContinue {
 				t.Errorf("status %d before the body", resp.StatusCode)
 			}
-			io.WriteString(conn, piece(whole[:2*mostHeld]))
+			io.WriteString(conn, piece(whole[:2*maxHeldBody]))
 			_, br := backend.accept(t)
 			req, err := http.ReadRequest(br)
 			if err != nil {
 				t.Fatal(err)
 			}
-			start := make([]byte, mostHeld) // before the client has sent more
+			start := make([]byte, maxHeldBody) // before the client has sent more
 			if _, err := io.ReadFull(req.Body, start); err != nil {
 				t.Fatal(err)
 			}
 			r.tells(t, "app.in_progress:0|g", "app.upstream_tries:0|c")
-			io.WriteString(conn, piece(whole[2*mostHeld:])+tail)
+			io.WriteString(conn, piece(whole[2*maxHeldBody:])+tail)
 			rest, err := io.ReadAll(req.Body)
 			if err != nil || string(start)+string(rest) != whole {
 				t.Errorf("%d bytes of %d, %v", len(start)+len(rest), len(whole), err)
@@ -60,13 +60,13 @@
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	conn, _ := r.get(t, ask("POST", "booking", "", "Content-Length", "1000000")+strings.Repeat("x", 2*mostHeld))
+	conn, _ := r.get(t, ask("POST", "booking", "", "Content-Length", "1000000")+strings.Repeat("x", 2*maxHeldBody))
 	_, br := backend.accept(t)
 	req, err := http.ReadRequest(br)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.ReadFull(req.Body, make([]byte, mostHeld))
+	io.ReadFull(req.Body, make([]byte, maxHeldBody))
 	conn.Close()
 	if _, err := io.ReadAll(req.Body); err == nil {
 		t.Error("the backend has a whole request")
@@ -88,7 +88,7 @@
 		http.StatusTooManyRequests: ask("POST", "booking", "", "Content-Length", "1000000"),
 		http.StatusBadRequest:      ask("POST", "booking", "", "Content-Length", "1000000", termsHeader, ""),
 	} {
-		_, head := r.get(t, text+strings.Repeat("x", mostHeld)) // and no more: a wait for it would end in 408
+		_, head := r.get(t, text+strings.Repeat("x", maxHeldBody)) // and no more: a wait for it would end in 408
 		if resp := head(); resp.StatusCode != status || !resp.Close {
 			t.Errorf("status %d, closed %t; want %d", resp.StatusCode, resp.Close, status)
 		}
@@ -121,7 +121,7 @@
 				begun, broke := time.Now(), make(chan time.Time, 1)
 				go func() {
 					var a attempt
-					x.upload.take(&a)
+					x.upload.assign(&a)
 					var err error
 					for at := 0; err == nil; {
 						var piece []byte
@@ -132,7 +132,7 @@
 						t.Errorf("the body ended with %v", err)
 					}
 					broke <- time.Now()
-					x.reply <- answer{status: http.StatusTooManyRequests}
+					x.reply <- response{status: http.StatusTooManyRequests}
 				}()
 				go io.Copy(io.Discard, client)
 				for sent := 0; sent < length; sent += c.piece {
@@ -188,7 +188,7 @@
 func TestNoMemoryForLongBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, p := newPipedFrontend(t)
-		f.figures.bodies.try(f.figures.bodies.total)
+		f.metrics.bodies.tryReserve(f.metrics.bodies.total)
 		client, server := net.Pipe()
 		defer client.Close()
 		p.conns <- server
@@ -246,7 +246,7 @@
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	body := strings.Repeat("x", 2*mostHeld)
+	body := strings.Repeat("x", 2*maxHeldBody)
 	conn := r.send(t, ask("POST", "booking", body))
 	to, br := backend.accept(t)
 	for range 3 {
--- a/internal/gateway/upload_time_test.go
+++ b/internal/gateway/upload_time_test.go
@@ -39,7 +39,7 @@
 		backend := newPeer(t)
 		r := newRig(t, backend)
 		conn := r.send(t, ask("POST", "booking", "", "Transfer-Encoding", "chunked")+"4\r\npick\r\n")
-		time.Sleep(2 * holdFor) // its start is let go
+		time.Sleep(2 * maxHoldTime) // its start is let go
 		io.WriteString(conn, "2\r\nup\r\n0\r\n\r\n")
 		_, first := told(t, backend)
 		time.Sleep(waited)
@@ -59,7 +59,7 @@
 				_, conn := told(t, backend)
 				busy = append(busy, conn)
 			}
-			body := strings.Repeat("x", 2*mostHeld)
+			body := strings.Repeat("x", 2*maxHeldBody)
 			if chunked {
 				r.send(t, ask("POST", "booking", "", "Transfer-Encoding", "chunked")+
 					strconv.FormatInt(int64(len(body)), 16)+"\r\n"+body+"\r\n0\r\n\r\n")
@@ -82,7 +82,7 @@
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	body := strings.Repeat("x", 2*mostHeld)
+	body := strings.Repeat("x", 2*maxHeldBody)
 	conn := r.send(t, strings.TrimSuffix(ask("POST", "booking", body), "x"))
 	_, br := backend.accept(t)
 	time.Sleep(300 * time.Millisecond)
