--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -41,13 +41,13 @@
 	net.Listener
 	name      string // for the log
 	backoff   backoff
-	logLimit  lineLimit
+	logLimit  logLimiter
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
 func newRetryingListener(l net.Listener, name string) *retryingListener {
-	return &retryingListener{Listener: l, name: name, logLimit: lineLimit{most: 1}, closed: make(chan struct{})}
+	return &retryingListener{Listener: l, name: name, logLimit: logLimiter{max: 1}, closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
--- a/internal/gateway/client_connection.go
+++ b/internal/gateway/client_connection.go
@@ -163,7 +163,7 @@
 		c.listener.placeFreed.Broadcast()
 	}
 	// What waits to be read came before the end, and is answered.
-	if goes = c.listener.closesInPhase(c.entry) && !unreadBytes(c.Conn); goes {
+	if goes = c.listener.closesInPhase(c.entry) && !hasUnreadBytes(c.Conn); goes {
 		c.listener.evict(c.entry, closedShutdown)
 	}
 	return goes
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -76,7 +76,7 @@
 	sharedQueue   bool // other processes accept from the same queue
 
 	rejectedLingering int // connections that wait for their end behind a rejection
-	logLimit          lineLimit
+	logLimit          logLimiter
 
 	onState func(*clientConn, http.ConnState) // for tests, before a state is taken note of
 
@@ -100,7 +100,7 @@
 
 func newClientListener(l net.Listener, most int) *clientListener {
 	c := &clientListener{Listener: l, startedAt: time.Now(), table: connlimit.NewTable(connlimit.Limits{Total: most}),
-		conns: map[*connlimit.Conn]*clientConn{}, logLimit: lineLimit{most: 1}}
+		conns: map[*connlimit.Conn]*clientConn{}, logLimit: logLimiter{max: 1}}
 	c.placeFreed.L = &c.mu
 	return c
 }
@@ -156,7 +156,7 @@
 	l.phase = how
 	var gone []*clientConn
 	for place, c := range l.conns {
-		if !c.evicted && !c.lingering && l.closesInPhase(place) && !unreadBytes(c.Conn) {
+		if !c.evicted && !c.lingering && l.closesInPhase(place) && !hasUnreadBytes(c.Conn) {
 			gone = append(gone, l.evict(place, closedShutdown))
 		}
 	}
@@ -252,7 +252,7 @@
 // acceptFailed counts an error that passes and, once a second at most, logs it.
 func (l *clientListener) recordAcceptError(err error) {
 	text := "accepting a client failed"
-	if noDescriptor(err) {
+	if outOfResources(err) {
 		l.descriptorErrors.Add(1)
 		text = "no descriptor for a client"
 	} else {
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -204,7 +204,7 @@
 	if x.upload != nil {
 		defer x.upload.releaseMemory()
 	}
-	if !f.loop.post(arrival{x}) {
+	if !f.loop.post(requestArrived{x}) {
 		http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		return
 	}
@@ -308,9 +308,9 @@
 		now = f.loop.clock.now() // a request's time counts from its last byte
 	}
 	x.request.Sent = now
-	x.request.Deadline += now - answerMargin
+	x.request.Deadline += now - responseMargin
 	x.header = endToEndHeaders(r.Header)
-	delete(x.header, leftHeader) // each attempt has its own
+	delete(x.header, timeLeftHeader) // each attempt has its own
 	return x, 0, nil
 }
 
@@ -359,7 +359,7 @@
 	x.request.Open = true
 	x.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(x.request.Deadline), budget: &f.metrics.bodies,
 		prefix: start, remainder: rest, memory: held, window: window{budget: &f.metrics.bodies, prepaid: minWindow}}
-	x.upload.onComplete = func(until time.Time) { f.loop.post(uploaded{x, until}) }
+	x.upload.onComplete = func(until time.Time) { f.loop.post(bodyComplete{x, until}) }
 	return 0, nil
 }
 
@@ -424,9 +424,9 @@
 		return q, errors.New(customerHeader + " is not the number of a customer")
 	}
 	q.Customer = rules.CustomerID(n)
-	left, err := strconv.ParseInt(h.Get(leftHeader), 10, 64)
+	left, err := strconv.ParseInt(h.Get(timeLeftHeader), 10, 64)
 	if err != nil || left <= 0 || left > maxClientTimeout.Milliseconds() {
-		return q, errors.New(leftHeader + " is not a time in milliseconds")
+		return q, errors.New(timeLeftHeader + " is not a time in milliseconds")
 	}
 	q.Deadline = float64(left) / 1000 // from when it is whole
 	q.Repeat = h.Get(repeatHeader) == "1"
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -341,7 +341,7 @@
 		u.err = errUploadAborted // by the handler's own hand
 	}
 	if err == io.EOF {
-		u.responseDeadline = u.remainder.arrival.lastByteTime().Add(u.clientTimeout - seconds(answerMargin))
+		u.responseDeadline = u.remainder.arrival.lastByteTime().Add(u.clientTimeout - seconds(responseMargin))
 		u.onComplete(u.responseDeadline)
 	}
 	return u.err
@@ -506,7 +506,7 @@
 	if d.chunked != nil {
 		return d.chunked.ready()
 	}
-	return d.conn.r.Buffered() > 0
+	return d.conn.reader.Buffered() > 0
 }
 
 // read waits for the next piece. While there is none, it takes no memory but the
@@ -521,7 +521,7 @@
 	d.conn.SetReadDeadline(before.Add(from.allowedWait()))
 	if !d.hasBuffered() {
 		d.window.release()
-		if err := d.conn.await(); err != nil {
+		if err := d.conn.awaitReadable(); err != nil {
 			return nil, err
 		}
 	}
