--- a/cmd/dunlintray/data.go
+++ b/cmd/dunlintray/data.go
@@ -36,12 +36,12 @@
 	fmt.Fprintf(out, "snapshot at %d: %d records, %d bytes\nlog: %d files, %d records behind the snapshot, %d bytes, up to %d\n",
 		r.Snapshot, r.SnapshotRecords, r.SnapshotBytes, r.Segments, r.Records, r.Bytes, r.Last)
 	switch {
-	case r.CutBytes > 0:
-		fmt.Fprintf(out, "torn: the next start cuts %d bytes of %s from byte %d on; nobody was told that they are kept\n", r.CutBytes, r.CutFile, r.CutAt)
+	case r.TruncatedBytes > 0:
+		fmt.Fprintf(out, "torn: the next start cuts %d bytes of %s from byte %d on; nobody was told that they are kept\n", r.TruncatedBytes, r.TruncatedFile, r.TruncatedAt)
 	case !r.Closed:
 		fmt.Fprintln(out, "not closed: the service was killed")
 	}
-	for _, name := range r.Dropped {
+	for _, name := range r.ObsoleteFiles {
 		fmt.Fprintln(out, "left over, removed at the next start:", name)
 	}
 	_, err = fmt.Fprintln(out, "no damage")
--- a/cmd/dunlintray/ledger.go
+++ b/cmd/dunlintray/ledger.go
@@ -138,7 +138,7 @@
 
 func (c *groupAddCmd) Run(ctx context.Context, out io.Writer) error {
 	return c.changeMembers(ctx, out, func(ctx context.Context, client *group.Client) error {
-		return client.Add(ctx, c.Number, group.Member{Address: c.Address, List: c.List})
+		return client.Add(ctx, c.Number, group.Member{Address: c.Address, RegistryAddress: c.List})
 	}, fmt.Sprintf("member %d is added; it votes once it is filled (group show)", c.Number))
 }
 
@@ -190,8 +190,8 @@
 		for _, n := range slices.Sorted(maps.Keys(s.Lag)) {
 			lag = append(lag, fmt.Sprintf("%d:%d", n, s.Lag[n]))
 		}
-		fmt.Fprintf(tab, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f/%.1f/%.1f\t%s\n", at, s.Self, s.Standing(), s.Group, s.Term, s.Writer, s.Applied, s.Committed, s.Ledger.Records, s.Ledger.Sessions,
-			float64(s.CommitP50Us)/1e3, float64(s.CommitP99Us)/1e3, float64(s.CommitMostUs)/1e3, strings.Join(lag, " "))
+		fmt.Fprintf(tab, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f/%.1f/%.1f\t%s\n", at, s.Self, s.Role(), s.Group, s.Term, s.Writer, s.Applied, s.Committed, s.Ledger.Records, s.Ledger.Sessions,
+			float64(s.CommitP50Us)/1e3, float64(s.CommitP99Us)/1e3, float64(s.CommitMaxUs)/1e3, strings.Join(lag, " "))
 		before, told := writers[s.Term]
 		differ = differ || told && s.Writer != 0 && before != 0 && before != s.Writer
 		if writers[s.Term] = max(before, s.Writer); s.Term > newest {
--- a/cmd/dunlintray/permits.go
+++ b/cmd/dunlintray/permits.go
@@ -47,14 +47,14 @@
 	for _, r := range u.Rules {
 		fmt.Fprintln(out, "rule:", r.String())
 	}
-	for _, never := range u.Never {
+	for _, never := range u.Unsatisfiable {
 		fmt.Fprintln(out, "can never be met:", never)
 	}
 	tab := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "unit\tzone\tready\tpermit\tholder\treason\tstate")
 	outs := 0
 	for _, unit := range u.Units {
-		if unit.Out() {
+		if unit.Unavailable() {
 			outs++
 		} else if !c.All {
 			continue
@@ -66,7 +66,7 @@
 		case p == nil:
 		case p.Lost:
 			state = "its holder is lost; it may still be down"
-		case p.Back != 0:
+		case p.ReturnedAt != 0:
 			state = "given back, not seen ready yet"
 		default:
 			state = "held"
@@ -84,13 +84,13 @@
 // rulesFile is a file of rules.
 type rulesFile struct {
 	Rules []struct {
-		Kind       budget.Kind `toml:"kind"`
-		Zone       string      `toml:"zone"`
-		Canary     bool        `toml:"canary"`
-		MostOut    *int        `toml:"most_out"`
-		MostShare  *float64    `toml:"most_share"`
-		ByWeight   bool        `toml:"by_weight"`
-		LeastReady *int        `toml:"least_ready"`
+		Kind                   budget.Kind `toml:"kind"`
+		Zone                   string      `toml:"zone"`
+		Canary                 bool        `toml:"canary"`
+		MaxUnavailable         *int        `toml:"most_out"`
+		MaxUnavailableFraction *float64    `toml:"most_share"`
+		ByWeight               bool        `toml:"by_weight"`
+		MinReady               *int        `toml:"least_ready"`
 	} `toml:"rule"`
 }
 
@@ -126,7 +126,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "%d rules are in force\n", len(command.Rules))
-	for _, never := range u.Never {
+	for _, never := range u.Unsatisfiable {
 		fmt.Fprintln(out, "can never be met by the units that there are:", never)
 	}
 	return nil
@@ -269,7 +269,7 @@
 func (c *drainCmd) Run(ctx context.Context, out io.Writer) error {
 	client, within, end := c.client(ctx)
 	defer end()
-	p, err := units(within, client, &budget.Command{Op: budget.Ask, Unit: budget.Unit{Name: c.name()},
+	p, err := units(within, client, &budget.Command{Op: budget.Acquire, Unit: budget.Unit{Name: c.name()},
 		Permit: budget.Permit{Holder: c.As, Reason: c.Why, TermMs: c.For.Milliseconds()}})
 	if err != nil {
 		return err
@@ -395,7 +395,7 @@
 	}
 	// First the permit, then the list: once that says Ready, the unit is seen so.
 	if p := u.Units[at].Permit; p != nil {
-		if _, err := units(ctx, client, &budget.Command{Op: budget.Back, Unit: budget.Unit{Name: c.name()}, Permit: budget.Permit{Number: p.Number, Holder: c.As}}); err != nil {
+		if _, err := units(ctx, client, &budget.Command{Op: budget.Return, Unit: budget.Unit{Name: c.name()}, Permit: budget.Permit{Number: p.Number, Holder: c.As}}); err != nil {
 			return err
 		}
 	}
--- a/cmd/registry/group_test.go
+++ b/cmd/registry/group_test.go
@@ -73,20 +73,20 @@
 			defer c.Close()
 			for ctx.Err() == nil {
 				life, leave := context.WithCancel(ctx)
-				h, err := c.Hold(life, ledger.LeastTTL)
+				h, err := c.HoldSession(life, ledger.MinTTL)
 				if err != nil {
 					leave()
 					continue // ctx is over, or the answer came too late
 				}
 				none := uint64(0)
 				r, err := c.Do(life, ledger.Command{Op: ledger.Put, Name: "lock", Value: fmt.Append(nil, n), Session: h.ID(), Expect: &none})
-				if err == nil && r.Code == ledger.OK && h.Holds() {
+				if err == nil && r.Code == ledger.OK && h.Valid() {
 					locked.Add(1)
-					if inside.Add(1) > 1 && h.Holds() {
+					if inside.Add(1) > 1 && h.Valid() {
 						t.Error("two have the lock")
 					}
 					for range 20 {
-						if !h.Holds() {
+						if !h.Valid() {
 							break
 						}
 						time.Sleep(5 * time.Millisecond) // it acts
@@ -118,7 +118,7 @@
 	c := group.NewClient(m.at)
 	defer c.Close()
 	next := m.writer((w+1)%3, (w+2)%3)
-	if s, err := c.Status(t.Context(), m.at[next]); err != nil || s.Handed == 0 {
+	if s, err := c.Status(t.Context(), m.at[next]); err != nil || s.TransfersReceived == 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	m.start(w)
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -80,7 +80,7 @@
 const groupDataMB = 256
 
 func (c *groupConfig) group() group.Config {
-	g := group.Config{Name: c.Name, Self: c.Self, Members: c.Members, Lists: c.Lists, Join: c.Join, Dir: c.DataDir, DataMB: c.DataMB, Limits: ledger.DefaultLimits}
+	g := group.Config{Name: c.Name, Self: c.Self, Members: c.Members, RegistryAddresses: c.Lists, Join: c.Join, Dir: c.DataDir, DataMB: c.DataMB, Limits: ledger.DefaultLimits}
 	if g.DataMB == 0 {
 		g.DataMB = groupDataMB
 	}
@@ -363,7 +363,7 @@
 	if err != nil {
 		return err
 	}
-	var lists group.ListMaker
+	var lists group.RecoverableList
 	if list != nil {
 		lists = list
 	}
@@ -372,11 +372,11 @@
 		return fmt.Errorf("recover: %w", err)
 	}
 	fmt.Fprintf(out, "member %d is the group from now on, as generation %s\n", c.Group.Self, lost.Generation)
-	fmt.Fprintf(out, "it has all up to entry %d of term %d; what was agreed on behind that, if anything, is lost though it was answered\n", lost.Entry, lost.Term)
-	if lost.Entry > lost.Known {
-		fmt.Fprintf(out, "entries %d to %d were not known to be agreed on; they are from now on\n", lost.Known+1, lost.Entry)
+	fmt.Fprintf(out, "it has all up to entry %d of term %d; what was agreed on behind that, if anything, is lost though it was answered\n", lost.LastIndex, lost.Term)
+	if lost.LastIndex > lost.CommitIndex {
+		fmt.Fprintf(out, "entries %d to %d were not known to be agreed on; they are from now on\n", lost.CommitIndex+1, lost.LastIndex)
 	}
-	for _, n := range group.Numbers(lost.Former) {
+	for _, n := range group.MemberNumbers(lost.Former) {
 		fmt.Fprintf(out, "member %d at %s is left behind: it refuses once it hears of this; empty its folder and add it under a new number\n", n, lost.Former[n].Address)
 	}
 	return nil
@@ -409,7 +409,7 @@
 	if err != nil {
 		return fmt.Errorf("takeover: %s: %w", args[1], err)
 	}
-	if err := group.Found(of, wal.Dir(c.Group.DataDir), list); err != nil {
+	if err := group.Bootstrap(of, wal.Dir(c.Group.DataDir), list); err != nil {
 		return fmt.Errorf("takeover: %w", err)
 	}
 	if copied {
--- a/cmd/registry/membership_test.go
+++ b/cmd/registry/membership_test.go
@@ -82,15 +82,15 @@
 	other := (w + 2) % 3
 	m.kill(other)
 	m.start(other)
-	refused(c.Add(within(), uint64(lost+1), group.Member{Address: "127.0.0.1:1", List: "127.0.0.1:2"}), "was given before")
+	refused(c.Add(within(), uint64(lost+1), group.Member{Address: "127.0.0.1:1", RegistryAddress: "127.0.0.1:2"}), "was given before")
 	until(t, "it can be taken out", func() bool { return c.Remove(within(), uint64(lost+1)) == nil })
 	if err := c.Remove(within(), uint64(lost+1)); err != nil {
 		t.Errorf("once more: %v", err)
 	}
-	refused(c.Add(within(), 4, group.Member{Address: m.at[w], List: "127.0.0.1:2"}), "is at that address")
+	refused(c.Add(within(), 4, group.Member{Address: m.at[w], RegistryAddress: "127.0.0.1:2"}), "is at that address")
 	refused(c.Add(within(), 4, group.Member{Address: "127.0.0.1:1"}), "has a list")
 	fourth := m.join(4, true)
-	if err := c.Add(within(), 4, group.Member{Address: m.at[fourth], List: m.lists[fourth]}); err != nil {
+	if err := c.Add(within(), 4, group.Member{Address: m.at[fourth], RegistryAddress: m.lists[fourth]}); err != nil {
 		t.Fatal(err)
 	}
 	m.votes(c, slices.Sorted(slices.Values([]uint64{uint64(w + 1), uint64(other + 1), 4}))...)
@@ -128,7 +128,7 @@
 	// A cut: who is cut off changes nothing.
 	until(t, "it can be taken out", func() bool { return c.Remove(within(), 4) == nil })
 	fifth := m.join(5, true)
-	if err := c.Add(within(), 5, group.Member{Address: m.at[fifth], List: m.lists[fifth]}); err != nil {
+	if err := c.Add(within(), 5, group.Member{Address: m.at[fifth], RegistryAddress: m.lists[fifth]}); err != nil {
 		t.Fatal(err)
 	}
 	m.votes(c, slices.Sorted(slices.Values([]uint64{uint64(w + 1), uint64(other + 1), 5}))...)
@@ -161,7 +161,7 @@
 	m.start(w)
 	m.refuses(fifth, "went on as generation")
 	sixth := m.join(6, true)
-	if err := c.Add(within(), 6, group.Member{Address: m.at[sixth], List: m.lists[sixth]}); err != nil {
+	if err := c.Add(within(), 6, group.Member{Address: m.at[sixth], RegistryAddress: m.lists[sixth]}); err != nil {
 		t.Fatal(err)
 	}
 	m.votes(c, uint64(w+1), 6)
@@ -222,13 +222,13 @@
 	})
 	units := group.NewClient(follower.at)
 	defer units.Close()
-	if u, err := units.Units(t.Context()); err != nil || len(u.Units) != 20 || u.Units[0].Out() {
+	if u, err := units.Units(t.Context()); err != nil || len(u.Units) != 20 || u.Units[0].Unavailable() {
 		t.Errorf("%d units are known: %v", len(u.Units), err)
 	}
 	second := m.join(2, true)
 	c := group.NewClient(m.at[:1])
 	defer c.Close()
-	if err := c.Add(t.Context(), 2, group.Member{Address: m.at[second], List: m.lists[second]}); err != nil {
+	if err := c.Add(t.Context(), 2, group.Member{Address: m.at[second], RegistryAddress: m.lists[second]}); err != nil {
 		t.Fatal(err)
 	}
 	m.votes(c, 1, 2)
--- a/cmd/registry/scale_test.go
+++ b/cmd/registry/scale_test.go
@@ -62,7 +62,7 @@
 		}
 		fourth := m.join(4, true)
 		began = time.Now()
-		if err := c.Add(t.Context(), 4, group.Member{Address: m.at[fourth], List: m.lists[fourth]}); err != nil {
+		if err := c.Add(t.Context(), 4, group.Member{Address: m.at[fourth], RegistryAddress: m.lists[fourth]}); err != nil {
 			t.Fatal(err)
 		}
 		m.votes(c, 1, 2, 3, 4)
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -40,11 +40,11 @@
 // Unit is one that can be out.
 type Unit struct {
 	Name
-	Zone   string  `json:"zone,omitempty"`
-	Weight float64 `json:"weight,omitempty"` // its capacity
-	Canary bool    `json:"canary,omitempty"`
-	Life   string  `json:"life,omitempty"` // of its process, by whoever sees it
-	Ready  bool    `json:"ready"`
+	Zone        string  `json:"zone,omitempty"`
+	Weight      float64 `json:"weight,omitempty"` // its capacity
+	Canary      bool    `json:"canary,omitempty"`
+	Incarnation string  `json:"life,omitempty"` // of its process, by whoever sees it
+	Ready       bool    `json:"ready"`
 	// Session is of who tells how the unit is; 0: the list does. Once it ends, nobody
 	// knows, and the unit counts as out.
 	Session uint64  `json:"session,omitempty"`
@@ -52,20 +52,20 @@
 	Permit  *Permit `json:"permit,omitempty"`
 }
 
-func (u *Unit) millionths() int64 { return int64(math.Round(u.Weight * 1e6)) }
+func (u *Unit) weightMillionths() int64 { return int64(math.Round(u.Weight * 1e6)) }
 
 // Out says whether the unit counts as out.
-func (u *Unit) Out() bool { return !u.Ready || u.Permit != nil }
+func (u *Unit) Unavailable() bool { return !u.Ready || u.Permit != nil }
 
 // Permit lets its holder take a unit out.
 type Permit struct {
-	Number  uint64 `json:"number"` // the place of its grant in the order: the later fences the earlier
-	Holder  string `json:"holder"`
-	Session uint64 `json:"session,omitempty"` // of the holder; 0: it has none
-	Reason  string `json:"reason"`
-	TermMs  int64  `json:"termMs"`         // by the holder's clock, from before it asked: then it takes nothing out any more
-	Lost    bool   `json:"lost,omitempty"` // its session has ended; the unit may still be down
-	Back    uint64 `json:"back,omitempty"` // where it was given back: it ends when the unit is seen ready by who had heard of that
+	Number     uint64 `json:"number"` // the place of its grant in the order: the later fences the earlier
+	Holder     string `json:"holder"`
+	Session    uint64 `json:"session,omitempty"` // of the holder; 0: it has none
+	Reason     string `json:"reason"`
+	TermMs     int64  `json:"termMs"`         // by the holder's clock, from before it asked: then it takes nothing out any more
+	Lost       bool   `json:"lost,omitempty"` // its session has ended; the unit may still be down
+	ReturnedAt uint64 `json:"back,omitempty"` // where it was given back: it ends when the unit is seen ready by who had heard of that
 }
 
 // Rule bounds what may be out, of the units that it is for. What it does not name is
@@ -75,10 +75,10 @@
 	Zone   string `json:"zone,omitempty"`   // one zone; "*": each by itself; empty: all together
 	Canary bool   `json:"canary,omitempty"` // canaries alone
 
-	MostOut    *int     `json:"mostOut,omitempty"`
-	MostShare  *float64 `json:"mostShare,omitempty"`
-	ByWeight   bool     `json:"byWeight,omitempty"` // the share is of capacity, not of units
-	LeastReady *int     `json:"leastReady,omitempty"`
+	MaxUnavailable         *int     `json:"mostOut,omitempty"`
+	MaxUnavailableFraction *float64 `json:"mostShare,omitempty"`
+	ByWeight               bool     `json:"byWeight,omitempty"` // the share is of capacity, not of units
+	MinReady               *int     `json:"leastReady,omitempty"`
 }
 
 func (r *Rule) String() string {
@@ -94,18 +94,18 @@
 	default:
 		b.WriteString(" of " + r.Zone)
 	}
-	if r.MostOut != nil {
-		fmt.Fprintf(&b, ", %d out at most", *r.MostOut)
+	if r.MaxUnavailable != nil {
+		fmt.Fprintf(&b, ", %d out at most", *r.MaxUnavailable)
 	}
-	if r.MostShare != nil {
+	if r.MaxUnavailableFraction != nil {
 		of := ""
 		if r.ByWeight {
 			of = " of the capacity"
 		}
-		fmt.Fprintf(&b, ", a share of %g%s out at most", *r.MostShare, of)
+		fmt.Fprintf(&b, ", a share of %g%s out at most", *r.MaxUnavailableFraction, of)
 	}
-	if r.LeastReady != nil {
-		fmt.Fprintf(&b, ", %d ready at least", *r.LeastReady)
+	if r.MinReady != nil {
+		fmt.Fprintf(&b, ", %d ready at least", *r.MinReady)
 	}
 	return b.String()
 }
@@ -115,13 +115,13 @@
 	switch {
 	case !slices.Contains(Kinds, r.Kind):
 		return fmt.Errorf("kind: %.40q is not one of %v", r.Kind, Kinds)
-	case r.MostOut == nil && r.MostShare == nil && r.LeastReady == nil:
+	case r.MaxUnavailable == nil && r.MaxUnavailableFraction == nil && r.MinReady == nil:
 		return fmt.Errorf("%s: it bounds nothing", r)
-	case r.MostOut != nil && *r.MostOut < 0 || r.LeastReady != nil && *r.LeastReady < 0:
+	case r.MaxUnavailable != nil && *r.MaxUnavailable < 0 || r.MinReady != nil && *r.MinReady < 0:
 		return fmt.Errorf("%s: less than none", r)
-	case r.MostShare != nil && !(*r.MostShare >= 0 && *r.MostShare <= 1):
+	case r.MaxUnavailableFraction != nil && !(*r.MaxUnavailableFraction >= 0 && *r.MaxUnavailableFraction <= 1):
 		return fmt.Errorf("%s: a share is from 0 to 1", r)
-	case r.ByWeight && r.MostShare == nil:
+	case r.ByWeight && r.MaxUnavailableFraction == nil:
 		return fmt.Errorf("%s: byWeight is of mostShare", r)
 	}
 	return nil
@@ -133,9 +133,9 @@
 // The operations.
 const (
 	SetRules Op = "rules"  // put rules in the place of those that there are
-	See      Op = "see"    // say how a unit is
-	Ask      Op = "ask"    // for a permit
-	Back     Op = "back"   // give one back
+	Observe  Op = "see"    // say how a unit is
+	Acquire  Op = "ask"    // for a permit
+	Return   Op = "back"   // give one back
 	Forget   Op = "forget" // a unit that is gone for good
 )
 
@@ -147,37 +147,37 @@
 	// Of Ask: the permit that is asked for. Of Back: its number, and who has it.
 	Permit Permit `json:"permit,omitzero"`
 	// At is, of See, a place in the order that whoever looked had heard of before it looked.
-	At uint64 `json:"at,omitempty"`
+	ObservedIndex uint64 `json:"at,omitempty"`
 	// Untouched says of Back that the unit was never taken out.
 	Untouched bool `json:"untouched,omitempty"`
 }
 
 // Bounds.
 const (
-	mostText   = 200
-	mostRules  = 64
-	mostUnits  = 20_000
-	mostWeight = 1e6
-	mostTerm   = 7 * 24 * 60 * 60 * 1000 // ms
+	maxTextBytes = 200
+	maxRules     = 64
+	maxUnits     = 20_000
+	maxWeight    = 1e6
+	maxTermMs    = 7 * 24 * 60 * 60 * 1000 // ms
 )
 
 // Refused is why a command changed nothing.
-type Refused struct{ Text string }
+type RefusedError struct{ Text string }
 
-func (e *Refused) Error() string { return e.Text }
+func (e *RefusedError) Error() string { return e.Text }
 
-func refuse(format string, args ...any) error { return &Refused{fmt.Sprintf(format, args...)} }
+func refusedf(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
 // Check finds what no state would take.
 func (c *Command) Check() error {
-	for _, text := range []string{c.Unit.ID, c.Unit.Zone, c.Unit.Life, c.Permit.Holder, c.Permit.Reason} {
-		if len(text) > mostText {
-			return fmt.Errorf("%.40q... has over %d bytes", text, mostText)
+	for _, text := range []string{c.Unit.ID, c.Unit.Zone, c.Unit.Incarnation, c.Permit.Holder, c.Permit.Reason} {
+		if len(text) > maxTextBytes {
+			return fmt.Errorf("%.40q... has over %d bytes", text, maxTextBytes)
 		}
 	}
 	if c.Op == SetRules {
-		if len(c.Rules) > mostRules {
-			return fmt.Errorf("%d rules are over %d", len(c.Rules), mostRules)
+		if len(c.Rules) > maxRules {
+			return fmt.Errorf("%d rules are over %d", len(c.Rules), maxRules)
 		}
 		for i := range c.Rules {
 			if err := c.Rules[i].check(); err != nil {
@@ -187,19 +187,19 @@
 		return nil
 	}
 	switch {
-	case !slices.Contains([]Op{See, Ask, Back, Forget}, c.Op):
+	case !slices.Contains([]Op{Observe, Acquire, Return, Forget}, c.Op):
 		return fmt.Errorf("op: %.40q is not rules, see, ask, back or forget", c.Op)
 	case !slices.Contains(Kinds, c.Unit.Kind) || c.Unit.ID == "":
 		return fmt.Errorf("unit: %.40q is no kind of %v, or it has no id", c.Unit.Kind, Kinds)
-	case c.Op == See && (c.Unit.Session == 0 || c.Unit.Kind == Backend):
+	case c.Op == Observe && (c.Unit.Session == 0 || c.Unit.Kind == Backend):
 		return errors.New("unit: the list tells of backends, and who tells of others has a session")
-	case !(c.Unit.Weight >= 0 && c.Unit.Weight <= mostWeight):
+	case !(c.Unit.Weight >= 0 && c.Unit.Weight <= maxWeight):
 		return fmt.Errorf("unit: a weight of %g", c.Unit.Weight)
-	case c.Op == Ask && (c.Permit.Holder == "" || c.Permit.Reason == ""):
+	case c.Op == Acquire && (c.Permit.Holder == "" || c.Permit.Reason == ""):
 		return errors.New("permit: it names who asks, and why")
-	case c.Op == Ask && (c.Permit.TermMs < 1 || c.Permit.TermMs > mostTerm):
-		return fmt.Errorf("permit: a term of %d ms is not from 1 to %d", c.Permit.TermMs, mostTerm)
-	case c.Op == Back && c.Permit.Number == 0:
+	case c.Op == Acquire && (c.Permit.TermMs < 1 || c.Permit.TermMs > maxTermMs):
+		return fmt.Errorf("permit: a term of %d ms is not from 1 to %d", c.Permit.TermMs, maxTermMs)
+	case c.Op == Return && c.Permit.Number == 0:
 		return errors.New("permit: it has no number")
 	}
 	return nil
@@ -216,7 +216,7 @@
 
 // Do carries a command out at its place in the order. Open says of a session whether it
 // is. What is returned for Ask is the permit.
-func (s *State) Do(index uint64, c Command, open func(session uint64) bool) (*Permit, error) {
+func (s *State) Apply(index uint64, c Command, open func(session uint64) bool) (*Permit, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
@@ -224,21 +224,21 @@
 	case SetRules:
 		s.rules = c.Rules
 		return nil, nil
-	case See:
+	case Observe:
 		if !open(c.Unit.Session) {
-			return nil, refuse("session %d has ended", c.Unit.Session)
+			return nil, refusedf("session %d has ended", c.Unit.Session)
 		}
-		return nil, s.see(index, c.Unit, c.At)
-	case Ask:
-		return s.ask(index, c, open)
+		return nil, s.observe(index, c.Unit, c.ObservedIndex)
+	case Acquire:
+		return s.acquire(index, c, open)
 	}
 	u := s.units[c.Unit.Name]
 	if u == nil {
-		return nil, refuse("there is no %s", c.Unit.Name)
+		return nil, refusedf("there is no %s", c.Unit.Name)
 	}
 	if c.Op == Forget {
 		if u.Ready {
-			return nil, refuse("%s is ready", u.Name)
+			return nil, refusedf("%s is ready", u.Name)
 		}
 		delete(s.units, u.Name)
 		return nil, nil
@@ -247,43 +247,43 @@
 	case p == nil || p.Number > c.Permit.Number:
 		return nil, nil // it has ended
 	case p.Number != c.Permit.Number || p.Holder != c.Permit.Holder:
-		return nil, refuse("permit %d of %s is held by %s", p.Number, u.Name, p.Holder)
+		return nil, refusedf("permit %d of %s is held by %s", p.Number, u.Name, p.Holder)
 	case u.Ready && u.Session == 0, c.Untouched && u.Ready && u.Since < p.Number:
 		// The list is in the same order, so it has it ready now; or it has been all the time.
 		u.Permit = nil
-	case p.Back == 0:
+	case p.ReturnedAt == 0:
 		next := *p
-		next.Back = index
+		next.ReturnedAt = index
 		u.Permit = &next
 	}
 	return nil, nil
 }
 
 // see takes in how a unit is.
-func (s *State) see(index uint64, sight Unit, at uint64) error {
+func (s *State) observe(index uint64, sight Unit, at uint64) error {
 	u := s.units[sight.Name]
 	if u == nil {
-		if len(s.units) >= mostUnits && !s.evict() {
-			return refuse("there are %d units", len(s.units))
+		if len(s.units) >= maxUnits && !s.evictOldest() {
+			return refusedf("there are %d units", len(s.units))
 		}
 		u = &Unit{Name: sight.Name, Since: index}
 		s.units[u.Name] = u
 	}
 	if sight.Session < u.Session {
-		return refuse("%s is told of by session %d now", u.Name, u.Session)
+		return refusedf("%s is told of by session %d now", u.Name, u.Session)
 	}
-	if u.Ready != sight.Ready || u.Life != sight.Life {
+	if u.Ready != sight.Ready || u.Incarnation != sight.Incarnation {
 		u.Since = index
 	}
-	u.Zone, u.Weight, u.Canary, u.Life, u.Ready, u.Session = sight.Zone, sight.Weight, sight.Canary, sight.Life, sight.Ready, sight.Session
-	if u.Ready && u.Permit != nil && u.Permit.Back != 0 && at >= u.Permit.Back {
+	u.Zone, u.Weight, u.Canary, u.Incarnation, u.Ready, u.Session = sight.Zone, sight.Weight, sight.Canary, sight.Incarnation, sight.Ready, sight.Session
+	if u.Ready && u.Permit != nil && u.Permit.ReturnedAt != 0 && at >= u.Permit.ReturnedAt {
 		u.Permit, u.Since = nil, index
 	}
 	return nil
 }
 
 // evict forgets the backend that has been gone longest, if one is that nobody holds.
-func (s *State) evict() bool {
+func (s *State) evictOldest() bool {
 	var oldest *Unit
 	for _, u := range s.units {
 		if u.Kind == Backend && !u.Ready && u.Permit == nil && (oldest == nil || u.Since < oldest.Since || u.Since == oldest.Since && u.ID < oldest.ID) {
@@ -297,22 +297,22 @@
 }
 
 // Sight is how the list has a backend.
-type Sight struct {
-	ID, Zone string
-	Weight   float64
-	Life     string
-	Ready    bool
+type BackendState struct {
+	ID, Zone    string
+	Weight      float64
+	Incarnation string
+	Ready       bool
 }
 
 // SeeBackend takes in how the list has a backend. One that the bound has no room for is
 // not known here, and gets no permit.
-func (s *State) SeeBackend(index uint64, b Sight) {
-	s.see(index, Unit{Name: Name{Backend, b.ID}, Zone: b.Zone, Weight: b.Weight, Life: b.Life, Ready: b.Ready}, index)
+func (s *State) ObserveBackend(index uint64, b BackendState) {
+	s.observe(index, Unit{Name: Name{Backend, b.ID}, Zone: b.Zone, Weight: b.Weight, Incarnation: b.Incarnation, Ready: b.Ready}, index)
 }
 
 // SessionOver says that a session has ended: nobody knows how the units are that it
 // told of, and its permits are nobody's. The units may still be down.
-func (s *State) SessionOver(index, session uint64) {
+func (s *State) SessionEnded(index, session uint64) {
 	for _, u := range s.units {
 		if u.Session == session && u.Ready {
 			u.Ready, u.Since = false, index
@@ -326,24 +326,24 @@
 }
 
 // ask grants a permit, or says why not.
-func (s *State) ask(index uint64, c Command, open func(uint64) bool) (*Permit, error) {
+func (s *State) acquire(index uint64, c Command, open func(uint64) bool) (*Permit, error) {
 	u := s.units[c.Unit.Name]
 	switch {
 	case u == nil:
-		return nil, refuse("there is no %s that anybody has seen", c.Unit.Name)
+		return nil, refusedf("there is no %s that anybody has seen", c.Unit.Name)
 	case c.Permit.Session != 0 && !open(c.Permit.Session):
-		return nil, refuse("session %d has ended", c.Permit.Session)
+		return nil, refusedf("session %d has ended", c.Permit.Session)
 	}
 	if p := u.Permit; p != nil {
 		switch {
-		case p.Holder == c.Permit.Holder && p.Session == c.Permit.Session && p.Back == 0:
+		case p.Holder == c.Permit.Holder && p.Session == c.Permit.Session && p.ReturnedAt == 0:
 			return p, nil
 		case p.Holder != c.Permit.Holder && !p.Lost:
-			return nil, refuse("%s is out by permit %d of %s (%s)", u.Name, p.Number, p.Holder, p.Reason)
+			return nil, refusedf("%s is out by permit %d of %s (%s)", u.Name, p.Number, p.Holder, p.Reason)
 		}
 		// It is taken over: the unit is out already.
-	} else if !u.Out() {
-		if err := s.fits(u); err != nil {
+	} else if !u.Unavailable() {
+		if err := s.checkRules(u); err != nil {
 			return nil, err
 		}
 	}
@@ -352,16 +352,16 @@
 }
 
 // fits says whether a unit that is ready may go out beside all that are.
-func (s *State) fits(u *Unit) error {
+func (s *State) checkRules(u *Unit) error {
 	for i := range s.rules {
 		r := &s.rules[i]
 		if !r.covers(u) {
 			continue
 		}
-		n := s.count(r, u)
-		n.out, n.ready, n.outWeight = n.out+1, n.ready-1, n.outWeight+u.millionths()
-		if err := n.within(r); err != nil {
-			return refuse("%s may not go out: %v", u.Name, err)
+		n := s.countUnits(r, u)
+		n.unavailable, n.ready, n.unavailableWeight = n.unavailable+1, n.ready-1, n.unavailableWeight+u.weightMillionths()
+		if err := n.satisfies(r); err != nil {
+			return refusedf("%s may not go out: %v", u.Name, err)
 		}
 	}
 	return nil
@@ -372,22 +372,22 @@
 }
 
 // counted are the units of a rule.
-type counted struct {
-	all, out, ready   int
-	weight, outWeight int64 // in millionths, so that sums don't depend on their order
+type unitCounts struct {
+	total, unavailable, ready      int
+	totalWeight, unavailableWeight int64 // in millionths, so that sums don't depend on their order
 }
 
 // count counts those that a rule takes together with a unit.
-func (s *State) count(r *Rule, with *Unit) (n counted) {
+func (s *State) countUnits(r *Rule, with *Unit) (n unitCounts) {
 	for _, u := range s.units {
 		if !r.covers(u) || r.Zone == "*" && u.Zone != with.Zone {
 			continue
 		}
-		n.all++
-		n.weight += u.millionths()
-		if u.Out() {
-			n.out++
-			n.outWeight += u.millionths()
+		n.total++
+		n.totalWeight += u.weightMillionths()
+		if u.Unavailable() {
+			n.unavailable++
+			n.unavailableWeight += u.weightMillionths()
 		} else {
 			n.ready++
 		}
@@ -396,17 +396,17 @@
 }
 
 // shareSlack is for what floating-point numbers lose of a share.
-const shareSlack = 1e-9
+const fractionTolerance = 1e-9
 
-func (n counted) within(r *Rule) error {
+func (n unitCounts) satisfies(r *Rule) error {
 	switch {
-	case r.MostOut != nil && n.out > *r.MostOut:
-		return fmt.Errorf("%s, and %d would be", r, n.out)
-	case r.MostShare != nil && !r.ByWeight && float64(n.out) > *r.MostShare*float64(n.all)+shareSlack:
-		return fmt.Errorf("%s, and %d of %d would be", r, n.out, n.all)
-	case r.MostShare != nil && r.ByWeight && float64(n.outWeight) > *r.MostShare*float64(n.weight)+0.5:
-		return fmt.Errorf("%s, and %g of %g would be", r, float64(n.outWeight)/1e6, float64(n.weight)/1e6)
-	case r.LeastReady != nil && n.ready < *r.LeastReady:
+	case r.MaxUnavailable != nil && n.unavailable > *r.MaxUnavailable:
+		return fmt.Errorf("%s, and %d would be", r, n.unavailable)
+	case r.MaxUnavailableFraction != nil && !r.ByWeight && float64(n.unavailable) > *r.MaxUnavailableFraction*float64(n.total)+fractionTolerance:
+		return fmt.Errorf("%s, and %d of %d would be", r, n.unavailable, n.total)
+	case r.MaxUnavailableFraction != nil && r.ByWeight && float64(n.unavailableWeight) > *r.MaxUnavailableFraction*float64(n.totalWeight)+0.5:
+		return fmt.Errorf("%s, and %g of %g would be", r, float64(n.unavailableWeight)/1e6, float64(n.totalWeight)/1e6)
+	case r.MinReady != nil && n.ready < *r.MinReady:
 		return fmt.Errorf("%s, and %d would be", r, n.ready)
 	}
 	return nil
@@ -414,10 +414,10 @@
 
 // Never are the rules by which no unit of theirs could ever go out, though all were
 // ready.
-func (s *State) Never() (all []string) {
+func (s *State) UnsatisfiableRules() (all []string) {
 	for i := range s.rules {
 		r := &s.rules[i]
-		zones := map[string]counted{}
+		zones := map[string]unitCounts{}
 		least := map[string]int64{}
 		for _, u := range s.units {
 			if !r.covers(u) {
@@ -428,17 +428,17 @@
 				zone = u.Zone
 			}
 			n, known := zones[zone]
-			n.all++
-			n.weight += u.millionths()
+			n.total++
+			n.totalWeight += u.weightMillionths()
 			zones[zone] = n
-			if !known || u.millionths() < least[zone] {
-				least[zone] = u.millionths()
+			if !known || u.weightMillionths() < least[zone] {
+				least[zone] = u.weightMillionths()
 			}
 		}
 		for _, zone := range slices.Sorted(maps.Keys(zones)) {
 			n := zones[zone]
-			n.out, n.ready, n.outWeight = 1, n.all-1, least[zone]
-			if err := n.within(r); err != nil {
+			n.unavailable, n.ready, n.unavailableWeight = 1, n.total-1, least[zone]
+			if err := n.satisfies(r); err != nil {
 				all = append(all, err.Error())
 			}
 		}
@@ -469,14 +469,14 @@
 }
 
 // saved is one line of a snapshot.
-type saved struct {
+type snapshotLine struct {
 	Rules []Rule `json:"rules,omitempty"`
 	Unit  *Unit  `json:"unit,omitempty"`
 }
 
 // Save returns the state as lines.
 func (s *State) Save() (lines [][]byte) {
-	add := func(l saved) {
+	add := func(l snapshotLine) {
 		text, err := json.Marshal(l)
 		if err != nil {
 			panic(err) // of plain fields
@@ -484,17 +484,17 @@
 		lines = append(lines, text)
 	}
 	if len(s.rules) > 0 {
-		add(saved{Rules: s.rules})
+		add(snapshotLine{Rules: s.rules})
 	}
 	for _, u := range s.Units() {
-		add(saved{Unit: &u})
+		add(snapshotLine{Unit: &u})
 	}
 	return lines
 }
 
 // Restore takes in a line of Save's.
 func (s *State) Restore(line []byte) error {
-	var l saved
+	var l snapshotLine
 	if err := json.Unmarshal(line, &l); err != nil {
 		return fmt.Errorf("budget: %w", err)
 	}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -48,18 +48,18 @@
 
 func (f *fleet) do(c Command) (*Permit, error) {
 	f.index++
-	return f.s.Do(f.index, c, func(n uint64) bool { return f.open[n] })
+	return f.s.Apply(f.index, c, func(n uint64) bool { return f.open[n] })
 }
 
 // look is what an observer sees now, to be told at once or later.
 func (f *fleet) look(u *real) Command {
-	return Command{Op: See, At: f.index, Unit: Unit{Name: u.name, Zone: u.zone, Weight: u.weight, Canary: u.canary, Life: fmt.Sprint(u.life), Ready: u.up, Session: u.session}}
+	return Command{Op: Observe, ObservedIndex: f.index, Unit: Unit{Name: u.name, Zone: u.zone, Weight: u.weight, Canary: u.canary, Incarnation: fmt.Sprint(u.life), Ready: u.up, Session: u.session}}
 }
 
 func (f *fleet) tell(u *real) {
 	if u.name.Kind == Backend {
 		f.index++
-		f.s.SeeBackend(f.index, Sight{u.name.ID, u.zone, u.weight, fmt.Sprint(u.life), u.up})
+		f.s.ObserveBackend(f.index, BackendState{u.name.ID, u.zone, u.weight, fmt.Sprint(u.life), u.up})
 		return
 	}
 	if !f.open[u.session] {
@@ -75,7 +75,7 @@
 	f.index++
 	delete(f.open, session)
 	if f.defect != "sessions that end change nothing" {
-		f.s.SessionOver(f.index, session)
+		f.s.SessionEnded(f.index, session)
 	}
 }
 
@@ -110,7 +110,7 @@
 		}
 	case d < 90 && held:
 		if !u.back {
-			c := Command{Op: Back, Unit: Unit{Name: u.name}, Permit: Permit{Number: u.number, Holder: u.holder}, Untouched: !u.byHand}
+			c := Command{Op: Return, Unit: Unit{Name: u.name}, Permit: Permit{Number: u.number, Holder: u.holder}, Untouched: !u.byHand}
 			if _, err := f.do(c); err != nil {
 				f.t.Errorf("back: %v", err)
 			}
@@ -130,7 +130,7 @@
 	f.open[session] = true
 	holder := fmt.Sprint("h", session)
 	was, known := f.s.Unit(u.name)
-	p, err := f.do(Command{Op: Ask, Unit: Unit{Name: u.name}, Permit: Permit{Holder: holder, Session: session, Reason: "test", TermMs: 1000}})
+	p, err := f.do(Command{Op: Acquire, Unit: Unit{Name: u.name}, Permit: Permit{Holder: holder, Session: session, Reason: "test", TermMs: 1000}})
 	f.asked++
 	if err != nil {
 		return
@@ -143,12 +143,12 @@
 	}
 	u.holder, u.has, u.number, u.back = holder, session, p.Number, false
 	// What this grant adds has to fit beside all that is out, whatever put it there.
-	if !known || was.Out() {
+	if !known || was.Unavailable() {
 		return
 	}
 	for _, r := range f.s.Rules() {
 		if r.covers(&was) {
-			if err := f.s.count(&r, &was).within(&r); err != nil {
+			if err := f.s.countUnits(&r, &was).satisfies(&r); err != nil {
 				f.t.Errorf("permit %d: %v", p.Number, err)
 			}
 		}
@@ -159,7 +159,7 @@
 func (f *fleet) wrong() error {
 	for _, u := range f.units {
 		told, known := f.s.Unit(u.name)
-		if known && !told.Out() && (u.byHand && !u.up || u.holder != "" && f.open[u.has] && !u.back) {
+		if known && !told.Unavailable() && (u.byHand && !u.up || u.holder != "" && f.open[u.has] && !u.back) {
 			return fmt.Errorf("%s is down, or may be, by permit %d, and does not count as out: %+v", u.name, u.number, told)
 		}
 	}
@@ -169,8 +169,8 @@
 func (f *fleet) rules() {
 	n := func(n int) *int { return &n }
 	share := func(x float64) *float64 { return &x }
-	all := []Rule{{Kind: Gateway, MostOut: n(1 + f.random.IntN(5))}, {Kind: Backend, Zone: "*", MostShare: share(f.random.Float64() / 2)}, {Kind: Backend, MostShare: share(0.3), ByWeight: true},
-		{Kind: Service, LeastReady: n(f.random.IntN(4))}, {Kind: Gateway, Canary: true, MostOut: n(1)}, {Kind: Gateway, Zone: "b", MostOut: n(1)}}
+	all := []Rule{{Kind: Gateway, MaxUnavailable: n(1 + f.random.IntN(5))}, {Kind: Backend, Zone: "*", MaxUnavailableFraction: share(f.random.Float64() / 2)}, {Kind: Backend, MaxUnavailableFraction: share(0.3), ByWeight: true},
+		{Kind: Service, MinReady: n(f.random.IntN(4))}, {Kind: Gateway, Canary: true, MaxUnavailable: n(1)}, {Kind: Gateway, Zone: "b", MaxUnavailable: n(1)}}
 	if _, err := f.do(Command{Op: SetRules, Rules: all[f.random.IntN(2):]}); err != nil {
 		f.t.Error(err)
 	}
@@ -207,12 +207,12 @@
 					unit.Permit = nil
 				}
 			case "permits end when they are given back":
-				if unit := f.s.units[u.name]; unit != nil && unit.Permit != nil && unit.Permit.Back != 0 {
+				if unit := f.s.units[u.name]; unit != nil && unit.Permit != nil && unit.Permit.ReturnedAt != 0 {
 					unit.Permit, unit.Ready = nil, true
 				}
 			case "any sight ends a permit that was given back":
 				if u.late != nil {
-					u.late.At = f.index
+					u.late.ObservedIndex = f.index
 				}
 			}
 			if err := f.wrong(); err != nil {
@@ -254,25 +254,25 @@
 	open := map[uint64]bool{1: true, 2: true}
 	do := func(c Command) (*Permit, error) {
 		index++
-		return s.Do(index+10, c, func(n uint64) bool { return open[n] })
+		return s.Apply(index+10, c, func(n uint64) bool { return open[n] })
 	}
 	one, none := 1, 0
 	unit := func(id string, ready bool, session uint64) Command {
-		return Command{Op: See, Unit: Unit{Name: Name{Gateway, id}, Ready: ready, Session: session}}
+		return Command{Op: Observe, Unit: Unit{Name: Name{Gateway, id}, Ready: ready, Session: session}}
 	}
 	ask := func(id, holder string, session uint64) Command {
-		return Command{Op: Ask, Unit: Unit{Name: Name{Gateway, id}}, Permit: Permit{Holder: holder, Session: session, Reason: "r", TermMs: 1}}
+		return Command{Op: Acquire, Unit: Unit{Name: Name{Gateway, id}}, Permit: Permit{Holder: holder, Session: session, Reason: "r", TermMs: 1}}
 	}
 	back := func(id, holder string, number uint64) Command {
-		return Command{Op: Back, Unit: Unit{Name: Name{Gateway, id}}, Permit: Permit{Number: number, Holder: holder}}
+		return Command{Op: Return, Unit: Unit{Name: Name{Gateway, id}}, Permit: Permit{Number: number, Holder: holder}}
 	}
 	for n, c := range []struct {
 		c    Command
 		want string // of the error, or the permit's number
 	}{
 		{Command{Op: SetRules, Rules: []Rule{{Kind: Gateway}}}, "it bounds nothing"},
-		{Command{Op: SetRules, Rules: []Rule{{Kind: "disk", MostOut: &one}}}, "is not one of"},
-		{Command{Op: SetRules, Rules: []Rule{{Kind: Gateway, MostOut: &one}}}, ""},
+		{Command{Op: SetRules, Rules: []Rule{{Kind: "disk", MaxUnavailable: &one}}}, "is not one of"},
+		{Command{Op: SetRules, Rules: []Rule{{Kind: Gateway, MaxUnavailable: &one}}}, ""},
 		{ask("a", "x", 1), "that anybody has seen"},
 		{unit("a", true, 3), "session 3 has ended"},
 		{unit("a", true, 1), ""},
@@ -290,16 +290,16 @@
 		{unit("a", true, 2), ""},
 		{ask("b", "y", 2), "permit 29"},
 		{back("a", "x", 20), ""}, // once more
-		{Command{Op: Back, Unit: Unit{Name: Name{Gateway, "b"}}, Permit: Permit{Number: 29, Holder: "y"}, Untouched: true}, ""},
+		{Command{Op: Return, Unit: Unit{Name: Name{Gateway, "b"}}, Permit: Permit{Number: 29, Holder: "y"}, Untouched: true}, ""},
 		{ask("a", "y", 2), "permit 32"},
-		{Command{Op: SetRules, Rules: []Rule{{Kind: Gateway, MostOut: &none}}}, ""},
+		{Command{Op: SetRules, Rules: []Rule{{Kind: Gateway, MaxUnavailable: &none}}}, ""},
 		{ask("b", "y", 2), "0 out at most"},
 		{unit("b", false, 2), ""},
 		{ask("b", "y", 2), "permit 36"}, // it is out by itself
 		{Command{Op: Forget, Unit: Unit{Name: Name{Gateway, "b"}}}, ""},
 		{ask("b", "y", 2), "that anybody has seen"},
 	} {
-		c.c.At = index + 10 // whoever looks has heard of all before
+		c.c.ObservedIndex = index + 10 // whoever looks has heard of all before
 		p, err := do(c.c)
 		got := ""
 		switch {
@@ -312,7 +312,7 @@
 			t.Errorf("%d: %+v: %q, not %q", n, c.c, got, c.want)
 		}
 	}
-	if never := s.Never(); len(never) != 1 {
+	if never := s.UnsatisfiableRules(); len(never) != 1 {
 		t.Errorf("rules that can never be met: %q", never)
 	}
 }
@@ -322,19 +322,19 @@
 		b.Run(fmt.Sprint(units), func(b *testing.B) {
 			s, most := New(), units/10
 			for n := range units {
-				s.SeeBackend(uint64(n+1), Sight{fmt.Sprint(n), fmt.Sprint(n % 3), 1, "1", true})
+				s.ObserveBackend(uint64(n+1), BackendState{fmt.Sprint(n), fmt.Sprint(n % 3), 1, "1", true})
 			}
-			s.rules = []Rule{{Kind: Backend, MostOut: &most}, {Kind: Backend, Zone: "*", MostOut: &most}}
+			s.rules = []Rule{{Kind: Backend, MaxUnavailable: &most}, {Kind: Backend, Zone: "*", MaxUnavailable: &most}}
 			index := uint64(units + 1)
 			for n := 0; b.Loop(); n++ {
 				u := Unit{Name: Name{Backend, fmt.Sprint(n % units)}}
 				index++
-				p, err := s.Do(index, Command{Op: Ask, Unit: u, Permit: Permit{Holder: "h", Reason: "r", TermMs: 1}}, nil)
+				p, err := s.Apply(index, Command{Op: Acquire, Unit: u, Permit: Permit{Holder: "h", Reason: "r", TermMs: 1}}, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
 				index++
-				if _, err := s.Do(index, Command{Op: Back, Unit: u, Permit: Permit{Number: p.Number, Holder: "h"}}, nil); err != nil {
+				if _, err := s.Apply(index, Command{Op: Return, Unit: u, Permit: Permit{Number: p.Number, Holder: "h"}}, nil); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -26,40 +26,40 @@
 
 const (
 	// nearLag is by how many entries a learner may lag when it becomes a voter.
-	nearLag      = 100
-	transferWait = 2 * time.Second
-	heardWithin  = time.Second // an answer to each heartbeat comes ten times as often
+	maxPromotionLag = 100
+	transferTimeout = 2 * time.Second
+	activityTimeout = time.Second // an answer to each heartbeat comes ten times as often
 )
 
 // Refusal is why the group's members stay as they are.
-type Refusal struct{ Text string }
+type RefusedError struct{ Text string }
 
-func (e *Refusal) Error() string { return e.Text }
+func (e *RefusedError) Error() string { return e.Text }
 
-func refuseChange(format string, args ...any) error { return &Refusal{fmt.Sprintf(format, args...)} }
+func refusedf(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
 // mayChange says why members can't be changed now, or why this member can't do it.
-func (g *Group) mayChange() error {
+func (g *Group) checkCanChange() error {
 	switch {
 	case g.role != raft.StateLeader:
-		return g.notWriter()
-	case !g.writes || g.changing != 0:
+		return g.notLeader()
+	case !g.leaderReady || g.pendingChange != 0:
 		return fmt.Errorf("%w: another change of the members is under way", ErrBusy)
 	}
 	return nil
 }
 
-func (g *Group) notWriter() error {
-	if at := g.book.Members[g.writer].Address; at != "" {
-		return &NotWriter{at}
+func (g *Group) notLeader() error {
+	if at := g.members.Members[g.leader].Address; at != "" {
+		return &NotLeaderError{at}
 	}
-	return ErrNoWriter
+	return ErrNoLeader
 }
 
 // proposeChange proposes a change of one member.
 func (g *Group) proposeChange(kind raftpb.ConfChangeType, n uint64, at Member) (key uint64, err error) {
-	key = g.key()
-	text, err := json.Marshal(change{Key: key, Member: at})
+	key = g.nextKey()
+	text, err := json.Marshal(memberChange{Key: key, Member: at})
 	if err != nil {
 		return 0, err
 	}
@@ -69,18 +69,18 @@
 		}
 		return 0, err
 	}
-	g.changing = key
+	g.pendingChange = key
 	return key, nil
 }
 
 // change has the group agree on what check wants, unless that says that it is so already.
-func (g *Group) change(ctx context.Context, check func() (there bool, kind raftpb.ConfChangeType, n uint64, at Member, err error)) error {
-	w := &waiter{began: time.Now(), done: make(chan ledger.Result, 1)}
+func (g *Group) changeMember(ctx context.Context, check func() (there bool, kind raftpb.ConfChangeType, n uint64, at Member, err error)) error {
+	w := &proposal{startedAt: time.Now(), result: make(chan ledger.Result, 1)}
 	var key uint64
 	var not error
 	done := false
 	if err := g.call(ctx, func() {
-		if not = g.mayChange(); not != nil {
+		if not = g.checkCanChange(); not != nil {
 			return
 		}
 		var kind raftpb.ConfChangeType
@@ -90,39 +90,39 @@
 			return
 		}
 		if key, not = g.proposeChange(kind, n, at); not == nil {
-			g.waiting[key] = w
+			g.proposals[key] = w
 		}
 	}); err != nil || not != nil || done {
 		return cmp.Or(err, not)
 	}
 	var err error
 	select {
-	case <-w.done:
+	case <-w.result:
 		return nil
 	case <-ctx.Done():
 		err = ctx.Err()
-	case <-g.ended:
-		err = errEnded
+	case <-g.stopped:
+		err = errStopped
 	}
-	g.post(func() { delete(g.waiting, key) })
+	g.post(func() { delete(g.proposals, key) })
 	return fmt.Errorf("%w: %w", ErrUnknown, err)
 }
 
 // Add takes a member in. It is filled as a learner, and becomes a voter by itself.
 func (g *Group) Add(ctx context.Context, n uint64, at Member) error {
-	return g.change(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
+	return g.changeMember(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
 		kind := raftpb.ConfChangeType_ConfChangeAddLearnerNode
-		there, err := g.book.add(n, at)
+		there, err := g.members.checkAdd(n, at)
 		switch {
 		case err != nil:
-			err = refuseChange("%v", err)
+			err = refusedf("%v", err)
 		case there:
-		case (at.List != "") != (g.c.List != nil):
-			err = refuseChange("the group has a list and the member none, or the other way round")
-		case len(g.core.conf.GetLearners()) > 0:
-			err = refuseChange("member %d is being filled; one at a time", g.core.conf.GetLearners()[0])
-		case len(g.core.conf.GetVoters()) >= MostVoters:
-			err = refuseChange("the group has %d voters; remove one first", MostVoters)
+		case (at.RegistryAddress != "") != (g.config.List != nil):
+			err = refusedf("the group has a list and the member none, or the other way round")
+		case len(g.core.confState.GetLearners()) > 0:
+			err = refusedf("member %d is being filled; one at a time", g.core.confState.GetLearners()[0])
+		case len(g.core.confState.GetVoters()) >= MaxVoters:
+			err = refusedf("the group has %d voters; remove one first", MaxVoters)
 		}
 		return there, kind, n, at, err
 	})
@@ -130,29 +130,29 @@
 
 // Remove takes a member out, for good, unless those left that answer are too few.
 func (g *Group) Remove(ctx context.Context, n uint64) error {
-	return g.change(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
+	return g.changeMember(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
 		kind := raftpb.ConfChangeType_ConfChangeRemoveNode
-		if g.book.removed(n) {
+		if g.members.wasRemoved(n) {
 			return true, kind, n, Member{}, nil
 		}
 		var left []uint64
 		answering := 0
-		for _, v := range g.core.conf.GetVoters() {
+		for _, v := range g.core.confState.GetVoters() {
 			if v == n {
 				continue
 			}
 			left = append(left, v)
-			if g.answers(v) {
+			if g.recentlyActive(v) {
 				answering++
 			}
 		}
 		switch {
-		case g.book.Members[n].Address == "":
-			return false, kind, n, Member{}, refuseChange("there is no member %d", n)
-		case n == g.c.Self:
-			return false, kind, n, Member{}, refuseChange("member %d is the writer; have another write first", n)
+		case g.members.Members[n].Address == "":
+			return false, kind, n, Member{}, refusedf("there is no member %d", n)
+		case n == g.config.Self:
+			return false, kind, n, Member{}, refusedf("member %d is the writer; have another write first", n)
 		case answering < quorum(left):
-			return false, kind, n, Member{}, refuseChange("without member %d only %d of %d voters answer, which are too few", n, answering, len(left))
+			return false, kind, n, Member{}, refusedf("without member %d only %d of %d voters answer, which are too few", n, answering, len(left))
 		}
 		return false, kind, n, Member{}, nil
 	})
@@ -164,41 +164,41 @@
 	var not error
 	if err := g.call(ctx, func() {
 		switch {
-		case g.role != raft.StateLeader && g.writer == to:
+		case g.role != raft.StateLeader && g.leader == to:
 		case g.role != raft.StateLeader:
-			not = g.notWriter()
-		case to == g.c.Self:
-		case !slices.Contains(g.core.conf.GetVoters(), to):
-			not = refuseChange("member %d is no voter", to)
-		case !g.answers(to):
-			not = refuseChange("member %d does not answer", to)
+			not = g.notLeader()
+		case to == g.config.Self:
+		case !slices.Contains(g.core.confState.GetVoters(), to):
+			not = refusedf("member %d is no voter", to)
+		case !g.recentlyActive(to):
+			not = refusedf("member %d does not answer", to)
 		default:
-			lost = g.lost
+			lost = g.leadershipLost
 			g.core.raw.TransferLeader(to)
 		}
 	}); err != nil || not != nil || lost == nil {
 		return cmp.Or(err, not)
 	}
-	ctx, cancel := context.WithTimeout(ctx, transferWait)
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	select {
 	case <-lost:
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("%w: member %d did not begin to write", ErrUnknown, to)
-	case <-g.ended:
-		return errEnded
+	case <-g.stopped:
+		return errStopped
 	}
 }
 
 // promote makes a learner that has caught up a voter.
-func (g *Group) promote() {
-	if g.mayChange() != nil {
+func (g *Group) promoteLearner() {
+	if g.checkCanChange() != nil {
 		return
 	}
-	for _, n := range g.core.conf.GetLearners() {
+	for _, n := range g.core.confState.GetLearners() {
 		p := g.core.raw.Status().Progress[n]
-		if !g.answers(n) || p.Match+nearLag < g.core.last() {
+		if !g.recentlyActive(n) || p.Match+maxPromotionLag < g.core.lastIndex() {
 			continue
 		}
 		if _, err := g.proposeChange(raftpb.ConfChangeType_ConfChangeAddNode, n, Member{}); err == nil {
@@ -210,43 +210,45 @@
 
 // follow has peers be those of the book, after a change of the members that was agreed
 // on, also one of long ago that a process applies again.
-func (g *Group) follow() {
+func (g *Group) updatePeers() {
 	for n, p := range g.peers {
-		if g.book.Members[n].Address != p.address || g.book.Generation != p.generation {
+		if g.members.Members[n].Address != p.address || g.members.Generation != p.generation {
 			p.stop()
 			delete(g.peers, n)
 		}
 	}
-	for _, n := range g.book.others(g.c.Self) {
+	for _, n := range g.members.others(g.config.Self) {
 		if g.peers[n] == nil {
-			g.meet(n, g.book.Members[n].Address)
+			g.startPeer(n, g.members.Members[n].Address)
 		}
 	}
-	if g.book.removed(g.c.Self) {
-		g.core.end(fmt.Sprintf("member %d was taken out of the group", g.c.Self))
+	if g.members.wasRemoved(g.config.Self) {
+		g.core.terminate(fmt.Sprintf("member %d was taken out of the group", g.config.Self))
 	}
-	if g.c.List != nil && g.role != raft.StateLeader {
-		g.c.List.SetWriter(false, g.book.Members[g.writer].List)
+	if g.config.List != nil && g.role != raft.StateLeader {
+		g.config.List.SetWriter(false, g.members.Members[g.leader].RegistryAddress)
 	}
 }
 
 // answers says whether a member was heard lately.
-func (g *Group) answers(n uint64) bool { return n == g.c.Self || time.Since(g.spoke[n]) < heardWithin }
+func (g *Group) recentlyActive(n uint64) bool {
+	return n == g.config.Self || time.Since(g.lastReceived[n]) < activityTimeout
+}
 
 // adding is the call that adds a member.
-type adding struct {
+type addRequest struct {
 	Number uint64 `json:"number"`
 	Member
 }
 
 // changeMembers answers operators.
-func (g *Group) changeMembers(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), transferWait+callWait)
+func (g *Group) handleMembers(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), transferTimeout+callTimeout)
 	defer cancel()
 	var n uint64
 	var err error
 	if r.Method == http.MethodPut {
-		var a adding
+		var a addRequest
 		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 		d.DisallowUnknownFields()
 		if err := d.Decode(&a); err != nil || a.Number == 0 || a.Address == "" {
@@ -265,13 +267,13 @@
 			err = g.Transfer(ctx, n)
 		}
 	}
-	var no *Refusal
+	var no *RefusedError
 	switch {
 	case errors.As(err, &no):
 		http.Error(w, no.Text, http.StatusConflict)
 	case err != nil:
-		g.fail(w, r, err)
+		g.writeError(w, r, err)
 	default:
-		answer(w, struct{}{})
+		writeJSON(w, struct{}{})
 	}
 }
--- a/internal/group/client.go
+++ b/internal/group/client.go
@@ -20,59 +20,59 @@
 )
 
 const (
-	clientWait  = 750 * time.Millisecond // for one member's answer; another may be asked for the same at any time
-	clientPause = 50 * time.Millisecond  // after a round of members that did not do
-	clientShuns = time.Second            // an address that gave no answer, when another sends there
-	mostAnswer  = 16 << 20
-	mostHops    = 3 // from member to writer
+	clientTimeout      = 750 * time.Millisecond // for one member's answer; another may be asked for the same at any time
+	clientRetryPause   = 50 * time.Millisecond  // after a round of members that did not do
+	unresponsivePeriod = time.Second            // an address that gave no answer, when another sends there
+	maxResponseBytes   = 16 << 20
+	maxRedirects       = 3 // from member to writer
 )
 
 // Client calls a group, by any of its members. Its commands are done once each, however
 // often they have to be made; they go out one at a time.
 type Client struct {
-	http    *http.Client
-	caller  string
-	members int // to ask
+	http        *http.Client
+	caller      string
+	memberCount int // to ask
 
-	one     sync.Mutex // of commands
-	request uint64
+	commandMu sync.Mutex // of commands
+	request   uint64
 
-	mu        sync.Mutex
-	addresses []string             // the one that answered last first
-	silent    map[string]time.Time // addresses that gave no answer, and when
+	mu           sync.Mutex
+	addresses    []string             // the one that answered last first
+	unresponsive map[string]time.Time // addresses that gave no answer, and when
 }
 
 // NewClient returns a client of the members at these addresses.
 func NewClient(addresses []string) *Client {
 	var name [12]byte
 	crand.Read(name[:])
-	c := &Client{caller: hex.EncodeToString(name[:]), members: len(addresses), addresses: append([]string(nil), addresses...), silent: map[string]time.Time{}}
-	c.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}, Timeout: clientWait,
+	c := &Client{caller: hex.EncodeToString(name[:]), memberCount: len(addresses), addresses: append([]string(nil), addresses...), unresponsive: map[string]time.Time{}}
+	c.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}, Timeout: clientTimeout,
 		CheckRedirect: func(to *http.Request, via []*http.Request) error {
-			if len(via) > mostHops {
+			if len(via) > maxRedirects {
 				return errors.New("the members send each other round")
 			}
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if time.Since(c.silent[to.URL.Host]) < clientShuns {
-				return errSilent // who sends there does not know yet that it is gone
+			if time.Since(c.unresponsive[to.URL.Host]) < unresponsivePeriod {
+				return errUnresponsive // who sends there does not know yet that it is gone
 			}
 			return nil
 		}}
 	return c
 }
 
-var errSilent = errors.New("it gave no answer a moment ago")
+var errUnresponsive = errors.New("it gave no answer a moment ago")
 
 // Close ends its idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // next is the member to ask: the first that was not silent a moment ago, if there is one.
-func (c *Client) next() string {
+func (c *Client) nextAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.addresses {
-		if time.Since(c.silent[a]) >= clientShuns {
+		if time.Since(c.unresponsive[a]) >= unresponsivePeriod {
 			return a
 		}
 	}
@@ -81,19 +81,19 @@
 
 // failed puts a member last, and takes note of which address gave no answer: its own, or
 // one that it sent to.
-func (c *Client) failed(address string, err error) {
+func (c *Client) recordFailure(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at := slices.Index(c.addresses, address); at >= 0 {
 		c.addresses = append(slices.Delete(c.addresses, at, at+1), address)
 	}
 	var at *url.Error
-	if !errors.As(err, &at) || errors.Is(err, errSilent) {
+	if !errors.As(err, &at) || errors.Is(err, errUnresponsive) {
 		return
 	}
-	maps.DeleteFunc(c.silent, func(_ string, when time.Time) bool { return time.Since(when) >= clientShuns })
+	maps.DeleteFunc(c.unresponsive, func(_ string, when time.Time) bool { return time.Since(when) >= unresponsivePeriod })
 	if u, err := url.Parse(at.URL); err == nil {
-		c.silent[u.Host] = time.Now()
+		c.unresponsive[u.Host] = time.Now()
 	}
 }
 
@@ -102,21 +102,21 @@
 func (c *Client) call(ctx context.Context, method, path string, body []byte) (status int, text []byte, err error) {
 	var cause error
 	for tries := 1; ; tries++ {
-		address := c.next()
-		status, text, err = c.once(ctx, method, "http://"+address+path, body)
+		address := c.nextAddress()
+		status, text, err = c.doRequest(ctx, method, "http://"+address+path, body)
 		if err == nil && status != http.StatusServiceUnavailable && status != http.StatusGatewayTimeout {
 			return status, text, nil
 		}
 		if err == nil {
 			err = fmt.Errorf("%s: %d: %s", address, status, bytes.TrimSpace(text))
 		}
-		c.failed(address, err)
+		c.recordFailure(address, err)
 		if cause == nil || ctx.Err() == nil {
 			cause = err
 		}
 		pause := time.Duration(0)
-		if tries%c.members == 0 {
-			pause = clientPause
+		if tries%c.memberCount == 0 {
+			pause = clientRetryPause
 		}
 		select {
 		case <-ctx.Done():
@@ -126,7 +126,7 @@
 	}
 }
 
-func (c *Client) once(ctx context.Context, method, url string, body []byte) (int, []byte, error) {
+func (c *Client) doRequest(ctx context.Context, method, url string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
@@ -136,7 +136,7 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, text, err
 }
 
@@ -146,8 +146,8 @@
 	if err := command.Check(ledger.DefaultLimits); err != nil {
 		return ledger.Result{Code: ledger.Invalid, Text: err.Error()}, nil
 	}
-	c.one.Lock()
-	defer c.one.Unlock()
+	c.commandMu.Lock()
+	defer c.commandMu.Unlock()
 	c.request++
 	command.Caller, command.Request = c.caller, c.request
 	body, err := json.Marshal(command)
@@ -205,24 +205,24 @@
 
 // Add has the group take a member in. A call that is made again is done once.
 func (c *Client) Add(ctx context.Context, n uint64, at Member) error {
-	body, err := json.Marshal(adding{n, at})
+	body, err := json.Marshal(addRequest{n, at})
 	if err != nil {
 		return err
 	}
-	return c.change(ctx, http.MethodPut, MembersPath, body)
+	return c.changeMembers(ctx, http.MethodPut, MembersPath, body)
 }
 
 // Remove has the group take one out.
 func (c *Client) Remove(ctx context.Context, n uint64) error {
-	return c.change(ctx, http.MethodDelete, fmt.Sprint(MembersPath, "/", n), nil)
+	return c.changeMembers(ctx, http.MethodDelete, fmt.Sprint(MembersPath, "/", n), nil)
 }
 
 // Transfer has another member write.
 func (c *Client) Transfer(ctx context.Context, to uint64) error {
-	return c.change(ctx, http.MethodPost, fmt.Sprint(TransferPath, "/", to), nil)
+	return c.changeMembers(ctx, http.MethodPost, fmt.Sprint(TransferPath, "/", to), nil)
 }
 
-func (c *Client) change(ctx context.Context, method, path string, body []byte) error {
+func (c *Client) changeMembers(ctx context.Context, method, path string, body []byte) error {
 	status, text, err := c.call(ctx, method, path, body)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
@@ -232,7 +232,7 @@
 
 // Status asks one member how it stands.
 func (c *Client) Status(ctx context.Context, address string) (s Status, err error) {
-	status, text, err := c.once(ctx, http.MethodGet, "http://"+address+StatusPath, nil)
+	status, text, err := c.doRequest(ctx, http.MethodGet, "http://"+address+StatusPath, nil)
 	switch {
 	case err != nil:
 		return s, err
@@ -243,12 +243,12 @@
 }
 
 // renewals in a session's time to live.
-const renewals = 3
+const renewalsPerTTL = 3
 
 // Hold opens a session and renews it until ctx ends or the group has ended it; then
 // lost is closed. Whoever acts on the session asks Holds before each act: lost may be
 // late, as where the process stood still.
-func (c *Client) Hold(ctx context.Context, ttl time.Duration) (h *Held, err error) {
+func (c *Client) HoldSession(ctx context.Context, ttl time.Duration) (h *HeldSession, err error) {
 	began := time.Now()
 	asked := time.Duration(0)
 	r, err := c.Do(ctx, ledger.Command{Op: ledger.Open, TTLMs: ttl.Milliseconds()})
@@ -258,13 +258,13 @@
 	case r.Code != ledger.OK:
 		return nil, fmt.Errorf("%s: %s", r.Code, r.Text)
 	}
-	h = &Held{began: began, lost: make(chan struct{})}
-	h.holding.Opened(asked, ledger.Session{ID: r.Session, TTLMs: ttl.Milliseconds()})
+	h = &HeldSession{openedAt: began, lost: make(chan struct{})}
+	h.lease.Renewed(asked, ledger.Session{ID: r.Session, TTLMs: ttl.Milliseconds()})
 	go func() {
 		defer close(h.lost)
-		t := time.NewTicker(ttl / renewals)
+		t := time.NewTicker(ttl / renewalsPerTTL)
 		defer t.Stop()
-		for h.Holds() {
+		for h.Valid() {
 			select {
 			case <-ctx.Done():
 				return
@@ -279,7 +279,7 @@
 			}
 			if err == nil && status == http.StatusOK {
 				h.mu.Lock()
-				h.holding.Opened(asked, h.holding.Session)
+				h.lease.Renewed(asked, h.lease.Session)
 				h.mu.Unlock()
 			}
 		}
@@ -288,23 +288,23 @@
 }
 
 // Held is a session that is held.
-type Held struct {
-	began time.Time
-	lost  chan struct{}
+type HeldSession struct {
+	openedAt time.Time
+	lost     chan struct{}
 
-	mu      sync.Mutex
-	holding ledger.Holding
+	mu    sync.Mutex
+	lease ledger.HeldLease
 }
 
 // ID is the session's number.
-func (h *Held) ID() uint64 { return h.holding.ID }
+func (h *HeldSession) ID() uint64 { return h.lease.ID }
 
 // Holds says whether the holder may act on it now.
-func (h *Held) Holds() bool {
+func (h *HeldSession) Valid() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.holding.Holds(time.Since(h.began))
+	return h.lease.Valid(time.Since(h.openedAt))
 }
 
 // Lost is closed when it is held no more.
-func (h *Held) Lost() <-chan struct{} { return h.lost }
+func (h *HeldSession) Lost() <-chan struct{} { return h.lost }
--- a/internal/group/config.go
+++ b/internal/group/config.go
@@ -10,15 +10,15 @@
 
 // Config is the configuration of a member.
 type Config struct {
-	Name    string            // name of the group, the same for all members
-	Self    uint64            // this member's number, from 1
-	Members map[uint64]string // addresses by number, this member's included: the 1, 3 or 5 founders, or some to join by
-	Lists   map[uint64]string // addresses of their registries, if the group replicates the list
-	Join    bool              // the group exists, and this member is added to it
-	Dir     string            // folder of the log and its snapshots
-	DataMB  int               // limit of the size of all files in Dir
-	Limits  ledger.Limits
-	List    List // the list that the group replicates beside the ledger; nil: none
+	Name              string            // name of the group, the same for all members
+	Self              uint64            // this member's number, from 1
+	Members           map[uint64]string // addresses by number, this member's included: the 1, 3 or 5 founders, or some to join by
+	RegistryAddresses map[uint64]string // addresses of their registries, if the group replicates the list
+	Join              bool              // the group exists, and this member is added to it
+	Dir               string            // folder of the log and its snapshots
+	DataMB            int               // limit of the size of all files in Dir
+	Limits            ledger.Limits
+	List              List // the list that the group replicates beside the ledger; nil: none
 }
 
 // List is a member's replica of a registry's list. The member's loop calls the methods, one
@@ -34,7 +34,7 @@
 	// here says that this member is the writer and has applied all earlier entries.
 	SetWriter(here bool, address string)
 	// Sights returns what records say of backends.
-	Sights(records [][]byte) []budget.Sight
+	BackendStates(records [][]byte) []budget.BackendState
 }
 
 // Check validates the configuration.
--- a/internal/group/core_test.go
+++ b/internal/group/core_test.go
@@ -68,20 +68,20 @@
 	m.core.raw.Campaign()
 	s.turn(0)
 	for to := uint64(2); to < 4; to++ {
-		text, _ := json.Marshal(change{Member: Member{Address: fmt.Sprint(to)}})
+		text, _ := json.Marshal(memberChange{Member: Member{Address: fmt.Sprint(to)}})
 		kind := raftpb.ConfChangeType_ConfChangeAddLearnerNode
 		if err := m.core.raw.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &to, Context: text}); err != nil {
 			t.Fatal(err)
 		}
 		s.turn(0)
-		if got := m.core.conf.GetLearners(); len(got) != int(to)-1 {
+		if got := m.core.confState.GetLearners(); len(got) != int(to)-1 {
 			t.Fatalf("learners %v", got)
 		}
 		s.start(0)
-		if _, err := m.core.ready(); err != nil {
+		if _, err := m.core.processReady(); err != nil {
 			t.Fatal(err)
 		}
-		if got := m.core.conf.GetLearners(); len(got) != int(to)-1 {
+		if got := m.core.confState.GetLearners(); len(got) != int(to)-1 {
 			t.Errorf("after a restart it knows the learners %v", got)
 		}
 		m.core.raw.Campaign()
@@ -144,17 +144,17 @@
 func TestIdentity(t *testing.T) {
 	disk := &memory{}
 	state := ledger.New(ledger.DefaultLimits)
-	if _, err := newCore(identity{"g", 1}, "p", voters(3), false, disk, &recovered{}, machine{state, nil, newBook(nil)}); err != nil {
+	if _, err := newCore(identity{"g", 1}, "p", voters(3), false, disk, &recoveredState{}, replicatedState{state, nil, newMemberTable(nil)}); err != nil {
 		t.Fatal(err)
 	}
 	for _, who := range []identity{{"g", 2}, {"h", 1}} {
-		r := &recovered{}
+		r := &recoveredState{}
 		for _, text := range disk.records {
-			if err := r.record(text); err != nil {
+			if err := r.addRecord(text); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if _, err := newCore(who, "p", voters(3), false, disk, r, machine{state, nil, newBook(nil)}); err == nil {
+		if _, err := newCore(who, "p", voters(3), false, disk, r, replicatedState{state, nil, newMemberTable(nil)}); err == nil {
 			t.Errorf("%s is taken", who)
 		}
 	}
@@ -163,12 +163,12 @@
 // Numbers are given once, and who does not say its number, as members of the build before
 // do not, passes for nobody that was taken out.
 func TestBook(t *testing.T) {
-	b := newBook(map[uint64]Member{1: {Address: "a"}, 2: {Address: "b"}, 3: {Address: "c", List: "l"}})
-	m := machine{ledger.New(ledger.DefaultLimits), nil, b}
+	b := newMemberTable(map[uint64]Member{1: {Address: "a"}, 2: {Address: "b"}, 3: {Address: "c", RegistryAddress: "l"}})
+	m := replicatedState{ledger.New(ledger.DefaultLimits), nil, b}
 	m.Remove(2)
 	m.Add(5, Member{Address: "e"})
 	for n, want := range map[uint64]bool{0: false, 1: false, 2: true, 3: false, 4: true, 5: false, 6: false} {
-		if b.removed(n) != want {
+		if b.wasRemoved(n) != want {
 			t.Errorf("member %d was taken out: %t", n, !want)
 		}
 	}
@@ -178,16 +178,16 @@
 		there bool
 		bad   bool
 	}{{1, Member{Address: "a"}, true, false}, {1, Member{Address: "z"}, false, true}, {2, Member{Address: "b"}, false, true}, {4, Member{Address: "z"}, false, true},
-		{6, Member{Address: "e"}, false, true}, {6, Member{Address: "z", List: "l"}, false, true}, {6, Member{Address: "b"}, false, false}} {
-		if there, err := b.add(c.n, c.at); there != c.there || (err != nil) != c.bad {
+		{6, Member{Address: "e"}, false, true}, {6, Member{Address: "z", RegistryAddress: "l"}, false, true}, {6, Member{Address: "b"}, false, false}} {
+		if there, err := b.checkAdd(c.n, c.at); there != c.there || (err != nil) != c.bad {
 			t.Errorf("add %d %+v: %t %v", c.n, c.at, there, err)
 		}
 	}
-	next := newBook(nil)
-	if err := next.restore(b.save()); err != nil || !reflect.DeepEqual(next.Members, b.Members) || next.Highest != 5 || next.removed(2) != true {
+	next := newMemberTable(nil)
+	if err := next.decode(b.encode()); err != nil || !reflect.DeepEqual(next.Members, b.Members) || next.Highest != 5 || next.wasRemoved(2) != true {
 		t.Errorf("%+v: %v", next, err)
 	}
-	if err := next.restore([]byte(`{"members":{}}`)); err == nil {
+	if err := next.decode([]byte(`{"members":{}}`)); err == nil {
 		t.Error("a group of nobody is taken")
 	}
 }
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -23,87 +23,87 @@
 	// a follower starts an election after ten to twenty without one.
 	Tick = 50 * time.Millisecond
 
-	mostCalls     = 4096                   // pending calls to the loop
-	mostWaiting   = 8192                   // pending proposals, and pending reads
-	mostEnding    = 256                    // sessions whose end is proposed and not committed yet
-	expireGap     = 100 * time.Millisecond // between two searches for expired sessions
-	handOverWait  = 300 * time.Millisecond // how long a member that stops waits for the next leader
-	commitMost    = 60 * time.Second       // the largest latency that the histogram tells apart
-	segments      = 16
-	segmentLeast  = 16 << 20
-	slowestCommit = int64(commitMost / time.Microsecond)
+	maxPendingCalls       = 4096                   // pending calls to the loop
+	maxPendingProposals   = 8192                   // pending proposals, and pending reads
+	maxExpiringSessions   = 256                    // sessions whose end is proposed and not committed yet
+	expireInterval        = 100 * time.Millisecond // between two searches for expired sessions
+	leaderTransferTimeout = 300 * time.Millisecond // how long a member that stops waits for the next leader
+	maxCommitLatency      = 60 * time.Second       // the largest latency that the histogram tells apart
+	segmentsPerLog        = 16
+	minSegmentBytes       = 16 << 20
+	maxCommitMicroseconds = int64(maxCommitLatency / time.Microsecond)
 )
 
 var (
 	// ErrNoWriter says that this member knows no leader of the group, here called its
 	// writer. The call has changed nothing.
-	ErrNoWriter = errors.New("the group has no writer now")
+	ErrNoLeader = errors.New("the group has no writer now")
 	// ErrUnknown says that the command may or may not be committed, now or later. It is
 	// safe to retry under the same request number: the group applies it once.
 	ErrUnknown = errors.New("it is not known whether it was done")
 	// ErrBusy says that a queue is full. The call has changed nothing.
-	ErrBusy  = errors.New("too much waits for the group")
-	errEnded = errors.New("this member has ended")
+	ErrBusy    = errors.New("too much waits for the group")
+	errStopped = errors.New("this member has ended")
 )
 
 // NotWriter is the error of a member that is not the writer. It has the address of the
 // member that is. The call has changed nothing.
-type NotWriter struct{ Address string }
+type NotLeaderError struct{ Address string }
 
-func (e *NotWriter) Error() string { return "the writer is at " + e.Address }
+func (e *NotLeaderError) Error() string { return "the writer is at " + e.Address }
 
 // Group is a running member. The goroutine of Run owns the raft core and the ledger; the
 // exported methods are safe for concurrent use and hand their work to it.
 type Group struct {
-	c      Config
-	log    *wal.Log
-	calls  chan func()   // work for the loop
-	ended  chan struct{} // closed when Run has returned
-	random uint64        // start of the keys of this process's proposals
-	began  time.Time
+	config   Config
+	log      *wal.Log
+	calls    chan func()   // work for the loop
+	stopped  chan struct{} // closed when Run has returned
+	keyBase  uint64        // start of the keys of this process's proposals
+	openedAt time.Time
 
 	joinClient *http.Client
 
 	// Owned by the loop:
-	core      *core
-	book      *book
-	takesPart bool                                // enough others have welcomed this member
-	spoke     map[uint64]time.Time                // when each member was heard last
-	changing  uint64                              // the key of a change of the members that is under way
-	meet      func(number uint64, address string) // starts to send messages to a member
-	writes    bool                                // it is the leader, and has applied all entries of earlier terms
-	from      uint64                              // index of the first entry of its own term; once it is applied, writes is set
-	lost      chan struct{}                       // closed when this member is no longer the leader
-	heard     time.Time                           // when the leader was heard last
-	state     *ledger.State
-	leases    ledger.Leases
-	role      raft.StateType
-	writer    uint64
-	sequence  uint64
-	waiting   map[uint64]*waiter // pending proposals by key
-	reads     map[uint64]*read   // pending reads by key
-	ending    map[uint64]bool    // sessions whose end has been proposed
-	peers     map[uint64]*peer
-	news      chan struct{} // closed and replaced when an entry is applied
-	commits   *hdrhistogram.Histogram
-	elections int64
-	handed    int64
-	won       int64
-	refused   int64
+	core              *core
+	members           *memberTable
+	participating     bool                                // enough others have welcomed this member
+	lastReceived      map[uint64]time.Time                // when each member was heard last
+	pendingChange     uint64                              // the key of a change of the members that is under way
+	startPeer         func(number uint64, address string) // starts to send messages to a member
+	leaderReady       bool                                // it is the leader, and has applied all entries of earlier terms
+	termStart         uint64                              // index of the first entry of its own term; once it is applied, writes is set
+	leadershipLost    chan struct{}                       // closed when this member is no longer the leader
+	leaderSeen        time.Time                           // when the leader was heard last
+	state             *ledger.State
+	leases            ledger.Leases
+	role              raft.StateType
+	leader            uint64
+	keySequence       uint64
+	proposals         map[uint64]*proposal    // pending proposals by key
+	reads             map[uint64]*pendingRead // pending reads by key
+	expiring          map[uint64]bool         // sessions whose end has been proposed
+	peers             map[uint64]*peer
+	entryApplied      chan struct{} // closed and replaced when an entry is applied
+	commitLatency     *hdrhistogram.Histogram
+	elections         int64
+	transfersReceived int64
+	electionsWon      int64
+	proposalsRefused  int64
 }
 
 // Open restores a member from its folder, or creates one in an empty folder. Run starts it.
 func Open(c Config, fs wal.FS) (*Group, error) {
-	log, r, err := open(c, fs)
+	log, r, err := openLog(c, fs)
 	if err != nil {
 		return nil, err
 	}
-	g := &Group{c: c, log: log, book: newBook(c.founders()), joinClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, calls: make(chan func(), mostCalls), ended: make(chan struct{}), began: time.Now(), state: ledger.New(c.Limits),
-		spoke: map[uint64]time.Time{}, waiting: map[uint64]*waiter{}, reads: map[uint64]*read{}, ending: map[uint64]bool{}, peers: map[uint64]*peer{}, news: make(chan struct{}), lost: make(chan struct{}),
-		commits: hdrhistogram.New(1, slowestCommit, 3)}
-	process := name()
-	g.random = rand.Uint64()
-	if g.core, err = newCore(identity{c.Name, c.Self}, process, slices.Sorted(maps.Keys(c.Members)), c.Join, log, r, machine{g.state, c.List, g.book}); err != nil {
+	g := &Group{config: c, log: log, members: newMemberTable(c.initialMembers()), joinClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, calls: make(chan func(), maxPendingCalls), stopped: make(chan struct{}), openedAt: time.Now(), state: ledger.New(c.Limits),
+		lastReceived: map[uint64]time.Time{}, proposals: map[uint64]*proposal{}, reads: map[uint64]*pendingRead{}, expiring: map[uint64]bool{}, peers: map[uint64]*peer{}, entryApplied: make(chan struct{}), leadershipLost: make(chan struct{}),
+		commitLatency: hdrhistogram.New(1, maxCommitMicroseconds, 3)}
+	process := randomName()
+	g.keyBase = rand.Uint64()
+	if g.core, err = newCore(identity{c.Name, c.Self}, process, slices.Sorted(maps.Keys(c.Members)), c.Join, log, r, replicatedState{g.state, c.List, g.members}); err != nil {
 		log.Close()
 		return nil, err
 	}
--- a/internal/group/handshake.go
+++ b/internal/group/handshake.go
@@ -26,35 +26,35 @@
 
 	joinTimeout         = time.Second            // for one reply
 	joinRetryInterval   = 100 * time.Millisecond // between two requests to one member
-	joinWriterWait      = 2 * time.Second        // how long the leader's own reply is waited for
+	joinLeaderTimeout   = 2 * time.Second        // how long the leader's own reply is waited for
 	formerRetryInterval = 2 * time.Second        // between two requests to a former member
 	maxRequestBytes     = 16 << 10               // of a request's or a reply's body
 )
 
 // joinRequest is what a member sends to the others at its start.
 type joinRequest struct {
-	Group      string     `json:"group"`
-	Generation Generation `json:"generation"`
-	Self       uint64     `json:"self"`
-	Life       uint64     `json:"life"`
-	Process    string     `json:"process"`
-	Last       uint64     `json:"last"` // index of its last entry; 0: its log is empty
+	Group       string     `json:"group"`
+	Generation  Generation `json:"generation"`
+	Self        uint64     `json:"self"`
+	Incarnation uint64     `json:"life"`
+	Process     string     `json:"process"`
+	LastIndex   uint64     `json:"last"` // index of its last entry; 0: its log is empty
 }
 
 // verdict is the result of a join request.
 type verdict string
 
 const (
-	welcome verdict = "welcome"
-	unknown verdict = "unknown" // not a member yet, as far as the other knows: try again
-	refused verdict = "refused" // final: the member must end
-	crossed verdict = "crossed" // it belongs to another group
+	verdictWelcome verdict = "welcome"
+	verdictUnknown verdict = "unknown" // not a member yet, as far as the other knows: try again
+	verdictRefused verdict = "refused" // final: the member must end
+	verdictCrossed verdict = "crossed" // it belongs to another group
 )
 
 // joinReply is the reply to a joinRequest.
 type joinReply struct {
 	Verdict    verdict           `json:"verdict"`
-	Why        string            `json:"why,omitempty"`
+	Reason     string            `json:"why,omitempty"`
 	Writer     uint64            `json:"writer,omitempty"`
 	Generation Generation        `json:"generation"`
 	Members    map[uint64]Member `json:"members,omitempty"` // for a member whose log is empty
@@ -62,45 +62,45 @@
 
 // answerJoin decides on a join request. It runs in the loop.
 func (g *Group) answerJoin(from joinRequest) joinReply {
-	out := joinReply{Verdict: unknown, Writer: g.writer, Generation: g.book.Generation}
-	own, known := g.book.Generation, g.core.lives[from.Self]
+	out := joinReply{Verdict: verdictUnknown, Writer: g.leader, Generation: g.members.Generation}
+	own, known := g.members.Generation, g.core.incarnations[from.Self]
 	switch {
-	case from.Group != g.c.Name:
-		out.Verdict, out.Why = crossed, fmt.Sprintf("this is member %d of group %q", g.c.Self, g.c.Name)
-	case g.core.last() == 0:
-		out.Why = "this member has nothing yet"
-	case from.Last > 0 && from.Generation.Number > own.Number:
-		g.core.end(superseded(from.Generation))
-		out.Why = "this member is of an earlier generation, and ends"
-	case from.Last > 0 && from.Generation.Number < own.Number:
-		out.Verdict, out.Why = refused, superseded(own)
-	case from.Last > 0 && from.Generation != own:
-		out.Verdict, out.Why = crossed, fmt.Sprintf("two members were each made a group of their own: this one is of generation %s", own)
-	case g.book.removed(from.Self):
-		out.Verdict, out.Why = refused, fmt.Sprintf("member %d was taken out of the group", from.Self)
-	case g.book.Members[from.Self].Address == "":
-		out.Why = fmt.Sprintf("member %d was not added yet", from.Self)
-	case from.Life < known.Life || from.Life == known.Life && from.Process != known.Process:
-		out.Verdict, out.Why = refused, fmt.Sprintf("member %d is in its start %d, and start %d was heard of before: its folder was lost, or is an older one. %s", from.Self, from.Life, known.Life, replaceIt)
-	case g.writes && g.core.raw.Status().Progress[from.Self].Match > from.Last:
-		out.Verdict, out.Why = refused, fmt.Sprintf("member %d has entries up to %d, and has promised those up to %d: its folder is an older one. %s", from.Self, from.Last, g.core.raw.Status().Progress[from.Self].Match, replaceIt)
+	case from.Group != g.config.Name:
+		out.Verdict, out.Reason = verdictCrossed, fmt.Sprintf("this is member %d of group %q", g.config.Self, g.config.Name)
+	case g.core.lastIndex() == 0:
+		out.Reason = "this member has nothing yet"
+	case from.LastIndex > 0 && from.Generation.Number > own.Number:
+		g.core.terminate(supersededReason(from.Generation))
+		out.Reason = "this member is of an earlier generation, and ends"
+	case from.LastIndex > 0 && from.Generation.Number < own.Number:
+		out.Verdict, out.Reason = verdictRefused, supersededReason(own)
+	case from.LastIndex > 0 && from.Generation != own:
+		out.Verdict, out.Reason = verdictCrossed, fmt.Sprintf("two members were each made a group of their own: this one is of generation %s", own)
+	case g.members.wasRemoved(from.Self):
+		out.Verdict, out.Reason = verdictRefused, fmt.Sprintf("member %d was taken out of the group", from.Self)
+	case g.members.Members[from.Self].Address == "":
+		out.Reason = fmt.Sprintf("member %d was not added yet", from.Self)
+	case from.Incarnation < known.Number || from.Incarnation == known.Number && from.Process != known.Process:
+		out.Verdict, out.Reason = verdictRefused, fmt.Sprintf("member %d is in its start %d, and start %d was heard of before: its folder was lost, or is an older one. %s", from.Self, from.Incarnation, known.Number, replaceAdvice)
+	case g.leaderReady && g.core.raw.Status().Progress[from.Self].Match > from.LastIndex:
+		out.Verdict, out.Reason = verdictRefused, fmt.Sprintf("member %d has entries up to %d, and has promised those up to %d: its folder is an older one. %s", from.Self, from.LastIndex, g.core.raw.Status().Progress[from.Self].Match, replaceAdvice)
 	default:
-		if err := g.core.remember(life{from.Self, from.Life, from.Process}); err != nil {
-			out.Why = err.Error()
+		if err := g.core.saveIncarnation(incarnation{from.Self, from.Incarnation, from.Process}); err != nil {
+			out.Reason = err.Error()
 			break
 		}
-		if out.Verdict = welcome; from.Last == 0 {
-			out.Members = maps.Clone(g.book.Members)
+		if out.Verdict = verdictWelcome; from.LastIndex == 0 {
+			out.Members = maps.Clone(g.members.Members)
 		}
 	}
 	return out
 }
 
 // replaceIt is the advice for a member whose folder is lost or old.
-const replaceIt = "Remove the member, and add another under a new number"
+const replaceAdvice = "Remove the member, and add another under a new number"
 
 // superseded explains that the member belongs to an earlier generation.
-func superseded(by Generation) string {
+func supersededReason(by Generation) string {
 	return fmt.Sprintf("the group went on as generation %s without this member; begin in an empty folder, under a new number", by)
 }
 
@@ -112,7 +112,7 @@
 	var mu sync.Mutex
 	welcomed, writers := map[uint64]bool{}, map[uint64]bool{}
 	var enough time.Time
-	part := sync.OnceFunc(func() { g.post(func() { g.takesPart = true }) })
+	part := sync.OnceFunc(func() { g.post(func() { g.participating = true }) })
 	look := func() {
 		mu.Lock()
 		defer mu.Unlock()
@@ -123,7 +123,7 @@
 			enough = time.Now()
 		}
 		for w := range writers {
-			if w != g.c.Self && ask[w] != "" && !welcomed[w] && time.Since(enough) < joinWriterWait {
+			if w != g.config.Self && ask[w] != "" && !welcomed[w] && time.Since(enough) < joinLeaderTimeout {
 				return
 			}
 		}
@@ -139,9 +139,9 @@
 				answer, err := g.sendJoin(ctx, at, from)
 				switch {
 				case err != nil:
-				case answer.Verdict == welcome:
+				case answer.Verdict == verdictWelcome:
 					if answer.Members != nil {
-						g.tell(ctx, func() { g.adopt(answer) })
+						g.enqueue(ctx, func() { g.adoptMembers(answer) })
 					}
 					mu.Lock()
 					welcomed[n] = true
@@ -149,12 +149,12 @@
 					mu.Unlock()
 					look()
 					return
-				case answer.Verdict == refused:
-					g.tell(ctx, func() { g.core.end(answer.Why) })
+				case answer.Verdict == verdictRefused:
+					g.enqueue(ctx, func() { g.core.terminate(answer.Reason) })
 					return
-				case said != answer.Why:
-					said = answer.Why
-					slog.Warn("group: this member does not take part yet", "member", n, "says", answer.Why)
+				case said != answer.Reason:
+					said = answer.Reason
+					slog.Warn("group: this member does not take part yet", "member", n, "says", answer.Reason)
 				}
 				look()
 				select {
@@ -167,16 +167,16 @@
 }
 
 // adopt takes over the list of members from a reply, if this member's log is empty.
-func (g *Group) adopt(from joinReply) {
-	if g.core.last() > 0 {
+func (g *Group) adoptMembers(from joinReply) {
+	if g.core.lastIndex() > 0 {
 		return
 	}
-	g.book.Members, g.book.Generation = from.Members, from.Generation
-	g.follow()
+	g.members.Members, g.members.Generation = from.Members, from.Generation
+	g.updatePeers()
 }
 
 // tell queues a function for the loop. It blocks while the queue is full, until ctx ends.
-func (g *Group) tell(ctx context.Context, do func()) {
+func (g *Group) enqueue(ctx context.Context, do func()) {
 	select { // the report of a snapshot must not be lost: raft sends nothing more before it
 	case g.calls <- do:
 	case <-ctx.Done():
@@ -205,7 +205,7 @@
 	case err != nil:
 		return answer, err
 	case resp.StatusCode == http.StatusNotFound: // a member of an earlier build, without this call
-		return joinReply{Verdict: welcome}, nil
+		return joinReply{Verdict: verdictWelcome}, nil
 	case resp.StatusCode != http.StatusOK:
 		return answer, errors.New(resp.Status)
 	}
@@ -213,7 +213,7 @@
 }
 
 // tellFormer tells a former member of the new generation, until that has replied or ctx ends.
-func (g *Group) tellFormer(ctx context.Context, from joinRequest, at string) {
+func (g *Group) notifyFormer(ctx context.Context, from joinRequest, at string) {
 	for ctx.Err() == nil {
 		if _, err := g.sendJoin(ctx, at, from); err == nil {
 			slog.Info("group: a former member was told of the new generation", "address", at)
@@ -237,10 +237,10 @@
 	}
 	var out joinReply
 	if err := g.call(r.Context(), func() { out = g.answerJoin(from) }); err != nil {
-		g.fail(w, r, err)
+		g.writeError(w, r, err)
 		return
 	}
-	answer(w, out)
+	writeJSON(w, out)
 }
 
 // quorum returns the number of voters that form a majority.
@@ -249,13 +249,13 @@
 // newJoin returns the join request of this member, the addresses to send it to, and the number
 // of members that have to welcome it.
 func (g *Group) newJoin() (from joinRequest, ask map[uint64]string, need int) {
-	from = joinRequest{Group: g.c.Name, Generation: g.book.Generation, Self: g.c.Self, Life: g.core.lives[g.c.Self].Life, Process: g.core.lives[g.c.Self].Process, Last: g.core.last()}
+	from = joinRequest{Group: g.config.Name, Generation: g.members.Generation, Self: g.config.Self, Incarnation: g.core.incarnations[g.config.Self].Number, Process: g.core.incarnations[g.config.Self].Process, LastIndex: g.core.lastIndex()}
 	ask = map[uint64]string{}
-	for _, n := range g.book.others(g.c.Self) {
-		ask[n] = g.book.Members[n].Address
+	for _, n := range g.members.others(g.config.Self) {
+		ask[n] = g.members.Members[n].Address
 	}
-	voters := g.core.conf.GetVoters()
-	if need = 1; slices.Contains(voters, g.c.Self) {
+	voters := g.core.confState.GetVoters()
+	if need = 1; slices.Contains(voters, g.config.Self) {
 		need = quorum(voters) - 1
 	}
 	return from, ask, need
--- a/internal/group/lease.go
+++ b/internal/group/lease.go
@@ -22,15 +22,15 @@
 	for _, s := range open {
 		still[s.ID] = true
 	}
-	maps.DeleteFunc(g.ending, func(id uint64, _ bool) bool { return !still[id] })
-	for _, id := range g.leases.Over(g.now(), open) {
-		if g.ending[id] || len(g.ending) >= mostEnding {
+	maps.DeleteFunc(g.expiring, func(id uint64, _ bool) bool { return !still[id] })
+	for _, id := range g.leases.Expired(g.now(), open) {
+		if g.expiring[id] || len(g.expiring) >= maxExpiringSessions {
 			continue
 		}
-		if err := g.propose(g.key(), ledger.Command{Op: ledger.End, Session: id}); err != nil {
+		if err := g.propose(g.nextKey(), ledger.Command{Op: ledger.End, Session: id}); err != nil {
 			return // the next round tries again
 		}
-		g.ending[id] = true
+		g.expiring[id] = true
 		slog.Info("group: a session's time is over", "session", id)
 	}
 }
@@ -42,7 +42,7 @@
 	var not error
 	writer := func() {
 		if g.role != raft.StateLeader {
-			not = g.notWriter()
+			not = g.notLeader()
 		}
 	}
 	if err := g.call(ctx, func() { writer(); come = g.now() }); err != nil || not != nil {
@@ -57,7 +57,7 @@
 		}
 		for _, open := range g.state.Sessions() {
 			// A session whose end is proposed must not be renewed.
-			if open.ID == id && !g.ending[id] {
+			if open.ID == id && !g.expiring[id] {
 				s, there = open, true
 				g.leases.Renew(come, s)
 			}
--- a/internal/group/offline.go
+++ b/internal/group/offline.go
@@ -20,57 +20,57 @@
 
 // ListMaker is a list that a folder is read into, and that can begin a history that
 // readers can't take for the one before.
-type ListMaker interface {
+type RecoverableList interface {
 	List
-	Renew() error
-	AllSights() []budget.Sight
+	StartHistory() error
+	AllBackendStates() []budget.BackendState
 }
 
 // Lost says from where on a group that was made of one member may have lost what it had
 // agreed on, and had answered as done.
-type Lost struct {
-	Generation Generation
-	Entry      uint64 // the last that this member has
-	Term       uint64
-	Known      uint64 // the last of which this member knew that it was agreed on
-	Former     map[uint64]Member
+type RecoveryResult struct {
+	Generation  Generation
+	LastIndex   uint64 // the last that this member has
+	Term        uint64
+	CommitIndex uint64 // the last of which this member knew that it was agreed on
+	Former      map[uint64]Member
 }
 
 // Recover makes the group of a member that is stopped a group of that member alone, with
 // all that it has. That is for a majority that is lost for good: what the others had
 // agreed on behind its last entry is lost, though it was answered. The others, if they
 // come back, refuse for good.
-func Recover(c Config, fs wal.FS, list ListMaker) (lost Lost, err error) {
+func Recover(c Config, fs wal.FS, list RecoverableList) (lost RecoveryResult, err error) {
 	if list != nil {
 		c.List = list
 	}
-	log, r, err := open(c, fs)
+	log, r, err := openLog(c, fs)
 	if err != nil {
 		return lost, err
 	}
 	defer func() { err = errors.Join(err, log.Close()) }()
 	who := identity{c.Name, c.Self}
 	switch {
-	case r.end != "":
-		return lost, fmt.Errorf("%w: %s", ErrEnded, r.end)
-	case !r.any || r.meta == nil || r.state == nil:
-		return lost, errEmpty
+	case r.termination != "":
+		return lost, fmt.Errorf("%w: %s", ErrTerminated, r.termination)
+	case !r.nonEmpty || r.snapshotMeta == nil || r.hardState == nil:
+		return lost, errNoInitialState
 	case r.identity != who.String():
 		return lost, fmt.Errorf("group: the folder is of %s, not of %s", r.identity, who)
 	}
-	b := newBook(c.founders())
-	m := machine{ledger.New(c.Limits), c.List, b}
-	if err := m.Restore(r.lines); err != nil {
+	b := newMemberTable(c.initialMembers())
+	m := replicatedState{ledger.New(c.Limits), c.List, b}
+	if err := m.Restore(r.snapshotLines); err != nil {
 		return lost, err
 	}
 	// What is behind the last entry that is known to be agreed on may have been answered
 	// too: this member can't tell.
-	index, term := r.meta.GetIndex(), max(r.meta.GetTerm(), r.state.GetTerm())
+	index, term := r.snapshotMeta.GetIndex(), max(r.snapshotMeta.GetTerm(), r.hardState.GetTerm())
 	for _, e := range r.entries {
 		index = e.GetIndex()
 		switch {
 		case e.GetType() == raftpb.EntryType_EntryConfChange:
-			if err := replay(m, e); err != nil {
+			if err := replayConfChange(m, e); err != nil {
 				return lost, err
 			}
 		case len(e.GetData()) > 0:
@@ -81,89 +81,89 @@
 	if self.Address == "" {
 		return lost, fmt.Errorf("group: member %d was taken out of the group", c.Self)
 	}
-	lost = Lost{Generation: Generation{b.Generation.Number + 1, name()}, Entry: index, Term: term, Known: max(r.meta.GetIndex(), r.state.GetCommit()), Former: maps.Clone(b.Members)}
+	lost = RecoveryResult{Generation: Generation{b.Generation.Number + 1, randomName()}, LastIndex: index, Term: term, CommitIndex: max(r.snapshotMeta.GetIndex(), r.hardState.GetCommit()), Former: maps.Clone(b.Members)}
 	delete(lost.Former, c.Self)
-	b.founding, b.Generation, b.Former, b.Members = false, lost.Generation, lost.Former, map[uint64]Member{c.Self: self}
+	b.fromConfig, b.Generation, b.Former, b.Members = false, lost.Generation, lost.Former, map[uint64]Member{c.Self: self}
 	if list != nil {
-		if err := list.Renew(); err != nil {
+		if err := list.StartHistory(); err != nil {
 			return lost, err
 		}
-		m.see(index, list.AllSights())
+		m.observeBackends(index, list.AllBackendStates())
 	}
 	index++
 	term++
-	return lost, found(log, who, r.lives, c.Self, index, term, m)
+	return lost, writeInitialSnapshot(log, who, r.incarnations, c.Self, index, term, m)
 }
 
 // Found begins a group of one with a list that was kept elsewhere, in an empty folder.
-func Found(c Config, fs wal.FS, list ListMaker) (err error) {
+func Bootstrap(c Config, fs wal.FS, list RecoverableList) (err error) {
 	if len(c.Members) != 1 {
 		return fmt.Errorf("members: a group that takes over a list begins with one, not %d; others are added to it", len(c.Members))
 	}
 	c.List = list
-	log, r, err := open(c, fs)
+	log, r, err := openLog(c, fs)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, log.Close()) }()
-	if r.any {
+	if r.nonEmpty {
 		return errors.New("group: the folder is not empty")
 	}
-	m := machine{ledger.New(c.Limits), list, newBook(c.founders())}
-	m.see(1, list.AllSights())
-	return found(log, identity{c.Name, c.Self}, nil, c.Self, 1, 1, m)
+	m := replicatedState{ledger.New(c.Limits), list, newMemberTable(c.initialMembers())}
+	m.observeBackends(1, list.AllBackendStates())
+	return writeInitialSnapshot(log, identity{c.Name, c.Self}, nil, c.Self, 1, 1, m)
 }
 
 // found writes a snapshot with which one member begins.
-func found(log *wal.Log, who identity, lives map[uint64]life, self, index, term uint64, m machine) error {
+func writeInitialSnapshot(log *wal.Log, who identity, lives map[uint64]incarnation, self, index, term uint64, m replicatedState) error {
 	meta := &raftpb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &raftpb.ConfState{Voters: []uint64{self}}}
-	state := tagged(ofState, marshal(&raftpb.HardState{Term: &term, Commit: &index}))
-	sequence, err := log.Append([][]byte{tagged(ofIdentity, []byte(who.String()))})
+	state := tagged(kindHardState, mustMarshal(&raftpb.HardState{Term: &term, Commit: &index}))
+	sequence, err := log.Append([][]byte{tagged(kindIdentity, []byte(who.String()))})
 	if err != nil {
 		return err
 	}
-	c := &core{who: who, lives: lives}
+	c := &core{identity: who, incarnations: lives}
 	return log.Snapshot(sequence, func(emit func([]byte) error) error {
-		return emitAll(emit, c.head(), snapshotRecords(meta, m.Save()), [][]byte{state})
+		return emitAll(emit, c.headRecords(), snapshotRecords(meta, m.Save()), [][]byte{state})
 	})
 }
 
-func replay(m Machine, e *raftpb.Entry) error {
+func replayConfChange(m StateMachine, e *raftpb.Entry) error {
 	cc := &raftpb.ConfChange{}
 	if err := proto.Unmarshal(e.GetData(), cc); err != nil {
 		return fmt.Errorf("group: entry %d: %w", e.GetIndex(), err)
 	}
-	_, err := changeMachine(m, e.GetIndex(), cc)
+	_, err := applyMemberChange(m, e.GetIndex(), cc)
 	return err
 }
 
 // open reads a member's folder.
-func open(c Config, fs wal.FS) (*wal.Log, *recovered, error) {
+func openLog(c Config, fs wal.FS) (*wal.Log, *recoveredState, error) {
 	if err := c.Check(); err != nil {
 		return nil, nil, fmt.Errorf("group: %w", err)
 	}
 	most := int64(c.DataMB) << 20
-	r := &recovered{}
-	log, err := wal.Open(fs, wal.Options{Kind: WALKind, Segment: max(segmentLeast, most/segments), Most: most},
-		wal.Visitor{Snapshot: r.record, Record: func(_ uint64, text []byte) error { return r.record(text) }})
+	r := &recoveredState{}
+	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(minSegmentBytes, most/segmentsPerLog), MaxBytes: most},
+		wal.Visitor{Snapshot: r.addRecord, Record: func(_ uint64, text []byte) error { return r.addRecord(text) }})
 	return log, r, err
 }
 
 // founders are the members that the configuration names.
-func (c *Config) founders() map[uint64]Member {
+func (c *Config) initialMembers() map[uint64]Member {
 	all := map[uint64]Member{}
 	for n, at := range c.Members {
-		all[n] = Member{Address: at, List: c.Lists[n]}
+		all[n] = Member{Address: at, RegistryAddress: c.RegistryAddresses[n]}
 	}
 	return all
 }
 
 // name is one that nobody else draws.
-func name() string {
+func randomName() string {
 	var b [keyBytes]byte
 	crand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
 // Numbers are a book's, sorted.
-func Numbers(members map[uint64]Member) []uint64 { return slices.Sorted(maps.Keys(members)) }
+func MemberNumbers(members map[uint64]Member) []uint64 { return slices.Sorted(maps.Keys(members)) }
--- a/internal/group/peer.go
+++ b/internal/group/peer.go
@@ -22,12 +22,12 @@
 	memberHeader = "X-Group-Member" // whom the messages are for
 	fromHeader   = "X-Group-From"
 
-	queued       = 256      // messages to one member that wait; more are dropped
-	leastBody    = 16 << 20 // bytes that one call may have at least, a snapshot among them
-	batchBytes   = 1 << 20  // of messages in one call, about
-	messageWait  = time.Second
-	snapshotWait = 20 * time.Second
-	afterFailure = 50 * time.Millisecond
+	peerQueueLength = 256      // messages to one member that wait; more are dropped
+	minBodyLimit    = 16 << 20 // bytes that one call may have at least, a snapshot among them
+	batchBytes      = 1 << 20  // of messages in one call, about
+	messageTimeout  = time.Second
+	snapshotTimeout = 20 * time.Second
+	peerRetryPause  = 50 * time.Millisecond
 )
 
 // peer carries messages to another member. One goroutine makes its calls, one at a
@@ -35,23 +35,23 @@
 // messages may be.
 type peer struct {
 	group   string
-	from    uint64
+	self    uint64
 	number  uint64
 	address string
 	client  *http.Client
 	queue   chan *raftpb.Message
-	tell    func(func()) // the loop, of what became of a message
+	post    func(func()) // the loop, of what became of a message
 	dropped atomic.Int64
 
-	generation  Generation
-	stop        context.CancelFunc
-	unreachable func()
-	snapshot    func(raft.SnapshotStatus)
-	refused     func(why string)
+	generation       Generation
+	stop             context.CancelFunc
+	onUnreachable    func()
+	onSnapshotStatus func(raft.SnapshotStatus)
+	onRefused        func(why string)
 }
 
 func newPeer(group string, from, number uint64, address string, tell func(func())) *peer {
-	return &peer{group: group, from: from, number: number, address: address, queue: make(chan *raftpb.Message, queued), tell: tell,
+	return &peer{group: group, self: from, number: number, address: address, queue: make(chan *raftpb.Message, peerQueueLength), post: tell,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, IdleConnTimeout: time.Minute}}}
 }
 
@@ -88,33 +88,33 @@
 		}
 		err := p.call(ctx, batch)
 		if err == nil {
-			p.report(batch, raft.SnapshotFinish)
+			p.reportSnapshots(batch, raft.SnapshotFinish)
 			continue
 		}
-		p.report(batch, raft.SnapshotFailure)
-		p.tell(p.unreachable)
+		p.reportSnapshots(batch, raft.SnapshotFailure)
+		p.post(p.onUnreachable)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(afterFailure):
+		case <-time.After(peerRetryPause):
 		}
 	}
 }
 
 // report tells what became of a snapshot, which the algorithm waits for.
-func (p *peer) report(batch []*raftpb.Message, status raft.SnapshotStatus) {
+func (p *peer) reportSnapshots(batch []*raftpb.Message, status raft.SnapshotStatus) {
 	for _, m := range batch {
 		if m.GetType() == raftpb.MessageType_MsgSnap {
-			p.tell(func() { p.snapshot(status) })
+			p.post(func() { p.onSnapshotStatus(status) })
 		}
 	}
 }
 
 func (p *peer) call(ctx context.Context, batch []*raftpb.Message) error {
-	wait := messageWait
+	wait := messageTimeout
 	for _, m := range batch {
 		if m.GetType() == raftpb.MessageType_MsgSnap {
-			wait = snapshotWait
+			wait = snapshotTimeout
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -125,7 +125,7 @@
 	}
 	req.Header.Set(groupHeader, p.group)
 	req.Header.Set(memberHeader, fmt.Sprint(p.number))
-	req.Header.Set(fromHeader, fmt.Sprint(p.from))
+	req.Header.Set(fromHeader, fmt.Sprint(p.self))
 	if p.generation != (Generation{}) {
 		req.Header.Set(generationHeader, fmt.Sprintf("%d %s", p.generation.Number, p.generation.Name))
 	}
@@ -136,7 +136,7 @@
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10)) // so that the connection is used again
 	if resp.StatusCode == http.StatusGone {
-		p.tell(func() { p.refused(string(bytes.TrimSpace(text))) })
+		p.post(func() { p.onRefused(string(bytes.TrimSpace(text))) })
 	}
 	if resp.StatusCode != http.StatusNoContent {
 		return fmt.Errorf("%s: %s", p.address, resp.Status)
@@ -146,7 +146,7 @@
 
 func encodeMessages(all []*raftpb.Message) (text []byte) {
 	for _, m := range all {
-		b := marshal(m)
+		b := mustMarshal(m)
 		text = append(binary.AppendUvarint(text, uint64(len(b))), b...)
 	}
 	return text
@@ -157,7 +157,7 @@
 
 // decodeMessages reads messages that are for a member and from others of the group.
 func decodeMessages(text []byte, self uint64, members map[uint64]Member) (all []*raftpb.Message, err error) {
-	parts, err := split(text)
+	parts, err := splitLines(text)
 	if err != nil {
 		return nil, errMessages
 	}
--- a/internal/group/read.go
+++ b/internal/group/read.go
@@ -10,7 +10,7 @@
 
 // read is a linearizable read: it waits until a quorum has confirmed the leader, and until
 // this member has applied the entries that were committed by then.
-type read struct {
+type pendingRead struct {
 	index uint64 // entries up to here must be applied; 0: not confirmed yet
 	done  chan struct{}
 }
@@ -19,8 +19,8 @@
 func (g *Group) Age() (age time.Duration) {
 	age = -1
 	g.call(context.Background(), func() {
-		if !g.heard.IsZero() {
-			age = time.Since(g.heard)
+		if !g.leaderSeen.IsZero() {
+			age = time.Since(g.leaderSeen)
 		}
 	})
 	return age
@@ -40,17 +40,17 @@
 // confirm waits until a quorum has confirmed the leader and this member has applied all
 // that was committed when confirm was called.
 func (g *Group) confirm(ctx context.Context) error {
-	w := &read{done: make(chan struct{})}
+	w := &pendingRead{done: make(chan struct{})}
 	var key uint64
 	var asked error
 	if err := g.call(ctx, func() {
 		switch {
-		case g.writer == 0:
-			asked = ErrNoWriter
-		case len(g.reads) >= mostWaiting:
+		case g.leader == 0:
+			asked = ErrNoLeader
+		case len(g.reads) >= maxPendingProposals:
 			asked = ErrBusy
 		default:
-			key = g.key()
+			key = g.nextKey()
 			g.reads[key] = w
 			g.core.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, key))
 		}
@@ -65,9 +65,9 @@
 		return nil
 	case <-ctx.Done():
 		g.post(func() { delete(g.reads, key) })
-		return ErrNoWriter
-	case <-g.ended:
-		return errEnded
+		return ErrNoLeader
+	case <-g.stopped:
+		return errStopped
 	}
 }
 
@@ -78,7 +78,7 @@
 	for {
 		var news chan struct{}
 		err := g.call(ctx, func() {
-			index, news = g.state.Index(), g.news
+			index, news = g.state.Index(), g.entryApplied
 			var known bool
 			if changes, known = g.state.Since(since, prefix); !known {
 				whole = true
@@ -94,8 +94,8 @@
 		case <-news:
 		case <-ctx.Done():
 			return index, false, nil, nil
-		case <-g.ended:
-			return 0, false, nil, errEnded
+		case <-g.stopped:
+			return 0, false, nil, errStopped
 		}
 	}
 }
--- a/internal/group/server.go
+++ b/internal/group/server.go
@@ -30,43 +30,43 @@
 )
 
 const (
-	mostConnections = 2048
-	mostCommand     = 64 << 10
-	mostHead        = 8 << 10
-	readWait        = 10 * time.Second
-	idleWait        = 90 * time.Second
-	callWait        = time.Second // for the group's word
-	longestWatch    = time.Minute
-	writeSlack      = 10 * time.Second // for an answer to be taken
-	stopWait        = 2 * time.Second
-	snapshotPart    = 4 // of data_mb, that one snapshot may have
-	retryAfter      = "1"
+	maxConnections    = 2048
+	maxCommandBytes   = 64 << 10
+	maxHeaderBytes    = 8 << 10
+	readTimeout       = 10 * time.Second
+	idleTimeout       = 90 * time.Second
+	callTimeout       = time.Second // for the group's word
+	maxWatchDuration  = time.Minute
+	writeMargin       = 10 * time.Second // for an answer to be taken
+	shutdownTimeout   = 2 * time.Second
+	snapshotDivisor   = 4 // of data_mb, that one snapshot may have
+	retryAfterSeconds = "1"
 )
 
 // Handler answers members, callers and operators.
 func (g *Group) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+messagesPath, g.messages)
+	mux.HandleFunc("POST "+messagesPath, g.handleMessages)
 	mux.HandleFunc("POST "+joinPath, g.handleJoin)
-	mux.HandleFunc("PUT "+MembersPath, g.changeMembers)
-	mux.HandleFunc("DELETE "+MembersPath+"/{number}", g.changeMembers)
-	mux.HandleFunc("POST "+TransferPath+"/{number}", g.changeMembers)
-	mux.HandleFunc("POST "+CommandsPath, g.command)
-	mux.HandleFunc("GET "+RecordsPath, g.list)
-	mux.HandleFunc("GET "+RecordsPath+"/{name...}", g.get)
-	mux.HandleFunc("GET "+ChangesPath, g.changesHandler)
-	mux.HandleFunc("GET "+SessionsPath, g.sessions)
-	mux.HandleFunc("GET "+UnitsPath, g.units)
-	mux.HandleFunc("POST "+SessionsPath+"/{id}/renew", g.renew)
+	mux.HandleFunc("PUT "+MembersPath, g.handleMembers)
+	mux.HandleFunc("DELETE "+MembersPath+"/{number}", g.handleMembers)
+	mux.HandleFunc("POST "+TransferPath+"/{number}", g.handleMembers)
+	mux.HandleFunc("POST "+CommandsPath, g.handleCommand)
+	mux.HandleFunc("GET "+RecordsPath, g.handleList)
+	mux.HandleFunc("GET "+RecordsPath+"/{name...}", g.handleGet)
+	mux.HandleFunc("GET "+ChangesPath, g.handleChanges)
+	mux.HandleFunc("GET "+SessionsPath, g.handleSessions)
+	mux.HandleFunc("GET "+UnitsPath, g.handleUnits)
+	mux.HandleFunc("POST "+SessionsPath+"/{id}/renew", g.handleRenew)
 	mux.HandleFunc("GET "+StatusPath, func(w http.ResponseWriter, r *http.Request) {
 		s, err := g.Status(r.Context())
 		if err != nil {
-			g.fail(w, r, err)
+			g.writeError(w, r, err)
 			return
 		}
-		answer(w, s)
+		writeJSON(w, s)
 	})
-	mux.HandleFunc("GET /group/counters", g.figures)
+	mux.HandleFunc("GET /group/counters", g.handleMetrics)
 	return mux
 }
 
@@ -74,21 +74,21 @@
 func (g *Group) Serve(ctx context.Context, l net.Listener) error {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	server := &http.Server{Handler: g.Handler(), ReadTimeout: readWait, IdleTimeout: idleWait, WriteTimeout: longestWatch + writeSlack, MaxHeaderBytes: mostHead,
+	server := &http.Server{Handler: g.Handler(), ReadTimeout: readTimeout, IdleTimeout: idleTimeout, WriteTimeout: maxWatchDuration + writeMargin, MaxHeaderBytes: maxHeaderBytes,
 		BaseContext: func(net.Listener) context.Context { return inner }, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(netutil.LimitListener(l, mostConnections)) }()
+	go func() { ended <- server.Serve(netutil.LimitListener(l, maxConnections)) }()
 	select {
 	case err := <-ended:
 		return err
 	case <-ctx.Done():
 	}
 	select { // the others are heard until this member has handed over
-	case <-g.ended:
-	case <-time.After(2 * handOverWait):
+	case <-g.stopped:
+	case <-time.After(2 * leaderTransferTimeout):
 	}
 	stop()
-	late, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopWait)
+	late, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(late) != nil {
 		server.Close()
@@ -96,15 +96,15 @@
 	return nil
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
 
 // fail answers a call that came to nothing here. The writer's address is told, so that
 // whoever follows it gets there.
-func (g *Group) fail(w http.ResponseWriter, r *http.Request, err error) {
-	var other *NotWriter
+func (g *Group) writeError(w http.ResponseWriter, r *http.Request, err error) {
+	var other *NotLeaderError
 	switch {
 	case errors.As(err, &other):
 		w.Header().Set("Location", "http://"+other.Address+r.URL.RequestURI())
@@ -112,18 +112,18 @@
 	case errors.Is(err, ErrUnknown):
 		http.Error(w, err.Error(), http.StatusGatewayTimeout)
 	default:
-		w.Header().Set("Retry-After", retryAfter)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	}
 }
 
 // messages takes what another member says.
-func (g *Group) messages(w http.ResponseWriter, r *http.Request) {
-	if r.Header.Get(groupHeader) != g.c.Name || r.Header.Get(memberHeader) != fmt.Sprint(g.c.Self) {
-		http.Error(w, fmt.Sprintf("this is member %d of group %q", g.c.Self, g.c.Name), http.StatusConflict)
+func (g *Group) handleMessages(w http.ResponseWriter, r *http.Request) {
+	if r.Header.Get(groupHeader) != g.config.Name || r.Header.Get(memberHeader) != fmt.Sprint(g.config.Self) {
+		http.Error(w, fmt.Sprintf("this is member %d of group %q", g.config.Self, g.config.Name), http.StatusConflict)
 		return
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, max(leastBody, int64(g.c.DataMB)<<20/snapshotPart)))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, max(minBodyLimit, int64(g.config.DataMB)<<20/snapshotDivisor)))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -136,7 +136,7 @@
 		}
 	}
 	from, _ := strconv.ParseUint(r.Header.Get(fromHeader), 10, 64) // 0: of the build before
-	var no *Refusal
+	var no *RefusedError
 	switch err := g.receive(r.Context(), from, generation, text); {
 	case errors.As(err, &no):
 		http.Error(w, no.Text, http.StatusGone)
@@ -152,72 +152,72 @@
 }
 
 // statuses of results.
-var statuses = map[ledger.Code]int{ledger.OK: http.StatusOK, ledger.Conflict: http.StatusPreconditionFailed, ledger.NoSession: http.StatusConflict,
+var statusCodes = map[ledger.Code]int{ledger.OK: http.StatusOK, ledger.Conflict: http.StatusPreconditionFailed, ledger.NoSession: http.StatusConflict,
 	ledger.NotFound: http.StatusNotFound, ledger.Full: http.StatusInsufficientStorage, ledger.Invalid: http.StatusBadRequest, ledger.Stale: http.StatusConflict, ledger.Refused: http.StatusConflict}
 
-func (g *Group) command(w http.ResponseWriter, r *http.Request) {
+func (g *Group) handleCommand(w http.ResponseWriter, r *http.Request) {
 	var c ledger.Command
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostCommand))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
 		http.Error(w, "command: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), callWait)
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	result, err := g.Do(ctx, c)
 	if err != nil {
-		g.fail(w, r, err)
+		g.writeError(w, r, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(statuses[result.Code])
+	w.WriteHeader(statusCodes[result.Code])
 	json.NewEncoder(w).Encode(result)
 }
 
 // Listing is an answer with records, as of a place in the agreed order.
 type Listing struct {
-	Index   uint64          `json:"index"`
-	Whole   bool            `json:"whole"` // all records; else what has changed
-	Records []ledger.Change `json:"records"`
+	Index    uint64          `json:"index"`
+	Complete bool            `json:"whole"` // all records; else what has changed
+	Records  []ledger.Change `json:"records"`
 }
 
 // current says whether a read has to see all that was agreed on before it.
-func current(r *http.Request) bool { return r.URL.Query().Get("current") != "" }
+func isCurrentRead(r *http.Request) bool { return r.URL.Query().Get("current") != "" }
 
-func (g *Group) get(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), callWait)
+func (g *Group) handleGet(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	var record ledger.Record
 	var there bool
-	if err := g.Read(ctx, current(r), func(s *ledger.State) { record, there = s.Get(r.PathValue("name")) }); err != nil {
-		g.fail(w, r, err)
+	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) { record, there = s.Get(r.PathValue("name")) }); err != nil {
+		g.writeError(w, r, err)
 		return
 	}
 	if !there {
 		http.Error(w, "there is no such record", http.StatusNotFound)
 		return
 	}
-	answer(w, record)
+	writeJSON(w, record)
 }
 
-func (g *Group) list(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), callWait)
+func (g *Group) handleList(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	out := Listing{Whole: true, Records: []ledger.Change{}}
-	if err := g.Read(ctx, current(r), func(s *ledger.State) {
+	out := Listing{Complete: true, Records: []ledger.Change{}}
+	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) {
 		out.Index = s.Index()
 		for _, record := range s.List(r.URL.Query().Get("prefix")) {
 			out.Records = append(out.Records, ledger.Change{Record: record})
 		}
 	}); err != nil {
-		g.fail(w, r, err)
+		g.writeError(w, r, err)
 		return
 	}
-	answer(w, out)
+	writeJSON(w, out)
 }
 
-func (g *Group) changesHandler(w http.ResponseWriter, r *http.Request) {
+func (g *Group) handleChanges(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	if err != nil {
 		http.Error(w, "since: "+err.Error(), http.StatusBadRequest)
@@ -230,80 +230,80 @@
 			http.Error(w, fmt.Sprintf("timeout_ms: %.40q is no time", text), http.StatusBadRequest)
 			return
 		}
-		wait = min(time.Duration(ms)*time.Millisecond, longestWatch)
+		wait = min(time.Duration(ms)*time.Millisecond, maxWatchDuration)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
 	out := Listing{Records: []ledger.Change{}}
 	var changes []ledger.Change
-	if out.Index, out.Whole, changes, err = g.Changes(ctx, since, r.URL.Query().Get("prefix")); err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		g.fail(w, r, err)
+	if out.Index, out.Complete, changes, err = g.Changes(ctx, since, r.URL.Query().Get("prefix")); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+		g.writeError(w, r, err)
 		return
 	}
 	if err != nil {
 		out.Index = since
 	}
 	out.Records = append(out.Records, changes...)
-	answer(w, out)
+	writeJSON(w, out)
 }
 
-func (g *Group) sessions(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), callWait)
+func (g *Group) handleSessions(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	all := []ledger.Session{}
-	if err := g.Read(ctx, current(r), func(s *ledger.State) { all = append(all, s.Sessions()...) }); err != nil {
-		g.fail(w, r, err)
+	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) { all = append(all, s.Sessions()...) }); err != nil {
+		g.writeError(w, r, err)
 		return
 	}
-	answer(w, all)
+	writeJSON(w, all)
 }
 
 // Units is an answer with all units of the fleet, and the rules for them.
 type Units struct {
-	Index uint64        `json:"index"`
-	Rules []budget.Rule `json:"rules"`
-	Never []string      `json:"never,omitempty"` // rules that can't be met
-	Units []budget.Unit `json:"units"`
+	Index         uint64        `json:"index"`
+	Rules         []budget.Rule `json:"rules"`
+	Unsatisfiable []string      `json:"never,omitempty"` // rules that can't be met
+	Units         []budget.Unit `json:"units"`
 }
 
-func (g *Group) units(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), callWait)
+func (g *Group) handleUnits(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	var out Units
-	if err := g.Read(ctx, current(r), func(s *ledger.State) {
+	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) {
 		u := s.Units()
-		out = Units{s.Index(), u.Rules(), u.Never(), u.Units()}
+		out = Units{s.Index(), u.Rules(), u.UnsatisfiableRules(), u.Units()}
 	}); err != nil {
-		g.fail(w, r, err)
+		g.writeError(w, r, err)
 		return
 	}
-	answer(w, out)
+	writeJSON(w, out)
 }
 
-func (g *Group) renew(w http.ResponseWriter, r *http.Request) {
+func (g *Group) handleRenew(w http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err != nil {
 		http.Error(w, "session: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), callWait)
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	s, there, err := g.Renew(ctx, id)
 	switch {
 	case err != nil:
-		g.fail(w, r, err)
+		g.writeError(w, r, err)
 	case !there:
 		http.Error(w, fmt.Sprintf("session %d has ended", id), http.StatusNotFound)
 	default:
-		answer(w, s)
+		writeJSON(w, s)
 	}
 }
 
 // figures are the status as lines, as the other daemons have them.
-func (g *Group) figures(w http.ResponseWriter, r *http.Request) {
+func (g *Group) handleMetrics(w http.ResponseWriter, r *http.Request) {
 	s, err := g.Status(r.Context())
 	if err != nil {
-		g.fail(w, r, err)
+		g.writeError(w, r, err)
 		return
 	}
 	var b strings.Builder
@@ -313,17 +313,17 @@
 	line("applied", int64(s.Applied), "g")
 	line("committed", int64(s.Committed), "g")
 	line("elections", s.Elections, "c")
-	line("handed", s.Handed, "c")
-	line("won", s.Won, "c")
-	line("refused", s.Refused, "c")
-	line("dropped", s.Dropped, "c")
+	line("handed", s.TransfersReceived, "c")
+	line("won", s.ElectionsWon, "c")
+	line("refused", s.ProposalsRefused, "c")
+	line("dropped", s.MessagesDropped, "c")
 	line("records", int64(s.Ledger.Records), "g")
 	line("sessions", int64(s.Ledger.Sessions), "g")
 	line("bytes", int64(s.Ledger.Bytes), "g")
 	line("callers", int64(s.Ledger.Callers), "g")
 	line("commit_p50_us", s.CommitP50Us, "g")
 	line("commit_p99_us", s.CommitP99Us, "g")
-	line("commit_most_us", s.CommitMostUs, "g")
+	line("commit_most_us", s.CommitMaxUs, "g")
 	line("log_bytes", s.LogBytes, "g")
 	line("snapshot_bytes", s.SnapshotBytes, "g")
 	line("members", int64(len(s.Members)), "g")
--- a/internal/group/simulation_test.go
+++ b/internal/group/simulation_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, r := range records {
 		m.last++
-		if m.defect == "votes are not kept" && r[0] == ofState && m.last > 10 {
+		if m.defect == "votes are not kept" && r[0] == kindHardState && m.last > 10 {
 			continue
 		}
 		m.records = append(m.records, append([]byte(nil), r...))
@@ -43,9 +43,9 @@
 	return m.last, nil
 }
 
-func (m *memory) Due() bool { return m.appended > 300 }
+func (m *memory) SnapshotDue() bool { return m.appended > 300 }
 
-func (m *memory) Last() uint64 { return m.last }
+func (m *memory) LastSequence() uint64 { return m.last }
 
 func (m *memory) Snapshot(_ uint64, records func(func([]byte) error) error) error {
 	var all [][]byte
@@ -59,7 +59,7 @@
 	disk  *memory
 	core  *core // nil: it is down
 	state *ledger.State
-	book  *book
+	book  *memberTable
 	gone  bool              // it was taken out
 	reads map[uint64]uint64 // confirmed at, by key
 }
@@ -109,9 +109,9 @@
 
 func (s *simulation) start(n int) {
 	m := s.members[n]
-	r := &recovered{}
+	r := &recoveredState{}
 	for _, text := range m.disk.records {
-		if err := r.record(text); err != nil {
+		if err := r.addRecord(text); err != nil {
 			s.t.Fatal(err)
 		}
 	}
@@ -119,9 +119,9 @@
 	for _, v := range voters(s.founders) {
 		founding[v] = Member{Address: fmt.Sprint(v)}
 	}
-	m.state, m.book = ledger.New(ledger.DefaultLimits), newBook(founding)
+	m.state, m.book = ledger.New(ledger.DefaultLimits), newMemberTable(founding)
 	var err error
-	if m.core, err = newCore(identity{"g", uint64(n + 1)}, "p", voters(s.founders), n >= s.founders, m.disk, r, machine{m.state, nil, m.book}); err != nil {
+	if m.core, err = newCore(identity{"g", uint64(n + 1)}, "p", voters(s.founders), n >= s.founders, m.disk, r, replicatedState{m.state, nil, m.book}); err != nil {
 		s.t.Fatal(err)
 	}
 	m.reads = map[uint64]uint64{}
@@ -137,12 +137,12 @@
 // turn carries out what a member's last event led to.
 func (s *simulation) turn(n int) {
 	m := s.members[n]
-	out, err := m.core.ready()
+	out, err := m.core.processReady()
 	if err != nil {
 		m.core = nil // its disk has failed, and it ends
 		return
 	}
-	if m.book.removed(uint64(n + 1)) {
+	if m.book.wasRemoved(uint64(n + 1)) {
 		m.core, m.gone = nil, true // it says no more
 		return
 	}
@@ -154,7 +154,7 @@
 	}
 	for _, a := range out.applied {
 		for _, c := range s.clients {
-			if c.call != nil && !c.call.get && c.call.member == n && !a.changes && c.call.key == a.key {
+			if c.call != nil && !c.call.get && c.call.member == n && !a.isConfChange && c.call.key == a.key {
 				s.answered(c, a.result.(ledger.Result))
 			}
 		}
@@ -283,7 +283,7 @@
 	case c.call.get:
 		m.core.raw.ReadIndex(key)
 	default:
-		m.core.raw.Propose(append(append(key, forLedger), text...)) // one that is refused is made again in time
+		m.core.raw.Propose(append(append(key, payloadLedger), text...)) // one that is refused is made again in time
 	}
 	s.turn(n)
 }
@@ -296,9 +296,9 @@
 			continue
 		}
 		kind, to := raftpb.ConfChangeType_ConfChangeAddLearnerNode, uint64(len(s.members)+1)
-		switch learners, voters := m.core.conf.GetLearners(), m.core.conf.GetVoters(); {
+		switch learners, voters := m.core.confState.GetLearners(), m.core.confState.GetVoters(); {
 		case len(learners) > 0:
-			if kind, to = raftpb.ConfChangeType_ConfChangeAddNode, learners[0]; m.core.raw.Status().Progress[to].Match+nearLag < m.core.last() {
+			if kind, to = raftpb.ConfChangeType_ConfChangeAddNode, learners[0]; m.core.raw.Status().Progress[to].Match+maxPromotionLag < m.core.lastIndex() {
 				return
 			}
 		case len(voters) > s.founders:
@@ -307,10 +307,10 @@
 				return
 			}
 		default:
-			s.members = append(s.members, &simulated{disk: &memory{defect: s.defect}, book: newBook(nil)})
+			s.members = append(s.members, &simulated{disk: &memory{defect: s.defect}, book: newMemberTable(nil)})
 			s.start(len(s.members) - 1)
 		}
-		text, _ := json.Marshal(change{Member: Member{Address: fmt.Sprint(to)}})
+		text, _ := json.Marshal(memberChange{Member: Member{Address: fmt.Sprint(to)}})
 		if m.core.raw.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &to, Context: text}) == nil {
 			s.changed++
 		}
@@ -389,7 +389,7 @@
 				}
 				b := m.core.raw.BasicStatus()
 				t.Logf("member %d: %v of term %d, writer %d, committed %d, applied %d, last %d, voters %v, learners %v", n+1,
-					b.RaftState, b.GetTerm(), b.Lead, b.GetCommit(), m.core.applied, m.core.last(), m.core.conf.GetVoters(), m.core.conf.GetLearners())
+					b.RaftState, b.GetTerm(), b.Lead, b.GetCommit(), m.core.applied, m.core.lastIndex(), m.core.confState.GetVoters(), m.core.confState.GetLearners())
 			}
 		}
 		return porcupine.Unknown, s
--- a/internal/ledger/lease.go
+++ b/internal/ledger/lease.go
@@ -8,18 +8,18 @@
 
 // Drift is by how much two clocks are assumed to differ in their pace at most: one may
 // count 1.01 s where the other counts 1 s. Clocks need not agree on the time.
-const Drift = 0.01
+const MaxClockDrift = 0.01
 
 // Leases are the writer's clocks of sessions. They are not agreed on: a member that
 // becomes the writer begins all of them anew, so none ends early for it.
 type Leases struct {
-	ends map[uint64]time.Duration
+	deadlines map[uint64]time.Duration
 }
 
 // Begin begins the leases of all sessions, as of a member that becomes the writer at a
 // time by its own clock.
-func (l *Leases) Begin(now time.Duration, open []Session) {
-	l.ends = map[uint64]time.Duration{}
+func (l *Leases) Reset(now time.Duration, open []Session) {
+	l.deadlines = map[uint64]time.Duration{}
 	for _, s := range open {
 		l.Renew(now, s)
 	}
@@ -29,24 +29,24 @@
 // be the writer after it had come; a later writer's lease then begins later still.
 func (l *Leases) Renew(now time.Duration, s Session) {
 	// Its holder counts from before it asked, by a clock that may be slow.
-	l.ends[s.ID] = max(l.ends[s.ID], now+time.Duration(float64(s.TTL())*(1+Drift)/(1-Drift)))
+	l.deadlines[s.ID] = max(l.deadlines[s.ID], now+time.Duration(float64(s.TTL())*(1+MaxClockDrift)/(1-MaxClockDrift)))
 }
 
 // Over returns the sessions whose time is over, and begins those that have none.
-func (l *Leases) Over(now time.Duration, open []Session) (over []uint64) {
+func (l *Leases) Expired(now time.Duration, open []Session) (over []uint64) {
 	known := make(map[uint64]bool, len(open))
 	for _, s := range open {
 		known[s.ID] = true
-		switch end, begun := l.ends[s.ID]; {
+		switch end, begun := l.deadlines[s.ID]; {
 		case !begun:
 			l.Renew(now, s)
 		case now >= end:
 			over = append(over, s.ID)
 		}
 	}
-	for id := range l.ends {
+	for id := range l.deadlines {
 		if !known[id] {
-			delete(l.ends, id)
+			delete(l.deadlines, id)
 		}
 	}
 	slices.SortFunc(over, func(a, b uint64) int { return cmp.Compare(a, b) })
@@ -54,18 +54,18 @@
 }
 
 // Holding is a session as its holder knows it, by its own clock.
-type Holding struct {
+type HeldLease struct {
 	Session
-	until time.Duration
+	validUntil time.Duration
 }
 
 // Opened takes note of a session whose opening, or whose renewal, was asked for at a
 // time and has been answered.
-func (h *Holding) Opened(asked time.Duration, s Session) {
+func (h *HeldLease) Renewed(asked time.Duration, s Session) {
 	h.Session = s
-	h.until = max(h.until, asked+s.TTL())
+	h.validUntil = max(h.validUntil, asked+s.TTL())
 }
 
 // Holds says whether the holder may act on it. It ends by this clock before any writer
 // ends it.
-func (h *Holding) Holds(now time.Duration) bool { return h.ID != 0 && now < h.until }
+func (h *HeldLease) Valid(now time.Duration) bool { return h.ID != 0 && now < h.validUntil }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -34,10 +34,10 @@
 var DefaultLimits = Limits{Records: 10000, Sessions: 8000, Bytes: 3 << 20, Value: 16 << 10, Callers: 8000, History: 20000}
 
 const (
-	mostName = 200
+	maxNameBytes = 200
 	// LeastTTL and MostTTL bound a session's time to live.
-	LeastTTL = time.Second
-	MostTTL  = time.Hour
+	MinTTL = time.Second
+	MaxTTL = time.Hour
 )
 
 // Op is what a command does.
@@ -116,45 +116,45 @@
 // Change is one of the history. A record without a value is gone.
 type Change struct {
 	Record
-	Gone bool `json:"gone,omitempty"`
+	Deleted bool `json:"gone,omitempty"`
 }
 
 // done is a caller's last request and what it came to.
-type done struct {
+type completedRequest struct {
 	Request uint64 `json:"request"`
 	Result  Result `json:"result"`
-	At      uint64 `json:"at"`
+	Index   uint64 `json:"at"`
 }
 
 // State is the ledger. It is not safe for use by several goroutines.
 type State struct {
-	limits   Limits
-	index    uint64 // of the last command
-	records  map[string]*Record
-	bound    map[uint64]map[string]bool // names by session
-	sessions map[uint64]Session
-	bytes    int
-	callers  map[string]done
-	changes  []Change
-	from     uint64 // the version that changes follow
-	units    *budget.State
+	limits       Limits
+	index        uint64 // of the last command
+	records      map[string]*Record
+	bound        map[uint64]map[string]bool // names by session
+	sessions     map[uint64]Session
+	bytes        int
+	callers      map[string]completedRequest
+	changes      []Change
+	historyStart uint64 // the version that changes follow
+	units        *budget.State
 }
 
 // New returns an empty ledger.
 func New(limits Limits) *State {
-	return &State{limits: limits, records: map[string]*Record{}, bound: map[uint64]map[string]bool{}, sessions: map[uint64]Session{}, callers: map[string]done{}, units: budget.New()}
+	return &State{limits: limits, records: map[string]*Record{}, bound: map[uint64]map[string]bool{}, sessions: map[uint64]Session{}, callers: map[string]completedRequest{}, units: budget.New()}
 }
 
 // Check finds what no ledger would take, so that it need not be agreed on.
 func (c Command) Check(limits Limits) error {
 	switch {
-	case len(c.Caller) > mostName:
-		return fmt.Errorf("caller: %d bytes are over %d", len(c.Caller), mostName)
+	case len(c.Caller) > maxNameBytes:
+		return fmt.Errorf("caller: %d bytes are over %d", len(c.Caller), maxNameBytes)
 	case c.Caller != "" && c.Request == 0:
 		return errors.New("request: a caller numbers its requests from 1")
 	case c.Op == Open:
-		if ttl := time.Duration(c.TTLMs) * time.Millisecond; ttl < LeastTTL || ttl > MostTTL {
-			return fmt.Errorf("ttlMs: %v is not from %v to %v", ttl, LeastTTL, MostTTL)
+		if ttl := time.Duration(c.TTLMs) * time.Millisecond; ttl < MinTTL || ttl > MaxTTL {
+			return fmt.Errorf("ttlMs: %v is not from %v to %v", ttl, MinTTL, MaxTTL)
 		}
 		return nil
 	case c.Op == End:
@@ -168,8 +168,8 @@
 		return c.Units.Check()
 	case c.Op != Put && c.Op != Delete:
 		return fmt.Errorf("op: %.80q is not put, delete, open, end or budget", c.Op)
-	case c.Name == "" || len(c.Name) > mostName || strings.ContainsFunc(c.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }):
-		return fmt.Errorf("name: %.80q is not from 1 to %d bytes without blanks", c.Name, mostName)
+	case c.Name == "" || len(c.Name) > maxNameBytes || strings.ContainsFunc(c.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }):
+		return fmt.Errorf("name: %.80q is not from 1 to %d bytes without blanks", c.Name, maxNameBytes)
 	case c.Op == Put && !json.Valid(c.Value):
 		return errors.New("value: it is not JSON")
 	case len(c.Value) > limits.Value:
@@ -190,27 +190,27 @@
 			return Result{Code: Stale, Text: fmt.Sprintf("request %d of %s has been done, this is %d", last.Request, c.Caller, c.Request)}
 		}
 	}
-	r := s.do(index, c)
+	r := s.execute(index, c)
 	if c.Caller != "" && r.Code != Invalid {
-		s.callers[c.Caller] = done{c.Request, r, index}
-		s.forget()
+		s.callers[c.Caller] = completedRequest{c.Request, r, index}
+		s.evictCallers()
 	}
 	return r
 }
 
 // forget drops callers beyond the limit, those that have asked longest ago.
-func (s *State) forget() {
+func (s *State) evictCallers() {
 	if len(s.callers) <= s.limits.Callers {
 		return
 	}
 	// A tenth at once, so that not every call looks for the oldest.
-	all := slices.SortedFunc(maps.Keys(s.callers), func(a, b string) int { return cmp.Compare(s.callers[a].At, s.callers[b].At) })
+	all := slices.SortedFunc(maps.Keys(s.callers), func(a, b string) int { return cmp.Compare(s.callers[a].Index, s.callers[b].Index) })
 	for _, caller := range all[:1+len(all)/10] {
 		delete(s.callers, caller)
 	}
 }
 
-func (s *State) do(index uint64, c Command) Result {
+func (s *State) execute(index uint64, c Command) Result {
 	if err := c.Check(s.limits); err != nil {
 		return Result{Code: Invalid, Text: err.Error()}
 	}
@@ -229,10 +229,10 @@
 			s.remove(index, name)
 		}
 		delete(s.sessions, c.Session)
-		s.units.SessionOver(index, c.Session)
+		s.units.SessionEnded(index, c.Session)
 		return Result{}
 	case Budget:
-		p, err := s.units.Do(index, *c.Units, func(id uint64) bool { _, open := s.sessions[id]; return open })
+		p, err := s.units.Apply(index, *c.Units, func(id uint64) bool { _, open := s.sessions[id]; return open })
 		if err != nil {
 			return Result{Code: Refused, Text: err.Error()}
 		}
@@ -265,7 +265,7 @@
 	s.unbind(have)
 	s.put(next)
 	s.bytes -= size
-	s.remember(Change{Record: *next})
+	s.appendChange(Change{Record: *next})
 	return Result{Version: index}
 }
 
@@ -296,13 +296,13 @@
 	s.unbind(r)
 	s.bytes -= r.size()
 	delete(s.records, name)
-	s.remember(Change{Record{Name: name, Version: index}, true})
+	s.appendChange(Change{Record{Name: name, Version: index}, true})
 }
 
 // remember puts a change into the history, which forgets the oldest for it.
-func (s *State) remember(c Change) {
+func (s *State) appendChange(c Change) {
 	if s.changes = append(s.changes, c); len(s.changes) > s.limits.History {
-		s.from = s.changes[0].Version
+		s.historyStart = s.changes[0].Version
 		s.changes[0] = Change{}
 		s.changes = s.changes[1:]
 	}
@@ -338,7 +338,7 @@
 // Since returns what has changed behind a place in the order, the last state of each
 // record, if the history goes back so far.
 func (s *State) Since(index uint64, prefix string) (changes []Change, known bool) {
-	if index < s.from {
+	if index < s.historyStart {
 		return nil, false
 	}
 	seen := map[string]bool{}
@@ -366,12 +366,12 @@
 }
 
 // saved is one line of a snapshot; one of its parts is set.
-type saved struct {
-	Index   *uint64  `json:"index,omitempty"`
-	Record  *Record  `json:"record,omitempty"`
-	Session *Session `json:"session,omitempty"`
-	Caller  string   `json:"caller,omitempty"`
-	Done    *done    `json:"done,omitempty"`
+type snapshotLine struct {
+	Index   *uint64           `json:"index,omitempty"`
+	Record  *Record           `json:"record,omitempty"`
+	Session *Session          `json:"session,omitempty"`
+	Caller  string            `json:"caller,omitempty"`
+	Done    *completedRequest `json:"done,omitempty"`
 
 	Units json.RawMessage `json:"units,omitempty"`
 }
@@ -380,26 +380,26 @@
 // restart is told everything.
 func (s *State) Save() [][]byte {
 	var all [][]byte
-	add := func(l saved) {
+	add := func(l snapshotLine) {
 		text, err := json.Marshal(l)
 		if err != nil {
 			panic(err) // of plain fields, and values that are JSON
 		}
 		all = append(all, text)
 	}
-	add(saved{Index: &s.index})
+	add(snapshotLine{Index: &s.index})
 	for _, x := range s.Sessions() {
-		add(saved{Session: &x})
+		add(snapshotLine{Session: &x})
 	}
 	for _, r := range s.List("") {
-		add(saved{Record: &r})
+		add(snapshotLine{Record: &r})
 	}
 	for _, caller := range slices.Sorted(maps.Keys(s.callers)) {
 		d := s.callers[caller]
-		add(saved{Caller: caller, Done: &d})
+		add(snapshotLine{Caller: caller, Done: &d})
 	}
 	for _, l := range s.units.Save() {
-		add(saved{Units: l})
+		add(snapshotLine{Units: l})
 	}
 	return all
 }
@@ -408,13 +408,13 @@
 func (s *State) Restore(lines [][]byte) error {
 	next := New(s.limits)
 	for n, text := range lines {
-		var l saved
+		var l snapshotLine
 		if err := json.Unmarshal(text, &l); err != nil {
 			return fmt.Errorf("ledger: line %d of a snapshot: %w", n+1, err)
 		}
 		switch {
 		case l.Index != nil:
-			next.index, next.from = *l.Index, *l.Index
+			next.index, next.historyStart = *l.Index, *l.Index
 		case l.Session != nil:
 			next.sessions[l.Session.ID] = *l.Session
 		case l.Record != nil:
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 type model struct {
 	records  map[string]Record
 	sessions map[uint64]Session
-	done     map[string]done
+	done     map[string]completedRequest
 	history  []Change
 }
 
@@ -30,7 +30,7 @@
 		case known && c.Request < last.Request:
 			return Result{Code: Stale}
 		}
-		defer func() { m.done[c.Caller] = done{c.Request, r, index} }()
+		defer func() { m.done[c.Caller] = completedRequest{c.Request, r, index} }()
 	}
 	have := m.records[c.Name]
 	gone := func(name string) {
@@ -84,7 +84,7 @@
 	limits := Limits{Records: 4, Sessions: 3, Bytes: 60, Value: 30, Callers: 100, History: 6}
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(limits)
-		m := &model{records: map[string]Record{}, sessions: map[uint64]Session{}, done: map[string]done{}}
+		m := &model{records: map[string]Record{}, sessions: map[uint64]Session{}, done: map[string]completedRequest{}}
 		watched, at := map[string]Record{}, uint64(0)
 		var index uint64
 		var last Command
@@ -148,7 +148,7 @@
 					}
 				}
 				for _, c := range changes {
-					if watched[c.Name] = c.Record; c.Gone {
+					if watched[c.Name] = c.Record; c.Deleted {
 						delete(watched, c.Name)
 					}
 				}
@@ -176,7 +176,7 @@
 	for n := range uint64(100) {
 		s.Apply(n+1, Command{Op: Open, TTLMs: 2000, Caller: fmt.Sprint(n), Request: 1})
 	}
-	if st := s.Stats(); st.Callers > 20 || st.Callers < 15 || s.callers["99"].At != 100 || s.callers["0"].At != 0 {
+	if st := s.Stats(); st.Callers > 20 || st.Callers < 15 || s.callers["99"].Index != 100 || s.callers["0"].Index != 0 {
 		t.Errorf("%+v", st)
 	}
 	for _, c := range []Command{{}, {Op: "steal"}, {Op: Put, Name: "a"}, {Op: Put, Name: "a", Value: []byte("{")}, {Op: Put, Name: "a b", Value: []byte("1")},
@@ -195,21 +195,23 @@
 func TestSessions(t *testing.T) {
 	early := false
 	play := func(t *rapid.T, margin bool) (ended, held time.Duration) {
-		drift := func(name string) float64 { return rapid.Float64Range(1-Drift/2, 1+Drift/2).Draw(t, name) } // of two clocks, from the time
+		drift := func(name string) float64 {
+			return rapid.Float64Range(1-MaxClockDrift/2, 1+MaxClockDrift/2).Draw(t, name)
+		} // of two clocks, from the time
 		holders := drift("holder's")
 		s := Session{ID: 7, TTLMs: 2000}
-		var h Holding
+		var h HeldLease
 		var l Leases
 		writers := drift("writer's")
 		clock := func(now time.Duration, rate float64) time.Duration { return time.Duration(float64(now) * rate) }
 		renew := func(now time.Duration) {
 			if l.Renew(now, s); !margin {
-				l.ends[s.ID] = now + s.TTL()
+				l.deadlines[s.ID] = now + s.TTL()
 			}
 		}
 		now := time.Duration(0)
-		h.Opened(clock(now, holders), s)
-		l.Begin(clock(now, writers), nil)
+		h.Renewed(clock(now, holders), s)
+		l.Reset(clock(now, writers), nil)
 		renew(clock(now, writers))
 		for range rapid.IntRange(0, 20).Draw(t, "renewals") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
@@ -219,21 +221,21 @@
 				renew(clock(now, writers))
 			case 1: // another writes from now on
 				writers = drift("next writer's")
-				l.Begin(clock(now, writers), []Session{s})
+				l.Reset(clock(now, writers), []Session{s})
 			case 2:
 				now += time.Duration(rapid.IntRange(0, 300).Draw(t, "late")) * time.Millisecond
-				if len(l.Over(clock(now, writers), []Session{s})) == 0 {
+				if len(l.Expired(clock(now, writers), []Session{s})) == 0 {
 					renew(clock(now, writers))
-					h.Opened(asked, s)
+					h.Renewed(asked, s)
 				}
 			}
-			if len(l.Over(clock(now, writers), []Session{s})) > 0 {
+			if len(l.Expired(clock(now, writers), []Session{s})) > 0 {
 				break
 			}
 		}
-		for ; len(l.Over(clock(now, writers), []Session{s})) == 0; now += time.Millisecond {
+		for ; len(l.Expired(clock(now, writers), []Session{s})) == 0; now += time.Millisecond {
 		}
-		return now, time.Duration(float64(h.until) / holders)
+		return now, time.Duration(float64(h.validUntil) / holders)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		if ended, held := play(t, true); held > ended {
--- a/internal/registry/agreed.go
+++ b/internal/registry/agreed.go
@@ -137,7 +137,7 @@
 }
 
 // Sights are what records of the list say of backends.
-func (s *Server) Sights(records [][]byte) (all []budget.Sight) {
+func (s *Server) BackendStates(records [][]byte) (all []budget.BackendState) {
 	for _, text := range records {
 		r, err := ParseSaved(text)
 		if err != nil || r.Change == nil {
@@ -189,7 +189,7 @@
 
 // Renew begins a history in place of the one that the list is in. Readers take its whole
 // list anew: of the one before, they may have seen what is lost.
-func (s *Server) Renew() error {
+func (s *Server) StartHistory() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.store.history == "" {
@@ -216,11 +216,11 @@
 	if err := s.RestoreList(lines); err != nil || from.writes {
 		return false, err
 	}
-	return true, s.Renew()
+	return true, s.StartHistory()
 }
 
 // AllSights are how the list has all its backends.
-func (s *Server) AllSights() (all []budget.Sight) {
+func (s *Server) AllBackendStates() (all []budget.BackendState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(s.store.entries)) {
@@ -229,8 +229,8 @@
 	return all
 }
 
-func sightOf(i Instance) budget.Sight {
-	return budget.Sight{ID: i.ID, Zone: i.Zone, Weight: i.Weight, Life: strconv.FormatInt(i.StartedAtMs, 10), Ready: i.Lifecycle == Ready}
+func sightOf(i Instance) budget.BackendState {
+	return budget.BackendState{ID: i.ID, Zone: i.Zone, Weight: i.Weight, Incarnation: strconv.FormatInt(i.StartedAtMs, 10), Ready: i.Lifecycle == Ready}
 }
 
 // refuseElsewhere turns away what only the writer does. The caller has the lock.
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -146,7 +146,7 @@
 					}
 				}
 				if c.snapshot {
-					if err := writeSnapshot(log, log.Last(), store.Save()); err != nil {
+					if err := writeSnapshot(log, log.LastSequence(), store.Save()); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -160,7 +160,7 @@
 					}
 					st := log.Stats()
 					b.ReportMetric(float64(st.Bytes+st.SnapshotBytes), "bytes_read")
-					b.ReportMetric(float64(st.Recovery.Took.Microseconds()), "us_recovery")
+					b.ReportMetric(float64(st.Recovery.Duration.Microseconds()), "us_recovery")
 					log.Close()
 				}
 			})
--- a/internal/registry/control.go
+++ b/internal/registry/control.go
@@ -87,10 +87,10 @@
 		if !k.SnapshotAt.IsZero() {
 			since = time.Since(k.SnapshotAt).Milliseconds()
 		}
-		lines = append(lines, line{"data.syncs", k.Syncs, "c"}, line{"data.sync_us", k.Wait.Microseconds(), "c"}, line{"data.longest_sync_us", k.LongestWait.Microseconds(), "g"},
-			line{"data.records", k.Records, "c"}, line{"data.no_room", k.NoRoom, "c"}, line{"data.bytes", k.Bytes, "g"}, line{"data.segments", int64(k.Segments), "g"},
-			line{"data.snapshot_bytes", k.SnapshotBytes, "g"}, line{"data.snapshot_age_ms", since, "g"}, line{"data.recovery_us", k.Recovery.Took.Microseconds(), "g"},
-			line{"data.cut_bytes", k.Recovery.CutBytes, "g"})
+		lines = append(lines, line{"data.syncs", k.Syncs, "c"}, line{"data.sync_us", k.SyncDuration.Microseconds(), "c"}, line{"data.longest_sync_us", k.MaxSyncDuration.Microseconds(), "g"},
+			line{"data.records", k.Records, "c"}, line{"data.no_room", k.NoSpace, "c"}, line{"data.bytes", k.Bytes, "g"}, line{"data.segments", int64(k.Segments), "g"},
+			line{"data.snapshot_bytes", k.SnapshotBytes, "g"}, line{"data.snapshot_age_ms", since, "g"}, line{"data.recovery_us", k.Recovery.Duration.Microseconds(), "g"},
+			line{"data.cut_bytes", k.Recovery.TruncatedBytes, "g"})
 	}
 	for _, l := range lines {
 		fmt.Fprintf(w, "registry.%s:%d|%s\n", l.name, l.n, l.kind)
--- a/internal/registry/keeper.go
+++ b/internal/registry/keeper.go
@@ -57,16 +57,16 @@
 		return store.Restore(now, r)
 	}
 	const segments = 16 // files that the log is in, about, when it is full
-	log, err := wal.Open(fs, wal.Options{Kind: WALKind, Segment: max(2*batchBytes, most/segments), Most: most},
+	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(2*batchBytes, most/segments), MaxBytes: most},
 		wal.Visitor{Snapshot: restore, Record: func(_ uint64, text []byte) error { return restore(text) }})
 	if err != nil {
 		return nil, nil, err
 	}
 	r := log.Stats().Recovery
-	slog.Info("data read", "took", r.Took, "snapshot", r.Snapshot, "snapshot_records", r.SnapshotRecords, "records", r.Records, "bytes", r.Bytes+r.SnapshotBytes,
+	slog.Info("data read", "took", r.Duration, "snapshot", r.Snapshot, "snapshot_records", r.SnapshotRecords, "records", r.Records, "bytes", r.Bytes+r.SnapshotBytes,
 		"history", store.history, "version", store.version, "instances", len(store.entries), "closed", r.Closed)
-	if r.CutBytes > 0 {
-		slog.Warn("a torn end was cut", "file", r.CutFile, "at", r.CutAt, "bytes", r.CutBytes)
+	if r.TruncatedBytes > 0 {
+		slog.Warn("a torn end was cut", "file", r.TruncatedFile, "at", r.TruncatedAt, "bytes", r.TruncatedBytes)
 	}
 	if !any {
 		return log, nil, nil
@@ -214,7 +214,7 @@
 		close(c.done)
 	}
 	if err != nil {
-		if !errors.Is(err, wal.ErrNoRoom) && !errors.Is(err, errNotAgreed) {
+		if !errors.Is(err, wal.ErrNoSpace) && !errors.Is(err, errNotAgreed) {
 			for _, c := range later {
 				c.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
 				close(c.done)
@@ -232,12 +232,12 @@
 
 // snapshot begins to write one, if it is due and none is being written.
 func (k *keeper) snapshot() {
-	if k.log == nil || !k.log.Due() || time.Now().Before(k.again) {
+	if k.log == nil || !k.log.SnapshotDue() || time.Now().Before(k.again) {
 		return
 	}
 	k.again = time.Now().Add(time.Hour) // until this one has ended
 	k.s.mu.Lock()
-	all, sequence := k.s.store.Save(), k.log.Last()
+	all, sequence := k.s.store.Save(), k.log.LastSequence()
 	k.s.mu.Unlock()
 	k.s.wg.Go(func() { k.snap <- writeSnapshot(k.log, sequence, all) })
 }
@@ -274,8 +274,8 @@
 	if err != nil {
 		return wal.Stats{}, err
 	}
-	if store != nil && log.Last() > log.Stats().Snapshot {
-		err = writeSnapshot(log, log.Last(), store.Save())
+	if store != nil && log.LastSequence() > log.Stats().Snapshot {
+		err = writeSnapshot(log, log.LastSequence(), store.Save())
 	}
 	st := log.Stats()
 	return st, errors.Join(err, log.Close())
--- a/internal/registry/keeper_test.go
+++ b/internal/registry/keeper_test.go
@@ -374,8 +374,8 @@
 				case 3:
 					store.Tick(now)
 				case 4:
-					if random.IntN(4) == 0 && log.Last() > log.Stats().Snapshot && len(store.staged) == 0 {
-						if err := writeSnapshot(log, log.Last(), store.Save()); err != nil {
+					if random.IntN(4) == 0 && log.LastSequence() > log.Stats().Snapshot && len(store.staged) == 0 {
+						if err := writeSnapshot(log, log.LastSequence(), store.Save()); err != nil {
 							t.Fatal(err)
 						}
 					}
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -20,31 +20,33 @@
 // a log's frames only the last can be torn, and it holds nothing that anybody was
 // told of. A frame without records ends a file that was closed.
 const (
-	format      = 1
-	headerBytes = 32
-	frameBytes  = 20
-	mostFrame   = 8 << 20 // bytes of a body
+	format           = 1
+	headerBytes      = 32
+	frameHeaderBytes = 20
+	maxFrameBytes    = 8 << 20 // bytes of a body
 )
 
 var (
-	logMagic   = [8]byte{'d', 'l', 'n', 't', '-', 'l', 'o', 'g'}
-	snapMagic  = [8]byte{'d', 'l', 'n', 't', '-', 's', 'n', 'p'}
-	castagnoli = crc32.MakeTable(crc32.Castagnoli)
+	logMagic      = [8]byte{'d', 'l', 'n', 't', '-', 'l', 'o', 'g'}
+	snapshotMagic = [8]byte{'d', 'l', 'n', 't', '-', 's', 'n', 'p'}
+	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // Damage is a part of a file that is not as it was written.
-type Damage struct {
-	File   string
-	Offset int64
-	Text   string
+type DamageError struct {
+	File    string
+	Offset  int64
+	Problem string
 }
 
-func (d *Damage) Error() string { return fmt.Sprintf("%s at byte %d: %s", d.File, d.Offset, d.Text) }
+func (d *DamageError) Error() string {
+	return fmt.Sprintf("%s at byte %d: %s", d.File, d.Offset, d.Problem)
+}
 
 // errFormat is a file of a program that is newer than this one.
-var errFormat = errors.New("of a later format than this program knows")
+var errNewerFormat = errors.New("of a later format than this program knows")
 
-func header(magic [8]byte, kind string, number uint64) []byte {
+func encodeHeader(magic [8]byte, kind string, number uint64) []byte {
 	b := make([]byte, 0, headerBytes)
 	b = append(b, magic[:]...)
 	b = binary.LittleEndian.AppendUint16(b, format)
@@ -53,7 +55,7 @@
 	copy(k[:], kind)
 	b = append(b, k[:]...)
 	b = binary.LittleEndian.AppendUint64(b, number)
-	return appendSum(b)
+	return appendChecksum(b)
 }
 
 // parseHeader reads a header. An error of another kind or format is final; any
@@ -69,17 +71,17 @@
 		return 0, errors.New("not such a file")
 	}
 	if binary.LittleEndian.Uint16(b[8:]) != format {
-		return 0, errFormat
+		return 0, errNewerFormat
 	}
 	if have := string(bytes.TrimRight(b[12:20], "\x00")); have != kind {
-		return 0, &wrongKind{have, kind}
+		return 0, &wrongKindError{have, kind}
 	}
 	return binary.LittleEndian.Uint64(b[20:]), nil
 }
 
-type wrongKind struct{ have, want string }
+type wrongKindError struct{ have, want string }
 
-func (w *wrongKind) Error() string {
+func (w *wrongKindError) Error() string {
 	return fmt.Sprintf("the folder is of %q, not of %q", w.have, w.want)
 }
 
@@ -111,60 +113,60 @@
 	size    int64
 }
 
-var errFrame = errors.New("no whole frame")
+var errInvalidFrame = errors.New("no whole frame")
 
 // readFrame reads the next frame. io.EOF is the end of the file, errFrame what is
 // no frame; any other error is the file system's.
 func readFrame(in *bufio.Reader) (frame, error) {
-	var head [frameBytes]byte
+	var head [frameHeaderBytes]byte
 	switch _, err := io.ReadFull(in, head[:]); {
 	case err == io.EOF:
 		return frame{}, io.EOF
 	case err == io.ErrUnexpectedEOF:
-		return frame{}, errFrame
+		return frame{}, errInvalidFrame
 	case err != nil:
 		return frame{}, err
 	}
 	length := binary.LittleEndian.Uint32(head[:])
 	count := binary.LittleEndian.Uint32(head[12:])
-	if length > mostFrame || count > length/4 {
-		return frame{}, errFrame
+	if length > maxFrameBytes || count > length/4 {
+		return frame{}, errInvalidFrame
 	}
 	body := make([]byte, length)
 	switch _, err := io.ReadFull(in, body); {
 	case err == io.EOF || err == io.ErrUnexpectedEOF:
-		return frame{}, errFrame
+		return frame{}, errInvalidFrame
 	case err != nil:
 		return frame{}, err
 	}
-	sum := crc32.Update(crc32.Checksum(head[:frameBytes-4], castagnoli), castagnoli, body)
-	if sum != binary.LittleEndian.Uint32(head[frameBytes-4:]) {
-		return frame{}, errFrame
+	sum := crc32.Update(crc32.Checksum(head[:frameHeaderBytes-4], castagnoli), castagnoli, body)
+	if sum != binary.LittleEndian.Uint32(head[frameHeaderBytes-4:]) {
+		return frame{}, errInvalidFrame
 	}
-	f := frame{first: binary.LittleEndian.Uint64(head[4:]), size: frameBytes + int64(length)}
+	f := frame{first: binary.LittleEndian.Uint64(head[4:]), size: frameHeaderBytes + int64(length)}
 	for range count {
 		if len(body) < 4 || uint32(len(body)-4) < binary.LittleEndian.Uint32(body) {
-			return frame{}, errFrame
+			return frame{}, errInvalidFrame
 		}
 		n := 4 + binary.LittleEndian.Uint32(body)
 		f.records = append(f.records, body[4:n:n])
 		body = body[n:]
 	}
 	if len(body) > 0 {
-		return frame{}, errFrame
+		return frame{}, errInvalidFrame
 	}
 	return f, nil
 }
 
 // anyFrame says whether a frame that is not before sequence begins anywhere in
 // what is left of a file.
-func anyFrame(rest []byte, sequence uint64) bool {
-	for at := 0; at+frameBytes <= len(rest); at++ {
+func containsFrame(rest []byte, sequence uint64) bool {
+	for at := 0; at+frameHeaderBytes <= len(rest); at++ {
 		length := binary.LittleEndian.Uint32(rest[at:])
-		if length > mostFrame || int(length) > len(rest)-at-frameBytes || binary.LittleEndian.Uint64(rest[at+4:]) < sequence {
+		if length > maxFrameBytes || int(length) > len(rest)-at-frameHeaderBytes || binary.LittleEndian.Uint64(rest[at+4:]) < sequence {
 			continue
 		}
-		if f, err := readFrame(bufio.NewReader(bytes.NewReader(rest[at : at+frameBytes+int(length)]))); err == nil && f.first >= sequence {
+		if f, err := readFrame(bufio.NewReader(bytes.NewReader(rest[at : at+frameHeaderBytes+int(length)]))); err == nil && f.first >= sequence {
 			return true
 		}
 	}
@@ -172,6 +174,6 @@
 }
 
 // appendSum puts the checksum behind what it is of.
-func appendSum(b []byte) []byte {
+func appendChecksum(b []byte) []byte {
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -13,17 +13,17 @@
 
 // Names of the files in a folder.
 const (
-	lockName   = "lock"
-	logSuffix  = ".log"
-	snapSuffix = ".snap"
-	tempSuffix = ".tmp"
+	lockName       = "lock"
+	logSuffix      = ".log"
+	snapshotSuffix = ".snap"
+	tempSuffix     = ".tmp"
 )
 
-func logName(first uint64) string { return fmt.Sprintf("%016x%s", first, logSuffix) }
-func snapName(seq uint64) string  { return fmt.Sprintf("%016x%s", seq, snapSuffix) }
+func logName(first uint64) string    { return fmt.Sprintf("%016x%s", first, logSuffix) }
+func snapshotName(seq uint64) string { return fmt.Sprintf("%016x%s", seq, snapshotSuffix) }
 
 // number reads a name that logName or snapName has made.
-func number(name, suffix string) (uint64, bool) {
+func parseName(name, suffix string) (uint64, bool) {
 	var n uint64
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(digits) != 16 {
@@ -52,14 +52,14 @@
 	Bytes           int64
 	Last            uint64 // sequence
 	Closed          bool   // the log was closed, not cut off
-	CutFile         string // a torn end was cut here; empty: none was
-	CutAt           int64
-	CutBytes        int64
-	Dropped         []string // files that a crash had left and nobody needs
-	Took            time.Duration
+	TruncatedFile   string // a torn end was cut here; empty: none was
+	TruncatedAt     int64
+	TruncatedBytes  int64
+	ObsoleteFiles   []string // files that a crash had left and nobody needs
+	Duration        time.Duration
 
-	segments []segment
-	snaps    []uint64
+	segments  []segment
+	snapshots []uint64
 }
 
 // segment is one file of the log.
@@ -81,17 +81,17 @@
 	r := &Recovery{}
 	var logs, snaps []uint64
 	for _, name := range names {
-		if n, ok := number(name, logSuffix); ok {
+		if n, ok := parseName(name, logSuffix); ok {
 			logs = append(logs, n)
-		} else if n, ok := number(name, snapSuffix); ok {
+		} else if n, ok := parseName(name, snapshotSuffix); ok {
 			snaps = append(snaps, n)
 		} else if strings.HasSuffix(name, tempSuffix) {
-			r.Dropped = append(r.Dropped, name)
+			r.ObsoleteFiles = append(r.ObsoleteFiles, name)
 		} else if name != lockName {
 			return nil, fmt.Errorf("%s: no file of a log; is this another program's folder?", name)
 		}
 	}
-	r.snaps = snaps
+	r.snapshots = snaps
 	if len(snaps) > 0 {
 		r.Snapshot = snaps[len(snaps)-1]
 		if err := r.readSnapshot(fs, kind, v); err != nil {
@@ -103,26 +103,26 @@
 		newest := i == len(logs)-1
 		if !newest && logs[i+1] <= r.Snapshot+1 {
 			// The snapshot has all of it, and a crash came before its removal.
-			r.Dropped = append(r.Dropped, logName(first))
+			r.ObsoleteFiles = append(r.ObsoleteFiles, logName(first))
 			continue
 		}
 		if first > r.Last+1 {
-			return nil, &Damage{logName(first), 0, fmt.Sprintf("the records from %d to %d are missing", r.Last+1, first-1)}
+			return nil, &DamageError{logName(first), 0, fmt.Sprintf("the records from %d to %d are missing", r.Last+1, first-1)}
 		}
 		if err := r.readSegment(fs, kind, first, newest, v); err != nil {
 			return nil, err
 		}
 	}
 	for _, n := range snaps[:max(0, len(snaps)-1)] {
-		r.Dropped = append(r.Dropped, snapName(n))
+		r.ObsoleteFiles = append(r.ObsoleteFiles, snapshotName(n))
 	}
 	r.Segments = len(r.segments)
-	r.Took = time.Since(began)
+	r.Duration = time.Since(began)
 	return r, nil
 }
 
 func (r *Recovery) readSnapshot(fs FS, kind string, v Visitor) error {
-	name := snapName(r.Snapshot)
+	name := snapshotName(r.Snapshot)
 	f, err := fs.Open(name)
 	if err != nil {
 		return err
@@ -132,24 +132,24 @@
 	var head [headerBytes]byte
 	if n, err := io.ReadFull(in, head[:]); err != nil && err != io.EOF && err != io.ErrUnexpectedEOF {
 		return err
-	} else if seq, err := parseHeader(head[:n], snapMagic, kind); err != nil {
+	} else if seq, err := parseHeader(head[:n], snapshotMagic, kind); err != nil {
 		return headerError(name, err)
 	} else if seq != r.Snapshot {
-		return &Damage{name, 20, "its name is of another snapshot"}
+		return &DamageError{name, 20, "its name is of another snapshot"}
 	}
 	r.SnapshotBytes = headerBytes
 	for {
 		f, err := readFrame(in)
 		switch {
-		case err == io.EOF || err == errFrame || err == nil && f.first != uint64(r.SnapshotRecords):
-			return &Damage{name, r.SnapshotBytes, "the snapshot does not go on here"}
+		case err == io.EOF || err == errInvalidFrame || err == nil && f.first != uint64(r.SnapshotRecords):
+			return &DamageError{name, r.SnapshotBytes, "the snapshot does not go on here"}
 		case err != nil:
 			return err
 		}
 		r.SnapshotBytes += f.size
 		if len(f.records) == 0 { // its end
 			if _, err := in.ReadByte(); err != io.EOF {
-				return &Damage{name, r.SnapshotBytes, "something stands behind the end"}
+				return &DamageError{name, r.SnapshotBytes, "something stands behind the end"}
 			}
 			return nil
 		}
@@ -164,11 +164,11 @@
 
 // headerError tells a header that is not to be read from one that is damaged.
 func headerError(name string, err error) error {
-	var kind *wrongKind
-	if errors.As(err, &kind) || errors.Is(err, errFormat) {
+	var kind *wrongKindError
+	if errors.As(err, &kind) || errors.Is(err, errNewerFormat) {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	return &Damage{name, 0, err.Error()}
+	return &DamageError{name, 0, err.Error()}
 }
 
 func (r *Recovery) readSegment(fs FS, kind string, first uint64, newest bool, v Visitor) error {
@@ -187,8 +187,8 @@
 	s := segment{first: first, last: first - 1, size: headerBytes}
 	number, err := parseHeader(head[:n], logMagic, kind)
 	if err != nil {
-		var wrong *wrongKind
-		if !newest || errors.As(err, &wrong) || errors.Is(err, errFormat) {
+		var wrong *wrongKindError
+		if !newest || errors.As(err, &wrong) || errors.Is(err, errNewerFormat) {
 			return headerError(name, err)
 		}
 		// The header lasts before anything is written behind it. If nothing is, the
@@ -197,32 +197,32 @@
 		if err != nil {
 			return err
 		}
-		if anyFrame(rest, first) {
-			return &Damage{name, 0, "the header is damaged"}
+		if containsFrame(rest, first) {
+			return &DamageError{name, 0, "the header is damaged"}
 		}
-		r.CutFile, r.CutAt, r.CutBytes = name, 0, int64(len(rest))
-		r.Dropped = append(r.Dropped, name)
+		r.TruncatedFile, r.TruncatedAt, r.TruncatedBytes = name, 0, int64(len(rest))
+		r.ObsoleteFiles = append(r.ObsoleteFiles, name)
 		return nil
 	}
 	if number != first {
-		return &Damage{name, 20, "its name is of another part of the log"}
+		return &DamageError{name, 20, "its name is of another part of the log"}
 	}
 	for {
 		f, err := readFrame(in)
 		if err == io.EOF {
 			if !newest && !s.ended {
-				return &Damage{name, s.size, "this part of the log has no end"}
+				return &DamageError{name, s.size, "this part of the log has no end"}
 			}
 			break
 		}
-		if err != nil && err != errFrame {
+		if err != nil && err != errInvalidFrame {
 			return err
 		}
 		if err == nil && (s.ended || f.first != s.last+1) {
-			return &Damage{name, s.size, "a frame stands here that does not belong here"}
+			return &DamageError{name, s.size, "a frame stands here that does not belong here"}
 		}
-		if err == errFrame {
-			if err := r.tear(fs, name, newest, &s); err != nil {
+		if err == errInvalidFrame {
+			if err := r.checkTornEnd(fs, name, newest, &s); err != nil {
 				return err
 			}
 			break
@@ -249,7 +249,7 @@
 
 // tear decides what to think of a file that does not go on as it should: a torn
 // end of the newest is cut, everything else is damage.
-func (r *Recovery) tear(fs FS, name string, newest bool, s *segment) error {
+func (r *Recovery) checkTornEnd(fs FS, name string, newest bool, s *segment) error {
 	f, err := fs.Open(name)
 	if err != nil {
 		return err
@@ -262,10 +262,10 @@
 	if err != nil {
 		return err
 	}
-	if !newest || s.ended || anyFrame(rest, s.last+1) {
-		return &Damage{name, s.size, fmt.Sprintf("the log does not go on here, and %d bytes stand behind", len(rest))}
+	if !newest || s.ended || containsFrame(rest, s.last+1) {
+		return &DamageError{name, s.size, fmt.Sprintf("the log does not go on here, and %d bytes stand behind", len(rest))}
 	}
-	r.CutFile, r.CutAt, r.CutBytes = name, s.size, int64(len(rest))
+	r.TruncatedFile, r.TruncatedAt, r.TruncatedBytes = name, s.size, int64(len(rest))
 	return nil
 }
 
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -14,21 +14,21 @@
 
 // Options are what a log needs to know.
 type Options struct {
-	Kind    string // whose it is, in 8 bytes at most
-	Segment int64  // bytes of one file of the log
-	Most    int64  // bytes of all files together
+	Kind         string // whose it is, in 8 bytes at most
+	SegmentBytes int64  // bytes of one file of the log
+	MaxBytes     int64  // bytes of all files together
 }
 
 // Parts of Options.Most. An old and a new snapshot may stand beside the log.
 const (
-	logPart  = 2 // a half
-	snapPart = 4 // a quarter, each
+	logDivisor      = 2 // a half
+	snapshotDivisor = 4 // a quarter, each
 )
 
 var (
 	// ErrNoRoom says that nothing was kept, as the disk or the bound is full. It can
 	// be tried again.
-	ErrNoRoom = errors.New("no room on disk")
+	ErrNoSpace = errors.New("no room on disk")
 	// ErrFailed says that the log can't tell any more what is on disk, and takes
 	// nothing until it is opened anew.
 	ErrFailed = errors.New("the log has failed")
@@ -38,44 +38,44 @@
 // Stats are a log's figures.
 type Stats struct {
 	Appends, Records, Syncs int64
-	Wait                    time.Duration // in syncs, all together
-	LongestWait             time.Duration
+	SyncDuration            time.Duration // in syncs, all together
+	MaxSyncDuration         time.Duration
 	Bytes                   int64 // of the log's files
 	Segments                int
 	Snapshot                uint64 // the newest one's sequence
 	SnapshotBytes           int64
 	SnapshotAt              time.Time // zero: before this process
-	NoRoom                  int64
+	NoSpace                 int64
 	Recovery                Recovery
 }
 
 // Log is an open log, for use by several goroutines. One snapshot is written at a
 // time, and appends go on beside it.
 type Log struct {
-	fs      FS
-	o       Options
-	unlock  io.Closer
-	mu      sync.Mutex // of what follows
-	file    File       // the newest segment
-	all     []segment  // the newest last
-	snaps   []uint64
-	last    uint64 // sequence
-	failed  error
-	stats   Stats
-	scratch []byte
+	fs           FS
+	options      Options
+	lock         io.Closer
+	mu           sync.Mutex // of what follows
+	file         File       // the newest segment
+	segments     []segment  // the newest last
+	snapshots    []uint64
+	lastSequence uint64 // sequence
+	err          error
+	stats        Stats
+	scratch      []byte
 }
 
 // Open reads a folder, gives what it holds to the visitor, and goes on from there.
 // A torn end is cut. Damage is an error, and nothing has been changed then.
 func Open(fs FS, o Options, v Visitor) (*Log, error) {
-	if len(o.Kind) == 0 || len(o.Kind) > 8 || o.Segment < headerBytes+frameBytes || o.Most < 2*o.Segment {
+	if len(o.Kind) == 0 || len(o.Kind) > 8 || o.SegmentBytes < headerBytes+frameHeaderBytes || o.MaxBytes < 2*o.SegmentBytes {
 		return nil, fmt.Errorf("wal: options %+v make no log", o)
 	}
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{fs: fs, o: o, unlock: unlock}
+	l := &Log{fs: fs, options: o, lock: unlock}
 	if err := l.open(v); err != nil {
 		unlock.Close()
 		return nil, err
@@ -84,13 +84,13 @@
 }
 
 func (l *Log) open(v Visitor) error {
-	r, err := scan(l.fs, l.o.Kind, v)
+	r, err := scan(l.fs, l.options.Kind, v)
 	if err != nil {
 		return err
 	}
-	l.all, l.last, l.snaps = r.segments, r.Last, r.snaps
+	l.segments, l.lastSequence, l.snapshots = r.segments, r.Last, r.snapshots
 	l.stats.Recovery, l.stats.Snapshot, l.stats.SnapshotBytes = *r, r.Snapshot, r.SnapshotBytes
-	for _, name := range r.Dropped {
+	for _, name := range r.ObsoleteFiles {
 		if err := l.fs.Remove(name); err != nil {
 			return err
 		}
@@ -99,15 +99,15 @@
 	if err := l.fs.SyncDir(); err != nil {
 		return err
 	}
-	if n := len(l.snaps); n > 1 {
-		l.snaps = l.snaps[n-1:]
+	if n := len(l.snapshots); n > 1 {
+		l.snapshots = l.snapshots[n-1:]
 	}
-	if len(l.all) == 0 {
-		return l.begin()
+	if len(l.segments) == 0 {
+		return l.startSegment()
 	}
-	s := &l.all[len(l.all)-1]
+	s := &l.segments[len(l.segments)-1]
 	if s.ended {
-		s.size, s.ended = s.size-frameBytes, false // it goes on in its place
+		s.size, s.ended = s.size-frameHeaderBytes, false // it goes on in its place
 	}
 	if l.file, err = l.fs.Append(logName(s.first), s.size); err != nil {
 		return err
@@ -117,11 +117,11 @@
 	if err := errors.Join(l.sync(l.file), l.fs.SyncDir()); err != nil {
 		return err
 	}
-	if s.last < l.last { // the snapshot is newer than the log
-		if err := l.end(); err != nil {
+	if s.last < l.lastSequence { // the snapshot is newer than the log
+		if err := l.endSegment(); err != nil {
 			return err
 		}
-		return l.begin()
+		return l.startSegment()
 	}
 	return nil
 }
@@ -132,19 +132,19 @@
 	err := f.Sync()
 	wait := time.Since(began)
 	l.stats.Syncs++
-	l.stats.Wait += wait
-	l.stats.LongestWait = max(l.stats.LongestWait, wait)
+	l.stats.SyncDuration += wait
+	l.stats.MaxSyncDuration = max(l.stats.MaxSyncDuration, wait)
 	return err
 }
 
 // begin makes the next file of the log. The caller has the lock, or is alone.
-func (l *Log) begin() error {
-	name := logName(l.last + 1)
+func (l *Log) startSegment() error {
+	name := logName(l.lastSequence + 1)
 	f, err := l.fs.Create(name)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(header(logMagic, l.o.Kind, l.last+1)); err == nil {
+	if _, err = f.Write(encodeHeader(logMagic, l.options.Kind, l.lastSequence+1)); err == nil {
 		if err = l.sync(f); err == nil {
 			err = l.fs.SyncDir()
 		}
@@ -153,20 +153,20 @@
 		return errors.Join(err, f.Close(), l.fs.Remove(name))
 	}
 	l.file = f
-	l.all = append(l.all, segment{first: l.last + 1, last: l.last, size: headerBytes})
+	l.segments = append(l.segments, segment{first: l.lastSequence + 1, last: l.lastSequence, size: headerBytes})
 	return nil
 }
 
 // end ends the newest file of the log with a frame that says so.
-func (l *Log) end() error {
-	s := &l.all[len(l.all)-1]
+func (l *Log) endSegment() error {
+	s := &l.segments[len(l.segments)-1]
 	if _, err := l.file.Write(appendFrame(nil, s.last+1, nil)); err != nil {
 		return errors.Join(err, l.file.Truncate(s.size))
 	}
 	if err := l.sync(l.file); err != nil {
 		return l.fail(err)
 	}
-	s.size += frameBytes
+	s.size += frameHeaderBytes
 	s.ended = true
 	return l.file.Close()
 }
@@ -174,10 +174,10 @@
 // fail stops the log for good. Danger: after a sync that failed, a later one may
 // succeed and say nothing of what the first has lost.
 func (l *Log) fail(err error) error {
-	if l.failed == nil {
-		l.failed = fmt.Errorf("%w: %w", ErrFailed, err)
+	if l.err == nil {
+		l.err = fmt.Errorf("%w: %w", ErrFailed, err)
 	}
-	return l.failed
+	return l.err
 }
 
 // Append keeps records: all of them, or none. They last when it returns without an
@@ -185,42 +185,42 @@
 func (l *Log) Append(records [][]byte) (first uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.failed != nil {
-		return 0, l.failed
+	if l.err != nil {
+		return 0, l.err
 	}
 	if len(records) == 0 {
 		return 0, errors.New("wal: nothing to append")
 	}
-	l.scratch = appendFrame(l.scratch[:0], l.last+1, records)
+	l.scratch = appendFrame(l.scratch[:0], l.lastSequence+1, records)
 	size := int64(len(l.scratch))
-	if size-frameBytes > mostFrame || size > l.o.Segment-headerBytes {
-		return 0, fmt.Errorf("wal: %d bytes at once are over %d", size, min(mostFrame, l.o.Segment-headerBytes))
+	if size-frameHeaderBytes > maxFrameBytes || size > l.options.SegmentBytes-headerBytes {
+		return 0, fmt.Errorf("wal: %d bytes at once are over %d", size, min(maxFrameBytes, l.options.SegmentBytes-headerBytes))
 	}
-	if l.bytes()+size+headerBytes+frameBytes > l.o.Most/logPart {
-		l.stats.NoRoom++
-		return 0, fmt.Errorf("%w: the log has %d bytes of %d", ErrNoRoom, l.bytes(), l.o.Most/logPart)
+	if l.logBytes()+size+headerBytes+frameHeaderBytes > l.options.MaxBytes/logDivisor {
+		l.stats.NoSpace++
+		return 0, fmt.Errorf("%w: the log has %d bytes of %d", ErrNoSpace, l.logBytes(), l.options.MaxBytes/logDivisor)
 	}
-	s := &l.all[len(l.all)-1]
-	if s.ended || s.size+size > l.o.Segment {
-		if err := l.roll(); err != nil {
+	s := &l.segments[len(l.segments)-1]
+	if s.ended || s.size+size > l.options.SegmentBytes {
+		if err := l.rollSegment(); err != nil {
 			return 0, err
 		}
-		s = &l.all[len(l.all)-1]
+		s = &l.segments[len(l.segments)-1]
 	}
 	if _, err := l.file.Write(l.scratch); err != nil {
 		// What was written in part must not stand before what comes next.
 		if cut := l.file.Truncate(s.size); cut != nil {
 			return 0, l.fail(errors.Join(err, cut))
 		}
-		l.stats.NoRoom++
-		return 0, fmt.Errorf("%w: %w", ErrNoRoom, err)
+		l.stats.NoSpace++
+		return 0, fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
 	if err := l.sync(l.file); err != nil {
 		return 0, l.fail(err)
 	}
-	first = l.last + 1
-	l.last += uint64(len(records))
-	s.last = l.last
+	first = l.lastSequence + 1
+	l.lastSequence += uint64(len(records))
+	s.last = l.lastSequence
 	s.size += size
 	l.stats.Appends++
 	l.stats.Records += int64(len(records))
@@ -228,26 +228,26 @@
 }
 
 // roll goes on in a new file.
-func (l *Log) roll() error {
-	if !l.all[len(l.all)-1].ended {
-		if err := l.end(); err != nil {
-			if l.failed != nil {
-				return l.failed
+func (l *Log) rollSegment() error {
+	if !l.segments[len(l.segments)-1].ended {
+		if err := l.endSegment(); err != nil {
+			if l.err != nil {
+				return l.err
 			}
-			l.stats.NoRoom++
-			return fmt.Errorf("%w: %w", ErrNoRoom, err)
+			l.stats.NoSpace++
+			return fmt.Errorf("%w: %w", ErrNoSpace, err)
 		}
 	}
-	if err := l.begin(); err != nil {
-		l.stats.NoRoom++
-		return fmt.Errorf("%w: %w", ErrNoRoom, err)
+	if err := l.startSegment(); err != nil {
+		l.stats.NoSpace++
+		return fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
 	return nil
 }
 
 // bytes are those of the log's files.
-func (l *Log) bytes() (n int64) {
-	for _, s := range l.all {
+func (l *Log) logBytes() (n int64) {
+	for _, s := range l.segments {
 		n += s.size
 	}
 	return n
@@ -255,56 +255,56 @@
 
 // Due says whether a snapshot would be worth its writing: the log has grown beyond
 // a file and beyond twice the last snapshot, or comes near its bound.
-func (l *Log) Due() bool {
+func (l *Log) SnapshotDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := l.bytes()
-	return l.failed == nil && l.last > l.stats.Snapshot && (n > max(l.o.Segment, 2*l.stats.SnapshotBytes) || n > l.o.Most/logPart/2)
+	n := l.logBytes()
+	return l.err == nil && l.lastSequence > l.stats.Snapshot && (n > max(l.options.SegmentBytes, 2*l.stats.SnapshotBytes) || n > l.options.MaxBytes/logDivisor/2)
 }
 
 // Last is the sequence of the last record.
-func (l *Log) Last() uint64 {
+func (l *Log) LastSequence() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.last
+	return l.lastSequence
 }
 
 // Snapshot puts a snapshot in place of the records up to a sequence, which are on
 // disk. Those and older snapshots are removed only when the new one lasts. If it
 // fails, all is as it was.
 func (l *Log) Snapshot(sequence uint64, records func(emit func(record []byte) error) error) error {
-	if err := l.prepare(sequence); err != nil {
+	if err := l.prepareSnapshot(sequence); err != nil {
 		return err
 	}
-	size, err := l.write(sequence, records)
+	size, err := l.writeSnapshot(sequence, records)
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stats.Snapshot, l.stats.SnapshotBytes, l.stats.SnapshotAt = sequence, size, time.Now()
-	return l.trim(sequence)
+	return l.removeObsolete(sequence)
 }
 
 // prepare checks that there can be a snapshot up to a sequence, and lets what comes
 // behind go into another file, so that all before can be removed.
-func (l *Log) prepare(sequence uint64) error {
+func (l *Log) prepareSnapshot(sequence uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch s := l.all[len(l.all)-1]; {
-	case l.failed != nil:
-		return l.failed
-	case sequence > l.last || sequence <= l.stats.Snapshot:
-		return fmt.Errorf("wal: a snapshot of record %d, where there are those from %d to %d", sequence, l.stats.Snapshot+1, l.last)
+	switch s := l.segments[len(l.segments)-1]; {
+	case l.err != nil:
+		return l.err
+	case sequence > l.lastSequence || sequence <= l.stats.Snapshot:
+		return fmt.Errorf("wal: a snapshot of record %d, where there are those from %d to %d", sequence, l.stats.Snapshot+1, l.lastSequence)
 	case s.last == sequence && s.first <= s.last:
-		return l.roll()
+		return l.rollSegment()
 	}
 	return nil
 }
 
 // write makes the snapshot's file and makes it last.
-func (l *Log) write(sequence uint64, records func(func([]byte) error) error) (size int64, err error) {
-	temp := snapName(sequence) + tempSuffix
+func (l *Log) writeSnapshot(sequence uint64, records func(func([]byte) error) error) (size int64, err error) {
+	temp := snapshotName(sequence) + tempSuffix
 	f, err := l.fs.Create(temp)
 	if err != nil {
 		return 0, err
@@ -318,11 +318,11 @@
 	var waiting [][]byte
 	count, held := uint64(0), 0
 	put := func(b []byte) error {
-		if size += int64(len(b)); size > l.o.Most/snapPart {
-			return fmt.Errorf("%w: the snapshot would have over %d bytes", ErrNoRoom, l.o.Most/snapPart)
+		if size += int64(len(b)); size > l.options.MaxBytes/snapshotDivisor {
+			return fmt.Errorf("%w: the snapshot would have over %d bytes", ErrNoSpace, l.options.MaxBytes/snapshotDivisor)
 		}
 		if _, err := f.Write(b); err != nil {
-			return fmt.Errorf("%w: %w", ErrNoRoom, err)
+			return fmt.Errorf("%w: %w", ErrNoSpace, err)
 		}
 		return nil
 	}
@@ -335,11 +335,11 @@
 		waiting, held = waiting[:0], 0
 		return err
 	}
-	if err = put(header(snapMagic, l.o.Kind, sequence)); err != nil {
+	if err = put(encodeHeader(snapshotMagic, l.options.Kind, sequence)); err != nil {
 		return 0, err
 	}
 	err = records(func(record []byte) error {
-		if len(record) > mostFrame-4 {
+		if len(record) > maxFrameBytes-4 {
 			return fmt.Errorf("wal: a record of %d bytes", len(record))
 		}
 		if held+len(record)+4 > batch {
@@ -366,14 +366,14 @@
 	if err = f.Close(); err != nil {
 		return 0, err
 	}
-	if err = l.fs.Rename(temp, snapName(sequence)); err != nil {
+	if err = l.fs.Rename(temp, snapshotName(sequence)); err != nil {
 		return 0, err
 	}
 	if err := l.fs.SyncDir(); err != nil {
 		// The name may last or not; both are good, as nothing is removed yet. A later
 		// snapshot removes it.
 		l.mu.Lock()
-		l.snaps = append(l.snaps, sequence)
+		l.snapshots = append(l.snapshots, sequence)
 		l.mu.Unlock()
 		return 0, err
 	}
@@ -381,21 +381,21 @@
 }
 
 // trim removes what a snapshot that lasts has made needless.
-func (l *Log) trim(sequence uint64) error {
+func (l *Log) removeObsolete(sequence uint64) error {
 	var all []error
-	keep := l.all[:0]
-	for i, s := range l.all {
-		if i < len(l.all)-1 && s.last <= sequence {
+	keep := l.segments[:0]
+	for i, s := range l.segments {
+		if i < len(l.segments)-1 && s.last <= sequence {
 			all = append(all, l.fs.Remove(logName(s.first)))
 			continue
 		}
 		keep = append(keep, s)
 	}
-	l.all = keep
-	for _, n := range l.snaps {
-		all = append(all, l.fs.Remove(snapName(n)))
+	l.segments = keep
+	for _, n := range l.snapshots {
+		all = append(all, l.fs.Remove(snapshotName(n)))
 	}
-	l.snaps = []uint64{sequence}
+	l.snapshots = []uint64{sequence}
 	all = append(all, l.fs.SyncDir())
 	return errors.Join(all...)
 }
@@ -405,7 +405,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	st := l.stats
-	st.Bytes, st.Segments = l.bytes(), len(l.all)
+	st.Bytes, st.Segments = l.logBytes(), len(l.segments)
 	return st
 }
 
@@ -413,15 +413,15 @@
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.failed != nil {
-		return l.unlock.Close()
+	if l.err != nil {
+		return l.lock.Close()
 	}
-	l.failed = errClosed
-	if s := l.all[len(l.all)-1]; s.ended {
-		return l.unlock.Close()
+	l.err = errClosed
+	if s := l.segments[len(l.segments)-1]; s.ended {
+		return l.lock.Close()
 	}
-	l.failed = nil
-	err := l.end()
-	l.failed = errClosed
-	return errors.Join(err, l.unlock.Close())
+	l.err = nil
+	err := l.endSegment()
+	l.err = errClosed
+	return errors.Join(err, l.lock.Close())
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-var testOptions = Options{Kind: "test", Segment: 4 << 10, Most: 256 << 10}
+var testOptions = Options{Kind: "test", SegmentBytes: 4 << 10, MaxBytes: 256 << 10}
 
 // state is what a folder holds: every record that was ever kept. A snapshot holds
 // them all.
@@ -52,7 +52,7 @@
 				batch = append(batch, []byte(text))
 				texts = append(texts, text)
 			}
-			if _, err := l.Append(batch); errors.Is(err, ErrNoRoom) && !errors.Is(err, errPower) {
+			if _, err := l.Append(batch); errors.Is(err, ErrNoSpace) && !errors.Is(err, errPower) {
 				continue
 			} else if err != nil {
 				return have, texts, err
@@ -106,7 +106,7 @@
 					if err != nil {
 						t.Fatalf("seed %d, operation %d, outcome %d, time %d: %v", seed, at, outcome, again, err)
 					}
-					if r.CutBytes > 0 {
+					if r.TruncatedBytes > 0 {
 						torn++
 					}
 					if slices.Equal(found, append(slices.Clone(have), maybe...)) {
@@ -170,7 +170,7 @@
 	if _, err := l.Append([][]byte{[]byte("b")}); !errors.Is(err, ErrFailed) {
 		t.Errorf("after a sync that failed: %v", err)
 	}
-	if l.Due() || l.Snapshot(1, nil) == nil {
+	if l.SnapshotDue() || l.Snapshot(1, nil) == nil {
 		t.Error("a log that has failed makes snapshots")
 	}
 }
@@ -224,7 +224,7 @@
 				n.data[at] ^= 1 << (at % 8)
 				var got state
 				r, err := Check(fs, testOptions.Kind, got.visitor())
-				var damage *Damage
+				var damage *DamageError
 				switch {
 				case errors.As(err, &damage) && damage.File == name && damage.Offset <= int64(at):
 					found++
@@ -232,7 +232,7 @@
 					t.Fatalf("%s, byte %d: %v", name, at, err)
 				case slices.Equal(got, have):
 					same++
-				case !closed && r.CutFile == name && r.CutAt <= int64(at):
+				case !closed && r.TruncatedFile == name && r.TruncatedAt <= int64(at):
 					cut++ // of a log that was not closed the last frame may be torn, and that is told
 				default:
 					t.Fatalf("%s, byte %d: %d records of %d and no word", name, at, len(got), len(have))
@@ -241,7 +241,7 @@
 			}
 		}
 		t.Logf("closed %t: %d found, %d changed nothing, %d cut and told", closed, found, same, cut)
-		if found == 0 || same > frameBytes+frameBytes || closed && cut > 0 {
+		if found == 0 || same > frameHeaderBytes+frameHeaderBytes || closed && cut > 0 {
 			t.Errorf("closed %t: %d found, %d changed nothing, %d cut", closed, found, same, cut)
 		}
 	}
@@ -269,17 +269,17 @@
 		{"another service's", func(*powerFS) {}, "other", `the folder is of "test", not of "other"`},
 		{"another program's", func(fs *powerFS) { fs.names["photo.jpg"] = &inode{} }, "test", "photo.jpg: no file of a log"},
 		{"left over", func(fs *powerFS) { fs.names["0000000000000001.snap.tmp"] = &inode{data: []byte("half")} }, "test", ""},
-		{"no snapshot", func(fs *powerFS) { delete(fs.names, older(fs, snapSuffix)) }, "test", "the records from 1 to "},
+		{"no snapshot", func(fs *powerFS) { delete(fs.names, older(fs, snapshotSuffix)) }, "test", "the records from 1 to "},
 		{"no first part", func(fs *powerFS) { delete(fs.names, older(fs, logSuffix)) }, "test", "are missing"},
-		{"two snapshots", func(fs *powerFS) { fs.names[snapName(3)] = &inode{data: []byte("an old one, not read")} }, "test", ""},
+		{"two snapshots", func(fs *powerFS) { fs.names[snapshotName(3)] = &inode{data: []byte("an old one, not read")} }, "test", ""},
 		{"another's name", func(fs *powerFS) {
-			fs.names[snapName(43)] = fs.names[snapName(42)]
+			fs.names[snapshotName(43)] = fs.names[snapshotName(42)]
 		}, "test", "its name is of another snapshot"},
 		{"a later format", func(fs *powerFS) {
-			n := fs.names[snapName(42)]
-			head := header(snapMagic, "test", 42)
+			n := fs.names[snapshotName(42)]
+			head := encodeHeader(snapshotMagic, "test", 42)
 			head[8] = 2
-			copy(n.data, appendSum(head[:headerBytes-4]))
+			copy(n.data, appendChecksum(head[:headerBytes-4]))
 		}, "test", "of a later format"},
 	} {
 		fs, have := filled(t, true)
@@ -290,7 +290,7 @@
 			t.Errorf("%s: %v, %d records of %d", c.name, err, len(got), len(have))
 		}
 		before := len(fs.names)
-		if _, err := Open(fs, Options{Kind: c.kind, Segment: 4 << 10, Most: 1 << 20}, got.visitor()); c.want != "" && (err == nil || len(fs.names) != before || fs.locked) {
+		if _, err := Open(fs, Options{Kind: c.kind, SegmentBytes: 4 << 10, MaxBytes: 1 << 20}, got.visitor()); c.want != "" && (err == nil || len(fs.names) != before || fs.locked) {
 			t.Errorf("%s: opened with %v, %d files of %d, locked %t", c.name, err, len(fs.names), before, fs.locked)
 		}
 	}
@@ -300,7 +300,7 @@
 // one.
 func TestBound(t *testing.T) {
 	fs := newPowerFS(rand.New(rand.NewPCG(1, 1)))
-	o := Options{Kind: "test", Segment: 4 << 10, Most: 32 << 10}
+	o := Options{Kind: "test", SegmentBytes: 4 << 10, MaxBytes: 32 << 10}
 	l, err := Open(fs, o, new(state).visitor())
 	if err != nil {
 		t.Fatal(err)
@@ -314,33 +314,33 @@
 	record := [][]byte{bytes.Repeat([]byte("r"), 900)}
 	due := 0
 	for err == nil {
-		if _, err = l.Append(record); l.Due() {
+		if _, err = l.Append(record); l.SnapshotDue() {
 			due++
 		}
-		if total() > o.Most {
-			t.Fatalf("%d bytes of %d", total(), o.Most)
+		if total() > o.MaxBytes {
+			t.Fatalf("%d bytes of %d", total(), o.MaxBytes)
 		}
 	}
-	if !errors.Is(err, ErrNoRoom) || due == 0 || l.Stats().NoRoom != 1 {
+	if !errors.Is(err, ErrNoSpace) || due == 0 || l.Stats().NoSpace != 1 {
 		t.Fatalf("%v, due %d times", err, due)
 	}
-	if err := l.Snapshot(l.Last(), func(emit func([]byte) error) error {
+	if err := l.Snapshot(l.LastSequence(), func(emit func([]byte) error) error {
 		for range 100 {
 			if err := emit(record[0]); err != nil {
 				return err
 			}
 		}
 		return nil
-	}); !errors.Is(err, ErrNoRoom) || total() > o.Most {
+	}); !errors.Is(err, ErrNoSpace) || total() > o.MaxBytes {
 		t.Errorf("a snapshot beyond the bound: %v, %d bytes", err, total())
 	}
-	if err := l.Snapshot(l.Last(), func(emit func([]byte) error) error { return emit([]byte("all")) }); err != nil {
+	if err := l.Snapshot(l.LastSequence(), func(emit func([]byte) error) error { return emit([]byte("all")) }); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := l.Append(record); err != nil || l.Stats().Segments > 2 {
 		t.Errorf("after a snapshot: %v, %+v", err, l.Stats())
 	}
-	if _, err := l.Append([][]byte{bytes.Repeat([]byte("r"), 5000)}); err == nil || errors.Is(err, ErrNoRoom) {
+	if _, err := l.Append([][]byte{bytes.Repeat([]byte("r"), 5000)}); err == nil || errors.Is(err, ErrNoSpace) {
 		t.Errorf("more than a file holds: %v", err)
 	}
 }
@@ -364,8 +364,8 @@
 		t.Errorf("a second process: %v", err)
 	}
 	// A torn end is cut, and told.
-	newest := l.all[len(l.all)-1]
-	l.unlock.Close() // as where the process is killed
+	newest := l.segments[len(l.segments)-1]
+	l.lock.Close() // as where the process is killed
 	f, err := os.OpenFile(dir.path(logName(newest.first)), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -377,7 +377,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := l.Stats().Recovery; !slices.Equal(found, have) || r.CutBytes != 7 || r.CutAt != newest.size || r.Closed {
+	if r := l.Stats().Recovery; !slices.Equal(found, have) || r.TruncatedBytes != 7 || r.TruncatedAt != newest.size || r.Closed {
 		t.Errorf("%d records of %d, %+v", len(found), len(have), r)
 	}
 }
@@ -385,7 +385,7 @@
 // Whatever stands in a file, reading it ends, and what is taken is what a log
 // writes.
 func FuzzSegment(f *testing.F) {
-	good := header(logMagic, "test", 1)
+	good := encodeHeader(logMagic, "test", 1)
 	good = appendFrame(good, 1, [][]byte{[]byte("a"), []byte("bb")})
 	f.Add(good)
 	f.Add(appendFrame(slices.Clone(good), 3, nil))
@@ -393,7 +393,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		fs := newPowerFS(rand.New(rand.NewPCG(1, 1)))
 		fs.names[logName(1)] = &inode{data: text}
-		again := header(logMagic, "test", 1)
+		again := encodeHeader(logMagic, "test", 1)
 		var records [][]byte
 		r, err := Check(fs, "test", Visitor{Snapshot: func([]byte) error { return nil }, Record: func(_ uint64, b []byte) error {
 			records = append(records, b)
