--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -79,12 +79,12 @@
 	if resp.Body == http.NoBody {
 		return result{outcome: rules.Served, answer: start, units: reportedUnits(resp.Header)}
 	}
-	d := &download{body: resp.Body, length: resp.ContentLength, conn: c, window: window{budget: &p.metrics.bodies}, figures: p.metrics, end: make(chan rules.Outcome, 1)}
+	d := &download{body: resp.Body, length: resp.ContentLength, conn: c, window: window{budget: &p.metrics.bodyBudget}, figures: p.metrics, end: make(chan rules.Outcome, 1)}
 	most := mostHeld
 	if l := resp.ContentLength; l >= 0 && l < mostHeld {
 		most = int(l)
 	}
-	d.memory, most = p.metrics.bodies.room(most)
+	d.memory, most = p.metrics.bodyBudget.room(most)
 	if len(resp.TransferEncoding) > 0 {
 		d.chunks = &chunkedReader{r: c.reader}
 		d.body = d.chunks
@@ -109,16 +109,16 @@
 		// The timer has released it to the client.
 	case whole:
 		start.body, start.rest, start.trailer = d.start.held, nil, d.trailers()
-		start.memory = p.metrics.bodies.shrink(d.memory, len(start.body))
+		start.memory = p.metrics.bodyBudget.shrink(d.memory, len(start.body))
 		return result{outcome: rules.Served, answer: start, units: reportedUnits(resp.Header)}
 	case err != nil:
-		p.metrics.bodies.give(d.memory)
+		p.metrics.bodyBudget.give(d.memory)
 		return result{outcome: errorOutcome(err), err: err}
 	default:
 		begin()
 	}
 	outcome := <-d.end
-	p.metrics.bodies.give(d.memory)
+	p.metrics.bodyBudget.give(d.memory)
 	return result{outcome: outcome}
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -138,7 +138,7 @@
 			p.discard(c)
 			return result{outcome: rules.ConnectFailed, err: err}
 		}
-		p.metrics.tries.Add(1)
+		p.metrics.attempts.Add(1)
 		res, reuse = p.readResponse(a, c)
 	}
 	if res.err != nil {
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -96,7 +96,7 @@
 }
 
 func newTestPools(t testing.TB, address string) *pools {
-	p := newPools(testTimeout, time.Minute, 8, &figures{bodies: budget{total: bodyMemory(16)}})
+	p := newPools(testTimeout, time.Minute, 8, &metrics{bodyBudget: budget{total: bodyMemory(16)}})
 	p.update(1, address, 0)
 	t.Cleanup(func() { p.remove(1) })
 	return p
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -34,7 +34,7 @@
 	Sockets    int // file descriptors
 	BodyMB     int // megabytes that a client may send in one body; 0: any number
 	Known      Listing
-	Members    membersConfig
+	Members    membershipConfig
 	Scopes     scopesConfig
 
 	// Of the environment, where the platform lets two processes of a gateway serve
@@ -122,8 +122,8 @@
 		if err := json.Unmarshal(raw.Settings, &peers); err != nil {
 			return Config{}, err
 		}
-		c.Members = membersConfig{true, raw.PeerListen, raw.Peers, peers.FamilyInfo.InboxPerS}
-		if _, err := c.agent(); err != nil {
+		c.Members = membershipConfig{true, raw.PeerListen, raw.Peers, peers.FamilyInfo.InboxPerS}
+		if _, err := c.agentConfig(); err != nil {
 			return Config{}, err
 		}
 	}
@@ -136,13 +136,13 @@
 	if at := missingKey(c.document, next.document); at != "" {
 		return fmt.Errorf("%s is missing", at[1:])
 	}
-	if c.Members.Membership != next.Members.Membership || !slices.Equal(c.Members.Peers, next.Members.Peers) || c.Members.PeerListen != next.Members.PeerListen {
+	if c.Members.Enabled != next.Members.Enabled || !slices.Equal(c.Members.Peers, next.Members.Peers) || c.Members.PeerListen != next.Members.PeerListen {
 		return errors.New("membership, peer_listen, peers: others need a new start")
 	}
 	if (len(c.Registries) > 0) != (len(next.Registries) > 0) {
 		return errors.New("registries: whether list services are asked needs a new start")
 	}
-	return c.Scopes.lacks(&next.Scopes)
+	return c.Scopes.checkReload(&next.Scopes)
 }
 
 // missingKey names the first key that is in have and not in next. Of the
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	controlConns = 16 // callers at once, part of the reserved descriptors
+	maxControlConns = 16 // callers at once, part of the reserved descriptors
 	// Callers wait 1 s. One that has said nothing by then waits no longer, and
 	// its place is needed.
-	controlRead  = 900 * time.Millisecond
-	controlWrite = 2 * time.Second
+	controlReadTimeout  = 900 * time.Millisecond
+	controlWriteTimeout = 2 * time.Second
 )
 
-// control answers the operators, one call to a connection.
-type control struct {
-	figures *figures
-	ready   func() bool
-	byHand  func(id string, offline bool) (known bool, err error)
-	members *standing // nil: membership is off
-	loop    *Loop
-	beside  func() bool // another process of this gateway runs
+// controlServer answers the operators, one call to a connection.
+type controlServer struct {
+	metrics       *metrics
+	ready         func() bool
+	applyOverride func(id string, offline bool) (known bool, err error)
+	connectivity  *connectivity // nil: membership is off
+	loop          *Loop
+	hasPeer       func() bool // another process of this gateway runs
 }
 
-func (c *control) server() *http.Server {
+func (c *controlServer) server() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !c.ready() {
@@ -35,14 +35,14 @@
 	})
 	mux.HandleFunc("GET /control/counters", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		c.figures.write(w)
-		writeMembers(w, c.members)
+		c.metrics.write(w)
+		writeMembershipMetrics(w, c.connectivity)
 	})
-	mux.HandleFunc("GET /control/backends", backendsHandler(c.loop, c.beside))
-	mux.HandleFunc("GET /control/members", membersHandler(c.members))
+	mux.HandleFunc("GET /control/backends", backendsHandler(c.loop, c.hasPeer))
+	mux.HandleFunc("GET /control/members", membersHandler(c.connectivity))
 	for word, offline := range map[string]bool{"offline": true, "online": false} {
 		mux.HandleFunc("POST /control/backends/{id}/"+word, func(w http.ResponseWriter, r *http.Request) {
-			switch known, err := c.byHand(r.PathValue("id"), offline); {
+			switch known, err := c.applyOverride(r.PathValue("id"), offline); {
 			case err != nil:
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			case !known:
@@ -50,8 +50,8 @@
 			}
 		})
 	}
-	s := &http.Server{Handler: mux, MaxHeaderBytes: mostHeader, ReadHeaderTimeout: controlRead,
-		ReadTimeout: controlRead, WriteTimeout: controlWrite}
+	s := &http.Server{Handler: mux, MaxHeaderBytes: mostHeader, ReadHeaderTimeout: controlReadTimeout,
+		ReadTimeout: controlReadTimeout, WriteTimeout: controlWriteTimeout}
 	s.SetKeepAlivesEnabled(false)
 	return s
 }
@@ -62,5 +62,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return netutil.LimitListener(l, controlConns), nil
+	return netutil.LimitListener(l, maxControlConns), nil
 }
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -84,7 +84,7 @@
 func TestControlWithSilentCallers(t *testing.T) {
 	t.Parallel()
 	r := newTestGateway(t, newPeer(t))
-	for range controlConns / 2 {
+	for range maxControlConns / 2 {
 		c, err := net.Dial("tcp", r.control)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -307,8 +307,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := newFigures(&c)
-		s := f.service(c.Deployment, 0)
+		f := newMetrics(&c)
+		s := f.newService(c.Deployment, 0)
 		p := newPools(testTimeout, time.Minute, 8, f)
 		dials, up := make(chan struct{}, 1), make(chan struct{})
 		real := p.dial
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -21,22 +21,24 @@
 )
 
 const (
-	watchWait    = 2 * time.Second         // how long a watch may stand open
-	watchGrace   = 500 * time.Millisecond  // and how long after that its answer may take to begin
-	listTimeout  = 2 * time.Second         // for the answer to a call for the whole list to begin, in a line perhaps
-	missedLimit  = 1 * time.Second         // for that to a call for what was missed while one failed
-	bodyTimeout  = 1500 * time.Millisecond // for an answer that has begun
-	watchRetry   = 100 * time.Millisecond  // pause after a failed call: a watch lapses after 200 ms
-	mostListing  = 4 << 20                 // bytes of one answer
-	complaintGap = 10 * time.Second        // between lines about a discovery that stays down
+	watchDuration    = 2 * time.Second         // how long a watch may stand open
+	watchGrace       = 500 * time.Millisecond  // and how long after that its answer may take to begin
+	listTimeout      = 2 * time.Second         // for the answer to a call for the whole list to begin, in a line perhaps
+	catchUpTimeout   = 1 * time.Second         // for that to a call for what was missed while one failed
+	bodyTimeout      = 1500 * time.Millisecond // for an answer that has begun
+	watchRetryDelay  = 100 * time.Millisecond  // pause after a failed call: a watch lapses after 200 ms
+	maxListingBytes  = 4 << 20                 // bytes of one answer
+	errorLogInterval = 10 * time.Second        // between lines about a discovery that stays down
 )
 
-// listMemoryShare is the part of a gateway's memory, one in so many, that the text of an
+// listMemoryDivisor is the part of a gateway's memory, one in so many, that the text of an
 // answer of a list service may have: what is read from it takes a multiple of that.
-const listMemoryShare = 16
+const listMemoryDivisor = 16
 
-// listMemory returns the bytes that an answer of a list service may have.
-func listMemory(memoryMB int) int64 { return max(int64(memoryMB)<<20/listMemoryShare, mostListing) }
+// maxAnswerBytes returns the bytes that an answer of a list service may have.
+func maxAnswerBytes(memoryMB int) int64 {
+	return max(int64(memoryMB)<<20/listMemoryDivisor, maxListingBytes)
+}
 
 // Listing is discovery's list of backends, or the changes to it, and Instance one
 // of them.
@@ -45,7 +47,7 @@
 	Instance = registry.Instance
 )
 
-var lifecycles = map[registry.Lifecycle]rules.BackendState{registry.Ready: rules.Ready,
+var backendStates = map[registry.Lifecycle]rules.BackendState{registry.Ready: rules.Ready,
 	registry.Terminating: rules.Draining, registry.Gone: rules.Gone}
 
 // backendID derives the module's id from the name alone, so that all gateways
@@ -59,7 +61,7 @@
 // backendOf translates an entry. The module's clock is Unix time (see clock), so
 // a start needs its unit changed only.
 func backendOf(i Instance, d *wire.Deployment) (rules.Backend, error) {
-	state, known := lifecycles[i.Lifecycle]
+	state, known := backendStates[i.Lifecycle]
 	zone := slices.Index(d.Zones, i.Zone)
 	switch {
 	case i.ID == "" || !known:
@@ -76,18 +78,18 @@
 
 // listFollower keeps the loop's list up to date, by discovery or by list services.
 type listFollower struct {
-	agent      *watcher
-	services   *registry.Client // nil where discovery is asked
-	address    string           // of discovery
-	registries []string
-	scopes     []registry.Scope // of the configuration
-	change     scopeChange
-	moves      chan string
-	moved      chan []string
+	watcher          *discoveryWatcher
+	registryClient   *registry.Client // nil where discovery is asked
+	discoveryAddress string           // of discovery
+	registries       []string
+	scopes           []registry.Scope // of the configuration
+	scopeChange      scopeChange
+	discoveryMoves   chan string
+	registryMoves    chan []string
 }
 
 func newListFollower(c *Config, l *Loop) *listFollower {
-	f := &listFollower{address: c.Discovery, registries: c.Registries, scopes: c.Scopes.scopes, moves: make(chan string), moved: make(chan []string)}
+	f := &listFollower{discoveryAddress: c.Discovery, registries: c.Registries, scopes: c.Scopes.scopes, discoveryMoves: make(chan string), registryMoves: make(chan []string)}
 	tell := func(told Listing, history string) {
 		kind := rules.Delta
 		if told.Reset {
@@ -97,79 +99,79 @@
 	}
 	if len(c.Registries) > 0 {
 		var unknown unknownScopes
-		f.services = registry.NewClient(c.Registries, rand.New(rand.NewPCG(c.Seed, 1)), func(told registry.Told) {
+		f.registryClient = registry.NewClient(c.Registries, rand.New(rand.NewPCG(c.Seed, 1)), func(told registry.Told) {
 			if c.observe != nil {
 				c.observe(told)
 			}
-			unknown.see(told.Unknown)
-			if scopes, changed := f.change.answered(told.Scopes, told.Unknown); changed {
-				f.services.SetScopes(scopes)
+			unknown.logChange(told.Unknown)
+			if scopes, changed := f.scopeChange.handleAnswer(told.Scopes, told.Unknown); changed {
+				f.registryClient.SetScopes(scopes)
 			}
 			tell(told.News, told.History)
 		})
-		f.services.SetAnswerLimit(listMemory(c.MemoryMB))
+		f.registryClient.SetAnswerLimit(maxAnswerBytes(c.MemoryMB))
 		if len(f.scopes) > 0 {
-			f.change.inForce = f.scopes
-			f.services.SetScopes(f.scopes)
+			f.scopeChange.active = f.scopes
+			f.registryClient.SetScopes(f.scopes)
 		}
 	} else {
-		f.agent = newWatcher(c.Discovery, func(told Listing) { tell(told, "") }, l.awaitListRetry)
+		f.watcher = newDiscoveryWatcher(c.Discovery, func(told Listing) { tell(told, "") }, l.awaitListRetry)
 	}
 	return f
 }
 
 func (f *listFollower) run(ctx context.Context) {
-	if f.services != nil {
-		f.services.Run(ctx, f.moved)
+	if f.registryClient != nil {
+		f.registryClient.Run(ctx, f.registryMoves)
 		return
 	}
-	f.agent.run(ctx, f.moves)
+	f.watcher.run(ctx, f.discoveryMoves)
 }
 
-// move follows at the addresses of another configuration, and reads its scopes. Whether
+// reconfigure follows at the addresses of another configuration, and reads its scopes. Whether
 // it asks discovery or list services stays as it was at the start.
-func (f *listFollower) move(ctx context.Context, next *Config) {
-	if f.services != nil && !slices.Equal(f.scopes, next.Scopes.scopes) {
+func (f *listFollower) reconfigure(ctx context.Context, next *Config) {
+	if f.registryClient != nil && !slices.Equal(f.scopes, next.Scopes.scopes) {
 		f.scopes = next.Scopes.scopes
-		f.services.SetScopes(f.change.begin(f.scopes))
+		f.registryClient.SetScopes(f.scopeChange.begin(f.scopes))
 	}
 	switch {
-	case f.services != nil && len(next.Registries) > 0 && !slices.Equal(f.registries, next.Registries):
+	case f.registryClient != nil && len(next.Registries) > 0 && !slices.Equal(f.registries, next.Registries):
 		f.registries = next.Registries
 		select {
-		case f.moved <- next.Registries:
+		case f.registryMoves <- next.Registries:
 		case <-ctx.Done():
 		}
-	case f.services == nil && next.Discovery != f.address:
-		f.address = next.Discovery
+	case f.registryClient == nil && next.Discovery != f.discoveryAddress:
+		f.discoveryAddress = next.Discovery
 		select {
-		case f.moves <- next.Discovery:
+		case f.discoveryMoves <- next.Discovery:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// watcher follows discovery and hands on each answer.
-type watcher struct {
-	address string
-	client  *http.Client
-	since   int64
-	listed  bool // a whole list has come
-	missed  bool // the last call failed
-	heard   func(Listing)
+// discoveryWatcher follows discovery and hands on each answer.
+type discoveryWatcher struct {
+	address        string
+	client         *http.Client
+	since          int64
+	hasList        bool // a whole list has come
+	lastCallFailed bool // the last call failed
+	onListing      func(Listing)
 
-	// refused tells that a call was turned away, and returns when to ask again.
-	refused func(context.Context)
+	// onRejected tells that a call was turned away, and returns when to ask again.
+	onRejected func(context.Context)
 }
 
-func newWatcher(address string, heard func(Listing), refused func(context.Context)) *watcher {
-	return &watcher{address: address, heard: heard, refused: refused,
+func newDiscoveryWatcher(address string, heard func(Listing), refused func(context.Context)) *discoveryWatcher {
+	return &discoveryWatcher{address: address, onListing: heard, onRejected: refused,
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 2}}}
 }
 
 // run follows discovery until ctx ends, at each new address from the whole list
 // on: the versions of another agent need not be those of the last.
-func (w *watcher) run(ctx context.Context, moves <-chan string) {
+func (w *discoveryWatcher) run(ctx context.Context, moves <-chan string) {
 	for {
 		inner, leave := context.WithCancel(ctx)
 		var wg sync.WaitGroup
@@ -184,7 +186,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		w.address, w.listed = address, false
+		w.address, w.hasList = address, false
 	}
 }
 
@@ -194,41 +196,41 @@
 // does not wait. One that was turned away waits: each call made at once would be
 // one more in a line that is too long already. What discovery has reaches the
 // gateway within 6 s of all of that; the sums are in docs/design.md.
-func (w *watcher) follow(ctx context.Context) {
+func (w *discoveryWatcher) follow(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	var complained time.Time
 	for ctx.Err() == nil {
-		l, err := w.ask(ctx)
-		w.missed = err != nil
+		l, err := w.requestListing(ctx)
+		w.lastCallFailed = err != nil
 		if err == nil {
-			w.since, w.listed = l.Generation, true
-			w.heard(l)
+			w.since, w.hasList = l.Generation, true
+			w.onListing(l)
 			continue
 		}
-		if ctx.Err() == nil && time.Since(complained) > complaintGap {
+		if ctx.Err() == nil && time.Since(complained) > errorLogInterval {
 			complained = time.Now()
 			log.Printf("discovery: %v", err)
 		}
-		if errors.Is(err, errRefused) {
-			w.refused(ctx)
+		if errors.Is(err, errRejected) {
+			w.onRejected(ctx)
 			continue
 		}
 		w.client.CloseIdleConnections()
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry):
+		case <-time.After(watchRetryDelay):
 		}
 	}
 }
 
-var errRefused = errors.New("turned away")
+var errRejected = errors.New("turned away")
 
-func (w *watcher) ask(ctx context.Context) (l Listing, err error) {
+func (w *discoveryWatcher) requestListing(ctx context.Context) (l Listing, err error) {
 	url, limit := "http://"+w.address+registry.Path, listTimeout
-	if w.listed {
-		wait := watchWait
-		if limit = wait + watchGrace; w.missed {
-			wait, limit = time.Millisecond, missedLimit
+	if w.hasList {
+		wait := watchDuration
+		if limit = wait + watchGrace; w.lastCallFailed {
+			wait, limit = time.Millisecond, catchUpTimeout
 		}
 		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.since, wait.Milliseconds())
 	}
@@ -246,19 +248,19 @@
 	}
 	defer resp.Body.Close()
 	patience.Reset(bodyTimeout)
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostListing))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListingBytes))
 	if err != nil {
 		return l, err
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		return l, errRefused // which says nothing against the version
+		return l, errRejected // which says nothing against the version
 	}
 	if resp.StatusCode != http.StatusOK {
-		w.listed = false // the version may be the trouble: start from the whole list
+		w.hasList = false // the version may be the trouble: start from the whole list
 		return l, fmt.Errorf("status %s", resp.Status)
 	}
-	if l, err = readListing(body, !w.listed); err != nil {
-		w.listed = false
+	if l, err = readListing(body, !w.hasList); err != nil {
+		w.hasList = false
 		return l, fmt.Errorf("list: %w", err)
 	}
 	return l, nil
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -56,7 +56,7 @@
 	r := newAgent(t)
 	heard := make(chan Listing, 64)
 	turnedAway := make(chan chan struct{}, 1)
-	w := newWatcher(r.address(), func(l Listing) { heard <- l }, func(context.Context) {
+	w := newDiscoveryWatcher(r.address(), func(l Listing) { heard <- l }, func(context.Context) {
 		again := make(chan struct{})
 		turnedAway <- again
 		<-again
@@ -115,7 +115,7 @@
 func TestWatchMoves(t *testing.T) {
 	old, next := newAgent(t), newAgent(t)
 	heard := make(chan Listing, 64)
-	w := newWatcher(old.address(), func(l Listing) { heard <- l }, nil)
+	w := newDiscoveryWatcher(old.address(), func(l Listing) { heard <- l }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	moves := make(chan string)
 	var wg sync.WaitGroup
@@ -180,7 +180,7 @@
 			calls, refusals := 0, 0
 			var heard time.Time
 			ctx, cancel := context.WithCancel(context.Background())
-			w := newWatcher("discovery", func(l Listing) {
+			w := newDiscoveryWatcher("discovery", func(l Listing) {
 				if l.Generation == 2 && heard.IsZero() {
 					heard = time.Now()
 					cancel()
--- a/internal/gateway/download_test.go
+++ b/internal/gateway/download_test.go
@@ -303,7 +303,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				d := &download{body: resp.Body, length: 100000, conn: conn, start: newIntake(resp.Body, 100000, 0), window: window{budget: &f.figures.bodies},
+				d := &download{body: resp.Body, length: 100000, conn: conn, start: newIntake(resp.Body, 100000, 0), window: window{budget: &f.figures.bodyBudget},
 					figures: f.figures, end: make(chan rules.Outcome, 1)}
 				x.reply <- answer{status: 200, served: true, header: resp.Header, length: 100000, rest: d}
 				began, gone := time.Now(), make(chan struct{})
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -56,7 +56,7 @@
 	// sends them and never waits.
 	reply chan answer
 
-	service *service // that it was read under, and in it
+	service *serviceConfig // that it was read under, and in it
 	class   *rules.Class
 	counts  *classCounts
 	plan    string
@@ -107,14 +107,14 @@
 // frontend serves clients.
 type frontend struct {
 	loop    *Loop
-	service atomic.Pointer[service]
+	service atomic.Pointer[serviceConfig]
 
 	longestDeadline atomic.Int64 // of a class, nanoseconds: the shortest of all settings so far
 
 	ready   atomic.Bool
 	leaving atomic.Bool // connections are closed after their answer
 	clients *clients
-	figures *figures
+	figures *metrics
 }
 
 // server serves clients. The time for a body and for an answer depends on their
@@ -200,7 +200,7 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	defer func() { f.figures.bodies.give(x.memory) }()
+	defer func() { f.figures.bodyBudget.give(x.memory) }()
 	if x.upload != nil {
 		defer x.upload.free()
 	}
@@ -245,15 +245,15 @@
 			}
 		case <-left:
 			if !f.loop.post(clientGone{x}) {
-				x.abandon(&f.figures.bodies)
+				x.abandon(&f.figures.bodyBudget)
 			}
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			if !f.loop.post(clientGone{x}) {
-				x.abandon(&f.figures.bodies)
+				x.abandon(&f.figures.bodyBudget)
 			}
 		case <-f.loop.stopped:
-			x.abandon(&f.figures.bodies)
+			x.abandon(&f.figures.bodyBudget)
 			http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		}
 		return
@@ -298,7 +298,7 @@
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is missing")
 	case len(key) > mostName:
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is too long")
-	case x.service.mostBody > 0 && r.ContentLength > x.service.mostBody:
+	case x.service.maxBodyBytes > 0 && r.ContentLength > x.service.maxBodyBytes:
 		return nil, http.StatusRequestEntityTooLarge, errTooLong
 	}
 	if r.ContentLength != 0 {
@@ -326,15 +326,15 @@
 		held, memory = mostHeld, mostHeld+leastWindow
 	}
 	if memory > uncounted {
-		if err := f.figures.bodies.take(r.Context(), memory); err != nil {
+		if err := f.figures.bodyBudget.take(r.Context(), memory); err != nil {
 			x.counts.dropped.Add(1)
-			f.figures.up.ended[noMemory].Add(1)
+			f.figures.uploads.ended[noMemory].Add(1)
 			return http.StatusServiceUnavailable, err
 		}
 	} else {
 		memory = 0
 	}
-	rest := newClientBody(r, control, x.service.mostBody, &f.figures.up.bytes)
+	rest := newClientBody(r, control, x.service.maxBodyBytes, &f.figures.uploads.bytes)
 	start := newIntake(rest, r.ContentLength, held)
 	whole, err := false, error(nil)
 	switch {
@@ -345,20 +345,20 @@
 		whole, err = fillFor(start, holdFor)
 	}
 	if err != nil {
-		f.figures.bodies.give(memory)
-		f.figures.up.end(bodyCause(err), r.Header.Get(idHeader), err)
+		f.figures.bodyBudget.give(memory)
+		f.figures.uploads.recordEnd(clientBodyCause(err), r.Header.Get(idHeader), err)
 		return uploadStatus(err), fmt.Errorf("body: %w", err)
 	}
 	for name := range r.Trailer {
 		x.announced = append(x.announced, name)
 	}
 	if whole {
-		x.body, x.trailer, x.memory = start.held, trailers(r.Trailer), f.figures.bodies.shrink(memory, len(start.held))
+		x.body, x.trailer, x.memory = start.held, trailers(r.Trailer), f.figures.bodyBudget.shrink(memory, len(start.held))
 		return 0, nil
 	}
 	x.ask.Open = true
-	x.upload = &upload{request: r, length: r.ContentLength, left: seconds(x.ask.Deadline), budget: &f.figures.bodies,
-		start: start, rest: rest, memory: held, window: window{budget: &f.figures.bodies, own: leastWindow}}
+	x.upload = &upload{request: r, length: r.ContentLength, left: seconds(x.ask.Deadline), budget: &f.figures.bodyBudget,
+		start: start, rest: rest, memory: held, window: window{budget: &f.figures.bodyBudget, own: leastWindow}}
 	x.upload.whole = func(until time.Time) { f.loop.post(bodyComplete{x, until}) }
 	return 0, nil
 }
@@ -402,7 +402,7 @@
 // parse reads the headers that the decisions need. Nothing has a default: a
 // request that is not understood might be charged to the wrong customer or
 // repeated against its class.
-func (s *service) parse(r *http.Request) (rules.Request, error) {
+func (s *serviceConfig) parse(r *http.Request) (rules.Request, error) {
 	var q rules.Request
 	h := r.Header
 	if id := h.Get(idHeader); id == "" || len(id) > mostName {
@@ -434,7 +434,7 @@
 }
 
 // terms reads the units of a request and the gateways of its customer.
-func (s *service) terms(q *rules.Request, text string) error {
+func (s *serviceConfig) terms(q *rules.Request, text string) error {
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		var err error
@@ -510,7 +510,7 @@
 // write gives the answer to the client. An error says that it is not whole, and
 // that the client can't tell so far.
 func (f *frontend) write(a answer, id string, w http.ResponseWriter, control *http.ResponseController) error {
-	defer f.figures.bodies.give(a.memory)
+	defer f.figures.bodyBudget.give(a.memory)
 	h := w.Header()
 	for k, v := range a.header {
 		h[k] = v
@@ -547,8 +547,8 @@
 	if !d.take() {
 		return errCutShort // the loop has dropped it, as the client has left
 	}
-	f.figures.down.open.Add(1)
-	defer f.figures.down.open.Add(-1)
+	f.figures.downloads.streaming.Add(1)
+	defer f.figures.downloads.streaming.Add(-1)
 	w.WriteHeader(a.status)
 	outcome, err := rules.Cancelled, control.Flush()
 	if err == nil {
@@ -562,11 +562,11 @@
 	}
 	switch outcome {
 	case rules.Served:
-		f.figures.down.end(endedWhole, "", nil)
+		f.figures.downloads.recordEnd(transferComplete, "", nil)
 	case rules.Cancelled:
-		f.figures.down.end(slowOr(err, clientSlow, clientLeft), id, err)
+		f.figures.downloads.recordEnd(timeoutCause(err, clientSlow, clientLeft), id, err)
 	default:
-		f.figures.down.end(slowOr(err, backendSlow, backendBroke), id, err)
+		f.figures.downloads.recordEnd(timeoutCause(err, backendSlow, backendBroken), id, err)
 	}
 	d.end <- outcome
 	return err
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -42,9 +42,9 @@
 		t.Fatal(err)
 	}
 	p := newPipes()
-	f := &frontend{figures: &figures{bodies: budget{total: bodyMemory(16)}}, clients: newClients(p, 100),
+	f := &frontend{figures: &metrics{bodyBudget: budget{total: bodyMemory(16)}}, clients: newClients(p, 100),
 		loop: &Loop{clock: newClock(), inbox: make(chan any, 1), stopped: make(chan struct{})}}
-	f.service.Store(f.figures.service(deploy, 0))
+	f.service.Store(f.figures.newService(deploy, 0))
 	server := f.server()
 	ended := make(chan struct{})
 	go func() { defer close(ended); server.Serve(f.clients) }()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,10 +34,10 @@
 	if err != nil {
 		return fmt.Errorf("clients: %w", err)
 	}
-	return serve(ctx, c, reloads, listener, operators, newFigures(c))
+	return serve(ctx, c, reloads, listener, operators, newMetrics(c))
 }
 
-func serve(ctx context.Context, c *Config, reloads <-chan Reload, listener, operators net.Listener, figures *figures) error {
+func serve(ctx context.Context, c *Config, reloads <-chan Reload, listener, operators net.Listener, figures *metrics) error {
 	_, backends := splitDescriptors(c.Sockets - reservedDescriptors)
 	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), backends, figures)
 	var calls *counter
@@ -47,7 +47,7 @@
 	front := &frontend{figures: figures, clients: newClients(listener, 1)}
 	front.clients.shared = c.Inherited != "" || c.HandoverDir != ""
 	figures.clients = front.clients
-	front.use(figures.service(c.Deployment, c.maxBodyBytes()))
+	front.applyService(figures.newService(c.Deployment, c.maxBodyBytes()))
 	front.loop = newLoop(c, front.service.Load(), figures, pools, calls, func() { front.ready.Store(true) })
 
 	inner, stop := context.WithCancel(context.Background())
@@ -58,11 +58,11 @@
 	limits := &resourceLimits{config: c, apply: func(clients, backends, memory int) {
 		front.clients.limit(clients)
 		pools.setMaxOpen(backends)
-		figures.bodies.limit(memory)
+		figures.bodyBudget.limit(memory)
 	}}
 	limits.setPaired(false)
-	pair := &handover{loop: front.loop, oldest: make(chan struct{}), paired: limits.setPaired}
-	front.loop.receive(listUpdate{listing: c.Scopes.cached(c.Known), kind: rules.CachedList})
+	pair := &handover{loop: front.loop, noPredecessor: make(chan struct{}), setPaired: limits.setPaired}
+	front.loop.receiveListing(listUpdate{listing: c.Scopes.filterListing(c.Known), kind: rules.CachedList})
 	if c.HandoverDir != "" {
 		before, err := pair.join(ctx, c.HandoverDir)
 		if err != nil {
@@ -74,7 +74,7 @@
 			front.ready.Store(len(before.Listing.Instances) > 0)
 		}
 		wg.Go(func() {
-			if err := pair.serve(inner, c.HandoverDir); err != nil {
+			if err := pair.serveSuccessors(inner, c.HandoverDir); err != nil {
 				slog.Error("no later process can take over", "error", err)
 			}
 		})
@@ -85,21 +85,21 @@
 	if calls != nil {
 		wg.Go(func() { calls.run(inner) })
 	}
-	members, err := newMembers(c, front.loop)
+	members, err := newMembership(c, front.loop)
 	if err != nil {
 		return err
 	}
 	follow := newListFollower(c, front.loop)
-	var stands *standing
+	var stands *connectivity
 	if members != nil {
 		present, gone := context.WithCancel(ctx) // a gateway that takes no more clients has left
 		defer gone()
 		wg.Go(func() { members.Run(present) })
 		var lists func() time.Duration
-		if follow.services != nil {
-			lists = follow.services.Age
+		if follow.registryClient != nil {
+			lists = follow.registryClient.Age
 		}
-		stands = newStanding(members, lists, front.loop.contact, time.Now())
+		stands = newConnectivity(members, lists, front.loop.contact, time.Now())
 		wg.Go(func() { stands.run(present) })
 	}
 	inForce := c
@@ -122,14 +122,14 @@
 				figures.loads.Add(1)
 				slog.Info("reloaded", "discovery", next.Discovery, "counter", next.Counter,
 					"deployment", fmt.Sprintf("%+v", next.Deployment))
-				in := figures.service(next.Deployment, next.maxBodyBytes())
+				in := figures.newService(next.Deployment, next.maxBodyBytes())
 				pools.setTimeouts(seconds(next.ConnectTimeout), seconds(next.KeepAlive))
 				front.loop.post(settingsChanged{in, next.Scopes.subset})
-				front.use(in) // the loop knows it before any request that is read under it
+				front.applyService(in) // the loop knows it before any request that is read under it
 				if calls != nil {
 					calls.setEndpoint(next.Counter, seconds(next.CounterTimeout))
 				}
-				follow.move(inner, next)
+				follow.reconfigure(inner, next)
 				limits.setConfig(next)
 				inForce = next
 			}
@@ -145,9 +145,9 @@
 	server := front.server()
 	failed := make(chan error, 2) // one for each server
 	wg.Go(func() { failed <- server.Serve(front.clients) })
-	pair.serving()
+	pair.notifyServing()
 	if operators != nil {
-		call := (&control{figures: figures, ready: front.takesClients, byHand: pair.byHand, members: stands, loop: front.loop, beside: pair.beside}).server()
+		call := (&controlServer{metrics: figures, ready: front.takesClients, applyOverride: pair.applyOverride, connectivity: stands, loop: front.loop, hasPeer: pair.hasPeer}).server()
 		wg.Go(func() { failed <- call.Serve(newSteadyListener(operators, "operators")) })
 		defer call.Close() // they may call until the end
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -23,7 +23,7 @@
 	stop     context.CancelFunc
 	reloads  chan Reload
 	ended    chan error
-	figures  *figures
+	figures  *metrics
 }
 
 // newRig starts a gateway that knows the given backends and waits until it is
@@ -66,15 +66,15 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
 	done := make(chan struct{})
-	r.reloads, r.figures = make(chan Reload), newFigures(c)
+	r.reloads, r.figures = make(chan Reload), newMetrics(c)
 	go func() { defer close(done); r.ended <- serve(ctx, c, r.reloads, l, operators, r.figures) }()
 	t.Cleanup(func() {
 		stop()
 		<-done
 		// Nothing is left of any transfer, however it ended.
 		for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-			used, _ := r.figures.bodies.usage()
-			up, down := r.figures.up.open.Load(), r.figures.down.open.Load()
+			used, _ := r.figures.bodyBudget.usage()
+			up, down := r.figures.uploads.streaming.Load(), r.figures.downloads.streaming.Load()
 			open := r.figures.clients.counts().Open
 			if used == 0 && up == 0 && down == 0 && open == 0 {
 				break
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	l, dir := newPlatform(t)
 	// What a process left that was killed does no harm.
-	if err := os.WriteFile(filepath.Join(dir, handoverName), nil, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, handoverSocketName), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	old = newRigOn(t, l, dir, backend)
@@ -111,9 +111,9 @@
 	backend := newPeer(t)
 	old, next, conn := newPair(t, backend)
 	memory := func(r *testGateway) int {
-		r.figures.bodies.mu.Lock()
-		defer r.figures.bodies.mu.Unlock()
-		return r.figures.bodies.total
+		r.figures.bodyBudget.mu.Lock()
+		defer r.figures.bodyBudget.mu.Unlock()
+		return r.figures.bodyBudget.total
 	}
 	for _, r := range []*testGateway{old, next} {
 		for end := time.Now().Add(testTimeout); memory(r) != bodyMemory(192)/2; time.Sleep(time.Millisecond) {
@@ -178,24 +178,24 @@
 	backend := newPeer(t)
 	l, dir := newPlatform(t)
 	old := newRigOn(t, l, dir, backend)
-	conn, err := net.Dial("unix", filepath.Join(dir, handoverName))
+	conn, err := net.Dial("unix", filepath.Join(dir, handoverSocketName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	stalled := newLink(conn)
-	var n note
-	if err := stalled.send(note{Join: true}); err != nil {
+	stalled := newPeerConn(conn)
+	var n handoverMessage
+	if err := stalled.send(handoverMessage{Join: true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := stalled.in.Decode(&n); err != nil || n.Snapshot == nil || len(n.Snapshot.Listing.Instances) != 1 {
+	if err := stalled.decoder.Decode(&n); err != nil || n.Snapshot == nil || len(n.Snapshot.Listing.Instances) != 1 {
 		t.Fatalf("state %+v, %v", n.Snapshot, err)
 	}
 	if status, _ := old.operate(t, "POST", "/control/backends/"+backend.address()+"/offline"); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if err := stalled.in.Decode(&n); err != nil || n.Call == nil || !n.Call.Offline {
+	if err := stalled.decoder.Decode(&n); err != nil || n.Call == nil || !n.Call.Offline {
 		t.Errorf("the word was not passed on: %+v, %v", n, err)
 	}
 	old.stop()
@@ -214,26 +214,26 @@
 	old := newRigOn(t, l, dir, backend)
 	kept, answers := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
 	wait(t, answers, "answer")
-	conn, err := net.Dial("unix", filepath.Join(dir, handoverName))
+	conn, err := net.Dial("unix", filepath.Join(dir, handoverSocketName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	next := newLink(conn)
-	var n note
-	if err := next.send(note{Join: true}); err != nil {
+	next := newPeerConn(conn)
+	var n handoverMessage
+	if err := next.send(handoverMessage{Join: true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := next.in.Decode(&n); err != nil || n.Snapshot == nil {
+	if err := next.decoder.Decode(&n); err != nil || n.Snapshot == nil {
 		t.Fatalf("state %+v, %v", n.Snapshot, err)
 	}
 	old.stop()
 	old.untilLeaving(t)
-	if err := next.send(note{Serving: true}); err != nil {
+	if err := next.send(handoverMessage{Serving: true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := next.in.Decode(&n); err != nil || !n.Leaving {
+	if err := next.decoder.Decode(&n); err != nil || !n.Leaving {
 		t.Fatalf("%+v, %v", n, err)
 	}
 	if _, err := kept.Write([]byte(requestText("GET", "lookup", ""))); err != nil {
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -18,7 +18,7 @@
 	pools        *pools
 	follower     *listFollower
 	members      *membership.Agent
-	connectivity *standing
+	connectivity *connectivity
 }
 
 var errNoRegistries = errors.New("registries: a gateway without clients follows list services")
@@ -37,19 +37,19 @@
 		return nil, errNoRegistries
 	}
 	c.observe = observe
-	figures := newFigures(&c)
+	figures := newMetrics(&c)
 	_, backends := splitDescriptors(c.Sockets - reservedDescriptors)
 	h := &Hollow{pools: newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), backends, figures)}
-	h.loop = newLoop(&c, figures.service(c.Deployment, c.maxBodyBytes()), figures, h.pools, nil, func() {})
+	h.loop = newLoop(&c, figures.newService(c.Deployment, c.maxBodyBytes()), figures, h.pools, nil, func() {})
 	h.follower = newListFollower(&c, h.loop)
 	if len(scopes) > 0 {
-		h.follower.services.SetScopes(scopes)
+		h.follower.registryClient.SetScopes(scopes)
 	}
-	if h.members, err = newMembers(&c, h.loop); err != nil {
+	if h.members, err = newMembership(&c, h.loop); err != nil {
 		return nil, err
 	}
 	if h.members != nil {
-		h.connectivity = newStanding(h.members, h.follower.services.Age, h.loop.contact, time.Now())
+		h.connectivity = newConnectivity(h.members, h.follower.registryClient.Age, h.loop.contact, time.Now())
 	}
 	return h, nil
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -61,7 +61,7 @@
 	moduleEvent     struct{ event rules.Event } // news of this process or the one beside it
 	snapshotRequest struct{ snapshot chan<- snapshot }
 	settingsChanged struct {
-		service *service
+		service *serviceConfig
 		subset  subset.Settings
 	}
 	backendsViewRequest struct {
@@ -79,12 +79,12 @@
 // in order; it runs the module's actions and waits for no socket.
 type Loop struct {
 	clock         clock
-	service       *service
-	metrics       *figures
+	service       *serviceConfig
+	metrics       *metrics
 	gateway       *rules.Gateway
 	pools         *pools
 	counter       *counter
-	contact       *contact // with the counter; nil where nobody watches it
+	contact       *counterContact // with the counter; nil where nobody watches it
 	onListApplied func()
 	resubscribe   chan struct{} // the module wants discovery asked again
 
@@ -112,12 +112,12 @@
 	lagLoggedAt      float64
 }
 
-func newLoop(c *Config, s *service, f *figures, p *pools, k *counter, onListed func()) *Loop {
+func newLoop(c *Config, s *serviceConfig, f *metrics, p *pools, k *counter, onListed func()) *Loop {
 	l := &Loop{clock: newClock(), service: s, metrics: f, pools: p, counter: k, onListApplied: onListed,
 		resubscribe: make(chan struct{}, 1), inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
 		live: map[rules.RequestID]*exchange{}, instances: map[rules.BackendID]Instance{}, name: c.Name, offline: map[rules.BackendID]bool{}}
-	if c.Members.Membership {
-		l.contact = &contact{}
+	if c.Members.Enabled {
+		l.contact = &counterContact{}
 	}
 	if l.subset = newBackendSubset(c.Name, c.Scopes.subset, f.subset); l.subset != nil {
 		l.offlineOutside = map[string]bool{}
@@ -200,7 +200,7 @@
 			l.trace(m.exchange, "client left")
 			l.abandon(m.exchange)
 		}
-		m.exchange.abandon(&l.metrics.bodies) // its handler has gone
+		m.exchange.abandon(&l.metrics.bodyBudget) // its handler has gone
 	case bodyComplete:
 		l.completeBody(m.exchange, m.deadline)
 	case responseStarted:
@@ -225,14 +225,14 @@
 		m.known <- l.applyOverride(m.id, m.offline)
 	case settingsChanged:
 		l.service = m.service
-		l.handle(rules.Retune{Settings: l.settings()})
+		l.handle(rules.Retune{Settings: l.activeSettings()})
 		l.resizeSubset(m.subset)
 	case listUpdate:
 		if m.kind == rules.ListFailed {
 			l.handle(rules.Backends{Kind: m.kind})
 			break
 		}
-		l.receive(m)
+		l.receiveListing(m)
 		l.listHistory, l.listVersion = m.history, m.listing.Generation
 	case backendsViewRequest:
 		m.view <- l.backendsView(m.query)
@@ -369,7 +369,7 @@
 		return false
 	}
 	if !l.gateway.Knows(b) {
-		return l.banOutside(id, offline)
+		return l.overrideOutsideSubset(id, offline)
 	}
 	if offline {
 		l.pools.renew(b)
@@ -501,7 +501,7 @@
 		res := l.pools.runAttempt(a)
 		a.cancel()
 		if !l.post(attemptDone{a, res}) {
-			res.answer.drop(&l.metrics.bodies)
+			res.answer.drop(&l.metrics.bodyBudget)
 		}
 	})
 }
@@ -509,7 +509,7 @@
 // endAttempt takes an attempt's one end; what comes after it is dropped.
 func (l *Loop) endAttempt(a *attempt, res result) {
 	if a.ended {
-		res.answer.drop(&l.metrics.bodies)
+		res.answer.drop(&l.metrics.bodyBudget)
 		return
 	}
 	a.ended, a.outcome, a.err, a.took = true, res.outcome, res.err, l.clock.now()-a.sent
@@ -517,7 +517,7 @@
 	x.out--
 	switch {
 	case !x.open:
-		res.answer.drop(&l.metrics.bodies)
+		res.answer.drop(&l.metrics.bodyBudget)
 	case x.begun && res.outcome == rules.Served:
 		l.finish(x)
 		x.counts.passed.Add(1)
@@ -593,8 +593,8 @@
 // count takes the module's own figures.
 func (l *Loop) updateBackendCounts() {
 	known, skipped := l.gateway.Listed()
-	l.metrics.known.Store(int64(known))
-	l.metrics.skipped.Store(int64(skipped))
+	l.metrics.knownBackends.Store(int64(known))
+	l.metrics.skippedBackends.Store(int64(skipped))
 }
 
 func (l *Loop) callCounter(c rules.Count) {
@@ -613,7 +613,7 @@
 		return
 	}
 	k.ended = true
-	l.contact.note(o)
+	l.contact.recordCall(o)
 	l.handle(rules.CounterReply{Name: k.name, Outcome: o, Total: total, Took: l.clock.now() - k.sent})
 }
 
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -36,9 +36,9 @@
 // A request that was read under earlier settings and reaches the loop under new
 // ones has numbers that mean another class and plan by now.
 func TestCarryOver(t *testing.T) {
-	old := &service{Deployment: wire.Deployment{ClassNames: []string{"a", "b"}, PlanNames: []string{"p", "q"}}}
+	old := &serviceConfig{Deployment: wire.Deployment{ClassNames: []string{"a", "b"}, PlanNames: []string{"p", "q"}}}
 	old.Classes = []rules.Class{{Worth: 1}, {Worth: 2}}
-	l := &Loop{service: &service{Deployment: wire.Deployment{ClassNames: []string{"a"}, PlanNames: []string{"q"}}}}
+	l := &Loop{service: &serviceConfig{Deployment: wire.Deployment{ClassNames: []string{"a"}, PlanNames: []string{"q"}}}}
 	x := &exchange{service: old, class: &old.Classes[1], plan: "q", ask: rules.Request{Class: 1, Plan: 1}}
 	if !l.carryOver(x) || x.ask.Own != &old.Classes[1] || x.ask.Plan != 0 {
 		t.Errorf("carried over as %+v", x.ask)
@@ -57,8 +57,8 @@
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f, calls := newFigures(&c), newCounter(c.Counter, time.Second)
-		s := f.service(c.Deployment, 0)
+		f, calls := newMetrics(&c), newCounter(c.Counter, time.Second)
+		s := f.newService(c.Deployment, 0)
 		l := newLoop(&c, s, f, newPools(time.Second, time.Minute, 8, f), calls, func() {})
 		ctx, cancel := context.WithCancel(context.Background())
 		go l.run(ctx)
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -60,7 +60,7 @@
 	operators, control := listen()
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- serve(ctx, &c, nil, clients, operators, newFigures(&c)) }()
+	go func() { ended <- serve(ctx, &c, nil, clients, operators, newMetrics(&c)) }()
 	for name, url := range map[string]string{"clients": "http://" + address + readyPath, "operators": "http://" + control + "/control/counters"} {
 		resp, err := (&http.Client{Timeout: testTimeout}).Get(url)
 		if err != nil {
@@ -131,11 +131,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := newFigures(&c)
-		next := newLoop(&c, f.service(c.Deployment, 0), f, newPools(time.Second, time.Minute, 8, f), nil, func() {})
+		f := newMetrics(&c)
+		next := newLoop(&c, f.newService(c.Deployment, 0), f, newPools(time.Second, time.Minute, 8, f), nil, func() {})
 		next.clock.startUnix += step.Seconds()
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
-		h := &handover{loop: next, oldest: make(chan struct{}), paired: func(bool) {}}
+		h := &handover{loop: next, noPredecessor: make(chan struct{}), setPaired: func(bool) {}}
 		state, err := h.join(ctx, dir)
 		cancel()
 		if err != nil || state == nil {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -14,21 +14,21 @@
 	"dunlintray/rules"
 )
 
-// peerShare is the part of the datagrams that a gateway takes in which membership
+// membershipInboxFraction is the part of the datagrams that a gateway takes in which membership
 // may have.
-const peerShare = 0.5
+const membershipInboxFraction = 0.5
 
-// membersConfig is what a gateway is told of the others.
-type membersConfig struct {
-	Membership bool   // take part
-	PeerListen string // where datagrams come in
-	Peers      []string
-	InPerS     float64 // that a gateway takes in; of the settings
+// membershipConfig is what a gateway is told of the others.
+type membershipConfig struct {
+	Enabled        bool   // take part
+	PeerListen     string // where datagrams come in
+	Peers          []string
+	InboxPerSecond float64 // that a gateway takes in; of the settings
 }
 
-// agent finds the addresses that a gateway could not take part with.
-func (c *Config) agent() (membership.AgentConfig, error) {
-	a := membership.AgentConfig{Self: c.Rank, InPerS: c.Members.InPerS * peerShare}
+// agentConfig finds the addresses that a gateway could not take part with.
+func (c *Config) agentConfig() (membership.AgentConfig, error) {
+	a := membership.AgentConfig{Self: c.Rank, InPerS: c.Members.InboxPerSecond * membershipInboxFraction}
 	var err error
 	if a.Listen, err = netip.ParseAddrPort(c.Members.PeerListen); err != nil {
 		return a, fmt.Errorf("peer_listen: %w", err)
@@ -43,22 +43,22 @@
 	switch {
 	case len(a.Peers) != c.Fleet:
 		return a, fmt.Errorf("peers: %d addresses of %d gateways", len(a.Peers), c.Fleet)
-	case a.InPerS < leastPeerRate:
-		return a, fmt.Errorf("settings: inboxPerS of %g leaves %g datagrams a second for membership, under %d", c.Members.InPerS, a.InPerS, leastPeerRate)
+	case a.InPerS < minMembershipRate:
+		return a, fmt.Errorf("settings: inboxPerS of %g leaves %g datagrams a second for membership, under %d", c.Members.InboxPerSecond, a.InPerS, minMembershipRate)
 	}
 	return a, nil
 }
 
-// leastPeerRate is what a member takes in when half of what is sent is lost.
-const leastPeerRate = 12
+// minMembershipRate is what a member takes in when half of what is sent is lost.
+const minMembershipRate = 12
 
-// newMembers returns the agent that tells the module who is present; nil where
+// newMembership returns the agent that tells the module who is present; nil where
 // membership is not asked for.
-func newMembers(c *Config, l *Loop) (*membership.Agent, error) {
-	if !c.Members.Membership {
+func newMembership(c *Config, l *Loop) (*membership.Agent, error) {
+	if !c.Members.Enabled {
 		return nil, nil
 	}
-	a, err := c.agent()
+	a, err := c.agentConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -68,8 +68,8 @@
 	})
 }
 
-// errNoMembers answers operators of a gateway that takes no part.
-var errNoMembers = errors.New("membership is off")
+// errMembershipOff answers operators of a gateway that takes no part.
+var errMembershipOff = errors.New("membership is off")
 
 // Member is one line of what operators are told of the others.
 type Member struct {
@@ -94,10 +94,10 @@
 	Members    []Member `json:"members"`
 }
 
-func membersHandler(s *standing) http.HandlerFunc {
+func membersHandler(s *connectivity) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if s == nil {
-			http.Error(w, errNoMembers.Error(), http.StatusNotFound)
+			http.Error(w, errMembershipOff.Error(), http.StatusNotFound)
 			return
 		}
 		v := s.agent.View()
@@ -112,8 +112,8 @@
 	}
 }
 
-// writeMembers puts the figures out.
-func writeMembers(w io.Writer, s *standing) {
+// writeMembershipMetrics puts the figures out.
+func writeMembershipMetrics(w io.Writer, s *connectivity) {
 	if s == nil {
 		return
 	}
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -27,10 +27,10 @@
 
 func TestMembersConfig(t *testing.T) {
 	c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
-	if err != nil || c.Members.Membership {
+	if err != nil || c.Members.Enabled {
 		t.Fatalf("absent is off: %+v, %v", c.Members, err)
 	}
-	if a, err := newMembers(&c, nil); a != nil || err != nil {
+	if a, err := newMembership(&c, nil); a != nil || err != nil {
 		t.Errorf("off: %v, %v", a, err)
 	}
 	off := httptest.NewRecorder()
@@ -43,7 +43,7 @@
 		peers = append(peers, net.JoinHostPort("127.0.0.1", string(rune('1'+n))))
 	}
 	good := membersText("127.0.0.1:1", peers...)
-	if c, err := parseConfig([]byte(good)); err != nil || !c.Members.Membership {
+	if c, err := parseConfig([]byte(good)); err != nil || !c.Members.Enabled {
 		t.Fatalf("%+v, %v", c.Members, err)
 	}
 	for _, bad := range []string{membersText("nowhere", peers...), membersText("127.0.0.1:1", peers[1:]...), membersText("127.0.0.1:1", append([]string{"x"}, peers[1:]...)...),
@@ -71,8 +71,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	age, counter := time.Second, &contact{}
-	s := newStanding(a, func() time.Duration { return age }, counter, began)
+	age, counter := time.Second, &counterContact{}
+	s := newConnectivity(a, func() time.Duration { return age }, counter, began)
 	s.view = func() membership.View {
 		v := membership.View{Self: 0, On: true, Members: make([]membership.Member, 3)}
 		for n := range v.Members {
@@ -83,12 +83,12 @@
 	at, answers := began, false
 	stands := func() string {
 		for range 20 { // of half a second each
-			at = at.Add(lookGap)
-			counter.asked.Store(at.UnixNano())
+			at = at.Add(observeInterval)
+			counter.lastCall.Store(at.UnixNano())
 			if answers {
-				counter.answered.Store(at.UnixNano())
+				counter.lastAnswer.Store(at.UnixNano())
 			}
-			s.see(at)
+			s.observe(at)
 		}
 		state, _, why := s.state(at)
 		return state.String() + ": " + why
@@ -100,7 +100,7 @@
 		{func() {}, "divided: reaches none of 2 other gateways; the counter is silent"},
 		{func() { age = -1 }, "alone: reaches no other gateway, no list service and no counter"},
 		{func() { answers = true }, "divided: reaches none of 2"},
-		{func() { age, answers = listSilent+1, false }, "alone: "},
+		{func() { age, answers = registrySilenceLimit+1, false }, "alone: "},
 		{func() {
 			age = 0
 			s.view = func() membership.View {
@@ -121,12 +121,12 @@
 			t.Errorf("%s; want %s", got, step.want)
 		}
 	}
-	(*contact)(nil).note(rules.Served) // nobody watches
-	counter = &contact{}
-	if counter.note(rules.TimedOut); counter.answered.Load() >= counter.asked.Load() {
+	(*counterContact)(nil).recordCall(rules.Served) // nobody watches
+	counter = &counterContact{}
+	if counter.recordCall(rules.TimedOut); counter.lastAnswer.Load() >= counter.lastCall.Load() {
 		t.Error("a call that timed out counts as answered")
 	}
-	if counter.note(rules.Served); counter.answered.Load() != counter.asked.Load() {
+	if counter.recordCall(rules.Served); counter.lastAnswer.Load() != counter.lastCall.Load() {
 		t.Error("a call that was answered does not count")
 	}
 }
@@ -140,9 +140,9 @@
 	}
 	address := testnet.UDP(t)
 	c.Rank, c.Fleet = 0, 1
-	c.Members = membersConfig{true, address, []string{address}, 60}
+	c.Members = membershipConfig{true, address, []string{address}, 60}
 	l := &Loop{inbox: make(chan any, inboxSize), stopped: make(chan struct{})}
-	a, err := newMembers(&c, l)
+	a, err := newMembership(&c, l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,14 +158,14 @@
 		t.Fatal("the module hears nothing")
 	}
 	w := httptest.NewRecorder()
-	stands := newStanding(a, nil, &contact{}, time.Now())
+	stands := newConnectivity(a, nil, &counterContact{}, time.Now())
 	membersHandler(stands)(w, nil)
 	var v MembersView
 	if err := json.Unmarshal(w.Body.Bytes(), &v); err != nil || len(v.Members) != 1 || v.Members[0].State != "alive" || !v.On || v.State != "whole" || v.Why == "" {
 		t.Errorf("%s, %v", w.Body, err)
 	}
 	var figures strings.Builder
-	writeMembers(&figures, stands)
+	writeMembershipMetrics(&figures, stands)
 	if !strings.Contains(figures.String(), "app.members.alive:1|g\n") || !strings.Contains(figures.String(), "app.members.standing:0|g\n") {
 		t.Error(figures.String())
 	}
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -48,7 +48,7 @@
 	idleLimit      time.Duration // idle connections that are older are closed
 	settle         time.Duration // see settleTime
 	maxOpen        int           // limit of connections and dials over all backends
-	metrics        *figures
+	metrics        *metrics
 	logLimit       logLimiter // of log lines about missing descriptors
 	dial           func(context.Context, *target, time.Duration) (*backendConn, error)
 
@@ -58,7 +58,7 @@
 }
 
 // newPools returns pools without backends.
-func newPools(connectTimeout, keepAlive time.Duration, mostOpen int, f *figures) *pools {
+func newPools(connectTimeout, keepAlive time.Duration, mostOpen int, f *metrics) *pools {
 	return &pools{connectTimeout: connectTimeout, idleLimit: idleLimit(keepAlive),
 		settle: settleTime, maxOpen: mostOpen, metrics: f, logLimit: logLimiter{max: 1}, dial: dial, targets: map[rules.BackendID]*target{}}
 }
--- a/internal/gateway/scopes.go
+++ b/internal/gateway/scopes.go
@@ -60,8 +60,8 @@
 	return c.subset.Check()
 }
 
-// lacks finds a change that needs a new start.
-func (c *scopesConfig) lacks(next *scopesConfig) error {
+// checkReload finds a change that needs a new start.
+func (c *scopesConfig) checkReload(next *scopesConfig) error {
 	switch {
 	case (len(c.scopes) > 0) != (len(next.scopes) > 0):
 		return errors.New("scopes: whether there are any needs a new start")
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// cached returns what of a list known from before is in the scopes.
-func (c *scopesConfig) cached(known Listing) Listing {
+// filterListing returns what of a list known from before is in the scopes.
+func (c *scopesConfig) filterListing(known Listing) Listing {
 	if len(c.scopes) == 0 {
 		return known
 	}
@@ -87,9 +87,9 @@
 // next ones until a list service knows one of these, so that a name that is misspelt in a
 // configuration leaves the gateway with the backends that it had.
 type scopeChange struct {
-	mu      sync.Mutex
-	inForce []registry.Scope
-	next    []registry.Scope // nil: nothing changes
+	mu     sync.Mutex
+	active []registry.Scope
+	next   []registry.Scope // nil: nothing changes
 }
 
 // begin starts a change, in place of one that is under way, and returns what to read.
@@ -97,21 +97,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.next = next
-	return c.both()
+	return c.activeAndNext()
 }
 
-// both returns the scopes in force and the next ones. The caller has the lock.
-func (c *scopeChange) both() []registry.Scope { return slices.Concat(c.inForce, c.next) }
+// activeAndNext returns the scopes in force and the next ones. The caller has the lock.
+func (c *scopeChange) activeAndNext() []registry.Scope { return slices.Concat(c.active, c.next) }
 
-// answered takes in which of the scopes of an answer are unknown. It returns what to read
+// handleAnswer takes in which of the scopes of an answer are unknown. It returns what to read
 // from now on, and whether that has changed.
-func (c *scopeChange) answered(scopes *registry.ScopeSet, unknown []registry.Scope) ([]registry.Scope, bool) {
+func (c *scopeChange) handleAnswer(scopes *registry.ScopeSet, unknown []registry.Scope) ([]registry.Scope, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.next == nil {
 		return nil, false
 	}
-	asked, err := registry.NewScopeSet(c.both())
+	asked, err := registry.NewScopeSet(c.activeAndNext())
 	if err != nil || asked.ID() != scopes.ID() {
 		return nil, false // the answer to an earlier call
 	}
@@ -120,14 +120,14 @@
 		slog.Warn("scopes in force stay, as no list service knows the new ones")
 		return nil, false
 	}
-	c.inForce, c.next = c.next, nil
-	return c.inForce, true
+	c.active, c.next = c.next, nil
+	return c.active, true
 }
 
 // unknownScopes logs the scopes that list services do not know, once for each change.
 type unknownScopes struct{ last []registry.Scope }
 
-func (u *unknownScopes) see(now []registry.Scope) {
+func (u *unknownScopes) logChange(now []registry.Scope) {
 	if slices.Equal(u.last, now) {
 		return
 	}
@@ -158,24 +158,24 @@
 // backendSubset chooses the backends that this gateway uses. It belongs to the loop. A
 // nil one stands for all there are.
 type backendSubset struct {
-	selector *subset.Selector
-	settings subset.Settings
-	figures  *subsetMetrics
-	listed   bool // a list has come from a list service
-	widened  int
-	sharing  int // gateways that use one backend, in the mean
+	selector           *subset.Selector
+	settings           subset.Settings
+	metrics            *subsetMetrics
+	hasList            bool // a list has come from a list service
+	widened            int
+	gatewaysPerBackend int // gateways that use one backend, in the mean
 }
 
 func newBackendSubset(name string, settings subset.Settings, f *subsetMetrics) *backendSubset {
 	if !settings.On() {
 		return nil
 	}
-	return &backendSubset{selector: subset.New(name, settings), settings: settings, figures: f}
+	return &backendSubset{selector: subset.New(name, settings), settings: settings, metrics: f}
 }
 
-// choose returns what of the news concerns the backends in use.
-func (s *backendSubset) choose(now float64, told Listing, kind rules.ListKind) Listing {
-	s.listed = s.listed || kind != rules.CachedList
+// apply returns what of the news concerns the backends in use.
+func (s *backendSubset) apply(now float64, told Listing, kind rules.ListKind) Listing {
+	s.hasList = s.hasList || kind != rules.CachedList
 	if kind != rules.Delta {
 		told.Reset = true
 	}
@@ -184,7 +184,7 @@
 
 // review takes in how many backends are usable and returns what changes by that.
 func (s *backendSubset) review(now float64, usable int) Listing {
-	if !s.listed {
+	if !s.hasList {
 		return Listing{} // what is known from before stands until a list service is heard
 	}
 	return s.selector.Report(seconds(now), usable)
@@ -196,14 +196,14 @@
 	return s.selector.Resize(seconds(now), settings)
 }
 
-// note tells operators what the subset is now. It returns whether the number of gateways
+// updateMetrics tells operators what the subset is now. It returns whether the number of gateways
 // that share a backend has changed by so much that the module has to know.
-func (s *backendSubset) note() bool {
+func (s *backendSubset) updateMetrics() bool {
 	stats := s.selector.Stats()
-	s.figures.candidates.Store(int64(stats.Candidates))
-	s.figures.size.Store(int64(stats.Size))
-	s.figures.chosen.Store(int64(stats.Chosen))
-	s.figures.widened.Store(int64(stats.Widened))
+	s.metrics.candidates.Store(int64(stats.Candidates))
+	s.metrics.size.Store(int64(stats.Size))
+	s.metrics.chosen.Store(int64(stats.Chosen))
+	s.metrics.widened.Store(int64(stats.Widened))
 	if stats.Widened != s.widened {
 		slog.Warn("subset", "widened", stats.Widened, "before", s.widened, "size", stats.Size, "chosen", stats.Chosen, "candidates", stats.Candidates)
 		s.widened = stats.Widened
@@ -212,72 +212,72 @@
 		return false
 	}
 	sharing := max(int(math.Round(float64(s.settings.Fleet)*float64(stats.Size)/float64(stats.Candidates))), 1)
-	if differ := sharing - s.sharing; sharingStep*max(differ, -differ) <= s.sharing {
+	if differ := sharing - s.gatewaysPerBackend; sharingStepDivisor*max(differ, -differ) <= s.gatewaysPerBackend {
 		return false
 	}
-	s.sharing = sharing
+	s.gatewaysPerBackend = sharing
 	return true
 }
 
-// sharingStep is the part, one in so many, by which the number of gateways that share a
+// sharingStepDivisor is the part, one in so many, by which the number of gateways that share a
 // backend may be off before the module hears of it.
-const sharingStep = 10
+const sharingStepDivisor = 10
 
-// usableNow counts the backends that get requests now.
-func (l *Loop) usableNow() int {
+// usableBackends counts the backends that get requests now.
+func (l *Loop) usableBackends() int {
 	known, skipped := l.gateway.Listed()
 	return known - skipped
 }
 
-// settings are those of the deployment in force, with what the subset makes of them.
-func (l *Loop) settings() rules.Settings {
+// activeSettings are those of the deployment in force, with what the subset makes of them.
+func (l *Loop) activeSettings() rules.Settings {
 	s := l.service.Settings
 	if l.subset != nil {
-		s.Sharing = l.subset.sharing
+		s.Sharing = l.subset.gatewaysPerBackend
 	}
 	return s
 }
 
-// receive takes in what list services or discovery tell.
-func (l *Loop) receive(m listUpdate) {
+// receiveListing takes in what list services or discovery tell.
+func (l *Loop) receiveListing(m listUpdate) {
 	if l.subset == nil {
 		l.applyList(m.listing, m.kind)
 		return
 	}
-	l.use(l.subset.choose(l.clock.now(), m.listing, m.kind), m.kind)
+	l.applySubset(l.subset.apply(l.clock.now(), m.listing, m.kind), m.kind)
 }
 
 // reviewSubset widens or narrows the subset, if there is reason to.
 func (l *Loop) reviewSubset() {
-	if changes := l.subset.review(l.clock.now(), l.usableNow()); len(changes.Instances) > 0 {
-		l.use(changes, rules.Delta)
+	if changes := l.subset.review(l.clock.now(), l.usableBackends()); len(changes.Instances) > 0 {
+		l.applySubset(changes, rules.Delta)
 	}
 }
 
 // resizeSubset takes other settings of the subset.
 func (l *Loop) resizeSubset(settings subset.Settings) {
 	if l.subset != nil && settings != l.subset.settings {
-		l.use(l.subset.resize(l.clock.now(), settings), rules.Delta)
+		l.applySubset(l.subset.resize(l.clock.now(), settings), rules.Delta)
 	}
 }
 
-// use tells the module what has changed of the subset. What it reckons by the number of
+// applySubset tells the module what has changed of the subset. What it reckons by the number of
 // gateways comes first.
-func (l *Loop) use(chosen Listing, kind rules.ListKind) {
-	if l.subset.note() {
-		l.handle(rules.Retune{Settings: l.settings()})
+func (l *Loop) applySubset(chosen Listing, kind rules.ListKind) {
+	if l.subset.updateMetrics() {
+		l.handle(rules.Retune{Settings: l.activeSettings()})
 	}
 	for _, i := range chosen.Instances {
 		if i.Lifecycle == registry.Ready && l.offlineOutside[i.ID] {
-			l.enterBanned(i)
+			l.addOffline(i)
 		}
 	}
 	l.applyList(chosen, kind)
 }
 
-// banOutside keeps an operator's word on a backend outside the subset, which the module
+// overrideOutsideSubset keeps an operator's word on a backend outside the subset, which the module
 // does not know, for when it enters.
-func (l *Loop) banOutside(id string, offline bool) (known bool) {
+func (l *Loop) overrideOutsideSubset(id string, offline bool) (known bool) {
 	if l.subset == nil || !l.offlineOutside[id] && !l.subset.selector.Listed(id) {
 		return false
 	}
@@ -288,8 +288,8 @@
 	return true
 }
 
-// namedOnce returns the set of names.
-func namedOnce(names []string) map[string]bool {
+// nameSet returns the set of names.
+func nameSet(names []string) map[string]bool {
 	set := make(map[string]bool, len(names))
 	for _, name := range names {
 		set[name] = true
@@ -297,9 +297,9 @@
 	return set
 }
 
-// enterBanned makes a backend known to the module that is out by hand. It enters as one
+// addOffline makes a backend known to the module that is out by hand. It enters as one
 // that drains, since nothing may go there before the module has the operator's word.
-func (l *Loop) enterBanned(i Instance) {
+func (l *Loop) addOffline(i Instance) {
 	delete(l.offlineOutside, i.ID)
 	i.Lifecycle = registry.Terminating
 	l.applyList(Listing{Instances: []Instance{i}}, rules.Delta)
--- a/internal/gateway/scopes_test.go
+++ b/internal/gateway/scopes_test.go
@@ -338,7 +338,7 @@
 			t.Errorf("%s: %d %s", call.path, status, text)
 		}
 	}
-	until(t, "the next process can take over", func() bool { _, err := os.Stat(filepath.Join(dir, handoverName)); return err == nil })
+	until(t, "the next process can take over", func() bool { _, err := os.Stat(filepath.Join(dir, handoverSocketName)); return err == nil })
 	next := start()
 	next.tells(t, "app.subset.chosen:3|g", "app.skipped_backends:0|g")
 	s.drain(t, first[0]) // now the last one enters
@@ -454,10 +454,10 @@
 func TestKnownListInScopes(t *testing.T) {
 	known := Listing{Instances: []Instance{{ID: "b-1", Service: "checkout"}, {ID: "b-2", Service: "search"}, {ID: "b-3"}}}
 	c := scopesConfig{scopes: []registry.Scope{{Service: "checkout"}}}
-	if got := c.cached(known); len(got.Instances) != 1 || got.Instances[0].ID != "b-1" || len(known.Instances) != 3 {
+	if got := c.filterListing(known); len(got.Instances) != 1 || got.Instances[0].ID != "b-1" || len(known.Instances) != 3 {
 		t.Errorf("%+v of %+v", got, known)
 	}
-	if got := (&scopesConfig{}).cached(known); len(got.Instances) != 3 {
+	if got := (&scopesConfig{}).filterListing(known); len(got.Instances) != 3 {
 		t.Errorf("%+v without scopes", got)
 	}
 }
@@ -478,12 +478,12 @@
 		first, last, sharing int
 		told                 bool
 	}{{0, 100, 50, true}, {100, 105, 50, false}, {105, 200, 25, true}, {200, 250, 20, true}} {
-		s.choose(0, of(step.first, step.last), rules.Delta)
-		if told := s.note(); told != step.told || s.sharing != step.sharing {
-			t.Errorf("of %d: shared by %d, told %t", step.last, s.sharing, told)
+		s.apply(0, of(step.first, step.last), rules.Delta)
+		if told := s.updateMetrics(); told != step.told || s.gatewaysPerBackend != step.sharing {
+			t.Errorf("of %d: shared by %d, told %t", step.last, s.gatewaysPerBackend, told)
 		}
 	}
-	if got := s.figures.candidates.Load(); got != 250 {
+	if got := s.metrics.candidates.Load(); got != 250 {
 		t.Errorf("%d candidates", got)
 	}
 }
@@ -533,8 +533,8 @@
 		}
 		return s
 	}
-	c := scopeChange{inForce: scopesOf("a")}
-	if _, changed := c.answered(set("a"), nil); changed {
+	c := scopeChange{active: scopesOf("a")}
+	if _, changed := c.handleAnswer(set("a"), nil); changed {
 		t.Error("an answer changes the scopes of a reader that keeps them")
 	}
 	if read := c.begin(scopesOf("b", "c")); !slices.Equal(read, scopesOf("a", "b", "c")) {
@@ -549,11 +549,11 @@
 		"an answer to scopes of long ago":  {set("a", "d"), scopesOf("b")},
 		"an answer with the old one alone": {nil, nil},
 	} {
-		if _, changed := c.answered(answer.of, answer.unknown); changed {
+		if _, changed := c.handleAnswer(answer.of, answer.unknown); changed {
 			t.Errorf("%s ends the scopes in force", name)
 		}
 	}
-	if read, changed := c.answered(set("a", "b", "c"), scopesOf("c")); !changed || !slices.Equal(read, scopesOf("b", "c")) {
+	if read, changed := c.handleAnswer(set("a", "b", "c"), scopesOf("c")); !changed || !slices.Equal(read, scopesOf("b", "c")) {
 		t.Errorf("reads %v, changed %v, once a scope is known", read, changed)
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -83,15 +83,15 @@
 	c.SetDeadline(a.wallDeadline) // zero, so without a deadline, unless the body is complete by now
 	u.take(a)
 	sent := make(chan error, 1)
-	p.metrics.up.open.Add(1)
+	p.metrics.uploads.streaming.Add(1)
 	go func() {
-		defer p.metrics.up.open.Add(-1)
+		defer p.metrics.uploads.streaming.Add(-1)
 		defer u.done(a)
 		why, err := a.sendBody(c)
 		if err == nil {
-			p.metrics.tries.Add(1)
+			p.metrics.attempts.Add(1)
 		}
-		p.metrics.up.end(why, a.exchange.header.Get(idHeader), err)
+		p.metrics.uploads.recordEnd(why, a.exchange.header.Get(idHeader), err)
 		if sent <- err; err != nil {
 			c.Close() // which also ends the wait for a response
 		}
@@ -141,7 +141,7 @@
 }
 
 // send writes the body of an upload as it arrives. It returns why the upload ended.
-func (a *attempt) sendBody(c *backendConn) (cause, error) {
+func (a *attempt) sendBody(c *backendConn) (transferCause, error) {
 	u, to := a.exchange.upload, pace{pause: stall, grace: stall, rate: leastRate}
 	left := u.timeLeft()
 	if !a.wallDeadline.IsZero() {
@@ -151,7 +151,7 @@
 	for at, total := 0, int64(0); ; {
 		piece, err := u.next(a, at)
 		if err != nil && err != io.EOF {
-			return bodyCause(err), err
+			return clientBodyCause(err), err
 		}
 		at += len(piece)
 		total += int64(len(piece))
@@ -169,10 +169,10 @@
 			writeTrailer(c.writer, trailers(u.request.Trailer))
 		}
 		if err := c.writer.Flush(); err != nil {
-			return slowOr(err, backendSlow, backendBroke), err
+			return timeoutCause(err, backendSlow, backendBroken), err
 		}
 		if err == io.EOF {
-			return endedWhole, nil
+			return transferComplete, nil
 		}
 		to.moved(len(piece), time.Since(before))
 	}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -19,7 +19,7 @@
 		3 * time.Second, 7500 * time.Millisecond, time.Hour} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
 		s := newStopSchedule(longest)
-		if s.closeIdle >= s.answers || s.closeListener > s.answers || s.answers >= s.finish || s.finish >= s.exit || s.exit >= kill {
+		if s.closeIdle >= s.answersDue || s.closeListener > s.answersDue || s.answersDue >= s.finish || s.finish >= s.exit || s.exit >= kill {
 			t.Errorf("longest deadline %v: %+v, kill at %v", longest, s, kill)
 		}
 		if s.closeIdle <= 0 || s.closeListener < 300*time.Millisecond {
@@ -32,9 +32,9 @@
 func TestStopCountsTheNearestEnd(t *testing.T) {
 	f := &frontend{}
 	for n, c := range []struct{ deadline, want float64 }{{2, 2}, {7, 2}, {1, 1}, {3, 1}} {
-		s := &service{}
+		s := &serviceConfig{}
 		s.Classes = []rules.Class{{Deadline: c.deadline}, {Deadline: c.deadline / 2}}
-		f.use(s)
+		f.applyService(s)
 		if got := time.Duration(f.longestDeadline.Load()); got != seconds(c.want) {
 			t.Errorf("settings %d: %v, want %v s", n, got, c.want)
 		}
--- a/internal/gateway/slopes_test.go
+++ b/internal/gateway/slopes_test.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFigures(&c)
-	l := newLoop(&c, f.service(c.Deployment, 0), f, newPools(time.Second, time.Minute, 8, f), nil, func() {})
+	f := newMetrics(&c)
+	l := newLoop(&c, f.newService(c.Deployment, 0), f, newPools(time.Second, time.Minute, 8, f), nil, func() {})
 	l.applyList(list, rules.FullList)
 	return l
 }
--- a/internal/gateway/standing.go
+++ b/internal/gateway/standing.go
@@ -13,74 +13,74 @@
 )
 
 const (
-	lookGap    = 500 * time.Millisecond // between two sights
-	listSilent = 10 * time.Second       // without an answer of any list service; a watch takes 4 s
-	callSilent = 3 * time.Second        // without an answer of the counter, though it was asked
-	callRecent = 10 * time.Second       // in which it has to have been asked
-	differsFor = 30 * time.Second       // views differ for seconds after each change, and longer only where they can't meet
+	observeInterval      = 500 * time.Millisecond // between two sights
+	registrySilenceLimit = 10 * time.Second       // without an answer of any list service; a watch takes 4 s
+	counterSilenceLimit  = 3 * time.Second        // without an answer of the counter, though it was asked
+	counterCallWindow    = 10 * time.Second       // in which it has to have been asked
+	viewDifferenceLimit  = 30 * time.Second       // views differ for seconds after each change, and longer only where they can't meet
 )
 
-// standing watches how the gateway stands in its fleet.
-type standing struct {
-	agent   *membership.Agent
-	view    func() membership.View
-	lists   func() time.Duration // since a list service's last answer; below 0: none; nil: there are none
-	counter *contact
-	began   time.Time
+// connectivity watches how the gateway stands in its fleet.
+type connectivity struct {
+	agent       *membership.Agent
+	view        func() membership.View
+	registryAge func() time.Duration // since a list service's last answer; below 0: none; nil: there are none
+	counter     *counterContact
+	startedAt   time.Time
 
-	differs time.Time // since when views have; of run
+	differingSince time.Time // since when views have; of run
 
 	mu      sync.Mutex
 	machine *reach.Machine
 }
 
-// contact is with the counter: when a call last ended, and when one was answered,
+// counterContact is with the counter: when a call last ended, and when one was answered,
 // in nanoseconds of Unix time.
-type contact struct{ asked, answered atomic.Int64 }
+type counterContact struct{ lastCall, lastAnswer atomic.Int64 }
 
-// note takes a call's end. A contact that nobody watches is nil.
-func (c *contact) note(o rules.Outcome) {
+// recordCall takes a call's end. A contact that nobody watches is nil.
+func (c *counterContact) recordCall(o rules.Outcome) {
 	if c == nil {
 		return
 	}
 	now := time.Now().UnixNano()
-	c.asked.Store(now)
+	c.lastCall.Store(now)
 	if o == rules.Served {
-		c.answered.Store(now)
+		c.lastAnswer.Store(now)
 	}
 }
 
-func (c *contact) state(now time.Time) reach.Contact {
-	asked, answered := time.Unix(0, c.asked.Load()), time.Unix(0, c.answered.Load())
+func (c *counterContact) state(now time.Time) reach.Contact {
+	asked, answered := time.Unix(0, c.lastCall.Load()), time.Unix(0, c.lastAnswer.Load())
 	switch {
-	case now.Sub(asked) > callRecent:
+	case now.Sub(asked) > counterCallWindow:
 		return reach.None
-	case now.Sub(answered) > callSilent:
+	case now.Sub(answered) > counterSilenceLimit:
 		return reach.Silent
 	}
 	return reach.Heard
 }
 
-func newStanding(a *membership.Agent, lists func() time.Duration, counter *contact, now time.Time) *standing {
-	return &standing{agent: a, view: a.View, lists: lists, counter: counter, began: now, machine: reach.New(0)}
+func newConnectivity(a *membership.Agent, lists func() time.Duration, counter *counterContact, now time.Time) *connectivity {
+	return &connectivity{agent: a, view: a.View, registryAge: lists, counter: counter, startedAt: now, machine: reach.New(0)}
 }
 
 // run looks until ctx ends.
-func (s *standing) run(ctx context.Context) {
-	t := time.NewTicker(lookGap)
+func (s *connectivity) run(ctx context.Context) {
+	t := time.NewTicker(observeInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			s.see(now)
+			s.observe(now)
 		}
 	}
 }
 
-// see takes in what the gateway sees now.
-func (s *standing) see(now time.Time) {
+// observe takes in what the gateway sees now.
+func (s *connectivity) observe(now time.Time) {
 	v := s.view()
 	if !v.On || v.Superseded {
 		return // another process has its place, or takes it
@@ -88,10 +88,10 @@
 	sight := reach.Sight{Fleet: len(v.Members) - 1, Counter: s.counter.state(now)}
 	switch {
 	case v.Stats.Differing == 0:
-		s.differs = time.Time{}
-	case s.differs.IsZero():
-		s.differs = now
-	case now.Sub(s.differs) >= differsFor:
+		s.differingSince = time.Time{}
+	case s.differingSince.IsZero():
+		s.differingSince = now
+	case now.Sub(s.differingSince) >= viewDifferenceLimit:
 		sight.Differing = int(v.Stats.Differing)
 	}
 	for _, m := range v.Members {
@@ -103,14 +103,14 @@
 			sight.Present++
 		}
 	}
-	if s.lists != nil {
-		if sight.Lists = reach.Heard; s.lists() < 0 || s.lists() > listSilent {
+	if s.registryAge != nil {
+		if sight.Lists = reach.Heard; s.registryAge() < 0 || s.registryAge() > registrySilenceLimit {
 			sight.Lists = reach.Silent
 		}
 	}
 	s.mu.Lock()
 	before, _, _ := s.machine.State()
-	changed := s.machine.See(now.Sub(s.began), sight)
+	changed := s.machine.See(now.Sub(s.startedAt), sight)
 	state, _, why := s.machine.State()
 	s.mu.Unlock()
 	if changed {
@@ -119,9 +119,9 @@
 }
 
 // state is how the gateway stands, for how long, and why.
-func (s *standing) state(now time.Time) (state reach.State, since time.Duration, why string) {
+func (s *connectivity) state(now time.Time) (state reach.State, since time.Duration, why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state, since, why = s.machine.State()
-	return state, now.Sub(s.began) - since, why
+	return state, now.Sub(s.startedAt) - since, why
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -428,7 +428,7 @@
 	length  int64          // or -1
 	conn    *backendConn
 	window  window
-	figures *figures
+	figures *metrics
 	end     chan rules.Outcome // has room for one
 
 	mu    sync.Mutex
@@ -488,7 +488,7 @@
 				return rules.Cancelled, broke // the client has left, or does not read
 			}
 			to.moved(n, time.Since(before))
-			d.figures.down.bytes.Add(int64(n))
+			d.figures.downloads.bytes.Add(int64(n))
 		}
 		switch {
 		case err == io.EOF:
@@ -512,7 +512,7 @@
 func (d *download) read(from *pace) ([]byte, error) {
 	if d.memory > 0 {
 		d.start.forget()
-		d.figures.bodies.give(d.memory)
+		d.figures.bodyBudget.give(d.memory)
 		d.memory = 0
 	}
 	before := time.Now()
--- a/internal/gateway/stream_memory_test.go
+++ b/internal/gateway/stream_memory_test.go
@@ -42,7 +42,7 @@
 			})
 		}
 		wg.Wait()
-		if _, most := r.figures.bodies.usage(); most > transfers*mostWindow {
+		if _, most := r.figures.bodyBudget.usage(); most > transfers*mostWindow {
 			t.Errorf("%d transfers of %d bytes took %d", transfers, size, most)
 		}
 	}
@@ -55,7 +55,7 @@
 	const fit = 8
 	backend := newPeer(t)
 	r := newTestGateway(t, backend)
-	r.figures.bodies.limit(fit * leastWindow)
+	r.figures.bodyBudget.limit(fit * leastWindow)
 	size := 64 * mostHeld
 	type outcome struct {
 		conn net.Conn
@@ -104,7 +104,7 @@
 		case o.resp.StatusCode != http.StatusServiceUnavailable || o.resp.Header.Get("Retry-After") != "1":
 			t.Errorf("status %d, advice %q", o.resp.StatusCode, o.resp.Header.Get("Retry-After"))
 		}
-		if used, most := r.figures.bodies.usage(); most > fit*leastWindow {
+		if used, most := r.figures.bodyBudget.usage(); most > fit*leastWindow {
 			t.Errorf("%d taken, at most %d", used, most)
 		}
 	}
@@ -132,7 +132,7 @@
 	const fit = 4
 	backend := newPeer(t)
 	r := newTestGateway(t, backend)
-	r.figures.bodies.limit(fit * mostHeld)
+	r.figures.bodyBudget.limit(fit * mostHeld)
 	whole := noise(1, 8<<20)
 	var heads []func() *http.Response
 	for range 10 * fit {
@@ -157,7 +157,7 @@
 		})
 	}
 	wg.Wait()
-	if _, most := r.figures.bodies.usage(); most > fit*mostHeld {
+	if _, most := r.figures.bodyBudget.usage(); most > fit*mostHeld {
 		t.Errorf("%d taken", most)
 	}
 }
@@ -168,7 +168,7 @@
 	t.Parallel()
 	backend := newPeer(t)
 	r := newTestGateway(t, backend)
-	r.figures.bodies.limit(4 * leastWindow)
+	r.figures.bodyBudget.limit(4 * leastWindow)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -216,7 +216,7 @@
 	if served.Load() == 0 {
 		t.Errorf("none served, %d refused", refused.Load())
 	}
-	if _, most := r.figures.bodies.usage(); most > 4*leastWindow {
+	if _, most := r.figures.bodyBudget.usage(); most > 4*leastWindow {
 		t.Errorf("%d taken", most)
 	}
 }
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -188,7 +188,7 @@
 func TestNoMemoryForLongBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, p := newPipedFrontend(t)
-		f.figures.bodies.try(f.figures.bodies.total)
+		f.figures.bodyBudget.try(f.figures.bodyBudget.total)
 		client, server := net.Pipe()
 		defer client.Close()
 		p.conns <- server
