--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -79,12 +79,12 @@
 	if resp.Body == http.NoBody {
 		return result{outcome: rules.Served, answer: start, units: reportedUnits(resp.Header)}
 	}
-	d := &download{body: resp.Body, length: resp.ContentLength, conn: c, window: window{budget: &p.metrics.bodies}, metrics: p.metrics, done: make(chan rules.Outcome, 1)}
+	d := &download{body: resp.Body, length: resp.ContentLength, conn: c, window: window{budget: &p.metrics.bodyBudget}, metrics: p.metrics, done: make(chan rules.Outcome, 1)}
 	most := maxHeldBody
 	if l := resp.ContentLength; l >= 0 && l < maxHeldBody {
 		most = int(l)
 	}
-	d.reservedMemory, most = p.metrics.bodies.reserveUpTo(most)
+	d.reservedMemory, most = p.metrics.bodyBudget.reserveUpTo(most)
 	if len(resp.TransferEncoding) > 0 {
 		d.chunked = &chunkedReader{r: c.reader}
 		d.body = d.chunked
@@ -109,16 +109,16 @@
 		// The timer has released it to the client.
 	case whole:
 		start.body, start.download, start.trailer = d.prefix.held, nil, d.trailers()
-		start.reservedMemory = p.metrics.bodies.shrink(d.reservedMemory, len(start.body))
+		start.reservedMemory = p.metrics.bodyBudget.shrink(d.reservedMemory, len(start.body))
 		return result{outcome: rules.Served, answer: start, units: reportedUnits(resp.Header)}
 	case err != nil:
-		p.metrics.bodies.release(d.reservedMemory)
+		p.metrics.bodyBudget.release(d.reservedMemory)
 		return result{outcome: errorOutcome(err), err: err}
 	default:
 		begin()
 	}
 	outcome := <-d.done
-	p.metrics.bodies.release(d.reservedMemory)
+	p.metrics.bodyBudget.release(d.reservedMemory)
 	return result{outcome: outcome}
 }
 
--- a/internal/gateway/download_test.go
+++ b/internal/gateway/download_test.go
@@ -303,7 +303,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				d := &download{body: resp.Body, length: 100000, conn: conn, prefix: newBodyPrefix(resp.Body, 100000, 0), window: window{budget: &f.metrics.bodies},
+				d := &download{body: resp.Body, length: 100000, conn: conn, prefix: newBodyPrefix(resp.Body, 100000, 0), window: window{budget: &f.metrics.bodyBudget},
 					metrics: f.metrics, done: make(chan rules.Outcome, 1)}
 				x.reply <- response{status: 200, fromBackend: true, header: resp.Header, length: 100000, download: d}
 				began, gone := time.Now(), make(chan struct{})
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -56,7 +56,7 @@
 	// sends them and never waits.
 	reply chan response
 
-	service *service // that it was read under, and in it
+	service *serviceConfig // that it was read under, and in it
 	class   *rules.Class
 	counts  *classCounts
 	plan    string
@@ -107,14 +107,14 @@
 // frontend serves clients.
 type frontend struct {
 	loop    *Loop
-	service atomic.Pointer[service]
+	service atomic.Pointer[serviceConfig]
 
 	longestDeadline atomic.Int64 // of a class, nanoseconds: the shortest of all settings so far
 
 	ready        atomic.Bool
 	shuttingDown atomic.Bool // connections are closed after their answer
 	clients      *clientListener
-	metrics      *figures
+	metrics      *metrics
 }
 
 // server serves clients. The time for a body and for an answer depends on their
@@ -200,7 +200,7 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	defer func() { f.metrics.bodies.release(x.reservedMemory) }()
+	defer func() { f.metrics.bodyBudget.release(x.reservedMemory) }()
 	if x.upload != nil {
 		defer x.upload.releaseMemory()
 	}
@@ -245,15 +245,15 @@
 			}
 		case <-left:
 			if !f.loop.post(clientGone{x}) {
-				x.discardReplies(&f.metrics.bodies)
+				x.discardReplies(&f.metrics.bodyBudget)
 			}
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			if !f.loop.post(clientGone{x}) {
-				x.discardReplies(&f.metrics.bodies)
+				x.discardReplies(&f.metrics.bodyBudget)
 			}
 		case <-f.loop.stopped:
-			x.discardReplies(&f.metrics.bodies)
+			x.discardReplies(&f.metrics.bodyBudget)
 			http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		}
 		return
@@ -298,7 +298,7 @@
 		return nil, http.StatusBadRequest, errors.New(idempotencyHeader + " is missing")
 	case len(key) > maxIDBytes:
 		return nil, http.StatusBadRequest, errors.New(idempotencyHeader + " is too long")
-	case x.service.mostBody > 0 && r.ContentLength > x.service.mostBody:
+	case x.service.maxBodyBytes > 0 && r.ContentLength > x.service.maxBodyBytes:
 		return nil, http.StatusRequestEntityTooLarge, errBodyTooLong
 	}
 	if r.ContentLength != 0 {
@@ -326,15 +326,15 @@
 		held, memory = maxHeldBody, maxHeldBody+minWindow
 	}
 	if memory > uncountedBytes {
-		if err := f.metrics.bodies.reserve(r.Context(), memory); err != nil {
+		if err := f.metrics.bodyBudget.reserve(r.Context(), memory); err != nil {
 			x.counts.dropped.Add(1)
-			f.metrics.up.ended[noMemory].Add(1)
+			f.metrics.uploads.ended[noMemory].Add(1)
 			return http.StatusServiceUnavailable, err
 		}
 	} else {
 		memory = 0
 	}
-	rest := newClientBody(r, control, x.service.mostBody, &f.metrics.up.bytes)
+	rest := newClientBody(r, control, x.service.maxBodyBytes, &f.metrics.uploads.bytes)
 	start := newBodyPrefix(rest, r.ContentLength, held)
 	whole, err := false, error(nil)
 	switch {
@@ -345,20 +345,20 @@
 		whole, err = fillWithin(start, maxHoldTime)
 	}
 	if err != nil {
-		f.metrics.bodies.release(memory)
-		f.metrics.up.end(bodyCause(err), r.Header.Get(idHeader), err)
+		f.metrics.bodyBudget.release(memory)
+		f.metrics.uploads.recordEnd(clientBodyCause(err), r.Header.Get(idHeader), err)
 		return uploadStatus(err), fmt.Errorf("body: %w", err)
 	}
 	for name := range r.Trailer {
 		x.announcedTrailers = append(x.announcedTrailers, name)
 	}
 	if whole {
-		x.body, x.trailer, x.reservedMemory = start.held, forwardableTrailers(r.Trailer), f.metrics.bodies.shrink(memory, len(start.held))
+		x.body, x.trailer, x.reservedMemory = start.held, forwardableTrailers(r.Trailer), f.metrics.bodyBudget.shrink(memory, len(start.held))
 		return 0, nil
 	}
 	x.request.Open = true
-	x.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(x.request.Deadline), budget: &f.metrics.bodies,
-		prefix: start, remainder: rest, memory: held, window: window{budget: &f.metrics.bodies, prepaid: minWindow}}
+	x.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(x.request.Deadline), budget: &f.metrics.bodyBudget,
+		prefix: start, remainder: rest, memory: held, window: window{budget: &f.metrics.bodyBudget, prepaid: minWindow}}
 	x.upload.onComplete = func(until time.Time) { f.loop.post(bodyComplete{x, until}) }
 	return 0, nil
 }
@@ -402,7 +402,7 @@
 // parse reads the headers that the decisions need. Nothing has a default: a
 // request that is not understood might be charged to the wrong customer or
 // repeated against its class.
-func (s *service) parseRequest(r *http.Request) (rules.Request, error) {
+func (s *serviceConfig) parseRequest(r *http.Request) (rules.Request, error) {
 	var q rules.Request
 	h := r.Header
 	if id := h.Get(idHeader); id == "" || len(id) > maxIDBytes {
@@ -434,7 +434,7 @@
 }
 
 // terms reads the units of a request and the gateways of its customer.
-func (s *service) parseTerms(q *rules.Request, text string) error {
+func (s *serviceConfig) parseTerms(q *rules.Request, text string) error {
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		var err error
@@ -510,7 +510,7 @@
 // write gives the answer to the client. An error says that it is not whole, and
 // that the client can't tell so far.
 func (f *frontend) writeResponse(a response, id string, w http.ResponseWriter, control *http.ResponseController) error {
-	defer f.metrics.bodies.release(a.reservedMemory)
+	defer f.metrics.bodyBudget.release(a.reservedMemory)
 	h := w.Header()
 	for k, v := range a.header {
 		h[k] = v
@@ -547,8 +547,8 @@
 	if !d.claim() {
 		return errUploadAborted // the loop has dropped it, as the client has left
 	}
-	f.metrics.down.open.Add(1)
-	defer f.metrics.down.open.Add(-1)
+	f.metrics.downloads.streaming.Add(1)
+	defer f.metrics.downloads.streaming.Add(-1)
 	w.WriteHeader(a.status)
 	outcome, err := rules.Cancelled, control.Flush()
 	if err == nil {
@@ -562,11 +562,11 @@
 	}
 	switch outcome {
 	case rules.Served:
-		f.metrics.down.end(endedWhole, "", nil)
+		f.metrics.downloads.recordEnd(transferComplete, "", nil)
 	case rules.Cancelled:
-		f.metrics.down.end(slowOr(err, clientSlow, clientLeft), id, err)
+		f.metrics.downloads.recordEnd(timeoutCause(err, clientSlow, clientLeft), id, err)
 	default:
-		f.metrics.down.end(slowOr(err, backendSlow, backendBroke), id, err)
+		f.metrics.downloads.recordEnd(timeoutCause(err, backendSlow, backendBroken), id, err)
 	}
 	d.done <- outcome
 	return err
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -430,7 +430,7 @@
 	length         int64          // or -1
 	conn           *backendConn
 	window         window
-	metrics        *figures
+	metrics        *metrics
 	done           chan rules.Outcome // has room for one
 
 	mu      sync.Mutex
@@ -490,7 +490,7 @@
 				return rules.Cancelled, broke // the client has left, or does not read
 			}
 			to.record(n, time.Since(before))
-			d.metrics.down.bytes.Add(int64(n))
+			d.metrics.downloads.bytes.Add(int64(n))
 		}
 		switch {
 		case err == io.EOF:
@@ -514,7 +514,7 @@
 func (d *download) readNext(from *pace) ([]byte, error) {
 	if d.reservedMemory > 0 {
 		d.prefix.discard()
-		d.metrics.bodies.release(d.reservedMemory)
+		d.metrics.bodyBudget.release(d.reservedMemory)
 		d.reservedMemory = 0
 	}
 	before := time.Now()
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -188,7 +188,7 @@
 func TestNoMemoryForLongBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, p := newPipedFrontend(t)
-		f.metrics.bodies.tryReserve(f.metrics.bodies.total)
+		f.metrics.bodyBudget.tryReserve(f.metrics.bodyBudget.total)
 		client, server := net.Pipe()
 		defer client.Close()
 		p.conns <- server
