--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -33,7 +33,7 @@
 	for range maxInterim {
 		conn.remaining.N = maxResponseHead
 		resp, err := http.ReadResponse(conn.reader, request)
-		if err == nil && conn.framing.doubt {
+		if err == nil && conn.framing.ambiguous {
 			err = errAmbiguousLength
 		}
 		if err != nil {
@@ -44,7 +44,7 @@
 				break // no request asked for an upgrade
 			}
 			if resp.StatusCode != http.StatusContinue {
-				attempt.onInterim(answer{status: resp.StatusCode, header: resp.Header})
+				attempt.onInterim(response{status: resp.StatusCode, header: resp.Header})
 			}
 			continue
 		}
@@ -75,50 +75,50 @@
 
 // relayResponse reads a response that goes to the client.
 func (p *pools) relayResponse(attempt *attempt, conn *backendConn, resp *http.Response) result {
-	head := answer{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength}
+	head := response{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength}
 	if resp.Body == http.NoBody {
 		return result{outcome: rules.Served, answer: head, units: reportedUnits(resp.Header)}
 	}
-	download := &download{body: resp.Body, length: resp.ContentLength, conn: conn, window: window{budget: &p.metrics.bodies}, figures: p.metrics, end: make(chan rules.Outcome, 1)}
-	maxStart := mostHeld
-	if length := resp.ContentLength; length >= 0 && length < mostHeld {
+	download := &download{body: resp.Body, length: resp.ContentLength, conn: conn, window: window{budget: &p.metrics.bodyBudget}, metrics: p.metrics, done: make(chan rules.Outcome, 1)}
+	maxStart := maxHeldBody
+	if length := resp.ContentLength; length >= 0 && length < maxHeldBody {
 		maxStart = int(length)
 	}
-	download.memory, maxStart = p.metrics.bodies.room(maxStart)
+	download.reservedMemory, maxStart = p.metrics.bodyBudget.reserveUpTo(maxStart)
 	if len(resp.TransferEncoding) > 0 {
-		download.chunks = &chunkedReader{r: conn.reader}
-		download.body = download.chunks
+		download.chunked = &chunkedReader{r: conn.reader}
+		download.body = download.chunked
 	}
-	download.start = newIntake(download.body, resp.ContentLength, maxStart)
-	head.rest = download
+	download.prefix = newBodyPrefix(download.body, resp.ContentLength, maxStart)
+	head.download = download
 	startStreaming := func() {
 		if !attempt.onStart(head) {
-			download.drop() // the client no longer waits
+			download.discard() // the client no longer waits
 		}
 	}
 	if length := resp.ContentLength; length < 0 || length > int64(conn.reader.Buffered()) {
-		defer time.AfterFunc(holdFor, func() {
-			if download.start.release() {
+		defer time.AfterFunc(maxHoldTime, func() {
+			if download.prefix.release() {
 				startStreaming()
 			}
 		}).Stop()
 	}
-	complete, err := download.start.fill()
+	complete, err := download.prefix.fill()
 	switch {
-	case download.start.released():
+	case download.prefix.released():
 		// The timer has released it to the client.
 	case complete:
-		head.body, head.rest, head.trailer = download.start.held, nil, download.trailers()
-		head.memory = p.metrics.bodies.shrink(download.memory, len(head.body))
+		head.body, head.download, head.trailer = download.prefix.held, nil, download.trailers()
+		head.reservedMemory = p.metrics.bodyBudget.shrink(download.reservedMemory, len(head.body))
 		return result{outcome: rules.Served, answer: head, units: reportedUnits(resp.Header)}
 	case err != nil:
-		p.metrics.bodies.give(download.memory)
+		p.metrics.bodyBudget.release(download.reservedMemory)
 		return result{outcome: errorOutcome(err), err: err}
 	default:
 		startStreaming()
 	}
-	outcome := <-download.end
-	p.metrics.bodies.give(download.memory)
+	outcome := <-download.done
+	p.metrics.bodyBudget.release(download.reservedMemory)
 	return result{outcome: outcome}
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -22,11 +22,11 @@
 // result is how an attempt ended.
 type result struct {
 	outcome      rules.Outcome
-	err          error   // why there is no complete response
-	answer       answer  // if the outcome is rules.Served
-	units        float64 // of the quota, as the backend reports them; 0: not reported
-	bodyErr      error   // why the client's body is incomplete; the backend has run nothing then
-	bodyConsumed bool    // the client's body can't be sent to another backend
+	err          error    // why there is no complete response
+	answer       response // if the outcome is rules.Served
+	units        float64  // of the quota, as the backend reports them; 0: not reported
+	bodyErr      error    // why the client's body is incomplete; the backend has run nothing then
+	bodyConsumed bool     // the client's body can't be sent to another backend
 }
 
 // attempt sends a request to one backend, once. The loop owns all fields but those that mu
@@ -47,9 +47,9 @@
 
 	// onStart notifies the loop that the head of a response may go to the client. It returns
 	// false if the client no longer waits.
-	onStart func(answer) bool
+	onStart func(response) bool
 	// onInterim notifies the loop of a 1xx response.
-	onInterim func(answer)
+	onInterim func(response)
 
 	lastPiece atomic.Bool // the end of a streamed body is about to be written, or has been
 
@@ -127,7 +127,7 @@
 	var res result
 	var reuse bool
 	conn.requests++
-	conn.framing.begin()
+	conn.framing.beginResponse()
 	if attempt.exchange.upload != nil {
 		res, reuse = p.streamBody(attempt, conn)
 	} else {
@@ -138,7 +138,7 @@
 			p.discard(conn)
 			return result{outcome: rules.ConnectFailed, err: err}
 		}
-		p.metrics.tries.Add(1)
+		p.metrics.attempts.Add(1)
 		res, reuse = p.readResponse(attempt, conn)
 	}
 	if res.err != nil {
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -90,13 +90,13 @@
 func newAttempt(timeout time.Duration) *attempt {
 	a := &attempt{backend: 1, wallDeadline: time.Now().Add(timeout), exchange: &exchange{method: "POST", uri: "/booking/7?a=%2F",
 		host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, body: []byte("pickup")}}
-	a.onStart, a.onInterim = func(answer) bool { return false }, func(answer) {}
+	a.onStart, a.onInterim = func(response) bool { return false }, func(response) {}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
 
 func newTestPools(t testing.TB, address string) *pools {
-	p := newPools(testTimeout, time.Minute, 8, &figures{bodies: budget{total: bodyMemory(16)}})
+	p := newPools(testTimeout, time.Minute, 8, &metrics{bodyBudget: budget{total: bodyMemory(16)}})
 	p.update(1, address, 0)
 	t.Cleanup(func() { p.remove(1) })
 	return p
@@ -178,13 +178,13 @@
 	backend := newPeer(t)
 	p := newTestPools(t, backend.address())
 	a := newAttempt(testTimeout)
-	a.exchange.header[keyHeader] = []string{"key-1"}
+	a.exchange.header[idempotencyHeader] = []string{"key-1"}
 	a.exchange.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, maxDiscard/4)
 	done := startAttempt(p, a)
 	conn, r := backend.accept(t)
 	req, body := readRequest(t, r)
 	if req.Method != "POST" || req.RequestURI != a.exchange.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.exchange.body) ||
-		req.Header.Get(idHeader) != "id-1" || req.Header.Get(keyHeader) != "key-1" || req.Header.Get(timeLeftHeader) == "" {
+		req.Header.Get(idHeader) != "id-1" || req.Header.Get(idempotencyHeader) != "key-1" || req.Header.Get(timeLeftHeader) == "" {
 		t.Errorf("got %s %s with %d bytes and %v", req.Method, req.RequestURI, len(body), req.Header)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -32,7 +32,7 @@
 	Sockets    int     // file descriptors
 	BodyMB     int     // limit of a request body; 0: none
 	Known      Listing // cached list, used until discovery or a registry answers
-	Members    membersConfig
+	Members    membershipConfig
 	Scopes     scopesConfig
 
 	// From the environment, if the platform runs two processes of a gateway during an
@@ -122,8 +122,8 @@
 		if err := json.Unmarshal(raw.Settings, &peers); err != nil {
 			return Config{}, err
 		}
-		config.Members = membersConfig{true, raw.PeerListen, raw.Peers, peers.FamilyInfo.InboxPerS}
-		if _, err := config.agent(); err != nil {
+		config.Members = membershipConfig{true, raw.PeerListen, raw.Peers, peers.FamilyInfo.InboxPerS}
+		if _, err := config.agentConfig(); err != nil {
 			return Config{}, err
 		}
 	}
@@ -136,13 +136,13 @@
 	if key := missingKey(c.document, next.document); key != "" {
 		return fmt.Errorf("%s is missing", key[1:])
 	}
-	if c.Members.Membership != next.Members.Membership || !slices.Equal(c.Members.Peers, next.Members.Peers) || c.Members.PeerListen != next.Members.PeerListen {
+	if c.Members.Enabled != next.Members.Enabled || !slices.Equal(c.Members.Peers, next.Members.Peers) || c.Members.PeerListen != next.Members.PeerListen {
 		return errors.New("membership, peer_listen, peers: others need a new start")
 	}
 	if (len(c.Registries) > 0) != (len(next.Registries) > 0) {
 		return errors.New("registries: whether list services are asked needs a new start")
 	}
-	return c.Scopes.lacks(&next.Scopes)
+	return c.Scopes.checkReload(&next.Scopes)
 }
 
 // missingKey returns the path of the first key that is in have but not in next, or "". Each
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -18,11 +18,11 @@
 	remaining *io.LimitedReader  // bytes of the response that may still be read, headers included
 	reader    *bufio.Reader      // reads from remaining, which reads from the connection
 	writer    *bufio.Writer
-	framing   framing       // checks that the framing of the response is unambiguous
-	target    *target       // the pool that the connection belongs to
-	idleSince time.Time     // zero: in use
-	requests  int           // requests so far, including the current one
-	idleFor   time.Duration // idle time before the current request
+	framing   framingScanner // checks that the framing of the response is unambiguous
+	target    *target        // the pool that the connection belongs to
+	idleSince time.Time      // zero: in use
+	requests  int            // requests so far, including the current one
+	idleFor   time.Duration  // idle time before the current request
 }
 
 // newBackendConn wraps a connection that belongs to the target.
@@ -55,7 +55,7 @@
 // framing.
 func (c *backendConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.framing.read(p[:n])
+	c.framing.scan(p[:n])
 	return n, err
 }
 
--- a/internal/gateway/dial.go
+++ b/internal/gateway/dial.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, err
 	}
-	limitSilence(conn) // a peer may vanish without closing
+	setSilenceTimeout(conn) // a peer may vanish without closing
 	return newBackendConn(conn, target), nil
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,22 +33,22 @@
 	if err != nil {
 		return fmt.Errorf("clients: %w", err)
 	}
-	return serve(ctx, config, reloads, listener, operators, newFigures(config))
+	return serve(ctx, config, reloads, listener, operators, newMetrics(config))
 }
 
 // serve runs a gateway on sockets that are open. Without an address for operators, the
 // operators' listener is nil.
-func serve(ctx context.Context, config *Config, reloads <-chan Reload, listener, operators net.Listener, metrics *figures) error {
+func serve(ctx context.Context, config *Config, reloads <-chan Reload, listener, operators net.Listener, metrics *metrics) error {
 	_, backends := splitDescriptors(config.Sockets - reservedDescriptors)
 	pools := newPools(seconds(config.ConnectTimeout), seconds(config.KeepAlive), backends, metrics)
 	var counter *counter
 	if config.Settings.Counter {
 		counter = newCounter(config.Counter, seconds(config.CounterTimeout))
 	}
-	front := &frontend{figures: metrics, clients: newClients(listener, 1)}
-	front.clients.shared = config.Inherited != "" || config.HandoverDir != ""
+	front := &frontend{metrics: metrics, clients: newClientListener(listener, 1)}
+	front.clients.sharedQueue = config.Inherited != "" || config.HandoverDir != ""
 	metrics.clients = front.clients
-	front.use(metrics.service(config.Deployment, config.maxBodyBytes()))
+	front.applyService(metrics.newService(config.Deployment, config.maxBodyBytes()))
 	front.loop = newLoop(config, front.service.Load(), metrics, pools, counter, func() { front.ready.Store(true) })
 
 	runCtx, stop := context.WithCancel(context.Background())
@@ -57,13 +57,13 @@
 	defer wg.Wait()
 	defer stop()
 	limits := &resourceLimits{config: config, apply: func(clients, backends, memory int) {
-		front.clients.limit(clients)
+		front.clients.setLimit(clients)
 		pools.setMaxOpen(backends)
-		metrics.bodies.limit(memory)
+		metrics.bodyBudget.setTotal(memory)
 	}}
 	limits.setPaired(false)
-	handover := &handover{loop: front.loop, oldest: make(chan struct{}), paired: limits.setPaired}
-	front.loop.receive(listUpdate{listing: config.Scopes.cached(config.Known), kind: rules.CachedList})
+	handover := &handover{loop: front.loop, noPredecessor: make(chan struct{}), setPaired: limits.setPaired}
+	front.loop.receiveListing(listUpdate{listing: config.Scopes.filterListing(config.Known), kind: rules.CachedList})
 	if config.HandoverDir != "" {
 		imported, err := handover.join(ctx, config.HandoverDir)
 		if err != nil {
@@ -75,7 +75,7 @@
 			front.ready.Store(len(imported.Listing.Instances) > 0)
 		}
 		wg.Go(func() {
-			if err := handover.serve(runCtx, config.HandoverDir); err != nil {
+			if err := handover.serveSuccessors(runCtx, config.HandoverDir); err != nil {
 				slog.Error("no later process can take over", "error", err)
 			}
 		})
@@ -86,21 +86,21 @@
 	if counter != nil {
 		wg.Go(func() { counter.run(runCtx) })
 	}
-	members, err := newMembers(config, front.loop)
+	members, err := newMembership(config, front.loop)
 	if err != nil {
 		return err
 	}
 	follower := newListFollower(config, front.loop)
-	var connectivity *standing
+	var connectivity *connectivity
 	if members != nil {
 		memberCtx, leave := context.WithCancel(ctx) // a gateway that takes no more clients leaves
 		defer leave()
 		wg.Go(func() { members.Run(memberCtx) })
 		var listAge func() time.Duration
-		if follower.services != nil {
-			listAge = follower.services.Age
+		if follower.registryClient != nil {
+			listAge = follower.registryClient.Age
 		}
-		connectivity = newStanding(members, listAge, front.loop.contact, time.Now())
+		connectivity = newConnectivity(members, listAge, front.loop.contact, time.Now())
 		wg.Go(func() { connectivity.run(memberCtx) })
 	}
 	active := config
@@ -123,14 +123,14 @@
 				metrics.loads.Add(1)
 				slog.Info("reloaded", "discovery", next.Discovery, "counter", next.Counter,
 					"deployment", fmt.Sprintf("%+v", next.Deployment))
-				service := metrics.service(next.Deployment, next.maxBodyBytes())
+				service := metrics.newService(next.Deployment, next.maxBodyBytes())
 				pools.setTimeouts(seconds(next.ConnectTimeout), seconds(next.KeepAlive))
 				front.loop.post(settingsChanged{service, next.Scopes.subset})
-				front.use(service) // after the loop, which must know it before any request that is read under it
+				front.applyService(service) // after the loop, which must know it before any request that is read under it
 				if counter != nil {
 					counter.setEndpoint(next.Counter, seconds(next.CounterTimeout))
 				}
-				follower.move(runCtx, next)
+				follower.reconfigure(runCtx, next)
 				limits.setConfig(next)
 				active = next
 			}
@@ -146,10 +146,10 @@
 	server := front.server()
 	serverErrors := make(chan error, 2) // one for each server
 	wg.Go(func() { serverErrors <- server.Serve(front.clients) })
-	handover.serving()
+	handover.notifyServing()
 	if operators != nil {
-		operatorServer := (&control{figures: metrics, ready: front.takesClients, byHand: handover.byHand, members: connectivity, loop: front.loop, beside: handover.beside}).server()
-		wg.Go(func() { serverErrors <- operatorServer.Serve(newSteadyListener(operators, "operators")) })
+		operatorServer := (&controlServer{metrics: metrics, ready: front.acceptsClients, applyOverride: handover.applyOverride, connectivity: connectivity, loop: front.loop, hasPeer: handover.hasPeer}).server()
+		wg.Go(func() { serverErrors <- operatorServer.Serve(newRetryingListener(operators, "operators")) })
 		defer operatorServer.Close() // operators may call until the end
 	}
 	select {
@@ -193,7 +193,7 @@
 		sockets, memory = l.config.Sockets/2-reservedDescriptors/2, memory/2
 	}
 	clients, backends := splitDescriptors(sockets)
-	l.apply(min(clients, memory<<20/connShare/connMemory), backends, bodyMemory(memory))
+	l.apply(min(clients, memory<<20/clientMemoryDivisor/idleConnBytes), backends, bodyMemory(memory))
 }
 
 // splitDescriptors divides descriptors between clients and backends.
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -18,7 +18,7 @@
 	pools        *pools
 	follower     *listFollower
 	members      *membership.Agent
-	connectivity *standing
+	connectivity *connectivity
 }
 
 var errNoRegistries = errors.New("registries: a gateway without clients follows list services")
@@ -36,19 +36,19 @@
 		return nil, errNoRegistries
 	}
 	parsed.observe = observe
-	metrics := newFigures(&parsed)
+	metrics := newMetrics(&parsed)
 	_, backends := splitDescriptors(parsed.Sockets - reservedDescriptors)
 	hollow := &Hollow{pools: newPools(seconds(parsed.ConnectTimeout), seconds(parsed.KeepAlive), backends, metrics)}
-	hollow.loop = newLoop(&parsed, metrics.service(parsed.Deployment, parsed.maxBodyBytes()), metrics, hollow.pools, nil, func() {})
+	hollow.loop = newLoop(&parsed, metrics.newService(parsed.Deployment, parsed.maxBodyBytes()), metrics, hollow.pools, nil, func() {})
 	hollow.follower = newListFollower(&parsed, hollow.loop)
 	if len(scopes) > 0 {
-		hollow.follower.services.SetScopes(scopes)
+		hollow.follower.registryClient.SetScopes(scopes)
 	}
-	if hollow.members, err = newMembers(&parsed, hollow.loop); err != nil {
+	if hollow.members, err = newMembership(&parsed, hollow.loop); err != nil {
 		return nil, err
 	}
 	if hollow.members != nil {
-		hollow.connectivity = newStanding(hollow.members, hollow.follower.services.Age, hollow.loop.contact, time.Now())
+		hollow.connectivity = newConnectivity(hollow.members, hollow.follower.registryClient.Age, hollow.loop.contact, time.Now())
 	}
 	return hollow, nil
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -36,12 +36,12 @@
 	}
 	responseStarted struct { // the head of a response is ready to be streamed to the client
 		attempt  *attempt
-		response answer
+		response response
 		accepted chan<- bool // buffered
 	}
 	interimResponse struct { // a 1xx response
 		attempt  *attempt
-		response answer
+		response response
 	}
 	attemptDone struct {
 		attempt *attempt
@@ -60,7 +60,7 @@
 	moduleEvent     struct{ event rules.Event } // an event of this process or its sibling
 	snapshotRequest struct{ snapshot chan<- snapshot }
 	settingsChanged struct {
-		service *service
+		service *serviceConfig
 		subset  subset.Settings
 	}
 	backendsViewRequest struct {
@@ -78,14 +78,14 @@
 // actions and never blocks on a socket.
 type Loop struct {
 	clock         clock
-	service       *service
-	metrics       *figures
+	service       *serviceConfig
+	metrics       *metrics
 	gateway       *rules.Gateway
 	pools         *pools
 	counter       *counter
-	contact       *contact      // with the counter; nil if membership is off
-	onListApplied func()        // called after each list that is not a cached one
-	resubscribe   chan struct{} // the module wants discovery called again
+	contact       *counterContact // with the counter; nil if membership is off
+	onListApplied func()          // called after each list that is not a cached one
+	resubscribe   chan struct{}   // the module wants discovery called again
 
 	inbox    chan any
 	stopped  chan struct{}  // closed when run returns
@@ -111,12 +111,12 @@
 	lagLoggedAt      float64
 }
 
-func newLoop(config *Config, service *service, metrics *figures, pools *pools, counter *counter, onListApplied func()) *Loop {
+func newLoop(config *Config, service *serviceConfig, metrics *metrics, pools *pools, counter *counter, onListApplied func()) *Loop {
 	loop := &Loop{clock: newClock(), service: service, metrics: metrics, pools: pools, counter: counter, onListApplied: onListApplied,
 		resubscribe: make(chan struct{}, 1), inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
 		live: map[rules.RequestID]*exchange{}, instances: map[rules.BackendID]Instance{}, name: config.Name, offline: map[rules.BackendID]bool{}}
-	if config.Members.Membership {
-		loop.contact = &contact{}
+	if config.Members.Enabled {
+		loop.contact = &counterContact{}
 	}
 	if loop.subset = newBackendSubset(config.Name, config.Scopes.subset, metrics.subset); loop.subset != nil {
 		loop.offlineOutside = map[string]bool{}
@@ -197,22 +197,22 @@
 	case requestArrived:
 		l.arrive(message.exchange)
 	case clientGone:
-		if message.exchange.open {
+		if message.exchange.inProgress {
 			l.trace(message.exchange, "client left")
 			l.abandon(message.exchange)
 		}
-		message.exchange.abandon(&l.metrics.bodies) // its handler has returned
+		message.exchange.discardReplies(&l.metrics.bodyBudget) // its handler has returned
 	case bodyComplete:
 		l.completeBody(message.exchange, message.deadline)
 	case responseStarted:
 		message.accepted <- l.startResponse(message.attempt, message.response)
 	case interimResponse:
-		if exchange := message.attempt.exchange; exchange.open && !exchange.begun && !message.attempt.ended && len(exchange.reply) == 0 {
+		if exchange := message.attempt.exchange; exchange.inProgress && !exchange.responseStarted && !message.attempt.ended && len(exchange.reply) == 0 {
 			exchange.reply <- message.response // the second slot is reserved for the final response
 		}
 	case attemptDone:
-		if exchange := message.attempt.exchange; message.result.bodyErr != nil && exchange.open && !exchange.begun {
-			exchange.reply <- answer{status: uploadStatus(message.result.bodyErr)}
+		if exchange := message.attempt.exchange; message.result.bodyErr != nil && exchange.inProgress && !exchange.responseStarted {
+			exchange.reply <- response{status: uploadStatus(message.result.bodyErr)}
 			l.abandon(exchange)
 		}
 		l.endAttempt(message.attempt, message.result)
@@ -226,14 +226,14 @@
 		message.known <- l.applyOverride(message.id, message.offline)
 	case settingsChanged:
 		l.service = message.service
-		l.handle(rules.Retune{Settings: l.settings()})
+		l.handle(rules.Retune{Settings: l.activeSettings()})
 		l.resizeSubset(message.subset)
 	case listUpdate:
 		if message.kind == rules.ListFailed {
 			l.handle(rules.Backends{Kind: message.kind})
 			break
 		}
-		l.receive(message)
+		l.receiveListing(message)
 		l.listHistory, l.listVersion = message.history, message.listing.Generation
 	case backendsViewRequest:
 		message.view <- l.backendsView(message.query)
@@ -258,28 +258,28 @@
 func (l *Loop) arrive(exchange *exchange) {
 	if exchange.service != l.service && !l.carryOver(exchange) {
 		exchange.counts.dropped.Add(1)
-		exchange.reply <- answer{status: http.StatusServiceUnavailable}
+		exchange.reply <- response{status: http.StatusServiceUnavailable}
 		return
 	}
 	if l.service.MaxOpen > 0 && len(l.live) >= l.service.MaxOpen {
 		exchange.counts.dropped.Add(1)
-		exchange.reply <- answer{status: http.StatusServiceUnavailable} // nothing has been sent to a backend
+		exchange.reply <- response{status: http.StatusServiceUnavailable} // nothing has been sent to a backend
 		return
 	}
 	for inUse := true; inUse; _, inUse = l.live[l.nextID] {
 		l.nextID = max(l.nextID+1, 1) // 0 means no request
 	}
-	exchange.ask.ID, exchange.open, exchange.queued = l.nextID, true, l.clock.now()-exchange.ask.Sent
-	l.live[exchange.ask.ID] = exchange
-	if !exchange.ask.Open {
+	exchange.request.ID, exchange.inProgress, exchange.queueDelay = l.nextID, true, l.clock.now()-exchange.request.Sent
+	l.live[exchange.request.ID] = exchange
+	if !exchange.request.Open {
 		l.accept(exchange)
 	}
-	l.handle(exchange.ask)
+	l.handle(exchange.request)
 }
 
 // accept counts a request whose last byte has arrived as in progress.
 func (l *Loop) accept(x *exchange) {
-	x.taken = true
+	x.accepted = true
 	l.metrics.inProgress.Add(1)
 }
 
@@ -287,7 +287,7 @@
 // settings allow no cancellation, the decision module leaves attempts in flight, and one
 // that is not connected yet would run without a client.
 func (l *Loop) finish(x *exchange) {
-	if x.open = false; x.taken {
+	if x.inProgress = false; x.accepted {
 		l.metrics.inProgress.Add(-1)
 	}
 	for _, a := range x.attempts {
@@ -300,10 +300,10 @@
 // abandon ends a request whose client has left or has not sent a complete body.
 func (l *Loop) abandon(exchange *exchange) {
 	l.finish(exchange)
-	l.handle(rules.ClientGone{Request: exchange.ask.ID})
+	l.handle(rules.ClientGone{Request: exchange.request.ID})
 	for _, attempt := range exchange.attempts {
 		if attempt.download != nil {
-			attempt.download.drop() // no effect if the client's handler owns it
+			attempt.download.discard() // no effect if the client's handler owns it
 		}
 	}
 	l.forget(exchange)
@@ -311,35 +311,35 @@
 
 // completeBody starts the deadline of a request whose body has arrived.
 func (l *Loop) completeBody(exchange *exchange, deadline time.Time) {
-	if !exchange.open {
+	if !exchange.inProgress {
 		return
 	}
-	exchange.ask.Open, exchange.ask.Sent = false, l.clock.now()
-	exchange.ask.Deadline = exchange.ask.Sent + time.Until(deadline).Seconds()
+	exchange.request.Open, exchange.request.Sent = false, l.clock.now()
+	exchange.request.Deadline = exchange.request.Sent + time.Until(deadline).Seconds()
 	l.accept(exchange)
-	if exchange.begun {
+	if exchange.responseStarted {
 		return // the decision module no longer tracks it
 	}
 	if attempt := exchange.attempts[len(exchange.attempts)-1]; !attempt.ended {
-		attempt.deadline = exchange.ask.Deadline
+		attempt.deadline = exchange.request.Deadline
 		l.timers.add(timerEntry{at: attempt.deadline, attempt: attempt})
 	}
-	l.handle(rules.Whole{Request: exchange.ask.ID, Deadline: exchange.ask.Deadline})
+	l.handle(rules.Whole{Request: exchange.request.ID, Deadline: exchange.request.Deadline})
 }
 
 // startResponse lets the client's handler stream a response. It returns false if the
 // client is not waiting for one.
-func (l *Loop) startResponse(attempt *attempt, response answer) bool {
+func (l *Loop) startResponse(attempt *attempt, response response) bool {
 	exchange := attempt.exchange
-	if attempt.ended || !exchange.open || exchange.begun {
+	if attempt.ended || !exchange.inProgress || exchange.responseStarted {
 		return false
 	}
-	exchange.begun, attempt.download = true, response.rest
+	exchange.responseStarted, attempt.download = true, response.download
 	units := reportedUnits(response.header)
 	response.prepareForClient()
-	l.handle(rules.Established{Request: exchange.ask.ID, Attempt: attempt.number, Backend: attempt.backend, Took: l.clock.now() - attempt.sent,
+	l.handle(rules.Established{Request: exchange.request.ID, Attempt: attempt.number, Backend: attempt.backend, Took: l.clock.now() - attempt.sent,
 		Units: units})
-	if l.clock.now()-exchange.ask.Sent > exchange.class.Aim {
+	if l.clock.now()-exchange.request.Sent > exchange.class.Aim {
 		l.trace(exchange, "served late")
 	}
 	exchange.reply <- response // buffered, and receives only one final response
@@ -347,9 +347,9 @@
 }
 
 // prepareForClient removes what a backend's response holds for the gateway only.
-func (a *answer) prepareForClient() {
-	a.served = true
-	a.header = passedOn(a.header)
+func (a *response) prepareForClient() {
+	a.fromBackend = true
+	a.header = endToEndHeaders(a.header)
 	a.header.Del(loadHeader) // meant for gateways
 }
 
@@ -357,9 +357,9 @@
 // whose class and plan indexes may differ. The request keeps its class; the quota is that
 // of the plan's current settings. It returns false if the plan no longer exists.
 func (l *Loop) carryOver(x *exchange) bool {
-	x.ask.Own = x.class
-	x.ask.Plan = slices.Index(l.service.PlanNames, x.plan)
-	return x.ask.Plan >= 0
+	x.request.Own = x.class
+	x.request.Plan = slices.Index(l.service.PlanNames, x.plan)
+	return x.request.Plan >= 0
 }
 
 // applyOverride takes a backend offline or online. The connections change before the
@@ -371,7 +371,7 @@
 		return false
 	}
 	if !l.gateway.Knows(backend) {
-		return l.banOutside(id, offline)
+		return l.overrideOutsideSubset(id, offline)
 	}
 	if offline {
 		l.pools.renew(backend)
@@ -434,9 +434,9 @@
 		case rules.Cancel:
 			l.cancelAttempt(action)
 		case rules.Refuse:
-			l.reject(action.Request, action.Reason, answer{status: http.StatusTooManyRequests, retryAfter: action.RetryAfter})
+			l.reject(action.Request, action.Reason, response{status: http.StatusTooManyRequests, retryAfter: action.RetryAfter})
 		case rules.Fail:
-			l.reject(action.Request, action.Reason, answer{status: http.StatusBadGateway})
+			l.reject(action.Request, action.Reason, response{status: http.StatusBadGateway})
 		case rules.SetTimer:
 			l.timers.add(timerEntry{at: l.clock.now() + max(action.In, 0), token: action.Token, request: action.Request})
 		case rules.Count:
@@ -462,20 +462,20 @@
 		return
 	}
 	now := l.clock.now()
-	attempt := &attempt{exchange: exchange, number: len(exchange.attempts), backend: action.Backend, sent: now, deadline: exchange.ask.Deadline}
+	attempt := &attempt{exchange: exchange, number: len(exchange.attempts), backend: action.Backend, sent: now, deadline: exchange.request.Deadline}
 	if action.Timeout > 0 {
 		attempt.deadline = min(attempt.deadline, now+action.Timeout)
 	}
 	if action.Before > 0 {
 		attempt.writeBefore = l.clock.at(action.Before)
 	}
-	if exchange.ask.Open {
+	if exchange.request.Open {
 		attempt.deadline = math.Inf(1) // until its body is complete
 	} else {
 		attempt.wallDeadline = l.clock.at(attempt.deadline)
 	}
-	attempt.onInterim = func(response answer) { l.post(interimResponse{attempt, response}) }
-	attempt.onStart = func(response answer) bool {
+	attempt.onInterim = func(response response) { l.post(interimResponse{attempt, response}) }
+	attempt.onStart = func(response response) bool {
 		accepted := make(chan bool, 1)
 		if !l.post(responseStarted{attempt, response, accepted}) {
 			return false
@@ -488,8 +488,8 @@
 		}
 	}
 	exchange.attempts = append(exchange.attempts, attempt)
-	exchange.out++
-	if !exchange.open || attempt.number >= max(l.service.MaxAttempts, 1) || attempt.deadline <= now {
+	exchange.inFlight++
+	if !exchange.inProgress || attempt.number >= max(l.service.MaxAttempts, 1) || attempt.deadline <= now {
 		l.endAttempt(attempt, result{outcome: rules.Moot})
 		return
 	}
@@ -497,14 +497,14 @@
 		l.metrics.retries.Add(1)
 	}
 	attempt.ctx, attempt.cancel = context.WithCancel(context.Background())
-	if !exchange.ask.Open {
+	if !exchange.request.Open {
 		l.timers.add(timerEntry{at: attempt.deadline, attempt: attempt})
 	}
 	l.attempts.Go(func() { // ends by attempt.wallDeadline, or when the attempt is aborted
 		res := l.pools.runAttempt(attempt)
 		attempt.cancel()
 		if !l.post(attemptDone{attempt, res}) {
-			res.answer.drop(&l.metrics.bodies)
+			res.answer.discard(&l.metrics.bodyBudget)
 		}
 	})
 }
@@ -512,28 +512,28 @@
 // endAttempt records the result of an attempt. It drops any later result.
 func (l *Loop) endAttempt(attempt *attempt, res result) {
 	if attempt.ended {
-		res.answer.drop(&l.metrics.bodies)
+		res.answer.discard(&l.metrics.bodyBudget)
 		return
 	}
 	attempt.ended, attempt.outcome, attempt.err, attempt.took = true, res.outcome, res.err, l.clock.now()-attempt.sent
 	exchange := attempt.exchange
-	exchange.out--
+	exchange.inFlight--
 	switch {
-	case !exchange.open:
-		res.answer.drop(&l.metrics.bodies)
-	case exchange.begun && res.outcome == rules.Served:
+	case !exchange.inProgress:
+		res.answer.discard(&l.metrics.bodyBudget)
+	case exchange.responseStarted && res.outcome == rules.Served:
 		l.finish(exchange)
 		exchange.counts.passed.Add(1)
-	case exchange.begun:
+	case exchange.responseStarted:
 		l.finish(exchange) // its connection ends before the response does, so the client notices
 		exchange.counts.badGateway.Add(1)
 		l.trace(exchange, "not served")
 	case res.outcome == rules.Served:
 		res.answer.prepareForClient()
-		l.respond(exchange.ask.ID, res.answer)
+		l.respond(exchange.request.ID, res.answer)
 	}
-	l.handle(rules.AttemptEnd{Request: exchange.ask.ID, Attempt: attempt.number, Backend: attempt.backend, Outcome: res.outcome,
-		Took: attempt.took, Done: !exchange.open, Spent: res.bodyConsumed, Units: res.units})
+	l.handle(rules.AttemptEnd{Request: exchange.request.ID, Attempt: attempt.number, Backend: attempt.backend, Outcome: res.outcome,
+		Took: attempt.took, Done: !exchange.inProgress, Spent: res.bodyConsumed, Units: res.units})
 	l.forget(exchange)
 }
 
@@ -546,7 +546,7 @@
 	attempt := exchange.attempts[action.Attempt]
 	attempt.abort()
 	outcome := rules.Cancelled
-	if exchange.ask.Open {
+	if exchange.request.Open {
 		outcome = rules.Moot // its backend does not have the whole request
 	} else if l.clock.now() >= attempt.deadline-timeoutTolerance {
 		outcome = rules.TimedOut // counts against the backend
@@ -555,25 +555,25 @@
 }
 
 // reject sends a final response that no backend produced.
-func (l *Loop) reject(id rules.RequestID, reason rules.Reason, response answer) {
-	if x := l.live[id]; x != nil && x.open {
-		x.reason = reason.String()
+func (l *Loop) reject(id rules.RequestID, reason rules.Reason, response response) {
+	if x := l.live[id]; x != nil && x.inProgress {
+		x.rejectReason = reason.String()
 		l.metrics.rejected[reason].Add(1)
 	}
 	l.respond(id, response)
 }
 
 // respond sends the final response to a request, unless it already has one.
-func (l *Loop) respond(id rules.RequestID, response answer) {
+func (l *Loop) respond(id rules.RequestID, response response) {
 	exchange := l.live[id]
-	if exchange == nil || !exchange.open {
+	if exchange == nil || !exchange.inProgress {
 		return
 	}
 	l.finish(exchange)
 	switch {
-	case response.served:
+	case response.fromBackend:
 		exchange.counts.passed.Add(1)
-		if l.clock.now()-exchange.ask.Sent > exchange.class.Aim {
+		if l.clock.now()-exchange.request.Sent > exchange.class.Aim {
 			l.trace(exchange, "served late")
 		}
 	case response.status == http.StatusTooManyRequests:
@@ -589,16 +589,16 @@
 
 // forget removes a request that has its response and no attempt in flight.
 func (l *Loop) forget(x *exchange) {
-	if !x.open && x.out == 0 {
-		delete(l.live, x.ask.ID)
+	if !x.inProgress && x.inFlight == 0 {
+		delete(l.live, x.request.ID)
 	}
 }
 
 // updateBackendCounts publishes the decision module's counts of backends.
 func (l *Loop) updateBackendCounts() {
 	known, skipped := l.gateway.Listed()
-	l.metrics.known.Store(int64(known))
-	l.metrics.skipped.Store(int64(skipped))
+	l.metrics.knownBackends.Store(int64(known))
+	l.metrics.skippedBackends.Store(int64(skipped))
 }
 
 // callCounter starts a counter call for the decision module.
@@ -621,7 +621,7 @@
 		return
 	}
 	call.ended = true
-	l.contact.note(outcome)
+	l.contact.recordCall(outcome)
 	l.handle(rules.CounterReply{Name: call.name, Outcome: outcome, Total: total, Took: l.clock.now() - call.sent})
 }
 
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -36,12 +36,12 @@
 // A request that was read under earlier settings and reaches the loop under new
 // ones has numbers that mean another class and plan by now.
 func TestCarryOver(t *testing.T) {
-	old := &service{Deployment: wire.Deployment{ClassNames: []string{"a", "b"}, PlanNames: []string{"p", "q"}}}
+	old := &serviceConfig{Deployment: wire.Deployment{ClassNames: []string{"a", "b"}, PlanNames: []string{"p", "q"}}}
 	old.Classes = []rules.Class{{Worth: 1}, {Worth: 2}}
-	l := &Loop{service: &service{Deployment: wire.Deployment{ClassNames: []string{"a"}, PlanNames: []string{"q"}}}}
-	x := &exchange{service: old, class: &old.Classes[1], plan: "q", ask: rules.Request{Class: 1, Plan: 1}}
-	if !l.carryOver(x) || x.ask.Own != &old.Classes[1] || x.ask.Plan != 0 {
-		t.Errorf("carried over as %+v", x.ask)
+	l := &Loop{service: &serviceConfig{Deployment: wire.Deployment{ClassNames: []string{"a"}, PlanNames: []string{"q"}}}}
+	x := &exchange{service: old, class: &old.Classes[1], plan: "q", request: rules.Request{Class: 1, Plan: 1}}
+	if !l.carryOver(x) || x.request.Own != &old.Classes[1] || x.request.Plan != 0 {
+		t.Errorf("carried over as %+v", x.request)
 	}
 	if x.plan = "p"; l.carryOver(x) {
 		t.Error("a request of a plan that is no more was carried over")
@@ -57,14 +57,14 @@
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f, calls := newFigures(&c), newCounter(c.Counter, time.Second)
-		s := f.service(c.Deployment, 0)
+		f, calls := newMetrics(&c), newCounter(c.Counter, time.Second)
+		s := f.newService(c.Deployment, 0)
 		l := newLoop(&c, s, f, newPools(time.Second, time.Minute, 8, f), calls, func() {})
 		ctx, cancel := context.WithCancel(context.Background())
 		go l.run(ctx)
 		defer func() { cancel(); <-l.stopped }()
-		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: "basic", reply: make(chan answer, 2),
-			ask: rules.Request{Customer: 7, Units: 2, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
+		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: "basic", reply: make(chan response, 2),
+			request: rules.Request{Customer: 7, Units: 2, Gateways: 2, FirstPeer: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
 		l.post(requestArrived{x})
 		synctest.Wait()
 		var k *counterCall
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -48,7 +48,7 @@
 	idleLimit      time.Duration // connections that have been idle for longer are closed
 	settle         time.Duration // see settleTime
 	maxOpen        int           // limit of connections and dials over all backends
-	metrics        *figures
+	metrics        *metrics
 	logLimit       logLimiter // for log lines about local failures
 	dial           func(context.Context, *target, time.Duration) (*backendConn, error)
 
@@ -58,7 +58,7 @@
 }
 
 // newPools returns pools without backends.
-func newPools(connectTimeout, keepAlive time.Duration, maxOpen int, metrics *figures) *pools {
+func newPools(connectTimeout, keepAlive time.Duration, maxOpen int, metrics *metrics) *pools {
 	return &pools{connectTimeout: connectTimeout, idleLimit: idleLimit(keepAlive),
 		settle: settleTime, maxOpen: maxOpen, metrics: metrics, logLimit: logLimiter{max: 1}, dial: dial, targets: map[rules.BackendID]*target{}}
 }
@@ -192,7 +192,7 @@
 // dialWithRetry dials, and retries after a pause for up to localFailureRetryTime while the
 // failure is local.
 func (p *pools) dialWithRetry(ctx context.Context, target *target, timeout time.Duration) (*backendConn, error) {
-	var pause retryPause
+	var pause backoff
 	for start := time.Now(); ; {
 		conn, err := p.dial(ctx, target, timeout)
 		if !localFailure(err) {
@@ -204,7 +204,7 @@
 		if outOfResources(err) {
 			p.closeLongestIdle() // an idle connection to any backend makes room
 		}
-		delay := pause.after()
+		delay := pause.nextDelay()
 		if time.Since(start)+delay > localFailureRetryTime || !sleepFor(ctx, delay) {
 			return nil, err
 		}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -50,8 +50,8 @@
 		writer.WriteString("\r\n")
 	case length < 0:
 		writer.WriteString("Transfer-Encoding: chunked\r\n")
-		if len(exchange.announced) > 0 {
-			writer.WriteString("Trailer: " + strings.Join(exchange.announced, ", ") + "\r\n")
+		if len(exchange.announcedTrailers) > 0 {
+			writer.WriteString("Trailer: " + strings.Join(exchange.announcedTrailers, ", ") + "\r\n")
 		}
 	}
 	writer.WriteString("\r\n")
@@ -81,17 +81,17 @@
 func (p *pools) streamBody(attempt *attempt, conn *backendConn) (result, bool) {
 	upload := attempt.exchange.upload
 	conn.SetDeadline(attempt.wallDeadline) // no deadline unless the body is already complete
-	upload.take(attempt)
+	upload.assign(attempt)
 	sent := make(chan error, 1)
-	p.metrics.up.open.Add(1)
+	p.metrics.uploads.streaming.Add(1)
 	go func() {
-		defer p.metrics.up.open.Add(-1)
-		defer upload.done(attempt)
+		defer p.metrics.uploads.streaming.Add(-1)
+		defer upload.releaseWindow(attempt)
 		cause, err := attempt.sendBody(conn)
 		if err == nil {
-			p.metrics.tries.Add(1)
+			p.metrics.attempts.Add(1)
 		}
-		p.metrics.up.end(cause, attempt.exchange.header.Get(idHeader), err)
+		p.metrics.uploads.recordEnd(cause, attempt.exchange.header.Get(idHeader), err)
 		if sent <- err; err != nil {
 			conn.Close() // which also ends the wait for a response
 		}
@@ -102,17 +102,17 @@
 	if !finished {
 		conn.Close() // nothing more of the body may leave
 		reuse = false
-		if err = errCutShort; attempt.lastPiece.Load() {
+		if err = errUploadAborted; attempt.lastPiece.Load() {
 			err = <-sent // the sender is at the last piece
 		}
 	}
-	res.bodyConsumed, bodyErr = upload.leave()
+	res.bodyConsumed, bodyErr = upload.unassign()
 	if err == nil || res.outcome != rules.Broken && res.outcome != rules.TimedOut {
 		return res, reuse && err == nil // a response, or a failure after the whole body was sent
 	}
 	// The body broke off before its end was written, so the backend has run nothing.
 	res.outcome, res.err, res.bodyErr = rules.ConnectFailed, err, bodyErr
-	if bodyErr != nil || errors.Is(err, errCutShort) && upload.answered() {
+	if bodyErr != nil || errors.Is(err, errUploadAborted) && upload.responseSent() {
 		res.outcome = rules.Moot // says nothing about the backend
 	}
 	return res, false
@@ -142,9 +142,9 @@
 
 // sendBody writes a request and its body as the body arrives. It returns why the upload
 // ended.
-func (a *attempt) sendBody(conn *backendConn) (cause, error) {
-	upload, writePace := a.exchange.upload, pace{pause: stall, grace: stall, rate: leastRate}
-	remaining := upload.timeLeft()
+func (a *attempt) sendBody(conn *backendConn) (transferCause, error) {
+	upload, writePace := a.exchange.upload, pace{maxPause: stallTimeout, grace: stallTimeout, minRate: minTransferRate}
+	remaining := upload.remaining()
 	if !a.wallDeadline.IsZero() {
 		remaining = min(remaining, time.Until(a.wallDeadline))
 	}
@@ -152,7 +152,7 @@
 	for offset, total := 0, int64(0); ; {
 		piece, err := upload.next(a, offset)
 		if err != nil && err != io.EOF {
-			return bodyCause(err), err
+			return clientBodyCause(err), err
 		}
 		offset += len(piece)
 		total += int64(len(piece))
@@ -160,21 +160,21 @@
 			a.lastPiece.Store(true)
 		}
 		writeStart := time.Now()
-		conn.SetWriteDeadline(a.writeDeadline(writeStart.Add(writePace.wait())))
+		conn.SetWriteDeadline(a.writeDeadline(writeStart.Add(writePace.allowedWait())))
 		if upload.length >= 0 {
 			conn.writer.Write(piece)
 		} else {
 			writeChunk(conn.writer, piece)
 		}
 		if err == io.EOF && upload.length < 0 {
-			writeTrailer(conn.writer, trailers(upload.request.Trailer))
+			writeTrailer(conn.writer, forwardableTrailers(upload.request.Trailer))
 		}
 		if err := conn.writer.Flush(); err != nil {
-			return slowOr(err, backendSlow, backendBroke), err
+			return timeoutCause(err, backendSlow, backendBroken), err
 		}
 		if err == io.EOF {
-			return endedWhole, nil
+			return transferComplete, nil
 		}
-		writePace.moved(len(piece), time.Since(writeStart))
+		writePace.record(len(piece), time.Since(writeStart))
 	}
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -56,7 +56,7 @@
 		if i > 0 {
 			attempts.WriteByte(',')
 		}
-		fmt.Fprintf(&attempts, "%08x@%.3f", uint32(attempt.backend), attempt.sent-exchange.ask.Sent)
+		fmt.Fprintf(&attempts, "%08x@%.3f", uint32(attempt.backend), attempt.sent-exchange.request.Sent)
 		if attempt.ended {
 			fmt.Fprintf(&attempts, "+%.3f:%s", attempt.took, outcomeNames[attempt.outcome])
 		}
@@ -65,9 +65,9 @@
 		}
 	}
 	slog.Info(event, "id", exchange.header.Get(idHeader), "class", exchange.counts.name,
-		"plan", exchange.plan, "customer", uint64(exchange.ask.Customer), "units", exchange.ask.Units,
-		"repeat", exchange.ask.Repeat, "left", roundToMillis(exchange.ask.Deadline-exchange.ask.Sent), "queued", roundToMillis(exchange.queued),
-		"took", roundToMillis(now-exchange.ask.Sent), "reason", exchange.reason, "attempts", attempts.String())
+		"plan", exchange.plan, "customer", uint64(exchange.request.Customer), "units", exchange.request.Units,
+		"repeat", exchange.request.Repeat, "left", roundToMillis(exchange.request.Deadline-exchange.request.Sent), "queued", roundToMillis(exchange.queueDelay),
+		"took", roundToMillis(now-exchange.request.Sent), "reason", exchange.rejectReason, "attempts", attempts.String())
 }
 
 // recordLag records how late a timer fired, in seconds, and logs the largest delay at most
