--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -19,7 +19,7 @@
 // docs/design.md.
 
 // half splits a request in the middle of its head.
-func half(text string) (first, rest string) {
+func splitHead(text string) (first, rest string) {
 	at := strings.Index(text, "Host:")
 	return text[:at], text[at:]
 }
@@ -32,12 +32,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRig(t, backend)
-			first, rest := half(ask("POST", "booking", "pickup"))
+			r := newTestGateway(t, backend)
+			first, rest := splitHead(requestText("POST", "booking", "pickup"))
 			conn := r.send(t, "")
 			from := bufio.NewReader(conn)
 			if served {
-				io.WriteString(conn, ask("GET", "lookup", "", idHeader, ""))
+				io.WriteString(conn, requestText("GET", "lookup", "", idHeader, ""))
 				if resp, err := http.ReadResponse(from, nil); err != nil {
 					t.Fatal(err)
 				} else {
@@ -49,7 +49,7 @@
 			r.tells(t, "app.clients.head:1|g")
 			r.stop()
 			// Until the listener has closed, as the rest of a slow head may.
-			for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 				c, err := net.Dial("tcp", r.address)
 				if err != nil {
 					break
@@ -77,28 +77,28 @@
 // A request on a resting connection in the moment of the stop is either answered or
 // not taken at all: then nothing of it goes on.
 func TestStopCrossesRestingConnection(t *testing.T) {
-	l := newClients(newPipes(), 8)
+	l := newClientListener(newPipes(), 8)
 	near, far := net.Pipe()
 	defer far.Close()
-	c := l.take(near)
-	go io.WriteString(far, ask("GET", "lookup", ""))
+	c := l.admit(near)
+	go io.WriteString(far, requestText("GET", "lookup", ""))
 	c.Read(make([]byte, 4096))
 	l.connState(c, http.StateActive)
 	l.connState(c, http.StateIdle)
 	fresh, other := net.Pipe()
 	defer other.Close()
-	f := l.take(fresh)
-	l.leave(leavesIdle)
+	f := l.admit(fresh)
+	l.setPhase(phaseClosingIdle)
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Error("a byte was read on a connection that rested at the stop")
 	}
 	c.Close() // as the server does then
-	go io.WriteString(other, ask("GET", "lookup", ""))
+	go io.WriteString(other, requestText("GET", "lookup", ""))
 	if n, err := f.Read(make([]byte, 4096)); n == 0 || err != nil {
 		t.Fatalf("a new connection at the stop: %d, %v", n, err)
 	}
-	l.leave(leavesNew)
-	if n := l.counts(); n.Open != 1 || n.In[connlimit.Head] != 1 {
+	l.setPhase(phaseClosingNew)
+	if n := l.counts(); n.Open != 1 || n.ByState[connlimit.Head] != 1 {
 		t.Errorf("the one whose request has begun: %+v", n)
 	}
 	l.connState(f, http.StateActive)
@@ -107,29 +107,29 @@
 		t.Error("a byte was read on a connection that came to rest behind the stop")
 	}
 	f.Close()
-	if n := l.counts(); n.Open != 0 || len(l.conns) != 0 || l.ended[closedStop].Load() != 2 {
-		t.Errorf("behind its answer: %+v, %d at the stop", n, l.ended[closedStop].Load())
+	if n := l.counts(); n.Open != 0 || len(l.conns) != 0 || l.closeCounts[closedShutdown].Load() != 2 {
+		t.Errorf("behind its answer: %+v, %d at the stop", n, l.closeCounts[closedShutdown].Load())
 	}
 	l.Close()
 	late, end := net.Pipe()
 	defer end.Close()
 	go io.Copy(io.Discard, end)
-	if l.take(late) != nil {
+	if l.admit(late) != nil {
 		t.Error("one that was accepted before the listener closed was kept")
 	}
 }
 
 // crossingConn calls a function between a read from its peer and the return of what was read.
-type crossingConn struct {
+type hookedConn struct {
 	net.Conn
-	crosses func()
+	afterRead func()
 }
 
-func (c *crossingConn) Read(p []byte) (int, error) {
+func (c *hookedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && c.crosses != nil {
-		c.crosses()
-		c.crosses = nil
+	if n > 0 && c.afterRead != nil {
+		c.afterRead()
+		c.afterRead = nil
 	}
 	return n, err
 }
@@ -144,23 +144,23 @@
 // read before it. Evidence: forced here for each way to give up a connection.
 func TestReadCrossesGivingUp(t *testing.T) {
 	t.Parallel()
-	for name, giveUp := range map[string]func(l *clients){
-		"at the stop":      func(l *clients) { l.leave(leavesNew) },
-		"for a new limit":  func(l *clients) { l.limit(0) },
-		"for a new client": func(l *clients) { l.take(new(net.TCPConn)) },
+	for name, giveUp := range map[string]func(l *clientListener){
+		"at the stop":      func(l *clientListener) { l.setPhase(phaseClosingNew) },
+		"for a new limit":  func(l *clientListener) { l.setLimit(0) },
+		"for a new client": func(l *clientListener) { l.admit(new(net.TCPConn)) },
 	} {
 		for _, served := range []bool{false, true} {
-			l := newClients(newPipes(), 1)
+			l := newClientListener(newPipes(), 1)
 			near, far := net.Pipe()
-			conn := &crossingConn{Conn: near}
-			c := l.take(conn)
+			conn := &hookedConn{Conn: near}
+			c := l.admit(conn)
 			answer := make(chan string, 1)
 			go func() {
 				if served {
-					io.WriteString(far, ask("GET", "lookup", ""))
+					io.WriteString(far, requestText("GET", "lookup", ""))
 				}
-				io.WriteString(far, ask("GET", "lookup", ""))
-				far.SetDeadline(time.Now().Add(patience))
+				io.WriteString(far, requestText("GET", "lookup", ""))
+				far.SetDeadline(time.Now().Add(testTimeout))
 				got, _ := io.ReadAll(far)
 				answer <- string(got)
 			}()
@@ -169,14 +169,14 @@
 				l.connState(c, http.StateActive)
 				l.connState(c, http.StateIdle)
 			} else {
-				l.began = l.began.Add(-connlimit.Grace) // it may be given up for another
+				l.startedAt = l.startedAt.Add(-connlimit.NewGrace) // it may be given up for another
 			}
-			conn.crosses = func() { giveUp(l) }
+			conn.afterRead = func() { giveUp(l) }
 			if n, err := c.Read(make([]byte, 4096)); n != 0 || err == nil {
 				t.Errorf("%s, served %t: %d bytes go on, %v", name, served, n, err)
 			}
 			c.Close()
-			if got := wait(t, answer, "end"); got != turnedAwayText {
+			if got := wait(t, answer, "end"); got != unavailableResponse {
 				t.Errorf("%s, served %t: a request that was read got %q", name, served, got)
 			}
 			far.Close()
@@ -189,13 +189,13 @@
 func TestStopAnswersPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn := r.send(t, ask("POST", "booking", "first")+ask("POST", "booking", "second", keyHeader, "k2")+ask("GET", "lookup", ""))
+	r := newTestGateway(t, backend)
+	conn := r.send(t, requestText("POST", "booking", "first")+requestText("POST", "booking", "second", idempotencyHeader, "k2")+requestText("GET", "lookup", ""))
 	to, br := backend.accept(t)
 	readRequest(t, br)
 	r.tells(t, "app.clients.busy:1|g")
 	r.stop()
-	r.until(t, http.StatusServiceUnavailable)
+	r.awaitReadiness(t, http.StatusServiceUnavailable)
 	from := bufio.NewReader(conn)
 	for n := range 3 {
 		if n > 0 {
@@ -224,13 +224,13 @@
 		if s == http.StateActive {
 			f.clients.mu.Lock()
 			defer f.clients.mu.Unlock()
-			f.clients.giveUp(c.place, closedNew)
+			f.clients.evict(c.entry, closedNew)
 		}
 	}
 	p.conns <- server
-	io.WriteString(client, ask("GET", "lookup", ""))
-	client.SetReadDeadline(time.Now().Add(patience))
-	if got, err := io.ReadAll(client); string(got) != turnedAwayText || err != nil {
+	io.WriteString(client, requestText("GET", "lookup", ""))
+	client.SetReadDeadline(time.Now().Add(testTimeout))
+	if got, err := io.ReadAll(client); string(got) != unavailableResponse || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 	select {
@@ -245,16 +245,16 @@
 func TestCloseOverUnreadBytes(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
+	r := newTestGateway(t, backend)
 	dialer := net.Dialer{}
 	conn, err := dialer.Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10) // most of the answer waits at the gateway
-	io.WriteString(conn, ask("POST", "booking", "pickup", "Connection", "close")+strings.Repeat("x", 32<<10))
+	io.WriteString(conn, requestText("POST", "booking", "pickup", "Connection", "close")+strings.Repeat("x", 32<<10))
 	want := bytes.Repeat([]byte("answer"), 10<<10)
 	serveOne(t, backend, string(want))
 	r.tells(t, "app.handled.booking.passed:1|c", "app.clients.busy:0|g")
@@ -274,18 +274,18 @@
 func TestRepeatCrossesItsWindow(t *testing.T) {
 	for name, length := range map[string]int{"a short request": 6, "a long one": 1 << 20} {
 		backend := newPeer(t)
-		p := poolFor(t, backend.address())
-		a := newAttempt(patience)
-		a.x.body = make([]byte, length)
+		p := newTestPools(t, backend.address())
+		a := newAttempt(testTimeout)
+		a.exchange.body = make([]byte, length)
 		real, up := p.dial, make(chan struct{})
 		p.dial = func(ctx context.Context, to *target, within time.Duration) (*backendConn, error) {
 			c, err := real(ctx, to, within)
 			<-up
 			return c, err
 		}
-		done := start(p, a)
+		done := startAttempt(p, a)
 		conn, r := backend.accept(t)
-		a.before = time.Now() // the window ends while the connection comes up
+		a.writeBefore = time.Now() // the window ends while the connection comes up
 		close(up)
 		if got := wait(t, done, "result"); got.outcome != rules.ConnectFailed {
 			t.Errorf("%s: outcome %d, which says that it may have run", name, got.outcome)
@@ -307,9 +307,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := newFigures(&c)
-		s := f.service(c.Deployment, 0)
-		p := newPools(patience, time.Minute, 8, f)
+		f := newMetrics(&c)
+		s := f.newService(c.Deployment, 0)
+		p := newPools(testTimeout, time.Minute, 8, f)
 		dials, up := make(chan struct{}, 1), make(chan struct{})
 		real := p.dial
 		p.dial = func(_ context.Context, to *target, within time.Duration) (*backendConn, error) {
@@ -318,24 +318,24 @@
 			return real(context.Background(), to, within) // it comes up in the moment of the end
 		}
 		l := newLoop(&c, s, f, p, nil, func() {})
-		l.list(listing(true, "Ready", backend), rules.FullList)
+		l.applyList(newListing(true, "Ready", backend), rules.FullList)
 		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: s.PlanNames[0], method: "GET", uri: "/lookup",
-			host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, reply: make(chan answer, 2),
-			ask: rules.Request{Customer: 7, Units: 1, GatewayCount: 2, FirstGateway: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
-		l.take(arrival{x})
+			host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, reply: make(chan response, 2),
+			request: rules.Request{Customer: 7, Units: 1, GatewayCount: 2, FirstGateway: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
+		l.dispatch(requestArrived{x})
 		wait(t, dials, "dial")
-		l.take(clientGone{x})
+		l.dispatch(clientGone{x})
 		close(up)
 		l.attempts.Wait()
 		for len(l.inbox) > 0 {
-			l.take(<-l.inbox)
+			l.dispatch(<-l.inbox)
 		}
 		conn, r := backend.accept(t)
 		if n, err := r.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 			t.Errorf("cancel %s: written for a client that has gone: %d, %v", cancel, n, err)
 		}
 		conn.Close()
-		if len(l.live) > 0 || x.out > 0 {
+		if len(l.live) > 0 || x.inFlight > 0 {
 			t.Errorf("cancel %s: %d requests are left", cancel, len(l.live))
 		}
 		p.remove(backendID(backend.address()))
@@ -346,14 +346,14 @@
 // next request on that connection.
 func TestLateSecondAnswer(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	p.settle = patience // until the test says otherwise
-	done := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.address())
+	p.settle = testTimeout // until the test says otherwise
+	done := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 	wait(t, done, "result")
-	done = start(p, newAttempt(patience)) // in the moment in which the other has ended
+	done = startAttempt(p, newAttempt(testTimeout)) // in the moment in which the other has ended
 	next, nr := backend.accept(t)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 	readRequest(t, nr)
@@ -363,11 +363,11 @@
 	}
 	// Once it has come, the connection is not used any more.
 	idle := p.targets[1].idle[0]
-	for end := time.Now().Add(patience); alive(idle.Conn) && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); alive(idle.Conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // on its way through the kernel
 	}
 	p.settle = 0
-	done = start(p, newAttempt(patience))
+	done = startAttempt(p, newAttempt(testTimeout))
 	readRequest(t, nr)
 	io.WriteString(next, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast")
 	if got := wait(t, done, "result"); got.outcome != rules.Served || string(got.answer.body) != "last" {
@@ -386,14 +386,14 @@
 		"goes at an end": func(p *pools, _ string) { ctx, end := context.WithCancel(context.Background()); end(); p.sweep(ctx) },
 	} {
 		backend := newPeer(t)
-		p := poolFor(t, backend.address())
+		p := newTestPools(t, backend.address())
 		real, up := p.dial, make(chan struct{})
 		p.dial = func(ctx context.Context, to *target, within time.Duration) (*backendConn, error) {
 			c, err := real(ctx, to, within)
 			<-up
 			return c, err
 		}
-		done := start(p, newAttempt(patience))
+		done := startAttempt(p, newAttempt(testTimeout))
 		conn, r := backend.accept(t)
 		change(p, backend.address())
 		close(up)
@@ -411,13 +411,13 @@
 // attempt that is out ends, and none begins.
 func TestClientLeavesBehindNextRequest(t *testing.T) {
 	t.Parallel()
-	for name, text := range map[string]string{"a part": "G", "a whole one": ask("GET", "lookup", ""),
-		"a crowd": strings.Repeat(ask("GET", "lookup", ""), 30), "a flood": strings.Repeat(ask("GET", "lookup", ""), 40000)} {
+	for name, text := range map[string]string{"a part": "G", "a whole one": requestText("GET", "lookup", ""),
+		"a crowd": strings.Repeat(requestText("GET", "lookup", ""), 30), "a flood": strings.Repeat(requestText("GET", "lookup", ""), 40000)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRig(t, backend)
-			conn, _ := r.client(t, ask("POST", "booking", "x"))
+			r := newTestGateway(t, backend)
+			conn, _ := r.request(t, requestText("POST", "booking", "x"))
 			to, br := backend.accept(t)
 			readRequest(t, br)
 			r.tells(t, "app.clients.busy:1|g")
@@ -443,19 +443,19 @@
 // is made again where its class permits; let go, its client can tell.
 func TestAnswerWithoutLengthIsReset(t *testing.T) {
 	t.Parallel()
-	for name, text := range map[string]string{"held": "abc", "let go": strings.Repeat("x", 2*mostHeld)} {
+	for name, text := range map[string]string{"held": "abc", "let go": strings.Repeat("x", 2*maxHeldBody)} {
 		for _, class := range []string{"lookup", "payment"} {
 			backend := newPeer(t)
-			r := newRig(t, backend)
+			r := newTestGateway(t, backend)
 			method := map[string]string{"lookup": "GET", "payment": "POST"}[class]
-			_, answer := r.get(t, ask(method, class, "", keyHeader, ""))
+			_, answer := r.get(t, requestText(method, class, "", idempotencyHeader, ""))
 			to, br := backend.accept(t)
 			readRequest(t, br)
 			io.WriteString(to, "HTTP/1.1 200 OK\r\n\r\n"+text)
 			var resp *http.Response
 			if name == "let go" {
 				resp = answer()
-				if _, err := io.ReadFull(resp.Body, make([]byte, mostHeld)); err != nil {
+				if _, err := io.ReadFull(resp.Body, make([]byte, maxHeldBody)); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -24,10 +24,10 @@
 		{"of a request that is over", timerEntry{request: 8}, true},
 		{"of an attempt that is out", timerEntry{attempt: &attempt{}}, false},
 		{"of an attempt that has ended", timerEntry{attempt: &attempt{ended: true}}, true},
-		{"of a call that is out", timerEntry{call: &call{}}, false},
-		{"of an answered call", timerEntry{call: &call{ended: true}}, true},
+		{"of a call that is out", timerEntry{call: &counterCall{}}, false},
+		{"of an answered call", timerEntry{call: &counterCall{ended: true}}, true},
 	} {
-		if got := l.void(c.t); got != c.want {
+		if got := l.obsolete(c.t); got != c.want {
 			t.Errorf("%s: void %t", c.name, got)
 		}
 	}
@@ -36,12 +36,12 @@
 // A request that was read under earlier settings and reaches the loop under new
 // ones has numbers that mean another class and plan by now.
 func TestCarryOver(t *testing.T) {
-	old := &service{Deployment: wire.Deployment{ClassNames: []string{"a", "b"}, PlanNames: []string{"p", "q"}}}
+	old := &serviceConfig{Deployment: wire.Deployment{ClassNames: []string{"a", "b"}, PlanNames: []string{"p", "q"}}}
 	old.Classes = []rules.Class{{Worth: 1}, {Worth: 2}}
-	l := &Loop{service: &service{Deployment: wire.Deployment{ClassNames: []string{"a"}, PlanNames: []string{"q"}}}}
-	x := &exchange{service: old, class: &old.Classes[1], plan: "q", ask: rules.Request{Class: 1, Plan: 1}}
-	if !l.carryOver(x) || x.ask.ClassOverride != &old.Classes[1] || x.ask.Plan != 0 {
-		t.Errorf("carried over as %+v", x.ask)
+	l := &Loop{service: &serviceConfig{Deployment: wire.Deployment{ClassNames: []string{"a"}, PlanNames: []string{"q"}}}}
+	x := &exchange{service: old, class: &old.Classes[1], plan: "q", request: rules.Request{Class: 1, Plan: 1}}
+	if !l.carryOver(x) || x.request.ClassOverride != &old.Classes[1] || x.request.Plan != 0 {
+		t.Errorf("carried over as %+v", x.request)
 	}
 	if x.plan = "p"; l.carryOver(x) {
 		t.Error("a request of a plan that is no more was carried over")
@@ -57,17 +57,17 @@
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f, calls := newFigures(&c), newCounter(c.Counter, time.Second)
-		s := f.service(c.Deployment, 0)
+		f, calls := newMetrics(&c), newCounter(c.Counter, time.Second)
+		s := f.newService(c.Deployment, 0)
 		l := newLoop(&c, s, f, newPools(time.Second, time.Minute, 8, f), calls, func() {})
 		ctx, cancel := context.WithCancel(context.Background())
 		go l.run(ctx)
 		defer func() { cancel(); <-l.stopped }()
-		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: "basic", reply: make(chan answer, 2),
-			ask: rules.Request{Customer: 7, Units: 2, GatewayCount: 2, FirstGateway: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
-		l.post(arrival{x})
+		x := &exchange{service: s, class: &s.Classes[0], counts: s.counts[0], plan: "basic", reply: make(chan response, 2),
+			request: rules.Request{Customer: 7, Units: 2, GatewayCount: 2, FirstGateway: 1, Sent: l.clock.now(), Deadline: l.clock.now() + 15}}
+		l.post(requestArrived{x})
 		synctest.Wait()
-		var k *call
+		var k *counterCall
 		for _, lane := range calls.lanes {
 			if len(lane) > 0 {
 				k = <-lane
@@ -78,12 +78,12 @@
 		}
 		time.Sleep(190 * time.Millisecond)
 		synctest.Wait()
-		if k.givenUp.Load() {
+		if k.abandoned.Load() {
 			t.Error("given up though its answer may come")
 		}
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
-		if !k.givenUp.Load() {
+		if !k.abandoned.Load() {
 			t.Error("waited for without end")
 		}
 	})
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -19,7 +19,7 @@
 		3 * time.Second, 7500 * time.Millisecond, time.Hour} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
 		s := newStopSchedule(longest)
-		if s.closeIdle >= s.answers || s.closeListener > s.answers || s.answers >= s.finish || s.finish >= s.exit || s.exit >= kill {
+		if s.closeIdle >= s.answersDue || s.closeListener > s.answersDue || s.answersDue >= s.finish || s.finish >= s.exit || s.exit >= kill {
 			t.Errorf("longest deadline %v: %+v, kill at %v", longest, s, kill)
 		}
 		if s.closeIdle <= 0 || s.closeListener < 300*time.Millisecond {
@@ -32,9 +32,9 @@
 func TestStopCountsTheNearestEnd(t *testing.T) {
 	f := &frontend{}
 	for n, c := range []struct{ deadline, want float64 }{{2, 2}, {7, 2}, {1, 1}, {3, 1}} {
-		s := &service{}
+		s := &serviceConfig{}
 		s.Classes = []rules.Class{{Deadline: c.deadline}, {Deadline: c.deadline / 2}}
-		f.use(s)
+		f.applyService(s)
 		if got := time.Duration(f.longestDeadline.Load()); got != seconds(c.want) {
 			t.Errorf("settings %d: %v, want %v s", n, got, c.want)
 		}
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(inner, 8)
+	l := newClientListener(inner, 8)
 	const queued = 20 // more than there are places
 	answers := make(chan string, queued)
 	for range queued {
@@ -57,9 +57,9 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		io.WriteString(c, ask("GET", "lookup", ""))
+		io.WriteString(c, requestText("GET", "lookup", ""))
 		go func() {
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				answers <- err.Error()
@@ -75,11 +75,11 @@
 	ended := make(chan error, 1)
 	go func() { // accepting begins with the stop
 		l.mu.Lock()
-		l.last = true
+		l.drainingQueue = true
 		l.mu.Unlock()
 		ended <- server.Serve(l)
 	}()
-	l.endQueue()
+	l.drainQueue()
 	wait(t, ended, "end of accepting")
 	for range queued {
 		if got := wait(t, answers, "answer"); !strings.HasPrefix(got, "200") && !strings.HasPrefix(got, "503") {
@@ -97,14 +97,14 @@
 func TestStopEndsWhatIsIncomplete(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRigWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
-	head, _ := half(ask("POST", "booking", "x"))
+	r := newTestGatewayWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
+	head, _ := splitHead(requestText("POST", "booking", "x"))
 	inHead := r.send(t, head)
-	inBody := r.send(t, strings.TrimSuffix(ask("POST", "booking", "pickup"), "up"))
-	old := r.send(t, strings.Replace(ask("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
+	inBody := r.send(t, strings.TrimSuffix(requestText("POST", "booking", "pickup"), "up"))
+	old := r.send(t, strings.Replace(requestText("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
 	to, br := backend.accept(t)
 	readRequest(t, br)
-	io.WriteString(to, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*mostHeld))
+	io.WriteString(to, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*maxHeldBody))
 	from := bufio.NewReader(old)
 	resp, err := http.ReadResponse(from, nil)
 	if err != nil {
--- a/internal/gateway/stream_memory_test.go
+++ b/internal/gateway/stream_memory_test.go
@@ -22,11 +22,11 @@
 	const transfers = 4
 	for _, size := range []int{1 << 20, 256 << 20} {
 		backend := newPeer(t)
-		r := newRig(t, backend)
+		r := newTestGateway(t, backend)
 		piece := make([]byte, 1<<20)
 		var wg sync.WaitGroup
 		for range transfers {
-			_, head := r.get(t, ask("GET", "lookup", ""))
+			_, head := r.get(t, requestText("GET", "lookup", ""))
 			to, br := backend.accept(t)
 			readRequest(t, br)
 			wg.Go(func() {
@@ -42,7 +42,7 @@
 			})
 		}
 		wg.Wait()
-		if _, most := r.figures.bodies.usage(); most > transfers*mostWindow {
+		if _, most := r.figures.bodyBudget.usage(); most > transfers*maxWindow {
 			t.Errorf("%d transfers of %d bytes took %d", transfers, size, most)
 		}
 	}
@@ -54,9 +54,9 @@
 	t.Parallel()
 	const fit = 8
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	r.figures.bodies.limit(fit * leastWindow)
-	size := 64 * mostHeld
+	r := newTestGateway(t, backend)
+	r.figures.bodyBudget.setTotal(fit * minWindow)
+	size := 64 * maxHeldBody
 	type outcome struct {
 		conn net.Conn
 		in   *bufio.Reader
@@ -64,7 +64,7 @@
 	}
 	refused := make(chan outcome, 10*fit)
 	for range 10 * fit {
-		conn := r.send(t, ask("POST", "booking", "", "Content-Length", strconv.Itoa(size), "Expect", "100-continue"))
+		conn := r.send(t, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(size), "Expect", "100-continue"))
 		go func() {
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err == nil {
@@ -78,7 +78,7 @@
 	// send sends a body, slowly until all have been told: one that is not slow has no end,
 	// also on a machine on which that takes long.
 	send := func(conn net.Conn) {
-		const drip = 2 * clientRate / 10
+		const drip = 2 * minClientRate / 10
 		left, drips := size, time.NewTicker(100*time.Millisecond)
 		defer drips.Stop()
 		for slowly := true; slowly && left > size/2; {
@@ -104,7 +104,7 @@
 		case o.resp.StatusCode != http.StatusServiceUnavailable || o.resp.Header.Get("Retry-After") != "1":
 			t.Errorf("status %d, advice %q", o.resp.StatusCode, o.resp.Header.Get("Retry-After"))
 		}
-		if used, most := r.figures.bodies.usage(); most > fit*leastWindow {
+		if used, most := r.figures.bodyBudget.usage(); most > fit*minWindow {
 			t.Errorf("%d taken, at most %d", used, most)
 		}
 	}
@@ -131,12 +131,12 @@
 	t.Parallel()
 	const fit = 4
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	r.figures.bodies.limit(fit * mostHeld)
+	r := newTestGateway(t, backend)
+	r.figures.bodyBudget.setTotal(fit * maxHeldBody)
 	whole := noise(1, 8<<20)
 	var heads []func() *http.Response
 	for range 10 * fit {
-		conn, head := r.get(t, ask("GET", "lookup", ""))
+		conn, head := r.get(t, requestText("GET", "lookup", ""))
 		conn.(*net.TCPConn).SetReadBuffer(256 << 10) // so that not all of it is under way
 		heads = append(heads, head)
 		to, br := backend.accept(t)
@@ -157,7 +157,7 @@
 		})
 	}
 	wg.Wait()
-	if _, most := r.figures.bodies.usage(); most > fit*mostHeld {
+	if _, most := r.figures.bodyBudget.usage(); most > fit*maxHeldBody {
 		t.Errorf("%d taken", most)
 	}
 }
@@ -167,8 +167,8 @@
 func TestBothWaysInLittleMemory(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	r.figures.bodies.limit(4 * leastWindow)
+	r := newTestGateway(t, backend)
+	r.figures.bodyBudget.setTotal(4 * minWindow)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -198,7 +198,7 @@
 	for i := range 100 {
 		wg.Go(func() {
 			body := noise(uint64(i), 20<<10+i*4096)
-			conn, head := r.get(t, ask("POST", "booking", "", "Content-Length", strconv.Itoa(len(body))))
+			conn, head := r.get(t, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(len(body))))
 			go conn.Write(body)
 			resp := head()
 			got, err := io.ReadAll(resp.Body)
@@ -216,7 +216,7 @@
 	if served.Load() == 0 {
 		t.Errorf("none served, %d refused", refused.Load())
 	}
-	if _, most := r.figures.bodies.usage(); most > 4*leastWindow {
+	if _, most := r.figures.bodyBudget.usage(); most > 4*minWindow {
 		t.Errorf("%d taken", most)
 	}
 }
