--- a/rules/counter_test.go
+++ b/rules/counter_test.go
@@ -7,14 +7,14 @@
 
 func TestCallsThinOutWhenTheCounterFails(t *testing.T) {
 	calls := func(how Outcome) int {
-		d := start(t, testSettings(), some(8)...)
+		harness := start(t, testSettings(), some(8)...)
 		n := 0
 		for i := range 400 {
-			d.now += 0.01
-			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 2, Customer: CustomerID(i), Deadline: d.now + 2})
-			for _, c := range find[Count](out) {
+			harness.now += 0.01
+			actions := harness.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 2, Customer: CustomerID(i), Deadline: harness.now + 2})
+			for _, c := range find[Count](actions) {
 				n++
-				d.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
+				harness.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
 			}
 		}
 		return n
@@ -28,15 +28,15 @@
 // A connection that breaks tells of no crowd: calls go on, and the request that waits is asked for again.
 // The few calls that are made in an outage of the counter must be enough to show its end.
 func TestCallsAreMadeAgainSoonAfterAnOutageOfTheCounter(t *testing.T) {
-	d := start(t, testSettings(), some(8)...)
+	harness := start(t, testSettings(), some(8)...)
 	calls := func(how Outcome, requests int) (n int) {
 		for range requests {
-			d.now += 0.01
-			d.nextID++
-			out := d.handle(Request{ID: d.nextID, Units: 1, GatewayCount: 2, Customer: CustomerID(d.nextID), Deadline: d.now + 2})
-			for _, c := range find[Count](out) {
+			harness.now += 0.01
+			harness.nextID++
+			actions := harness.handle(Request{ID: harness.nextID, Units: 1, GatewayCount: 2, Customer: CustomerID(harness.nextID), Deadline: harness.now + 2})
+			for _, c := range find[Count](actions) {
 				n++
-				d.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
+				harness.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
 			}
 		}
 		return n
@@ -49,14 +49,14 @@
 
 // At one of many gateways calls are rare, and each must tell more.
 func TestOneOfManyGatewaysSeesSoonThatTheCounterIsBack(t *testing.T) {
-	d := start(t, testSettings(), some(8)...)
+	harness := start(t, testSettings(), some(8)...)
 	calls := func(how Outcome, seconds float64) (n int) {
-		for until := d.now + seconds; d.now < until; d.now += 0.1 {
-			d.nextID++
-			out := d.handle(Request{ID: d.nextID, Units: 1, GatewayCount: 60, Customer: CustomerID(d.nextID), Deadline: d.now + 2})
-			for _, c := range find[Count](out) {
+		for until := harness.now + seconds; harness.now < until; harness.now += 0.1 {
+			harness.nextID++
+			actions := harness.handle(Request{ID: harness.nextID, Units: 1, GatewayCount: 60, Customer: CustomerID(harness.nextID), Deadline: harness.now + 2})
+			for _, c := range find[Count](actions) {
 				n++
-				d.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
+				harness.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
 			}
 		}
 		return n
@@ -93,29 +93,29 @@
 		{Plan{Price: 1, Rate: 20, Burst: 40, CeilingRate: 40, CeilingBurst: 80, CeilingSlack: 8}, 10, 40, 0,
 			10*4 + (40-20)*silence, 4, 2},
 	} {
-		set := testSettings()
-		set.Fleet, set.MaxUnits, set.Plans[0] = 80, c.mostUnits, c.plan
+		settings := testSettings()
+		settings.Fleet, settings.MaxUnits, settings.Plans[0] = 80, c.mostUnits, c.plan
 		rng := rand.New(rand.NewPCG(1, 1))
-		var ds []*drive
+		var ds []*harness
 		for rank := range c.gateways {
-			set.Rank = rank
-			ds = append(ds, start(t, set, some(60)...))
+			settings.Rank = rank
+			ds = append(ds, start(t, settings, some(60)...))
 		}
 		id, asked, got := RequestID(0), 0.0, 0.0
 		ask := func(now float64) {
-			d := ds[rng.IntN(c.gateways)]
+			harness := ds[rng.IntN(c.gateways)]
 			id++
 			units := float64(1 + rng.IntN(int(c.mostUnits)))
 			asked += units
-			d.now = now
-			todo := d.handle(Request{ID: id, Units: units, GatewayCount: c.gateways, Customer: 5, Deadline: now + 2})
+			harness.now = now
+			todo := harness.handle(Request{ID: id, Units: units, GatewayCount: c.gateways, Customer: 5, Deadline: now + 2})
 			for ; len(todo) > 0; todo = todo[1:] {
 				switch a := todo[0].(type) {
 				case Count:
-					todo = append(todo, d.handle(CounterReply{Name: a.Name, Outcome: TimedOut})...)
+					todo = append(todo, harness.handle(CounterReply{Name: a.Name, Outcome: TimedOut})...)
 				case Send:
 					got += units
-					d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})
+					harness.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})
 				}
 			}
 		}
@@ -137,36 +137,36 @@
 }
 
 func TestBrokenCallIsMadeAgainAtOnce(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
+	harness := start(t, testSettings(), some(4)...)
 	for i := range 20 {
-		d.now += 0.1
+		harness.now += 0.1
 		id := RequestID(i + 1)
-		out := d.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: CustomerID(i), Deadline: d.now + 2})
-		call := one[Count](t, out)
-		again := one[Count](t, d.handle(CounterReply{Name: call.Name, Outcome: Broken}))
-		s := one[Send](t, d.handle(CounterReply{Name: again.Name, Total: call.Amount + again.Amount}))
-		if s.Request != id {
-			t.Errorf("sent request %d, want %d", s.Request, id)
+		actions := harness.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: CustomerID(i), Deadline: harness.now + 2})
+		call := one[Count](t, actions)
+		again := one[Count](t, harness.handle(CounterReply{Name: call.Name, Outcome: Broken}))
+		send := one[Send](t, harness.handle(CounterReply{Name: again.Name, Total: call.Amount + again.Amount}))
+		if send.Request != id {
+			t.Errorf("sent request %d, want %d", send.Request, id)
 		}
-		d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Took: 0.1, Done: true})
+		harness.handle(AttemptEnd{Request: send.Request, Backend: send.Backend, Took: 0.1, Done: true})
 	}
 	// Twice in a row is another matter.
-	out := d.handle(Request{ID: 30, Plan: 1, Units: 1, GatewayCount: 2, Customer: 30, Deadline: d.now + 2})
-	name := one[Count](t, out).Name
-	one[Count](t, d.handle(CounterReply{Name: name, Outcome: ConnectFailed}))
-	if n := len(find[Count](d.handle(CounterReply{Name: name, Outcome: ConnectFailed}))); n > 0 {
+	actions := harness.handle(Request{ID: 30, Plan: 1, Units: 1, GatewayCount: 2, Customer: 30, Deadline: harness.now + 2})
+	name := one[Count](t, actions).Name
+	one[Count](t, harness.handle(CounterReply{Name: name, Outcome: ConnectFailed}))
+	if n := len(find[Count](harness.handle(CounterReply{Name: name, Outcome: ConnectFailed}))); n > 0 {
 		t.Errorf("%d calls right after a second loss", n)
 	}
 }
 
 // Units that were added without a total are ours: only the total is asked again.
 func TestUnitsOfAnUnreadableTotalAreNotTakenTwice(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
-	out := d.handle(Request{ID: 1, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2})
-	call := one[Count](t, out)
-	again := one[Count](t, d.handle(CounterReply{Name: call.Name, Outcome: Errored}))
+	harness := start(t, testSettings(), some(4)...)
+	actions := harness.handle(Request{ID: 1, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: harness.now + 2})
+	call := one[Count](t, actions)
+	again := one[Count](t, harness.handle(CounterReply{Name: call.Name, Outcome: Errored}))
 	if again.Name != call.Name || again.Amount != 0 {
 		t.Errorf("asked %+v again as %+v", call, again)
 	}
-	one[Send](t, d.handle(CounterReply{Name: call.Name, Total: call.Amount}))
+	one[Send](t, harness.handle(CounterReply{Name: call.Name, Total: call.Amount}))
 }
--- a/rules/drive_test.go
+++ b/rules/drive_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 // drive drives one gateway by hand and keeps the actions of the last event.
-type drive struct {
-	t      *testing.T
-	g      *Gateway
-	now    float64
-	last   []Action
-	nextID RequestID
+type harness struct {
+	t       *testing.T
+	gateway *Gateway
+	now     float64
+	last    []Action
+	nextID  RequestID
 }
 
 func testSettings() Settings {
@@ -22,12 +22,12 @@
 	}
 }
 
-func start(t *testing.T, set Settings, backends ...Backend) *drive {
+func start(t *testing.T, settings Settings, backends ...Backend) *harness {
 	t.Helper()
-	d := &drive{t: t, now: 100}
-	d.g, d.last = New(set, 7, d.now, nil)
-	d.handle(Backends{Kind: CachedList, Entries: backends})
-	return d
+	harness := &harness{t: t, now: 100}
+	harness.gateway, harness.last = New(settings, 7, harness.now, nil)
+	harness.handle(Backends{Kind: CachedList, Entries: backends})
+	return harness
 }
 
 func ready(id BackendID) Backend { return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1} }
@@ -39,24 +39,24 @@
 	return out
 }
 
-func (d *drive) handle(ev Event) []Action {
-	d.last = d.g.Handle(d.now, ev, nil)
-	return d.last
+func (harness *harness) handle(ev Event) []Action {
+	harness.last = harness.gateway.Handle(harness.now, ev, nil)
+	return harness.last
 }
 
 // ask sends a request of the class and plan and answers its counter calls in full.
-func (d *drive) ask(class, plan int, who CustomerID) RequestID {
-	d.nextID++
-	set := d.g.set
-	out := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: who, Units: 1, GatewayCount: 2,
-		Deadline: d.now + set.Classes[class].Deadline})
-	d.last = append(out, d.grantAll(out)...)
-	return d.nextID
+func (harness *harness) ask(class, plan int, who CustomerID) RequestID {
+	harness.nextID++
+	settings := harness.gateway.settings
+	actions := harness.handle(Request{ID: harness.nextID, Class: class, Plan: plan, Customer: who, Units: 1, GatewayCount: 2,
+		Deadline: harness.now + settings.Classes[class].Deadline})
+	harness.last = append(actions, harness.grantAll(actions)...)
+	return harness.nextID
 }
 
-func (d *drive) grantAll(actions []Action) (all []Action) {
+func (harness *harness) grantAll(actions []Action) (all []Action) {
 	for _, c := range find[Count](actions) {
-		all = append(all, d.g.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
+		all = append(all, harness.gateway.Handle(harness.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
 	}
 	return all
 }
--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -8,23 +8,23 @@
 
 func TestColdBackendGetsNoBurst(t *testing.T) {
 	cold := Backend{ID: 9, State: Ready, StartedAt: 99.9}
-	d := start(t, testSettings(), append(some(1), cold)...)
+	harness := start(t, testSettings(), append(some(1), cold)...)
 	toCold := 0
 	var out []Send
 	for i := range 200 {
-		d.now = 100 + float64(i)*0.01
-		d.ask(0, 1, CustomerID(i))
-		for _, s := range find[Send](d.last) {
-			if s.Backend == 9 {
+		harness.now = 100 + float64(i)*0.01
+		harness.ask(0, 1, CustomerID(i))
+		for _, send := range find[Send](harness.last) {
+			if send.Backend == 9 {
 				toCold++
 			}
-			out = append(out, s)
+			out = append(out, send)
 		}
 		if len(out) > 3 { // each takes four steps
-			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.04, Done: true})
+			harness.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.04, Done: true})
 			out = out[1:]
 		}
-		d.handle(Timer{Token: timerHousekeeping << 56})
+		harness.handle(Timer{Token: timerHousekeeping << 56})
 	}
 	// A warm backend had 100 a second for two seconds; the cold one may do 20 to 36 of these.
 	if toCold > 2*2*36 {
@@ -39,23 +39,23 @@
 // cold one bears.
 func TestManyGatewaysShareAColdBackend(t *testing.T) {
 	const fleet, warm, cold, perSecond, work, span = 80, 20, 30, 400, 0.2, 6.0
-	set := testSettings()
-	set.Fleet, set.Tick = fleet, 0.001
-	set.Plans[1].Rate = 0
+	settings := testSettings()
+	settings.Fleet, settings.Tick = fleet, 0.001
+	settings.Plans[1].Rate = 0
 	var backends []Backend
 	for i := range warm {
 		backends = append(backends, ready(BackendID(i+1)))
 	}
-	var gates []*drive
+	var gates []*harness
 	for rank := range fleet {
-		set.Rank = rank
-		d := &drive{t: t, now: 100, nextID: RequestID(rank << 16)}
-		d.g, _ = New(set, uint64(rank), d.now, nil)
-		d.handle(Backends{Kind: FullList, Entries: backends})
-		gates = append(gates, d)
+		settings.Rank = rank
+		harness := &harness{t: t, now: 100, nextID: RequestID(rank << 16)}
+		harness.gateway, _ = New(settings, uint64(rank), harness.now, nil)
+		harness.handle(Backends{Kind: FullList, Entries: backends})
+		gates = append(gates, harness)
 	}
 	type sent struct {
-		by *drive
+		by *harness
 		s  Send
 		at float64
 	}
@@ -66,26 +66,26 @@
 		for len(out) > 0 && out[0].at+work <= now {
 			o := out[0]
 			o.by.now, out = now, out[1:]
-			for _, s := range find[Send](o.by.handle(AttemptEnd{Request: o.s.Request, Backend: o.s.Backend, Outcome: Served})) {
-				out = append(out, sent{o.by, s, now})
+			for _, send := range find[Send](o.by.handle(AttemptEnd{Request: o.s.Request, Backend: o.s.Backend, Outcome: Served})) {
+				out = append(out, sent{o.by, send, now})
 			}
 		}
-		d := gates[rng.IntN(fleet)]
-		d.now = now
-		d.ask(0, 1, CustomerID(rng.IntN(1000)))
-		for _, s := range find[Send](d.last) {
-			out = append(out, sent{d, s, now})
-			if s.Backend <= warm {
+		harness := gates[rng.IntN(fleet)]
+		harness.now = now
+		harness.ask(0, 1, CustomerID(rng.IntN(1000)))
+		for _, send := range find[Send](harness.last) {
+			out = append(out, sent{harness, send, now})
+			if send.Backend <= warm {
 				perWarm++
 			} else {
-				perCold[s.Backend] = append(perCold[s.Backend], now)
+				perCold[send.Backend] = append(perCold[send.Backend], now)
 			}
 		}
 	}
 	housekeeping := func(now float64) {
-		for _, d := range gates {
-			d.now = now
-			d.handle(Timer{Token: timerHousekeeping << 56})
+		for _, harness := range gates {
+			harness.now = now
+			harness.handle(Timer{Token: timerHousekeeping << 56})
 		}
 	}
 	now := 100.0
@@ -102,9 +102,9 @@
 	for i := range cold {
 		fresh = append(fresh, Backend{ID: BackendID(warm + i + 1), State: Ready, StartedAt: now})
 	}
-	for _, d := range gates {
-		d.now = now
-		d.handle(Backends{Kind: Delta, Entries: fresh})
+	for _, harness := range gates {
+		harness.now = now
+		harness.handle(Backends{Kind: Delta, Entries: fresh})
 	}
 	perWarm = 0
 	play(now + span)
@@ -131,16 +131,16 @@
 // minutes. They keep to a few, and the backends all the same get as much each.
 func TestManyGatewaysKeepToTheirConnections(t *testing.T) {
 	const fleet, backends, perSecond, work, span = 80, 60, 400, 0.2, 60.0
-	set := testSettings()
-	set.Fleet, set.Tick, set.KeepAlive = fleet, 0.001, 15
-	set.Plans[1].Rate = 0
-	var gates []*drive
+	settings := testSettings()
+	settings.Fleet, settings.Tick, settings.KeepAlive = fleet, 0.001, 15
+	settings.Plans[1].Rate = 0
+	var gates []*harness
 	for rank := range fleet {
-		set.Rank = rank
-		d := &drive{t: t, now: 100, nextID: RequestID(rank << 16)}
-		d.g, _ = New(set, uint64(rank), d.now, nil)
-		d.handle(Backends{Kind: FullList, Entries: some(backends)})
-		gates = append(gates, d)
+		settings.Rank = rank
+		harness := &harness{t: t, now: 100, nextID: RequestID(rank << 16)}
+		harness.gateway, _ = New(settings, uint64(rank), harness.now, nil)
+		harness.handle(Backends{Kind: FullList, Entries: some(backends)})
+		gates = append(gates, harness)
 	}
 	type sent struct {
 		rank int
@@ -151,24 +151,24 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	pairs, got, all := map[[2]int]bool{}, map[BackendID]float64{}, 0.0
 	take := func(rank int, actions []Action, now float64) {
-		for _, s := range find[Send](actions) {
-			out = append(out, sent{rank, s, now})
-			pairs[[2]int{rank, int(s.Backend)}] = true
-			got[s.Backend]++
+		for _, send := range find[Send](actions) {
+			out = append(out, sent{rank, send, now})
+			pairs[[2]int{rank, int(send.Backend)}] = true
+			got[send.Backend]++
 			all++
 		}
 	}
 	for now := 100.0; now < 100+span; now += 1.0 / perSecond {
 		for len(out) > 0 && out[0].at+work <= now {
-			o, d := out[0], gates[out[0].rank]
-			d.now, out = now, out[1:]
-			take(o.rank, d.handle(AttemptEnd{Request: o.s.Request, Backend: o.s.Backend, Outcome: Served}), now)
+			o, harness := out[0], gates[out[0].rank]
+			harness.now, out = now, out[1:]
+			take(o.rank, harness.handle(AttemptEnd{Request: o.s.Request, Backend: o.s.Backend, Outcome: Served}), now)
 		}
 		rank := rng.IntN(fleet)
-		d := gates[rank]
-		d.now = now
-		d.ask(0, 1, CustomerID(rng.IntN(1000)))
-		take(rank, d.last, now)
+		harness := gates[rank]
+		harness.now = now
+		harness.ask(0, 1, CustomerID(rng.IntN(1000)))
+		take(rank, harness.last, now)
 	}
 	if n := len(pairs); n > fleet*backends/2 {
 		t.Errorf("connections between %d pairs of %d", n, fleet*backends)
@@ -197,54 +197,54 @@
 		{[]bool{true, false, false, true, true, true}, 0, 2.5}, // this one, 1, is there whatever is told
 		{[]bool{true, true, false, true, true, true}, 30, 4},   // a ceiling's part is everybody's own
 	} {
-		set := testSettings()
-		set.Fleet, set.Rank = 6, 1
-		p := Plan{Price: 1, Rate: 10, Burst: 40, CeilingRate: c.ceiling, CeilingBurst: 4 * c.ceiling}
-		set.Plans = []Plan{p}
-		d := start(t, set, some(2)...)
-		d.handle(Members{Present: c.present})
-		if got := d.g.terms(&p, 5, 0).localRate; math.Abs(got-c.want) > 1e-9 {
+		settings := testSettings()
+		settings.Fleet, settings.Rank = 6, 1
+		plan := Plan{Price: 1, Rate: 10, Burst: 40, CeilingRate: c.ceiling, CeilingBurst: 4 * c.ceiling}
+		settings.Plans = []Plan{plan}
+		harness := start(t, settings, some(2)...)
+		harness.handle(Members{Present: c.present})
+		if got := harness.gateway.computeTerms(&plan, 5, 0).localRate; math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%v, ceiling %g: %g units a second, not %g", c.present, c.ceiling, got, c.want)
 		}
 	}
 }
 
 func TestFailedDiscoveryIsAskedAgainAfterAPause(t *testing.T) {
-	set := testSettings()
-	set.SubscribeToDiscovery = true
-	d := &drive{t: t, now: 100}
-	d.g, d.last = New(set, 7, d.now, nil)
-	one[Subscribe](t, d.last)
-	out := d.handle(Backends{Kind: ListFailed})
-	if len(find[Subscribe](out)) > 0 {
+	settings := testSettings()
+	settings.SubscribeToDiscovery = true
+	harness := &harness{t: t, now: 100}
+	harness.gateway, harness.last = New(settings, 7, harness.now, nil)
+	one[Subscribe](t, harness.last)
+	actions := harness.handle(Backends{Kind: ListFailed})
+	if len(find[Subscribe](actions)) > 0 {
 		t.Error("asked again at once")
 	}
-	pause := one[SetTimer](t, out)
-	d.now += pause.Delay
-	one[Subscribe](t, d.handle(Timer{Token: pause.Token}))
+	pause := one[SetTimer](t, actions)
+	harness.now += pause.Delay
+	one[Subscribe](t, harness.handle(Timer{Token: pause.Token}))
 }
 
 // What turns all gateways away at once must not have them back in step, nor more and more.
 func TestManyGatewaysAskDiscoveryApart(t *testing.T) {
 	const fleet = 80
-	set := testSettings()
-	set.SubscribeToDiscovery, set.Fleet = true, fleet
+	settings := testSettings()
+	settings.SubscribeToDiscovery, settings.Fleet = true, fleet
 	perSecond := map[int]int{}
 	for rank := range fleet {
-		set.Rank = rank
-		d := &drive{t: t, now: 100}
-		d.g, _ = New(set, uint64(rank+1), d.now, nil)
-		for d.now < 160 {
-			pause := one[SetTimer](t, d.handle(Backends{Kind: ListFailed}))
+		settings.Rank = rank
+		harness := &harness{t: t, now: 100}
+		harness.gateway, _ = New(settings, uint64(rank+1), harness.now, nil)
+		for harness.now < 160 {
+			pause := one[SetTimer](t, harness.handle(Backends{Kind: ListFailed}))
 			if pause.Delay > 3.6 {
 				t.Fatalf("asks after %v s: what is told within 6 s would be missed", pause.Delay)
 			}
-			d.now += pause.Delay
-			one[Subscribe](t, d.handle(Timer{Token: pause.Token}))
-			perSecond[int(d.now-100)]++
+			harness.now += pause.Delay
+			one[Subscribe](t, harness.handle(Timer{Token: pause.Token}))
+			perSecond[int(harness.now-100)]++
 		}
-		d.handle(Backends{Kind: Delta})
-		if pause := one[SetTimer](t, d.handle(Backends{Kind: ListFailed})); pause.Delay > 2*askRest {
+		harness.handle(Backends{Kind: Delta})
+		if pause := one[SetTimer](t, harness.handle(Backends{Kind: ListFailed})); pause.Delay > 2*initialDiscoveryBackoff {
 			t.Errorf("asks after %v s, though the last call went well", pause.Delay)
 		}
 	}
@@ -256,29 +256,29 @@
 }
 
 func TestBoundOfManyGatewaysIsKeptInTheMean(t *testing.T) {
-	set := testSettings()
-	set.Fleet, set.Counter = 300, false
-	d := start(t, set, some(60)...)
-	d.g.bound = 0.5 // half an attempt each
+	settings := testSettings()
+	settings.Fleet, settings.Counter = 300, false
+	harness := start(t, settings, some(60)...)
+	harness.gateway.concurrencyLimit = 0.5 // half an attempt each
 	var out []Send
 	sent, together := 0, 0
 	for i := range 4000 { // ten a second; each takes half a second
-		d.now += 0.1
-		for len(out) > 0 && d.now > d.g.requests[out[0].Request].attempts[0].sent+0.5 {
-			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.5, Outcome: Full})
+		harness.now += 0.1
+		for len(out) > 0 && harness.now > harness.gateway.requests[out[0].Request].attempts[0].sent+0.5 {
+			harness.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.5, Outcome: Full})
 			out = out[1:]
 		}
-		d.g.bound = 0.5
-		d.g.retries = 0
-		d.nextID++
-		sends := find[Send](d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, GatewayCount: 300, Customer: CustomerID(i),
-			Deadline: d.now + 2}))
-		for _, id := range []RequestID{d.nextID, d.nextID - 8} {
-			d.handle(Timer{Token: timerEnd<<56 | uint64(id)})
+		harness.gateway.concurrencyLimit = 0.5
+		harness.gateway.retryBudget = 0
+		harness.nextID++
+		sends := find[Send](harness.handle(Request{ID: harness.nextID, Plan: 1, Units: 1, GatewayCount: 300, Customer: CustomerID(i),
+			Deadline: harness.now + 2}))
+		for _, id := range []RequestID{harness.nextID, harness.nextID - 8} {
+			harness.handle(Timer{Token: timerAnswerBy<<56 | uint64(id)})
 		}
 		sent += len(sends)
 		out = append(out, sends...)
-		together = max(together, d.g.inFlight)
+		together = max(together, harness.gateway.inFlight)
 	}
 	mean := float64(sent) * 0.5 / 400
 	if mean > 0.75 || mean < 0.2 {
@@ -290,15 +290,15 @@
 }
 
 func TestGoneBackendsAreForgotten(t *testing.T) {
-	d := start(t, testSettings(), some(3)...)
+	harness := start(t, testSettings(), some(3)...)
 	for i := range 50 {
 		id := BackendID(10 + i)
-		d.handle(Backends{Kind: Delta, Entries: []Backend{ready(id)}})
-		d.handle(Backends{Kind: Delta, Entries: []Backend{{ID: id, State: Gone}}})
-		d.now += 0.05
-		d.handle(Timer{Token: timerHousekeeping << 56})
+		harness.handle(Backends{Kind: Delta, Entries: []Backend{ready(id)}})
+		harness.handle(Backends{Kind: Delta, Entries: []Backend{{ID: id, State: Gone}}})
+		harness.now += 0.05
+		harness.handle(Timer{Token: timerHousekeeping << 56})
 	}
-	if len(d.g.list) != 3 || len(d.g.servers) != 3 {
-		t.Errorf("%d listed and %d known, want 3", len(d.g.list), len(d.g.servers))
+	if len(harness.gateway.backendList) != 3 || len(harness.gateway.backendByID) != 3 {
+		t.Errorf("%d listed and %d known, want 3", len(harness.gateway.backendList), len(harness.gateway.backendByID))
 	}
 }
--- a/rules/quota_test.go
+++ b/rules/quota_test.go
@@ -7,24 +7,24 @@
 )
 
 func TestBeyondQuotaIsRefusedUntilTheStoreHasRefilled(t *testing.T) {
-	d := start(t, testSettings(), some(2)...)
-	out := d.handle(Request{ID: 1, Units: 1, GatewayCount: 20, Customer: 5, Deadline: d.now + 2})
-	call := one[Count](t, out)
+	harness := start(t, testSettings(), some(2)...)
+	actions := harness.handle(Request{ID: 1, Units: 1, GatewayCount: 20, Customer: 5, Deadline: harness.now + 2})
+	call := one[Count](t, actions)
 	// Others have used the store up.
-	out = d.handle(CounterReply{Name: call.Name, Total: 1000})
-	if r := one[Refuse](t, out); r.RetryAfter < 0 || r.RetryAfter > 0.5 {
+	actions = harness.handle(CounterReply{Name: call.Name, Total: 1000})
+	if r := one[Refuse](t, actions); r.RetryAfter < 0 || r.RetryAfter > 0.5 {
 		t.Errorf("advice %v, want up to the longest that is heeded", r.RetryAfter)
 	}
-	if back := one[Count](t, out); back.Amount != -call.Amount {
+	if back := one[Count](t, actions); back.Amount != -call.Amount {
 		t.Errorf("gave %v back of %v", -back.Amount, call.Amount)
 	}
-	d.handle(CounterReply{Name: call.Name, Total: 999})
+	harness.handle(CounterReply{Name: call.Name, Total: 999})
 	asked := 0.0
 	for since := 0.1; since < 4 && asked == 0; since += 0.1 {
-		d.now += 0.1
-		d.nextID += 10
-		out = d.handle(Request{ID: d.nextID, Units: 1, GatewayCount: 20, Customer: 5, Deadline: d.now + 2})
-		if len(find[Count](out)) > 0 {
+		harness.now += 0.1
+		harness.nextID += 10
+		actions = harness.handle(Request{ID: harness.nextID, Units: 1, GatewayCount: 20, Customer: 5, Deadline: harness.now + 2})
+		if len(find[Count](actions)) > 0 {
 			asked = since
 		}
 	}
@@ -43,31 +43,31 @@
 			gateways, way = 5, 0.03 // a counter with a line
 		}
 		rng := rand.New(rand.NewPCG(seed, 1))
-		set := testSettings()
-		set.Fleet, set.Plans[0].Rate, set.Plans[0].Burst = gateways, rate, burst
-		var ds []*drive
+		settings := testSettings()
+		settings.Fleet, settings.Plans[0].Rate, settings.Plans[0].Burst = gateways, rate, burst
+		var ds []*harness
 		for rank := range gateways {
-			set.Rank = rank
-			ds = append(ds, start(t, set, some(60)...))
+			settings.Rank = rank
+			ds = append(ds, start(t, settings, some(60)...))
 		}
 		type message struct {
 			at    float64
-			by    *drive
+			by    *harness
 			call  Count
 			reply bool
 		}
 		var line []message // all take as long, so it is in order
 		totals, id := map[uint64]float64{}, RequestID(0)
 		sent, calls := 0, 0
-		follow := func(d *drive, out []Action) {
-			for _, a := range out {
+		follow := func(harness *harness, actions []Action) {
+			for _, a := range actions {
 				switch a := a.(type) {
 				case Count:
 					calls++
-					line = append(line, message{at: d.now + way, by: d, call: a})
+					line = append(line, message{at: harness.now + way, by: harness, call: a})
 				case Send:
 					sent++
-					d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})
+					harness.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})
 				}
 			}
 		}
@@ -87,10 +87,10 @@
 					line = append(line, message{at: now + way, by: m.by, call: m.call, reply: true})
 				}
 				if rng.Float64() < perSecond*0.002 {
-					d := ds[rng.IntN(gateways)]
-					d.now = now
+					harness := ds[rng.IntN(gateways)]
+					harness.now = now
 					id, asked = id+1, asked+1
-					follow(d, d.handle(Request{ID: id, Units: 1, GatewayCount: gateways, Customer: 5, Deadline: now + 2}))
+					follow(harness, harness.handle(Request{ID: id, Units: 1, GatewayCount: gateways, Customer: 5, Deadline: now + 2}))
 				}
 			}
 			return asked, sent, calls
@@ -104,7 +104,7 @@
 				t.Errorf("seed %d: %d calls for %d requests", seed, called, asked)
 			}
 			_, admitted, _ = play(1, 40) // it has saved up its burst
-			if n := float64(admitted); n < burst || n > burst*(1+lagShare)+rate+1 {
+			if n := float64(admitted); n < burst || n > burst*(1+refillLagFraction)+rate+1 {
 				t.Errorf("seed %d: %v let in of a burst, want about %v", seed, n, burst+rate)
 			}
 			windows := len(totals)
@@ -118,25 +118,25 @@
 }
 
 func TestUnansweredCallGrantsNothingAndTheLocalShareHolds(t *testing.T) {
-	d := start(t, testSettings(), some(2)...)
+	harness := start(t, testSettings(), some(2)...)
 	sent, refused := 0, 0
 	for i := range 10 {
-		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[Count](out) {
-			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
+		actions := harness.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 2, Customer: 5, Deadline: harness.now + 2})
+		for _, c := range find[Count](actions) {
+			actions = append(actions, harness.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
 		}
-		for _, a := range find[Send](out) {
+		for _, a := range find[Send](actions) {
 			sent++
-			d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})
+			harness.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})
 		}
-		refused += len(find[Refuse](out))
+		refused += len(find[Refuse](actions))
 	}
 	if sent != 2 || refused != 0 {
 		t.Errorf("sent %d and refused %d at once, want burst/gateways = 2, the rest held for the counter", sent, refused)
 	}
-	d.now += 0.79
+	harness.now += 0.79
 	for i := range 10 {
-		refused += len(find[Refuse](d.handle(Timer{Token: timerEnd<<56 | uint64(i+1)})))
+		refused += len(find[Refuse](harness.handle(Timer{Token: timerAnswerBy<<56 | uint64(i+1)})))
 	}
 	if refused != 8 {
 		t.Errorf("sent %d and refused %d, want burst/gateways = 2 and 8", sent, refused)
@@ -147,29 +147,29 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		plan := Plan{Price: 1, Rate: 10, Burst: 10, OverQuotaCost: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
-		set := testSettings()
-		set.Plans[0], set.MaxUnits = plan, 1
+		settings := testSettings()
+		settings.Plans[0], settings.MaxUnits = plan, 1
 		gateways := []int{3, 8, 40}[seed%3] // few and many
-		var ds []*drive
+		var ds []*harness
 		for range gateways {
-			ds = append(ds, start(t, set, some(30)...))
+			ds = append(ds, start(t, settings, some(30)...))
 		}
 		totals, store, id := map[uint64]float64{}, plan.CeilingBurst, RequestID(0)
 		for step := range 40000 {
 			now := 100 + float64(step)*0.002
 			store = min(store+plan.CeilingRate*0.002, plan.CeilingBurst)
 			n := rng.IntN(gateways)
-			d := ds[n]
-			d.now = now
+			harness := ds[n]
+			harness.now = now
 			id++
 			var todo []Action
 			if now < 102 || rng.Float64() < 0.2+0.2*math.Sin(now) || math.Mod(now, 19) < 7 {
-				todo = d.handle(Request{ID: id, Units: 1, GatewayCount: gateways, Customer: 5, Deadline: now + 2})
+				todo = harness.handle(Request{ID: id, Units: 1, GatewayCount: gateways, Customer: 5, Deadline: now + 2})
 			} else if step%9 == 0 {
-				todo = d.handle(Timer{Token: timerHousekeeping << 56})
+				todo = harness.handle(Timer{Token: timerHousekeeping << 56})
 			}
 			if rng.IntN(8000) == 0 { // killed, with all it knew
-				ds[n] = start(t, set, some(30)...)
+				ds[n] = start(t, settings, some(30)...)
 				continue
 			}
 			for len(todo) > 0 {
@@ -178,7 +178,7 @@
 				switch a := a.(type) {
 				case Send:
 					store--
-					todo = append(todo, d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})...)
+					todo = append(todo, harness.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})...)
 				case Count:
 					how := Served
 					if phase := math.Mod(now, 19); phase < 4 { // silent, then back empty
@@ -188,7 +188,7 @@
 					if rng.IntN(50) == 0 {
 						how = []Outcome{TimedOut, Broken, Errored}[rng.IntN(3)] // added, but the total is not heard
 					}
-					todo = append(todo, d.handle(CounterReply{Name: a.Name, Outcome: how, Total: totals[a.Name]})...)
+					todo = append(todo, harness.handle(CounterReply{Name: a.Name, Outcome: how, Total: totals[a.Name]})...)
 				}
 			}
 			if store < -plan.CeilingSlack {
@@ -200,28 +200,28 @@
 
 // What settling leaves in debt is paid by the next lease, in one call, and what it leaves over is used first.
 func TestLeaseCountsWhatSettlingLeft(t *testing.T) {
-	set := testSettings()
-	set.UnitsEstimated, set.MaxUnits = true, 4
-	d := start(t, set, some(4)...)
+	settings := testSettings()
+	settings.UnitsEstimated, settings.MaxUnits = true, 4
+	harness := start(t, settings, some(4)...)
 	total := 0.0
 	ask := func(units, asked, settled float64) {
 		t.Helper()
-		d.nextID++
-		todo := d.handle(Request{ID: d.nextID, Plan: 1, Units: units, GatewayCount: 5000, Customer: 5, Deadline: d.now + 2})
+		harness.nextID++
+		todo := harness.handle(Request{ID: harness.nextID, Plan: 1, Units: units, GatewayCount: 5000, Customer: 5, Deadline: harness.now + 2})
 		first, sent := 0.0, false
 		for ; len(todo) > 0; todo = todo[1:] {
 			switch a := todo[0].(type) {
 			case Count:
 				if first == 0 {
 					first = a.Amount
-				} else if !sent && d.nextID > 1 { // the very first call starts a window
+				} else if !sent && harness.nextID > 1 { // the very first call starts a window
 					t.Errorf("a second call, for %v units, before the request was sent", a.Amount)
 				}
 				total += a.Amount
-				todo = append(todo, d.handle(CounterReply{Name: a.Name, Total: total})...)
+				todo = append(todo, harness.handle(CounterReply{Name: a.Name, Total: total})...)
 			case Send:
 				sent = true
-				todo = append(todo, d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Outcome: Served, Took: 0.1,
+				todo = append(todo, harness.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Outcome: Served, Took: 0.1,
 					Done: true, Units: settled})...)
 			}
 		}
@@ -238,20 +238,20 @@
 
 // Nine gateways that meet a customer must not take its whole burst ahead; one that serves much of it may.
 func TestBlocksOfManyGatewaysAreWhatTheyUse(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
+	harness := start(t, testSettings(), some(4)...)
 	totals, last := map[uint64]float64{}, 0.0
 	ask := func() {
-		d.nextID++
-		todo := d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, GatewayCount: 9, Customer: 5, Deadline: d.now + 2})
+		harness.nextID++
+		todo := harness.handle(Request{ID: harness.nextID, Plan: 1, Units: 1, GatewayCount: 9, Customer: 5, Deadline: harness.now + 2})
 		for ; len(todo) > 0; todo = todo[1:] {
 			switch a := todo[0].(type) {
 			case Count:
 				if totals[a.Name] += a.Amount; a.Amount > 0 && a.Amount < 40 {
 					last = a.Amount
 				}
-				todo = append(todo, d.handle(CounterReply{Name: a.Name, Total: totals[a.Name]})...)
+				todo = append(todo, harness.handle(CounterReply{Name: a.Name, Total: totals[a.Name]})...)
 			case Send:
-				todo = append(todo, d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Outcome: Served, Done: true})...)
+				todo = append(todo, harness.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Outcome: Served, Done: true})...)
 			}
 		}
 	}
@@ -259,10 +259,10 @@
 		if ask(); last != 1 {
 			t.Errorf("took %v units for one request of a customer seen seldom", last)
 		}
-		d.now += 3
+		harness.now += 3
 	}
 	for range 40 {
-		d.now += 0.1
+		harness.now += 0.1
 		ask()
 	}
 	if last < 3 {
@@ -271,21 +271,21 @@
 }
 
 func TestBlocksLeaveNoUnitThatNobodyComesFor(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
+	harness := start(t, testSettings(), some(4)...)
 	for i := range 20 { // a customer seen once in ten seconds at this gateway
-		d.now += 10
-		out := d.handle(Request{ID: RequestID(i + 1), Plan: 1, Units: 1, GatewayCount: 100, Customer: 5, Deadline: d.now + 2})
-		if call := one[Count](t, out); call.Amount != 1 {
+		harness.now += 10
+		actions := harness.handle(Request{ID: RequestID(i + 1), Plan: 1, Units: 1, GatewayCount: 100, Customer: 5, Deadline: harness.now + 2})
+		if call := one[Count](t, actions); call.Amount != 1 {
 			t.Fatalf("took %v units for one request", call.Amount)
 		}
-		for len(out) > 0 {
-			switch a := out[0].(type) {
+		for len(actions) > 0 {
+			switch a := actions[0].(type) {
 			case Count:
-				out = append(out, d.handle(CounterReply{Name: a.Name, Total: a.Amount})...)
+				actions = append(actions, harness.handle(CounterReply{Name: a.Name, Total: a.Amount})...)
 			case Send:
-				d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.1, Done: true})
+				harness.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.1, Done: true})
 			}
-			out = out[1:]
+			actions = actions[1:]
 		}
 	}
 }
@@ -293,24 +293,24 @@
 // Units of a lease that ran out unused are in no gateway's hands: they must not stay spent on the counter.
 func TestIdleUnitsGoBackToTheCounter(t *testing.T) {
 	totals, id, customer := map[uint64]float64{}, RequestID(0), CustomerID(5)
-	var run func(d *drive, todo []Action) int
-	run = func(d *drive, todo []Action) (sent int) { // counts what is sent on
+	var run func(harness *harness, todo []Action) int
+	run = func(harness *harness, todo []Action) (sent int) { // counts what is sent on
 		for _, a := range todo {
 			switch a := a.(type) {
 			case Send:
 				sent++
-				d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.1, Done: true})
+				harness.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.1, Done: true})
 			case Count:
 				totals[a.Name] += a.Amount
-				sent += run(d, d.handle(CounterReply{Name: a.Name, Total: totals[a.Name]}))
+				sent += run(harness, harness.handle(CounterReply{Name: a.Name, Total: totals[a.Name]}))
 			}
 		}
 		return sent
 	}
-	ask := func(d *drive, n int) (sent int) {
+	ask := func(harness *harness, n int) (sent int) {
 		for range n {
 			id++
-			sent += run(d, d.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: customer, Deadline: d.now + 2}))
+			sent += run(harness, harness.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: customer, Deadline: harness.now + 2}))
 		}
 		return sent
 	}
@@ -329,9 +329,9 @@
 	idle.now += 0.51
 	run(idle, idle.handle(Timer{Token: timerHousekeeping << 56}))
 	ask(idle, 1)
-	c := idle.g.customers[6]
-	floor := idle.g.roll(c)
-	if held := totals[c.name] - floor; held > 4 {
+	quota := idle.gateway.customers[6]
+	floor := idle.gateway.advanceWindow(quota)
+	if held := totals[quota.counterName] - floor; held > 4 {
 		t.Errorf("%.1f units stand on the counter for one request and what came before", held)
 	}
 }
@@ -339,24 +339,24 @@
 // A correction that was lost with its connection is made again, if the total shows that it was not added.
 func TestLostCorrectionIsMadeAgain(t *testing.T) {
 	for _, added := range []bool{false, true} {
-		d := start(t, testSettings(), some(4)...)
-		first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2}))
+		harness := start(t, testSettings(), some(4)...)
+		first := one[Count](t, harness.handle(Request{ID: 1, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: harness.now + 2}))
 		// Another gateway has written off the same refill and taken 30 of the burst of 40, so 11 of the 21
 		// that were asked for are too many.
 		refill := first.Amount - 21
 		total := refill + 30 + first.Amount
-		excess := one[Count](t, d.handle(CounterReply{Name: first.Name, Total: total}))
+		excess := one[Count](t, harness.handle(CounterReply{Name: first.Name, Total: total}))
 		if math.Abs(excess.Amount+refill+11) > 1e-6 {
 			t.Fatalf("gave %v back, want %v", -excess.Amount, refill+11)
 		}
 		if added {
 			total += excess.Amount
 		}
-		look := one[Count](t, d.handle(CounterReply{Name: excess.Name, Outcome: Broken}))
+		look := one[Count](t, harness.handle(CounterReply{Name: excess.Name, Outcome: Broken}))
 		if look.Amount != 0 {
 			t.Fatalf("added %v without knowing the total", look.Amount)
 		}
-		again := find[Count](d.handle(CounterReply{Name: look.Name, Total: total}))
+		again := find[Count](harness.handle(CounterReply{Name: look.Name, Total: total}))
 		switch {
 		case added && len(again) > 0:
 			t.Errorf("given back twice: %v", again)
@@ -365,26 +365,26 @@
 		}
 	}
 	// A call that was turned away has added nothing: what it should tell goes with the next.
-	d := start(t, testSettings(), some(4)...)
-	first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2}))
-	excess := one[Count](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 9}))
-	d.handle(CounterReply{Name: excess.Name, Outcome: ConnectFailed})
-	if c := d.g.customers[5]; c.idle != -excess.Amount {
-		t.Errorf("%v units wait to go back, want %v", c.idle, -excess.Amount)
+	harness := start(t, testSettings(), some(4)...)
+	first := one[Count](t, harness.handle(Request{ID: 1, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: harness.now + 2}))
+	excess := one[Count](t, harness.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 9}))
+	harness.handle(CounterReply{Name: excess.Name, Outcome: ConnectFailed})
+	if quota := harness.gateway.customers[5]; quota.idleUnits != -excess.Amount {
+		t.Errorf("%v units wait to go back, want %v", quota.idleUnits, -excess.Amount)
 	}
 }
 
 // A block that the store cannot hold would cost a correction, and is lost whole with a broken call.
 func TestLeaseAsksForNoMoreThanTheStoreHolds(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
+	harness := start(t, testSettings(), some(4)...)
 	ask := func(id RequestID) []Action {
-		return d.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 2})
+		return harness.handle(Request{ID: id, Plan: 1, Units: 1, GatewayCount: 2, Customer: 5, Deadline: harness.now + 2})
 	}
 	first := one[Count](t, ask(1))
 	refill := first.Amount - 21
-	out := d.handle(CounterReply{Name: first.Name, Total: refill + 15 + first.Amount}) // of 40, another has taken 15
-	for _, c := range find[Count](out) {
-		d.handle(CounterReply{Name: c.Name, Total: refill + 36})
+	actions := harness.handle(CounterReply{Name: first.Name, Total: refill + 15 + first.Amount}) // of 40, another has taken 15
+	for _, c := range find[Count](actions) {
+		harness.handle(CounterReply{Name: c.Name, Total: refill + 36})
 	}
 	for id := RequestID(2); id <= 21; id++ { // the rest of the block
 		if n := len(find[Count](ask(id))); n > 0 {
@@ -399,62 +399,62 @@
 // A request that is late already must take no scarce units from one that can still be in time; once paid for,
 // a late answer is worth having.
 func TestUnpaidRequestIsGivenBackAtItsAim(t *testing.T) {
-	set := testSettings()
-	set.Classes[0].LateWorth, set.Classes[0].Deadline = 0.2, 10
-	d := start(t, set) // no backend: what is paid for is held
-	ask := func(id RequestID) (out []Action, startTimer SetTimer) {
-		out = d.handle(Request{ID: id, Units: 1, GatewayCount: 2, Customer: 5, Deadline: d.now + 10})
-		for _, timer := range find[SetTimer](out) {
-			if timer.Token>>56 == timerStart {
+	settings := testSettings()
+	settings.Classes[0].LateWorth, settings.Classes[0].Deadline = 0.2, 10
+	harness := start(t, settings) // no backend: what is paid for is held
+	ask := func(id RequestID) (actions []Action, startTimer SetTimer) {
+		actions = harness.handle(Request{ID: id, Units: 1, GatewayCount: 2, Customer: 5, Deadline: harness.now + 10})
+		for _, timer := range find[SetTimer](actions) {
+			if timer.Token>>56 == timerSendBy {
 				startTimer = timer
 			}
 		}
-		return out, startTimer
+		return actions, startTimer
 	}
-	out, paid := ask(1)
-	d.handle(CounterReply{Name: one[Count](t, out).Name, Total: 1})
-	d.g.customers[5].units = 0 // spent by others
-	out, unpaid := ask(2)
-	call := one[Count](t, out)
+	actions, paid := ask(1)
+	harness.handle(CounterReply{Name: one[Count](t, actions).Name, Total: 1})
+	harness.gateway.customers[5].leasedUnits = 0 // spent by others
+	actions, unpaid := ask(2)
+	call := one[Count](t, actions)
 	if math.Abs(paid.Delay-0.8) > 1e-6 || math.Abs(unpaid.Delay-0.8) > 1e-6 {
 		t.Fatalf("timers after %v and %v, want the aim", paid.Delay, unpaid.Delay)
 	}
-	d.now += 0.8
-	if again := one[SetTimer](t, d.handle(Timer{Token: paid.Token})); again.Delay < 9 {
+	harness.now += 0.8
+	if again := one[SetTimer](t, harness.handle(Timer{Token: paid.Token})); again.Delay < 9 {
 		t.Errorf("the paid request is looked at again after %v, want its deadline", again.Delay)
 	}
-	if r := one[Refuse](t, d.handle(Timer{Token: unpaid.Token})); r.Request != 2 {
+	if r := one[Refuse](t, harness.handle(Timer{Token: unpaid.Token})); r.Request != 2 {
 		t.Errorf("refused %d", r.Request)
 	}
-	d.handle(CounterReply{Name: call.Name, Outcome: TimedOut})
+	harness.handle(CounterReply{Name: call.Name, Outcome: TimedOut})
 }
 
 // A counter whose line is long for a moment turns calls away, and at one of many gateways too the next may do.
 func TestRequestWaitsForTheNextCall(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
-	out := d.handle(Request{ID: 1, Units: 1, GatewayCount: 100, Customer: 5, Deadline: d.now + 2})
-	d.g.customers[5].local = 0
-	out = d.handle(CounterReply{Name: one[Count](t, out).Name, Outcome: Full})
-	if len(find[Refuse](out)) > 0 {
+	harness := start(t, testSettings(), some(4)...)
+	actions := harness.handle(Request{ID: 1, Units: 1, GatewayCount: 100, Customer: 5, Deadline: harness.now + 2})
+	harness.gateway.customers[5].localUnits = 0
+	actions = harness.handle(CounterReply{Name: one[Count](t, actions).Name, Outcome: Full})
+	if len(find[Refuse](actions)) > 0 {
 		t.Fatal("refused though most calls are answered")
 	}
-	d.now += counterRest + housekeepingInterval
-	out = d.handle(Timer{Token: timerHousekeeping << 56})
-	one[Send](t, d.handle(CounterReply{Name: one[Count](t, out).Name, Total: 1}))
+	harness.now += initialCounterBackoff + housekeepingInterval
+	actions = harness.handle(Timer{Token: timerHousekeeping << 56})
+	one[Send](t, harness.handle(CounterReply{Name: one[Count](t, actions).Name, Total: 1}))
 }
 
 func TestRequestIsNotHeldForACrowdedCounter(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
-	d.g.crowd = 0.2
+	harness := start(t, testSettings(), some(4)...)
+	harness.gateway.counterFailureRate = 0.2
 	for i := range 3 {
-		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 100, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[Count](out) {
-			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
+		actions := harness.handle(Request{ID: RequestID(i + 1), Units: 1, GatewayCount: 100, Customer: 5, Deadline: harness.now + 2})
+		for _, c := range find[Count](actions) {
+			actions = append(actions, harness.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
 		}
 		if i == 0 {
-			one[Send](t, out) // the share of this gateway
+			one[Send](t, actions) // the share of this gateway
 		} else {
-			one[Refuse](t, out)
+			one[Refuse](t, actions)
 		}
 	}
 }
@@ -462,41 +462,41 @@
 // A customer that has lived on leases has its local share from the first second of an outage on: what it spent
 // was the counter's to grant, and is no debt.
 func TestLeasesLeaveNoDebtOnTheLocalShare(t *testing.T) {
-	set := testSettings()
-	set.CanHedge = false
-	d := start(t, set, some(4)...)
+	settings := testSettings()
+	settings.CanHedge = false
+	harness := start(t, settings, some(4)...)
 	totals, down := map[uint64]float64{}, false
 	sent := 0
 	// follow answers the calls and sends that actions bring about, until there are none.
-	follow := func(out []Action) {
-		for len(out) > 0 {
+	follow := func(actions []Action) {
+		for len(actions) > 0 {
 			var next []Action
-			for _, call := range find[Count](out) {
+			for _, call := range find[Count](actions) {
 				totals[call.Name] += call.Amount
 				reply := CounterReply{Name: call.Name, Total: totals[call.Name]}
 				if down {
 					reply = CounterReply{Name: call.Name, Outcome: TimedOut}
 				}
-				next = append(next, d.handle(reply)...)
+				next = append(next, harness.handle(reply)...)
 			}
-			for _, s := range find[Send](out) {
+			for _, send := range find[Send](actions) {
 				sent++
-				next = append(next, d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Outcome: Served})...)
+				next = append(next, harness.handle(AttemptEnd{Request: send.Request, Backend: send.Backend, Outcome: Served})...)
 			}
-			out = next
+			actions = next
 		}
 	}
 	ask := func() {
-		d.now += 0.25
-		follow(d.handle(Timer{Token: timerHousekeeping << 56}))
-		d.nextID++
-		follow(d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, GatewayCount: 2, Deadline: d.now + 2}))
+		harness.now += 0.25
+		follow(harness.handle(Timer{Token: timerHousekeeping << 56}))
+		harness.nextID++
+		follow(harness.handle(Request{ID: harness.nextID, Customer: 1, Units: 1, GatewayCount: 2, Deadline: harness.now + 2}))
 	}
 	for range 40 {
 		ask() // four units a second: more than the quota, of which the local share is one
 	}
-	if c := d.g.customers[1]; sent < 20 || c.units >= 1 {
-		t.Fatalf("sent %d, %f units left: not a customer that lives on leases", sent, c.units)
+	if quota := harness.gateway.customers[1]; sent < 20 || quota.leasedUnits >= 1 {
+		t.Fatalf("sent %d, %f units left: not a customer that lives on leases", sent, quota.leasedUnits)
 	}
 	sent, down = 0, true
 	for range 12 { // 3 s
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -10,7 +10,7 @@
 
 // TestOddInputIsMetCalmly drives the module with what no sound deployment sends.
 func TestOddInputIsMetCalmly(t *testing.T) {
-	for name, set := range map[string]Settings{
+	for name, settings := range map[string]Settings{
 		"nothing set": {Classes: []Class{{}}, Plans: []Plan{{}}},
 		"no fleet":    {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, Rate: 1, Burst: 1}}, Counter: true},
 		"no burst": {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, Rate: 5, CeilingRate: 1}},
@@ -18,30 +18,30 @@
 		"places alone": {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, MaxConcurrent: 1}},
 			Fleet: 3, Counter: true, Tick: 0.002},
 	} {
-		d := start(t, set, some(2)...)
+		harness := start(t, settings, some(2)...)
 		answered := 0
 		for i, gateways := range []int{0, 1, 3, 1000} {
 			id := RequestID(i + 1)
-			out := d.handle(Request{ID: id, Units: 1, GatewayCount: gateways, FirstGateway: 7, Customer: 5, Deadline: d.now + 2})
-			for _, c := range find[Count](out) {
-				out = append(out, d.handle(CounterReply{Name: c.Name, Total: math.Inf(1)})...)
-				out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: Full})...) // twice
+			actions := harness.handle(Request{ID: id, Units: 1, GatewayCount: gateways, FirstGateway: 7, Customer: 5, Deadline: harness.now + 2})
+			for _, c := range find[Count](actions) {
+				actions = append(actions, harness.handle(CounterReply{Name: c.Name, Total: math.Inf(1)})...)
+				actions = append(actions, harness.handle(CounterReply{Name: c.Name, Outcome: Full})...) // twice
 			}
-			d.handle(CounterReply{Name: 99})
-			d.handle(AttemptEnd{Request: id, Attempt: 9, Backend: 77, Outcome: Served})
-			d.handle(AttemptEnd{Request: 12345, Backend: 1, Outcome: NotStarted})
-			d.handle(Backends{Kind: FullList})
-			d.handle(Backends{Kind: Delta, Entries: some(1)})
-			out = append(out, d.handle(Timer{Token: timerHousekeeping << 56})...)
-			for _, s := range find[Send](out) {
-				end := AttemptEnd{Request: s.Request, Backend: s.Backend, Took: 0.1, Done: true}
-				d.handle(end)
-				d.handle(end) // repeated
+			harness.handle(CounterReply{Name: 99})
+			harness.handle(AttemptEnd{Request: id, Attempt: 9, Backend: 77, Outcome: Served})
+			harness.handle(AttemptEnd{Request: 12345, Backend: 1, Outcome: NotStarted})
+			harness.handle(Backends{Kind: FullList})
+			harness.handle(Backends{Kind: Delta, Entries: some(1)})
+			actions = append(actions, harness.handle(Timer{Token: timerHousekeeping << 56})...)
+			for _, send := range find[Send](actions) {
+				end := AttemptEnd{Request: send.Request, Backend: send.Backend, Took: 0.1, Done: true}
+				harness.handle(end)
+				harness.handle(end) // repeated
 				answered++
 			}
-			answered += len(find[Refuse](out)) + len(find[Fail](out))
-			d.now += 2
-			answered += len(find[Refuse](d.handle(Timer{Token: timerEnd<<56 | uint64(id)})))
+			answered += len(find[Refuse](actions)) + len(find[Fail](actions))
+			harness.now += 2
+			answered += len(find[Refuse](harness.handle(Timer{Token: timerAnswerBy<<56 | uint64(id)})))
 		}
 		if answered != 4 {
 			t.Errorf("%s: %d of 4 requests answered", name, answered)
@@ -68,11 +68,11 @@
 
 func randomRun(t *testing.T, seed uint64) (log []Action) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	set := testSettings()
-	set.CanHedge = seed%2 == 0
-	set.Counter = seed%3 != 0
-	set.Classes = append(set.Classes, Class{Aim: 0.5, Deadline: 1, Worth: 2, Effect: Once})
-	d := start(t, set, some(5)...)
+	settings := testSettings()
+	settings.CanHedge = seed%2 == 0
+	settings.Counter = seed%3 != 0
+	settings.Classes = append(settings.Classes, Class{Aim: 0.5, Deadline: 1, Worth: 2, Effect: Once})
+	harness := start(t, settings, some(5)...)
 	open := map[RequestID]*openRequest{}
 	var order []RequestID
 	type timer struct {
@@ -94,12 +94,12 @@
 				if notReady[a.Backend] {
 					t.Fatalf("seed %d: sent to %d, which drains", seed, a.Backend)
 				}
-				if len(o.out) > 0 && !set.CanHedge {
+				if len(o.out) > 0 && !settings.CanHedge {
 					t.Fatalf("seed %d: two attempts out", seed)
 				}
 				o.out = append(o.out, len(o.attempts))
 				o.attempts = append(o.attempts, a)
-				if len(o.attempts) > set.MaxAttempts {
+				if len(o.attempts) > settings.MaxAttempts {
 					t.Fatalf("seed %d: %d attempts", seed, len(o.attempts))
 				}
 			case Refuse:
@@ -114,36 +114,36 @@
 				}
 				open[a.Request].ended = true
 			case SetTimer:
-				timers = append(timers, timer{d.now + a.Delay, a.Token})
+				timers = append(timers, timer{harness.now + a.Delay, a.Token})
 			case Count:
 				calls = append(calls, a)
 			}
 		}
 	}
 	for range 3000 {
-		d.now += 0.002
+		harness.now += 0.002
 		for i := 0; i < len(timers); i++ {
-			if timers[i].at <= d.now {
+			if timers[i].at <= harness.now {
 				due := timers[i]
 				timers = slices.Delete(timers, i, i+1)
 				i--
-				take(d.handle(Timer{Token: due.token}))
+				take(harness.handle(Timer{Token: due.token}))
 			}
 		}
 		for _, id := range order {
-			if o := open[id]; !o.ended && d.now > o.Deadline+set.AnswerSlack {
+			if o := open[id]; !o.ended && harness.now > o.Deadline+settings.AnswerSlack {
 				t.Fatalf("seed %d: request %d was not answered in time", seed, id)
 			}
 		}
 		switch rng.IntN(6) {
 		case 0, 1:
-			d.nextID++
-			r := Request{ID: d.nextID, Class: rng.IntN(3), Plan: rng.IntN(2), Customer: CustomerID(rng.IntN(4)), Units: 1,
+			harness.nextID++
+			received := Request{ID: harness.nextID, Class: rng.IntN(3), Plan: rng.IntN(2), Customer: CustomerID(rng.IntN(4)), Units: 1,
 				GatewayCount: 2}
-			r.Deadline = d.now + set.Classes[r.Class].Deadline*(0.5+rng.Float64()/2)
-			open[r.ID] = &openRequest{Request: r}
-			order = append(order, r.ID)
-			take(d.handle(r))
+			received.Deadline = harness.now + settings.Classes[received.Class].Deadline*(0.5+rng.Float64()/2)
+			open[received.ID] = &openRequest{Request: received}
+			order = append(order, received.ID)
+			take(harness.handle(received))
 		case 2, 3:
 			if len(order) == 0 {
 				continue
@@ -157,20 +157,20 @@
 			how := []Outcome{Served, Served, Errored, Full, TimedOut, Broken, ConnectFailed}[rng.IntN(7)]
 			done := o.ended || how == Served
 			o.ended = done
-			take(d.handle(AttemptEnd{Request: o.ID, Attempt: n, Backend: o.attempts[n].Backend, Outcome: how, Took: 0.1,
+			take(harness.handle(AttemptEnd{Request: o.ID, Attempt: n, Backend: o.attempts[n].Backend, Outcome: how, Took: 0.1,
 				Done: done}))
 		case 4:
 			if len(calls) > 0 {
 				c := calls[0]
 				calls = calls[1:]
-				take(d.handle(CounterReply{Name: c.Name, Outcome: []Outcome{Served, Served, Errored, TimedOut, Full, Broken}[rng.IntN(6)],
+				take(harness.handle(CounterReply{Name: c.Name, Outcome: []Outcome{Served, Served, Errored, TimedOut, Full, Broken}[rng.IntN(6)],
 					Total: max(c.Amount+float64(rng.IntN(3)), 0)}))
 			}
 		case 5:
 			b := ready(BackendID(1 + rng.IntN(5)))
 			b.State = BackendState(rng.IntN(3))
 			notReady[b.ID] = b.State != Ready
-			take(d.handle(Backends{Kind: Delta, Entries: []Backend{b}}))
+			take(harness.handle(Backends{Kind: Delta, Entries: []Backend{b}}))
 		}
 	}
 	return log
--- a/rules/reason.go
+++ b/rules/reason.go
@@ -1,18 +1,18 @@
 package rules
 
-// Reason is why a request was rejected: it got an answer that no backend made.
+// Reason is the reason for which the gateway rejected a request, with Refuse or Fail.
 type Reason int
 
-// The reasons.
+// The values of Reason.
 const (
-	RejectedTooLate      Reason = iota // no time was left when it came
-	RejectedOverQuota                  // the counter has no units for its customer
-	RejectedNoCounter                  // the counter is silent and the local share is spent
-	RejectedNoLease                    // the counter's answer came too late
-	RejectedNoRoom                     // the bound is full and the wait would be too long
-	RejectedQueueTimeout               // it waited for the bound for all of its time
-	RejectedNoRetry                    // its attempt failed and there was none further
-	RejectedNoAnswer                   // its attempt took all of its time
+	RejectedTooLate      Reason = iota // too little time was left when the request arrived
+	RejectedOverQuota                  // the customer's quota is used up
+	RejectedNoCounter                  // the counter does not answer and the local allowance is used up
+	RejectedNoLease                    // the counter did not answer in time
+	RejectedNoRoom                     // the expected wait for the concurrency limit was too long
+	RejectedQueueTimeout               // it waited for the concurrency limit until its time was over
+	RejectedNoRetry                    // its attempt failed and no retry was possible
+	RejectedNoAnswer                   // its attempt was not answered in time
 	RejectedStopping                   // the process ends before its time is over
 
 	// ReasonCount is the number of reasons.
@@ -22,5 +22,5 @@
 var reasonNames = [ReasonCount]string{"too_late", "over_quota", "no_counter", "no_lease", "no_room", "held_out",
 	"no_retry", "no_answer", "stopping"}
 
-// String returns the name that logs and metrics use.
+// String returns the name of the reason in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,12 +1,11 @@
 package rules
 
-// The decisions of one gateway. The interface it is driven through (settings, events, actions) is in
-// rules/types.go; rules/state.go declares what is kept between events, and decides nothing. What changes
-// when the process ends is in rules/stop.go, the slow start of backends in rules/slow_start.go.
+// The decisions of one gateway. types.go declares the interface, state.go the state kept between events;
+// stop.go handles the end of the process, slow_start.go the slow start of backends.
 //
-// A request passes these steps: its customer's lease pays for it (admit), it waits in the queue of its
-// level (enqueue), the bound lets it go (dispatch), a backend is picked (pick), and one function sends
-// (send) and one answers (reject), which hold the rules that no other step may bypass.
+// A request passes these steps: its customer's lease covers it (admit), it queues at its level (enqueue), the
+// concurrency limit releases it (dispatch) and a backend is selected (pickBackend). Every attempt goes
+// through send and every answer of the gateway's own through reject, which enforce the rules for all paths.
 
 import (
 	"fmt"
@@ -14,1165 +13,1242 @@
 	"slices"
 )
 
-// Tuned values. Each is a share or a count that holds for any deployment.
+// Parameters of the decisions. Durations and time constants are in seconds.
 const (
-	// The bound on work in flight.
-	boundStart   = 4.0  // attempts a backend, shared among the gateways: high, cut soon if wrong
-	boundFloor   = 3.0  // it never shrinks below so many a backend: all slow together, cores still need work
-	boundCut     = 0.75 // factor on the bound when latency nears the aim
-	boundHigh    = 0.38 // mean latency, as a share of the aim, above which the bound shrinks
-	boundLow     = 0.28 // and below which it may grow
-	boundUsed    = 0.8  // it grows only while this share of it is in use
-	boundBurst   = 3.0  // a bound below so many attempts is kept in the mean over loadSpan, not each moment
-	loadSpan     = 1.0  // seconds
-	reserveShare = 0.15 // part of the bound that only top levels may use
-	topWorth     = 0.5  // levels worth at least this share of the highest are top
+	// Concurrency limit.
+	initialLimit         = 4.0  // attempts in flight per backend, divided among the gateways
+	minLimitPerBackend   = 3.0  // attempts in flight per backend, divided among the gateways
+	limitCutFactor       = 0.75 // applied when the pressure exceeds limitCutPressure
+	limitCutPressure     = 0.38 // latency as a fraction of the aim above which the limit shrinks
+	limitGrowPressure    = 0.28 // latency as a fraction of the aim below which the limit may grow
+	limitGrowUtilization = 0.8  // fraction of the limit that must be in use for it to grow
+	smallLimit           = 3.0  // below this many attempts, the limit applies to the mean number in flight
+	loadTimeConstant     = 1.0
+	topReserveFraction   = 0.15 // fraction of the limit reserved for top levels
+	topWorthFraction     = 0.5  // levels worth at least this fraction of the highest are top levels
 
 	// Leases on the shared counter.
-	fewMost     = 4.0  // gateways of a customer whose first calls may each tell all refill so far
-	lagShare    = 0.5  // part of the allowance that many gateways may leave the refill unwritten by
-	windowLen   = 50.0 // seconds of a store's window; names live 60 s at most
-	lowStore    = 0.5  // part of the allowance that is taken, above which idle units go back at once
-	refundLeast = 0.25 // of a unit; less is not worth a call
-	nameKeep    = 60.0 // seconds a name lives: longer than its window
-	leaseShare  = 0.25 // a lease lives this part of its window
-	counterRest = 0.25 // first pause after a failed call, seconds; doubles
-	counterMost = 2.0  // longest pause
-	demandSpan  = 2.0  // seconds over which demand is averaged
-	crowdGain   = 0.05 // least weight of the newest call in the share of calls that fail
-	crowdSpan   = 1.0  // seconds in which that share follows where calls are rare
-	crowdFactor = 4.0  // so many times that share of calls are left out: a crowded counter gets air
-	crowdMost   = 0.9
-	heldMost    = 0.5 // up to such a share, requests at many gateways wait for the next call
-
-	// Leases of places for attempts out at once.
-	slotSalt      = 1 << 40
-	placeUse      = 0.65 // mean use of the places, where they are kept as a rate
-	placeWindow   = 1.0  // seconds of the window for that
-	slotWindowLen = 10.0 // seconds; what a dead gateway held comes free by then
-	slotRetry     = 0.03 // seconds until the next call when all places are taken
-
-	// Health of a backend.
-	failGain   = 0.25 // weight of the newest outcome in the failure share
-	failEject  = 0.4  // failure share at which a backend gets trials only
-	paceGain   = 0.15 // weight of the newest latency
-	paceMost   = 8.0  // a backend counts as this many times slower at most
-	trialFirst = 0.5  // seconds between trials of an ejected backend; doubles
-	trialMost  = 4.0
-	lateDevs   = 4.0 // an attempt is late this many mean deviations past the mean
-
-	// Further attempts.
-	retryShare = 0.15 // of first sends, so that retries cannot amplify an overload
-	retryMost  = 10.0 // retries saved up at most
-
-	pairShare   = 0.5 // of what the gateway may do unasked, for each of two processes of it
-	leaverShare = 0.2 // for the one that takes no more clients
-
-	coldFirst = 0.9 // factor on the cost of a cold backend whose turn has come
-
-	stretchOf  = 8.0 // gateways have each backend in their stretch of the list
-	newConn    = 0.3 // a connection off it costs so much of an attempt in flight,
-	newApart   = 0.2 // and up to so much more the farther ahead the backend is
-	connMargin = 1.0 // seconds before the backend closes it in which an idle connection is not counted on
-
-	askRest              = 1.0  // seconds until discovery is asked again after it failed, half to twice that
-	askMost              = 1.8  // if it fails again: a longer wait would delay the list once it is back
-	housekeepingInterval = 0.05 // seconds between rounds of housekeeping
-	tellGap              = 1.0  // seconds between lines about requests that were rejected
-	idleDrop             = 60.0 // seconds after which a customer is forgotten
+	maxFewGateways        = 4.0 // up to this many gateways per customer, each reports refill with its calls
+	refillLagFraction     = 0.5 // fraction of the allowance up to which refill may stay unreported
+	bucketWindow          = 50.0
+	lowBucketFraction     = 0.5  // fraction of the allowance in use above which idle units are returned at once
+	minCorrection         = 0.25 // smallest correction of a total worth a call, units
+	counterTTL            = 60.0 // must exceed the longest window
+	leaseLifetimeFraction = 0.25 // lifetime of a lease as a fraction of the time to refill the allowance
+	initialCounterBackoff = 0.25 // doubles with each failed call
+	maxCounterBackoff     = 2.0
+	demandTimeConstant    = 2.0
+
+	// Load shedding towards a failing counter.
+	minCounterFailureGain      = 0.05 // smallest weight of one call in the failure rate
+	counterFailureTimeConstant = 1.0
+	skipFactor                 = 4.0 // probability of skipping a call, as a multiple of the failure rate
+	maxSkipProbability         = 0.9
+	maxQueueingSkipProbability = 0.5 // below it, requests wait for the next call instead of being rejected
+
+	// Leases of concurrency slots.
+	slotSalt        = 1 << 40
+	slotUtilization = 0.65 // mean utilization of the slots, where a rate replaces them
+	slotRateWindow  = 1.0  // window of that rate
+	slotWindow      = 10.0 // slots of a gateway that crashed become free after at most this time
+	slotRetryDelay  = 0.03 // delay of the next call when all slots are taken
+
+	// Health of backends.
+	failureGain          = 0.25 // weight of the newest outcome in the failure rate
+	ejectFailureRate     = 0.4  // a backend with this failure rate gets trial attempts only
+	latencyGain          = 0.15 // weight of the newest latency
+	maxLatencyRatio      = 8.0  // limit of a backend's latency relative to the mean
+	initialTrialInterval = 0.5  // doubles with each trial
+	maxTrialInterval     = 4.0
+	overdueDeviations    = 4.0 // mean deviations above the mean latency after which an attempt is overdue
+
+	// Retries.
+	retryFraction  = 0.15 // retries per first attempt, so that retries cannot amplify an overload
+	maxRetryBudget = 10.0
+
+	handOverFraction = 0.5 // fraction of the gateway's local allowances for each of two sibling processes
+	drainingFraction = 0.2 // the same for a process that accepts no more clients
+
+	coldCostFactor = 0.9 // factor on the cost of a cold backend that may get an attempt
+
+	preferredRangeGateways    = 8.0 // gateways that have the same backend in their preferred range of the list
+	newConnectionCost         = 0.3 // relative cost of a new connection outside that range
+	newConnectionDistanceCost = 0.2 // additional relative cost at the far end of the list
+	idleConnectionMargin      = 1.0 // time before the backend's idle timeout in which a connection is not used
+
+	initialDiscoveryBackoff = 1.0 // doubles; the delay is randomized between half and twice this value
+	maxDiscoveryBackoff     = 1.8
+	housekeepingInterval    = 0.05
+	rejectionLogInterval    = 1.0
+	customerIdleTimeout     = 60.0 // state of a customer without requests is dropped after it
 )
 
 // Kinds of timer, in the top byte of a token.
 const (
-	timerHousekeeping = iota
-	timerStart        // a request that has not been sent is too late now
-	timerEnd          // a request must be answered now
-	timerAsk          // discovery failed a while ago
-	timerLate         // an attempt takes longer than usual
+	timerHousekeeping   = iota
+	timerSendBy         // the latest useful time for the first attempt of a request
+	timerAnswerBy       // the latest time for the answer to a request
+	timerDiscoveryRetry // the backoff after a discovery failure is over
+	timerOverdue        // an attempt takes longer than nearly all do
 )
 
-// New starts a gateway. It keeps nothing from an earlier life.
-func New(set Settings, seed uint64, now float64, out []Action) (*Gateway, []Action) {
-	g := &Gateway{set: set, now: now, out: out, born: now, lastHousekeeping: now, lastCut: now,
-		retries: retryMost, share: 1, endsAt: math.Inf(1), startLag: math.Inf(1)}
-	g.rank()
-	g.makeRoom(seed)
-	if set.SubscribeToDiscovery {
-		g.do(Subscribe{})
-	}
-	g.timer(housekeepingInterval, timerHousekeeping, 0, 0)
-	return g, g.out
+// New returns a gateway with no state from an earlier process, and appends its first actions to actions.
+// The seed makes its random choices reproducible.
+func New(settings Settings, seed uint64, now float64, actions []Action) (*Gateway, []Action) {
+	g := &Gateway{settings: settings, now: now, actions: actions, startedAt: now, lastHousekeeping: now,
+		limitCutAt:  now,
+		retryBudget: maxRetryBudget, processFraction: 1, shutdownAt: math.Inf(1), minStartLag: math.Inf(1)}
+	g.computeLevels()
+	g.initTables(seed)
+	if settings.SubscribeToDiscovery {
+		g.emit(Subscribe{})
+	}
+	g.setTimer(housekeepingInterval, timerHousekeeping, 0, 0)
+	return g, g.actions
 }
 
-// Handle takes one event and appends what is to be done about it.
-func (g *Gateway) Handle(now float64, ev Event, out []Action) []Action {
-	g.load += (1 - math.Exp((g.now-now)/loadSpan)) * (float64(g.inFlight) - g.load)
-	g.now, g.out = now, out
-	switch e := ev.(type) {
+// Handle processes one event at time now and appends the resulting actions to actions.
+func (g *Gateway) Handle(now float64, event Event, actions []Action) []Action {
+	g.meanInFlight += (1 - math.Exp((g.now-now)/loadTimeConstant)) * (float64(g.inFlight) - g.meanInFlight)
+	g.now, g.actions = now, actions
+	switch typed := event.(type) {
 	case Request:
-		g.request(e)
+		g.acceptRequest(typed)
 	case AttemptEnd:
-		g.attemptEnd(e)
+		g.endAttempt(typed)
 	case Established:
-		g.established(e)
+		g.handleEstablished(typed)
 	case BodyComplete:
-		g.whole(e)
+		g.completeBody(typed)
 	case ClientGone:
-		if j := g.live(e.Request); j != nil {
-			g.close(j)
+		if request := g.activeRequest(typed.Request); request != nil {
+			g.finish(request)
 		}
 	case Timer:
-		g.due(e.Token)
+		g.handleTimer(typed.Token)
 	case CounterReply:
-		g.counted(e)
+		g.handleCounterReply(typed)
 	case Backends:
-		g.backends(e)
+		g.updateBackends(typed)
 	case Export:
 		g.exportState()
 	case Import:
-		g.importState(e.Snapshot)
+		g.importState(typed.Snapshot)
 	case SiblingProcess:
-		g.shareOut([]float64{SiblingAbsent: 1, SiblingServing: pairShare, SiblingDraining: 1 - leaverShare}[e])
+		g.setProcessFraction([]float64{SiblingAbsent: 1, SiblingServing: handOverFraction,
+			SiblingDraining: 1 - drainingFraction}[typed])
 	case Shutdown:
-		g.endBy(e.Deadline)
+		g.limitToShutdown(typed.Deadline)
 	case Members:
-		g.present = e.Present
-		g.here = g.presentOf(0, g.set.Fleet)
+		g.presentGateways = typed.Present
+		g.presentCount = g.presentAmong(0, g.settings.Fleet)
 	case OperatorOverride:
-		g.byHand(e)
+		g.overrideBackend(typed)
 	case ApplySettings:
-		// Leases, backends, the bound and what is open live on. Requests hold on to their class.
+		// Leases, backend statistics and the concurrency limit remain. Pending requests keep their class.
 		worths := g.worths
-		g.set = e.Settings
-		g.rank()
-		g.relevel(worths)
+		g.settings = typed.Settings
+		g.computeLevels()
+		g.remapLevels(worths)
 	}
 	g.dispatch()
-	return g.out
+	return g.actions
 }
 
-// request takes in a try. Two timers see to it that it is answered in time.
-func (g *Gateway) request(r Request) {
-	c, p := r.ClassOverride, &g.set.Plans[r.Plan]
-	if c == nil {
-		c = &g.set.Classes[r.Class]
-	}
-	if r.Sent == 0 {
-		r.Sent = g.now
-	}
-	j := &pendingRequest{Request: r, class: c, level: g.levelOf(c.Worth * p.Price)}
-	j.giveUp, j.mostTries = g.lastUse(j), max(g.set.MaxAttempts, 1)
-	g.requests[r.ID] = j
-	g.arrived[j.level]++
-	who := g.customerOf(r)
-	j.customer = who
-	if j.giveUp < g.now+g.latency/2 {
-		g.reject(j, g.orStopping(j, RejectedTooLate))
+// acceptRequest starts the processing of a request. Two timers ensure that it is answered in time.
+func (g *Gateway) acceptRequest(received Request) {
+	class, plan := received.ClassOverride, &g.settings.Plans[received.Plan]
+	if class == nil {
+		class = &g.settings.Classes[received.Class]
+	}
+	if received.Sent == 0 {
+		received.Sent = g.now
+	}
+	request := &pendingRequest{Request: received, class: class, level: g.levelOf(class.Worth * plan.Price)}
+	request.answerBy, request.maxAttempts = g.lastUsefulAnswer(request), max(g.settings.MaxAttempts, 1)
+	g.requests[received.ID] = request
+	g.arrivalCounts[request.level]++
+	quota := g.customerFor(received)
+	request.customer = quota
+	if request.answerBy < g.now+g.latency/2 {
+		g.reject(request, g.rejectionReason(request, RejectedTooLate))
 		return
 	}
-	at := len(who.waiting)
-	for at > 0 && who.waiting[at-1].level < j.level {
-		at--
+	position := len(quota.queued)
+	for position > 0 && quota.queued[position-1].level < request.level {
+		position--
 	}
-	who.waiting = slices.Insert(who.waiting, at, j)
-	g.admit(who)
-	if j.done {
-		return // most refusals come at once, and timers for them would be as many as requests
+	quota.queued = slices.Insert(quota.queued, position, request)
+	g.admit(quota)
+	if request.finished {
+		return // rejected at once: no timers needed
 	}
-	g.timer(j.giveUp-g.now, timerEnd, 0, r.ID)
-	if len(j.attempts) == 0 {
-		g.timer(min(j.giveUp, r.Sent+c.Aim)-g.latency-g.now, timerStart, 0, r.ID)
+	g.setTimer(request.answerBy-g.now, timerAnswerBy, 0, received.ID)
+	if len(request.attempts) == 0 {
+		g.setTimer(min(request.answerBy, received.Sent+class.Aim)-g.latency-g.now, timerSendBy, 0, received.ID)
 	}
 }
 
-// lastUse is when an answer to j ceases to earn anything.
-func (g *Gateway) lastUse(j *pendingRequest) float64 {
-	t := min(j.Deadline-2*g.set.Tick, g.lastAnswer())
-	if c := j.class; c.LateWorth == 0 && c.AimStretch == 0 {
-		t = min(t, j.Sent+c.Aim-g.elapsed(j.Request, c))
+// lastUsefulAnswer returns the time after which an answer to the request earns nothing.
+func (g *Gateway) lastUsefulAnswer(request *pendingRequest) float64 {
+	latest := min(request.Deadline-2*g.settings.Tick, g.lastAnswerTime())
+	if class := request.class; class.LateWorth == 0 && class.AimStretch == 0 {
+		latest = min(latest, request.Sent+class.Aim-g.elapsedClientTime(request.Request, class))
 	}
-	return t
+	return latest
 }
 
-// elapsed is the time that the client has surely spent on earlier tries. Most tries of a class and plan are
-// given the same patience; one that has another is cut to what is left of the client's whole patience.
-// Danger: a repeat whose aim has passed earns nothing, yet takes units, a call and a backend's time from
-// requests that may still earn; a fresh try must not be taken for one, so an unknown patience says nothing.
-func (g *Gateway) elapsed(r Request, c *Class) float64 {
-	if r.ClassOverride != nil {
-		return 0 // nothing is kept of a class that is no more
-	}
-	left, usual := r.Deadline-r.Sent, &g.patience[r.Class*len(g.set.Plans)+r.Plan]
-	same := func(x float64) bool { return math.Abs(left-x) < 2*g.set.Tick }
-	if same(usual.last) {
-		usual.known = left
-	}
-	usual.last = left
-	if usual.known == 0 || same(usual.known) {
+// elapsedClientTime returns the time that the client has certainly spent on earlier requests, if this one
+// is a client retry. Most requests of a class and plan have the same client timeout; a different one is
+// what remains of the client's total deadline.
+//
+// A client retry whose aim has passed earns nothing, yet it takes units, a counter call and backend time
+// from requests that may still earn. A first request must not be mistaken for a client retry, so the result
+// is 0 until the usual timeout is known.
+func (g *Gateway) elapsedClientTime(received Request, class *Class) float64 {
+	if received.ClassOverride != nil {
+		return 0 // no statistics exist for a class that is no longer configured
+	}
+	remaining, timeout := received.Deadline-received.Sent,
+		&g.clientTimeouts[received.Class*len(g.settings.Plans)+received.Plan]
+	matches := func(other float64) bool { return math.Abs(remaining-other) < 2*g.settings.Tick }
+	if matches(timeout.last) {
+		timeout.known = remaining
+	}
+	timeout.last = remaining
+	if timeout.known == 0 || matches(timeout.known) {
 		return 0
 	}
-	return max(c.Deadline-left, 0)
+	return max(class.Deadline-remaining, 0)
 }
 
-// due handles a timer.
-func (g *Gateway) due(token uint64) {
-	j, n := g.requests[RequestID(uint32(token))], int(uint8(token>>32))
+// handleTimer processes an expired timer.
+func (g *Gateway) handleTimer(token uint64) {
+	request, number := g.requests[RequestID(uint32(token))], int(uint8(token>>32))
 	switch kind := token >> 56; {
 	case kind == timerHousekeeping:
 		g.housekeeping()
-	case kind == timerAsk:
-		g.do(Subscribe{})
-	case j == nil:
-	case kind == timerLate && n < len(j.attempts) && !j.attempts[n].ended:
-		g.late(j, n)
-	case kind == timerStart && j.paid && len(j.attempts) == 0 && !j.done && g.now+g.latency < j.giveUp:
-		// Units are had, and a late answer earns more than none. Without them it would take them from a
-		// request that can still be in time: while units are scarce, one late request makes the next late.
-		g.timer(j.giveUp-g.now-g.latency, timerStart, 0, j.ID)
-	case j.BodyPending && len(j.attempts) > 0 && g.now < g.lastAnswer(): // its time has not begun
-	case !j.done && !j.streams && (kind == timerEnd || kind == timerStart && len(j.attempts) == 0):
-		why := RejectedNoLease
+	case kind == timerDiscoveryRetry:
+		g.emit(Subscribe{})
+	case request == nil:
+	case kind == timerOverdue && number < len(request.attempts) && !request.attempts[number].ended:
+		g.handleOverdue(request, number)
+	case kind == timerSendBy && request.admitted && len(request.attempts) == 0 && !request.finished &&
+		g.now+g.latency < request.answerBy:
+		// The units are spent already, and a late answer earns more than none. A request that is not yet
+		// admitted is rejected instead: its units go to a request that can still be in time.
+		g.setTimer(request.answerBy-g.now-g.latency, timerSendBy, 0, request.ID)
+	case request.BodyPending && len(request.attempts) > 0 && g.now < g.lastAnswerTime():
+		// BodyComplete sets the timers.
+	case !request.finished && !request.streaming &&
+		(kind == timerAnswerBy || kind == timerSendBy && len(request.attempts) == 0):
+		reason := RejectedNoLease
 		switch {
-		case len(j.attempts) > 0:
-			why = RejectedNoAnswer
-		case j.paid:
-			why = RejectedQueueTimeout
+		case len(request.attempts) > 0:
+			reason = RejectedNoAnswer
+		case request.admitted:
+			reason = RejectedQueueTimeout
 		}
-		g.reject(j, g.orStopping(j, why))
+		g.reject(request, g.rejectionReason(request, reason))
 	}
 }
 
-// enqueue puts a paid request in the queue of its level, unless the wait would outlast its aim: Wh <= X /
-// (1 - X*Ah), X being the time in which the bound frees a place and Ah the arrivals of higher levels.
-func (g *Gateway) enqueue(j *pendingRequest) {
-	x := g.latency / max(g.bound*g.share, 1e-3)
-	ahead, higher := 1+float64(len(g.queues[j.level])), 0.0
-	for l := j.level + 1; l < len(g.queues); l++ {
-		ahead += float64(len(g.queues[l]))
-		higher += g.arrivals[l]
-	}
-	if g.full(j.level) && ahead*x >= (j.giveUp-g.now-g.latency)*max(1-x*higher, 0) {
-		g.reject(j, RejectedNoRoom)
+// enqueue puts an admitted request into the queue of its level, unless its expected wait exceeds the
+// remaining time. The expected wait in a queue with priorities is X*N / (1 - X*A), where X is the interval
+// at which the concurrency limit releases requests, N the requests ahead and A the arrival rate at higher
+// levels.
+func (g *Gateway) enqueue(request *pendingRequest) {
+	releaseInterval := g.latency / max(g.concurrencyLimit*g.processFraction, 1e-3)
+	ahead, higherArrivals := 1+float64(len(g.queues[request.level])), 0.0
+	for level := request.level + 1; level < len(g.queues); level++ {
+		ahead += float64(len(g.queues[level]))
+		higherArrivals += g.arrivalRates[level]
+	}
+	if g.limitReached(request.level) &&
+		ahead*releaseInterval >= (request.answerBy-g.now-g.latency)*max(1-releaseInterval*higherArrivals, 0) {
+		g.reject(request, RejectedNoRoom)
 		return
 	}
-	g.queues[j.level] = append(g.queues[j.level], j)
+	g.queues[request.level] = append(g.queues[request.level], request)
 }
 
-// full tells whether a level has to wait: it may fill its part of the bound. Of many gateways, the bound of
-// one is less than an attempt; then it is kept in the mean.
-func (g *Gateway) full(level int) bool {
-	room, burst := g.bound*g.share, boundBurst*g.share
-	if g.worths[level] < topWorth*g.worths[len(g.worths)-1] {
-		room *= 1 - reserveShare
+// limitReached reports whether requests of a level have to queue: lower levels may use only a part of the
+// concurrency limit. In a large fleet the limit of one gateway can be less than one attempt; it then
+// applies to the mean number in flight.
+func (g *Gateway) limitReached(level int) bool {
+	limit, burst := g.concurrencyLimit*g.processFraction, smallLimit*g.processFraction
+	if g.worths[level] < topWorthFraction*g.worths[len(g.worths)-1] {
+		limit *= 1 - topReserveFraction
 	}
-	return float64(g.inFlight) >= max(room, burst) || room < burst && g.load >= room
+	return float64(g.inFlight) >= max(limit, burst) || limit < burst && g.meanInFlight >= limit
 }
 
-// dispatch releases held requests, highest level first.
+// dispatch sends queued requests, highest level first.
 func (g *Gateway) dispatch() {
-	for l := len(g.queues) - 1; l >= 0; l-- {
-		for len(g.queues[l]) > 0 {
-			j := g.queues[l][0]
-			if !j.done {
-				if g.full(l) {
+	for level := len(g.queues) - 1; level >= 0; level-- {
+		for len(g.queues[level]) > 0 {
+			request := g.queues[level][0]
+			if !request.finished {
+				if g.limitReached(level) {
 					return
 				}
-				s := g.pick(j)
-				if s == nil {
+				backend := g.pickBackend(request)
+				if backend == nil {
 					break
 				}
-				g.send(j, s)
+				g.send(request, backend)
 			}
-			g.queues[l] = g.queues[l][1:]
+			g.queues[level] = g.queues[level][1:]
 		}
 	}
 }
 
-// pick chooses the backend with the fewest own attempts of equal or higher level, measured against the
-// work it is believed to bear. It returns nil if none may be used now.
-func (g *Gateway) pick(j *pendingRequest) *server {
-	var best, well, trial *server
-	usable, sick := 0, 0
-	for at, s := range g.list {
-		busy := func(a attempt) bool { return a.on == s && !a.ended }
-		if !s.usable() || !j.inGroup(s) || !g.coldRoom(s) || slices.ContainsFunc(j.attempts, busy) {
+// pickBackend selects the backend with the lowest cost for the next attempt of a request, or an ejected
+// backend whose trial is due. It returns nil if no backend may get the attempt now.
+func (g *Gateway) pickBackend(request *pendingRequest) *backendStatus {
+	var best, healthy, trial *backendStatus
+	usableCount, ejectedCount := 0, 0
+	for index, backend := range g.backendList {
+		inFlightHere := func(attempt attempt) bool { return attempt.target == backend && !attempt.ended }
+		if !backend.usable() || !request.resendAllowed(backend) || !g.coldBudgetAvailable(backend) ||
+			slices.ContainsFunc(request.attempts, inFlightHere) {
 			continue
 		}
-		s.cost = g.cost(s, j, at)
-		if usable++; best == nil || s.cost < best.cost {
-			best = s
+		backend.cost = g.backendCost(backend, request, index)
+		if usableCount++; best == nil || backend.cost < best.cost {
+			best = backend
 		}
-		if !s.ejected() {
-			if well == nil || s.cost < well.cost {
-				well = s
+		if !backend.ejected() {
+			if healthy == nil || backend.cost < healthy.cost {
+				healthy = backend
 			}
 			continue
 		}
-		sick++
-		rest := s.trialAt
-		if j.class.Effect != Repeatable {
-			rest += trialMost
+		ejectedCount++
+		trialAllowedAt := backend.trialAt
+		if request.class.Effect != Repeatable {
+			trialAllowedAt += maxTrialInterval
 		}
-		if trial == nil && g.now >= rest && len(j.attempts) == 0 {
-			trial = s
+		if trial == nil && g.now >= trialAllowedAt && len(request.attempts) == 0 {
+			trial = backend
 		}
 	}
 	switch {
-	case 2*sick > usable:
-		// When most look bad the trouble is shared: leaving them out would only heap the work on the rest.
+	case 2*ejectedCount > usableCount:
+		// Most backends are ejected, so the cause is common to all: avoiding them would overload the rest.
 		return best
 	case trial != nil:
-		trial.trialGap = min(2*trial.trialGap, trialMost)
-		trial.trialAt = g.now + trial.trialGap
+		trial.trialInterval = min(2*trial.trialInterval, maxTrialInterval)
+		trial.trialAt = g.now + trial.trialInterval
 		return trial
 	}
-	return well
+	return healthy
 }
 
-// cost tells what an attempt of j at s, which stands at that place in the list, is believed to wait for. Of
-// many gateways each keeps, among backends with as much in flight, to those to which a connection stands: it
-// needs fewer and learns more of each. New ones it opens from its own place in the list on, so that all
-// backends get as many gateways; a short stretch there is as good as connected, so that none gets too few.
-func (g *Gateway) cost(s *server, j *pendingRequest, at int) float64 {
+// backendCost estimates the wait of an attempt at the backend with this index in the list. Among equally
+// loaded backends a gateway prefers those to which it has a connection: it needs fewer connections and has
+// better statistics of each backend. It opens new ones starting from its own position in the list, so that
+// all backends are used by equally many gateways; a short range at that position counts as connected, so
+// that no backend is used by too few.
+func (g *Gateway) backendCost(backend *backendStatus, request *pendingRequest, index int) float64 {
 	higher := 0
-	for _, n := range s.levels[j.level:] {
-		higher += n
-	}
-	slow := 1.0
-	if s.latency > 0 && g.latency > 0 {
-		slow = min(max(s.latency/g.latency, 1/paceMost), paceMost)
-	}
-	well := 1 - min(s.fail, 0.9)
-	held := float64(higher) + 0.1*float64(s.inFlight)
-	if w := g.warmth(s); w < 1 {
-		// It is here because its turn has come (coldRoom), and goes first among the idle. Of many gateways,
-		// each has fewer requests than there are backends: some warm one is always idle and would win.
-		held, slow = held/w, coldFirst
-	}
-	cost := (1 + held) * slow / (well * well)
-	if !s.linked(g.now, g.set.KeepAlive) && g.warmth(s) >= 1 {
-		fleet := float64(g.set.sharing())
-		ahead := float64(at)/float64(len(g.list)) - float64(g.set.Rank)/fleet
-		if ahead -= math.Floor(ahead); ahead >= stretchOf/fleet {
-			cost *= 1 + newConn + newApart*ahead
+	for _, count := range backend.inFlightByLevel[request.level:] {
+		higher += count
+	}
+	latencyRatio := 1.0
+	if backend.latency > 0 && g.latency > 0 {
+		latencyRatio = min(max(backend.latency/g.latency, 1/maxLatencyRatio), maxLatencyRatio)
+	}
+	successRate := 1 - min(backend.failureRate, 0.9)
+	load := float64(higher) + 0.1*float64(backend.inFlight)
+	if fraction := g.capacityFraction(backend); fraction < 1 {
+		// Its budget allows an attempt (coldBudgetAvailable), so prefer it to idle warm backends. In a large
+		// fleet each gateway has fewer requests than backends: some warm one is always idle.
+		load, latencyRatio = load/fraction, coldCostFactor
+	}
+	cost := (1 + load) * latencyRatio / (successRate * successRate)
+	if !backend.hasIdleConnection(g.now, g.settings.KeepAlive) && g.capacityFraction(backend) >= 1 {
+		fleet := float64(g.settings.gatewaysPerBackend())
+		distance := float64(index)/float64(len(g.backendList)) - float64(g.settings.Rank)/fleet
+		if distance -= math.Floor(distance); distance >= preferredRangeGateways/fleet {
+			cost *= 1 + newConnectionCost + newConnectionDistanceCost*distance
 		}
 	}
-	if s.Zone != g.set.Zone {
-		cost *= 1 + g.set.CrossZonePrice
+	if backend.Zone != g.settings.Zone {
+		cost *= 1 + g.settings.CrossZonePrice
 	}
-	if n := len(j.attempts); n > 0 && j.attempts[n-1].on == s {
-		cost += 1e3 // not where it just failed, if there is another
+	if count := len(request.attempts); count > 0 && request.attempts[count-1].target == backend {
+		cost += 1e3 // avoid the backend of the last attempt if there is another
 	}
 	return cost * (1 + 0.05*g.rng.Float64())
 }
 
-// linked tells whether an idle connection to s is likely to stand.
-func (s *server) linked(now, keepAlive float64) bool {
-	return s.inFlight == 0 && s.lastOK > 0 && now-s.lastOK < keepAlive-connMargin
+// hasIdleConnection reports whether an idle connection to the backend is likely to exist.
+func (s *backendStatus) hasIdleConnection(now, keepAlive float64) bool {
+	return s.inFlight == 0 && s.lastServed > 0 && now-s.lastServed < keepAlive-idleConnectionMargin
 }
 
-// inGroup tells whether s would drop a repeat of j, if j may have run.
-func (j *pendingRequest) inGroup(s *server) bool {
-	if !j.mayRun || j.class.Effect == Repeatable {
+// resendAllowed reports whether an attempt at the backend respects the effect of the class: if the request
+// may have run, the backend must drop the duplicate.
+func (r *pendingRequest) resendAllowed(backend *backendStatus) bool {
+	if !r.mayHaveRun || r.class.Effect == Repeatable {
 		return true
 	}
-	scope := j.class.Scope
-	return j.class.Effect == ByKey && (scope == ScopeAll || scope == ScopeZone && s.Zone == j.mayOn.Zone ||
-		scope == ScopeCell && s.Cell == j.mayOn.Cell)
+	scope := r.class.Scope
+	return r.class.Effect == ByKey &&
+		(scope == ScopeAll || scope == ScopeZone && backend.Zone == r.mayHaveRunOn.Zone ||
+			scope == ScopeCell && backend.Cell == r.mayHaveRunOn.Cell)
 }
 
-// send starts an attempt; nothing else does. It holds the rules on effects, on attempts out at once and on
-// drains and bans, whoever asks.
-func (g *Gateway) send(j *pendingRequest, s *server) bool {
-	tries := len(j.attempts)
-	before := 0.0 // a repeat may wait for its connection until its key is forgotten
-	if j.mayRun && j.class.Effect == ByKey {
-		before = j.mayAt + j.class.DedupeWindow - 2*g.set.Tick
-	}
-	if j.done || j.streams || !j.paid || !s.usable() || !j.inGroup(s) || before > 0 && g.now > before ||
-		j.spent || tries >= min(j.mostTries, max(g.set.MaxAttempts, 1)) || j.out > 0 && !g.set.CanHedge {
+// send starts an attempt and reports whether it did. Every attempt is started here, so the rules on
+// effects, concurrent attempts, drains and operator overrides hold for all callers.
+func (g *Gateway) send(request *pendingRequest, backend *backendStatus) bool {
+	attemptCount := len(request.attempts)
+	writeDeadline := 0.0 // a duplicate must be written before the backends forget its key
+	if request.mayHaveRun && request.class.Effect == ByKey {
+		writeDeadline = request.mayHaveRunSince + request.class.DedupeWindow - 2*g.settings.Tick
+	}
+	if request.finished || request.streaming || !request.admitted || !backend.usable() ||
+		!request.resendAllowed(backend) || writeDeadline > 0 && g.now > writeDeadline ||
+		request.bodyConsumed || attemptCount >= min(request.maxAttempts, max(g.settings.MaxAttempts, 1)) ||
+		request.outstanding > 0 && !g.settings.CanHedge {
 		return false
 	}
-	if tries == 0 {
-		g.retries = min(g.retries+retryShare, retryMost)
+	if attemptCount == 0 {
+		g.retryBudget = min(g.retryBudget+retryFraction, maxRetryBudget)
 	} else {
-		j.customer.open++
+		request.customer.active++
 	}
-	if !j.mayRun {
-		j.mayRun, j.mayAt, j.mayOn = true, g.now, s
+	if !request.mayHaveRun {
+		request.mayHaveRun, request.mayHaveRunSince, request.mayHaveRunOn = true, g.now, backend
 	}
-	j.attempts = append(j.attempts, attempt{on: s, sent: g.now})
-	j.out++
-	if g.warmth(s) < 1 {
-		s.budget--
+	request.attempts = append(request.attempts, attempt{target: backend, sent: g.now})
+	request.outstanding++
+	if g.capacityFraction(backend) < 1 {
+		backend.coldBudget--
 	} else {
-		g.warmSent++
+		g.warmSends++
 	}
-	if j.BodyPending {
-		g.do(Send{Request: j.ID, Backend: s.ID, WriteDeadline: before}) // its time counts from its last byte
+	if request.BodyPending {
+		g.emit(Send{Request: request.ID, Backend: backend.ID, WriteDeadline: writeDeadline})
 		return true
 	}
-	g.do(Send{Request: j.ID, Backend: s.ID, Timeout: max(j.giveUp-g.now, g.set.Tick), WriteDeadline: before})
-	g.begin(j, tries)
+	g.emit(Send{Request: request.ID, Backend: backend.ID, Timeout: max(request.answerBy-g.now, g.settings.Tick),
+		WriteDeadline: writeDeadline})
+	g.trackAttempt(request, attemptCount)
 	return true
 }
 
-// begin counts an attempt that its backend has whole, or is about to.
-func (g *Gateway) begin(j *pendingRequest, n int) {
-	g.enter(&j.attempts[n], j.level)
+// trackAttempt counts an attempt in flight once its backend has, or is about to receive, the whole request.
+func (g *Gateway) trackAttempt(request *pendingRequest, number int) {
+	g.countInFlight(&request.attempts[number], request.level)
 	if g.latency > 0 {
-		g.timer(g.lateAfter(), timerLate, n, j.ID)
+		g.setTimer(g.overdueAfter(), timerOverdue, number, request.ID)
 	}
 }
 
-// whole starts the time of a request whose body took its own to come. Until then it is no work for a backend
-// and takes no place under the bound.
-func (g *Gateway) whole(e BodyComplete) {
-	j := g.live(e.Request)
-	if j == nil || !j.BodyPending || len(j.attempts) == 0 {
+// completeBody starts the clock of a request whose body took time to arrive. Until then the attempt is no
+// work for the backend and does not count against the concurrency limit.
+func (g *Gateway) completeBody(complete BodyComplete) {
+	request := g.activeRequest(complete.Request)
+	if request == nil || !request.BodyPending || len(request.attempts) == 0 {
 		return
 	}
-	j.BodyPending, j.Sent, j.Deadline = false, g.now, e.Deadline
-	j.giveUp = g.lastUse(j)
-	g.timer(j.giveUp-g.now, timerEnd, 0, j.ID)
-	if n := len(j.attempts) - 1; !j.attempts[n].ended {
-		j.attempts[n].sent = g.now
-		j.mayAt = g.now
-		g.begin(j, n)
+	request.BodyPending, request.Sent, request.Deadline = false, g.now, complete.Deadline
+	request.answerBy = g.lastUsefulAnswer(request)
+	g.setTimer(request.answerBy-g.now, timerAnswerBy, 0, request.ID)
+	if last := len(request.attempts) - 1; !request.attempts[last].ended {
+		request.attempts[last].sent = g.now
+		request.mayHaveRunSince = g.now
+		g.trackAttempt(request, last)
 	}
 }
 
-// established takes note that an answer has begun. The backend has done its work; what remains is transfer,
-// at the pace of client and backend, which says nothing of load.
-func (g *Gateway) established(e Established) {
-	j := g.live(e.Request)
-	if j == nil || e.Attempt >= len(j.attempts) {
+// handleEstablished records that an answer has begun. The backend has done its work; the remaining transfer
+// depends on the client and says nothing about load.
+func (g *Gateway) handleEstablished(established Established) {
+	request := g.activeRequest(established.Request)
+	if request == nil || established.Attempt >= len(request.attempts) {
 		return
 	}
-	j.streams = true
-	g.settle(j, e.Units)
-	if a := &j.attempts[e.Attempt]; !a.ended {
-		a.answered = g.now
-		g.uncount(a, j.level)
-		g.admit(j.customer)
+	request.streaming = true
+	g.settleUnits(request, established.Units)
+	if attempt := &request.attempts[established.Attempt]; !attempt.ended {
+		attempt.answeredAt = g.now
+		g.uncountInFlight(attempt, request.level)
+		g.admit(request.customer)
 	}
 }
 
-func (g *Gateway) lateAfter() float64 { return g.latency + lateDevs*g.spread }
+// overdueAfter returns the time in flight after which an attempt is overdue.
+func (g *Gateway) overdueAfter() float64 { return g.latency + overdueDeviations*g.spread }
 
-// attemptEnd records the end of an attempt and decides what becomes of the request.
-func (g *Gateway) attemptEnd(e AttemptEnd) {
-	j := g.requests[e.Request]
-	if j == nil || e.Attempt >= len(j.attempts) || j.attempts[e.Attempt].ended {
+// endAttempt records the end of an attempt and decides how the request continues.
+func (g *Gateway) endAttempt(end AttemptEnd) {
+	request := g.requests[end.Request]
+	if request == nil || end.Attempt >= len(request.attempts) || request.attempts[end.Attempt].ended {
 		return
 	}
-	a, c := &j.attempts[e.Attempt], j.customer
-	a.ended = true
-	j.out--
-	c.open--
-	j.spent = j.spent || e.BodyConsumed
-	if (e.Outcome == TimedOut || e.Outcome == Cancelled) && a.counted {
-		// Danger: a time-out or a cancel may stop no work. If given-up attempts left the count, each would
-		// make room for one more at a full backend. It stays the longer the more in a row the backend has
-		// let pass.
-		a.on.missed++
-		stay := min(g.latency*float64(a.on.missed), j.class.Deadline)
-		a.on.abandoned = append(a.on.abandoned, abandonedAttempt{a.sent, g.now + stay, j.level, a.astray})
+	attempt, quota := &request.attempts[end.Attempt], request.customer
+	attempt.ended = true
+	request.outstanding--
+	quota.active--
+	request.bodyConsumed = request.bodyConsumed || end.BodyConsumed
+	if (end.Outcome == TimedOut || end.Outcome == Cancelled) && attempt.counted {
+		// The backend may still work on the attempt. If it were not counted, each timeout would add another
+		// attempt at an overloaded backend. The time grows with the number of consecutive timeouts.
+		attempt.target.unansweredCount++
+		countedFor := min(g.latency*float64(attempt.target.unansweredCount), request.class.Deadline)
+		attempt.target.abandoned = append(attempt.target.abandoned,
+			abandonedAttempt{attempt.sent, g.now + countedFor, request.level, attempt.overdue})
 	} else {
-		g.uncount(a, j.level)
+		g.uncountInFlight(attempt, request.level)
 	}
-	g.observe(j, a, e)
-	if j.out == 0 && e.Attempt == len(j.attempts)-1 && a.sent == j.mayAt && neverRan(e.Outcome) {
-		j.mayRun = false // proved: no attempt has run
+	g.recordOutcome(request, attempt, end)
+	if request.outstanding == 0 && end.Attempt == len(request.attempts)-1 &&
+		attempt.sent == request.mayHaveRunSince && provesNoEffect(end.Outcome) {
+		request.mayHaveRun = false // no attempt has run
 	}
-	if e.Outcome == Served {
-		g.settle(j, e.Units)
+	if end.Outcome == Served {
+		g.settleUnits(request, end.Units)
 	}
 	switch {
-	case j.done:
-	case e.Done || e.Outcome == Served:
-		g.close(j)
-	case j.out > 0: // another attempt may still answer
-	case !g.again(j):
-		g.reject(j, RejectedNoRetry)
+	case request.finished:
+	case end.Done || end.Outcome == Served:
+		g.finish(request)
+	case request.outstanding > 0: // another attempt may still answer
+	case !g.retry(request):
+		g.reject(request, RejectedNoRetry)
 	}
-	if j.done && j.out == 0 {
-		delete(g.requests, j.ID)
+	if request.finished && request.outstanding == 0 {
+		delete(g.requests, request.ID)
 	}
-	g.admit(j.customer)
+	g.admit(request.customer)
 }
 
-// settle puts the guess right, once the true units are told.
-func (g *Gateway) settle(j *pendingRequest, units float64) {
-	if g.set.UnitsEstimated && units > 0 {
-		j.customer.units -= units - j.Units
+// settleUnits corrects the leased units once the actual units of a request are known.
+func (g *Gateway) settleUnits(request *pendingRequest, units float64) {
+	if g.settings.UnitsEstimated && units > 0 {
+		request.customer.leasedUnits -= units - request.Units
 	}
 }
 
-// lay stops counting the abandoned attempts of s that were sent before a served one, since backends work in
-// order, and those whose time is over.
-func (g *Gateway) lay(s *server, served float64) {
-	s.abandoned = slices.DeleteFunc(s.abandoned, func(h abandonedAttempt) bool {
-		over := h.sent < served || h.until < g.now
-		if over {
-			g.leave(s, h.level, h.astray)
+// dropAbandoned stops counting abandoned attempts that have expired, and those sent before the attempt that
+// was just served, since backends process requests in order.
+func (g *Gateway) dropAbandoned(backend *backendStatus, servedSentAt float64) {
+	backend.abandoned = slices.DeleteFunc(backend.abandoned, func(old abandonedAttempt) bool {
+		expired := old.sent < servedSentAt || old.until < g.now
+		if expired {
+			g.decrementInFlight(backend, old.level, old.overdue)
 		}
-		return over
+		return expired
 	})
 }
 
-// again starts a further attempt if the budget has room and time remains.
-func (g *Gateway) again(j *pendingRequest) bool {
-	if g.retries < 1 || g.now+g.latency > j.giveUp || g.full(len(g.worths)-1) {
+// retry starts another attempt if the retry budget, the remaining time and the concurrency limit allow it.
+func (g *Gateway) retry(request *pendingRequest) bool {
+	if g.retryBudget < 1 || g.now+g.latency > request.answerBy || g.limitReached(len(g.worths)-1) {
 		return false
 	}
-	s := g.pick(j)
-	if s == nil || !g.send(j, s) {
+	backend := g.pickBackend(request)
+	if backend == nil || !g.send(request, backend) {
 		return false
 	}
-	g.retries--
+	g.retryBudget--
 	return true
 }
 
-// late deals with an attempt that takes longer than nearly all do: silence counts against the backend, and
-// where allowed a second copy goes elsewhere.
-func (g *Gateway) late(j *pendingRequest, n int) {
-	a := &j.attempts[n]
-	if j.streams {
+// handleOverdue processes an attempt that takes longer than nearly all do: it counts as a failure of the
+// backend and, if hedging is allowed, another attempt is started.
+func (g *Gateway) handleOverdue(request *pendingRequest, number int) {
+	attempt := &request.attempts[number]
+	if request.streaming {
 		return
 	}
-	if a.on.lastOK < a.sent {
-		g.blame(a.on)
-		if a.counted && !a.astray && g.bound*g.share < 2*boundBurst {
-			// Danger: where the bound is a few attempts, as at one of many gateways, a lost zone would hold them
-			// all until they time out. The backend keeps its count, so that others are picked.
-			a.astray = true
+	if attempt.target.lastServed < attempt.sent {
+		g.recordFailure(attempt.target)
+		if attempt.counted && !attempt.overdue && g.concurrencyLimit*g.processFraction < 2*smallLimit {
+			// With a limit of a few attempts, an unreachable zone would use up all of it until the attempts
+			// time out. The attempt still counts for the backend, so that others are preferred.
+			attempt.overdue = true
 			g.inFlight--
 		}
 	}
-	if !j.done && len(j.attempts) == n+1 && !g.full(0) && g.set.CanHedge && j.customer.terms.places == 0 {
-		g.again(j)
+	if !request.finished && len(request.attempts) == number+1 && !g.limitReached(0) && g.settings.CanHedge &&
+		request.customer.terms.maxConcurrent == 0 {
+		g.retry(request)
 	}
 }
 
-// reject ends a request without an answer of a backend: refused where that is true to the rules, else
-// failed.
-func (g *Gateway) reject(j *pendingRequest, why Reason) {
-	g.rejected[why]++
-	if j.class.Effect == Repeatable || !j.mayRun || j.class.Effect == ByKey && j.class.Scope == ScopeAll {
-		// Clients that follow it come back when there may be room, and not before.
-		advice := g.set.MaxRetryAfter
-		if !j.paid {
-			advice = min(advice, max(j.customer.dryUntil-g.now, j.customer.restTill-g.now, 0))
+// reject answers a request without a backend: with Refuse if that is true to the effect of its class,
+// otherwise with Fail.
+func (g *Gateway) reject(request *pendingRequest, reason Reason) {
+	g.rejectionCounts[reason]++
+	if request.class.Effect == Repeatable || !request.mayHaveRun ||
+		request.class.Effect == ByKey && request.class.Scope == ScopeAll {
+		// The client should return when units may be available, not before.
+		retryAfter := g.settings.MaxRetryAfter
+		if !request.admitted {
+			retryAfter = min(retryAfter, max(request.customer.exhaustedUntil-g.now,
+				request.customer.backoffUntil-g.now, 0))
 		}
-		g.do(Refuse{Request: j.ID, RetryAfter: advice, Reason: why})
+		g.emit(Refuse{Request: request.ID, RetryAfter: retryAfter, Reason: reason})
 	} else {
-		g.do(Fail{Request: j.ID, Reason: why})
+		g.emit(Fail{Request: request.ID, Reason: reason})
 	}
-	g.close(j)
+	g.finish(request)
 }
 
-// close ends a request for good and calls off what is still out.
-func (g *Gateway) close(j *pendingRequest) {
-	j.done = true
-	j.customer.waiting = slices.DeleteFunc(j.customer.waiting, func(w *pendingRequest) bool { return w == j })
-	if j.paid && len(j.attempts) == 0 {
-		j.customer.units += j.Units
-		j.customer.open--
-	}
-	for n := range j.attempts {
-		if !j.attempts[n].ended && g.set.CanCancel && !j.streams {
-			g.do(Cancel{Request: j.ID, Attempt: n})
+// finish ends a request and cancels its attempts in flight.
+func (g *Gateway) finish(request *pendingRequest) {
+	request.finished = true
+	request.customer.queued = slices.DeleteFunc(request.customer.queued,
+		func(other *pendingRequest) bool { return other == request })
+	if request.admitted && len(request.attempts) == 0 {
+		request.customer.leasedUnits += request.Units
+		request.customer.active--
+	}
+	for number := range request.attempts {
+		if !request.attempts[number].ended && g.settings.CanCancel && !request.streaming {
+			g.emit(Cancel{Request: request.ID, Attempt: number})
 		}
 	}
-	if j.out == 0 {
-		delete(g.requests, j.ID)
+	if request.outstanding == 0 {
+		delete(g.requests, request.ID)
 	}
 }
 
-// observe learns from an outcome: the backend's health and pace, and the bound.
-func (g *Gateway) observe(j *pendingRequest, a *attempt, e AttemptEnd) {
-	s := a.on
-	took := g.now - a.sent
-	if a.answered > 0 {
-		took = a.answered - a.sent
+// recordOutcome updates the backend's health and latency and the concurrency limit.
+func (g *Gateway) recordOutcome(request *pendingRequest, attempt *attempt, end AttemptEnd) {
+	backend := attempt.target
+	took := g.now - attempt.sent
+	if attempt.answeredAt > 0 {
+		took = attempt.answeredAt - attempt.sent
 	}
-	switch e.Outcome {
+	switch end.Outcome {
 	case Served:
-		s.lastOK, s.missed = g.now, 0
-		g.lay(s, a.sent)
-		s.fail -= failGain * s.fail
-		if !s.ejected() {
-			s.trialGap = 0
+		backend.lastServed, backend.unansweredCount = g.now, 0
+		g.dropAbandoned(backend, attempt.sent)
+		backend.failureRate -= failureGain * backend.failureRate
+		if !backend.ejected() {
+			backend.trialInterval = 0
 		}
-		s.pace(took)
+		backend.updateLatency(took)
 		if g.latency == 0 {
 			g.latency, g.spread = took, took/2
 		}
 		g.spread += 0.02 * (math.Abs(took-g.latency) - g.spread)
 		g.latency += 0.02 * (took - g.latency)
-		g.press(took / j.class.Aim)
+		g.adjustLimit(took / request.class.Aim)
 	case Errored, Broken, ConnectFailed:
-		g.blame(s)
+		g.recordFailure(backend)
 	case Full:
-		g.blame(s)
-		g.press(1)
+		g.recordFailure(backend)
+		g.adjustLimit(1)
 	case TimedOut, Cancelled:
-		if took > g.lateAfter() {
-			if s.pace(max(took, s.latency)); e.Outcome == TimedOut {
-				g.press(1)
+		if took > g.overdueAfter() {
+			if backend.updateLatency(max(took, backend.latency)); end.Outcome == TimedOut {
+				g.adjustLimit(1)
 			}
 		}
 	}
 }
 
-func (s *server) pace(took float64) {
+// updateLatency includes one latency in the backend's moving average.
+func (s *backendStatus) updateLatency(took float64) {
 	if s.latency == 0 {
 		s.latency = took
 	}
-	s.latency += paceGain * (took - s.latency)
+	s.latency += latencyGain * (took - s.latency)
 }
 
-func (s *server) ejected() bool { return s.fail >= failEject }
+// ejected reports whether the backend gets trial attempts only.
+func (s *backendStatus) ejected() bool { return s.failureRate >= ejectFailureRate }
 
-// blame counts a failure or a silence, whatever its cause.
-func (g *Gateway) blame(s *server) {
-	was := s.ejected()
-	s.fail += failGain * (1 - s.fail)
-	if s.ejected() && !was {
-		s.trialGap = trialFirst
-		s.trialAt = g.now + s.trialGap
+// recordFailure includes a failure or an overdue attempt in the backend's failure rate.
+func (g *Gateway) recordFailure(backend *backendStatus) {
+	wasEjected := backend.ejected()
+	backend.failureRate += failureGain * (1 - backend.failureRate)
+	if backend.ejected() && !wasEjected {
+		backend.trialInterval = initialTrialInterval
+		backend.trialAt = g.now + backend.trialInterval
 	}
 }
 
-// press moves the bound: down when latency nears the aim, at most once a round trip, and slowly up while
-// it is in use and latency is low.
-func (g *Gateway) press(ratio float64) {
-	gain := min(max((g.now-g.pressedAt)/loadSpan, 0.05), 0.3) // rare answers weigh more
-	g.pressedAt = g.now
+// adjustLimit updates the concurrency limit from one latency, given as a fraction of the aim. The limit
+// shrinks when latency approaches the aim, at most once per round trip, and grows slowly while it is in use
+// and latency is low.
+func (g *Gateway) adjustLimit(ratio float64) {
+	gain := min(max((g.now-g.pressureAt)/loadTimeConstant, 0.05), 0.3) // infrequent answers weigh more
+	g.pressureAt = g.now
 	g.pressure += gain * (min(ratio, 1) - g.pressure)
 	switch {
-	case g.pressure > boundHigh && g.now-g.lastCut > max(g.latency, g.set.Tick):
-		g.bound = max(g.bound*boundCut, g.boundLeast())
-		g.lastCut = g.now
-	case g.pressure < boundLow && max(float64(g.inFlight), g.load) >= boundUsed*g.bound*g.share:
-		g.bound += min(1, g.perGateway()) / max(g.bound, 1)
+	case g.pressure > limitCutPressure && g.now-g.limitCutAt > max(g.latency, g.settings.Tick):
+		g.concurrencyLimit = max(g.concurrencyLimit*limitCutFactor, g.minLimit())
+		g.limitCutAt = g.now
+	case g.pressure < limitGrowPressure &&
+		max(float64(g.inFlight), g.meanInFlight) >= limitGrowUtilization*g.concurrencyLimit*g.processFraction:
+		g.concurrencyLimit += min(1, g.backendsPerGateway()) / max(g.concurrencyLimit, 1)
 	}
 }
 
-func (g *Gateway) boundLeast() float64 { return boundFloor * g.perGateway() }
+// minLimit returns the lower bound of the concurrency limit.
+func (g *Gateway) minLimit() float64 { return minLimitPerBackend * g.backendsPerGateway() }
 
-// perGateway is how many backends there are for each gateway, of those that it may use.
-func (g *Gateway) perGateway() float64 { return float64(len(g.list)) / float64(g.set.sharing()) }
+// backendsPerGateway returns the number of backends for each gateway that uses them.
+func (g *Gateway) backendsPerGateway() float64 {
+	return float64(len(g.backendList)) / float64(g.settings.gatewaysPerBackend())
+}
 
-// backends takes in news of the list. What is not ready gets nothing from now on.
-func (g *Gateway) backends(e Backends) {
-	if e.Kind == ListFailed {
-		// Danger: all gateways fail together, and asking at once or in step they would keep discovery down.
-		g.askRest = min(max(2*g.askRest, askRest), askMost)
-		g.timer(g.askRest*(0.5+1.5*g.rng.Float64()), timerAsk, 0, 0)
+// updateBackends applies an update from discovery. Backends that are not ready get no more attempts.
+func (g *Gateway) updateBackends(update Backends) {
+	if update.Kind == ListFailed {
+		// All gateways fail together: without a randomized backoff their requests would keep discovery down.
+		g.discoveryBackoff = min(max(2*g.discoveryBackoff, initialDiscoveryBackoff), maxDiscoveryBackoff)
+		g.setTimer(g.discoveryBackoff*(0.5+1.5*g.rng.Float64()), timerDiscoveryRetry, 0, 0)
 		return
 	}
-	if g.askRest = 0; e.Kind != Delta {
-		for _, s := range g.list {
-			s.State = Gone
+	if g.discoveryBackoff = 0; update.Kind != Delta {
+		for _, backend := range g.backendList {
+			backend.State = Gone
 		}
 	}
-	for _, b := range e.Entries {
-		known := g.servers[b.ID] != nil
-		s := g.serverOf(b)
-		if !known || b.StartedAt > s.StartedAt {
-			g.resetColdStart(s, g.startOf(b)) // a new process
+	for _, entry := range update.Entries {
+		known := g.backendByID[entry.ID] != nil
+		backend := g.ensureBackend(entry)
+		if !known || entry.StartedAt > backend.StartedAt {
+			g.resetColdStart(backend, g.localStartTime(entry)) // the backend has restarted
 		} else {
-			b.StartedAt = s.StartedAt
+			entry.StartedAt = backend.StartedAt
 		}
-		s.Backend = b
+		backend.Backend = entry
 	}
-	g.listed = g.listed || e.Kind != CachedList
-	if g.bound == 0 && len(g.list) > 0 {
-		g.bound = boundStart * g.perGateway()
+	g.listReceived = g.listReceived || update.Kind != CachedList
+	if g.concurrencyLimit == 0 && len(g.backendList) > 0 {
+		g.concurrencyLimit = initialLimit * g.backendsPerGateway()
 	}
 }
 
-// usable tells whether s may get requests at all.
-func (s *server) usable() bool { return s.State == Ready && !s.banned }
+// usable reports whether the backend may get attempts at all.
+func (s *backendStatus) usable() bool { return s.State == Ready && !s.banned }
 
-// byHand takes a backend out, or back in. Danger: while out it is restarted, and discovery tells of that
-// late. So it counts as started when it comes back, unless it is known to have started later.
-func (g *Gateway) byHand(e OperatorOverride) {
-	s := g.servers[e.Backend]
-	if s == nil || s.banned == e.Offline {
+// overrideBackend takes a backend out of use, or puts it back. Operators restart backends while these are
+// out of use, and discovery may report the new start late. So a backend counts as started when it is put
+// back, unless a later start is known.
+func (g *Gateway) overrideBackend(override OperatorOverride) {
+	backend := g.backendByID[override.Backend]
+	if backend == nil || backend.banned == override.Offline {
 		return
 	}
-	if s.banned = e.Offline; !s.banned {
-		s.StartedAt = max(s.StartedAt, g.now)
-		g.resetColdStart(s, g.now)
+	if backend.banned = override.Offline; !backend.banned {
+		backend.StartedAt = max(backend.StartedAt, g.now)
+		g.resetColdStart(backend, g.now)
 	}
 }
 
 // housekeeping updates averages and leases. It runs every housekeepingInterval.
 func (g *Gateway) housekeeping() {
-	g.timer(housekeepingInterval, timerHousekeeping, 0, 0)
-	span := max(g.now-g.lastHousekeeping, g.set.Tick, 1e-3)
+	g.setTimer(housekeepingInterval, timerHousekeeping, 0, 0)
+	elapsed := max(g.now-g.lastHousekeeping, g.settings.Tick, 1e-3)
 	g.lastHousekeeping = g.now
-	warm := 0
-	g.forget()
-	for _, s := range g.list {
-		g.lay(s, 0)
-		if s.usable() && g.warmth(s) >= 1 {
-			warm++
+	warmCount := 0
+	g.removeGoneBackends()
+	for _, backend := range g.backendList {
+		g.dropAbandoned(backend, 0)
+		if backend.usable() && g.capacityFraction(backend) >= 1 {
+			warmCount++
 		}
 	}
-	gain := min(span/coldSpan, 1)
-	if warm > 0 {
-		g.warmRate += gain * (float64(g.warmSent)/span/float64(warm) - g.warmRate)
-	}
-	g.warmSent = 0
-	for l := range g.arrivals {
-		g.arrivals[l] += gain * (g.arrived[l]/span - g.arrivals[l])
-		g.arrived[l] = 0
-	}
-	g.tell()
-	keep := g.roster[:0]
-	for _, c := range g.roster {
-		g.expire(c)
-		g.leavePlaces(c)
-		if g.now-c.seen > idleDrop && c.open == 0 && c.inCalls == 0 && len(c.waiting) == 0 {
-			delete(g.customers, c.id)
+	gain := min(elapsed/rateTimeConstant, 1)
+	if warmCount > 0 {
+		g.warmSendRate += gain * (float64(g.warmSends)/elapsed/float64(warmCount) - g.warmSendRate)
+	}
+	g.warmSends = 0
+	for level := range g.arrivalRates {
+		g.arrivalRates[level] += gain * (g.arrivalCounts[level]/elapsed - g.arrivalRates[level])
+		g.arrivalCounts[level] = 0
+	}
+	g.logRejections()
+	kept := g.customerList[:0]
+	for _, quota := range g.customerList {
+		g.expireLease(quota)
+		g.returnIdleSlots(quota)
+		if g.now-quota.lastSeen > customerIdleTimeout && quota.active == 0 && quota.callsInFlight == 0 &&
+			len(quota.queued) == 0 {
+			delete(g.customers, quota.id)
 			continue
 		}
-		keep = append(keep, c)
-		if len(c.waiting) > 0 {
-			g.admit(c)
+		kept = append(kept, quota)
+		if len(quota.queued) > 0 {
+			g.admit(quota)
 		}
 	}
-	g.roster = keep
+	g.customerList = kept
 }
 
-// tell writes, at most once in tellGap, why requests were rejected, and the state that led to it.
-func (g *Gateway) tell() {
-	if g.rejected == [ReasonCount]int{} || g.now-g.toldAt < tellGap {
+// logRejections logs, at most once per rejectionLogInterval, the rejections by reason and the state that
+// led to them.
+func (g *Gateway) logRejections() {
+	if g.rejectionCounts == [ReasonCount]int{} || g.now-g.rejectionsLoggedAt < rejectionLogInterval {
 		return
 	}
-	line := fmt.Sprintf("rejected: bound=%.1f in_flight=%d ghosts=%d latency=%.3f pressure=%.2f crowd=%.2f",
-		g.bound, g.inFlight, g.abandoned(), g.latency, g.pressure, g.crowd)
-	for why, n := range g.rejected {
-		if n > 0 {
-			line += fmt.Sprintf(" %s=%d", Reason(why), n)
+	line := fmt.Sprintf(
+		"rejected: limit=%.1f in_flight=%d abandoned=%d latency=%.3f pressure=%.2f counter_failures=%.2f",
+		g.concurrencyLimit, g.inFlight, g.abandonedCount(), g.latency, g.pressure, g.counterFailureRate)
+	for reason, count := range g.rejectionCounts {
+		if count > 0 {
+			line += fmt.Sprintf(" %s=%d", Reason(reason), count)
 		}
 	}
-	g.do(Log{Text: line})
-	g.rejected, g.toldAt = [ReasonCount]int{}, g.now
+	g.emit(Log{Text: line})
+	g.rejectionCounts, g.rejectionsLoggedAt = [ReasonCount]int{}, g.now
 }
 
-// terms works out what a plan comes to for a customer of so many gateways.
+// computeTerms derives the terms of a plan for a customer that is served by this many gateways.
 //
-// The counter holds a customer's store: a long window whose allowance grows with time. What refills a full
-// store has to be written off there. Few gateways see the totals often enough to tell so in the calls that
-// they make anyway. Of many, each would have to guess; there a call of its own writes it off, once it is more
-// than lag.
+// The counter holds a token bucket for each customer: a long window whose allowance grows with time. Refill
+// of a full bucket is lost and has to be written off on the counter. With few gateways, each sees the
+// totals often enough to do so with its other calls. With many, each would have to guess, so a separate
+// call writes it off once it exceeds refillLag.
 //
-// Under a ceiling, leases and local shares together never pass it. A store spends in any time L
-// allowance*(1+leaseShare) + rate*L at most, be it by idle leases or by lag, and twice the first allowance if
-// the counter comes back empty. The shares have the rest of burst and rate; where they may overdraw, at the
-// worst each by the largest request, there is room for that.
-func (g *Gateway) terms(p *Plan, gateways, index int) (t terms) {
-	n := float64(max(gateways, 1))
-	here := n
-	if p.CeilingRate <= 0 {
-		here = float64(g.presentOf(g.set.Rank-index, int(n)))
-	}
-	t = terms{rate: p.Rate, allowance: p.Burst, first: p.Burst / n, exact: true, few: n <= fewMost,
-		window: windowLen, localRate: p.Rate / here, localBurst: max(p.Burst/here, 1), places: p.MaxConcurrent,
-		share: (p.MaxConcurrent + gateways - 1 - index) / max(gateways, 1)} // their sum is the limit
-	defer func() { // what this process may do unasked
-		t.first, t.localRate, t.localBurst = t.first*g.share, t.localRate*g.share, t.localBurst*g.share
-		t.share = int(float64(t.share) * g.share)
-		t.life = leaseShare * t.allowance / max(t.rate, 1e-3)
+// Under a ceiling, leases and local allowances together never exceed it. Within any time L a bucket spends
+// at most allowance*(1+leaseLifetimeFraction) + rate*L, and twice the initial units if the counter loses
+// its data. The local allowances get the remaining burst and rate; where they may be overdrawn, the largest
+// request of every gateway fits in as well.
+func (g *Gateway) computeTerms(plan *Plan, gateways, index int) (terms quotaTerms) {
+	serving := float64(max(gateways, 1))
+	presentCount := serving
+	if plan.CeilingRate <= 0 {
+		presentCount = float64(g.presentAmong(g.settings.Rank-index, int(serving)))
+	}
+	terms = quotaTerms{rate: plan.Rate, allowance: plan.Burst, maxLease: plan.Burst / serving,
+		tokenBucket: true, fewGateways: serving <= maxFewGateways,
+		window: bucketWindow, localRate: plan.Rate / presentCount, localBurst: max(plan.Burst/presentCount, 1),
+		maxConcurrent:   plan.MaxConcurrent,
+		localConcurrent: (plan.MaxConcurrent + gateways - 1 - index) / max(gateways, 1)} // sums up to the limit
+	defer func() { // the part of this process
+		terms.maxLease, terms.localRate, terms.localBurst =
+			terms.maxLease*g.processFraction, terms.localRate*g.processFraction, terms.localBurst*g.processFraction
+		terms.localConcurrent = int(float64(terms.localConcurrent) * g.processFraction)
+		terms.leaseLifetime = leaseLifetimeFraction * terms.allowance / max(terms.rate, 1e-3)
 	}()
-	lag := lagShare
-	t.spare, t.overdraw = t.allowance, !t.few
-	if p.CeilingRate > 0 {
-		t.rate = min(p.Rate, p.CeilingRate)
-		bears := p.CeilingBurst
-		if t.overdraw = !t.few && n*g.set.MaxUnits <= p.CeilingBurst/2; t.overdraw {
-			bears += p.CeilingSlack - n*g.set.MaxUnits
+	lagFraction := refillLagFraction
+	terms.initialUnits, terms.mayOverdraw = terms.allowance, !terms.fewGateways
+	if plan.CeilingRate > 0 {
+		terms.rate = min(plan.Rate, plan.CeilingRate)
+		burst := plan.CeilingBurst
+		if terms.mayOverdraw = !terms.fewGateways &&
+			serving*g.settings.MaxUnits <= plan.CeilingBurst/2; terms.mayOverdraw {
+			burst += plan.CeilingSlack - serving*g.settings.MaxUnits
 		}
-		t.allowance = min(p.Burst, bears/(1+leaseShare))
-		t.spare = (p.CeilingBurst - (1+leaseShare)*t.allowance) / 2
-		t.first, t.localBurst, t.localRate = t.allowance/n, t.spare/n, (p.CeilingRate-t.rate)/n
-		lag = leaseShare
-	}
-	if !t.few {
-		t.lag = lag * t.allowance
-	}
-	if !t.few && t.places > 0 {
-		// Danger: places kept by many hands are two calls a request, and stray. What they let through on
-		// average is kept as a rate instead.
-		if t.places = 0; t.rate == 0 && g.latency > 0 {
-			t.rate = placeUse * float64(p.MaxConcurrent) / g.latency
-			t.exact, t.window = false, placeWindow // the rate changes with latency
-			t.allowance, t.spare = t.rate*placeWindow, t.rate*placeWindow
-			t.first, t.localRate = 1, t.rate/n
+		terms.allowance = min(plan.Burst, burst/(1+leaseLifetimeFraction))
+		terms.initialUnits = (plan.CeilingBurst - (1+leaseLifetimeFraction)*terms.allowance) / 2
+		terms.maxLease, terms.localBurst, terms.localRate =
+			terms.allowance/serving, terms.initialUnits/serving, (plan.CeilingRate-terms.rate)/serving
+		lagFraction = leaseLifetimeFraction
+	}
+	if !terms.fewGateways {
+		terms.refillLag = lagFraction * terms.allowance
+	}
+	if !terms.fewGateways && terms.maxConcurrent > 0 {
+		// With many gateways, leases of slots need two calls per request. The rate that the slots allow
+		// on average is limited instead.
+		if terms.maxConcurrent = 0; terms.rate == 0 && g.latency > 0 {
+			terms.rate = slotUtilization * float64(plan.MaxConcurrent) / g.latency
+			terms.tokenBucket, terms.window = false, slotRateWindow // the rate changes with latency
+			terms.allowance, terms.initialUnits = terms.rate*slotRateWindow, terms.rate*slotRateWindow
+			terms.maxLease, terms.localRate = 1, terms.rate/serving
 		}
 	}
-	return t
+	return terms
 }
 
-// presentOf counts the present of so many gateways in a row: all where nobody is told, or where most seem
-// gone. Danger: two halves may each take the other for dead. Counts of a majority are over half of all, so
-// what is shared out by them never comes to twice what there is, and ceilings are not shared out by them.
-func (g *Gateway) presentOf(first, n int) (count int) {
-	for i := 0; i < n && len(g.present) == max(g.set.Fleet, 1); i++ {
-		if at := (first + i + g.set.Fleet) % g.set.Fleet; g.present[at] || at == g.set.Rank {
+// presentAmong counts the gateways present among a number of consecutive ones. It returns the total where
+// membership is unknown, or where most seem absent. Two partitions may each consider the other dead: a
+// count above half of the total limits the sum of what both spend to twice the quota, and ceilings do not
+// use the count.
+func (g *Gateway) presentAmong(first, total int) (count int) {
+	for i := 0; i < total && len(g.presentGateways) == max(g.settings.Fleet, 1); i++ {
+		if rank := (first + i + g.settings.Fleet) % g.settings.Fleet; g.presentGateways[rank] ||
+			rank == g.settings.Rank {
 			count++
 		}
 	}
-	if 2*count > n {
+	if 2*count > total {
 		return count
 	}
-	return n
+	return total
 }
 
-func (g *Gateway) customerOf(r Request) *customer {
-	c := g.customers[r.Customer]
-	if c == nil {
-		c = &customer{id: r.Customer, localAt: g.born, window: -1, seen: g.now}
-		g.customers[r.Customer] = c
-		g.roster = append(g.roster, c)
-		// Danger: a gateway that starts again may have spent its share in its last life. Under a ceiling
-		// it earns the share anew; elsewhere a full store costs little.
-		if p := g.set.Plans[r.Plan]; p.CeilingRate <= 0 {
-			c.local = g.terms(&p, r.GatewayCount, 0).localBurst
+// customerFor returns the quota of the customer of a request, with terms and demand updated.
+func (g *Gateway) customerFor(received Request) *customerQuota {
+	quota := g.customers[received.Customer]
+	if quota == nil {
+		quota = &customerQuota{id: received.Customer, localUnitsAt: g.startedAt, window: -1, lastSeen: g.now}
+		g.customers[received.Customer] = quota
+		g.customerList = append(g.customerList, quota)
+		// A restarted gateway may have spent its local allowance before. Under a ceiling the allowance
+		// starts empty; elsewhere a full one costs little.
+		if plan := g.settings.Plans[received.Plan]; plan.CeilingRate <= 0 {
+			quota.localUnits = g.computeTerms(&plan, received.GatewayCount, 0).localBurst
 		}
 	}
-	fleet := max(g.set.Fleet, 1)
-	index := (g.set.Rank - r.FirstGateway + fleet) % fleet // this gateway's place in the customer's set
-	c.plan, c.gateways, c.index = r.Plan, r.GatewayCount, max(min(index, r.GatewayCount-1), 0)
-	c.terms = g.terms(&g.set.Plans[r.Plan], c.gateways, c.index)
-	c.demand = c.demand*math.Exp(-(g.now-c.seen)/demandSpan) + r.Units/demandSpan
-	c.seen = g.now
-	return c
+	fleet := max(g.settings.Fleet, 1)
+	index := (g.settings.Rank - received.FirstGateway + fleet) % fleet // position among the customer's gateways
+	quota.planIndex, quota.gateways, quota.index = received.Plan, received.GatewayCount,
+		max(min(index, received.GatewayCount-1), 0)
+	quota.terms = g.computeTerms(&g.settings.Plans[received.Plan], quota.gateways, quota.index)
+	quota.demand = quota.demand*math.Exp(-(g.now-quota.lastSeen)/demandTimeConstant) +
+		received.Units/demandTimeConstant
+	quota.lastSeen = g.now
+	return quota
 }
 
-// admit lets a customer's waiting requests go as far as its leases reach.
-func (g *Gateway) admit(c *customer) {
-	limited := c.terms.rate > 0
-	for len(c.waiting) > 0 {
-		j := c.waiting[0]
-		if c.terms.places > 0 && !g.place(c) {
-			return // a place may come free before its time is over
+// admit releases the queued requests of a customer as far as its leases cover them.
+func (g *Gateway) admit(quota *customerQuota) {
+	limited := quota.terms.rate > 0
+	for len(quota.queued) > 0 {
+		request := quota.queued[0]
+		if quota.terms.maxConcurrent > 0 && !g.slotAvailable(quota) {
+			return // wait: a slot may become free in time
 		}
 		if limited {
-			g.roll(c)
+			g.advanceWindow(quota)
 			switch {
-			case c.units >= j.Units:
-				c.units -= j.Units
-				// Danger: with a counter that answers now and then, leases and the local share would
-				// add up to more than the quota. So leases count against the share too, as far as it
-				// has saved anything: a debt would keep a customer that spends by leases out of an
-				// outage's share for as long as its whole burst lasts.
-				c.takeLocal(g.now, 0)
-				c.local = min(c.local, max(c.local-j.Units, 0))
-			case c.asking > 0:
+			case quota.leasedUnits >= request.Units:
+				quota.leasedUnits -= request.Units
+				// With a counter that answers intermittently, leases and the local allowance would add
+				// up to more than the quota, so leased units count against the allowance too. It must
+				// not become negative: the customer will need it in the next outage of the counter.
+				quota.spendLocal(g.now, 0)
+				quota.localUnits = min(quota.localUnits, max(quota.localUnits-request.Units, 0))
+			case quota.unitCalls > 0:
 				return
-			case g.now < c.dryUntil:
-				g.reject(j, RejectedOverQuota)
+			case g.now < quota.exhaustedUntil:
+				g.reject(request, RejectedOverQuota)
 				continue
-			case !g.set.Counter || g.now < c.restTill:
-				if !c.takeLocal(g.now, j.Units) {
-					if g.set.Counter && (c.terms.few || g.leftOut() < heldMost) && c.restTill+g.latency < j.giveUp {
-						return // held: a crowded counter may have room in a moment
+			case !g.settings.Counter || g.now < quota.backoffUntil:
+				if !quota.spendLocal(g.now, request.Units) {
+					if g.settings.Counter &&
+						(quota.terms.fewGateways || g.skipProbability() < maxQueueingSkipProbability) &&
+						quota.backoffUntil+g.latency < request.answerBy {
+						return // stay queued: the counter may answer in time
 					}
-					g.reject(j, RejectedNoCounter)
+					g.reject(request, RejectedNoCounter)
 					continue
 				}
-				c.owed += j.Units
+				quota.unreportedUnits += request.Units
 			default:
-				g.lease(c)
+				g.requestLease(quota)
 				continue
 			}
 		}
-		c.waiting = c.waiting[1:]
-		c.open++
-		j.paid = true
-		g.enqueue(j)
+		quota.queued = quota.queued[1:]
+		quota.active++
+		request.admitted = true
+		g.enqueue(request)
 		g.dispatch()
 	}
 }
 
-// place tells whether one more request of c may be let in under its plan's limit on attempts out at once.
-// Places are leased from the counter one call at a time and go back when nobody waits for them.
-func (g *Gateway) place(c *customer) bool {
+// slotAvailable reports whether the plan's limit on concurrent attempts allows one more request. Slots are
+// leased from the counter with one call at a time, and returned when they are idle.
+func (g *Gateway) slotAvailable(quota *customerQuota) bool {
 	switch {
-	case c.open < c.slots:
+	case quota.active < quota.slots:
 		return true
-	case !g.set.Counter || g.now < c.restTill:
-		return c.open < c.terms.share
-	case c.open >= c.terms.places: // others need not be asked
-	case c.askingPlace == 0 && g.now >= c.slotAfter && math.Mod(g.now, slotWindowLen) > 2*housekeepingInterval &&
-		!g.crowded(c):
-		g.slotWindow(c)
-		want := float64(min(len(c.waiting), c.terms.places))
-		g.count(call{customer: c, name: c.slotName, units: want, slot: true}, nameKeep)
+	case !g.settings.Counter || g.now < quota.backoffUntil:
+		return quota.active < quota.terms.localConcurrent
+	case quota.active >= quota.terms.maxConcurrent: // no call needed: this gateway uses them all
+	case quota.slotCalls == 0 && g.now >= quota.slotCallAfter &&
+		math.Mod(g.now, slotWindow) > 2*housekeepingInterval &&
+		!g.skipCall(quota):
+		g.advanceSlotWindow(quota)
+		requested := float64(min(len(quota.queued), quota.terms.maxConcurrent))
+		g.callCounter(counterCall{customer: quota, name: quota.slotCounterName, requested: requested,
+			forSlots: true}, counterTTL)
 	}
 	return false
 }
 
-// slotWindow moves held places to the present name. Places that a gateway took with it when it died, or
-// that a lost reply left behind, end with the old.
-func (g *Gateway) slotWindow(c *customer) {
-	name := hash(hash(uint64(c.id)^slotSalt) + uint64(g.now/slotWindowLen))
-	if name == c.slotName {
+// advanceSlotWindow moves the leased slots to the counter name of the current window. Slots of a crashed
+// gateway or of a lost reply expire with the old name.
+func (g *Gateway) advanceSlotWindow(quota *customerQuota) {
+	counterName := hash(hash(uint64(quota.id)^slotSalt) + uint64(g.now/slotWindow))
+	if counterName == quota.slotCounterName {
 		return
 	}
-	c.slotName = name
-	if c.slots > 0 {
-		g.count(call{customer: c, name: name, fill: float64(c.slots), slot: true}, nameKeep)
+	quota.slotCounterName = counterName
+	if quota.slots > 0 {
+		g.callCounter(counterCall{customer: quota, name: counterName, adjustment: float64(quota.slots),
+			forSlots: true}, counterTTL)
 	}
 }
 
-// placed takes the answer to a call for places and adds back what is too many.
-func (g *Gateway) placed(c *customer, k call, total float64) {
-	over := min(max(math.Ceil(total)-float64(c.terms.places), 0), k.units)
-	c.slots += int(k.units - over)
-	if over > 0 {
-		c.slotAfter = g.now + slotRetry
-		g.count(call{customer: c, name: k.name, fill: -over, slot: true}, nameKeep)
+// applySlotGrant processes the reply to a call for slots and returns those that exceed the limit.
+func (g *Gateway) applySlotGrant(quota *customerQuota, call counterCall, total float64) {
+	excess := min(max(math.Ceil(total)-float64(quota.terms.maxConcurrent), 0), call.requested)
+	quota.slots += int(call.requested - excess)
+	if excess > 0 {
+		quota.slotCallAfter = g.now + slotRetryDelay
+		g.callCounter(counterCall{customer: quota, name: call.name, adjustment: -excess, forSlots: true},
+			counterTTL)
 	}
 }
 
-// leavePlaces gives places back that nobody here has used for a moment.
-func (g *Gateway) leavePlaces(c *customer) {
-	if c.slots > 0 {
-		g.slotWindow(c) // what is held is told before anyone asks in the new window
+// returnIdleSlots returns slots that have been idle for a moment.
+func (g *Gateway) returnIdleSlots(quota *customerQuota) {
+	if quota.slots > 0 {
+		g.advanceSlotWindow(quota) // report the slots before other gateways call in the new window
 	}
-	if spare := c.slots - c.open; spare > 0 && g.now >= max(c.restTill, c.seen+housekeepingInterval) {
-		c.slots -= spare
-		g.count(call{customer: c, name: c.slotName, fill: -float64(spare), slot: true}, nameKeep)
+	if spare := quota.slots - quota.active; spare > 0 &&
+		g.now >= max(quota.backoffUntil, quota.lastSeen+housekeepingInterval) {
+		quota.slots -= spare
+		g.callCounter(counterCall{customer: quota, name: quota.slotCounterName, adjustment: -float64(spare),
+			forSlots: true}, counterTTL)
 	}
 }
 
-// takeLocal spends from the customer's share at this gateway. The share of one among many may never hold as
-// much as a request takes: there a full one goes into debt for it.
-func (c *customer) takeLocal(now, units float64) bool {
-	c.local = min(c.local+c.terms.localRate*(now-c.localAt), c.terms.localBurst)
-	if c.localAt = now; c.local < units && (!c.terms.overdraw || c.local < c.terms.localBurst) {
+// spendLocal spends from the local allowance and reports whether it sufficed. Divided among many gateways,
+// an allowance may never reach the units of one request; there a full one may be overdrawn.
+func (q *customerQuota) spendLocal(now, units float64) bool {
+	q.localUnits = min(q.localUnits+q.terms.localRate*(now-q.localUnitsAt), q.terms.localBurst)
+	if q.localUnitsAt = now; q.localUnits < units &&
+		(!q.terms.mayOverdraw || q.localUnits < q.terms.localBurst) {
 		return false
 	}
-	c.local -= units
+	q.localUnits -= units
 	return true
 }
 
-// expire ends an idle lease. Danger: units that nobody came for stand on the counter as if spent; left
-// there, they are missing to all gateways for the rest of the window. They go back with the next lease or,
-// where the store is low and others may wait for them, at once.
-func (g *Gateway) expire(c *customer) {
-	if g.now < c.expires || c.units <= 0 {
+// expireLease ends an idle lease. Idle units count as spent on the counter, so no other gateway can use
+// them in this window. They are returned with the next lease, or at once where the bucket is low and other
+// gateways may need them.
+func (g *Gateway) expireLease(quota *customerQuota) {
+	if g.now < quota.leaseExpires || quota.leasedUnits <= 0 {
 		return
 	}
-	floor := g.roll(c)
-	if c.terms.exact && c.leased == c.window {
-		c.idle += c.units
+	fullTotal := g.advanceWindow(quota)
+	if quota.terms.tokenBucket && quota.leaseWindow == quota.window {
+		quota.idleUnits += quota.leasedUnits
 	}
-	c.units = 0
-	if c.idle >= 1 && c.known-floor > lowStore*c.terms.allowance && g.now >= c.restTill && !g.crowded(c) {
-		back := g.giveIdle(c)
-		g.count(call{customer: c, name: c.name, window: c.window, fill: -back}, nameKeep)
+	quota.leasedUnits = 0
+	if quota.idleUnits >= 1 && quota.knownTotal-fullTotal > lowBucketFraction*quota.terms.allowance &&
+		g.now >= quota.backoffUntil && !g.skipCall(quota) {
+		returned := g.takeIdleUnits(quota)
+		g.callCounter(counterCall{customer: quota, name: quota.counterName, window: quota.window,
+			adjustment: -returned}, counterTTL)
 	}
 }
 
-// giveIdle takes what goes back out of the account.
-func (g *Gateway) giveIdle(c *customer) (back float64) {
-	back, c.idle = c.idle, 0
-	if c.known > 0 {
-		c.known = max(c.known-back, 1e-3) // 0 would say that nothing is known
+// takeIdleUnits removes the idle units from the quota and returns their number.
+func (g *Gateway) takeIdleUnits(quota *customerQuota) (units float64) {
+	units, quota.idleUnits = quota.idleUnits, 0
+	if quota.knownTotal > 0 {
+		quota.knownTotal = max(quota.knownTotal-units, 1e-3) // 0 means unknown
 	}
-	return back
+	return units
 }
 
-// block is the size of the next lease: what the demand of a second needs, at first all of the share. Of many
-// gateways each sees little of the demand, and what they take ahead is the whole burst: there a block is no
-// more than is likely to be used before it expires.
-func (c *customer) block() float64 {
+// leaseSize returns the units of the next lease: the demand of one second, or the maximum if nothing is
+// known yet. With many gateways each sees little of the demand and their leases together can take the whole
+// burst; there a lease covers only what is likely to be used before it expires.
+func (q *customerQuota) leaseSize() float64 {
 	switch {
-	case !c.terms.few:
-		return min(c.demand*c.terms.life, c.terms.first)
-	case !c.met:
-		return c.terms.first
+	case !q.terms.fewGateways:
+		return min(q.demand*q.terms.leaseLifetime, q.terms.maxLease)
+	case !q.totalReceived:
+		return q.terms.maxLease
 	}
-	return min(c.demand, c.terms.first)
+	return min(q.demand, q.terms.maxLease)
 }
 
-// roll moves to the counter's present window of this customer, and tells the total at which its store is
-// full. Windows of different customers end at different times, so that not all are asked for at once.
-func (g *Gateway) roll(c *customer) (floor float64) {
-	n := math.Floor(g.now/c.terms.window + c.phase())
-	if n != c.window {
-		c.window, c.known, c.owed, c.idle, c.dryUntil = n, 0, 0, 0, 0
-		c.name = windowName(c.id, n)
+// advanceWindow moves the quota to the current window of the counter and returns the total at which the
+// bucket is full. Windows of different customers end at different times, so that the calls for them are
+// spread.
+func (g *Gateway) advanceWindow(quota *customerQuota) (fullTotal float64) {
+	current := math.Floor(g.now/quota.terms.window + quota.windowPhase())
+	if current != quota.window {
+		quota.window, quota.knownTotal, quota.unreportedUnits, quota.idleUnits, quota.exhaustedUntil = current, 0,
+			0, 0, 0
+		quota.counterName = windowName(quota.id, current)
 	}
-	if c.terms.exact {
-		floor = c.terms.rate * (g.now - (n-c.phase())*c.terms.window)
+	if quota.terms.tokenBucket {
+		fullTotal = quota.terms.rate * (g.now - (current-quota.windowPhase())*quota.terms.window)
 	}
-	return floor
+	return fullTotal
 }
 
-// windowName is the counter's name for a customer's window.
+// windowName returns the counter's name for a customer's window.
 func windowName(id CustomerID, window float64) uint64 {
 	return hash(hash(uint64(id)) + uint64(int64(window)))
 }
 
-// crowded leaves a call out, the more often the more of late have failed.
-func (g *Gateway) crowded(c *customer) bool {
-	if g.rng.Float64() >= g.leftOut() {
+// skipCall decides at random whether to skip a call, to reduce the load on a failing counter.
+func (g *Gateway) skipCall(quota *customerQuota) bool {
+	if g.rng.Float64() >= g.skipProbability() {
 		return false
 	}
-	c.restTill = g.now + counterRest
+	quota.backoffUntil = g.now + initialCounterBackoff
 	return true
 }
 
-// leftOut is the share of calls that are not made, to give the counter air.
-func (g *Gateway) leftOut() float64 { return min(crowdFactor*g.crowd, crowdMost) }
+// skipProbability returns the probability of skipping a call.
+func (g *Gateway) skipProbability() float64 {
+	return min(skipFactor*g.counterFailureRate, maxSkipProbability)
+}
 
-// lease asks for a block, and tells what has been spent from the local share in this window.
-func (g *Gateway) lease(c *customer) {
-	if g.crowded(c) {
+// requestLease calls the counter for units and reports what has been spent from the local allowance.
+func (g *Gateway) requestLease(quota *customerQuota) {
+	if g.skipCall(quota) {
 		return
 	}
-	need := -c.units // what settling left over, or in debt: unpaid, this lease would not do
-	for _, j := range c.waiting {
-		need += j.Units
-	}
-	need = math.Ceil(max(need, 0)) + math.Floor(c.block()) // a unit that nobody comes for is missing to others
-	floor := g.roll(c)
-	k := call{customer: c, name: c.name, window: c.window, floor: floor, owed: c.owed, back: g.giveIdle(c)}
-	if c.terms.exact && c.known > 0 {
-		// What the store cannot hold would have to be put right in another call, or is lost with this one.
-		room := c.terms.allowance - max(c.known-floor, 0)
-		need = min(need, max(math.Floor(room), c.waiting[0].Units))
-	}
-	k.units = max(min(need, c.terms.allowance), 1)
-	if k.fill = max(floor-c.known, 0); !c.terms.few {
-		k.fill = 0 // others will have told most of it
-	} else if c.known == 0 {
-		// Danger: a window that is new to this gateway may be new to all. The call that starts it must
-		// tell, in one step, that not all of the store is there; who was not the first takes it back.
-		k.fill = floor + c.terms.allowance - c.terms.spare
-	}
-	c.owed = 0
-	g.count(k, nameKeep)
+	needed := -quota.leasedUnits // negative leased units are a debt that this lease has to cover
+	for _, request := range quota.queued {
+		needed += request.Units
+	}
+	needed = math.Ceil(max(needed, 0)) + math.Floor(quota.leaseSize())
+	fullTotal := g.advanceWindow(quota)
+	call := counterCall{customer: quota, name: quota.counterName, window: quota.window, fullTotal: fullTotal,
+		spentUnits: quota.unreportedUnits, returned: g.takeIdleUnits(quota)}
+	if quota.terms.tokenBucket && quota.knownTotal > 0 {
+		// Units beyond the allowance would need a correcting call.
+		available := quota.terms.allowance - max(quota.knownTotal-fullTotal, 0)
+		needed = min(needed, max(math.Floor(available), quota.queued[0].Units))
+	}
+	call.requested = max(min(needed, quota.terms.allowance), 1)
+	if call.adjustment = max(fullTotal-quota.knownTotal, 0); !quota.terms.fewGateways {
+		call.adjustment = 0 // other gateways have reported most of it
+	} else if quota.knownTotal == 0 {
+		// A window that is new to this gateway may be new to all. The call that creates it must also reduce
+		// the bucket to its initial units; a gateway that was not the first corrects that afterwards.
+		call.adjustment = fullTotal + quota.terms.allowance - quota.terms.initialUnits
+	}
+	quota.unreportedUnits = 0
+	g.callCounter(call, counterTTL)
 }
 
-// counted takes the answer to a call. An unanswered call grants nothing: it may have been added, and the
-// next total will tell.
-func (g *Gateway) counted(e CounterReply) {
-	k, ok := g.called(e.Name)
+// handleCounterReply processes the reply to a call. A call without an answer grants nothing: its amount may
+// have been added, and the next total will show that.
+func (g *Gateway) handleCounterReply(reply CounterReply) {
+	call, ok := g.takePendingCall(reply.Name)
 	if !ok {
 		return
 	}
-	c := k.customer
-	unreached := e.Outcome == Errored || e.Outcome == Broken || e.Outcome == ConnectFailed
-	// While calls are left out, each that is made stands for several. Counted as one, the few that are let
-	// through would take seconds to show that the counter is back.
-	gain := min(crowdGain/(1-g.leftOut()), 1)
+	quota := call.customer
+	connectionLost := reply.Outcome == Errored || reply.Outcome == Broken || reply.Outcome == ConnectFailed
+	// While calls are skipped, each call made represents several. With the weight of one, the remaining
+	// calls would take seconds to show that the counter has recovered.
+	gain := min(minCounterFailureGain/(1-g.skipProbability()), 1)
 	switch {
-	case e.Outcome == Served:
-		// For the same reason an answer counts for the time since the last call: one of many gateways makes
-		// few. A failure does not: a line that is too long for a moment would stop it for a second.
-		g.crowd -= min(max(gain, (g.now-g.countedAt)/crowdSpan), 1) * g.crowd
-	case !unreached:
-		g.crowd -= gain * g.crowd
-	}
-	g.countedAt = g.now
+	case reply.Outcome == Served:
+		// For the same reason an answer weighs more the longer ago the last call was. A failure does not:
+		// a short overload of the counter would stop the calls for a second.
+		g.counterFailureRate -= min(max(gain, (g.now-g.counterReplyAt)/counterFailureTimeConstant),
+			1) * g.counterFailureRate
+	case !connectionLost:
+		g.counterFailureRate -= gain * g.counterFailureRate
+	}
+	g.counterReplyAt = g.now
 	switch {
-	case k.slot && e.Outcome == Served && k.units > 0:
-		g.placed(c, k, e.Total)
-	case e.Outcome == Errored && !k.added && k.units > 0, e.Outcome == Broken && !k.added && k.puts:
-		// What stands on the counter though nobody has it is missing to all: its total is asked again.
-		k.added = true
-		g.count(k, nameKeep)
+	case call.forSlots && reply.Outcome == Served && call.requested > 0:
+		g.applySlotGrant(quota, call, reply.Total)
+	case reply.Outcome == Errored && !call.alreadyAdded && call.requested > 0,
+		reply.Outcome == Broken && !call.alreadyAdded && call.corrects:
+		// An amount that was added but not granted is lost to all gateways: ask for the total again.
+		call.alreadyAdded = true
+		g.callCounter(call, counterTTL)
 		return
-	case e.Outcome == Served && k.added && k.puts:
-		if k.added = false; math.Abs(e.Total-k.base) < math.Abs(e.Total-k.base-k.fill) {
-			k.base = e.Total // it was not added
-			g.count(k, nameKeep)
+	case reply.Outcome == Served && call.alreadyAdded && call.corrects:
+		if call.alreadyAdded = false; math.Abs(reply.Total-call.baseTotal) <
+			math.Abs(reply.Total-call.baseTotal-call.adjustment) {
+			call.baseTotal = reply.Total // the correction was not added
+			g.callCounter(call, counterTTL)
 		}
-	case e.Outcome != Served:
-		// Danger: a place that was not given back is missing to all gateways. A call turned away
-		// has changed nothing and is made again; one unanswered may have counted and is let be.
-		if (e.Outcome == Full || e.Outcome == ConnectFailed) && k.slot && k.name == c.slotName {
-			c.slots += int(max(-k.fill, 0))
+	case reply.Outcome != Served:
+		// A slot that is not returned is lost to all gateways. A rejected call has changed nothing, so the
+		// return is repeated; an unanswered call may have been added and is not repeated.
+		if (reply.Outcome == Full || reply.Outcome == ConnectFailed) && call.forSlots &&
+			call.name == quota.slotCounterName {
+			quota.slots += int(max(-call.adjustment, 0))
 		}
-		if (e.Outcome == Full || e.Outcome == ConnectFailed) && !k.slot && !k.added && k.window == c.window {
-			c.owed += k.owed // to be told with the next lease
-			back := k.back
-			if k.units == 0 {
-				back = max(-k.fill, 0)
+		if (reply.Outcome == Full || reply.Outcome == ConnectFailed) && !call.forSlots && !call.alreadyAdded &&
+			call.window == quota.window {
+			quota.unreportedUnits += call.spentUnits // reported with the next lease
+			returned := call.returned
+			if call.requested == 0 {
+				returned = max(-call.adjustment, 0)
 			}
-			c.idle, c.known = c.idle+back, c.known+back
+			quota.idleUnits, quota.knownTotal = quota.idleUnits+returned, quota.knownTotal+returned
 		}
-		if unreached && c.rest == 0 {
-			// A lost connection says nothing of a crowd: another call may be made at once, by the next
-			// request or by those that wait. A pause comes only after a second loss in a row.
-			c.rest = counterRest / 2
+		if connectionLost && quota.backoff == 0 {
+			// A lost connection does not indicate overload: the next call may follow at once. The backoff
+			// starts with the second loss in a row.
+			quota.backoff = initialCounterBackoff / 2
 			break
 		}
-		if !unreached {
-			g.crowd += gain
+		if !connectionLost {
+			g.counterFailureRate += gain
 		}
-		c.rest = min(max(2*c.rest, counterRest), counterMost)
-		c.restTill = g.now + c.rest
-	case k.units > 0 && !k.slot:
-		c.rest = 0
-		g.granted(c, k, e.Total)
-	case k.puts && c.terms.lag > 0 && e.Total-k.base-k.fill > k.fill/2 && k.fill > refundLeast:
-		// Another gateway has written the same off since the last total.
-		k.fill, k.base = -k.fill, e.Total
-		g.count(k, nameKeep)
-	}
-	g.admit(c)
+		quota.backoff = min(max(2*quota.backoff, initialCounterBackoff), maxCounterBackoff)
+		quota.backoffUntil = g.now + quota.backoff
+	case call.requested > 0 && !call.forSlots:
+		quota.backoff = 0
+		g.applyGrant(quota, call, reply.Total)
+	case call.corrects && quota.terms.refillLag > 0 &&
+		reply.Total-call.baseTotal-call.adjustment > call.adjustment/2 && call.adjustment > minCorrection:
+		// Another gateway has written off the same refill since the last total.
+		call.adjustment, call.baseTotal = -call.adjustment, reply.Total
+		g.callCounter(call, counterTTL)
+	}
+	g.admit(quota)
 }
 
-// granted keeps what fits of a block. A store gets the rest back. In a short window it is left: there
-// is nothing for anyone until the next, and the calls for it would be as many as those for units.
-func (g *Gateway) granted(c *customer, k call, total float64) {
-	before := total - k.fill - k.units
-	target := max(before, k.floor)
-	if before-k.owed+k.back < refundLeast { // the window is new, or the counter has lost it
-		target = max(target, c.known, k.floor+c.terms.allowance-c.terms.spare)
-	} else if target-before <= c.terms.lag {
+// applyGrant keeps the part of a lease that fits the allowance and returns the rest to a token bucket. In a
+// short window the rest is not returned: nothing is left until the next window, and the calls would double
+// the load.
+func (g *Gateway) applyGrant(quota *customerQuota, call counterCall, total float64) {
+	before := total - call.adjustment - call.requested
+	target := max(before, call.fullTotal)
+	if before-call.spentUnits+call.returned < minCorrection {
+		// The window is new, or the counter has lost its data.
+		target = max(target, quota.knownTotal, call.fullTotal+quota.terms.allowance-quota.terms.initialUnits)
+	} else if target-before <= quota.terms.refillLag {
 		target = before // not worth a call yet
 	}
 	unit := 1.0
-	if len(c.waiting) > 0 {
-		unit = max(c.waiting[0].Units, 1e-3)
-	}
-	avail := c.terms.allowance - (target - k.floor)
-	grant := max(min(k.units, math.Floor(avail/unit+1e-3)*unit), 0)
-	if grant < k.units {
-		if c.terms.lag > 0 {
-			avail = max(avail, -c.terms.lag) // refill that two have written off is soon taken back
+	if len(quota.queued) > 0 {
+		unit = max(quota.queued[0].Units, 1e-3)
+	}
+	available := quota.terms.allowance - (target - call.fullTotal)
+	grant := max(min(call.requested, math.Floor(available/unit+1e-3)*unit), 0)
+	if grant < call.requested {
+		if quota.terms.refillLag > 0 {
+			available = max(available, -quota.terms.refillLag) // refill written off twice is corrected soon
 		}
-		c.dryUntil = g.now + max((2*unit-avail+grant)/max(c.terms.rate, 1e-3), g.set.Tick)
-		if !c.terms.exact {
-			c.dryUntil = (k.window + 1 - c.phase()) * c.terms.window
+		quota.exhaustedUntil = g.now + max((2*unit-available+grant)/max(quota.terms.rate, 1e-3), g.settings.Tick)
+		if !quota.terms.tokenBucket {
+			quota.exhaustedUntil = (call.window + 1 - quota.windowPhase()) * quota.terms.window
 		}
 	}
-	c.units += grant
-	c.leased = k.window
+	quota.leasedUnits += grant
+	quota.leaseWindow = call.window
 	if grant > 0 {
-		c.expires = g.now + c.terms.life
+		quota.leaseExpires = g.now + quota.terms.leaseLifetime
 	}
-	if c.window == k.window {
-		c.known = target + grant
+	if quota.window == call.window {
+		quota.knownTotal = target + grant
 	}
-	c.met = true
-	if more := target + grant - total; c.terms.exact && math.Abs(more) > refundLeast*unit {
-		// Less, or what an emptied counter lost.
-		g.count(call{customer: c, name: k.name, window: k.window, fill: more, puts: true, base: total}, nameKeep)
+	quota.totalReceived = true
+	// More was added than granted, or the counter has lost its data.
+	if correction := target + grant - total; quota.terms.tokenBucket &&
+		math.Abs(correction) > minCorrection*unit {
+		g.callCounter(counterCall{customer: quota, name: call.name, window: call.window, adjustment: correction,
+			corrects: true, baseTotal: total}, counterTTL)
 	}
 }
 
-// neverRan tells which outcomes prove that an attempt had no effect.
-func neverRan(o Outcome) bool { return o == Full || o == ConnectFailed || o == NotStarted }
+// provesNoEffect reports whether the outcome proves that an attempt had no effect.
+func provesNoEffect(outcome Outcome) bool {
+	return outcome == Full || outcome == ConnectFailed || outcome == NotStarted
+}
--- a/rules/sharing_test.go
+++ b/rules/sharing_test.go
@@ -26,7 +26,7 @@
 func TestBoundOfASubset(t *testing.T) {
 	const backends, fleet, chosen = 1000, 500, 40 // of 1000 backends, each shared by 20
 	whole, part := boundOf(t, backends, fleet, 0), boundOf(t, chosen, fleet, 20)
-	if whole != part || whole != boundStart*backends/fleet {
+	if whole != part || whole != initialLimit*backends/fleet {
 		t.Errorf("bound %g with the whole list, %g with a subset", whole, part)
 	}
 	if got := boundOf(t, chosen, fleet, 0); got >= part {
--- a/rules/slopes_test.go
+++ b/rules/slopes_test.go
@@ -30,14 +30,14 @@
 	weighed := capacity.Measured{Name: "decision_backends", Unit: "backends weighed by a decision, by backends", Within: 1.1,
 		Command: "CAPACITY_FULL=1 go test -run TestSlopes -v ./rules"}
 	for _, n := range sizes {
-		set := testSettings()
-		set.Counter = false
-		d := start(t, set, some(n)...)
-		d.now += 100 // all are warm
+		settings := testSettings()
+		settings.Counter = false
+		harness := start(t, settings, some(n)...)
+		harness.now += 100 // all are warm
 		source := &countedSource{Source: rand.NewPCG(1, 1)}
-		d.g.rng = rand.New(source)
-		d.ask(0, 1, 1)
-		one[Send](t, d.last)
+		harness.gateway.rng = rand.New(source)
+		harness.ask(0, 1, 1)
+		one[Send](t, harness.last)
 		weighed.Points = append(weighed.Points, capacity.Point{Size: n, Value: float64(source.drawn)})
 	}
 	t.Log(weighed.Row())
--- a/rules/slow_start.go
+++ b/rules/slow_start.go
@@ -1,73 +1,77 @@
 package rules
 
-// The slow start of backends: a backend that has just started bears a part of its capacity, which grows over
-// Settings.ColdFor. No gateway knows what the others send, so each bounds its own part.
+// Slow start: a backend that has just started gets a fraction of its capacity, which grows over
+// Settings.ColdDuration. Gateways do not know each other's attempts, so each limits its own part.
 
 import "cmp"
 
 const (
-	coldSpan = 2.0 // seconds over which sends to warm backends are averaged
-	coldMin  = 0.5 // sends a second, of the whole fleet, that a cold backend always gets
-	coldSave = 1.5 // sends a cold backend's budget holds at most
+	rateTimeConstant = 2.0 // seconds over which rates are averaged
+	minColdRate      = 0.5 // attempts per second, over the whole fleet, that a cold backend always gets
+	maxColdBudget    = 1.5 // upper limit of a cold backend's budget, attempts
 
-	// promptLag is the most, in seconds, that a start which is told at once may lie back. What the promptest
-	// of all starts lies back beyond it is a step of this machine's clock.
-	promptLag = 1.0
+	// maxPromptLag is the longest regular delay, in seconds, between a start and its report. If even the
+	// shortest delay seen exceeds it, the excess is an offset of the local clock.
+	maxPromptLag = 1.0
 )
 
-// startOf returns the start of a backend on this gateway's clock, or 0 if it lies long back.
+// localStartTime returns the start of a backend on this gateway's clock, or 0 if it was long ago.
 //
-// Discovery tells starts by the wall clock. This gateway's clock began there too, and may have
-// begun behind a step: then it is ahead of, or behind, the clock of all others, for as long as
-// the process lives. Starts that are told while it runs show by how much. Those of the first
-// list are of any age and show nothing.
-func (g *Gateway) startOf(b Backend) float64 {
-	if b.StartedAt == 0 {
+// Discovery reports starts in wall-clock time. This gateway's clock started from the wall clock and keeps
+// any offset the wall clock had at that moment. The delay between a start and its report, for backends that
+// start while the process runs, shows the offset. The entries of the first list can have started at any
+// time and show nothing.
+func (g *Gateway) localStartTime(entry Backend) float64 {
+	if entry.StartedAt == 0 {
 		return 0
 	}
-	if !g.listed {
-		return min(b.StartedAt, g.now)
+	if !g.listReceived {
+		return min(entry.StartedAt, g.now)
 	}
-	g.startLag = min(g.startLag, g.now-b.StartedAt)
+	g.minStartLag = min(g.minStartLag, g.now-entry.StartedAt)
 	step := 0.0
 	switch {
-	case g.startLag < 0:
-		step = g.startLag
-	case g.startLag > promptLag:
-		step = g.startLag - promptLag
+	case g.minStartLag < 0:
+		step = g.minStartLag
+	case g.minStartLag > maxPromptLag:
+		step = g.minStartLag - maxPromptLag
 	}
-	return min(b.StartedAt+step, g.now)
+	return min(entry.StartedAt+step, g.now)
 }
 
-// warmth is the least share of its capacity that a backend can be trusted with.
-func (g *Gateway) warmth(s *server) float64 {
-	if s.warmsFrom == 0 || g.set.ColdDuration <= 0 || g.now-s.warmsFrom >= g.set.ColdDuration {
+// capacityFraction returns the fraction of its capacity that a backend has reached in its slow start; 1
+// once it is warm.
+func (g *Gateway) capacityFraction(backend *backendStatus) float64 {
+	if backend.coldSince == 0 || g.settings.ColdDuration <= 0 || g.now-backend.coldSince >= g.settings.ColdDuration {
 		return 1
 	}
-	age := max(g.now-s.warmsFrom, 0) / g.set.ColdDuration
-	return g.set.InitialColdFraction + (1-g.set.InitialColdFraction)*age
+	progress := max(g.now-backend.coldSince, 0) / g.settings.ColdDuration
+	return g.settings.InitialColdFraction + (1-g.settings.InitialColdFraction)*progress
 }
 
-// coldRoom keeps a cold backend from being pushed over with no agreement among gateways: each sends it at
-// most its warmth times what it sends a warm one, in any short window, so the sum stays within what warm
-// ones bear.
-func (g *Gateway) coldRoom(s *server) bool {
-	w := g.warmth(s)
-	if w >= 1 {
+// coldBudgetAvailable reports whether a backend may get an attempt during its slow start. Each gateway
+// sends it at most its capacity fraction times what it sends to a warm backend, so the total stays within
+// its capacity without coordination between gateways.
+func (g *Gateway) coldBudgetAvailable(backend *backendStatus) bool {
+	fraction := g.capacityFraction(backend)
+	if fraction >= 1 {
 		return true
 	}
-	rate := max(w*g.warmRate, coldMin/float64(cmp.Or(g.set.GatewaysPerBackend, g.here, g.set.Fleet, 1))) * g.share
-	s.budget = min(s.budget+rate*(g.now-s.budgetedAt), max(coldSave*g.share, 1))
-	s.budgetedAt = g.now
-	return s.budget >= 1
+	rate := max(fraction*g.warmSendRate,
+		minColdRate/float64(cmp.Or(g.settings.GatewaysPerBackend, g.presentCount, g.settings.Fleet,
+			1))) * g.processFraction
+	backend.coldBudget = min(backend.coldBudget+rate*(g.now-backend.coldBudgetAt),
+		max(maxColdBudget*g.processFraction, 1))
+	backend.coldBudgetAt = g.now
+	return backend.coldBudget >= 1
 }
 
-// resetColdStart forgets what was learnt of an earlier process; the next warms from the given time on. Each gateway has saved another part of a send
-// for the new one, in an order that differs from backend to backend: with nothing saved, all would wait long for
-// their first and then come at once.
-func (g *Gateway) resetColdStart(s *server, warmsFrom float64) {
-	fleet := uint64(max(g.set.Fleet, 1))
-	turn := (float64((hash(uint64(s.ID))+uint64(g.set.Rank))%fleet) + 0.5) / float64(fleet)
-	s.latency, s.fail, s.missed, s.trialGap = 0, 0, 0, 0
-	s.budget, s.budgetedAt, s.warmsFrom = turn*g.share, g.now, warmsFrom
+// resetColdStart discards the statistics of a backend that has restarted and begins its slow start at
+// coldSince. The initial budget is a different fraction of an attempt at each gateway, in an order that
+// depends on the backend: with equal budgets all gateways would send their first attempts at the same time.
+func (g *Gateway) resetColdStart(backend *backendStatus, coldSince float64) {
+	fleet := uint64(max(g.settings.Fleet, 1))
+	fraction := (float64((hash(uint64(backend.ID))+uint64(g.settings.Rank))%fleet) + 0.5) / float64(fleet)
+	backend.latency, backend.failureRate, backend.unansweredCount, backend.trialInterval = 0, 0, 0, 0
+	backend.coldBudget, backend.coldBudgetAt, backend.coldSince = fraction*g.processFraction, g.now, coldSince
 }
--- a/rules/slow_start_test.go
+++ b/rules/slow_start_test.go
@@ -12,23 +12,23 @@
 // an hour, either way.
 func TestStartsAreToldByAnotherClock(t *testing.T) {
 	for _, step := range []float64{0, 5, -5, 3600, -3600} {
-		d := start(t, testSettings(), some(4)...)
-		d.now += 5000 // the clock is far from 0, which stands for long ago
-		d.handle(Backends{Kind: FullList, Entries: some(4)})
+		harness := start(t, testSettings(), some(4)...)
+		harness.now += 5000 // the clock is far from 0, which stands for long ago
+		harness.handle(Backends{Kind: FullList, Entries: some(4)})
 		const lag = 0.3 // until a start is told
 		fresh := ready(9)
-		fresh.StartedAt = d.now - step - lag
-		d.handle(Backends{Kind: Delta, Entries: []Backend{fresh}})
-		if w, most := d.g.warmth(d.g.servers[9]), d.g.set.InitialColdFraction+0.1; w > most {
+		fresh.StartedAt = harness.now - step - lag
+		harness.handle(Backends{Kind: Delta, Entries: []Backend{fresh}})
+		if w, most := harness.gateway.capacityFraction(harness.gateway.backendByID[9]), harness.gateway.settings.InitialColdFraction+0.1; w > most {
 			t.Errorf("step %v: warmth %.2f as it is told, at most %.2f is sure", step, w, most)
 		}
-		d.now += d.g.set.ColdDuration
-		d.handle(Backends{Kind: Delta})
-		if w := d.g.warmth(d.g.servers[9]); w < 1 {
+		harness.now += harness.gateway.settings.ColdDuration
+		harness.handle(Backends{Kind: Delta})
+		if w := harness.gateway.capacityFraction(harness.gateway.backendByID[9]); w < 1 {
 			t.Errorf("step %v: warmth %.2f when it has been warm for long", step, w)
 		}
-		d.handle(Backends{Kind: Delta, Entries: []Backend{fresh}}) // told again
-		if w := d.g.warmth(d.g.servers[9]); w < 1 {
+		harness.handle(Backends{Kind: Delta, Entries: []Backend{fresh}}) // told again
+		if w := harness.gateway.capacityFraction(harness.gateway.backendByID[9]); w < 1 {
 			t.Errorf("step %v: warmth %.2f when its start is told again", step, w)
 		}
 	}
@@ -36,15 +36,15 @@
 
 // A start that is told late is no step of the clock, once others have been told in time.
 func TestLateStartsAreNoStep(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
-	d.now += 5000
-	d.handle(Backends{Kind: FullList, Entries: some(4)})
+	harness := start(t, testSettings(), some(4)...)
+	harness.now += 5000
+	harness.handle(Backends{Kind: FullList, Entries: some(4)})
 	for n, lag := range []float64{0.2, 6} {
 		b := ready(BackendID(20 + n))
-		b.StartedAt = d.now - lag
-		d.handle(Backends{Kind: Delta, Entries: []Backend{b}})
-		want := d.g.set.InitialColdFraction + (1-d.g.set.InitialColdFraction)*lag/d.g.set.ColdDuration
-		if w := d.g.warmth(d.g.servers[b.ID]); w < want-0.01 || w > want+0.01 {
+		b.StartedAt = harness.now - lag
+		harness.handle(Backends{Kind: Delta, Entries: []Backend{b}})
+		want := harness.gateway.settings.InitialColdFraction + (1-harness.gateway.settings.InitialColdFraction)*lag/harness.gateway.settings.ColdDuration
+		if w := harness.gateway.capacityFraction(harness.gateway.backendByID[b.ID]); w < want-0.01 || w > want+0.01 {
 			t.Errorf("told %v s late: warmth %.2f, want %.2f", lag, w, want)
 		}
 	}
--- a/rules/state.go
+++ b/rules/state.go
@@ -1,7 +1,6 @@
 package rules
 
-// What a gateway keeps between events, and plain bookkeeping on it. Nothing is
-// decided here.
+// The state that a gateway keeps between events, and the functions that maintain it without any decision.
 
 import (
 	"cmp"
@@ -9,359 +8,367 @@
 	"slices"
 )
 
-// Gateway holds all that one gateway knows.
+// Gateway decides for one gateway process. It is driven by Handle and is not safe for concurrent use.
 type Gateway struct {
-	set Settings
-	now float64
-	rng *rand.Rand
-	out []Action
-
-	requests  map[RequestID]*pendingRequest
-	queues    [][]*pendingRequest // by level, each in order of arrival
-	worths    []float64
-	servers   map[BackendID]*server
-	list      []*server // by id
-	customers map[CustomerID]*customer
-	roster    []*customer       // by first sight
-	calls     map[uint64][]call // out, by name, in order
-	born      float64
-	present   []bool  // gateways, by number; empty: nobody is told
-	here      int     // so many of the fleet are; 0: nobody is told
-	share     float64 // part of what the gateway may do that is this process's
-	endsAt    float64 // when this process ends
-
-	bound, lastCut    float64 // most attempts in flight, and when that was last cut
-	inFlight          int
-	load              float64 // mean of inFlight
-	pressure          float64 // mean of latency over aim
-	pressedAt         float64
-	latency, spread   float64 // mean of answers and its mean deviation
-	retries           float64 // saved up
-	crowd, countedAt  float64 // share of counter calls that fail, and when the last of them ended
-	warmRate          float64 // own sends a second to a warm backend
-	warmSent          int
-	lastHousekeeping  float64
-	askRest           float64 // pause after discovery failed
-	listed            bool    // discovery has told of a whole list
-	startLag          float64 // least time from a backend's start until it was told
-	patience          []patience
-	arrivals, arrived []float64        // by level: a second, and since lastHousekeeping
-	rejected          [ReasonCount]int // requests rejected since toldAt
-	toldAt            float64
+	settings Settings
+	now      float64 // time of the current event
+	rng      *rand.Rand
+	actions  []Action // of the current event
+
+	requests        map[RequestID]*pendingRequest
+	queues          [][]*pendingRequest // by level, each in order of arrival
+	worths          []float64           // by level, ascending
+	backendByID     map[BackendID]*backendStatus
+	backendList     []*backendStatus // the same, sorted by ID
+	customers       map[CustomerID]*customerQuota
+	customerList    []*customerQuota         // the same, in order of the first request
+	pendingCalls    map[uint64][]counterCall // by counter name, in order
+	startedAt       float64
+	presentGateways []bool  // by rank; empty if membership is unknown
+	presentCount    int     // 0 if membership is unknown
+	processFraction float64 // fraction of the gateway's local allowances that this process may use
+	shutdownAt      float64 // time at which this process ends
+
+	concurrencyLimit, limitCutAt       float64 // limit of attempts in flight, and time of its last reduction
+	inFlight                           int     // attempts that count against the limit
+	meanInFlight                       float64
+	pressure                           float64 // mean of latency divided by aim
+	pressureAt                         float64 // time of the last update of pressure
+	latency, spread                    float64 // mean latency and its mean deviation
+	retryBudget                        float64 // retries that may be made now
+	counterFailureRate, counterReplyAt float64 // failure rate of counter calls, and time of the last reply
+	warmSendRate                       float64 // attempts per second of this process to each warm backend
+	warmSends                          int     // attempts sent to warm backends since lastHousekeeping
+	lastHousekeeping                   float64
+	discoveryBackoff                   float64          // delay after a discovery failure
+	listReceived                       bool             // an update other than the cached list has been received
+	minStartLag                        float64          // shortest delay between the start of a backend and its report
+	clientTimeouts                     []clientTimeout  // by class and plan
+	arrivalRates, arrivalCounts        []float64        // by level: per second, and since lastHousekeeping
+	rejectionCounts                    [ReasonCount]int // since rejectionsLoggedAt
+	rejectionsLoggedAt                 float64
 }
 
-// abandoned returns the number of abandoned attempts that still count as work in flight.
-func (g *Gateway) abandoned() (n int) {
-	for _, s := range g.list {
-		n += len(s.abandoned)
+// abandonedCount returns the number of abandoned attempts that still count as in flight.
+func (g *Gateway) abandonedCount() (count int) {
+	for _, backend := range g.backendList {
+		count += len(backend.abandoned)
 	}
-	return n
+	return count
 }
 
 // pendingRequest is a request from its arrival until its last attempt has ended.
 type pendingRequest struct {
 	Request
-	class               *Class // as it was when the request came
-	mostTries           int    // likewise
-	customer            *customer
-	level               int
-	giveUp              float64 // an answer after this earns nothing
-	paid, done, streams bool    // its units are taken; it is over; its answer has begun
-	spent               bool    // it can't be sent again
-	attempts            []attempt
-	out                 int
-	mayRun              bool    // an attempt may have run, or is out
-	mayAt               float64 // when the first such was sent
-	mayOn               *server // and where
+	class                         *Class // when the request was received
+	maxAttempts                   int    // when the request was received
+	customer                      *customerQuota
+	level                         int
+	answerBy                      float64 // a later answer earns nothing
+	admitted, finished, streaming bool    // units are taken; final answer is given; answer has begun
+	bodyConsumed                  bool    // the request cannot be resent
+	attempts                      []attempt
+	outstanding                   int            // attempts that have not ended
+	mayHaveRun                    bool           // an attempt is outstanding or may have had an effect
+	mayHaveRunSince               float64        // time at which the first such attempt was sent
+	mayHaveRunOn                  *backendStatus // backend of that attempt
 }
 
-// patience is how long the clients of a class and plan wait for one try.
-type patience struct{ last, known float64 }
+// clientTimeout holds the client timeouts seen with one class and plan: the last one, and the usual one (0
+// if unknown).
+type clientTimeout struct{ last, known float64 }
 
+// attempt is one attempt of a pending request.
 type attempt struct {
-	on       *server
-	sent     float64 // whole
-	answered float64 // when its answer began; 0: it has not, or came at once
-	counted  bool    // among the work in flight
-	astray   bool    // but not under the bound any more: its backend has been silent for too long
-	ended    bool
+	target     *backendStatus
+	sent       float64 // time at which the request was sent completely
+	answeredAt float64 // time at which a streamed answer began; 0 if it has not
+	counted    bool    // counts as in flight
+	overdue    bool    // counts for its backend only, not against the concurrency limit
+	ended      bool
 }
 
-// abandonedAttempt is an attempt that the gateway has given up and its backend may still run.
+// abandonedAttempt is an attempt that the gateway has given up and that its backend may still process.
 type abandonedAttempt struct {
-	sent, until float64
+	sent, until float64 // time at which it was sent, and until which it counts as in flight
 	level       int
-	astray      bool
+	overdue     bool // as in attempt
 }
 
-// server is what this gateway knows of one backend.
-type server struct {
+// backendStatus is the state of one backend as seen by this gateway.
+type backendStatus struct {
 	Backend
-	banned             bool  // by hand
-	levels             []int // own attempts in flight by level
-	inFlight           int
-	abandoned          []abandonedAttempt
-	missed             int     // attempts given up since the last answer
-	fail               float64 // share of recent failures
-	latency            float64 // 0: no answer yet
-	lastOK             float64
-	cost               float64 // as of the last pick
-	trialAt, trialGap  float64
-	budget, budgetedAt float64 // sends it may get while cold
-	warmsFrom          float64 // its last start on this gateway's clock; 0: long ago
+	banned                   bool  // by operator override
+	inFlightByLevel          []int // attempts of this process
+	inFlight                 int   // sum of inFlightByLevel
+	abandoned                []abandonedAttempt
+	unansweredCount          int     // attempts abandoned since the last answer
+	failureRate              float64 // moving average
+	latency                  float64 // moving average; 0 if there has been no answer
+	lastServed               float64 // time of the last successful answer
+	cost                     float64 // as of the last pickBackend
+	trialAt, trialInterval   float64 // time of the next trial while ejected, and the delay of the one after
+	coldBudget, coldBudgetAt float64 // attempts that it may get while cold, and time of that value
+	coldSince                float64 // time of its last start, on this gateway's clock; 0 if long ago
 }
 
-// live returns a request that is not over, or nil.
-func (g *Gateway) live(id RequestID) *pendingRequest {
-	if j := g.requests[id]; j != nil && !j.done {
-		return j
+// activeRequest returns a request that has no final answer yet, or nil.
+func (g *Gateway) activeRequest(id RequestID) *pendingRequest {
+	if request := g.requests[id]; request != nil && !request.finished {
+		return request
 	}
 	return nil
 }
 
-func (g *Gateway) do(a Action) { g.out = append(g.out, a) }
+// emit adds an action to those of the current event.
+func (g *Gateway) emit(action Action) { g.actions = append(g.actions, action) }
 
-func (g *Gateway) timer(in float64, kind uint64, attempt int, id RequestID) {
-	g.do(SetTimer{Delay: max(in, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
+// setTimer sets a timer whose token holds its kind, the number of the attempt and the request.
+func (g *Gateway) setTimer(delay float64, kind uint64, attempt int, id RequestID) {
+	g.emit(SetTimer{Delay: max(delay, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
 }
 
-// uncount takes an attempt out of the work in flight, if it is counted there.
-func (g *Gateway) uncount(a *attempt, level int) {
-	if a.counted {
-		a.counted = false
-		g.leave(a.on, level, a.astray)
+// uncountInFlight stops counting an attempt as in flight, if it is counted.
+func (g *Gateway) uncountInFlight(attempt *attempt, level int) {
+	if attempt.counted {
+		attempt.counted = false
+		g.decrementInFlight(attempt.target, level, attempt.overdue)
 	}
 }
 
-// leave takes work out of the counts of what is in flight.
-func (g *Gateway) leave(s *server, level int, astray bool) {
-	s.inFlight--
-	s.levels[level]--
-	if !astray {
+// decrementInFlight removes one attempt from the numbers in flight.
+func (g *Gateway) decrementInFlight(backend *backendStatus, level int, overdue bool) {
+	backend.inFlight--
+	backend.inFlightByLevel[level]--
+	if !overdue {
 		g.inFlight--
 	}
 }
 
-// customer is the quota of one customer as this gateway sees it.
-type customer struct {
-	id             CustomerID
-	plan           int // what the terms were worked out from
-	gateways       int
-	index          int
-	terms          terms
-	seen, demand   float64           // units a second, here
-	open           int               // requests let in and not over, and further attempts
-	waiting        []*pendingRequest // highest level first
-	units, expires float64           // leased and not spent
-	leased         float64           // window of the last lease
-	idle           float64           // leased in this window, left over and not yet given back
-	window         float64           // number of the counter's window
-	name           uint64
-	known          float64 // the window's total as last seen
-	met            bool    // the counter has told of it
-	dryUntil       float64
-	owed           float64 // spent in this window and not told
-	inCalls        int     // calls out
-	asking         int     // of these for units
-	askingPlace    int     // of these for places
-	rest, restTill float64 // pause after a failed call
-	local, localAt float64 // own share, for when the counter is silent
-
-	slots     int // leased places for attempts out at once
-	slotName  uint64
-	slotAfter float64 // no call for a place before this
+// customerQuota is the quota state of one customer at this gateway.
+type customerQuota struct {
+	id                        CustomerID
+	planIndex                 int // the terms derive from planIndex, gateways and index
+	gateways                  int // number of gateways that serve the customer
+	index                     int // position of this gateway among them
+	terms                     quotaTerms
+	lastSeen, demand          float64           // time of the last request, and units per second at this gateway
+	active                    int               // admitted requests in progress, and their additional attempts
+	queued                    []*pendingRequest // waiting for units or slots, highest level first
+	leasedUnits, leaseExpires float64           // units leased and not spent, and time of their expiry
+	leaseWindow               float64           // window of the last lease
+	idleUnits                 float64           // units of expired leases of this window, not yet returned
+	window                    float64           // number of the counter's window
+	counterName               uint64            // of the window
+	knownTotal                float64           // last known total of the window; 0 if unknown
+	totalReceived             bool              // the counter has answered for this customer
+	exhaustedUntil            float64           // the quota is used up until then
+	unreportedUnits           float64           // spent in this window and not reported to the counter
+	callsInFlight             int
+	unitCalls                 int     // calls in flight that request units
+	slotCalls                 int     // calls in flight that request slots
+	backoff, backoffUntil     float64 // delay after a failed call, and time of its end
+	localUnits, localUnitsAt  float64 // local allowance for when the counter does not answer, and time of that value
+
+	slots           int // leased slots: attempts that may be in flight
+	slotCounterName uint64
+	slotCallAfter   float64 // no call for slots before then
 }
 
-// call is one Count whose reply is due.
-type call struct {
-	customer *customer
-	name     uint64
-	window   float64
-	floor    float64 // total at which the store is full
-	owed     float64 // spent already
-	fill     float64 // refill that nobody has used, written off; places told or given back
-	units    float64 // asked for
-	back     float64 // leased before and given back
-	slot     bool    // for places, not units
-	added    bool    // an earlier call has added this or may have, and could not tell the total
-	puts     bool    // puts the total right, which
-	base     float64 // was this before
+// counterCall is one Count that awaits its reply.
+type counterCall struct {
+	customer     *customerQuota
+	name         uint64
+	window       float64
+	fullTotal    float64 // total at which the bucket is full
+	spentUnits   float64 // units spent from the local allowance
+	adjustment   float64 // unused refill to write off, or slots to report (positive) or return (negative)
+	requested    float64 // units or slots requested
+	returned     float64 // idle units returned
+	forSlots     bool    // the call concerns slots, not units
+	alreadyAdded bool    // an earlier call has added the amount, or may have, without a known total
+	corrects     bool    // the call corrects the total
+	baseTotal    float64 // total before the correction
 }
 
-// pending keeps count of the calls that are out.
-func (c *customer) pending(k call, n int) {
-	c.inCalls += n
+// trackCall adds change to the numbers of calls in flight.
+func (q *customerQuota) trackCall(call counterCall, change int) {
+	q.callsInFlight += change
 	switch {
-	case k.units > 0 && k.slot:
-		c.askingPlace += n
-	case k.units > 0:
-		c.asking += n
+	case call.requested > 0 && call.forSlots:
+		q.slotCalls += change
+	case call.requested > 0:
+		q.unitCalls += change
 	}
 }
 
-// phase spreads the ends of windows over customers.
-func (c *customer) phase() float64 { return float64(hash(uint64(c.id))%1024) / 1024 }
+// windowPhase returns an offset, as a fraction of a window, that differs between customers.
+func (q *customerQuota) windowPhase() float64 { return float64(hash(uint64(q.id))%1024) / 1024 }
 
-// hash mixes a number; names of the counter must not collide.
-func hash(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
+// hash mixes the bits of a value, to derive counter names that do not collide in practice.
+func hash(value uint64) uint64 {
+	value += 0x9e3779b97f4a7c15
+	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
+	value = (value ^ value>>27) * 0x94d049bb133111eb
+	return value ^ value>>31
 }
 
-// terms are what a plan comes to for one customer at one gateway.
-type terms struct {
-	exact                   bool    // the counter holds a store, not a window that stands for itself
-	few                     bool    // each gateway sees the totals often
-	lag                     float64 // refill that may stay unwritten
-	rate, allowance, window float64 // units a second, units a window, its length
-	spare                   float64 // the first allowance where nothing is known
-	localRate, localBurst   float64
-	overdraw                bool    // a full local share may pay for a request larger than itself
-	first                   float64 // block
-	life                    float64 // of a lease that nobody uses
-	places                  int
-	share                   int // of the places, without the counter
+// quotaTerms are the terms of a plan for one customer at one gateway.
+type quotaTerms struct {
+	tokenBucket             bool    // the counter holds a token bucket, not independent windows
+	fewGateways             bool    // each gateway sees the totals often
+	refillLag               float64 // unused refill up to which no call is made to write it off, units
+	rate, allowance, window float64 // units per second, units per window or bucket, length of the window
+	initialUnits            float64 // allowance of a window about which nothing is known
+	localRate, localBurst   float64 // refill per second and capacity of the local allowance, units
+	mayOverdraw             bool    // a full local allowance covers a request that is larger than it
+	maxLease                float64 // units
+	leaseLifetime           float64
+	maxConcurrent           int // slots of the customer, over all gateways
+	localConcurrent         int // slots of this gateway while the counter does not answer
 }
 
-// makeRoom allocates what the levels and the settings call for.
-func (g *Gateway) makeRoom(seed uint64) {
+// initTables allocates the tables, whose sizes depend on the levels and the settings.
+func (g *Gateway) initTables(seed uint64) {
 	g.rng = rand.New(rand.NewPCG(seed, seed>>1))
 	g.requests = map[RequestID]*pendingRequest{}
-	g.servers = map[BackendID]*server{}
-	g.customers = map[CustomerID]*customer{}
-	g.calls = map[uint64][]call{}
+	g.backendByID = map[BackendID]*backendStatus{}
+	g.customers = map[CustomerID]*customerQuota{}
+	g.pendingCalls = map[uint64][]counterCall{}
 	g.queues = make([][]*pendingRequest, len(g.worths))
-	g.arrivals = make([]float64, len(g.worths))
-	g.arrived = make([]float64, len(g.worths))
-	g.patience = make([]patience, len(g.set.Classes)*len(g.set.Plans))
+	g.arrivalRates = make([]float64, len(g.worths))
+	g.arrivalCounts = make([]float64, len(g.worths))
+	g.clientTimeouts = make([]clientTimeout, len(g.settings.Classes)*len(g.settings.Plans))
 }
 
-// rank works out the levels of the settings.
-func (g *Gateway) rank() {
-	g.worths = []float64{0} // level 0: beyond the quota
-	for _, c := range g.set.Classes {
-		for _, p := range g.set.Plans {
-			g.worths = append(g.worths, c.Worth*p.Price)
+// computeLevels derives the levels from the settings: one for each distinct worth of a class and plan, and
+// level 0 for over-quota requests.
+func (g *Gateway) computeLevels() {
+	g.worths = []float64{0} // level 0: over quota
+	for _, class := range g.settings.Classes {
+		for _, plan := range g.settings.Plans {
+			g.worths = append(g.worths, class.Worth*plan.Price)
 		}
 	}
 	slices.Sort(g.worths)
 	g.worths = slices.Compact(g.worths)
 }
 
-// levelOf is the level of a worth; one that the settings do not know, as that of a class since dropped,
-// goes with the next higher.
+// levelOf returns the level of a worth. A worth that no longer occurs in the settings gets the next higher
+// level.
 func (g *Gateway) levelOf(worth float64) int {
-	l, _ := slices.BinarySearch(g.worths, worth)
-	return min(l, len(g.worths)-1)
+	level, _ := slices.BinarySearch(g.worths, worth)
+	return min(level, len(g.worths)-1)
 }
 
-// relevel moves all that is kept by level from the levels of the worths before.
-func (g *Gateway) relevel(worths []float64) {
-	level := make([]int, len(worths))
-	for l, w := range worths {
-		level[l] = g.levelOf(w)
+// remapLevels converts all state by level from the levels of the previous worths to the current ones.
+func (g *Gateway) remapLevels(worths []float64) {
+	newLevel := make([]int, len(worths))
+	for oldLevel, worth := range worths {
+		newLevel[oldLevel] = g.levelOf(worth)
 	}
-	queues, arrivals, arrived := g.queues, g.arrivals, g.arrived
+	queues, arrivals, arrived := g.queues, g.arrivalRates, g.arrivalCounts
 	g.queues = make([][]*pendingRequest, len(g.worths))
-	g.arrivals, g.arrived = make([]float64, len(g.worths)), make([]float64, len(g.worths))
-	for l, to := range level {
-		g.queues[to] = append(g.queues[to], queues[l]...)
-		g.arrivals[to] += arrivals[l]
-		g.arrived[to] += arrived[l]
+	g.arrivalRates, g.arrivalCounts = make([]float64, len(g.worths)), make([]float64, len(g.worths))
+	for oldLevel, target := range newLevel {
+		g.queues[target] = append(g.queues[target], queues[oldLevel]...)
+		g.arrivalRates[target] += arrivals[oldLevel]
+		g.arrivalCounts[target] += arrived[oldLevel]
 	}
-	for _, j := range g.requests {
-		j.level = level[j.level]
+	for _, request := range g.requests {
+		request.level = newLevel[request.level]
 	}
-	for _, s := range g.list {
-		levels := s.levels
-		s.levels = make([]int, len(g.worths))
-		for l, n := range levels {
-			s.levels[level[l]] += n
+	for _, backend := range g.backendList {
+		levels := backend.inFlightByLevel
+		backend.inFlightByLevel = make([]int, len(g.worths))
+		for oldLevel, count := range levels {
+			backend.inFlightByLevel[newLevel[oldLevel]] += count
 		}
-		for i := range s.abandoned {
-			s.abandoned[i].level = level[s.abandoned[i].level]
+		for i := range backend.abandoned {
+			backend.abandoned[i].level = newLevel[backend.abandoned[i].level]
 		}
 	}
-	g.patience = make([]patience, len(g.set.Classes)*len(g.set.Plans))
+	g.clientTimeouts = make([]clientTimeout, len(g.settings.Classes)*len(g.settings.Plans))
 }
 
-// enter counts an attempt as work in flight.
-func (g *Gateway) enter(a *attempt, level int) {
-	a.counted = true
-	s := a.on
-	s.inFlight++
-	s.levels[level]++
+// countInFlight counts an attempt as in flight.
+func (g *Gateway) countInFlight(attempt *attempt, level int) {
+	attempt.counted = true
+	backend := attempt.target
+	backend.inFlight++
+	backend.inFlightByLevel[level]++
 	g.inFlight++
 }
 
-// serverOf finds a listed backend, or adds it to the list, which is kept by id.
-func (g *Gateway) serverOf(b Backend) *server {
-	s := g.servers[b.ID]
-	if s == nil {
-		s = &server{Backend: b, levels: make([]int, len(g.worths)), budgetedAt: g.now}
-		g.servers[b.ID] = s
-		at, _ := slices.BinarySearchFunc(g.list, b.ID, func(s *server, id BackendID) int { return cmp.Compare(s.ID, id) })
-		g.list = slices.Insert(g.list, at, s)
+// ensureBackend returns the status of a backend and adds it to the list if necessary.
+func (g *Gateway) ensureBackend(entry Backend) *backendStatus {
+	backend := g.backendByID[entry.ID]
+	if backend == nil {
+		backend = &backendStatus{Backend: entry, inFlightByLevel: make([]int, len(g.worths)), coldBudgetAt: g.now}
+		g.backendByID[entry.ID] = backend
+		index, _ := slices.BinarySearchFunc(g.backendList, entry.ID,
+			func(backend *backendStatus, id BackendID) int { return cmp.Compare(backend.ID, id) })
+		g.backendList = slices.Insert(g.backendList, index, backend)
 	}
-	return s
+	return backend
 }
 
-// sharing is how many gateways use one backend.
-func (s *Settings) sharing() int { return max(cmp.Or(s.GatewaysPerBackend, s.Fleet), 1) }
+// gatewaysPerBackend returns the number of gateways that use the same backend, at least 1.
+func (s *Settings) gatewaysPerBackend() int { return max(cmp.Or(s.GatewaysPerBackend, s.Fleet), 1) }
 
-// Knows tells whether a backend is on the list, or was when it was banned.
+// Knows reports whether a backend is on the list, or was when an operator took it out of use.
 func (g *Gateway) Knows(id BackendID) bool {
-	s := g.servers[id]
-	return s != nil && (s.State != Gone || s.banned)
+	backend := g.backendByID[id]
+	return backend != nil && (backend.State != Gone || backend.banned)
 }
 
-// Listed counts the backends on the list, and those of them that get no requests now.
-func (g *Gateway) BackendCounts() (known, skipped int) {
-	for _, s := range g.list {
-		if s.State == Gone {
+// BackendCounts returns the number of backends on the list, and how many of them get no regular requests
+// now.
+func (g *Gateway) BackendCounts() (known, unavailable int) {
+	for _, backend := range g.backendList {
+		if backend.State == Gone {
 			continue
 		}
 		known++
-		if !s.usable() || s.ejected() {
-			skipped++
+		if !backend.usable() || backend.ejected() {
+			unavailable++
 		}
 	}
-	return known, skipped
+	return known, unavailable
 }
 
-// forget drops backends that are gone and have nothing in flight. A ban outlives what discovery says.
-func (g *Gateway) forget() {
-	g.list = slices.DeleteFunc(g.list, func(s *server) bool {
-		gone := s.State == Gone && s.inFlight == 0 && !s.banned
-		if gone {
-			delete(g.servers, s.ID)
+// removeGoneBackends removes backends that are gone and have nothing in flight. An operator override is
+// kept while its backend is gone.
+func (g *Gateway) removeGoneBackends() {
+	g.backendList = slices.DeleteFunc(g.backendList, func(backend *backendStatus) bool {
+		unused := backend.State == Gone && backend.inFlight == 0 && !backend.banned
+		if unused {
+			delete(g.backendByID, backend.ID)
 		}
-		return gone
+		return unused
 	})
 }
 
-// count makes a call. Replies for one name come in the order of the calls.
-func (g *Gateway) count(k call, keep float64) {
-	g.calls[k.name] = append(g.calls[k.name], k)
-	k.customer.pending(k, 1)
-	amount := k.owed + k.fill + k.units - k.back
-	if k.added {
+// callCounter makes a call. Replies for one name arrive in the order of the calls.
+func (g *Gateway) callCounter(call counterCall, ttl float64) {
+	g.pendingCalls[call.name] = append(g.pendingCalls[call.name], call)
+	call.customer.trackCall(call, 1)
+	amount := call.spentUnits + call.adjustment + call.requested - call.returned
+	if call.alreadyAdded {
 		amount = 0
 	}
-	g.do(Count{Name: k.name, Amount: amount, TTL: keep})
+	g.emit(Count{Name: call.name, Amount: amount, TTL: ttl})
 }
 
-// called takes the call that a reply answers off the list.
-func (g *Gateway) called(name uint64) (k call, ok bool) {
-	out := g.calls[name]
-	if len(out) == 0 {
-		return k, false
+// takePendingCall removes and returns the oldest pending call for a name.
+func (g *Gateway) takePendingCall(name uint64) (call counterCall, ok bool) {
+	pending := g.pendingCalls[name]
+	if len(pending) == 0 {
+		return call, false
 	}
-	if k, g.calls[name] = out[0], out[1:]; len(out) == 1 {
-		delete(g.calls, name)
+	if call, g.pendingCalls[name] = pending[0], pending[1:]; len(pending) == 1 {
+		delete(g.pendingCalls, name)
 	}
-	k.customer.pending(k, -1)
-	return k, true
+	call.customer.trackCall(call, -1)
+	return call, true
 }
--- a/rules/stop.go
+++ b/rules/stop.go
@@ -1,37 +1,38 @@
 package rules
 
+// Shutdown: requests are answered before the process ends.
+
 import (
 	"maps"
 	"slices"
 )
 
-// endBy takes note of when this process ends.
-//
-// Requests that wait already are bounded by it like those that come later: their own
-// deadlines may lie behind the moment at which the process is killed, whatever it holds.
-func (g *Gateway) endBy(until float64) {
-	g.endsAt = until
-	if g.share < 1 {
-		g.shareOut(leaverShare)
+// limitToShutdown records the time at which this process ends, and limits the answer time of pending
+// requests to it: their own deadlines may be later.
+func (g *Gateway) limitToShutdown(until float64) {
+	g.shutdownAt = until
+	if g.processFraction < 1 {
+		g.setProcessFraction(drainingFraction)
 	}
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
-		j := g.requests[id]
-		if j.done || j.giveUp <= g.lastAnswer() {
+		request := g.requests[id]
+		if request.finished || request.answerBy <= g.lastAnswerTime() {
 			continue
 		}
-		j.giveUp = g.lastAnswer()
-		g.timer(j.giveUp-g.now, timerEnd, 0, id)
+		request.answerBy = g.lastAnswerTime()
+		g.setTimer(request.answerBy-g.now, timerAnswerBy, 0, id)
 	}
 }
 
-// lastAnswer is when the last request must have its answer if this process ends.
-func (g *Gateway) lastAnswer() float64 { return g.endsAt - 2*g.set.Tick }
+// lastAnswerTime returns the latest time for an answer before the process ends; infinity if no shutdown is
+// announced.
+func (g *Gateway) lastAnswerTime() float64 { return g.shutdownAt - 2*g.settings.Tick }
 
-// orStopping returns the reason for a request whose time is over, unless it is the end of
-// the process that has cut it short.
-func (g *Gateway) orStopping(j *pendingRequest, why Reason) Reason {
-	if j.giveUp >= g.lastAnswer() {
+// rejectionReason returns RejectedStopping if the shutdown has shortened the time of the request, and
+// otherwise the given reason.
+func (g *Gateway) rejectionReason(request *pendingRequest, reason Reason) Reason {
+	if request.answerBy >= g.lastAnswerTime() {
 		return RejectedStopping
 	}
-	return why
+	return reason
 }
