--- a/rules/transfer.go
+++ b/rules/transfer.go
@@ -1,90 +1,107 @@
 package rules
 
-// State transfer: what one process of a gateway leaves to the next that runs beside it, and how they share what
-// one gateway may do.
+// State transfer between the two processes of a gateway during a hand-over, and the division of local
+// allowances between them.
 
 import "math"
 
-// exportState writes the state for a process that has come up beside this one and splits what may be spent
-// unasked. Danger: what stays in both states would be spent twice.
+// exportState writes the state for a sibling process and divides leases and local allowances between the
+// two. Anything that stayed in both states would be spent twice.
 func (g *Gateway) exportState() {
-	b := Snapshot{ConcurrencyLimit: g.bound, Latency: g.latency, Spread: g.spread, Pressure: g.pressure, CounterFailureRate: g.crowd,
-		WarmSendRate: g.warmRate}
-	for _, s := range g.list {
-		s.budget /= 2
-		b.Backends = append(b.Backends, BackendRecord{Backend: s.Backend, Banned: s.banned, FailureRate: s.fail,
-			Latency: s.latency, LastServed: s.lastOK, TrialAt: s.trialAt, TrialInterval: s.trialGap,
-			ColdBudget: s.budget, ColdBudgetAt: s.budgetedAt, ColdSince: s.warmsFrom})
+	snapshot := Snapshot{ConcurrencyLimit: g.concurrencyLimit, Latency: g.latency, Spread: g.spread,
+		Pressure: g.pressure, CounterFailureRate: g.counterFailureRate,
+		WarmSendRate: g.warmSendRate}
+	for _, backend := range g.backendList {
+		backend.coldBudget /= 2
+		snapshot.Backends = append(snapshot.Backends,
+			BackendRecord{Backend: backend.Backend, Banned: backend.banned, FailureRate: backend.failureRate,
+				Latency: backend.latency, LastServed: backend.lastServed, TrialAt: backend.trialAt,
+				TrialInterval: backend.trialInterval,
+				ColdBudget:    backend.coldBudget, ColdBudgetAt: backend.coldBudgetAt, ColdSince: backend.coldSince})
 	}
-	for _, c := range g.roster {
-		c.takeLocal(g.now, 0)
-		c.local /= 2
-		give := math.Floor(max(c.units, 0) / 2)
-		c.units -= give
-		b.Customers = append(b.Customers, CustomerRecord{ID: c.id, Plan: c.plan, Gateways: c.gateways,
-			Index: c.index, Demand: c.demand / 2, LastSeen: c.seen, Units: give, Expires: c.expires, LeaseWindow: c.leased,
-			Window: c.window, KnownTotal: c.known, TotalReceived: c.met, ExhaustedUntil: c.dryUntil, Backoff: c.rest,
-			BackoffUntil: c.restTill, LocalUnits: c.local, LocalUnitsAt: c.localAt})
+	for _, quota := range g.customerList {
+		quota.spendLocal(g.now, 0)
+		quota.localUnits /= 2
+		handedOver := math.Floor(max(quota.leasedUnits, 0) / 2)
+		quota.leasedUnits -= handedOver
+		snapshot.Customers = append(snapshot.Customers,
+			CustomerRecord{ID: quota.id, Plan: quota.planIndex, Gateways: quota.gateways,
+				Index: quota.index, Demand: quota.demand / 2, LastSeen: quota.lastSeen, Units: handedOver,
+				Expires: quota.leaseExpires, LeaseWindow: quota.leaseWindow,
+				Window: quota.window, KnownTotal: quota.knownTotal, TotalReceived: quota.totalReceived,
+				ExhaustedUntil: quota.exhaustedUntil, Backoff: quota.backoff,
+				BackoffUntil: quota.backoffUntil, LocalUnits: quota.localUnits, LocalUnitsAt: quota.localUnitsAt})
 	}
-	g.shareOut(pairShare)
-	g.do(Exported{Snapshot: b})
+	g.setProcessFraction(handOverFraction)
+	g.emit(Exported{Snapshot: snapshot})
 }
 
-// importState takes over such a state. What is owed or on its way stays with the other process.
-func (g *Gateway) importState(b Snapshot) {
-	g.bound, g.latency, g.spread, g.warmRate = b.ConcurrencyLimit, b.Latency, b.Spread, b.WarmSendRate
-	g.pressure, g.crowd = b.Pressure, b.CounterFailureRate
-	for _, k := range b.Backends {
-		s := g.serverOf(k.Backend)
-		s.StartedAt = max(s.StartedAt, k.StartedAt) // it may have come back by hand later than discovery says
-		if s.warmsFrom = k.ColdSince; s.warmsFrom == 0 && s.StartedAt > 0 {
-			s.warmsFrom = min(s.StartedAt, g.now) // the writer did not tell it
+// importState loads the state of the sibling process. Unreported units and calls in flight stay with that
+// process.
+func (g *Gateway) importState(snapshot Snapshot) {
+	g.concurrencyLimit, g.latency, g.spread, g.warmSendRate =
+		snapshot.ConcurrencyLimit, snapshot.Latency, snapshot.Spread, snapshot.WarmSendRate
+	g.pressure, g.counterFailureRate = snapshot.Pressure, snapshot.CounterFailureRate
+	for _, record := range snapshot.Backends {
+		backend := g.ensureBackend(record.Backend)
+		// An operator may have put it back later than the start that discovery reports.
+		backend.StartedAt = max(backend.StartedAt, record.StartedAt)
+		if backend.coldSince = record.ColdSince; backend.coldSince == 0 && backend.StartedAt > 0 {
+			backend.coldSince = min(backend.StartedAt, g.now) // a writer of an older version does not set it
 		}
-		s.banned, s.fail, s.latency, s.lastOK = k.Banned, k.FailureRate, k.Latency, k.LastServed
-		s.trialAt, s.trialGap, s.budget, s.budgetedAt = k.TrialAt, k.TrialInterval, k.ColdBudget, k.ColdBudgetAt
+		backend.banned, backend.failureRate, backend.latency, backend.lastServed =
+			record.Banned, record.FailureRate, record.Latency, record.LastServed
+		backend.trialAt, backend.trialInterval, backend.coldBudget, backend.coldBudgetAt =
+			record.TrialAt, record.TrialInterval, record.ColdBudget, record.ColdBudgetAt
 	}
-	for _, k := range b.Customers {
-		if k.Plan >= len(g.set.Plans) || g.customers[k.ID] != nil {
+	for _, record := range snapshot.Customers {
+		if record.Plan >= len(g.settings.Plans) || g.customers[record.ID] != nil {
 			continue
 		}
-		c := &customer{id: k.ID, plan: k.Plan, gateways: k.Gateways, index: k.Index, demand: k.Demand, seen: k.LastSeen,
-			units: k.Units, expires: k.Expires, leased: k.LeaseWindow, window: k.Window, known: k.KnownTotal, met: k.TotalReceived,
-			name: windowName(k.ID, k.Window), dryUntil: k.ExhaustedUntil, rest: k.Backoff, restTill: k.BackoffUntil,
-			local: k.LocalUnits, localAt: k.LocalUnitsAt}
-		g.customers[k.ID] = c
-		g.roster = append(g.roster, c)
+		quota := &customerQuota{id: record.ID, planIndex: record.Plan, gateways: record.Gateways, index: record.Index,
+			demand: record.Demand, lastSeen: record.LastSeen,
+			leasedUnits: record.Units, leaseExpires: record.Expires, leaseWindow: record.LeaseWindow, window: record.Window,
+			knownTotal: record.KnownTotal, totalReceived: record.TotalReceived,
+			counterName: windowName(record.ID, record.Window), exhaustedUntil: record.ExhaustedUntil,
+			backoff: record.Backoff, backoffUntil: record.BackoffUntil,
+			localUnits: record.LocalUnits, localUnitsAt: record.LocalUnitsAt}
+		g.customers[record.ID] = quota
+		g.customerList = append(g.customerList, quota)
 	}
-	g.shareOut(pairShare)
+	g.setProcessFraction(handOverFraction)
 }
 
-// shareOut takes a part of what the gateway may do unasked for this process.
-func (g *Gateway) shareOut(part float64) {
-	g.share = part
-	for _, c := range g.roster {
-		if c.plan < len(g.set.Plans) {
-			c.terms = g.terms(&g.set.Plans[c.plan], c.gateways, c.index)
+// setProcessFraction sets the fraction of the local allowances that this process may use.
+func (g *Gateway) setProcessFraction(fraction float64) {
+	g.processFraction = fraction
+	for _, quota := range g.customerList {
+		if quota.planIndex < len(g.settings.Plans) {
+			quota.terms = g.computeTerms(&g.settings.Plans[quota.planIndex], quota.gateways, quota.index)
 		}
 	}
 }
 
-// Shift moves all times that were read on the writer's clock by so many seconds, for a reader
-// whose clock is ahead by that. 0 stands for no time. Starts of backends are left, as
-// discovery tells them, and so are windows, which are cut anew.
-func (b *Snapshot) ShiftTimes(by float64) {
-	for i := range b.Backends {
-		k := &b.Backends[i]
-		shift(by, &k.LastServed, &k.TrialAt, &k.ColdBudgetAt, &k.ColdSince)
+// ShiftTimes adds an offset in seconds to all times in the snapshot that were read from the writer's clock,
+// for a reader whose clock is ahead by the offset. A time of 0 means none and stays. Start times of
+// backends stay, since they come from discovery, and so do window numbers, which the reader computes
+// itself.
+func (s *Snapshot) ShiftTimes(offset float64) {
+	for i := range s.Backends {
+		record := &s.Backends[i]
+		shiftAll(offset, &record.LastServed, &record.TrialAt, &record.ColdBudgetAt, &record.ColdSince)
 	}
-	for i := range b.Customers {
-		k := &b.Customers[i]
-		shift(by, &k.LastSeen, &k.Expires, &k.ExhaustedUntil, &k.BackoffUntil, &k.LocalUnitsAt)
+	for i := range s.Customers {
+		record := &s.Customers[i]
+		shiftAll(offset, &record.LastSeen, &record.Expires, &record.ExhaustedUntil, &record.BackoffUntil,
+			&record.LocalUnitsAt)
 	}
 }
 
-func shift(by float64, times ...*float64) {
-	for _, t := range times {
-		if *t != 0 {
-			*t += by
+// shiftAll adds the offset to each time that is not 0.
+func shiftAll(offset float64, times ...*float64) {
+	for _, value := range times {
+		if *value != 0 {
+			*value += offset
 		}
 	}
 }
--- a/rules/types.go
+++ b/rules/types.go
@@ -311,7 +311,7 @@
 	TrialInterval float64 `json:"TrialGap"`
 	ColdBudget    float64 `json:"Budget"`     // attempts that it may get during slow start
 	ColdBudgetAt  float64 `json:"BudgetedAt"` // time at which ColdBudget was computed
-	ColdSince     float64 `json:"WarmsFrom"`  // time of its last start, on the clock of the exporting process; 0 if long ago
+	ColdSince     float64 `json:"WarmsFrom"`  // time of its last start on the exporting process's clock; 0 if long ago
 }
 
 // CustomerRecord is the quota state of one customer in a Snapshot.
