--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -77,7 +77,7 @@
 func (p *pools) relayResponse(attempt *attempt, conn *backendConn, resp *http.Response) result {
 	head := response{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength}
 	if resp.Body == http.NoBody {
-		return result{outcome: rules.Served, answer: head, units: reportedUnits(resp.Header)}
+		return result{outcome: rules.Served, response: head, units: reportedUnits(resp.Header)}
 	}
 	download := &download{body: resp.Body, length: resp.ContentLength, conn: conn, window: window{budget: &p.metrics.bodyBudget}, metrics: p.metrics, done: make(chan rules.Outcome, 1)}
 	maxStart := maxHeldBody
@@ -110,7 +110,7 @@
 	case complete:
 		head.body, head.download, head.trailer = download.prefix.held, nil, download.trailers()
 		head.reservedMemory = p.metrics.bodyBudget.shrink(download.reservedMemory, len(head.body))
-		return result{outcome: rules.Served, answer: head, units: reportedUnits(resp.Header)}
+		return result{outcome: rules.Served, response: head, units: reportedUnits(resp.Header)}
 	case err != nil:
 		p.metrics.bodyBudget.release(download.reservedMemory)
 		return result{outcome: errorOutcome(err), err: err}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -23,7 +23,7 @@
 type result struct {
 	outcome      rules.Outcome
 	err          error    // why there is no complete response
-	answer       response // if the outcome is rules.Served
+	response     response // if the outcome is rules.Served
 	units        float64  // of the quota, as the backend reports them; 0: not reported
 	bodyErr      error    // why the client's body is incomplete; the backend has run nothing then
 	bodyConsumed bool     // the client's body can't be sent to another backend
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testSettings have no quotas, so that the tests here are about sockets alone.
+// testSettings have no quotas.
 const testSettings = `{"fleetSize": 2, "rank": 1, "tickS": 0.002, "localities": ["a", "b"], "kinds": ["m"],
 	"allowed": {"cancel": true, "mostTries": 4, "connectTimeoutS": 5, "keepaliveS": 15, "retryAfter": false, "maxRetryAfterS": 0.5},
 	"obligations": {"answerSlackS": 0.01, "drainGraceS": 2},
@@ -18,22 +18,24 @@
 	"packages": [{"name": "basic", "pays": 1}, {"name": "council", "pays": 2}],
 	"familyInfo": {"mostUnits": 4}}`
 
+// configText returns the text of a configuration.
 func configText(discovery, settings string) string {
 	return `{"name": "n3", "listen": "127.0.0.1:0", "discovery": "` + discovery + `", "seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "counter": "127.0.0.1:1",
 	"known": {"generation": 41, "reset": true, "instances": []}, "settings": ` + settings + `}`
 }
 
+// A valid configuration is read, and each invalid one is rejected with an error of one line.
 func TestConfig(t *testing.T) {
-	c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
+	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Seed != 0x8c1f30d27a5be964 || c.Rank != 1 || c.ClassNames[1] != "booking" || c.PlanNames[1] != "council" ||
-		c.KeepAlive != 15 || c.Sockets != 1024 || c.Known.Generation != 41 || c.Zones[1] != "b" {
-		t.Errorf("read %+v", c)
+	if config.Seed != 0x8c1f30d27a5be964 || config.Rank != 1 || config.ClassNames[1] != "booking" || config.PlanNames[1] != "council" ||
+		config.KeepAlive != 15 || config.Sockets != 1024 || config.Known.Generation != 41 || config.Zones[1] != "b" {
+		t.Errorf("read %+v", config)
 	}
-	for _, bad := range [][2]string{
+	for _, replacement := range [][2]string{
 		{`{`, ``},
 		{`"seed": "8c1f30d27a5be964"`, `"seed": "x"`},
 		{`"listen": "127.0.0.1:0"`, `"listen": "127.0.0.1"`},
@@ -52,12 +54,12 @@
 	} {
 		withCounter := strings.Replace(testSettings, `"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.05`, 1)
 		text := configText("127.0.0.1:1", withCounter)
-		if !strings.Contains(text, bad[0]) {
-			t.Fatalf("%s is not in the configuration", bad[0])
+		if !strings.Contains(text, replacement[0]) {
+			t.Fatalf("%s is not in the configuration", replacement[0])
 		}
-		_, err := parseConfig([]byte(strings.Replace(text, bad[0], bad[1], 1)))
+		_, err := parseConfig([]byte(strings.Replace(text, replacement[0], replacement[1], 1)))
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", bad[1], err)
+			t.Errorf("%s: error %v", replacement[1], err)
 		}
 	}
 	if _, err := ReadConfig(t.TempDir() + "/none"); err == nil {
@@ -65,19 +67,20 @@
 	}
 }
 
-// The windows of leases are cut from the clock, so gateways must agree on it.
+// The clock is Unix time, as all gateways must agree on the windows of leases.
 func TestClock(t *testing.T) {
-	c := newClock()
-	at := c.now()
-	if d := time.Since(c.at(at)); d < 0 || d > testTimeout || time.Since(time.Unix(int64(at), 0)) > testTimeout {
-		t.Errorf("now is %f, %v ago", at, d)
+	clock := newClock()
+	now := clock.now()
+	if elapsed := time.Since(clock.at(now)); elapsed < 0 || elapsed > testTimeout || time.Since(time.Unix(int64(now), 0)) > testTimeout {
+		t.Errorf("now is %f, %v ago", now, elapsed)
 	}
 }
 
-// A file that is not whole may be JSON all the same.
-func TestReloadedFileNeedsTheKeysOfTheOneInForce(t *testing.T) {
+// A reload must have all keys of the current configuration, since a truncated file may still be
+// valid JSON.
+func TestReloadNeedsKeysOfCurrentConfig(t *testing.T) {
 	text := configText("127.0.0.1:1", testSettings)
-	c, err := parseConfig([]byte(text))
+	config, err := parseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +109,7 @@
 		}
 		next, err := parseConfig([]byte(strings.Replace(text, change.from, change.to, 1)))
 		if err == nil {
-			err = c.checkReload(&next)
+			err = config.checkReload(&next)
 		}
 		if (err == nil) != change.good {
 			t.Errorf("%q for %q: %v", change.to, change.from, err)
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -13,9 +13,9 @@
 )
 
 // operate makes one call to the operators' address.
-func (r *testGateway) operate(t *testing.T, method, path string) (int, string) {
+func (g *testGateway) operate(t *testing.T, method, path string) (int, string) {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.control)
+	conn, err := net.Dial("tcp", g.control)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,11 +34,11 @@
 }
 
 // tells waits until the figures hold all of the lines.
-func (r *testGateway) tells(t *testing.T, lines ...string) {
+func (g *testGateway) tells(t *testing.T, lines ...string) {
 	t.Helper()
 	text := ""
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		_, text = r.operate(t, "GET", "/control/counters")
+		_, text = g.operate(t, "GET", "/control/counters")
 		missing := false
 		for _, line := range lines {
 			missing = missing || !strings.Contains("\n"+text, "\n"+line+"\n")
@@ -51,9 +51,9 @@
 }
 
 // says tells whether the figures have a line now.
-func (r *testGateway) says(t *testing.T, line string) bool {
+func (g *testGateway) says(t *testing.T, line string) bool {
 	t.Helper()
-	_, text := r.operate(t, "GET", "/control/counters")
+	_, text := g.operate(t, "GET", "/control/counters")
 	return strings.Contains("\n"+text, "\n"+line+"\n")
 }
 
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -246,10 +246,10 @@
 }
 
 // untilLeaving waits until the gateway knows that it is to end.
-func (r *testGateway) untilLeaving(t *testing.T) {
+func (g *testGateway) untilLeaving(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if status, _ := r.operate(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
+		if status, _ := g.operate(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
 			return
 		}
 		if time.Now().After(end) {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -347,10 +347,10 @@
 }
 
 // prepareForClient removes what a backend's response holds for the gateway only.
-func (a *response) prepareForClient() {
-	a.fromBackend = true
-	a.header = endToEndHeaders(a.header)
-	a.header.Del(loadHeader) // meant for gateways
+func (r *response) prepareForClient() {
+	r.fromBackend = true
+	r.header = endToEndHeaders(r.header)
+	r.header.Del(loadHeader) // meant for gateways
 }
 
 // carryOver adapts a request that was read under earlier settings to the current ones,
@@ -504,7 +504,7 @@
 		res := l.pools.runAttempt(attempt)
 		attempt.cancel()
 		if !l.post(attemptDone{attempt, res}) {
-			res.answer.discard(&l.metrics.bodyBudget)
+			res.response.discard(&l.metrics.bodyBudget)
 		}
 	})
 }
@@ -512,7 +512,7 @@
 // endAttempt records the result of an attempt. It drops any later result.
 func (l *Loop) endAttempt(attempt *attempt, res result) {
 	if attempt.ended {
-		res.answer.discard(&l.metrics.bodyBudget)
+		res.response.discard(&l.metrics.bodyBudget)
 		return
 	}
 	attempt.ended, attempt.outcome, attempt.err, attempt.took = true, res.outcome, res.err, l.clock.now()-attempt.sent
@@ -520,7 +520,7 @@
 	exchange.inFlight--
 	switch {
 	case !exchange.inProgress:
-		res.answer.discard(&l.metrics.bodyBudget)
+		res.response.discard(&l.metrics.bodyBudget)
 	case exchange.responseStarted && res.outcome == rules.Served:
 		l.finish(exchange)
 		exchange.counts.passed.Add(1)
@@ -529,8 +529,8 @@
 		exchange.counts.badGateway.Add(1)
 		l.trace(exchange, "not served")
 	case res.outcome == rules.Served:
-		res.answer.prepareForClient()
-		l.respond(exchange.request.ID, res.answer)
+		res.response.prepareForClient()
+		l.respond(exchange.request.ID, res.response)
 	}
 	l.handle(rules.AttemptEnd{Request: exchange.request.ID, Attempt: attempt.number, Backend: attempt.backend, Outcome: res.outcome,
 		Took: attempt.took, Done: !exchange.inProgress, Spent: res.bodyConsumed, Units: res.units})
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -14,10 +14,7 @@
 	"dunlintray/rules"
 )
 
-// Failures of the machine that pass: calls of the system that fail for a moment, and clocks
-// that were stepped.
-
-// failingListener fails a number of times before it accepts.
+// failingListener returns each failure once before it accepts connections.
 type failingListener struct {
 	net.Listener
 	failures []error
@@ -35,32 +32,27 @@
 var acceptFailures = []error{syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.EPROTO, syscall.EHOSTUNREACH, syscall.ETIMEDOUT,
 	syscall.ENOBUFS, syscall.ENETDOWN, syscall.EPERM, syscall.EINTR, syscall.EAGAIN}
 
-// What users saw: a gateway ended with all requests that it held.
-//
-// Order of events: accept fails once with an error of the connection that was to be accepted,
-// of the network or of a filter, on the clients' socket or on the operators'.
-//
-// Cause: any error but a lack of descriptors ended accepting, and the process with it.
-// Evidence: forced here, each error on each socket.
-func TestAcceptGoesOn(t *testing.T) {
+// A transient error of accept, on the clients' or the operators' listener, must not end the
+// gateway.
+func TestAcceptSurvivesTransientErrors(t *testing.T) {
 	t.Parallel()
-	r := &testGateway{registry: newAgent(t), ended: make(chan error, 1)}
-	c, err := parseConfig([]byte(configText(r.registry.address(), testSettings)))
+	gateway := &testGateway{registry: newAgent(t), ended: make(chan error, 1)}
+	config, err := parseConfig([]byte(configText(gateway.registry.address(), testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	listen := func() (net.Listener, string) {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &failingListener{Listener: l, failures: append([]error(nil), acceptFailures...)}, l.Addr().String()
+		return &failingListener{Listener: listener, failures: append([]error(nil), acceptFailures...)}, listener.Addr().String()
 	}
 	clients, address := listen()
 	operators, control := listen()
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- serve(ctx, &c, nil, clients, operators, newMetrics(&c)) }()
+	go func() { ended <- serve(ctx, &config, nil, clients, operators, newMetrics(&config)) }()
 	for name, url := range map[string]string{"clients": "http://" + address + readyPath, "operators": "http://" + control + "/control/counters"} {
 		resp, err := (&http.Client{Timeout: testTimeout}).Get(url)
 		if err != nil {
@@ -75,31 +67,27 @@
 	}
 }
 
-// What users saw: servers that were well got no requests.
-//
-// Order of events: connect fails for want of ports, buffers or a route of this machine; the
-// attempt counts as a connection that its server refused, and the server is avoided.
-//
-// Cause: every error of a dial was put down to the peer. Evidence: forced here.
-func TestLocalFailureIsNotThePeers(t *testing.T) {
+// A dial that fails for a local reason is retried for a short time, and its outcome says nothing
+// about the backend.
+func TestLocalFailureSaysNothingAboutBackend(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []error{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM} {
-		for name, failures := range map[string]int{"for a moment": 3, "on": 1000} {
+		for name, failures := range map[string]int{"briefly": 3, "permanently": 1000} {
 			backend := newPeer(t)
-			p := newTestPools(t, backend.address())
-			dials, real := 0, p.dial
-			p.dial = func(ctx context.Context, to *target, within time.Duration) (*backendConn, error) {
+			pools := newTestPools(t, backend.address())
+			dials, dial := 0, pools.dial
+			pools.dial = func(ctx context.Context, target *target, within time.Duration) (*backendConn, error) {
 				if dials++; dials <= failures {
 					return nil, &net.OpError{Op: "dial", Err: failure}
 				}
-				return real(ctx, to, within)
+				return dial(ctx, target, within)
 			}
-			done := startAttempt(p, newAttempt(testTimeout))
+			done := startAttempt(pools, newAttempt(testTimeout))
 			want := rules.Moot
 			if failures == 3 {
 				want = rules.Served
-				conn, r := backend.accept(t)
-				readRequest(t, r)
+				conn, reader := backend.accept(t)
+				readRequest(t, reader)
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
 			if got := wait(t, done, "result"); got.outcome != want || dials > 100 {
@@ -109,39 +97,34 @@
 	}
 }
 
-// What users saw: behind an upgrade servers and customers were left alone for an hour.
-//
-// Order of events: the old process exports its state; the wall clock is stepped back before
-// the new process starts, whose clock begins there; times of the old clock lie ahead.
-//
-// Cause: the state's times were taken as they were. Evidence: forced here for a step of an
-// hour and of seconds, either way; without a step nothing moves.
-func TestStateOfAnotherClock(t *testing.T) {
-	was := slog.Default()
+// The times of imported state are shifted if the wall clock was stepped between the starts of
+// the two processes, in either direction, and stay as they are otherwise.
+func TestImportedStateIsShiftedByClockStep(t *testing.T) {
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	t.Cleanup(func() { slog.SetDefault(was) })
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		backend := newPeer(t)
-		l, dir := newPlatform(t)
-		old := newRigOn(t, l, dir, backend)
+		listener, dir := newPlatform(t)
+		old := newRigOn(t, listener, dir, backend)
 		_, answers := old.request(t, requestText("GET", "lookup", ""))
 		serveOne(t, backend, "ok")
 		wait(t, answers, "answer")
-		c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
+		config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := newMetrics(&c)
-		next := newLoop(&c, f.newService(c.Deployment, 0), f, newPools(time.Second, time.Minute, 8, f), nil, func() {})
+		metrics := newMetrics(&config)
+		next := newLoop(&config, metrics.newService(config.Deployment, 0), metrics, newPools(time.Second, time.Minute, 8, metrics), nil, func() {})
 		next.clock.startUnix += step.Seconds()
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
-		h := &handover{loop: next, noPredecessor: make(chan struct{}), setPaired: func(bool) {}}
-		state, err := h.join(ctx, dir)
+		handover := &handover{loop: next, noPredecessor: make(chan struct{}), setPaired: func(bool) {}}
+		state, err := handover.join(ctx, dir)
 		cancel()
 		if err != nil || state == nil {
 			t.Fatalf("%v, %v", state, err)
 		}
-		h.close()
+		handover.close()
 		now := next.clock.now()
 		if len(state.Rules.Backends) != 1 || len(state.Rules.Customers) != 1 {
 			t.Fatalf("%d backends, %d customers", len(state.Rules.Backends), len(state.Rules.Customers))
--- a/internal/gateway/scopes_test.go
+++ b/internal/gateway/scopes_test.go
@@ -138,9 +138,9 @@
 }
 
 // view is what a gateway tells of its backends.
-func (r *testGateway) view(t *testing.T) (v BackendsView) {
+func (g *testGateway) view(t *testing.T) (v BackendsView) {
 	t.Helper()
-	_, text := r.operate(t, "GET", "/control/backends")
+	_, text := g.operate(t, "GET", "/control/backends")
 	if err := json.Unmarshal([]byte(text), &v); err != nil {
 		t.Fatal(err)
 	}
@@ -148,9 +148,9 @@
 }
 
 // inUse returns the backends that a gateway has as Ready.
-func (r *testGateway) inUse(t *testing.T) (ids []string) {
+func (g *testGateway) inUse(t *testing.T) (ids []string) {
 	t.Helper()
-	for _, b := range r.view(t).Backends {
+	for _, b := range g.view(t).Backends {
 		if b.Lifecycle == registry.Ready {
 			ids = append(ids, b.ID)
 		}
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -15,9 +15,9 @@
 )
 
 // get sends a request and reads the head of the answer when it is asked to.
-func (r *testGateway) get(t *testing.T, text string) (net.Conn, func() *http.Response) {
+func (g *testGateway) get(t *testing.T, text string) (net.Conn, func() *http.Response) {
 	t.Helper()
-	conn := r.send(t, text)
+	conn := g.send(t, text)
 	return conn, func() *http.Response {
 		t.Helper()
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
