--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -216,68 +216,68 @@
 
 // Do carries a command out at its place in the order. Open says of a session whether it
 // is. What is returned for Ask is the permit.
-func (s *State) Apply(index uint64, c Command, open func(session uint64) bool) (*Permit, error) {
-	if err := c.Check(); err != nil {
+func (s *State) Apply(index uint64, command Command, sessionOpen func(session uint64) bool) (*Permit, error) {
+	if err := command.Check(); err != nil {
 		return nil, err
 	}
-	switch c.Op {
+	switch command.Op {
 	case SetRules:
-		s.rules = c.Rules
+		s.rules = command.Rules
 		return nil, nil
 	case Observe:
-		if !open(c.Unit.Session) {
-			return nil, refusedf("session %d has ended", c.Unit.Session)
+		if !sessionOpen(command.Unit.Session) {
+			return nil, refusedf("session %d has ended", command.Unit.Session)
 		}
-		return nil, s.observe(index, c.Unit, c.ObservedIndex)
+		return nil, s.observe(index, command.Unit, command.ObservedIndex)
 	case Acquire:
-		return s.acquire(index, c, open)
+		return s.acquire(index, command, sessionOpen)
 	}
-	u := s.units[c.Unit.Name]
-	if u == nil {
-		return nil, refusedf("there is no %s", c.Unit.Name)
+	unit := s.units[command.Unit.Name]
+	if unit == nil {
+		return nil, refusedf("there is no %s", command.Unit.Name)
 	}
-	if c.Op == Forget {
-		if u.Ready {
-			return nil, refusedf("%s is ready", u.Name)
+	if command.Op == Forget {
+		if unit.Ready {
+			return nil, refusedf("%s is ready", unit.Name)
 		}
-		delete(s.units, u.Name)
+		delete(s.units, unit.Name)
 		return nil, nil
 	}
-	switch p := u.Permit; {
-	case p == nil || p.Number > c.Permit.Number:
+	switch permit := unit.Permit; {
+	case permit == nil || permit.Number > command.Permit.Number:
 		return nil, nil // it has ended
-	case p.Number != c.Permit.Number || p.Holder != c.Permit.Holder:
-		return nil, refusedf("permit %d of %s is held by %s", p.Number, u.Name, p.Holder)
-	case u.Ready && u.Session == 0, c.Untouched && u.Ready && u.Since < p.Number:
+	case permit.Number != command.Permit.Number || permit.Holder != command.Permit.Holder:
+		return nil, refusedf("permit %d of %s is held by %s", permit.Number, unit.Name, permit.Holder)
+	case unit.Ready && unit.Session == 0, command.Untouched && unit.Ready && unit.Since < permit.Number:
 		// The list is in the same order, so it has it ready now; or it has been all the time.
-		u.Permit = nil
-	case p.ReturnedAt == 0:
-		next := *p
+		unit.Permit = nil
+	case permit.ReturnedAt == 0:
+		next := *permit
 		next.ReturnedAt = index
-		u.Permit = &next
+		unit.Permit = &next
 	}
 	return nil, nil
 }
 
 // see takes in how a unit is.
-func (s *State) observe(index uint64, sight Unit, at uint64) error {
-	u := s.units[sight.Name]
-	if u == nil {
+func (s *State) observe(index uint64, observed Unit, observedIndex uint64) error {
+	unit := s.units[observed.Name]
+	if unit == nil {
 		if len(s.units) >= maxUnits && !s.evictOldest() {
 			return refusedf("there are %d units", len(s.units))
 		}
-		u = &Unit{Name: sight.Name, Since: index}
-		s.units[u.Name] = u
+		unit = &Unit{Name: observed.Name, Since: index}
+		s.units[unit.Name] = unit
 	}
-	if sight.Session < u.Session {
-		return refusedf("%s is told of by session %d now", u.Name, u.Session)
+	if observed.Session < unit.Session {
+		return refusedf("%s is told of by session %d now", unit.Name, unit.Session)
 	}
-	if u.Ready != sight.Ready || u.Incarnation != sight.Incarnation {
-		u.Since = index
+	if unit.Ready != observed.Ready || unit.Incarnation != observed.Incarnation {
+		unit.Since = index
 	}
-	u.Zone, u.Weight, u.Canary, u.Incarnation, u.Ready, u.Session = sight.Zone, sight.Weight, sight.Canary, sight.Incarnation, sight.Ready, sight.Session
-	if u.Ready && u.Permit != nil && u.Permit.ReturnedAt != 0 && at >= u.Permit.ReturnedAt {
-		u.Permit, u.Since = nil, index
+	unit.Zone, unit.Weight, unit.Canary, unit.Incarnation, unit.Ready, unit.Session = observed.Zone, observed.Weight, observed.Canary, observed.Incarnation, observed.Ready, observed.Session
+	if unit.Ready && unit.Permit != nil && unit.Permit.ReturnedAt != 0 && observedIndex >= unit.Permit.ReturnedAt {
+		unit.Permit, unit.Since = nil, index
 	}
 	return nil
 }
@@ -306,8 +306,8 @@
 
 // SeeBackend takes in how the list has a backend. One that the bound has no room for is
 // not known here, and gets no permit.
-func (s *State) ObserveBackend(index uint64, b BackendState) {
-	s.observe(index, Unit{Name: Name{Backend, b.ID}, Zone: b.Zone, Weight: b.Weight, Incarnation: b.Incarnation, Ready: b.Ready}, index)
+func (s *State) ObserveBackend(index uint64, backend BackendState) {
+	s.observe(index, Unit{Name: Name{Backend, backend.ID}, Zone: backend.Zone, Weight: backend.Weight, Incarnation: backend.Incarnation, Ready: backend.Ready}, index)
 }
 
 // SessionOver says that a session has ended: nobody knows how the units are that it
@@ -326,49 +326,49 @@
 }
 
 // ask grants a permit, or says why not.
-func (s *State) acquire(index uint64, c Command, open func(uint64) bool) (*Permit, error) {
-	u := s.units[c.Unit.Name]
+func (s *State) acquire(index uint64, command Command, sessionOpen func(uint64) bool) (*Permit, error) {
+	unit := s.units[command.Unit.Name]
 	switch {
-	case u == nil:
-		return nil, refusedf("there is no %s that anybody has seen", c.Unit.Name)
-	case c.Permit.Session != 0 && !open(c.Permit.Session):
-		return nil, refusedf("session %d has ended", c.Permit.Session)
+	case unit == nil:
+		return nil, refusedf("there is no %s that anybody has seen", command.Unit.Name)
+	case command.Permit.Session != 0 && !sessionOpen(command.Permit.Session):
+		return nil, refusedf("session %d has ended", command.Permit.Session)
 	}
-	if p := u.Permit; p != nil {
+	if permit := unit.Permit; permit != nil {
 		switch {
-		case p.Holder == c.Permit.Holder && p.Session == c.Permit.Session && p.ReturnedAt == 0:
-			return p, nil
-		case p.Holder != c.Permit.Holder && !p.Lost:
-			return nil, refusedf("%s is out by permit %d of %s (%s)", u.Name, p.Number, p.Holder, p.Reason)
+		case permit.Holder == command.Permit.Holder && permit.Session == command.Permit.Session && permit.ReturnedAt == 0:
+			return permit, nil
+		case permit.Holder != command.Permit.Holder && !permit.Lost:
+			return nil, refusedf("%s is out by permit %d of %s (%s)", unit.Name, permit.Number, permit.Holder, permit.Reason)
 		}
 		// It is taken over: the unit is out already.
-	} else if !u.Unavailable() {
-		if err := s.checkRules(u); err != nil {
+	} else if !unit.Unavailable() {
+		if err := s.checkRules(unit); err != nil {
 			return nil, err
 		}
 	}
-	u.Permit = &Permit{Number: index, Holder: c.Permit.Holder, Session: c.Permit.Session, Reason: c.Permit.Reason, TermMs: c.Permit.TermMs}
-	return u.Permit, nil
+	unit.Permit = &Permit{Number: index, Holder: command.Permit.Holder, Session: command.Permit.Session, Reason: command.Permit.Reason, TermMs: command.Permit.TermMs}
+	return unit.Permit, nil
 }
 
 // fits says whether a unit that is ready may go out beside all that are.
-func (s *State) checkRules(u *Unit) error {
+func (s *State) checkRules(unit *Unit) error {
 	for i := range s.rules {
-		r := &s.rules[i]
-		if !r.covers(u) {
+		rule := &s.rules[i]
+		if !rule.covers(unit) {
 			continue
 		}
-		n := s.countUnits(r, u)
-		n.unavailable, n.ready, n.unavailableWeight = n.unavailable+1, n.ready-1, n.unavailableWeight+u.weightMillionths()
-		if err := n.satisfies(r); err != nil {
-			return refusedf("%s may not go out: %v", u.Name, err)
+		counts := s.countUnits(rule, unit)
+		counts.unavailable, counts.ready, counts.unavailableWeight = counts.unavailable+1, counts.ready-1, counts.unavailableWeight+unit.weightMillionths()
+		if err := counts.satisfies(rule); err != nil {
+			return refusedf("%s may not go out: %v", unit.Name, err)
 		}
 	}
 	return nil
 }
 
-func (r *Rule) covers(u *Unit) bool {
-	return r.Kind == u.Kind && (!r.Canary || u.Canary) && (r.Zone == "" || r.Zone == "*" || r.Zone == u.Zone)
+func (r *Rule) covers(unit *Unit) bool {
+	return r.Kind == unit.Kind && (!r.Canary || unit.Canary) && (r.Zone == "" || r.Zone == "*" || r.Zone == unit.Zone)
 }
 
 // counted are the units of a rule.
@@ -378,72 +378,72 @@
 }
 
 // count counts those that a rule takes together with a unit.
-func (s *State) countUnits(r *Rule, with *Unit) (n unitCounts) {
-	for _, u := range s.units {
-		if !r.covers(u) || r.Zone == "*" && u.Zone != with.Zone {
+func (s *State) countUnits(rule *Rule, unit *Unit) (counts unitCounts) {
+	for _, other := range s.units {
+		if !rule.covers(other) || rule.Zone == "*" && other.Zone != unit.Zone {
 			continue
 		}
-		n.total++
-		n.totalWeight += u.weightMillionths()
-		if u.Unavailable() {
-			n.unavailable++
-			n.unavailableWeight += u.weightMillionths()
+		counts.total++
+		counts.totalWeight += other.weightMillionths()
+		if other.Unavailable() {
+			counts.unavailable++
+			counts.unavailableWeight += other.weightMillionths()
 		} else {
-			n.ready++
+			counts.ready++
 		}
 	}
-	return n
+	return counts
 }
 
 // shareSlack is for what floating-point numbers lose of a share.
 const fractionTolerance = 1e-9
 
-func (n unitCounts) satisfies(r *Rule) error {
+func (c unitCounts) satisfies(rule *Rule) error {
 	switch {
-	case r.MaxUnavailable != nil && n.unavailable > *r.MaxUnavailable:
-		return fmt.Errorf("%s, and %d would be", r, n.unavailable)
-	case r.MaxUnavailableFraction != nil && !r.ByWeight && float64(n.unavailable) > *r.MaxUnavailableFraction*float64(n.total)+fractionTolerance:
-		return fmt.Errorf("%s, and %d of %d would be", r, n.unavailable, n.total)
-	case r.MaxUnavailableFraction != nil && r.ByWeight && float64(n.unavailableWeight) > *r.MaxUnavailableFraction*float64(n.totalWeight)+0.5:
-		return fmt.Errorf("%s, and %g of %g would be", r, float64(n.unavailableWeight)/1e6, float64(n.totalWeight)/1e6)
-	case r.MinReady != nil && n.ready < *r.MinReady:
-		return fmt.Errorf("%s, and %d would be", r, n.ready)
+	case rule.MaxUnavailable != nil && c.unavailable > *rule.MaxUnavailable:
+		return fmt.Errorf("%s, and %d would be", rule, c.unavailable)
+	case rule.MaxUnavailableFraction != nil && !rule.ByWeight && float64(c.unavailable) > *rule.MaxUnavailableFraction*float64(c.total)+fractionTolerance:
+		return fmt.Errorf("%s, and %d of %d would be", rule, c.unavailable, c.total)
+	case rule.MaxUnavailableFraction != nil && rule.ByWeight && float64(c.unavailableWeight) > *rule.MaxUnavailableFraction*float64(c.totalWeight)+0.5:
+		return fmt.Errorf("%s, and %g of %g would be", rule, float64(c.unavailableWeight)/1e6, float64(c.totalWeight)/1e6)
+	case rule.MinReady != nil && c.ready < *rule.MinReady:
+		return fmt.Errorf("%s, and %d would be", rule, c.ready)
 	}
 	return nil
 }
 
 // Never are the rules by which no unit of theirs could ever go out, though all were
 // ready.
-func (s *State) UnsatisfiableRules() (all []string) {
+func (s *State) UnsatisfiableRules() (problems []string) {
 	for i := range s.rules {
-		r := &s.rules[i]
-		zones := map[string]unitCounts{}
-		least := map[string]int64{}
-		for _, u := range s.units {
-			if !r.covers(u) {
+		rule := &s.rules[i]
+		countsByZone := map[string]unitCounts{}
+		minWeight := map[string]int64{}
+		for _, unit := range s.units {
+			if !rule.covers(unit) {
 				continue
 			}
 			zone := ""
-			if r.Zone == "*" {
-				zone = u.Zone
+			if rule.Zone == "*" {
+				zone = unit.Zone
 			}
-			n, known := zones[zone]
-			n.total++
-			n.totalWeight += u.weightMillionths()
-			zones[zone] = n
-			if !known || u.weightMillionths() < least[zone] {
-				least[zone] = u.weightMillionths()
+			counts, known := countsByZone[zone]
+			counts.total++
+			counts.totalWeight += unit.weightMillionths()
+			countsByZone[zone] = counts
+			if !known || unit.weightMillionths() < minWeight[zone] {
+				minWeight[zone] = unit.weightMillionths()
 			}
 		}
-		for _, zone := range slices.Sorted(maps.Keys(zones)) {
-			n := zones[zone]
-			n.unavailable, n.ready, n.unavailableWeight = 1, n.total-1, least[zone]
-			if err := n.satisfies(r); err != nil {
-				all = append(all, err.Error())
+		for _, zone := range slices.Sorted(maps.Keys(countsByZone)) {
+			counts := countsByZone[zone]
+			counts.unavailable, counts.ready, counts.unavailableWeight = 1, counts.total-1, minWeight[zone]
+			if err := counts.satisfies(rule); err != nil {
+				problems = append(problems, err.Error())
 			}
 		}
 	}
-	return all
+	return problems
 }
 
 // Rules are those in force.
@@ -460,12 +460,12 @@
 
 // Units returns all, by kind and id.
 func (s *State) Units() []Unit {
-	all := make([]Unit, 0, len(s.units))
+	units := make([]Unit, 0, len(s.units))
 	for _, u := range s.units {
-		all = append(all, *u)
+		units = append(units, *u)
 	}
-	slices.SortFunc(all, func(a, b Unit) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.ID, b.ID)) })
-	return all
+	slices.SortFunc(units, func(a, b Unit) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.ID, b.ID)) })
+	return units
 }
 
 // saved is one line of a snapshot.
@@ -476,8 +476,8 @@
 
 // Save returns the state as lines.
 func (s *State) Save() (lines [][]byte) {
-	add := func(l snapshotLine) {
-		text, err := json.Marshal(l)
+	add := func(line snapshotLine) {
+		text, err := json.Marshal(line)
 		if err != nil {
 			panic(err) // of plain fields
 		}
@@ -486,23 +486,23 @@
 	if len(s.rules) > 0 {
 		add(snapshotLine{Rules: s.rules})
 	}
-	for _, u := range s.Units() {
-		add(snapshotLine{Unit: &u})
+	for _, unit := range s.Units() {
+		add(snapshotLine{Unit: &unit})
 	}
 	return lines
 }
 
 // Restore takes in a line of Save's.
 func (s *State) Restore(line []byte) error {
-	var l snapshotLine
-	if err := json.Unmarshal(line, &l); err != nil {
+	var parsed snapshotLine
+	if err := json.Unmarshal(line, &parsed); err != nil {
 		return fmt.Errorf("budget: %w", err)
 	}
-	if l.Rules != nil {
-		s.rules = l.Rules
+	if parsed.Rules != nil {
+		s.rules = parsed.Rules
 	}
-	if l.Unit != nil {
-		s.units[l.Unit.Name] = l.Unit
+	if parsed.Unit != nil {
+		s.units[parsed.Unit.Name] = parsed.Unit
 	}
 	return nil
 }
--- a/internal/group/book.go
+++ b/internal/group/book.go
@@ -11,120 +11,120 @@
 	"dunlintray/internal/ledger"
 )
 
-// MostVoters bounds a group.
+// MaxVoters is the maximum number of voters in a group.
 const MaxVoters = 5
 
-// Member is where one of the group is reached.
+// Member holds the addresses of one member of a group.
 type Member struct {
-	Address         string `json:"address"`        // by members and callers
-	RegistryAddress string `json:"list,omitempty"` // its list service, where the group has the list
+	Address         string `json:"address"`        // for members and clients
+	RegistryAddress string `json:"list,omitempty"` // of its registry; empty if the group does not replicate the list
 }
 
-// Generation counts how often a group went on from less than a majority. Members of an
-// earlier one refuse for good; two of one number are of different groups.
+// Generation identifies the history of a group. Each recovery from less than a majority
+// starts a new generation, and members of earlier ones terminate for good. Two generations
+// with the same number and different names belong to different groups.
 type Generation struct {
 	Number int    `json:"number"`
-	Name   string `json:"name,omitempty"` // drawn, but for the first
+	Name   string `json:"name,omitempty"` // random; empty for the first generation
 }
 
 func (g Generation) String() string { return fmt.Sprintf("%d%s", g.Number, g.Name) }
 
-// book is who the members are. It is part of what they agree on.
+// memberTable is the replicated configuration of the group: its members and its generation.
 type memberTable struct {
 	Members map[uint64]Member `json:"members"`
-	// Highest is the highest number that was ever given. One up to it that is no member's
-	// was taken out, and is never given again: its folder may come back.
+	// Highest is the highest member number ever assigned. A number up to Highest without a
+	// member was removed and is never reused, since its folder may reappear.
 	Highest    uint64     `json:"highest"`
 	Generation Generation `json:"generation,omitzero"`
-	// Former are the members that a new generation has left behind, and has to tell.
+	// Former holds the members excluded by the current generation, which have to be notified.
 	Former map[uint64]Member `json:"former,omitempty"`
 
-	fromConfig bool // it is as the configuration has it
+	fromConfig bool // unchanged since it was read from the configuration
 }
 
 func newMemberTable(members map[uint64]Member) *memberTable {
-	b := &memberTable{Members: maps.Clone(members), fromConfig: true}
+	table := &memberTable{Members: maps.Clone(members), fromConfig: true}
 	for n := range members {
-		b.Highest = max(b.Highest, n)
+		table.Highest = max(table.Highest, n)
 	}
-	return b
+	return table
 }
 
-// removed says whether a number was a member's and is none's any more.
-//
-// Danger: members of the build before do not say who they are, which reads as 0.
-func (b *memberTable) wasRemoved(n uint64) bool {
-	return n > 0 && n <= b.Highest && b.Members[n].Address == ""
+// wasRemoved reports whether the number belonged to a member that has been removed. The
+// number 0 stands for a sender of an earlier build, which does not send its number.
+func (t *memberTable) wasRemoved(number uint64) bool {
+	return number > 0 && number <= t.Highest && t.Members[number].Address == ""
 }
 
-// add says why a member can't be added, or that it has been.
-func (b *memberTable) checkAdd(n uint64, m Member) (there bool, err error) {
-	if b.Members[n] == m {
+// checkAdd reports whether the member already exists, or why it can't be added.
+func (t *memberTable) checkAdd(number uint64, member Member) (exists bool, err error) {
+	if t.Members[number] == member {
 		return true, nil
 	}
-	if n <= b.Highest {
-		return false, fmt.Errorf("the number %d was given before; numbers from %d on are free", n, b.Highest+1)
+	if number <= t.Highest {
+		return false, fmt.Errorf("the number %d was given before; numbers from %d on are free", number, t.Highest+1)
 	}
-	for other, at := range b.Members {
-		if at.Address == m.Address || m.RegistryAddress != "" && at.RegistryAddress == m.RegistryAddress {
+	for other, existing := range t.Members {
+		if existing.Address == member.Address || member.RegistryAddress != "" && existing.RegistryAddress == member.RegistryAddress {
 			return false, fmt.Errorf("member %d is at that address", other)
 		}
 	}
 	return false, nil
 }
 
-// change is what an entry that changes the members says beside the algorithm's part.
+// memberChange is the context of a raft configuration change.
 type memberChange struct {
 	Key    uint64 `json:"key"`
 	Member Member `json:"member,omitzero"`
 }
 
-func (b *memberTable) encode() []byte {
-	text, err := json.Marshal(b)
+func (t *memberTable) encode() []byte {
+	text, err := json.Marshal(t)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // unreachable: all fields can be encoded
 	}
 	return text
 }
 
-func (b *memberTable) decode(text []byte) error {
+func (t *memberTable) decode(text []byte) error {
 	var next memberTable
 	if err := json.Unmarshal(text, &next); err != nil {
-		return fmt.Errorf("group: members: %w", err)
+		return fmt.Errorf("group: decode member table: %w", err)
 	}
 	if len(next.Members) == 0 {
-		return errors.New("group: members: there are none")
+		return errors.New("group: member table is empty")
 	}
-	*b = next
+	*t = next
 	return nil
 }
 
-// machine is the members, the ledger and the list as core has them: an entry is a key,
-// what it is for, and a command or records.
+// replicatedState implements StateMachine: the member table, the ledger and the list. An
+// entry is a key, a payload kind, and a ledger command or records of the list.
 type replicatedState struct {
 	state   *ledger.State
 	list    List
 	members *memberTable
 }
 
-// Of an entry, and of a snapshot's line.
+// Layout of an entry and of a line of a snapshot.
 const (
 	keyBytes = 8
 
 	payloadLedger  = 'c'
 	payloadList    = 'l'
-	payloadMembers = 'b' // of a snapshot alone
+	payloadMembers = 'b' // in snapshots only
 )
 
 func (m replicatedState) Apply(index uint64, data []byte) any {
 	if len(data) <= keyBytes {
-		return ledger.Result{Code: ledger.Invalid, Text: "an entry is cut short"}
+		return ledger.Result{Code: ledger.Invalid, Text: "entry truncated: no payload after its key"}
 	}
 	body := data[keyBytes+1:]
 	if data[keyBytes] == payloadList {
 		records, err := splitLines(body)
 		if err != nil || m.list == nil {
-			return ledger.Result{Code: ledger.Invalid, Text: "an entry of a list that there is not"}
+			return ledger.Result{Code: ledger.Invalid, Text: "list entry is malformed, or this member replicates no list"}
 		}
 		m.list.ApplyList(records)
 		m.observeBackends(index, m.list.BackendStates(records))
@@ -137,22 +137,22 @@
 	return m.state.Apply(index, c)
 }
 
-// see tells the budgets how the list has backends now.
-func (m replicatedState) observeBackends(index uint64, all []budget.BackendState) {
-	for _, s := range all {
+// observeBackends updates the budget state from the list's backends.
+func (m replicatedState) observeBackends(index uint64, states []budget.BackendState) {
+	for _, s := range states {
 		m.state.Units().ObserveBackend(index, s)
 	}
 }
 
-func (m replicatedState) Add(n uint64, at Member) {
+func (m replicatedState) Add(number uint64, member Member) {
 	m.members.fromConfig = false
-	m.members.Members[n] = at
-	m.members.Highest = max(m.members.Highest, n)
+	m.members.Members[number] = member
+	m.members.Highest = max(m.members.Highest, number)
 }
 
-func (m replicatedState) Remove(n uint64) {
+func (m replicatedState) Remove(number uint64) {
 	m.members.fromConfig = false
-	delete(m.members.Members, n)
+	delete(m.members.Members, number)
 }
 
 func (m replicatedState) Save() (lines [][]byte) {
@@ -171,32 +171,32 @@
 }
 
 func (m replicatedState) Restore(lines [][]byte) error {
-	var ledgers, lists [][]byte
-	for _, l := range lines {
+	var ledgerLines, listLines [][]byte
+	for _, line := range lines {
 		switch {
-		case len(l) > 0 && l[0] == payloadMembers:
-			if err := m.members.decode(l[1:]); err != nil {
+		case len(line) > 0 && line[0] == payloadMembers:
+			if err := m.members.decode(line[1:]); err != nil {
 				return err
 			}
-		case len(l) > 0 && l[0] == payloadLedger:
-			ledgers = append(ledgers, l[1:])
-		case len(l) > 0 && l[0] == payloadList && m.list != nil:
-			lists = append(lists, l[1:])
+		case len(line) > 0 && line[0] == payloadLedger:
+			ledgerLines = append(ledgerLines, line[1:])
+		case len(line) > 0 && line[0] == payloadList && m.list != nil:
+			listLines = append(listLines, line[1:])
 		default:
-			return errors.New("group: a snapshot's line is of nothing that this member has")
+			return errors.New("group: snapshot line has an unknown kind, or this member replicates no list")
 		}
 	}
-	if err := m.state.Restore(ledgers); err != nil {
+	if err := m.state.Restore(ledgerLines); err != nil {
 		return err
 	}
 	if m.list == nil {
 		return nil
 	}
-	return m.list.RestoreList(lists)
+	return m.list.RestoreList(listLines)
 }
 
-// others are the numbers of all members but one.
-func (b *memberTable) others(self uint64) []uint64 {
-	all := slices.Sorted(maps.Keys(b.Members))
-	return slices.DeleteFunc(all, func(n uint64) bool { return n == self })
+// others returns the sorted numbers of all members except self.
+func (t *memberTable) others(self uint64) []uint64 {
+	numbers := slices.Sorted(maps.Keys(t.Members))
+	return slices.DeleteFunc(numbers, func(n uint64) bool { return n == self })
 }
--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -18,37 +18,41 @@
 	"dunlintray/internal/ledger"
 )
 
-// Paths by which operators change a group.
+// HTTP paths of the operators' membership calls.
 const (
 	MembersPath  = "/group/members"
 	TransferPath = "/group/transfer"
 )
 
 const (
-	// nearLag is by how many entries a learner may lag when it becomes a voter.
+	// maxPromotionLag is the maximum number of entries that a learner lacks when it is promoted.
 	maxPromotionLag = 100
 	transferTimeout = 2 * time.Second
-	activityTimeout = time.Second // an answer to each heartbeat comes ten times as often
+	activityTimeout = time.Second // ten heartbeat intervals
 )
 
-// Refusal is why the group's members stay as they are.
+// RefusedError explains why the group rejected a membership change or a message. Nothing has
+// been changed.
 type RefusedError struct{ Text string }
 
 func (e *RefusedError) Error() string { return e.Text }
 
+// refusedf returns a RefusedError with a formatted text.
 func refusedf(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
-// mayChange says why members can't be changed now, or why this member can't do it.
+// checkCanChange returns an error if this member is not the leader or if another membership
+// change is in progress.
 func (g *Group) checkCanChange() error {
 	switch {
 	case g.role != raft.StateLeader:
 		return g.notLeader()
 	case !g.leaderReady || g.pendingChange != 0:
-		return fmt.Errorf("%w: another change of the members is under way", ErrBusy)
+		return fmt.Errorf("%w: another membership change is in progress", ErrBusy)
 	}
 	return nil
 }
 
+// notLeader returns the error of a call that only the leader can process.
 func (g *Group) notLeader() error {
 	if at := g.members.Members[g.leader].Address; at != "" {
 		return &NotLeaderError{at}
@@ -56,14 +60,14 @@
 	return ErrNoLeader
 }
 
-// proposeChange proposes a change of one member.
-func (g *Group) proposeChange(kind raftpb.ConfChangeType, n uint64, at Member) (key uint64, err error) {
+// proposeChange proposes a configuration change of one member.
+func (g *Group) proposeChange(kind raftpb.ConfChangeType, number uint64, member Member) (key uint64, err error) {
 	key = g.nextKey()
-	text, err := json.Marshal(memberChange{Key: key, Member: at})
+	text, err := json.Marshal(memberChange{Key: key, Member: member})
 	if err != nil {
 		return 0, err
 	}
-	if err := g.core.raw.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &n, Context: text}); err != nil {
+	if err := g.core.raw.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &number, Context: text}); err != nil {
 		if errors.Is(err, raft.ErrProposalDropped) {
 			return 0, ErrBusy
 		}
@@ -73,31 +77,32 @@
 	return key, nil
 }
 
-// change has the group agree on what check wants, unless that says that it is so already.
-func (g *Group) changeMember(ctx context.Context, check func() (there bool, kind raftpb.ConfChangeType, n uint64, at Member, err error)) error {
-	w := &proposal{startedAt: time.Now(), result: make(chan ledger.Result, 1)}
+// changeMember commits the change that check returns. It returns nil at once if check reports
+// that the group is already in that state.
+func (g *Group) changeMember(ctx context.Context, check func() (exists bool, kind raftpb.ConfChangeType, number uint64, member Member, err error)) error {
+	pending := &proposal{startedAt: time.Now(), result: make(chan ledger.Result, 1)}
 	var key uint64
-	var not error
-	done := false
+	var rejected error
+	alreadyDone := false
 	if err := g.call(ctx, func() {
-		if not = g.checkCanChange(); not != nil {
+		if rejected = g.checkCanChange(); rejected != nil {
 			return
 		}
 		var kind raftpb.ConfChangeType
-		var n uint64
-		var at Member
-		if done, kind, n, at, not = check(); not != nil || done {
+		var number uint64
+		var member Member
+		if alreadyDone, kind, number, member, rejected = check(); rejected != nil || alreadyDone {
 			return
 		}
-		if key, not = g.proposeChange(kind, n, at); not == nil {
-			g.proposals[key] = w
+		if key, rejected = g.proposeChange(kind, number, member); rejected == nil {
+			g.proposals[key] = pending
 		}
-	}); err != nil || not != nil || done {
-		return cmp.Or(err, not)
+	}); err != nil || rejected != nil || alreadyDone {
+		return cmp.Or(err, rejected)
 	}
 	var err error
 	select {
-	case <-w.result:
+	case <-pending.result:
 		return nil
 	case <-ctx.Done():
 		err = ctx.Err()
@@ -108,76 +113,78 @@
 	return fmt.Errorf("%w: %w", ErrUnknown, err)
 }
 
-// Add takes a member in. It is filled as a learner, and becomes a voter by itself.
-func (g *Group) Add(ctx context.Context, n uint64, at Member) error {
+// Add adds a member as a learner. The leader promotes it to a voter once it has caught up.
+func (g *Group) Add(ctx context.Context, number uint64, member Member) error {
 	return g.changeMember(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
 		kind := raftpb.ConfChangeType_ConfChangeAddLearnerNode
-		there, err := g.members.checkAdd(n, at)
+		exists, err := g.members.checkAdd(number, member)
 		switch {
 		case err != nil:
 			err = refusedf("%v", err)
-		case there:
-		case (at.RegistryAddress != "") != (g.config.List != nil):
-			err = refusedf("the group has a list and the member none, or the other way round")
+		case exists:
+		case (member.RegistryAddress != "") != (g.config.List != nil):
+			err = refusedf("the group has a list and the member no registry address, or the reverse")
 		case len(g.core.confState.GetLearners()) > 0:
-			err = refusedf("member %d is being filled; one at a time", g.core.confState.GetLearners()[0])
+			err = refusedf("member %d is still a learner; add one member at a time", g.core.confState.GetLearners()[0])
 		case len(g.core.confState.GetVoters()) >= MaxVoters:
-			err = refusedf("the group has %d voters; remove one first", MaxVoters)
+			err = refusedf("the group has the maximum of %d voters; remove one first", MaxVoters)
 		}
-		return there, kind, n, at, err
+		return exists, kind, number, member, err
 	})
 }
 
-// Remove takes a member out, for good, unless those left that answer are too few.
-func (g *Group) Remove(ctx context.Context, n uint64) error {
+// Remove removes a member for good. It fails if fewer than a majority of the remaining voters
+// are active.
+func (g *Group) Remove(ctx context.Context, number uint64) error {
 	return g.changeMember(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
 		kind := raftpb.ConfChangeType_ConfChangeRemoveNode
-		if g.members.wasRemoved(n) {
-			return true, kind, n, Member{}, nil
+		if g.members.wasRemoved(number) {
+			return true, kind, number, Member{}, nil
 		}
-		var left []uint64
-		answering := 0
-		for _, v := range g.core.confState.GetVoters() {
-			if v == n {
+		var remaining []uint64
+		active := 0
+		for _, voter := range g.core.confState.GetVoters() {
+			if voter == number {
 				continue
 			}
-			left = append(left, v)
-			if g.recentlyActive(v) {
-				answering++
+			remaining = append(remaining, voter)
+			if g.recentlyActive(voter) {
+				active++
 			}
 		}
 		switch {
-		case g.members.Members[n].Address == "":
-			return false, kind, n, Member{}, refusedf("there is no member %d", n)
-		case n == g.config.Self:
-			return false, kind, n, Member{}, refusedf("member %d is the writer; have another write first", n)
-		case answering < quorum(left):
-			return false, kind, n, Member{}, refusedf("without member %d only %d of %d voters answer, which are too few", n, answering, len(left))
+		case g.members.Members[number].Address == "":
+			return false, kind, number, Member{}, refusedf("there is no member %d", number)
+		case number == g.config.Self:
+			return false, kind, number, Member{}, refusedf("member %d is the writer; have another write first", number)
+		case active < quorum(remaining):
+			return false, kind, number, Member{}, refusedf("without member %d only %d of %d voters answer, which are too few", number, active, len(remaining))
 		}
-		return false, kind, n, Member{}, nil
+		return false, kind, number, Member{}, nil
 	})
 }
 
-// Transfer has another member write, and waits until this one does not.
+// Transfer transfers leadership to another voter and waits until this member is no longer the
+// leader.
 func (g *Group) Transfer(ctx context.Context, to uint64) error {
 	var lost chan struct{}
-	var not error
+	var rejected error
 	if err := g.call(ctx, func() {
 		switch {
 		case g.role != raft.StateLeader && g.leader == to:
 		case g.role != raft.StateLeader:
-			not = g.notLeader()
+			rejected = g.notLeader()
 		case to == g.config.Self:
 		case !slices.Contains(g.core.confState.GetVoters(), to):
-			not = refusedf("member %d is no voter", to)
+			rejected = refusedf("member %d is not a voter", to)
 		case !g.recentlyActive(to):
-			not = refusedf("member %d does not answer", to)
+			rejected = refusedf("member %d does not answer", to)
 		default:
 			lost = g.leadershipLost
 			g.core.raw.TransferLeader(to)
 		}
-	}); err != nil || not != nil || lost == nil {
-		return cmp.Or(err, not)
+	}); err != nil || rejected != nil || lost == nil {
+		return cmp.Or(err, rejected)
 	}
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -185,31 +192,31 @@
 	case <-lost:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("%w: member %d did not begin to write", ErrUnknown, to)
+		return fmt.Errorf("%w: member %d did not become the writer in time", ErrUnknown, to)
 	case <-g.stopped:
 		return errStopped
 	}
 }
 
-// promote makes a learner that has caught up a voter.
+// promoteLearner proposes to make a learner a voter once it has caught up.
 func (g *Group) promoteLearner() {
 	if g.checkCanChange() != nil {
 		return
 	}
-	for _, n := range g.core.confState.GetLearners() {
-		p := g.core.raw.Status().Progress[n]
-		if !g.recentlyActive(n) || p.Match+maxPromotionLag < g.core.lastIndex() {
+	for _, number := range g.core.confState.GetLearners() {
+		progress := g.core.raw.Status().Progress[number]
+		if !g.recentlyActive(number) || progress.Match+maxPromotionLag < g.core.lastIndex() {
 			continue
 		}
-		if _, err := g.proposeChange(raftpb.ConfChangeType_ConfChangeAddNode, n, Member{}); err == nil {
-			slog.Info("group: a learner has caught up and becomes a voter", "member", n, "entries", p.Match)
+		if _, err := g.proposeChange(raftpb.ConfChangeType_ConfChangeAddNode, number, Member{}); err == nil {
+			slog.Info("group: promoting a learner that has caught up", "member", number, "entries", progress.Match)
 		}
 		return
 	}
 }
 
-// follow has peers be those of the book, after a change of the members that was agreed
-// on, also one of long ago that a process applies again.
+// updatePeers starts and stops peers to match the member table. It runs after each applied
+// configuration change, including those replayed after a restart.
 func (g *Group) updatePeers() {
 	for n, p := range g.peers {
 		if g.members.Members[n].Address != p.address || g.members.Generation != p.generation {
@@ -230,47 +237,47 @@
 	}
 }
 
-// answers says whether a member was heard lately.
-func (g *Group) recentlyActive(n uint64) bool {
-	return n == g.config.Self || time.Since(g.lastReceived[n]) < activityTimeout
+// recentlyActive reports whether a message of the member arrived within activityTimeout.
+func (g *Group) recentlyActive(number uint64) bool {
+	return number == g.config.Self || time.Since(g.lastReceived[number]) < activityTimeout
 }
 
-// adding is the call that adds a member.
+// addRequest is the body of the call that adds a member.
 type addRequest struct {
 	Number uint64 `json:"number"`
 	Member
 }
 
-// changeMembers answers operators.
+// handleMembers is the HTTP handler of the operators' membership calls.
 func (g *Group) handleMembers(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), transferTimeout+callTimeout)
 	defer cancel()
-	var n uint64
+	var number uint64
 	var err error
 	if r.Method == http.MethodPut {
-		var a addRequest
-		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
-		d.DisallowUnknownFields()
-		if err := d.Decode(&a); err != nil || a.Number == 0 || a.Address == "" {
-			http.Error(w, fmt.Sprintf("a member has a number from 1 and an address: %v", err), http.StatusBadRequest)
+		var request addRequest
+		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&request); err != nil || request.Number == 0 || request.Address == "" {
+			http.Error(w, fmt.Sprintf("invalid member: a number from 1 and an address are required: %v", err), http.StatusBadRequest)
 			return
 		}
-		err = g.Add(ctx, a.Number, a.Member)
+		err = g.Add(ctx, request.Number, request.Member)
 	} else {
-		if n, err = strconv.ParseUint(r.PathValue("number"), 10, 64); err != nil || n == 0 {
-			http.Error(w, fmt.Sprintf("%.40q is no member's number", r.PathValue("number")), http.StatusBadRequest)
+		if number, err = strconv.ParseUint(r.PathValue("number"), 10, 64); err != nil || number == 0 {
+			http.Error(w, fmt.Sprintf("invalid member number %.40q", r.PathValue("number")), http.StatusBadRequest)
 			return
 		}
 		if r.Method == http.MethodDelete {
-			err = g.Remove(ctx, n)
+			err = g.Remove(ctx, number)
 		} else {
-			err = g.Transfer(ctx, n)
+			err = g.Transfer(ctx, number)
 		}
 	}
-	var no *RefusedError
+	var refused *RefusedError
 	switch {
-	case errors.As(err, &no):
-		http.Error(w, no.Text, http.StatusConflict)
+	case errors.As(err, &refused):
+		http.Error(w, refused.Text, http.StatusConflict)
 	case err != nil:
 		g.writeError(w, r, err)
 	default:
--- a/internal/group/client.go
+++ b/internal/group/client.go
@@ -20,54 +20,56 @@
 )
 
 const (
-	clientTimeout      = 750 * time.Millisecond // for one member's answer; another may be asked for the same at any time
-	clientRetryPause   = 50 * time.Millisecond  // after a round of members that did not do
-	unresponsivePeriod = time.Second            // an address that gave no answer, when another sends there
+	clientTimeout      = 750 * time.Millisecond // for the response of one member
+	clientRetryPause   = 50 * time.Millisecond  // after all members have failed once
+	unresponsivePeriod = time.Second            // how long redirects to an unresponsive address are not followed
 	maxResponseBytes   = 16 << 20
-	maxRedirects       = 3 // from member to writer
+	maxRedirects       = 3 // from a member to the leader
 )
 
-// Client calls a group, by any of its members. Its commands are done once each, however
-// often they have to be made; they go out one at a time.
+// Client calls a group through any of its members. It sends one command at a time and retries
+// it under the same request number, so that the group applies it at most once. A Client is safe
+// for concurrent use.
 type Client struct {
 	http        *http.Client
 	caller      string
-	memberCount int // to ask
+	memberCount int // number of addresses
 
-	commandMu sync.Mutex // of commands
+	commandMu sync.Mutex // serializes commands; guards request
 	request   uint64
 
 	mu           sync.Mutex
-	addresses    []string             // the one that answered last first
-	unresponsive map[string]time.Time // addresses that gave no answer, and when
+	addresses    []string             // failed members are moved to the end
+	unresponsive map[string]time.Time // time of the last failure by address
 }
 
-// NewClient returns a client of the members at these addresses.
+// NewClient returns a client of the group with members at the given addresses, of which there
+// must be at least one. Close releases its connections.
 func NewClient(addresses []string) *Client {
-	var name [12]byte
-	crand.Read(name[:])
-	c := &Client{caller: hex.EncodeToString(name[:]), memberCount: len(addresses), addresses: append([]string(nil), addresses...), unresponsive: map[string]time.Time{}}
+	var callerID [12]byte
+	crand.Read(callerID[:])
+	c := &Client{caller: hex.EncodeToString(callerID[:]), memberCount: len(addresses), addresses: append([]string(nil), addresses...), unresponsive: map[string]time.Time{}}
 	c.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}, Timeout: clientTimeout,
-		CheckRedirect: func(to *http.Request, via []*http.Request) error {
+		CheckRedirect: func(req *http.Request, via []*http.Request) error {
 			if len(via) > maxRedirects {
-				return errors.New("the members send each other round")
+				return errors.New("redirect loop between the members of the group")
 			}
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if time.Since(c.unresponsive[to.URL.Host]) < unresponsivePeriod {
-				return errUnresponsive // who sends there does not know yet that it is gone
+			if time.Since(c.unresponsive[req.URL.Host]) < unresponsivePeriod {
+				return errUnresponsive // the redirecting member has not noticed the failure yet
 			}
 			return nil
 		}}
 	return c
 }
 
-var errUnresponsive = errors.New("it gave no answer a moment ago")
+var errUnresponsive = errors.New("redirected to a member that did not respond")
 
-// Close ends its idle connections.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// next is the member to ask: the first that was not silent a moment ago, if there is one.
+// nextAddress returns the first address that is not marked unresponsive, or the first of all.
 func (c *Client) nextAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,48 +81,48 @@
 	return c.addresses[0]
 }
 
-// failed puts a member last, and takes note of which address gave no answer: its own, or
-// one that it sent to.
+// recordFailure moves the address to the end of the list, and marks the address that did not
+// respond as unresponsive: its own, or one that it redirected to.
 func (c *Client) recordFailure(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at := slices.Index(c.addresses, address); at >= 0 {
-		c.addresses = append(slices.Delete(c.addresses, at, at+1), address)
+	if index := slices.Index(c.addresses, address); index >= 0 {
+		c.addresses = append(slices.Delete(c.addresses, index, index+1), address)
 	}
-	var at *url.Error
-	if !errors.As(err, &at) || errors.Is(err, errUnresponsive) {
+	var failure *url.Error
+	if !errors.As(err, &failure) || errors.Is(err, errUnresponsive) {
 		return
 	}
 	maps.DeleteFunc(c.unresponsive, func(_ string, when time.Time) bool { return time.Since(when) >= unresponsivePeriod })
-	if u, err := url.Parse(at.URL); err == nil {
+	if u, err := url.Parse(failure.URL); err == nil {
 		c.unresponsive[u.Host] = time.Now()
 	}
 }
 
-// call makes a call until a member answers it for the group, or ctx ends. Then the error
-// has the last cause from before the end: that of a try which ctx cut short says nothing.
-func (c *Client) call(ctx context.Context, method, path string, body []byte) (status int, text []byte, err error) {
-	var cause error
-	for tries := 1; ; tries++ {
+// call retries until a member responds for the group or ctx ends. The error after ctx has ended
+// includes the last failure from before that.
+func (c *Client) call(ctx context.Context, method, path string, body []byte) (status int, response []byte, err error) {
+	var lastFailure error
+	for attempts := 1; ; attempts++ {
 		address := c.nextAddress()
-		status, text, err = c.doRequest(ctx, method, "http://"+address+path, body)
+		status, response, err = c.doRequest(ctx, method, "http://"+address+path, body)
 		if err == nil && status != http.StatusServiceUnavailable && status != http.StatusGatewayTimeout {
-			return status, text, nil
+			return status, response, nil
 		}
 		if err == nil {
-			err = fmt.Errorf("%s: %d: %s", address, status, bytes.TrimSpace(text))
+			err = fmt.Errorf("%s: %d: %s", address, status, bytes.TrimSpace(response))
 		}
 		c.recordFailure(address, err)
-		if cause == nil || ctx.Err() == nil {
-			cause = err
+		if lastFailure == nil || ctx.Err() == nil {
+			lastFailure = err
 		}
 		pause := time.Duration(0)
-		if tries%c.memberCount == 0 {
+		if attempts%c.memberCount == 0 {
 			pause = clientRetryPause
 		}
 		select {
 		case <-ctx.Done():
-			return 0, nil, fmt.Errorf("%w: %w", ctx.Err(), cause)
+			return 0, nil, fmt.Errorf("%w: %w", ctx.Err(), lastFailure)
 		case <-time.After(pause):
 		}
 	}
@@ -136,12 +138,12 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	return resp.StatusCode, text, err
+	content, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	return resp.StatusCode, content, err
 }
 
-// Do has the group do a command. An error leaves open whether it was done, and later
-// commands of this client make sure that it never is any more, if it was not.
+// Do commits a command and returns its result. After an error the command may or may not have
+// been applied; if it has not, the next command of this client rules out that it ever is.
 func (c *Client) Do(ctx context.Context, command ledger.Command) (r ledger.Result, err error) {
 	if err := command.Check(ledger.DefaultLimits); err != nil {
 		return ledger.Result{Code: ledger.Invalid, Text: err.Error()}, nil
@@ -164,8 +166,8 @@
 	return r, nil
 }
 
-// Get reads a record, as all that was agreed on before the call left it.
-func (c *Client) Get(ctx context.Context, name string) (r ledger.Record, there bool, err error) {
+// Get returns a record by a linearizable read, and whether it exists.
+func (c *Client) Get(ctx context.Context, name string) (r ledger.Record, found bool, err error) {
 	status, text, err := c.call(ctx, http.MethodGet, RecordsPath+"/"+url.PathEscape(name)+"?current=1", nil)
 	switch {
 	case err != nil:
@@ -178,7 +180,7 @@
 	return r, true, json.Unmarshal(text, &r)
 }
 
-// List reads all records under a prefix, likewise.
+// List returns all records whose names start with prefix, by a linearizable read.
 func (c *Client) List(ctx context.Context, prefix string) (l Listing, err error) {
 	status, text, err := c.call(ctx, http.MethodGet, RecordsPath+"?current=1&prefix="+url.QueryEscape(prefix), nil)
 	switch {
@@ -190,8 +192,7 @@
 	return l, json.Unmarshal(text, &l)
 }
 
-// Units reads all units of the fleet and the rules for them, as all that was agreed on
-// before the call left them.
+// Units returns all units of the fleet and the rules for them, by a linearizable read.
 func (c *Client) Units(ctx context.Context) (u Units, err error) {
 	status, text, err := c.call(ctx, http.MethodGet, UnitsPath+"?current=1", nil)
 	switch {
@@ -203,21 +204,21 @@
 	return u, json.Unmarshal(text, &u)
 }
 
-// Add has the group take a member in. A call that is made again is done once.
-func (c *Client) Add(ctx context.Context, n uint64, at Member) error {
-	body, err := json.Marshal(addRequest{n, at})
+// Add adds a member to the group. Repeating the call has no further effect.
+func (c *Client) Add(ctx context.Context, number uint64, member Member) error {
+	body, err := json.Marshal(addRequest{number, member})
 	if err != nil {
 		return err
 	}
 	return c.changeMembers(ctx, http.MethodPut, MembersPath, body)
 }
 
-// Remove has the group take one out.
-func (c *Client) Remove(ctx context.Context, n uint64) error {
-	return c.changeMembers(ctx, http.MethodDelete, fmt.Sprint(MembersPath, "/", n), nil)
+// Remove removes a member from the group for good.
+func (c *Client) Remove(ctx context.Context, number uint64) error {
+	return c.changeMembers(ctx, http.MethodDelete, fmt.Sprint(MembersPath, "/", number), nil)
 }
 
-// Transfer has another member write.
+// Transfer transfers leadership to another member.
 func (c *Client) Transfer(ctx context.Context, to uint64) error {
 	return c.changeMembers(ctx, http.MethodPost, fmt.Sprint(TransferPath, "/", to), nil)
 }
@@ -230,7 +231,7 @@
 	return err
 }
 
-// Status asks one member how it stands.
+// Status returns the state of the member at the address. It does not retry.
 func (c *Client) Status(ctx context.Context, address string) (s Status, err error) {
 	status, text, err := c.doRequest(ctx, http.MethodGet, "http://"+address+StatusPath, nil)
 	switch {
@@ -242,52 +243,53 @@
 	return s, json.Unmarshal(text, &s)
 }
 
-// renewals in a session's time to live.
+// renewalsPerTTL is the number of renewals within a session's time to live.
 const renewalsPerTTL = 3
 
-// Hold opens a session and renews it until ctx ends or the group has ended it; then
-// lost is closed. Whoever acts on the session asks Holds before each act: lost may be
-// late, as where the process stood still.
-func (c *Client) HoldSession(ctx context.Context, ttl time.Duration) (h *HeldSession, err error) {
-	began := time.Now()
-	asked := time.Duration(0)
-	r, err := c.Do(ctx, ledger.Command{Op: ledger.Open, TTLMs: ttl.Milliseconds()})
+// HoldSession opens a session and renews it until ctx ends or the session has ended. The holder
+// must check Valid before each action that relies on the session: Lost may be closed late, for
+// example after the process was suspended.
+func (c *Client) HoldSession(ctx context.Context, ttl time.Duration) (held *HeldSession, err error) {
+	start := time.Now()
+	sentAt := time.Duration(0)
+	result, err := c.Do(ctx, ledger.Command{Op: ledger.Open, TTLMs: ttl.Milliseconds()})
 	switch {
 	case err != nil:
 		return nil, err
-	case r.Code != ledger.OK:
-		return nil, fmt.Errorf("%s: %s", r.Code, r.Text)
+	case result.Code != ledger.OK:
+		return nil, fmt.Errorf("%s: %s", result.Code, result.Text)
 	}
-	h = &HeldSession{openedAt: began, lost: make(chan struct{})}
-	h.lease.Renewed(asked, ledger.Session{ID: r.Session, TTLMs: ttl.Milliseconds()})
+	held = &HeldSession{openedAt: start, lost: make(chan struct{})}
+	held.lease.Renewed(sentAt, ledger.Session{ID: result.Session, TTLMs: ttl.Milliseconds()})
 	go func() {
-		defer close(h.lost)
-		t := time.NewTicker(ttl / renewalsPerTTL)
-		defer t.Stop()
-		for h.Valid() {
+		defer close(held.lost)
+		ticker := time.NewTicker(ttl / renewalsPerTTL)
+		defer ticker.Stop()
+		for held.Valid() {
 			select {
 			case <-ctx.Done():
 				return
-			case <-t.C:
+			case <-ticker.C:
 			}
-			asked := time.Since(began)
-			within, cancel := context.WithTimeout(ctx, ttl)
-			status, _, err := c.call(within, http.MethodPost, fmt.Sprintf("%s/%d/renew", SessionsPath, r.Session), nil)
+			sentAt := time.Since(start)
+			renewCtx, cancel := context.WithTimeout(ctx, ttl)
+			status, _, err := c.call(renewCtx, http.MethodPost, fmt.Sprintf("%s/%d/renew", SessionsPath, result.Session), nil)
 			cancel()
 			if err == nil && status == http.StatusNotFound {
 				return
 			}
 			if err == nil && status == http.StatusOK {
-				h.mu.Lock()
-				h.lease.Renewed(asked, h.lease.Session)
-				h.mu.Unlock()
+				held.mu.Lock()
+				held.lease.Renewed(sentAt, held.lease.Session)
+				held.mu.Unlock()
 			}
 		}
 	}()
-	return h, nil
+	return held, nil
 }
 
-// Held is a session that is held.
+// HeldSession is a session that a client opened and keeps renewing. It is safe for concurrent
+// use.
 type HeldSession struct {
 	openedAt time.Time
 	lost     chan struct{}
@@ -296,15 +298,15 @@
 	lease ledger.HeldLease
 }
 
-// ID is the session's number.
+// ID returns the number of the session.
 func (h *HeldSession) ID() uint64 { return h.lease.ID }
 
-// Holds says whether the holder may act on it now.
+// Valid reports whether the holder may still act on the session.
 func (h *HeldSession) Valid() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease.Valid(time.Since(h.openedAt))
 }
 
-// Lost is closed when it is held no more.
+// Lost returns a channel that is closed when the session is no longer renewed.
 func (h *HeldSession) Lost() <-chan struct{} { return h.lost }
--- a/internal/group/config.go
+++ b/internal/group/config.go
@@ -12,13 +12,13 @@
 type Config struct {
 	Name              string            // name of the group, the same for all members
 	Self              uint64            // this member's number, from 1
-	Members           map[uint64]string // addresses by number, this member's included: the 1, 3 or 5 founders, or some to join by
+	Members           map[uint64]string // addresses by number: the 1, 3 or 5 initial members, or those to join through; includes this member
 	RegistryAddresses map[uint64]string // addresses of their registries, if the group replicates the list
 	Join              bool              // the group exists, and this member is added to it
 	Dir               string            // folder of the log and its snapshots
 	DataMB            int               // limit of the size of all files in Dir
 	Limits            ledger.Limits
-	List              List // the list that the group replicates beside the ledger; nil: none
+	List              List // replicated beside the ledger; nil: none
 }
 
 // List is a member's replica of a registry's list. The member's loop calls the methods, one
@@ -33,7 +33,7 @@
 	// SetWriter names the writer by the address of its registry, or "" if none is known.
 	// here says that this member is the writer and has applied all earlier entries.
 	SetWriter(here bool, address string)
-	// Sights returns what records say of backends.
+	// BackendStates returns the states of the backends in the records.
 	BackendStates(records [][]byte) []budget.BackendState
 }
 
@@ -41,24 +41,24 @@
 func (c *Config) Check() error {
 	switch {
 	case c.Name == "" || len(c.Name) > 64:
-		return fmt.Errorf("name: %.80q is not from 1 to 64 bytes", c.Name)
+		return fmt.Errorf("name: %.80q does not have 1 to 64 bytes", c.Name)
 	case !c.Join && len(c.Members) != 1 && len(c.Members) != 3 && len(c.Members) != 5:
-		return fmt.Errorf("members: %d are not 1, 3 or 5", len(c.Members))
+		return fmt.Errorf("members: got %d, want 1, 3 or 5", len(c.Members))
 	case c.Members[c.Self] == "":
 		return fmt.Errorf("self: %d is not among the members", c.Self)
 	case c.Join && len(c.Members) < 2:
-		return errors.New("members: one that joins has to know another")
+		return errors.New("members: a joining member needs the address of another member")
 	case c.Dir == "":
-		return errors.New("data_dir: a member has to keep what it has promised")
+		return errors.New("data_dir: a folder is required")
 	case c.DataMB < 64:
-		return fmt.Errorf("data_mb: %d is under 64", c.DataMB)
+		return fmt.Errorf("data_mb: %d is less than 64", c.DataMB)
 	}
 	seen := map[string]uint64{}
-	for n, at := range c.Members {
-		if other, twice := seen[at]; n == 0 || twice {
-			return fmt.Errorf("members: %d and %d are at %s, or one has the number 0", n, other, at)
+	for number, address := range c.Members {
+		if other, duplicate := seen[address]; number == 0 || duplicate {
+			return fmt.Errorf("members: %d and %d have the same address %s, or a number is 0", number, other, address)
 		}
-		seen[at] = n
+		seen[address] = number
 	}
 	return nil
 }
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -1,7 +1,7 @@
-// Package group is a group of list services that agree on a ledger by raft
-// (go.etcd.io/raft/v3). The algorithm is the library's; here are the storage on
-// internal/wal, the state machine, the transport over HTTP, and the calls. core is
-// without clocks and sockets; Group runs it.
+// Package group replicates a ledger, and optionally a registry's list of backends, among a
+// group of members by raft (go.etcd.io/raft/v3). It adds to the library the storage on
+// internal/wal, the state machine, the transport over HTTP and the client. Messages, statuses
+// and metrics call raft's leader the writer.
 package group
 
 import (
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Disk is where a member keeps what has to last; *wal.Log is one.
+// DurableLog is the durable storage of a member; *wal.Log implements it.
 type DurableLog interface {
 	Append(records [][]byte) (first uint64, err error)
 	SnapshotDue() bool
@@ -26,7 +26,8 @@
 	Snapshot(sequence uint64, records func(emit func(record []byte) error) error) error
 }
 
-// Machine is what the members agree on the state of.
+// StateMachine is the replicated state. Apply is called once for each committed entry, in the
+// order of the log.
 type StateMachine interface {
 	Apply(index uint64, data []byte) any
 	Add(number uint64, at Member)
@@ -35,38 +36,38 @@
 	Restore(lines [][]byte) error
 }
 
-// Of raft. A tick is Tick long; an election begins after electionTicks to twice that
-// without a word of the writer.
+// Settings of raft. A follower starts an election after electionTicks to twice that many ticks
+// without a message of the leader.
 const (
 	electionTicks       = 10
 	heartbeatTicks      = 2
-	maxMessageBytes     = 256 << 10 // bytes of entries in one
-	maxInflightMessages = 64        // messages to one member that are not answered yet
-	maxInflightBytes    = 4 << 20   // bytes of them
-	maxUncommittedBytes = 8 << 20   // bytes of entries that wait to be agreed on; more are refused
-	retainedEntries     = 5000      // behind a snapshot, for members that lag
-	syncBatchBytes      = 512 << 10 // bytes of records that one sync is for, about
+	maxMessageBytes     = 256 << 10 // bytes of the entries in one message
+	maxInflightMessages = 64        // unacknowledged messages to one member
+	maxInflightBytes    = 4 << 20   // bytes of unacknowledged messages to one member
+	maxUncommittedBytes = 8 << 20   // bytes of uncommitted entries; further proposals are dropped
+	retainedEntries     = 5000      // entries kept before a snapshot, for members that lag
+	syncBatchBytes      = 512 << 10 // approximate bytes of records per sync
 )
 
-// Kinds of records on disk, by their first byte.
+// Kinds of records in the durable log, by their first byte.
 const (
-	kindIdentity    = 'i' // group name and member, once
-	kindSnapshot    = 's' // raftpb.SnapshotMetadata; what stands before it is over
-	kindStateLine   = 'm' // a line of the machine as of that snapshot
-	kindEntry       = 'e' // raftpb.Entry; what stands at its index and behind it is over
+	kindIdentity    = 'i' // identity, written once
+	kindSnapshot    = 's' // raftpb.SnapshotMetadata; replaces all earlier entries and state lines
+	kindStateLine   = 'm' // a line of the state machine at that snapshot
+	kindEntry       = 'e' // raftpb.Entry; replaces earlier entries from its index on
 	kindHardState   = 'h' // raftpb.HardState
-	kindIncarnation = 'l' // life: of this member, or the highest that another has told
-	kindTermination = 'x' // why this member must not speak any more
+	kindIncarnation = 'l' // incarnation of this member, or the latest known one of another
+	kindTermination = 'x' // reason why this member has terminated for good
 )
 
-// life counts the starts of a member's process.
+// incarnation identifies one start of a member's process.
 type incarnation struct {
 	Member  uint64 `json:"member"`
 	Number  uint64 `json:"life"`
-	Process string `json:"process"` // a random name: one process sends its join request more than once
+	Process string `json:"process"` // random; tells a repeated join request from that of another process
 }
 
-// identity is what a member is, for good.
+// identity names the member and the group that a folder belongs to.
 type identity struct {
 	Group  string
 	Member uint64
@@ -74,7 +75,7 @@
 
 func (i identity) String() string { return fmt.Sprintf("member %d of group %q", i.Member, i.Group) }
 
-// recovered is what was found on disk.
+// recoveredState is the state read from the durable log at a start.
 type recoveredState struct {
 	nonEmpty      bool
 	identity      string
@@ -86,14 +87,14 @@
 	termination   string
 }
 
-// record takes one in, in the order in which they were written.
-func (r *recoveredState) addRecord(text []byte) error {
-	if len(text) == 0 {
-		return errors.New("an empty record")
+// addRecord processes the next record of the log.
+func (r *recoveredState) addRecord(record []byte) error {
+	if len(record) == 0 {
+		return errors.New("group: empty record")
 	}
 	r.nonEmpty = true
-	body := append([]byte(nil), text[1:]...)
-	switch text[0] {
+	body := append([]byte(nil), record[1:]...)
+	switch record[0] {
 	case kindIdentity:
 		r.identity = string(body)
 	case kindSnapshot:
@@ -102,18 +103,18 @@
 	case kindStateLine:
 		r.snapshotLines = append(r.snapshotLines, body)
 	case kindEntry:
-		e := &raftpb.Entry{}
-		if err := proto.Unmarshal(body, e); err != nil {
+		entry := &raftpb.Entry{}
+		if err := proto.Unmarshal(body, entry); err != nil {
 			return err
 		}
 		if len(r.entries) > 0 {
 			first := r.entries[0].GetIndex()
-			if e.GetIndex() < first || e.GetIndex() > first+uint64(len(r.entries)) {
-				return fmt.Errorf("entry %d among those from %d to %d", e.GetIndex(), first, first+uint64(len(r.entries))-1)
+			if entry.GetIndex() < first || entry.GetIndex() > first+uint64(len(r.entries)) {
+				return fmt.Errorf("group: entry %d does not continue the entries from %d to %d", entry.GetIndex(), first, first+uint64(len(r.entries))-1)
 			}
-			r.entries = r.entries[:e.GetIndex()-first]
+			r.entries = r.entries[:entry.GetIndex()-first]
 		}
-		r.entries = append(r.entries, e)
+		r.entries = append(r.entries, entry)
 	case kindHardState:
 		r.hardState = &raftpb.HardState{}
 		return proto.Unmarshal(body, r.hardState)
@@ -131,13 +132,13 @@
 	case kindTermination:
 		r.termination = string(body)
 	default:
-		return fmt.Errorf("a record of kind %q", text[0])
+		return fmt.Errorf("group: unknown kind of record %q", record[0])
 	}
 	return nil
 }
 
-// core is one member: messages, ticks and proposals in; messages, what was agreed on
-// and what may be read out. Nothing leaves it that the disk does not hold.
+// core is the deterministic part of a member, without clocks and sockets. It persists all
+// state before the messages and results that depend on it are released.
 type core struct {
 	raw          *raft.RawNode
 	identity     identity
@@ -146,81 +147,82 @@
 	stateMachine StateMachine
 	confState    *raftpb.ConfState
 	applied      uint64
-	incarnations map[uint64]incarnation // the last of each member that has told its own, and this one's
+	incarnations map[uint64]incarnation // latest known incarnation by member, this one included
 	err          error
 }
 
-// output is what a step leads to.
+// output holds the messages and results that processReady releases.
 type output struct {
 	send              []*raftpb.Message
 	applied           []appliedEntry
 	reads             []raft.ReadState
-	installedSnapshot bool // a snapshot of another member's was taken in
+	installedSnapshot bool // a snapshot of the leader has been installed
 }
 
-// applied is an entry that was agreed on, and what the machine made of it.
+// appliedEntry is a committed entry and the result of applying it.
 type appliedEntry struct {
 	index        uint64
 	key          uint64 // of its proposal
 	result       any
-	isConfChange bool // the members
+	isConfChange bool
 }
 
-// Errors of a folder that must not be used as it is.
+// Errors of a folder that a member must not start from.
 var (
+	// ErrTerminated says that the member has left its group for good.
 	ErrTerminated     = errors.New("group: this member must not speak any more")
-	errNoInitialState = errors.New("group: the folder has no beginning")
+	errNoInitialState = errors.New("group: the folder has no initial snapshot or no hard state")
 )
 
-// newCore goes on from what was found on disk, or begins: all members of a new group
-// begin with the same voters, as if they had come by a snapshot. One that joins begins
-// with nothing, and gets all of it from the writer.
-func newCore(who identity, process string, voters []uint64, joins bool, disk DurableLog, r *recoveredState, machine StateMachine) (*core, error) {
-	c := &core{identity: who, storage: raft.NewMemoryStorage(), log: disk, stateMachine: machine, incarnations: map[uint64]incarnation{}}
+// newCore restores a member from its recovered state, or creates one. All members of a new group
+// start from the same snapshot, which names the voters. A joining member starts empty and gets
+// its state from the leader.
+func newCore(owner identity, process string, voters []uint64, joining bool, log DurableLog, recovered *recoveredState, stateMachine StateMachine) (*core, error) {
+	c := &core{identity: owner, storage: raft.NewMemoryStorage(), log: log, stateMachine: stateMachine, incarnations: map[uint64]incarnation{}}
 	switch {
-	case r.termination != "":
-		return nil, fmt.Errorf("%w: %s", ErrTerminated, r.termination)
-	case r.nonEmpty && r.identity != who.String():
-		return nil, fmt.Errorf("group: the folder is of %s, not of %s", r.identity, who)
-	case r.snapshotMeta == nil && len(r.entries) > 0 || r.snapshotMeta != nil && r.hardState == nil:
+	case recovered.termination != "":
+		return nil, fmt.Errorf("%w: %s", ErrTerminated, recovered.termination)
+	case recovered.nonEmpty && recovered.identity != owner.String():
+		return nil, fmt.Errorf("group: the folder is of %s, not of %s", recovered.identity, owner)
+	case recovered.snapshotMeta == nil && len(recovered.entries) > 0 || recovered.snapshotMeta != nil && recovered.hardState == nil:
 		return nil, errNoInitialState
 	}
-	maps.Copy(c.incarnations, r.incarnations)
-	// It lasts before anything is said in it.
-	c.incarnations[who.Member] = incarnation{who.Member, c.incarnations[who.Member].Number + 1, process}
-	records := [][]byte{c.incarnations[who.Member].encode()}
-	if !r.nonEmpty {
-		records = append(records, tagged(kindIdentity, []byte(who.String())))
-		if !joins {
+	maps.Copy(c.incarnations, recovered.incarnations)
+	// The new incarnation is persisted before the first message of it is sent.
+	c.incarnations[owner.Member] = incarnation{owner.Member, c.incarnations[owner.Member].Number + 1, process}
+	records := [][]byte{c.incarnations[owner.Member].encode()}
+	if !recovered.nonEmpty {
+		records = append(records, tagged(kindIdentity, []byte(owner.String())))
+		if !joining {
 			one := uint64(1)
-			r.snapshotMeta = &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}
-			r.hardState = &raftpb.HardState{Term: &one, Commit: &one}
-			r.snapshotLines = machine.Save()
-			records = append(append(records, snapshotRecords(r.snapshotMeta, r.snapshotLines)...), tagged(kindHardState, mustMarshal(r.hardState)))
+			recovered.snapshotMeta = &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}
+			recovered.hardState = &raftpb.HardState{Term: &one, Commit: &one}
+			recovered.snapshotLines = stateMachine.Save()
+			records = append(append(records, snapshotRecords(recovered.snapshotMeta, recovered.snapshotLines)...), tagged(kindHardState, mustMarshal(recovered.hardState)))
 		}
 	}
-	if _, err := disk.Append(records); err != nil {
+	if _, err := log.Append(records); err != nil {
 		return nil, err
 	}
-	if r.snapshotMeta != nil {
-		if err := c.storage.ApplySnapshot(&raftpb.Snapshot{Metadata: r.snapshotMeta, Data: joinLines(r.snapshotLines)}); err != nil {
+	if recovered.snapshotMeta != nil {
+		if err := c.storage.ApplySnapshot(&raftpb.Snapshot{Metadata: recovered.snapshotMeta, Data: joinLines(recovered.snapshotLines)}); err != nil {
 			return nil, err
 		}
-		if err := machine.Restore(r.snapshotLines); err != nil {
+		if err := stateMachine.Restore(recovered.snapshotLines); err != nil {
 			return nil, err
 		}
 	}
-	if r.hardState != nil { // one that joins may have heard of a term before it had anything
-		if err := c.storage.SetHardState(r.hardState); err != nil {
+	if recovered.hardState != nil { // a joining member may have persisted a term before its first snapshot
+		if err := c.storage.SetHardState(recovered.hardState); err != nil {
 			return nil, err
 		}
 	}
-	if err := c.storage.Append(r.entries); err != nil {
+	if err := c.storage.Append(recovered.entries); err != nil {
 		return nil, err
 	}
-	c.confState, c.applied = r.snapshotMeta.GetConfState(), r.snapshotMeta.GetIndex()
+	c.confState, c.applied = recovered.snapshotMeta.GetConfState(), recovered.snapshotMeta.GetIndex()
 	var err error
-	c.raw, err = raft.NewRawNode(&raft.Config{ID: who.Member, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.storage, Applied: c.applied,
+	c.raw, err = raft.NewRawNode(&raft.Config{ID: owner.Member, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.storage, Applied: c.applied,
 		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, MaxInflightBytes: maxInflightBytes, MaxUncommittedEntriesSize: maxUncommittedBytes,
 		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, Logger: raftLogger{}})
 	return c, err
@@ -229,43 +231,43 @@
 func (l incarnation) encode() []byte {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // unreachable: all fields can be encoded
 	}
 	return tagged(kindIncarnation, text)
 }
 
-// remember makes last that another member has begun a life.
+// saveIncarnation persists the incarnation of another member.
 func (c *core) saveIncarnation(l incarnation) error {
 	if c.incarnations[l.Member] == l {
 		return nil
 	}
 	if _, err := c.log.Append([][]byte{l.encode()}); err != nil {
-		c.err = fmt.Errorf("group: the disk: %w", err)
+		c.err = fmt.Errorf("group: persist to the log: %w", err)
 		return c.err
 	}
 	c.incarnations[l.Member] = l
 	return nil
 }
 
-// end makes last that this member must not speak any more, and ends it.
-func (c *core) terminate(why string) {
-	if _, err := c.log.Append([][]byte{tagged(kindTermination, []byte(why))}); err != nil {
-		c.err = fmt.Errorf("group: the disk: %w", err)
+// terminate persists that this member has terminated for good, and stops it.
+func (c *core) terminate(reason string) {
+	if _, err := c.log.Append([][]byte{tagged(kindTermination, []byte(reason))}); err != nil {
+		c.err = fmt.Errorf("group: persist to the log: %w", err)
 		return
 	}
-	c.err = fmt.Errorf("%w: %s", ErrTerminated, why)
+	c.err = fmt.Errorf("%w: %s", ErrTerminated, reason)
 }
 
-// last is the last entry that this member has.
+// lastIndex returns the index of the last entry in the log.
 func (c *core) lastIndex() uint64 {
 	last, err := c.storage.LastIndex()
 	if err != nil {
-		panic(err) // of memory
+		panic(err) // unreachable: MemoryStorage returns no error
 	}
 	return last
 }
 
-// head is what a snapshot on disk begins with.
+// headRecords returns the records at the start of a snapshot on disk.
 func (c *core) headRecords() [][]byte {
 	records := [][]byte{tagged(kindIdentity, []byte(c.identity.String()))}
 	for _, n := range slices.Sorted(maps.Keys(c.incarnations)) {
@@ -274,8 +276,9 @@
 	return records
 }
 
-// ready carries out what the algorithm wants: what has to last first, then all else.
-// A disk that fails ends the member: it must not say what it may not remember.
+// processReady processes all that raft has made ready: it persists entries and state, and then
+// applies committed entries. A disk error stops the member, since it must not send messages
+// about state that may be lost.
 func (c *core) processReady() (out output, err error) {
 	if c.err != nil {
 		return out, c.err
@@ -283,7 +286,7 @@
 	for c.raw.HasReady() {
 		rd := c.raw.Ready()
 		if err := c.persist(rd); err != nil {
-			c.err = fmt.Errorf("group: the disk: %w", err)
+			c.err = fmt.Errorf("group: persist to the log: %w", err)
 			return output{}, c.err
 		}
 		out.installedSnapshot = out.installedSnapshot || !raft.IsEmptySnap(rd.Snapshot)
@@ -300,7 +303,7 @@
 	return out, c.compact()
 }
 
-// keep makes what is new last, and then known to the algorithm's storage.
+// persist writes new state to the durable log, and then to raft's storage.
 func (c *core) persist(rd raft.Ready) error {
 	var batch [][]byte
 	size := 0
@@ -321,8 +324,8 @@
 		batch = append(batch, r)
 		return nil
 	}
-	whole := !raft.IsEmptySnap(rd.Snapshot)
-	if whole {
+	hasSnapshot := !raft.IsEmptySnap(rd.Snapshot)
+	if hasSnapshot {
 		lines, err := splitLines(rd.Snapshot.GetData())
 		if err != nil {
 			return err
@@ -349,7 +352,7 @@
 	if err := flush(); err != nil {
 		return err
 	}
-	if whole {
+	if hasSnapshot {
 		if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
@@ -364,29 +367,28 @@
 	return nil
 }
 
-// lasting is the state that has to last with a step, or nil.
+// hardStateToPersist returns the hard state that has to be persisted with a Ready, or nil.
 //
-// Danger: what is agreed on need not be known again after a restart, but for changes of
-// the members. One that has forgotten several of them counts those that were taken out,
-// which say no more: it waits for their votes for ever, or finds a majority among them
-// that has nothing in common with that of the others.
+// The commit index need not be persisted, except for configuration changes. A member that loses
+// several of them in a restart counts the votes of removed members: it waits for them for ever,
+// or finds a majority that does not intersect with that of the other members.
 func (c *core) hardStateToPersist(rd raft.Ready) (*raftpb.HardState, error) {
-	changes := slices.ContainsFunc(rd.CommittedEntries, func(e *raftpb.Entry) bool {
+	hasConfChange := slices.ContainsFunc(rd.CommittedEntries, func(e *raftpb.Entry) bool {
 		return e.GetType() == raftpb.EntryType_EntryConfChange
 	})
-	given := rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState)
+	hasState := rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState)
 	switch {
-	case given && (changes || rd.MustSync):
+	case hasState && (hasConfChange || rd.MustSync):
 		return rd.HardState, nil
-	case changes: // they were agreed on in a step before
+	case hasConfChange: // committed by an earlier Ready
 		state, _, err := c.storage.InitialState()
 		return state, err
 	}
 	return nil, nil
 }
 
-// install puts a snapshot that another member has sent in place of all that is on disk:
-// half of one is none.
+// installSnapshot replaces the content of the durable log by a snapshot that the leader sent,
+// in one atomic step.
 func (c *core) installSnapshot(rd raft.Ready, lines [][]byte) error {
 	state, _, err := c.storage.InitialState()
 	if err != nil {
@@ -395,7 +397,7 @@
 	if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
 		state = rd.HardState
 	}
-	// Its place in the log is that of a record of its own.
+	// The snapshot replaces the log up to this record.
 	sequence, err := c.log.Append([][]byte{tagged(kindHardState, mustMarshal(state))})
 	if err != nil {
 		return err
@@ -416,67 +418,67 @@
 	return nil
 }
 
-func (c *core) applyEntry(e *raftpb.Entry, out *output) error {
-	c.applied = e.GetIndex()
-	switch e.GetType() {
+func (c *core) applyEntry(entry *raftpb.Entry, out *output) error {
+	c.applied = entry.GetIndex()
+	switch entry.GetType() {
 	case raftpb.EntryType_EntryNormal:
 	case raftpb.EntryType_EntryConfChange:
-		return c.applyConfChange(e, out)
+		return c.applyConfChange(entry, out)
 	default:
-		return fmt.Errorf("group: entry %d changes several members at once, which this program does not do", e.GetIndex())
+		return fmt.Errorf("group: entry %d is a joint configuration change, which is not supported", entry.GetIndex())
 	}
-	if len(e.GetData()) > 0 { // a new writer's first entry has none
-		a := appliedEntry{index: e.GetIndex(), result: c.stateMachine.Apply(e.GetIndex(), e.GetData())}
-		if len(e.GetData()) >= keyBytes {
-			a.key = binary.BigEndian.Uint64(e.GetData())
+	if len(entry.GetData()) > 0 { // the first entry of a new leader is empty
+		applied := appliedEntry{index: entry.GetIndex(), result: c.stateMachine.Apply(entry.GetIndex(), entry.GetData())}
+		if len(entry.GetData()) >= keyBytes {
+			applied.key = binary.BigEndian.Uint64(entry.GetData())
 		}
-		out.applied = append(out.applied, a)
+		out.applied = append(out.applied, applied)
 	}
 	return nil
 }
 
-// applyChange changes the members.
-func (c *core) applyConfChange(e *raftpb.Entry, out *output) error {
-	cc := &raftpb.ConfChange{}
-	if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-		return fmt.Errorf("group: entry %d: %w", e.GetIndex(), err)
+// applyConfChange applies a committed configuration change.
+func (c *core) applyConfChange(entry *raftpb.Entry, out *output) error {
+	change := &raftpb.ConfChange{}
+	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
+		return fmt.Errorf("group: entry %d: %w", entry.GetIndex(), err)
 	}
-	with, err := applyMemberChange(c.stateMachine, e.GetIndex(), cc)
+	member, err := applyMemberChange(c.stateMachine, entry.GetIndex(), change)
 	if err != nil {
 		return err
 	}
-	c.confState = c.raw.ApplyConfChange(cc)
-	out.applied = append(out.applied, appliedEntry{index: e.GetIndex(), key: with.Key, isConfChange: true})
-	// What is sent as a snapshot from now on has to name the members as they are, or one
-	// that joins takes it for another's.
+	c.confState = c.raw.ApplyConfChange(change)
+	out.applied = append(out.applied, appliedEntry{index: entry.GetIndex(), key: member.Key, isConfChange: true})
+	// Snapshots sent from now on must include the new member, or a joining member would reject
+	// them.
 	if _, err := c.storage.CreateSnapshot(c.applied, c.confState, joinLines(c.stateMachine.Save())); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		return err
 	}
 	return nil
 }
 
-// changeMachine takes a change of the members into the machine.
-func applyMemberChange(m StateMachine, index uint64, cc *raftpb.ConfChange) (with memberChange, err error) {
-	if err := json.Unmarshal(cc.GetContext(), &with); err != nil {
-		return with, fmt.Errorf("group: entry %d: %w", index, err)
+// applyMemberChange applies a configuration change to the state machine.
+func applyMemberChange(stateMachine StateMachine, index uint64, confChange *raftpb.ConfChange) (change memberChange, err error) {
+	if err := json.Unmarshal(confChange.GetContext(), &change); err != nil {
+		return change, fmt.Errorf("group: entry %d: %w", index, err)
 	}
-	switch cc.GetType() {
+	switch confChange.GetType() {
 	case raftpb.ConfChangeType_ConfChangeAddLearnerNode:
-		m.Add(cc.GetNodeId(), with.Member)
+		stateMachine.Add(confChange.GetNodeId(), change.Member)
 	case raftpb.ConfChangeType_ConfChangeRemoveNode:
-		m.Remove(cc.GetNodeId())
+		stateMachine.Remove(confChange.GetNodeId())
 	}
-	return with, nil
+	return change, nil
 }
 
-// compact puts a snapshot in place of the log when it has grown. One that fails is
-// tried again when more has been written.
+// compact replaces the log by a snapshot when one is due. After a failure the next call tries
+// again.
 func (c *core) compact() error {
 	if !c.log.SnapshotDue() {
 		return nil
 	}
 	lines := c.stateMachine.Save()
-	snap, err := c.storage.CreateSnapshot(c.applied, c.confState, joinLines(lines))
+	snapshot, err := c.storage.CreateSnapshot(c.applied, c.confState, joinLines(lines))
 	if errors.Is(err, raft.ErrSnapOutOfDate) {
 		return nil
 	}
@@ -500,10 +502,10 @@
 		for _, e := range entries {
 			tail = append(tail, tagged(kindEntry, mustMarshal(e)))
 		}
-		return emitAll(emit, c.headRecords(), snapshotRecords(snap.GetMetadata(), lines), tail)
+		return emitAll(emit, c.headRecords(), snapshotRecords(snapshot.GetMetadata(), lines), tail)
 	})
 	if err != nil {
-		slog.Error("group: no snapshot was kept", "error", err)
+		slog.Error("group: writing a snapshot failed", "error", err)
 		return nil
 	}
 	if first, err := c.storage.FirstIndex(); err == nil && c.applied > retainedEntries && c.applied-retainedEntries > first {
@@ -517,7 +519,7 @@
 func mustMarshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // of messages that were made here, or read
+		panic(err) // unreachable: the message was built here or decoded before
 	}
 	return b
 }
@@ -530,38 +532,41 @@
 	return records
 }
 
-// join and split make one text of lines, and lines of it.
-func joinLines(lines [][]byte) (text []byte) {
+// joinLines encodes lines as one byte string, each after its length; splitLines reverses it.
+func joinLines(lines [][]byte) (data []byte) {
 	for _, l := range lines {
-		text = append(binary.AppendUvarint(text, uint64(len(l))), l...)
+		data = append(binary.AppendUvarint(data, uint64(len(l))), l...)
 	}
-	return text
+	return data
 }
 
-func splitLines(text []byte) (lines [][]byte, err error) {
-	for len(text) > 0 {
-		n, used := binary.Uvarint(text)
-		if used <= 0 || n > uint64(len(text)-used) {
-			return nil, errors.New("group: a text of lines is cut short")
+func splitLines(data []byte) (lines [][]byte, err error) {
+	for len(data) > 0 {
+		length, prefix := binary.Uvarint(data)
+		if prefix <= 0 || length > uint64(len(data)-prefix) {
+			return nil, errors.New("group: encoded lines are truncated")
 		}
-		lines = append(lines, text[used:used+int(n)])
-		text = text[used+int(n):]
+		lines = append(lines, data[prefix:prefix+int(length)])
+		data = data[prefix+int(length):]
 	}
 	return lines, nil
 }
 
-// quiet is the algorithm's log: what matters of it is told by Group.
+// raftLogger passes raft's errors to slog and drops its other messages, as Group logs changes of
+// its role itself.
 type raftLogger struct{}
 
-func (raftLogger) Debug(...any)                {}
-func (raftLogger) Debugf(string, ...any)       {}
-func (raftLogger) Info(...any)                 {}
-func (raftLogger) Infof(string, ...any)        {}
-func (raftLogger) Warning(v ...any)            {}
-func (raftLogger) Warningf(f string, v ...any) {}
-func (raftLogger) Error(v ...any)              { slog.Error("raft", "text", fmt.Sprint(v...)) }
-func (raftLogger) Errorf(f string, v ...any)   { slog.Error("raft", "text", fmt.Sprintf(f, v...)) }
-func (raftLogger) Fatal(v ...any)              { panic(fmt.Sprint(v...)) }
-func (raftLogger) Fatalf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
-func (raftLogger) Panic(v ...any)              { panic(fmt.Sprint(v...)) }
-func (raftLogger) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
+func (raftLogger) Debug(...any)                     {}
+func (raftLogger) Debugf(string, ...any)            {}
+func (raftLogger) Info(...any)                      {}
+func (raftLogger) Infof(string, ...any)             {}
+func (raftLogger) Warning(v ...any)                 {}
+func (raftLogger) Warningf(format string, v ...any) {}
+func (raftLogger) Error(v ...any)                   { slog.Error("raft", "text", fmt.Sprint(v...)) }
+func (raftLogger) Errorf(format string, v ...any) {
+	slog.Error("raft", "text", fmt.Sprintf(format, v...))
+}
+func (raftLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (raftLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (raftLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (raftLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -35,19 +35,19 @@
 )
 
 var (
-	// ErrNoWriter says that this member knows no leader of the group, here called its
-	// writer. The call has changed nothing.
+	// ErrNoLeader says that this member knows no leader of the group. The call has changed
+	// nothing.
 	ErrNoLeader = errors.New("the group has no writer now")
 	// ErrUnknown says that the command may or may not be committed, now or later. It is
 	// safe to retry under the same request number: the group applies it once.
-	ErrUnknown = errors.New("it is not known whether it was done")
+	ErrUnknown = errors.New("outcome unknown: the command may or may not be committed")
 	// ErrBusy says that a queue is full. The call has changed nothing.
-	ErrBusy    = errors.New("too much waits for the group")
-	errStopped = errors.New("this member has ended")
+	ErrBusy    = errors.New("too many pending calls to the group")
+	errStopped = errors.New("this member has stopped")
 )
 
-// NotWriter is the error of a member that is not the writer. It has the address of the
-// member that is. The call has changed nothing.
+// NotLeaderError is the error of a member that is not the leader. Address is that of the leader.
+// The call has changed nothing.
 type NotLeaderError struct{ Address string }
 
 func (e *NotLeaderError) Error() string { return "the writer is at " + e.Address }
@@ -68,13 +68,13 @@
 	core              *core
 	members           *memberTable
 	participating     bool                                // enough others have welcomed this member
-	lastReceived      map[uint64]time.Time                // when each member was heard last
-	pendingChange     uint64                              // the key of a change of the members that is under way
+	lastReceived      map[uint64]time.Time                // time of the last message by member
+	pendingChange     uint64                              // key of the membership change in progress; 0: none
 	startPeer         func(number uint64, address string) // starts to send messages to a member
 	leaderReady       bool                                // it is the leader, and has applied all entries of earlier terms
-	termStart         uint64                              // index of the first entry of its own term; once it is applied, writes is set
+	termStart         uint64                              // index of the first entry of its own term; leaderReady is set once it is applied
 	leadershipLost    chan struct{}                       // closed when this member is no longer the leader
-	leaderSeen        time.Time                           // when the leader was heard last
+	leaderSeen        time.Time                           // time of the leader's last message
 	state             *ledger.State
 	leases            ledger.Leases
 	role              raft.StateType
@@ -93,17 +93,17 @@
 }
 
 // Open restores a member from its folder, or creates one in an empty folder. Run starts it.
-func Open(c Config, fs wal.FS) (*Group, error) {
-	log, r, err := openLog(c, fs)
+func Open(config Config, fs wal.FS) (*Group, error) {
+	log, recovered, err := openLog(config, fs)
 	if err != nil {
 		return nil, err
 	}
-	g := &Group{config: c, log: log, members: newMemberTable(c.initialMembers()), joinClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, calls: make(chan func(), maxPendingCalls), stopped: make(chan struct{}), openedAt: time.Now(), state: ledger.New(c.Limits),
+	g := &Group{config: config, log: log, members: newMemberTable(config.initialMembers()), joinClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, calls: make(chan func(), maxPendingCalls), stopped: make(chan struct{}), openedAt: time.Now(), state: ledger.New(config.Limits),
 		lastReceived: map[uint64]time.Time{}, proposals: map[uint64]*proposal{}, reads: map[uint64]*pendingRead{}, expiring: map[uint64]bool{}, peers: map[uint64]*peer{}, entryApplied: make(chan struct{}), leadershipLost: make(chan struct{}),
 		commitLatency: hdrhistogram.New(1, maxCommitMicroseconds, 3)}
 	process := randomName()
 	g.keyBase = rand.Uint64()
-	if g.core, err = newCore(identity{c.Name, c.Self}, process, slices.Sorted(maps.Keys(c.Members)), c.Join, log, r, replicatedState{g.state, c.List, g.members}); err != nil {
+	if g.core, err = newCore(identity{config.Name, config.Self}, process, slices.Sorted(maps.Keys(config.Members)), config.Join, log, recovered, replicatedState{g.state, config.List, g.members}); err != nil {
 		log.Close()
 		return nil, err
 	}
--- a/internal/group/handshake.go
+++ b/internal/group/handshake.go
@@ -17,7 +17,7 @@
 
 // The join handshake: before a member votes or acknowledges an entry, it tells the others who
 // it is and how long its log is. They know its earlier processes, and so recognise a folder
-// that was lost or replaced by an older copy. Such a member has forgotten its votes and
+// that was lost or replaced by an older copy. Such a member has lost its votes and
 // acknowledgements, and must not take part.
 
 const (
@@ -26,7 +26,7 @@
 
 	joinTimeout         = time.Second            // for one reply
 	joinRetryInterval   = 100 * time.Millisecond // between two requests to one member
-	joinLeaderTimeout   = 2 * time.Second        // how long the leader's own reply is waited for
+	joinLeaderTimeout   = 2 * time.Second        // for the leader's own reply
 	formerRetryInterval = 2 * time.Second        // between two requests to a former member
 	maxRequestBytes     = 16 << 10               // of a request's or a reply's body
 )
@@ -46,8 +46,8 @@
 
 const (
 	verdictWelcome verdict = "welcome"
-	verdictUnknown verdict = "unknown" // not a member yet, as far as the other knows: try again
-	verdictRefused verdict = "refused" // final: the member must end
+	verdictUnknown verdict = "unknown" // the replying member does not know it as a member yet: retry
+	verdictRefused verdict = "refused" // final: the member must terminate
 	verdictCrossed verdict = "crossed" // it belongs to another group
 )
 
@@ -61,102 +61,102 @@
 }
 
 // answerJoin decides on a join request. It runs in the loop.
-func (g *Group) answerJoin(from joinRequest) joinReply {
-	out := joinReply{Verdict: verdictUnknown, Writer: g.leader, Generation: g.members.Generation}
-	own, known := g.members.Generation, g.core.incarnations[from.Self]
+func (g *Group) answerJoin(request joinRequest) joinReply {
+	reply := joinReply{Verdict: verdictUnknown, Writer: g.leader, Generation: g.members.Generation}
+	generation, known := g.members.Generation, g.core.incarnations[request.Self]
 	switch {
-	case from.Group != g.config.Name:
-		out.Verdict, out.Reason = verdictCrossed, fmt.Sprintf("this is member %d of group %q", g.config.Self, g.config.Name)
+	case request.Group != g.config.Name:
+		reply.Verdict, reply.Reason = verdictCrossed, fmt.Sprintf("this is member %d of group %q", g.config.Self, g.config.Name)
 	case g.core.lastIndex() == 0:
-		out.Reason = "this member has nothing yet"
-	case from.LastIndex > 0 && from.Generation.Number > own.Number:
-		g.core.terminate(supersededReason(from.Generation))
-		out.Reason = "this member is of an earlier generation, and ends"
-	case from.LastIndex > 0 && from.Generation.Number < own.Number:
-		out.Verdict, out.Reason = verdictRefused, supersededReason(own)
-	case from.LastIndex > 0 && from.Generation != own:
-		out.Verdict, out.Reason = verdictCrossed, fmt.Sprintf("two members were each made a group of their own: this one is of generation %s", own)
-	case g.members.wasRemoved(from.Self):
-		out.Verdict, out.Reason = verdictRefused, fmt.Sprintf("member %d was taken out of the group", from.Self)
-	case g.members.Members[from.Self].Address == "":
-		out.Reason = fmt.Sprintf("member %d was not added yet", from.Self)
-	case from.Incarnation < known.Number || from.Incarnation == known.Number && from.Process != known.Process:
-		out.Verdict, out.Reason = verdictRefused, fmt.Sprintf("member %d is in its start %d, and start %d was heard of before: its folder was lost, or is an older one. %s", from.Self, from.Incarnation, known.Number, replaceAdvice)
-	case g.leaderReady && g.core.raw.Status().Progress[from.Self].Match > from.LastIndex:
-		out.Verdict, out.Reason = verdictRefused, fmt.Sprintf("member %d has entries up to %d, and has promised those up to %d: its folder is an older one. %s", from.Self, from.LastIndex, g.core.raw.Status().Progress[from.Self].Match, replaceAdvice)
+		reply.Reason = "this member has no entries yet"
+	case request.LastIndex > 0 && request.Generation.Number > generation.Number:
+		g.core.terminate(supersededReason(request.Generation))
+		reply.Reason = "this member belongs to an earlier generation and terminates"
+	case request.LastIndex > 0 && request.Generation.Number < generation.Number:
+		reply.Verdict, reply.Reason = verdictRefused, supersededReason(generation)
+	case request.LastIndex > 0 && request.Generation != generation:
+		reply.Verdict, reply.Reason = verdictCrossed, fmt.Sprintf("two members were each made a group of their own: this one is of generation %s", generation)
+	case g.members.wasRemoved(request.Self):
+		reply.Verdict, reply.Reason = verdictRefused, fmt.Sprintf("member %d was taken out of the group", request.Self)
+	case g.members.Members[request.Self].Address == "":
+		reply.Reason = fmt.Sprintf("member %d was not added yet", request.Self)
+	case request.Incarnation < known.Number || request.Incarnation == known.Number && request.Process != known.Process:
+		reply.Verdict, reply.Reason = verdictRefused, fmt.Sprintf("member %d is in its start %d, and start %d was seen before: its folder was lost, or is an older one. %s", request.Self, request.Incarnation, known.Number, replaceAdvice)
+	case g.leaderReady && g.core.raw.Status().Progress[request.Self].Match > request.LastIndex:
+		reply.Verdict, reply.Reason = verdictRefused, fmt.Sprintf("member %d has entries up to %d and has acknowledged those up to %d: its folder is an older one. %s", request.Self, request.LastIndex, g.core.raw.Status().Progress[request.Self].Match, replaceAdvice)
 	default:
-		if err := g.core.saveIncarnation(incarnation{from.Self, from.Incarnation, from.Process}); err != nil {
-			out.Reason = err.Error()
+		if err := g.core.saveIncarnation(incarnation{request.Self, request.Incarnation, request.Process}); err != nil {
+			reply.Reason = err.Error()
 			break
 		}
-		if out.Verdict = verdictWelcome; from.LastIndex == 0 {
-			out.Members = maps.Clone(g.members.Members)
+		if reply.Verdict = verdictWelcome; request.LastIndex == 0 {
+			reply.Members = maps.Clone(g.members.Members)
 		}
 	}
-	return out
+	return reply
 }
 
-// replaceIt is the advice for a member whose folder is lost or old.
+// replaceAdvice is the advice for a member whose folder is lost or old.
 const replaceAdvice = "Remove the member, and add another under a new number"
 
-// superseded explains that the member belongs to an earlier generation.
+// supersededReason explains to a member of an earlier generation why it must terminate.
 func supersededReason(by Generation) string {
-	return fmt.Sprintf("the group went on as generation %s without this member; begin in an empty folder, under a new number", by)
+	return fmt.Sprintf("the group went on as generation %s without this member; start in an empty folder, under a new number", by)
 }
 
 // handshake sends this member's join request to the others until each has welcomed it, or
 // until ctx ends. The member takes part in the group once a majority, itself included, has
 // welcomed it, and also the leader that they name, unless that does not reply within
-// joinWriterWait.
-func (g *Group) handshake(ctx context.Context, from joinRequest, ask map[uint64]string, need int) {
+// joinLeaderTimeout.
+func (g *Group) handshake(ctx context.Context, request joinRequest, addresses map[uint64]string, required int) {
 	var mu sync.Mutex
-	welcomed, writers := map[uint64]bool{}, map[uint64]bool{}
-	var enough time.Time
-	part := sync.OnceFunc(func() { g.post(func() { g.participating = true }) })
-	look := func() {
+	welcomed, leaders := map[uint64]bool{}, map[uint64]bool{}
+	var quorumAt time.Time
+	participate := sync.OnceFunc(func() { g.post(func() { g.participating = true }) })
+	checkWelcomed := func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if len(welcomed) < need {
+		if len(welcomed) < required {
 			return
 		}
-		if enough.IsZero() {
-			enough = time.Now()
+		if quorumAt.IsZero() {
+			quorumAt = time.Now()
 		}
-		for w := range writers {
-			if w != g.config.Self && ask[w] != "" && !welcomed[w] && time.Since(enough) < joinLeaderTimeout {
+		for leader := range leaders {
+			if leader != g.config.Self && addresses[leader] != "" && !welcomed[leader] && time.Since(quorumAt) < joinLeaderTimeout {
 				return
 			}
 		}
-		part()
+		participate()
 	}
-	look()
+	checkWelcomed()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for n, at := range ask {
+	for number, address := range addresses {
 		wg.Go(func() {
-			said := ""
+			lastReason := ""
 			for ctx.Err() == nil {
-				answer, err := g.sendJoin(ctx, at, from)
+				reply, err := g.sendJoin(ctx, address, request)
 				switch {
 				case err != nil:
-				case answer.Verdict == verdictWelcome:
-					if answer.Members != nil {
-						g.enqueue(ctx, func() { g.adoptMembers(answer) })
+				case reply.Verdict == verdictWelcome:
+					if reply.Members != nil {
+						g.enqueue(ctx, func() { g.adoptMembers(reply) })
 					}
 					mu.Lock()
-					welcomed[n] = true
-					writers[answer.Writer] = answer.Writer != 0
+					welcomed[number] = true
+					leaders[reply.Writer] = reply.Writer != 0
 					mu.Unlock()
-					look()
+					checkWelcomed()
 					return
-				case answer.Verdict == verdictRefused:
-					g.enqueue(ctx, func() { g.core.terminate(answer.Reason) })
+				case reply.Verdict == verdictRefused:
+					g.enqueue(ctx, func() { g.core.terminate(reply.Reason) })
 					return
-				case said != answer.Reason:
-					said = answer.Reason
-					slog.Warn("group: this member does not take part yet", "member", n, "says", answer.Reason)
+				case lastReason != reply.Reason:
+					lastReason = reply.Reason
+					slog.Warn("group: this member does not take part yet", "member", number, "says", reply.Reason)
 				}
-				look()
+				checkWelcomed()
 				select {
 				case <-ctx.Done():
 				case <-time.After(joinRetryInterval):
@@ -166,57 +166,57 @@
 	}
 }
 
-// adopt takes over the list of members from a reply, if this member's log is empty.
-func (g *Group) adoptMembers(from joinReply) {
+// adoptMembers takes over the members of a reply if this member's log is empty.
+func (g *Group) adoptMembers(reply joinReply) {
 	if g.core.lastIndex() > 0 {
 		return
 	}
-	g.members.Members, g.members.Generation = from.Members, from.Generation
+	g.members.Members, g.members.Generation = reply.Members, reply.Generation
 	g.updatePeers()
 }
 
-// tell queues a function for the loop. It blocks while the queue is full, until ctx ends.
+// enqueue queues a function for the loop. It blocks while the queue is full, until ctx ends.
 func (g *Group) enqueue(ctx context.Context, do func()) {
-	select { // the report of a snapshot must not be lost: raft sends nothing more before it
+	select { // a snapshot's report must not be dropped: raft sends the member nothing else until then
 	case g.calls <- do:
 	case <-ctx.Done():
 	}
 }
 
 // sendJoin sends a join request to one member.
-func (g *Group) sendJoin(ctx context.Context, at string, from joinRequest) (answer joinReply, err error) {
+func (g *Group) sendJoin(ctx context.Context, address string, request joinRequest) (reply joinReply, err error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	text, err := json.Marshal(from)
+	text, err := json.Marshal(request)
 	if err != nil {
-		return answer, err
+		return reply, err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+joinPath, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+joinPath, bytes.NewReader(text))
 	if err != nil {
-		return answer, err
+		return reply, err
 	}
 	resp, err := g.joinClient.Do(req)
 	if err != nil {
-		return answer, err
+		return reply, err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxRequestBytes))
 	switch {
 	case err != nil:
-		return answer, err
+		return reply, err
 	case resp.StatusCode == http.StatusNotFound: // a member of an earlier build, without this call
 		return joinReply{Verdict: verdictWelcome}, nil
 	case resp.StatusCode != http.StatusOK:
-		return answer, errors.New(resp.Status)
+		return reply, errors.New(resp.Status)
 	}
-	return answer, json.Unmarshal(body, &answer)
+	return reply, json.Unmarshal(body, &reply)
 }
 
-// tellFormer tells a former member of the new generation, until that has replied or ctx ends.
-func (g *Group) notifyFormer(ctx context.Context, from joinRequest, at string) {
+// notifyFormer sends the new generation to a former member until that has replied or ctx ends.
+func (g *Group) notifyFormer(ctx context.Context, request joinRequest, address string) {
 	for ctx.Err() == nil {
-		if _, err := g.sendJoin(ctx, at, from); err == nil {
-			slog.Info("group: a former member was told of the new generation", "address", at)
+		if _, err := g.sendJoin(ctx, address, request); err == nil {
+			slog.Info("group: notified a former member of the new generation", "address", address)
 			return
 		}
 		select {
@@ -228,35 +228,35 @@
 
 // handleJoin is the HTTP handler of join requests.
 func (g *Group) handleJoin(w http.ResponseWriter, r *http.Request) {
-	var from joinRequest
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&from); err != nil {
-		http.Error(w, "greeting: "+err.Error(), http.StatusBadRequest)
+	var request joinRequest
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&request); err != nil {
+		http.Error(w, "join request: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	var out joinReply
-	if err := g.call(r.Context(), func() { out = g.answerJoin(from) }); err != nil {
+	var reply joinReply
+	if err := g.call(r.Context(), func() { reply = g.answerJoin(request) }); err != nil {
 		g.writeError(w, r, err)
 		return
 	}
-	writeJSON(w, out)
+	writeJSON(w, reply)
 }
 
 // quorum returns the number of voters that form a majority.
 func quorum(voters []uint64) int { return len(voters)/2 + 1 }
 
-// newJoin returns the join request of this member, the addresses to send it to, and the number
-// of members that have to welcome it.
-func (g *Group) newJoin() (from joinRequest, ask map[uint64]string, need int) {
-	from = joinRequest{Group: g.config.Name, Generation: g.members.Generation, Self: g.config.Self, Incarnation: g.core.incarnations[g.config.Self].Number, Process: g.core.incarnations[g.config.Self].Process, LastIndex: g.core.lastIndex()}
-	ask = map[uint64]string{}
+// newJoin returns the join request of this member, the addresses to send it to, and how many of
+// the other members have to welcome it.
+func (g *Group) newJoin() (request joinRequest, addresses map[uint64]string, required int) {
+	request = joinRequest{Group: g.config.Name, Generation: g.members.Generation, Self: g.config.Self, Incarnation: g.core.incarnations[g.config.Self].Number, Process: g.core.incarnations[g.config.Self].Process, LastIndex: g.core.lastIndex()}
+	addresses = map[uint64]string{}
 	for _, n := range g.members.others(g.config.Self) {
-		ask[n] = g.members.Members[n].Address
+		addresses[n] = g.members.Members[n].Address
 	}
 	voters := g.core.confState.GetVoters()
-	if need = 1; slices.Contains(voters, g.config.Self) {
-		need = quorum(voters) - 1
+	if required = 1; slices.Contains(voters, g.config.Self) {
+		required = quorum(voters) - 1
 	}
-	return from, ask, need
+	return request, addresses, required
 }
--- a/internal/group/lease.go
+++ b/internal/group/lease.go
@@ -17,51 +17,51 @@
 	if g.role != raft.StateLeader {
 		return
 	}
-	open := g.state.Sessions()
-	still := make(map[uint64]bool, len(open))
-	for _, s := range open {
-		still[s.ID] = true
+	sessions := g.state.Sessions()
+	open := make(map[uint64]bool, len(sessions))
+	for _, s := range sessions {
+		open[s.ID] = true
 	}
-	maps.DeleteFunc(g.expiring, func(id uint64, _ bool) bool { return !still[id] })
-	for _, id := range g.leases.Expired(g.now(), open) {
+	maps.DeleteFunc(g.expiring, func(id uint64, _ bool) bool { return !open[id] })
+	for _, id := range g.leases.Expired(g.now(), sessions) {
 		if g.expiring[id] || len(g.expiring) >= maxExpiringSessions {
 			continue
 		}
 		if err := g.propose(g.nextKey(), ledger.Command{Op: ledger.End, Session: id}); err != nil {
-			return // the next round tries again
+			return // retried after expireInterval
 		}
 		g.expiring[id] = true
-		slog.Info("group: a session's time is over", "session", id)
+		slog.Info("group: session lease expired", "session", id)
 	}
 }
 
-// Renew restarts the lease of a session, counted from the arrival of the call, so that the
-// holder may count from when it sent it. It returns false if there is no such session.
-func (g *Group) Renew(ctx context.Context, id uint64) (s ledger.Session, there bool, err error) {
-	var come time.Duration
-	var not error
-	writer := func() {
+// Renew restarts the lease of a session. The lease runs from the arrival of the call, so the
+// holder may count from when it sent the call. It returns false if there is no such session.
+func (g *Group) Renew(ctx context.Context, id uint64) (session ledger.Session, found bool, err error) {
+	var receivedAt time.Duration
+	var rejected error
+	checkLeader := func() {
 		if g.role != raft.StateLeader {
-			not = g.notLeader()
+			rejected = g.notLeader()
 		}
 	}
-	if err := g.call(ctx, func() { writer(); come = g.now() }); err != nil || not != nil {
-		return s, false, errors.Join(err, not)
+	if err := g.call(ctx, func() { checkLeader(); receivedAt = g.now() }); err != nil || rejected != nil {
+		return session, false, errors.Join(err, rejected)
 	}
 	if err := g.confirm(ctx); err != nil {
-		return s, false, err
+		return session, false, err
 	}
 	err = g.call(ctx, func() {
-		if writer(); not != nil {
+		if checkLeader(); rejected != nil {
 			return
 		}
-		for _, open := range g.state.Sessions() {
+		for _, candidate := range g.state.Sessions() {
 			// A session whose end is proposed must not be renewed.
-			if open.ID == id && !g.expiring[id] {
-				s, there = open, true
-				g.leases.Renew(come, s)
+			if candidate.ID == id && !g.expiring[id] {
+				session, found = candidate, true
+				g.leases.Renew(receivedAt, session)
 			}
 		}
 	})
-	return s, there, errors.Join(err, not)
+	return session, found, errors.Join(err, rejected)
 }
--- a/internal/group/loop.go
+++ b/internal/group/loop.go
@@ -23,30 +23,30 @@
 	defer g.log.Close()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx)) // messages of the shutdown still go out
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // messages are still sent during the shutdown
 	defer stop()
-	g.startPeer = func(n uint64, at string) {
-		carrying, end := context.WithCancel(inner)
-		p := newPeer(g.config.Name, g.config.Self, n, at, func(result func()) { g.enqueue(carrying, result) })
-		p.stop = end
+	g.startPeer = func(number uint64, address string) {
+		peerCtx, stopPeer := context.WithCancel(runCtx)
+		p := newPeer(g.config.Name, g.config.Self, number, address, func(report func()) { g.enqueue(peerCtx, report) })
+		p.stop = stopPeer
 		p.generation = g.members.Generation
-		p.onUnreachable = func() { g.core.raw.ReportUnreachable(n) }
-		p.onSnapshotStatus = func(status raft.SnapshotStatus) { g.core.raw.ReportSnapshot(n, status) }
-		p.onRefused = func(why string) { g.core.terminate(why) }
-		g.peers[n] = p
-		wg.Go(func() { p.run(carrying) })
+		p.onUnreachable = func() { g.core.raw.ReportUnreachable(number) }
+		p.onSnapshotStatus = func(status raft.SnapshotStatus) { g.core.raw.ReportSnapshot(number, status) }
+		p.onRefused = func(reason string) { g.core.terminate(reason) }
+		g.peers[number] = p
+		wg.Go(func() { p.run(peerCtx) })
 	}
 	for _, n := range g.members.others(g.config.Self) {
 		g.startPeer(n, g.members.Members[n].Address)
 	}
-	from, ask, need := g.newJoin()
-	wg.Go(func() { g.handshake(inner, from, ask, need) })
+	request, addresses, required := g.newJoin()
+	wg.Go(func() { g.handshake(runCtx, request, addresses, required) })
 	for _, former := range g.members.Former {
-		wg.Go(func() { g.notifyFormer(inner, from, former.Address) })
+		wg.Go(func() { g.notifyFormer(runCtx, request, former.Address) })
 	}
-	if need == 0 {
+	if required == 0 {
 		g.participating = true
-		if err := g.core.raw.Campaign(); err != nil { // no other member has to welcome it
+		if err := g.core.raw.Campaign(); err != nil { // no other member has to welcome this one
 			return err
 		}
 	}
@@ -70,38 +70,38 @@
 			g.promoteLearner()
 		case call := <-g.calls:
 			call()
-			for range len(g.calls) { // a batch, so that one sync of the disk serves all
+			for range len(g.calls) { // one sync of the disk serves the whole batch
 				(<-g.calls)()
 			}
 		}
 	}
 }
 
-// handOver transfers leadership to the voter whose log is the most complete, so that the
-// group need not wait for an election time-out.
+// transferLeadership transfers leadership to the voter with the most complete log, so that the
+// group need not wait for an election timeout.
 func (g *Group) transferLeadership() error {
 	if g.role != raft.StateLeader {
 		return nil
 	}
-	next, furthest := uint64(0), uint64(0)
+	target, highestMatch := uint64(0), uint64(0)
 	for n, p := range g.core.raw.Status().Progress {
-		if n != g.config.Self && !p.IsLearner && p.Match > furthest {
-			next, furthest = n, p.Match
+		if n != g.config.Self && !p.IsLearner && p.Match > highestMatch {
+			target, highestMatch = n, p.Match
 		}
 	}
-	if next == 0 {
+	if target == 0 {
 		return nil
 	}
-	slog.Info("group: this member ends, and another is to write", "number", next)
-	g.core.raw.TransferLeader(next)
-	end := time.NewTimer(leaderTransferTimeout)
-	defer end.Stop()
+	slog.Info("group: this member ends, and another is to write", "number", target)
+	g.core.raw.TransferLeader(target)
+	timeout := time.NewTimer(leaderTransferTimeout)
+	defer timeout.Stop()
 	for g.role == raft.StateLeader {
 		if err := g.advance(); err != nil {
 			return err
 		}
 		select {
-		case <-end.C:
+		case <-timeout.C:
 			return nil
 		case call := <-g.calls:
 			call()
@@ -113,8 +113,7 @@
 // now returns the time since the member was opened.
 func (g *Group) now() time.Duration { return time.Since(g.openedAt) }
 
-// turn processes what raft has made ready: it sends messages, applies committed entries
-// and completes reads.
+// advance sends the messages that raft has made ready, and completes proposals and reads.
 func (g *Group) advance() error {
 	out, err := g.core.processReady()
 	if err != nil {
@@ -161,18 +160,18 @@
 	return nil
 }
 
-// stood handles a change of the leader or of this member's role.
+// updateRole handles a change of the leader or of this member's role.
 func (g *Group) updateRole() {
-	st := g.core.raw.BasicStatus()
-	if st.Lead == g.leader && st.RaftState == g.role {
+	status := g.core.raw.BasicStatus()
+	if status.Lead == g.leader && status.RaftState == g.role {
 		return
 	}
-	before := g.role
-	g.leader, g.role = st.Lead, st.RaftState
+	previousRole := g.role
+	g.leader, g.role = status.Lead, status.RaftState
 	if g.role != raft.StateLeader && g.config.List != nil {
 		g.config.List.SetWriter(false, g.members.Members[g.leader].RegistryAddress)
 	}
-	if before == raft.StateLeader && g.role != raft.StateLeader {
+	if previousRole == raft.StateLeader && g.role != raft.StateLeader {
 		g.leaderReady, g.pendingChange = false, 0
 		close(g.leadershipLost)
 		g.leadershipLost = make(chan struct{})
@@ -180,83 +179,83 @@
 	switch {
 	case g.role == raft.StateLeader:
 		g.electionsWon++
-		g.termStart, _ = g.core.storage.LastIndex() // of a memory storage, which can't fail; the first entry of the term is in it
-		// The former leader may have renewed any session a moment ago.
+		g.termStart, _ = g.core.storage.LastIndex() // MemoryStorage returns no error; the last entry is the first of the new term
+		// The former leader may have renewed any session just now.
 		g.leases.Reset(g.now(), g.state.Sessions())
 		clear(g.expiring)
-		slog.Info("group: this member is the writer", "term", st.GetTerm())
-	case g.role == raft.StateCandidate && before == raft.StateFollower:
+		slog.Info("group: this member is the writer", "term", status.GetTerm())
+	case g.role == raft.StateCandidate && previousRole == raft.StateFollower:
 		g.transfersReceived++ // without a transfer it would be a pre-candidate first
-		slog.Info("group: the writer hands over to this member", "term", st.GetTerm())
+		slog.Info("group: the writer transfers its role to this member", "term", status.GetTerm())
 	case g.role == raft.StatePreCandidate || g.role == raft.StateCandidate:
-		if before == raft.StateFollower || before == raft.StateLeader {
+		if previousRole == raft.StateFollower || previousRole == raft.StateLeader {
 			g.elections++
-			slog.Info("group: no word of the writer; this member asks to be it", "term", st.GetTerm())
+			slog.Info("group: no heartbeat from the writer; starting an election", "term", status.GetTerm())
 		}
-	case before == raft.StateLeader:
-		slog.Warn("group: this member is the writer no more", "term", st.GetTerm(), "writer", g.leader)
+	case previousRole == raft.StateLeader:
+		slog.Warn("group: this member is no longer the writer", "term", status.GetTerm(), "writer", g.leader)
 	case g.leader != 0:
-		slog.Info("group: the writer", "number", g.leader, "term", st.GetTerm())
+		slog.Info("group: writer changed", "number", g.leader, "term", status.GetTerm())
 	}
 }
 
-// applied completes the call that waits for an entry which has been applied.
-func (g *Group) completeProposal(a appliedEntry) {
-	result, _ := a.result.(ledger.Result)
-	if a.isConfChange {
-		if g.pendingChange == a.key {
+// completeProposal completes the call whose entry has been applied.
+func (g *Group) completeProposal(entry appliedEntry) {
+	result, _ := entry.result.(ledger.Result)
+	if entry.isConfChange {
+		if g.pendingChange == entry.key {
 			g.pendingChange = 0
 		}
 		g.updatePeers()
 	}
-	if w := g.proposals[a.key]; w != nil {
-		delete(g.proposals, a.key)
-		g.commitLatency.RecordValue(min(time.Since(w.startedAt).Microseconds(), maxCommitMicroseconds))
-		w.result <- result
+	if pending := g.proposals[entry.key]; pending != nil {
+		delete(g.proposals, entry.key)
+		g.commitLatency.RecordValue(min(time.Since(pending.startedAt).Microseconds(), maxCommitMicroseconds))
+		pending.result <- result
 	}
 }
 
-// receive processes messages of another member. The error tells a member that is not part
-// of this group, or no longer, why.
-func (g *Group) receive(ctx context.Context, from uint64, generation Generation, text []byte) error {
-	var not error
+// receive processes messages of another member. It returns a RefusedError if the sender does not
+// belong to the group any more.
+func (g *Group) receive(ctx context.Context, sender uint64, generation Generation, data []byte) error {
+	var rejected error
 	err := g.call(ctx, func() {
-		switch own := g.members.Generation; {
+		switch current := g.members.Generation; {
 		case !g.participating:
-			not = ErrBusy
+			rejected = ErrBusy
 			return
-		case generation.Number > own.Number:
+		case generation.Number > current.Number:
 			g.core.terminate(supersededReason(generation))
-			not = errStopped
+			rejected = errStopped
 			return
-		case generation.Number < own.Number:
-			not = refusedf("%s", supersededReason(own))
+		case generation.Number < current.Number:
+			rejected = refusedf("%s", supersededReason(current))
 			return
-		case generation != own:
-			not = ErrBusy
+		case generation != current:
+			rejected = ErrBusy
 			return
-		case g.members.wasRemoved(from):
-			not = refusedf("member %d was taken out of the group", from)
+		case g.members.wasRemoved(sender):
+			rejected = refusedf("member %d was taken out of the group", sender)
 			return
 		}
-		var all []*raftpb.Message
-		if all, not = decodeMessages(text, g.config.Self, g.members.Members); not != nil {
+		var messages []*raftpb.Message
+		if messages, rejected = decodeMessages(data, g.config.Self, g.members.Members); rejected != nil {
 			return
 		}
 		term := g.core.raw.BasicStatus().GetTerm()
-		for _, m := range all {
-			if g.lastReceived[m.GetFrom()] = time.Now(); m.GetFrom() == g.leader {
+		for _, message := range messages {
+			if g.lastReceived[message.GetFrom()] = time.Now(); message.GetFrom() == g.leader {
 				g.leaderSeen = time.Now()
 			}
-			if last := g.core.lastIndex(); m.GetType() == raftpb.MessageType_MsgHeartbeat && m.GetTerm() >= term && m.GetCommit() > last {
-				g.core.terminate(fmt.Sprintf("it has entries up to %d, and has promised the writer those up to %d: its folder is an older one. %s", last, m.GetCommit(), replaceAdvice))
-				not = errStopped
+			if last := g.core.lastIndex(); message.GetType() == raftpb.MessageType_MsgHeartbeat && message.GetTerm() >= term && message.GetCommit() > last {
+				g.core.terminate(fmt.Sprintf("this member has entries up to %d and has acknowledged those up to %d: its folder is an older one. %s", last, message.GetCommit(), replaceAdvice))
+				rejected = errStopped
 				return
 			}
-			g.core.raw.Step(m) // raft refuses messages of other terms, which is no error
+			g.core.raw.Step(message) // Step rejects messages of other terms, which is expected
 		}
 	})
-	return cmp.Or(err, not)
+	return cmp.Or(err, rejected)
 }
 
 // post queues a function for the loop. It returns ErrBusy if the queue is full.
@@ -274,10 +273,10 @@
 // call runs a function in the loop and waits for it. If it returns an error, the function
 // has not run and never will.
 func (g *Group) call(ctx context.Context, do func()) (err error) {
-	var begun atomic.Bool // set by whoever comes first: the loop, or this call giving up
+	var claimed atomic.Bool // by the loop, or by this call when it gives up
 	done := make(chan struct{})
 	if err := g.post(func() {
-		if begun.CompareAndSwap(false, true) {
+		if claimed.CompareAndSwap(false, true) {
 			do()
 			close(done)
 		}
@@ -292,7 +291,7 @@
 	case <-g.stopped:
 		err = errStopped
 	}
-	if begun.CompareAndSwap(false, true) {
+	if claimed.CompareAndSwap(false, true) {
 		return err
 	}
 	<-done
--- a/internal/group/offline.go
+++ b/internal/group/offline.go
@@ -16,154 +16,156 @@
 	"dunlintray/internal/wal"
 )
 
-// What is done to the folder of a member that is stopped.
+// Operations on the folder of a stopped member.
 
-// ListMaker is a list that a folder is read into, and that can begin a history that
-// readers can't take for the one before.
+// RecoverableList is a list that can be restored from a folder and start a new history, which
+// readers don't confuse with the previous one.
 type RecoverableList interface {
 	List
+	// StartHistory replaces the identifier of the list's history.
 	StartHistory() error
+	// AllBackendStates returns the states of all backends in the list.
 	AllBackendStates() []budget.BackendState
 }
 
-// Lost says from where on a group that was made of one member may have lost what it had
-// agreed on, and had answered as done.
+// RecoveryResult describes a group recovered from one member. Committed entries after LastIndex
+// are lost, although their callers have received results.
 type RecoveryResult struct {
 	Generation  Generation
-	LastIndex   uint64 // the last that this member has
+	LastIndex   uint64 // of the last entry that the member has
 	Term        uint64
-	CommitIndex uint64 // the last of which this member knew that it was agreed on
+	CommitIndex uint64 // of the last entry that the member knew to be committed
 	Former      map[uint64]Member
 }
 
-// Recover makes the group of a member that is stopped a group of that member alone, with
-// all that it has. That is for a majority that is lost for good: what the others had
-// agreed on behind its last entry is lost, though it was answered. The others, if they
-// come back, refuse for good.
-func Recover(c Config, fs wal.FS, list RecoverableList) (lost RecoveryResult, err error) {
+// Recover turns a stopped member into a group of its own, with all entries that it has. It is
+// meant for the permanent loss of a majority: entries that the others committed after its last
+// one are lost, although their callers have received results. The other members terminate for
+// good if they come back.
+func Recover(config Config, fs wal.FS, list RecoverableList) (result RecoveryResult, err error) {
 	if list != nil {
-		c.List = list
+		config.List = list
 	}
-	log, r, err := openLog(c, fs)
+	log, recovered, err := openLog(config, fs)
 	if err != nil {
-		return lost, err
+		return result, err
 	}
 	defer func() { err = errors.Join(err, log.Close()) }()
-	who := identity{c.Name, c.Self}
+	owner := identity{config.Name, config.Self}
 	switch {
-	case r.termination != "":
-		return lost, fmt.Errorf("%w: %s", ErrTerminated, r.termination)
-	case !r.nonEmpty || r.snapshotMeta == nil || r.hardState == nil:
-		return lost, errNoInitialState
-	case r.identity != who.String():
-		return lost, fmt.Errorf("group: the folder is of %s, not of %s", r.identity, who)
+	case recovered.termination != "":
+		return result, fmt.Errorf("%w: %s", ErrTerminated, recovered.termination)
+	case !recovered.nonEmpty || recovered.snapshotMeta == nil || recovered.hardState == nil:
+		return result, errNoInitialState
+	case recovered.identity != owner.String():
+		return result, fmt.Errorf("group: the folder is of %s, not of %s", recovered.identity, owner)
 	}
-	b := newMemberTable(c.initialMembers())
-	m := replicatedState{ledger.New(c.Limits), c.List, b}
-	if err := m.Restore(r.snapshotLines); err != nil {
-		return lost, err
+	members := newMemberTable(config.initialMembers())
+	state := replicatedState{ledger.New(config.Limits), config.List, members}
+	if err := state.Restore(recovered.snapshotLines); err != nil {
+		return result, err
 	}
-	// What is behind the last entry that is known to be agreed on may have been answered
-	// too: this member can't tell.
-	index, term := r.snapshotMeta.GetIndex(), max(r.snapshotMeta.GetTerm(), r.hardState.GetTerm())
-	for _, e := range r.entries {
-		index = e.GetIndex()
+	// Entries after the known commit index may have been committed too, so all are applied.
+	index, term := recovered.snapshotMeta.GetIndex(), max(recovered.snapshotMeta.GetTerm(), recovered.hardState.GetTerm())
+	for _, entry := range recovered.entries {
+		index = entry.GetIndex()
 		switch {
-		case e.GetType() == raftpb.EntryType_EntryConfChange:
-			if err := replayConfChange(m, e); err != nil {
-				return lost, err
+		case entry.GetType() == raftpb.EntryType_EntryConfChange:
+			if err := replayConfChange(state, entry); err != nil {
+				return result, err
 			}
-		case len(e.GetData()) > 0:
-			m.Apply(index, e.GetData())
+		case len(entry.GetData()) > 0:
+			state.Apply(index, entry.GetData())
 		}
 	}
-	self := b.Members[c.Self]
+	self := members.Members[config.Self]
 	if self.Address == "" {
-		return lost, fmt.Errorf("group: member %d was taken out of the group", c.Self)
+		return result, fmt.Errorf("group: member %d was taken out of the group", config.Self)
 	}
-	lost = RecoveryResult{Generation: Generation{b.Generation.Number + 1, randomName()}, LastIndex: index, Term: term, CommitIndex: max(r.snapshotMeta.GetIndex(), r.hardState.GetCommit()), Former: maps.Clone(b.Members)}
-	delete(lost.Former, c.Self)
-	b.fromConfig, b.Generation, b.Former, b.Members = false, lost.Generation, lost.Former, map[uint64]Member{c.Self: self}
+	result = RecoveryResult{Generation: Generation{members.Generation.Number + 1, randomName()}, LastIndex: index, Term: term, CommitIndex: max(recovered.snapshotMeta.GetIndex(), recovered.hardState.GetCommit()), Former: maps.Clone(members.Members)}
+	delete(result.Former, config.Self)
+	members.fromConfig, members.Generation, members.Former, members.Members = false, result.Generation, result.Former, map[uint64]Member{config.Self: self}
 	if list != nil {
 		if err := list.StartHistory(); err != nil {
-			return lost, err
+			return result, err
 		}
-		m.observeBackends(index, list.AllBackendStates())
+		state.observeBackends(index, list.AllBackendStates())
 	}
 	index++
 	term++
-	return lost, writeInitialSnapshot(log, who, r.incarnations, c.Self, index, term, m)
+	return result, writeInitialSnapshot(log, owner, recovered.incarnations, config.Self, index, term, state)
 }
 
-// Found begins a group of one with a list that was kept elsewhere, in an empty folder.
-func Bootstrap(c Config, fs wal.FS, list RecoverableList) (err error) {
-	if len(c.Members) != 1 {
-		return fmt.Errorf("members: a group that takes over a list begins with one, not %d; others are added to it", len(c.Members))
+// Bootstrap creates a group of one member in an empty folder, with the content of the list.
+func Bootstrap(config Config, fs wal.FS, list RecoverableList) (err error) {
+	if len(config.Members) != 1 {
+		return fmt.Errorf("members: a group that takes over a list starts with 1 member, not %d; add others later", len(config.Members))
 	}
-	c.List = list
-	log, r, err := openLog(c, fs)
+	config.List = list
+	log, recovered, err := openLog(config, fs)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, log.Close()) }()
-	if r.nonEmpty {
+	if recovered.nonEmpty {
 		return errors.New("group: the folder is not empty")
 	}
-	m := replicatedState{ledger.New(c.Limits), list, newMemberTable(c.initialMembers())}
-	m.observeBackends(1, list.AllBackendStates())
-	return writeInitialSnapshot(log, identity{c.Name, c.Self}, nil, c.Self, 1, 1, m)
+	state := replicatedState{ledger.New(config.Limits), list, newMemberTable(config.initialMembers())}
+	state.observeBackends(1, list.AllBackendStates())
+	return writeInitialSnapshot(log, identity{config.Name, config.Self}, nil, config.Self, 1, 1, state)
 }
 
-// found writes a snapshot with which one member begins.
-func writeInitialSnapshot(log *wal.Log, who identity, lives map[uint64]incarnation, self, index, term uint64, m replicatedState) error {
+// writeInitialSnapshot writes the snapshot that a group of one member starts from.
+func writeInitialSnapshot(log *wal.Log, owner identity, incarnations map[uint64]incarnation, self, index, term uint64, initial replicatedState) error {
 	meta := &raftpb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &raftpb.ConfState{Voters: []uint64{self}}}
-	state := tagged(kindHardState, mustMarshal(&raftpb.HardState{Term: &term, Commit: &index}))
-	sequence, err := log.Append([][]byte{tagged(kindIdentity, []byte(who.String()))})
+	hardState := tagged(kindHardState, mustMarshal(&raftpb.HardState{Term: &term, Commit: &index}))
+	sequence, err := log.Append([][]byte{tagged(kindIdentity, []byte(owner.String()))})
 	if err != nil {
 		return err
 	}
-	c := &core{identity: who, incarnations: lives}
+	c := &core{identity: owner, incarnations: incarnations}
 	return log.Snapshot(sequence, func(emit func([]byte) error) error {
-		return emitAll(emit, c.headRecords(), snapshotRecords(meta, m.Save()), [][]byte{state})
+		return emitAll(emit, c.headRecords(), snapshotRecords(meta, initial.Save()), [][]byte{hardState})
 	})
 }
 
-func replayConfChange(m StateMachine, e *raftpb.Entry) error {
-	cc := &raftpb.ConfChange{}
-	if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-		return fmt.Errorf("group: entry %d: %w", e.GetIndex(), err)
+// replayConfChange applies a configuration change to the state machine alone.
+func replayConfChange(stateMachine StateMachine, entry *raftpb.Entry) error {
+	change := &raftpb.ConfChange{}
+	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
+		return fmt.Errorf("group: entry %d: %w", entry.GetIndex(), err)
 	}
-	_, err := applyMemberChange(m, e.GetIndex(), cc)
+	_, err := applyMemberChange(stateMachine, entry.GetIndex(), change)
 	return err
 }
 
-// open reads a member's folder.
-func openLog(c Config, fs wal.FS) (*wal.Log, *recoveredState, error) {
-	if err := c.Check(); err != nil {
+// openLog opens the log in a member's folder and reads its records.
+func openLog(config Config, fs wal.FS) (*wal.Log, *recoveredState, error) {
+	if err := config.Check(); err != nil {
 		return nil, nil, fmt.Errorf("group: %w", err)
 	}
-	most := int64(c.DataMB) << 20
-	r := &recoveredState{}
-	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(minSegmentBytes, most/segmentsPerLog), MaxBytes: most},
-		wal.Visitor{Snapshot: r.addRecord, Record: func(_ uint64, text []byte) error { return r.addRecord(text) }})
-	return log, r, err
+	maxBytes := int64(config.DataMB) << 20
+	recovered := &recoveredState{}
+	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(minSegmentBytes, maxBytes/segmentsPerLog), MaxBytes: maxBytes},
+		wal.Visitor{Snapshot: recovered.addRecord, Record: func(_ uint64, text []byte) error { return recovered.addRecord(text) }})
+	return log, recovered, err
 }
 
-// founders are the members that the configuration names.
+// initialMembers returns the members that the configuration names.
 func (c *Config) initialMembers() map[uint64]Member {
-	all := map[uint64]Member{}
+	members := map[uint64]Member{}
 	for n, at := range c.Members {
-		all[n] = Member{Address: at, RegistryAddress: c.RegistryAddresses[n]}
+		members[n] = Member{Address: at, RegistryAddress: c.RegistryAddresses[n]}
 	}
-	return all
+	return members
 }
 
-// name is one that nobody else draws.
+// randomName returns a random name that is unique for practical purposes.
 func randomName() string {
 	var b [keyBytes]byte
 	crand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// Numbers are a book's, sorted.
+// MemberNumbers returns the sorted numbers of the members.
 func MemberNumbers(members map[uint64]Member) []uint64 { return slices.Sorted(maps.Keys(members)) }
--- a/internal/group/peer.go
+++ b/internal/group/peer.go
@@ -19,20 +19,19 @@
 const (
 	messagesPath = "/group/messages"
 	groupHeader  = "X-Group"
-	memberHeader = "X-Group-Member" // whom the messages are for
+	memberHeader = "X-Group-Member" // number of the receiver
 	fromHeader   = "X-Group-From"
 
-	peerQueueLength = 256      // messages to one member that wait; more are dropped
-	minBodyLimit    = 16 << 20 // bytes that one call may have at least, a snapshot among them
-	batchBytes      = 1 << 20  // of messages in one call, about
+	peerQueueLength = 256      // messages; further ones are dropped
+	minBodyLimit    = 16 << 20 // bytes; a larger snapshot raises the limit
+	batchBytes      = 1 << 20  // approximate bytes of messages in one call
 	messageTimeout  = time.Second
 	snapshotTimeout = 20 * time.Second
 	peerRetryPause  = 50 * time.Millisecond
 )
 
-// peer carries messages to another member. One goroutine makes its calls, one at a
-// time; what comes meanwhile waits in a queue, and what that can't hold is lost, as
-// messages may be.
+// peer sends messages to another member. One goroutine makes the calls, one at a time. Messages
+// that the queue can't hold are dropped; raft tolerates lost messages.
 type peer struct {
 	group   string
 	self    uint64
@@ -40,7 +39,7 @@
 	address string
 	client  *http.Client
 	queue   chan *raftpb.Message
-	post    func(func()) // the loop, of what became of a message
+	post    func(func()) // runs a function in the group's loop
 	dropped atomic.Int64
 
 	generation       Generation
@@ -50,11 +49,12 @@
 	onRefused        func(why string)
 }
 
-func newPeer(group string, from, number uint64, address string, tell func(func())) *peer {
-	return &peer{group: group, self: from, number: number, address: address, queue: make(chan *raftpb.Message, peerQueueLength), post: tell,
+func newPeer(group string, self, number uint64, address string, post func(func())) *peer {
+	return &peer{group: group, self: self, number: number, address: address, queue: make(chan *raftpb.Message, peerQueueLength), post: post,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, IdleConnTimeout: time.Minute}}}
 }
 
+// send queues a message. It returns false if the queue is full.
 func (p *peer) send(m *raftpb.Message) bool {
 	select {
 	case p.queue <- m:
@@ -65,7 +65,7 @@
 	}
 }
 
-// run makes the calls until ctx ends.
+// run sends queued messages until ctx ends.
 func (p *peer) run(ctx context.Context) {
 	defer p.client.CloseIdleConnections()
 	for {
@@ -101,7 +101,7 @@
 	}
 }
 
-// report tells what became of a snapshot, which the algorithm waits for.
+// reportSnapshots reports the outcome of each snapshot in the batch, which raft waits for.
 func (p *peer) reportSnapshots(batch []*raftpb.Message, status raft.SnapshotStatus) {
 	for _, m := range batch {
 		if m.GetType() == raftpb.MessageType_MsgSnap {
@@ -111,13 +111,13 @@
 }
 
 func (p *peer) call(ctx context.Context, batch []*raftpb.Message) error {
-	wait := messageTimeout
+	timeout := messageTimeout
 	for _, m := range batch {
 		if m.GetType() == raftpb.MessageType_MsgSnap {
-			wait = snapshotTimeout
+			timeout = snapshotTimeout
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.address+messagesPath, bytes.NewReader(encodeMessages(batch)))
 	if err != nil {
@@ -134,7 +134,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10)) // so that the connection is used again
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10)) // read to the end so that the connection is reused
 	if resp.StatusCode == http.StatusGone {
 		p.post(func() { p.onRefused(string(bytes.TrimSpace(text))) })
 	}
@@ -144,20 +144,20 @@
 	return nil
 }
 
-func encodeMessages(all []*raftpb.Message) (text []byte) {
-	for _, m := range all {
+func encodeMessages(messages []*raftpb.Message) (data []byte) {
+	for _, m := range messages {
 		b := mustMarshal(m)
-		text = append(binary.AppendUvarint(text, uint64(len(b))), b...)
+		data = append(binary.AppendUvarint(data, uint64(len(b))), b...)
 	}
-	return text
+	return data
 }
 
-// errMessages answers what is no text of messages.
-var errMessages = errors.New("no messages of a group")
+// errMessages is the error of a body that holds no valid messages for this member.
+var errMessages = errors.New("invalid messages: malformed, or not from a member to this member")
 
-// decodeMessages reads messages that are for a member and from others of the group.
-func decodeMessages(text []byte, self uint64, members map[uint64]Member) (all []*raftpb.Message, err error) {
-	parts, err := splitLines(text)
+// decodeMessages decodes messages to self. It fails if one is not from another member.
+func decodeMessages(data []byte, self uint64, members map[uint64]Member) (messages []*raftpb.Message, err error) {
+	parts, err := splitLines(data)
 	if err != nil {
 		return nil, errMessages
 	}
@@ -166,7 +166,7 @@
 		if err := proto.Unmarshal(part, m); err != nil || m.Type == nil || m.GetTo() != self || m.GetFrom() == self || members[m.GetFrom()].Address == "" || raft.IsLocalMsg(m.GetType()) {
 			return nil, errMessages
 		}
-		all = append(all, m)
+		messages = append(messages, m)
 	}
-	return all, nil
+	return messages, nil
 }
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -14,21 +14,21 @@
 	"dunlintray/internal/ledger"
 )
 
-// waiter is a call that waits for its proposal to be applied.
+// proposal is a call that waits for its entry to be applied.
 type proposal struct {
 	startedAt time.Time
 	result    chan ledger.Result // buffered, so that the loop never blocks
 }
 
-// key returns a number that no other proposal or read of this member has.
+// nextKey returns a number that no other proposal or read of this member has.
 func (g *Group) nextKey() uint64 {
 	g.keySequence++
 	return g.keyBase + g.keySequence
 }
 
 // propose proposes a command of the ledger.
-func (g *Group) propose(key uint64, c ledger.Command) error {
-	text, err := json.Marshal(c)
+func (g *Group) propose(key uint64, command ledger.Command) error {
+	text, err := json.Marshal(command)
 	if err != nil {
 		return err
 	}
@@ -49,32 +49,32 @@
 
 // Do commits a command and returns its result. After ErrUnknown the command may or may not
 // be committed; after any other error it is not.
-func (g *Group) Do(ctx context.Context, c ledger.Command) (ledger.Result, error) {
-	if err := c.Check(g.config.Limits); err != nil {
+func (g *Group) Do(ctx context.Context, command ledger.Command) (ledger.Result, error) {
+	if err := command.Check(g.config.Limits); err != nil {
 		return ledger.Result{Code: ledger.Invalid, Text: err.Error()}, nil
 	}
 	var key uint64
-	w := &proposal{startedAt: time.Now(), result: make(chan ledger.Result, 1)}
-	var proposed error
+	pending := &proposal{startedAt: time.Now(), result: make(chan ledger.Result, 1)}
+	var proposeErr error
 	err := g.call(ctx, func() {
 		switch {
 		case g.role != raft.StateLeader:
-			proposed = g.notLeader()
+			proposeErr = g.notLeader()
 		case len(g.proposals) >= maxPendingProposals:
 			g.proposalsRefused++
-			proposed = ErrBusy
+			proposeErr = ErrBusy
 		default:
 			key = g.nextKey()
-			if proposed = g.propose(key, c); proposed == nil {
-				g.proposals[key] = w
+			if proposeErr = g.propose(key, command); proposeErr == nil {
+				g.proposals[key] = pending
 			}
 		}
 	})
-	if err := cmp.Or(err, proposed); err != nil {
+	if err := cmp.Or(err, proposeErr); err != nil {
 		return ledger.Result{}, err
 	}
 	select {
-	case r := <-w.result:
+	case r := <-pending.result:
 		return r, nil
 	case <-ctx.Done():
 		err = ctx.Err()
@@ -85,28 +85,28 @@
 	return ledger.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
 }
 
-// Append commits records of the list; only the writer may. It waits until they have been
-// applied here, or until this member is no longer the writer: then it returns ErrUnknown,
-// and the records may or may not be committed.
+// Append commits records of the list; only the leader may. It waits until they have been applied
+// here. If this member loses leadership first, it returns ErrUnknown, and the records may or may
+// not be committed.
 func (g *Group) Append(records [][]byte) error {
-	w := &proposal{startedAt: time.Now(), result: make(chan ledger.Result, 1)}
+	pending := &proposal{startedAt: time.Now(), result: make(chan ledger.Result, 1)}
 	var lost chan struct{}
-	var proposed error
+	var proposeErr error
 	if err := g.call(context.Background(), func() {
 		lost = g.leadershipLost
 		if !g.leaderReady {
-			proposed = ErrNoLeader
+			proposeErr = ErrNoLeader
 			return
 		}
 		key := g.nextKey()
-		if proposed = g.proposeEntry(key, payloadList, joinLines(records)); proposed == nil {
-			g.proposals[key] = w
+		if proposeErr = g.proposeEntry(key, payloadList, joinLines(records)); proposeErr == nil {
+			g.proposals[key] = pending
 		}
-	}); err != nil || proposed != nil {
-		return cmp.Or(err, proposed)
+	}); err != nil || proposeErr != nil {
+		return cmp.Or(err, proposeErr)
 	}
 	select {
-	case r := <-w.result:
+	case r := <-pending.result:
 		if r.Code != ledger.OK {
 			return errors.New(r.Text)
 		}
--- a/internal/group/server.go
+++ b/internal/group/server.go
@@ -19,7 +19,7 @@
 	"dunlintray/internal/ledger"
 )
 
-// Paths of the calls.
+// HTTP paths of the clients' calls.
 const (
 	CommandsPath = "/ledger/commands"
 	RecordsPath  = "/ledger/records"
@@ -35,15 +35,15 @@
 	maxHeaderBytes    = 8 << 10
 	readTimeout       = 10 * time.Second
 	idleTimeout       = 90 * time.Second
-	callTimeout       = time.Second // for the group's word
+	callTimeout       = time.Second // for the group to commit or read
 	maxWatchDuration  = time.Minute
-	writeMargin       = 10 * time.Second // for an answer to be taken
+	writeMargin       = 10 * time.Second // added to maxWatchDuration to write the response
 	shutdownTimeout   = 2 * time.Second
-	snapshotDivisor   = 4 // of data_mb, that one snapshot may have
+	snapshotDivisor   = 4 // fraction of data_mb that one snapshot may take, as its divisor
 	retryAfterSeconds = "1"
 )
 
-// Handler answers members, callers and operators.
+// Handler returns the HTTP handler of the calls by members, clients and operators.
 func (g *Group) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+messagesPath, g.handleMessages)
@@ -70,27 +70,28 @@
 	return mux
 }
 
-// Serve answers on a listener until ctx ends. Those who watch are told to move on.
-func (g *Group) Serve(ctx context.Context, l net.Listener) error {
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
+// Serve serves HTTP on the listener until ctx ends and Run has returned. It cancels pending
+// watches then.
+func (g *Group) Serve(ctx context.Context, listener net.Listener) error {
+	requestCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	server := &http.Server{Handler: g.Handler(), ReadTimeout: readTimeout, IdleTimeout: idleTimeout, WriteTimeout: maxWatchDuration + writeMargin, MaxHeaderBytes: maxHeaderBytes,
-		BaseContext: func(net.Listener) context.Context { return inner }, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(netutil.LimitListener(l, maxConnections)) }()
+		BaseContext: func(net.Listener) context.Context { return requestCtx }, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(netutil.LimitListener(listener, maxConnections)) }()
 	select {
-	case err := <-ended:
+	case err := <-served:
 		return err
 	case <-ctx.Done():
 	}
-	select { // the others are heard until this member has handed over
+	select { // messages are still received while this member transfers leadership
 	case <-g.stopped:
 	case <-time.After(2 * leaderTransferTimeout):
 	}
 	stop()
-	late, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	if server.Shutdown(late) != nil {
+	if server.Shutdown(shutdownCtx) != nil {
 		server.Close()
 	}
 	return nil
@@ -101,13 +102,12 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// fail answers a call that came to nothing here. The writer's address is told, so that
-// whoever follows it gets there.
+// writeError writes the response of a call that failed. A NotLeaderError redirects to the leader.
 func (g *Group) writeError(w http.ResponseWriter, r *http.Request, err error) {
-	var other *NotLeaderError
+	var notLeader *NotLeaderError
 	switch {
-	case errors.As(err, &other):
-		w.Header().Set("Location", "http://"+other.Address+r.URL.RequestURI())
+	case errors.As(err, &notLeader):
+		w.Header().Set("Location", "http://"+notLeader.Address+r.URL.RequestURI())
 		http.Error(w, err.Error(), http.StatusTemporaryRedirect)
 	case errors.Is(err, ErrUnknown):
 		http.Error(w, err.Error(), http.StatusGatewayTimeout)
@@ -117,29 +117,29 @@
 	}
 }
 
-// messages takes what another member says.
+// handleMessages is the HTTP handler of raft messages of other members.
 func (g *Group) handleMessages(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(groupHeader) != g.config.Name || r.Header.Get(memberHeader) != fmt.Sprint(g.config.Self) {
 		http.Error(w, fmt.Sprintf("this is member %d of group %q", g.config.Self, g.config.Name), http.StatusConflict)
 		return
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, max(minBodyLimit, int64(g.config.DataMB)<<20/snapshotDivisor)))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, max(minBodyLimit, int64(g.config.DataMB)<<20/snapshotDivisor)))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	var generation Generation
-	if text := r.Header.Get(generationHeader); text != "" {
-		if _, err := fmt.Sscan(text, &generation.Number, &generation.Name); err != nil {
+	if value := r.Header.Get(generationHeader); value != "" {
+		if _, err := fmt.Sscan(value, &generation.Number, &generation.Name); err != nil {
 			http.Error(w, "generation: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 	}
-	from, _ := strconv.ParseUint(r.Header.Get(fromHeader), 10, 64) // 0: of the build before
-	var no *RefusedError
-	switch err := g.receive(r.Context(), from, generation, text); {
-	case errors.As(err, &no):
-		http.Error(w, no.Text, http.StatusGone)
+	sender, _ := strconv.ParseUint(r.Header.Get(fromHeader), 10, 64) // 0: an earlier build, which does not send its number
+	var refused *RefusedError
+	switch err := g.receive(r.Context(), sender, generation, body); {
+	case errors.As(err, &refused):
+		http.Error(w, refused.Text, http.StatusGone)
 		return
 	case errors.Is(err, errMessages):
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -151,21 +151,21 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// statuses of results.
+// statusCodes maps codes of results to HTTP status codes.
 var statusCodes = map[ledger.Code]int{ledger.OK: http.StatusOK, ledger.Conflict: http.StatusPreconditionFailed, ledger.NoSession: http.StatusConflict,
 	ledger.NotFound: http.StatusNotFound, ledger.Full: http.StatusInsufficientStorage, ledger.Invalid: http.StatusBadRequest, ledger.Stale: http.StatusConflict, ledger.Refused: http.StatusConflict}
 
 func (g *Group) handleCommand(w http.ResponseWriter, r *http.Request) {
-	var c ledger.Command
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&c); err != nil {
+	var command ledger.Command
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&command); err != nil {
 		http.Error(w, "command: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	result, err := g.Do(ctx, c)
+	result, err := g.Do(ctx, command)
 	if err != nil {
 		g.writeError(w, r, err)
 		return
@@ -175,26 +175,26 @@
 	json.NewEncoder(w).Encode(result)
 }
 
-// Listing is an answer with records, as of a place in the agreed order.
+// Listing holds records of the ledger at an index.
 type Listing struct {
 	Index    uint64          `json:"index"`
-	Complete bool            `json:"whole"` // all records; else what has changed
+	Complete bool            `json:"whole"` // all records; otherwise those that have changed
 	Records  []ledger.Change `json:"records"`
 }
 
-// current says whether a read has to see all that was agreed on before it.
+// isCurrentRead reports whether the request asks for a linearizable read.
 func isCurrentRead(r *http.Request) bool { return r.URL.Query().Get("current") != "" }
 
 func (g *Group) handleGet(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	var record ledger.Record
-	var there bool
-	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) { record, there = s.Get(r.PathValue("name")) }); err != nil {
+	var found bool
+	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) { record, found = s.Get(r.PathValue("name")) }); err != nil {
 		g.writeError(w, r, err)
 		return
 	}
-	if !there {
+	if !found {
 		http.Error(w, "there is no such record", http.StatusNotFound)
 		return
 	}
@@ -204,17 +204,17 @@
 func (g *Group) handleList(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	out := Listing{Complete: true, Records: []ledger.Change{}}
+	listing := Listing{Complete: true, Records: []ledger.Change{}}
 	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) {
-		out.Index = s.Index()
+		listing.Index = s.Index()
 		for _, record := range s.List(r.URL.Query().Get("prefix")) {
-			out.Records = append(out.Records, ledger.Change{Record: record})
+			listing.Records = append(listing.Records, ledger.Change{Record: record})
 		}
 	}); err != nil {
 		g.writeError(w, r, err)
 		return
 	}
-	writeJSON(w, out)
+	writeJSON(w, listing)
 }
 
 func (g *Group) handleChanges(w http.ResponseWriter, r *http.Request) {
@@ -223,61 +223,61 @@
 		http.Error(w, "since: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	wait := time.Duration(0)
-	if text := r.URL.Query().Get("timeout_ms"); text != "" {
-		ms, err := strconv.ParseInt(text, 10, 32)
+	timeout := time.Duration(0)
+	if value := r.URL.Query().Get("timeout_ms"); value != "" {
+		ms, err := strconv.ParseInt(value, 10, 32)
 		if err != nil || ms < 0 {
-			http.Error(w, fmt.Sprintf("timeout_ms: %.40q is no time", text), http.StatusBadRequest)
+			http.Error(w, fmt.Sprintf("timeout_ms: %.40q is not a number of milliseconds from 0", value), http.StatusBadRequest)
 			return
 		}
-		wait = min(time.Duration(ms)*time.Millisecond, maxWatchDuration)
+		timeout = min(time.Duration(ms)*time.Millisecond, maxWatchDuration)
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), wait)
+	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	out := Listing{Records: []ledger.Change{}}
+	listing := Listing{Records: []ledger.Change{}}
 	var changes []ledger.Change
-	if out.Index, out.Complete, changes, err = g.Changes(ctx, since, r.URL.Query().Get("prefix")); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+	if listing.Index, listing.Complete, changes, err = g.Changes(ctx, since, r.URL.Query().Get("prefix")); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		g.writeError(w, r, err)
 		return
 	}
 	if err != nil {
-		out.Index = since
+		listing.Index = since
 	}
-	out.Records = append(out.Records, changes...)
-	writeJSON(w, out)
+	listing.Records = append(listing.Records, changes...)
+	writeJSON(w, listing)
 }
 
 func (g *Group) handleSessions(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	all := []ledger.Session{}
-	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) { all = append(all, s.Sessions()...) }); err != nil {
+	sessions := []ledger.Session{}
+	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) { sessions = append(sessions, s.Sessions()...) }); err != nil {
 		g.writeError(w, r, err)
 		return
 	}
-	writeJSON(w, all)
+	writeJSON(w, sessions)
 }
 
-// Units is an answer with all units of the fleet, and the rules for them.
+// Units holds all units of the fleet and the rules for them at an index.
 type Units struct {
 	Index         uint64        `json:"index"`
 	Rules         []budget.Rule `json:"rules"`
-	Unsatisfiable []string      `json:"never,omitempty"` // rules that can't be met
+	Unsatisfiable []string      `json:"never,omitempty"` // rules that never allow a unit to become unavailable
 	Units         []budget.Unit `json:"units"`
 }
 
 func (g *Group) handleUnits(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	var out Units
+	var units Units
 	if err := g.Read(ctx, isCurrentRead(r), func(s *ledger.State) {
-		u := s.Units()
-		out = Units{s.Index(), u.Rules(), u.UnsatisfiableRules(), u.Units()}
+		state := s.Units()
+		units = Units{s.Index(), state.Rules(), state.UnsatisfiableRules(), state.Units()}
 	}); err != nil {
 		g.writeError(w, r, err)
 		return
 	}
-	writeJSON(w, out)
+	writeJSON(w, units)
 }
 
 func (g *Group) handleRenew(w http.ResponseWriter, r *http.Request) {
@@ -288,51 +288,53 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	s, there, err := g.Renew(ctx, id)
+	session, found, err := g.Renew(ctx, id)
 	switch {
 	case err != nil:
 		g.writeError(w, r, err)
-	case !there:
+	case !found:
 		http.Error(w, fmt.Sprintf("session %d has ended", id), http.StatusNotFound)
 	default:
-		writeJSON(w, s)
+		writeJSON(w, session)
 	}
 }
 
-// figures are the status as lines, as the other daemons have them.
+// handleMetrics writes the status as metric lines.
 func (g *Group) handleMetrics(w http.ResponseWriter, r *http.Request) {
-	s, err := g.Status(r.Context())
+	status, err := g.Status(r.Context())
 	if err != nil {
 		g.writeError(w, r, err)
 		return
 	}
-	var b strings.Builder
-	line := func(name string, n int64, kind string) { fmt.Fprintf(&b, "group.%s:%d|%s\n", name, n, kind) }
-	line("term", int64(s.Term), "g")
-	line("writer", int64(s.Writer), "g")
-	line("applied", int64(s.Applied), "g")
-	line("committed", int64(s.Committed), "g")
-	line("elections", s.Elections, "c")
-	line("handed", s.TransfersReceived, "c")
-	line("won", s.ElectionsWon, "c")
-	line("refused", s.ProposalsRefused, "c")
-	line("dropped", s.MessagesDropped, "c")
-	line("records", int64(s.Ledger.Records), "g")
-	line("sessions", int64(s.Ledger.Sessions), "g")
-	line("bytes", int64(s.Ledger.Bytes), "g")
-	line("callers", int64(s.Ledger.Callers), "g")
-	line("commit_p50_us", s.CommitP50Us, "g")
-	line("commit_p99_us", s.CommitP99Us, "g")
-	line("commit_most_us", s.CommitMaxUs, "g")
-	line("log_bytes", s.LogBytes, "g")
-	line("snapshot_bytes", s.SnapshotBytes, "g")
-	line("members", int64(len(s.Members)), "g")
-	line("voters", int64(len(s.Voters)), "g")
-	line("takes_part", map[bool]int64{true: 1}[s.TakesPart], "g")
-	for n := range s.Members {
-		if lag, known := s.Lag[n]; known {
-			line(fmt.Sprintf("lag.%d", n), int64(lag), "g")
+	var lines strings.Builder
+	writeLine := func(name string, value int64, kind string) {
+		fmt.Fprintf(&lines, "group.%s:%d|%s\n", name, value, kind)
+	}
+	writeLine("term", int64(status.Term), "g")
+	writeLine("writer", int64(status.Writer), "g")
+	writeLine("applied", int64(status.Applied), "g")
+	writeLine("committed", int64(status.Committed), "g")
+	writeLine("elections", status.Elections, "c")
+	writeLine("handed", status.TransfersReceived, "c")
+	writeLine("won", status.ElectionsWon, "c")
+	writeLine("refused", status.ProposalsRefused, "c")
+	writeLine("dropped", status.MessagesDropped, "c")
+	writeLine("records", int64(status.Ledger.Records), "g")
+	writeLine("sessions", int64(status.Ledger.Sessions), "g")
+	writeLine("bytes", int64(status.Ledger.Bytes), "g")
+	writeLine("callers", int64(status.Ledger.Callers), "g")
+	writeLine("commit_p50_us", status.CommitP50Us, "g")
+	writeLine("commit_p99_us", status.CommitP99Us, "g")
+	writeLine("commit_most_us", status.CommitMaxUs, "g")
+	writeLine("log_bytes", status.LogBytes, "g")
+	writeLine("snapshot_bytes", status.SnapshotBytes, "g")
+	writeLine("members", int64(len(status.Members)), "g")
+	writeLine("voters", int64(len(status.Voters)), "g")
+	writeLine("takes_part", map[bool]int64{true: 1}[status.TakesPart], "g")
+	for value := range status.Members {
+		if lag, known := status.Lag[value]; known {
+			writeLine(fmt.Sprintf("lag.%d", value), int64(lag), "g")
 		}
 	}
-	io.WriteString(w, b.String())
+	io.WriteString(w, lines.String())
 }
--- a/internal/group/status.go
+++ b/internal/group/status.go
@@ -23,24 +23,24 @@
 	Members           map[uint64]Member `json:"members"`
 	Voters            []uint64          `json:"voters"`
 	Learners          []uint64          `json:"learners,omitempty"`
-	Answering         []uint64          `json:"answering"` // members heard in the last second, this one included
+	Answering         []uint64          `json:"answering"` // members with a message in the last second, this one included
 	Applied           uint64            `json:"applied"`
 	Committed         uint64            `json:"committed"`
 	Lag               map[uint64]uint64 `json:"lag,omitempty"` // entries that each member lacks; known to the leader alone
-	Elections         int64             `json:"elections"`     // elections that this member began because it had not heard the leader
-	TransfersReceived int64             `json:"handed"`        // elections that it began because the leader transferred its role
-	ElectionsWon      int64             `json:"won"`           // elections
-	ProposalsRefused  int64             `json:"refused"`       // proposals
-	MessagesDropped   int64             `json:"dropped"`       // messages to peers, for a full queue
+	Elections         int64             `json:"elections"`     // elections that this member started for lack of heartbeats
+	TransfersReceived int64             `json:"handed"`        // elections that it started because the leader transferred its role
+	ElectionsWon      int64             `json:"won"`
+	ProposalsRefused  int64             `json:"refused"`
+	MessagesDropped   int64             `json:"dropped"` // messages to peers, dropped because of a full queue
 	Ledger            ledger.Stats      `json:"ledger"`
-	CommitP50Us       int64             `json:"commitP50Us"` // from a call to its answer, for proposals of this member
+	CommitP50Us       int64             `json:"commitP50Us"` // from a call to its result, for proposals of this member
 	CommitP99Us       int64             `json:"commitP99Us"`
 	CommitMaxUs       int64             `json:"commitMostUs"`
 	LogBytes          int64             `json:"logBytes"`
 	SnapshotBytes     int64             `json:"snapshotBytes"`
 }
 
-// Standing returns the role of the member in the group.
+// Role returns the role of the member in the group, for display.
 func (s *Status) Role() string {
 	switch {
 	case len(s.Members) == 0:
@@ -58,9 +58,9 @@
 // Status returns the state of the member.
 func (g *Group) Status(ctx context.Context) (s Status, err error) {
 	err = g.call(ctx, func() {
-		st := g.core.raw.Status()
-		s = Status{Group: g.config.Name, Self: g.config.Self, Term: st.GetTerm(), Writer: st.Lead, Address: g.members.Members[st.Lead].Address, TakesPart: g.participating, Incarnation: g.core.incarnations[g.config.Self].Number,
-			Generation: g.members.Generation, Members: maps.Clone(g.members.Members), Voters: g.core.confState.GetVoters(), Learners: g.core.confState.GetLearners(), Applied: g.core.applied, Committed: st.GetCommit(),
+		raftStatus := g.core.raw.Status()
+		s = Status{Group: g.config.Name, Self: g.config.Self, Term: raftStatus.GetTerm(), Writer: raftStatus.Lead, Address: g.members.Members[raftStatus.Lead].Address, TakesPart: g.participating, Incarnation: g.core.incarnations[g.config.Self].Number,
+			Generation: g.members.Generation, Members: maps.Clone(g.members.Members), Voters: g.core.confState.GetVoters(), Learners: g.core.confState.GetLearners(), Applied: g.core.applied, Committed: raftStatus.GetCommit(),
 			Elections: g.elections, TransfersReceived: g.transfersReceived, ElectionsWon: g.electionsWon, ProposalsRefused: g.proposalsRefused, Ledger: g.state.Stats(),
 			CommitP50Us: g.commitLatency.ValueAtQuantile(50), CommitP99Us: g.commitLatency.ValueAtQuantile(99), CommitMaxUs: g.commitLatency.Max()}
 		for _, n := range slices.Sorted(maps.Keys(g.members.Members)) {
@@ -68,10 +68,10 @@
 				s.Answering = append(s.Answering, n)
 			}
 		}
-		if st.RaftState == raft.StateLeader {
+		if raftStatus.RaftState == raft.StateLeader {
 			s.Lag = map[uint64]uint64{}
-			last, _ := g.core.storage.LastIndex() // of a memory storage, which can't fail
-			for n, p := range st.Progress {
+			last, _ := g.core.storage.LastIndex() // MemoryStorage returns no error
+			for n, p := range raftStatus.Progress {
 				s.Lag[n] = last - min(last, p.Match)
 			}
 		}
--- a/internal/ledger/lease.go
+++ b/internal/ledger/lease.go
@@ -18,9 +18,9 @@
 
 // Begin begins the leases of all sessions, as of a member that becomes the writer at a
 // time by its own clock.
-func (l *Leases) Reset(now time.Duration, open []Session) {
+func (l *Leases) Reset(now time.Duration, sessions []Session) {
 	l.deadlines = map[uint64]time.Duration{}
-	for _, s := range open {
+	for _, s := range sessions {
 		l.Renew(now, s)
 	}
 }
@@ -33,24 +33,24 @@
 }
 
 // Over returns the sessions whose time is over, and begins those that have none.
-func (l *Leases) Expired(now time.Duration, open []Session) (over []uint64) {
-	known := make(map[uint64]bool, len(open))
-	for _, s := range open {
-		known[s.ID] = true
-		switch end, begun := l.deadlines[s.ID]; {
-		case !begun:
+func (l *Leases) Expired(now time.Duration, sessions []Session) (expired []uint64) {
+	isOpen := make(map[uint64]bool, len(sessions))
+	for _, s := range sessions {
+		isOpen[s.ID] = true
+		switch deadline, started := l.deadlines[s.ID]; {
+		case !started:
 			l.Renew(now, s)
-		case now >= end:
-			over = append(over, s.ID)
+		case now >= deadline:
+			expired = append(expired, s.ID)
 		}
 	}
 	for id := range l.deadlines {
-		if !known[id] {
+		if !isOpen[id] {
 			delete(l.deadlines, id)
 		}
 	}
-	slices.SortFunc(over, func(a, b uint64) int { return cmp.Compare(a, b) })
-	return over
+	slices.SortFunc(expired, func(a, b uint64) int { return cmp.Compare(a, b) })
+	return expired
 }
 
 // Holding is a session as its holder knows it, by its own clock.
@@ -61,9 +61,9 @@
 
 // Opened takes note of a session whose opening, or whose renewal, was asked for at a
 // time and has been answered.
-func (h *HeldLease) Renewed(asked time.Duration, s Session) {
+func (h *HeldLease) Renewed(sentAt time.Duration, s Session) {
 	h.Session = s
-	h.validUntil = max(h.validUntil, asked+s.TTL())
+	h.validUntil = max(h.validUntil, sentAt+s.TTL())
 }
 
 // Holds says whether the holder may act on it. It ends by this clock before any writer
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -180,22 +180,22 @@
 
 // Apply does a command at its place in the agreed order. What it came to follows from
 // the ledger and the command alone.
-func (s *State) Apply(index uint64, c Command) Result {
+func (s *State) Apply(index uint64, command Command) Result {
 	s.index = index
-	if c.Caller != "" {
-		switch last, known := s.callers[c.Caller]; {
-		case known && c.Request == last.Request:
+	if command.Caller != "" {
+		switch last, known := s.callers[command.Caller]; {
+		case known && command.Request == last.Request:
 			return last.Result
-		case known && c.Request < last.Request:
-			return Result{Code: Stale, Text: fmt.Sprintf("request %d of %s has been done, this is %d", last.Request, c.Caller, c.Request)}
+		case known && command.Request < last.Request:
+			return Result{Code: Stale, Text: fmt.Sprintf("request %d of %s has been done, this is %d", last.Request, command.Caller, command.Request)}
 		}
 	}
-	r := s.execute(index, c)
-	if c.Caller != "" && r.Code != Invalid {
-		s.callers[c.Caller] = completedRequest{c.Request, r, index}
+	result := s.execute(index, command)
+	if command.Caller != "" && result.Code != Invalid {
+		s.callers[command.Caller] = completedRequest{command.Request, result, index}
 		s.evictCallers()
 	}
-	return r
+	return result
 }
 
 // forget drops callers beyond the limit, those that have asked longest ago.
@@ -204,65 +204,65 @@
 		return
 	}
 	// A tenth at once, so that not every call looks for the oldest.
-	all := slices.SortedFunc(maps.Keys(s.callers), func(a, b string) int { return cmp.Compare(s.callers[a].Index, s.callers[b].Index) })
-	for _, caller := range all[:1+len(all)/10] {
+	callers := slices.SortedFunc(maps.Keys(s.callers), func(a, b string) int { return cmp.Compare(s.callers[a].Index, s.callers[b].Index) })
+	for _, caller := range callers[:1+len(callers)/10] {
 		delete(s.callers, caller)
 	}
 }
 
-func (s *State) execute(index uint64, c Command) Result {
-	if err := c.Check(s.limits); err != nil {
+func (s *State) execute(index uint64, command Command) Result {
+	if err := command.Check(s.limits); err != nil {
 		return Result{Code: Invalid, Text: err.Error()}
 	}
-	switch c.Op {
+	switch command.Op {
 	case Open:
 		if len(s.sessions) >= s.limits.Sessions {
 			return Result{Code: Full, Text: fmt.Sprintf("%d sessions are open", len(s.sessions))}
 		}
-		s.sessions[index] = Session{index, c.Caller, c.TTLMs}
+		s.sessions[index] = Session{index, command.Caller, command.TTLMs}
 		return Result{Session: index}
 	case End:
-		if _, there := s.sessions[c.Session]; !there {
-			return Result{Code: NoSession, Text: fmt.Sprintf("session %d has ended", c.Session)}
+		if _, exists := s.sessions[command.Session]; !exists {
+			return Result{Code: NoSession, Text: fmt.Sprintf("session %d has ended", command.Session)}
 		}
-		for _, name := range slices.Sorted(maps.Keys(s.bound[c.Session])) {
+		for _, name := range slices.Sorted(maps.Keys(s.bound[command.Session])) {
 			s.remove(index, name)
 		}
-		delete(s.sessions, c.Session)
-		s.units.SessionEnded(index, c.Session)
+		delete(s.sessions, command.Session)
+		s.units.SessionEnded(index, command.Session)
 		return Result{}
 	case Budget:
-		p, err := s.units.Apply(index, *c.Units, func(id uint64) bool { _, open := s.sessions[id]; return open })
+		permit, err := s.units.Apply(index, *command.Units, func(id uint64) bool { _, open := s.sessions[id]; return open })
 		if err != nil {
 			return Result{Code: Refused, Text: err.Error()}
 		}
-		return Result{Version: index, Permit: p}
+		return Result{Version: index, Permit: permit}
 	}
-	have := s.records[c.Name]
+	current := s.records[command.Name]
 	version, size := uint64(0), 0
-	if have != nil {
-		version, size = have.Version, have.size()
+	if current != nil {
+		version, size = current.Version, current.size()
 	}
-	if c.Expect != nil && *c.Expect != version {
-		return Result{Code: Conflict, Text: fmt.Sprintf("%s is at version %d, not %d", c.Name, version, *c.Expect), Version: version}
+	if command.Expect != nil && *command.Expect != version {
+		return Result{Code: Conflict, Text: fmt.Sprintf("%s is at version %d, not %d", command.Name, version, *command.Expect), Version: version}
 	}
-	if c.Op == Delete {
-		if have == nil {
-			return Result{Code: NotFound, Text: c.Name + " is not there"}
+	if command.Op == Delete {
+		if current == nil {
+			return Result{Code: NotFound, Text: command.Name + " is not there"}
 		}
-		s.remove(index, c.Name)
+		s.remove(index, command.Name)
 		return Result{}
 	}
-	next := &Record{Name: c.Name, Version: index, Value: bytes.Clone(c.Value), Session: c.Session}
-	switch _, open := s.sessions[c.Session]; {
-	case c.Session != 0 && !open:
-		return Result{Code: NoSession, Text: fmt.Sprintf("session %d has ended", c.Session), Version: version}
-	case have == nil && len(s.records) >= s.limits.Records:
+	next := &Record{Name: command.Name, Version: index, Value: bytes.Clone(command.Value), Session: command.Session}
+	switch _, open := s.sessions[command.Session]; {
+	case command.Session != 0 && !open:
+		return Result{Code: NoSession, Text: fmt.Sprintf("session %d has ended", command.Session), Version: version}
+	case current == nil && len(s.records) >= s.limits.Records:
 		return Result{Code: Full, Text: fmt.Sprintf("there are %d records", len(s.records))}
 	case s.bytes-size+next.size() > s.limits.Bytes:
 		return Result{Code: Full, Text: fmt.Sprintf("records hold %d bytes of %d", s.bytes, s.limits.Bytes), Version: version}
 	}
-	s.unbind(have)
+	s.unbind(current)
 	s.put(next)
 	s.bytes -= size
 	s.appendChange(Change{Record: *next})
@@ -325,19 +325,19 @@
 
 // List returns the records whose names begin so, by name.
 func (s *State) List(prefix string) []Record {
-	all := []Record{}
+	records := []Record{}
 	for name, r := range s.records {
 		if strings.HasPrefix(name, prefix) {
-			all = append(all, *r)
+			records = append(records, *r)
 		}
 	}
-	slices.SortFunc(all, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(records, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
+	return records
 }
 
 // Since returns what has changed behind a place in the order, the last state of each
 // record, if the history goes back so far.
-func (s *State) Since(index uint64, prefix string) (changes []Change, known bool) {
+func (s *State) Since(index uint64, prefix string) (changes []Change, ok bool) {
 	if index < s.historyStart {
 		return nil, false
 	}
@@ -379,50 +379,50 @@
 // Save returns the ledger as lines. The history is not in it: who watches across a
 // restart is told everything.
 func (s *State) Save() [][]byte {
-	var all [][]byte
-	add := func(l snapshotLine) {
-		text, err := json.Marshal(l)
+	var lines [][]byte
+	add := func(line snapshotLine) {
+		text, err := json.Marshal(line)
 		if err != nil {
 			panic(err) // of plain fields, and values that are JSON
 		}
-		all = append(all, text)
+		lines = append(lines, text)
 	}
 	add(snapshotLine{Index: &s.index})
-	for _, x := range s.Sessions() {
-		add(snapshotLine{Session: &x})
+	for _, session := range s.Sessions() {
+		add(snapshotLine{Session: &session})
 	}
-	for _, r := range s.List("") {
-		add(snapshotLine{Record: &r})
+	for _, record := range s.List("") {
+		add(snapshotLine{Record: &record})
 	}
 	for _, caller := range slices.Sorted(maps.Keys(s.callers)) {
-		d := s.callers[caller]
-		add(snapshotLine{Caller: caller, Done: &d})
+		request := s.callers[caller]
+		add(snapshotLine{Caller: caller, Done: &request})
 	}
-	for _, l := range s.units.Save() {
-		add(snapshotLine{Units: l})
+	for _, line := range s.units.Save() {
+		add(snapshotLine{Units: line})
 	}
-	return all
+	return lines
 }
 
 // Restore puts what Save returned in the ledger's place.
 func (s *State) Restore(lines [][]byte) error {
 	next := New(s.limits)
 	for n, text := range lines {
-		var l snapshotLine
-		if err := json.Unmarshal(text, &l); err != nil {
+		var line snapshotLine
+		if err := json.Unmarshal(text, &line); err != nil {
 			return fmt.Errorf("ledger: line %d of a snapshot: %w", n+1, err)
 		}
 		switch {
-		case l.Index != nil:
-			next.index, next.historyStart = *l.Index, *l.Index
-		case l.Session != nil:
-			next.sessions[l.Session.ID] = *l.Session
-		case l.Record != nil:
-			next.put(l.Record)
-		case l.Done != nil:
-			next.callers[l.Caller] = *l.Done
-		case l.Units != nil:
-			if err := next.units.Restore(l.Units); err != nil {
+		case line.Index != nil:
+			next.index, next.historyStart = *line.Index, *line.Index
+		case line.Session != nil:
+			next.sessions[line.Session.ID] = *line.Session
+		case line.Record != nil:
+			next.put(line.Record)
+		case line.Done != nil:
+			next.callers[line.Caller] = *line.Done
+		case line.Units != nil:
+			if err := next.units.Restore(line.Units); err != nil {
 				return err
 			}
 		default:
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -47,63 +47,63 @@
 var errNewerFormat = errors.New("of a later format than this program knows")
 
 func encodeHeader(magic [8]byte, kind string, number uint64) []byte {
-	b := make([]byte, 0, headerBytes)
-	b = append(b, magic[:]...)
-	b = binary.LittleEndian.AppendUint16(b, format)
-	b = binary.LittleEndian.AppendUint16(b, 0)
-	var k [8]byte
-	copy(k[:], kind)
-	b = append(b, k[:]...)
-	b = binary.LittleEndian.AppendUint64(b, number)
-	return appendChecksum(b)
+	buf := make([]byte, 0, headerBytes)
+	buf = append(buf, magic[:]...)
+	buf = binary.LittleEndian.AppendUint16(buf, format)
+	buf = binary.LittleEndian.AppendUint16(buf, 0)
+	var kindField [8]byte
+	copy(kindField[:], kind)
+	buf = append(buf, kindField[:]...)
+	buf = binary.LittleEndian.AppendUint64(buf, number)
+	return appendChecksum(buf)
 }
 
 // parseHeader reads a header. An error of another kind or format is final; any
 // other says that the header is not whole.
-func parseHeader(b []byte, magic [8]byte, kind string) (number uint64, err error) {
-	if len(b) < headerBytes {
+func parseHeader(header []byte, magic [8]byte, kind string) (number uint64, err error) {
+	if len(header) < headerBytes {
 		return 0, errors.New("the header is cut short")
 	}
-	if crc32.Checksum(b[:headerBytes-4], castagnoli) != binary.LittleEndian.Uint32(b[headerBytes-4:]) {
+	if crc32.Checksum(header[:headerBytes-4], castagnoli) != binary.LittleEndian.Uint32(header[headerBytes-4:]) {
 		return 0, errors.New("the header's checksum is wrong")
 	}
-	if !bytes.Equal(b[:8], magic[:]) {
+	if !bytes.Equal(header[:8], magic[:]) {
 		return 0, errors.New("not such a file")
 	}
-	if binary.LittleEndian.Uint16(b[8:]) != format {
+	if binary.LittleEndian.Uint16(header[8:]) != format {
 		return 0, errNewerFormat
 	}
-	if have := string(bytes.TrimRight(b[12:20], "\x00")); have != kind {
-		return 0, &wrongKindError{have, kind}
+	if actual := string(bytes.TrimRight(header[12:20], "\x00")); actual != kind {
+		return 0, &wrongKindError{actual, kind}
 	}
-	return binary.LittleEndian.Uint64(b[20:]), nil
+	return binary.LittleEndian.Uint64(header[20:]), nil
 }
 
-type wrongKindError struct{ have, want string }
+type wrongKindError struct{ actual, expected string }
 
 func (w *wrongKindError) Error() string {
-	return fmt.Sprintf("the folder is of %q, not of %q", w.have, w.want)
+	return fmt.Sprintf("the folder is of %q, not of %q", w.actual, w.expected)
 }
 
 // appendFrame writes a frame with records, or one that ends a file.
-func appendFrame(b []byte, first uint64, records [][]byte) []byte {
-	start := len(b)
+func appendFrame(buf []byte, first uint64, records [][]byte) []byte {
+	start := len(buf)
 	length := 0
 	for _, r := range records {
 		length += 4 + len(r)
 	}
-	b = binary.LittleEndian.AppendUint32(b, uint32(length))
-	b = binary.LittleEndian.AppendUint64(b, first)
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(records)))
-	sum := crc32.Checksum(b[start:], castagnoli)
-	b = binary.LittleEndian.AppendUint32(b, 0)
-	body := len(b)
+	buf = binary.LittleEndian.AppendUint32(buf, uint32(length))
+	buf = binary.LittleEndian.AppendUint64(buf, first)
+	buf = binary.LittleEndian.AppendUint32(buf, uint32(len(records)))
+	sum := crc32.Checksum(buf[start:], castagnoli)
+	buf = binary.LittleEndian.AppendUint32(buf, 0)
+	body := len(buf)
 	for _, r := range records {
-		b = binary.LittleEndian.AppendUint32(b, uint32(len(r)))
-		b = append(b, r...)
+		buf = binary.LittleEndian.AppendUint32(buf, uint32(len(r)))
+		buf = append(buf, r...)
 	}
-	binary.LittleEndian.PutUint32(b[body-4:], crc32.Update(sum, castagnoli, b[body:]))
-	return b
+	binary.LittleEndian.PutUint32(buf[body-4:], crc32.Update(sum, castagnoli, buf[body:]))
+	return buf
 }
 
 // frame is one as it was read.
@@ -118,8 +118,8 @@
 // readFrame reads the next frame. io.EOF is the end of the file, errFrame what is
 // no frame; any other error is the file system's.
 func readFrame(in *bufio.Reader) (frame, error) {
-	var head [frameHeaderBytes]byte
-	switch _, err := io.ReadFull(in, head[:]); {
+	var header [frameHeaderBytes]byte
+	switch _, err := io.ReadFull(in, header[:]); {
 	case err == io.EOF:
 		return frame{}, io.EOF
 	case err == io.ErrUnexpectedEOF:
@@ -127,8 +127,8 @@
 	case err != nil:
 		return frame{}, err
 	}
-	length := binary.LittleEndian.Uint32(head[:])
-	count := binary.LittleEndian.Uint32(head[12:])
+	length := binary.LittleEndian.Uint32(header[:])
+	count := binary.LittleEndian.Uint32(header[12:])
 	if length > maxFrameBytes || count > length/4 {
 		return frame{}, errInvalidFrame
 	}
@@ -139,11 +139,11 @@
 	case err != nil:
 		return frame{}, err
 	}
-	sum := crc32.Update(crc32.Checksum(head[:frameHeaderBytes-4], castagnoli), castagnoli, body)
-	if sum != binary.LittleEndian.Uint32(head[frameHeaderBytes-4:]) {
+	sum := crc32.Update(crc32.Checksum(header[:frameHeaderBytes-4], castagnoli), castagnoli, body)
+	if sum != binary.LittleEndian.Uint32(header[frameHeaderBytes-4:]) {
 		return frame{}, errInvalidFrame
 	}
-	f := frame{first: binary.LittleEndian.Uint64(head[4:]), size: frameHeaderBytes + int64(length)}
+	f := frame{first: binary.LittleEndian.Uint64(header[4:]), size: frameHeaderBytes + int64(length)}
 	for range count {
 		if len(body) < 4 || uint32(len(body)-4) < binary.LittleEndian.Uint32(body) {
 			return frame{}, errInvalidFrame
@@ -161,12 +161,12 @@
 // anyFrame says whether a frame that is not before sequence begins anywhere in
 // what is left of a file.
 func containsFrame(rest []byte, sequence uint64) bool {
-	for at := 0; at+frameHeaderBytes <= len(rest); at++ {
-		length := binary.LittleEndian.Uint32(rest[at:])
-		if length > maxFrameBytes || int(length) > len(rest)-at-frameHeaderBytes || binary.LittleEndian.Uint64(rest[at+4:]) < sequence {
+	for offset := 0; offset+frameHeaderBytes <= len(rest); offset++ {
+		length := binary.LittleEndian.Uint32(rest[offset:])
+		if length > maxFrameBytes || int(length) > len(rest)-offset-frameHeaderBytes || binary.LittleEndian.Uint64(rest[offset+4:]) < sequence {
 			continue
 		}
-		if f, err := readFrame(bufio.NewReader(bytes.NewReader(rest[at : at+frameHeaderBytes+int(length)]))); err == nil && f.first >= sequence {
+		if f, err := readFrame(bufio.NewReader(bytes.NewReader(rest[offset : offset+frameHeaderBytes+int(length)]))); err == nil && f.first >= sequence {
 			return true
 		}
 	}
@@ -174,6 +174,6 @@
 }
 
 // appendSum puts the checksum behind what it is of.
-func appendChecksum(b []byte) []byte {
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+func appendChecksum(buf []byte) []byte {
+	return binary.LittleEndian.AppendUint32(buf, crc32.Checksum(buf, castagnoli))
 }
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -71,91 +71,91 @@
 }
 
 // scan reads a folder without changing it.
-func scan(fs FS, kind string, v Visitor) (*Recovery, error) {
-	began := time.Now()
+func scan(fs FS, kind string, visitor Visitor) (*Recovery, error) {
+	start := time.Now()
 	names, err := fs.List()
 	if err != nil {
 		return nil, err
 	}
 	slices.Sort(names)
-	r := &Recovery{}
-	var logs, snaps []uint64
+	recovery := &Recovery{}
+	var logs, snapshots []uint64
 	for _, name := range names {
 		if n, ok := parseName(name, logSuffix); ok {
 			logs = append(logs, n)
 		} else if n, ok := parseName(name, snapshotSuffix); ok {
-			snaps = append(snaps, n)
+			snapshots = append(snapshots, n)
 		} else if strings.HasSuffix(name, tempSuffix) {
-			r.ObsoleteFiles = append(r.ObsoleteFiles, name)
+			recovery.ObsoleteFiles = append(recovery.ObsoleteFiles, name)
 		} else if name != lockName {
 			return nil, fmt.Errorf("%s: no file of a log; is this another program's folder?", name)
 		}
 	}
-	r.snapshots = snaps
-	if len(snaps) > 0 {
-		r.Snapshot = snaps[len(snaps)-1]
-		if err := r.readSnapshot(fs, kind, v); err != nil {
+	recovery.snapshots = snapshots
+	if len(snapshots) > 0 {
+		recovery.Snapshot = snapshots[len(snapshots)-1]
+		if err := recovery.readSnapshot(fs, kind, visitor); err != nil {
 			return nil, err
 		}
 	}
-	r.Last = r.Snapshot
+	recovery.Last = recovery.Snapshot
 	for i, first := range logs {
 		newest := i == len(logs)-1
-		if !newest && logs[i+1] <= r.Snapshot+1 {
+		if !newest && logs[i+1] <= recovery.Snapshot+1 {
 			// The snapshot has all of it, and a crash came before its removal.
-			r.ObsoleteFiles = append(r.ObsoleteFiles, logName(first))
+			recovery.ObsoleteFiles = append(recovery.ObsoleteFiles, logName(first))
 			continue
 		}
-		if first > r.Last+1 {
-			return nil, &DamageError{logName(first), 0, fmt.Sprintf("the records from %d to %d are missing", r.Last+1, first-1)}
+		if first > recovery.Last+1 {
+			return nil, &DamageError{logName(first), 0, fmt.Sprintf("the records from %d to %d are missing", recovery.Last+1, first-1)}
 		}
-		if err := r.readSegment(fs, kind, first, newest, v); err != nil {
+		if err := recovery.readSegment(fs, kind, first, newest, visitor); err != nil {
 			return nil, err
 		}
 	}
-	for _, n := range snaps[:max(0, len(snaps)-1)] {
-		r.ObsoleteFiles = append(r.ObsoleteFiles, snapshotName(n))
+	for _, n := range snapshots[:max(0, len(snapshots)-1)] {
+		recovery.ObsoleteFiles = append(recovery.ObsoleteFiles, snapshotName(n))
 	}
-	r.Segments = len(r.segments)
-	r.Duration = time.Since(began)
-	return r, nil
+	recovery.Segments = len(recovery.segments)
+	recovery.Duration = time.Since(start)
+	return recovery, nil
 }
 
-func (r *Recovery) readSnapshot(fs FS, kind string, v Visitor) error {
+func (r *Recovery) readSnapshot(fs FS, kind string, visitor Visitor) error {
 	name := snapshotName(r.Snapshot)
-	f, err := fs.Open(name)
+	file, err := fs.Open(name)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	in := bufio.NewReaderSize(f, 1<<16)
-	var head [headerBytes]byte
-	if n, err := io.ReadFull(in, head[:]); err != nil && err != io.EOF && err != io.ErrUnexpectedEOF {
+	defer file.Close()
+	reader := bufio.NewReaderSize(file, 1<<16)
+	var header [headerBytes]byte
+	if n, err := io.ReadFull(reader, header[:]); err != nil && err != io.EOF && err != io.ErrUnexpectedEOF {
 		return err
-	} else if seq, err := parseHeader(head[:n], snapshotMagic, kind); err != nil {
+	} else if sequence, err := parseHeader(header[:n], snapshotMagic, kind); err != nil {
 		return headerError(name, err)
-	} else if seq != r.Snapshot {
+	} else if sequence != r.Snapshot {
 		return &DamageError{name, 20, "its name is of another snapshot"}
 	}
 	r.SnapshotBytes = headerBytes
 	for {
-		f, err := readFrame(in)
+		next, err := readFrame(reader)
 		switch {
-		case err == io.EOF || err == errInvalidFrame || err == nil && f.first != uint64(r.SnapshotRecords):
+		case err == io.EOF || err == errInvalidFrame || err == nil && next.first != uint64(r.SnapshotRecords):
 			return &DamageError{name, r.SnapshotBytes, "the snapshot does not go on here"}
 		case err != nil:
 			return err
 		}
-		r.SnapshotBytes += f.size
-		if len(f.records) == 0 { // its end
-			if _, err := in.ReadByte(); err != io.EOF {
+		r.SnapshotBytes += next.size
+		if len(next.records) == 0 { // its end
+			if _, err := reader.ReadByte(); err != io.EOF {
 				return &DamageError{name, r.SnapshotBytes, "something stands behind the end"}
 			}
 			return nil
 		}
-		for _, record := range f.records {
+		for _, record := range next.records {
 			r.SnapshotRecords++
-			if err := v.Snapshot(record); err != nil {
+			if err := visitor.Snapshot(record); err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
 		}
@@ -164,36 +164,36 @@
 
 // headerError tells a header that is not to be read from one that is damaged.
 func headerError(name string, err error) error {
-	var kind *wrongKindError
-	if errors.As(err, &kind) || errors.Is(err, errNewerFormat) {
+	var kindErr *wrongKindError
+	if errors.As(err, &kindErr) || errors.Is(err, errNewerFormat) {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return &DamageError{name, 0, err.Error()}
 }
 
-func (r *Recovery) readSegment(fs FS, kind string, first uint64, newest bool, v Visitor) error {
+func (r *Recovery) readSegment(fs FS, kind string, first uint64, newest bool, visitor Visitor) error {
 	name := logName(first)
-	f, err := fs.Open(name)
+	file, err := fs.Open(name)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	in := bufio.NewReaderSize(f, 1<<16)
-	var head [headerBytes]byte
-	n, err := io.ReadFull(in, head[:])
+	defer file.Close()
+	reader := bufio.NewReaderSize(file, 1<<16)
+	var header [headerBytes]byte
+	n, err := io.ReadFull(reader, header[:])
 	if err != nil && err != io.EOF && err != io.ErrUnexpectedEOF {
 		return err
 	}
-	s := segment{first: first, last: first - 1, size: headerBytes}
-	number, err := parseHeader(head[:n], logMagic, kind)
+	current := segment{first: first, last: first - 1, size: headerBytes}
+	number, err := parseHeader(header[:n], logMagic, kind)
 	if err != nil {
-		var wrong *wrongKindError
-		if !newest || errors.As(err, &wrong) || errors.Is(err, errNewerFormat) {
+		var kindErr *wrongKindError
+		if !newest || errors.As(err, &kindErr) || errors.Is(err, errNewerFormat) {
 			return headerError(name, err)
 		}
 		// The header lasts before anything is written behind it. If nothing is, the
 		// file was being made when the power went.
-		rest, err := io.ReadAll(io.MultiReader(bytes.NewReader(head[:n]), in))
+		rest, err := io.ReadAll(io.MultiReader(bytes.NewReader(header[:n]), reader))
 		if err != nil {
 			return err
 		}
@@ -208,73 +208,73 @@
 		return &DamageError{name, 20, "its name is of another part of the log"}
 	}
 	for {
-		f, err := readFrame(in)
+		next, err := readFrame(reader)
 		if err == io.EOF {
-			if !newest && !s.ended {
-				return &DamageError{name, s.size, "this part of the log has no end"}
+			if !newest && !current.ended {
+				return &DamageError{name, current.size, "this part of the log has no end"}
 			}
 			break
 		}
 		if err != nil && err != errInvalidFrame {
 			return err
 		}
-		if err == nil && (s.ended || f.first != s.last+1) {
-			return &DamageError{name, s.size, "a frame stands here that does not belong here"}
+		if err == nil && (current.ended || next.first != current.last+1) {
+			return &DamageError{name, current.size, "a frame stands here that does not belong here"}
 		}
 		if err == errInvalidFrame {
-			if err := r.checkTornEnd(fs, name, newest, &s); err != nil {
+			if err := r.checkTornEnd(fs, name, newest, &current); err != nil {
 				return err
 			}
 			break
 		}
-		s.size += f.size
-		s.ended = len(f.records) == 0
-		for _, record := range f.records {
-			s.last++
-			if s.last <= r.Last {
+		current.size += next.size
+		current.ended = len(next.records) == 0
+		for _, record := range next.records {
+			current.last++
+			if current.last <= r.Last {
 				continue // the snapshot has it
 			}
-			r.Last = s.last
+			r.Last = current.last
 			r.Records++
-			if err := v.Record(s.last, record); err != nil {
-				return fmt.Errorf("%s at byte %d: %w", name, s.size-f.size, err)
+			if err := visitor.Record(current.last, record); err != nil {
+				return fmt.Errorf("%s at byte %d: %w", name, current.size-next.size, err)
 			}
 		}
 	}
-	r.Bytes += s.size
-	r.Closed = s.ended
-	r.segments = append(r.segments, s)
+	r.Bytes += current.size
+	r.Closed = current.ended
+	r.segments = append(r.segments, current)
 	return nil
 }
 
 // tear decides what to think of a file that does not go on as it should: a torn
 // end of the newest is cut, everything else is damage.
-func (r *Recovery) checkTornEnd(fs FS, name string, newest bool, s *segment) error {
-	f, err := fs.Open(name)
+func (r *Recovery) checkTornEnd(fs FS, name string, newest bool, current *segment) error {
+	file, err := fs.Open(name)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	if _, err := io.CopyN(io.Discard, f, s.size); err != nil {
+	defer file.Close()
+	if _, err := io.CopyN(io.Discard, file, current.size); err != nil {
 		return err
 	}
-	rest, err := io.ReadAll(f)
+	rest, err := io.ReadAll(file)
 	if err != nil {
 		return err
 	}
-	if !newest || s.ended || containsFrame(rest, s.last+1) {
-		return &DamageError{name, s.size, fmt.Sprintf("the log does not go on here, and %d bytes stand behind", len(rest))}
+	if !newest || current.ended || containsFrame(rest, current.last+1) {
+		return &DamageError{name, current.size, fmt.Sprintf("the log does not go on here, and %d bytes stand behind", len(rest))}
 	}
-	r.TruncatedFile, r.TruncatedAt, r.TruncatedBytes = name, s.size, int64(len(rest))
+	r.TruncatedFile, r.TruncatedAt, r.TruncatedBytes = name, current.size, int64(len(rest))
 	return nil
 }
 
 // Check reads a folder that no process has, without changing it.
-func Check(fs FS, kind string, v Visitor) (*Recovery, error) {
+func Check(fs FS, kind string, visitor Visitor) (*Recovery, error) {
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
 		return nil, err
 	}
 	defer unlock.Close()
-	return scan(fs, kind, v)
+	return scan(fs, kind, visitor)
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -67,30 +67,30 @@
 
 // Open reads a folder, gives what it holds to the visitor, and goes on from there.
 // A torn end is cut. Damage is an error, and nothing has been changed then.
-func Open(fs FS, o Options, v Visitor) (*Log, error) {
-	if len(o.Kind) == 0 || len(o.Kind) > 8 || o.SegmentBytes < headerBytes+frameHeaderBytes || o.MaxBytes < 2*o.SegmentBytes {
-		return nil, fmt.Errorf("wal: options %+v make no log", o)
+func Open(fs FS, options Options, visitor Visitor) (*Log, error) {
+	if len(options.Kind) == 0 || len(options.Kind) > 8 || options.SegmentBytes < headerBytes+frameHeaderBytes || options.MaxBytes < 2*options.SegmentBytes {
+		return nil, fmt.Errorf("wal: options %+v make no log", options)
 	}
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{fs: fs, options: o, lock: unlock}
-	if err := l.open(v); err != nil {
+	log := &Log{fs: fs, options: options, lock: unlock}
+	if err := log.open(visitor); err != nil {
 		unlock.Close()
 		return nil, err
 	}
-	return l, nil
+	return log, nil
 }
 
-func (l *Log) open(v Visitor) error {
-	r, err := scan(l.fs, l.options.Kind, v)
+func (l *Log) open(visitor Visitor) error {
+	recovery, err := scan(l.fs, l.options.Kind, visitor)
 	if err != nil {
 		return err
 	}
-	l.segments, l.lastSequence, l.snapshots = r.segments, r.Last, r.snapshots
-	l.stats.Recovery, l.stats.Snapshot, l.stats.SnapshotBytes = *r, r.Snapshot, r.SnapshotBytes
-	for _, name := range r.ObsoleteFiles {
+	l.segments, l.lastSequence, l.snapshots = recovery.segments, recovery.Last, recovery.snapshots
+	l.stats.Recovery, l.stats.Snapshot, l.stats.SnapshotBytes = *recovery, recovery.Snapshot, recovery.SnapshotBytes
+	for _, name := range recovery.ObsoleteFiles {
 		if err := l.fs.Remove(name); err != nil {
 			return err
 		}
@@ -105,11 +105,11 @@
 	if len(l.segments) == 0 {
 		return l.startSegment()
 	}
-	s := &l.segments[len(l.segments)-1]
-	if s.ended {
-		s.size, s.ended = s.size-frameHeaderBytes, false // it goes on in its place
+	newest := &l.segments[len(l.segments)-1]
+	if newest.ended {
+		newest.size, newest.ended = newest.size-frameHeaderBytes, false // it goes on in its place
 	}
-	if l.file, err = l.fs.Append(logName(s.first), s.size); err != nil {
+	if l.file, err = l.fs.Append(logName(newest.first), newest.size); err != nil {
 		return err
 	}
 	// What was read may not have been made to last before the crash, and what was
@@ -117,7 +117,7 @@
 	if err := errors.Join(l.sync(l.file), l.fs.SyncDir()); err != nil {
 		return err
 	}
-	if s.last < l.lastSequence { // the snapshot is newer than the log
+	if newest.last < l.lastSequence { // the snapshot is newer than the log
 		if err := l.endSegment(); err != nil {
 			return err
 		}
@@ -127,10 +127,10 @@
 }
 
 // sync makes a file last and measures the wait.
-func (l *Log) sync(f File) error {
-	began := time.Now()
-	err := f.Sync()
-	wait := time.Since(began)
+func (l *Log) sync(file File) error {
+	start := time.Now()
+	err := file.Sync()
+	wait := time.Since(start)
 	l.stats.Syncs++
 	l.stats.SyncDuration += wait
 	l.stats.MaxSyncDuration = max(l.stats.MaxSyncDuration, wait)
@@ -140,34 +140,34 @@
 // begin makes the next file of the log. The caller has the lock, or is alone.
 func (l *Log) startSegment() error {
 	name := logName(l.lastSequence + 1)
-	f, err := l.fs.Create(name)
+	file, err := l.fs.Create(name)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(encodeHeader(logMagic, l.options.Kind, l.lastSequence+1)); err == nil {
-		if err = l.sync(f); err == nil {
+	if _, err = file.Write(encodeHeader(logMagic, l.options.Kind, l.lastSequence+1)); err == nil {
+		if err = l.sync(file); err == nil {
 			err = l.fs.SyncDir()
 		}
 	}
 	if err != nil {
-		return errors.Join(err, f.Close(), l.fs.Remove(name))
+		return errors.Join(err, file.Close(), l.fs.Remove(name))
 	}
-	l.file = f
+	l.file = file
 	l.segments = append(l.segments, segment{first: l.lastSequence + 1, last: l.lastSequence, size: headerBytes})
 	return nil
 }
 
 // end ends the newest file of the log with a frame that says so.
 func (l *Log) endSegment() error {
-	s := &l.segments[len(l.segments)-1]
-	if _, err := l.file.Write(appendFrame(nil, s.last+1, nil)); err != nil {
-		return errors.Join(err, l.file.Truncate(s.size))
+	newest := &l.segments[len(l.segments)-1]
+	if _, err := l.file.Write(appendFrame(nil, newest.last+1, nil)); err != nil {
+		return errors.Join(err, l.file.Truncate(newest.size))
 	}
 	if err := l.sync(l.file); err != nil {
 		return l.fail(err)
 	}
-	s.size += frameHeaderBytes
-	s.ended = true
+	newest.size += frameHeaderBytes
+	newest.ended = true
 	return l.file.Close()
 }
 
@@ -200,17 +200,17 @@
 		l.stats.NoSpace++
 		return 0, fmt.Errorf("%w: the log has %d bytes of %d", ErrNoSpace, l.logBytes(), l.options.MaxBytes/logDivisor)
 	}
-	s := &l.segments[len(l.segments)-1]
-	if s.ended || s.size+size > l.options.SegmentBytes {
+	newest := &l.segments[len(l.segments)-1]
+	if newest.ended || newest.size+size > l.options.SegmentBytes {
 		if err := l.rollSegment(); err != nil {
 			return 0, err
 		}
-		s = &l.segments[len(l.segments)-1]
+		newest = &l.segments[len(l.segments)-1]
 	}
 	if _, err := l.file.Write(l.scratch); err != nil {
 		// What was written in part must not stand before what comes next.
-		if cut := l.file.Truncate(s.size); cut != nil {
-			return 0, l.fail(errors.Join(err, cut))
+		if truncateErr := l.file.Truncate(newest.size); truncateErr != nil {
+			return 0, l.fail(errors.Join(err, truncateErr))
 		}
 		l.stats.NoSpace++
 		return 0, fmt.Errorf("%w: %w", ErrNoSpace, err)
@@ -220,8 +220,8 @@
 	}
 	first = l.lastSequence + 1
 	l.lastSequence += uint64(len(records))
-	s.last = l.lastSequence
-	s.size += size
+	newest.last = l.lastSequence
+	newest.size += size
 	l.stats.Appends++
 	l.stats.Records += int64(len(records))
 	return first, nil
@@ -258,8 +258,8 @@
 func (l *Log) SnapshotDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := l.logBytes()
-	return l.err == nil && l.lastSequence > l.stats.Snapshot && (n > max(l.options.SegmentBytes, 2*l.stats.SnapshotBytes) || n > l.options.MaxBytes/logDivisor/2)
+	size := l.logBytes()
+	return l.err == nil && l.lastSequence > l.stats.Snapshot && (size > max(l.options.SegmentBytes, 2*l.stats.SnapshotBytes) || size > l.options.MaxBytes/logDivisor/2)
 }
 
 // Last is the sequence of the last record.
@@ -291,12 +291,12 @@
 func (l *Log) prepareSnapshot(sequence uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch s := l.segments[len(l.segments)-1]; {
+	switch newest := l.segments[len(l.segments)-1]; {
 	case l.err != nil:
 		return l.err
 	case sequence > l.lastSequence || sequence <= l.stats.Snapshot:
 		return fmt.Errorf("wal: a snapshot of record %d, where there are those from %d to %d", sequence, l.stats.Snapshot+1, l.lastSequence)
-	case s.last == sequence && s.first <= s.last:
+	case newest.last == sequence && newest.first <= newest.last:
 		return l.rollSegment()
 	}
 	return nil
@@ -304,69 +304,69 @@
 
 // write makes the snapshot's file and makes it last.
 func (l *Log) writeSnapshot(sequence uint64, records func(func([]byte) error) error) (size int64, err error) {
-	temp := snapshotName(sequence) + tempSuffix
-	f, err := l.fs.Create(temp)
+	tempName := snapshotName(sequence) + tempSuffix
+	file, err := l.fs.Create(tempName)
 	if err != nil {
 		return 0, err
 	}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, f.Close(), l.fs.Remove(temp))
+			err = errors.Join(err, file.Close(), l.fs.Remove(tempName))
 		}
 	}()
 	const batch = 64 << 10 // bytes of a frame
-	var waiting [][]byte
-	count, held := uint64(0), 0
-	put := func(b []byte) error {
-		if size += int64(len(b)); size > l.options.MaxBytes/snapshotDivisor {
+	var pending [][]byte
+	count, pendingBytes := uint64(0), 0
+	write := func(data []byte) error {
+		if size += int64(len(data)); size > l.options.MaxBytes/snapshotDivisor {
 			return fmt.Errorf("%w: the snapshot would have over %d bytes", ErrNoSpace, l.options.MaxBytes/snapshotDivisor)
 		}
-		if _, err := f.Write(b); err != nil {
+		if _, err := file.Write(data); err != nil {
 			return fmt.Errorf("%w: %w", ErrNoSpace, err)
 		}
 		return nil
 	}
 	flush := func() error {
-		if len(waiting) == 0 {
+		if len(pending) == 0 {
 			return nil
 		}
-		err := put(appendFrame(nil, count, waiting))
-		count += uint64(len(waiting))
-		waiting, held = waiting[:0], 0
+		err := write(appendFrame(nil, count, pending))
+		count += uint64(len(pending))
+		pending, pendingBytes = pending[:0], 0
 		return err
 	}
-	if err = put(encodeHeader(snapshotMagic, l.options.Kind, sequence)); err != nil {
+	if err = write(encodeHeader(snapshotMagic, l.options.Kind, sequence)); err != nil {
 		return 0, err
 	}
 	err = records(func(record []byte) error {
 		if len(record) > maxFrameBytes-4 {
 			return fmt.Errorf("wal: a record of %d bytes", len(record))
 		}
-		if held+len(record)+4 > batch {
+		if pendingBytes+len(record)+4 > batch {
 			if err := flush(); err != nil {
 				return err
 			}
 		}
-		waiting = append(waiting, slices.Clone(record))
-		held += len(record) + 4
+		pending = append(pending, slices.Clone(record))
+		pendingBytes += len(record) + 4
 		return nil
 	})
 	if err == nil {
 		err = flush()
 	}
 	if err == nil {
-		err = put(appendFrame(nil, count, nil))
+		err = write(appendFrame(nil, count, nil))
 	}
 	if err != nil {
 		return 0, err
 	}
-	if err = f.Sync(); err != nil {
+	if err = file.Sync(); err != nil {
 		return 0, err
 	}
-	if err = f.Close(); err != nil {
+	if err = file.Close(); err != nil {
 		return 0, err
 	}
-	if err = l.fs.Rename(temp, snapshotName(sequence)); err != nil {
+	if err = l.fs.Rename(tempName, snapshotName(sequence)); err != nil {
 		return 0, err
 	}
 	if err := l.fs.SyncDir(); err != nil {
@@ -382,31 +382,31 @@
 
 // trim removes what a snapshot that lasts has made needless.
 func (l *Log) removeObsolete(sequence uint64) error {
-	var all []error
-	keep := l.segments[:0]
+	var errs []error
+	kept := l.segments[:0]
 	for i, s := range l.segments {
 		if i < len(l.segments)-1 && s.last <= sequence {
-			all = append(all, l.fs.Remove(logName(s.first)))
+			errs = append(errs, l.fs.Remove(logName(s.first)))
 			continue
 		}
-		keep = append(keep, s)
+		kept = append(kept, s)
 	}
-	l.segments = keep
+	l.segments = kept
 	for _, n := range l.snapshots {
-		all = append(all, l.fs.Remove(snapshotName(n)))
+		errs = append(errs, l.fs.Remove(snapshotName(n)))
 	}
 	l.snapshots = []uint64{sequence}
-	all = append(all, l.fs.SyncDir())
-	return errors.Join(all...)
+	errs = append(errs, l.fs.SyncDir())
+	return errors.Join(errs...)
 }
 
 // Stats returns the figures.
 func (l *Log) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	st := l.stats
-	st.Bytes, st.Segments = l.logBytes(), len(l.segments)
-	return st
+	stats := l.stats
+	stats.Bytes, stats.Segments = l.logBytes(), len(l.segments)
+	return stats
 }
 
 // Close ends the log, so that the next to open it knows that it has all.
@@ -417,7 +417,7 @@
 		return l.lock.Close()
 	}
 	l.err = errClosed
-	if s := l.segments[len(l.segments)-1]; s.ended {
+	if newest := l.segments[len(l.segments)-1]; newest.ended {
 		return l.lock.Close()
 	}
 	l.err = nil
