--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -116,7 +116,7 @@
 	conn, err := p.acquire(attempt.ctx, attempt.backend)
 	switch {
 	case localFailure(err), errors.Is(err, errConnLimit):
-		return result{outcome: rules.Moot, err: err} // says nothing about the backend
+		return result{outcome: rules.NotStarted, err: err} // says nothing about the backend
 	case err != nil:
 		return result{outcome: rules.ConnectFailed, err: err}
 	}
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -351,7 +351,7 @@
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
 	// The limit is local: nothing was sent, and the outcome says nothing about the backend.
-	if got := pools.runAttempt(newAttempt(testTimeout)); got.outcome != rules.Moot {
+	if got := pools.runAttempt(newAttempt(testTimeout)); got.outcome != rules.NotStarted {
 		t.Errorf("beyond the limit of connections: outcome %d", got.outcome)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -391,7 +391,7 @@
 		if _, err := reader.ReadByte(); err != io.EOF {
 			t.Errorf("%s: the idle connection: %v", name, err)
 		}
-		wantOutcome, minDials := rules.Moot, 3
+		wantOutcome, minDials := rules.NotStarted, 3
 		if failures == 1 {
 			wantOutcome, minDials = rules.Served, 2
 			conn, reader := backend.accept(t)
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -356,7 +356,7 @@
 		x.body, x.trailer, x.reservedMemory = start.held, forwardableTrailers(r.Trailer), f.metrics.bodyBudget.shrink(memory, len(start.held))
 		return 0, nil
 	}
-	x.request.Open = true
+	x.request.BodyPending = true
 	x.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(x.request.Deadline), budget: &f.metrics.bodyBudget,
 		prefix: start, remainder: rest, memory: held, window: window{budget: &f.metrics.bodyBudget, prepaid: minWindow}}
 	x.upload.onComplete = func(until time.Time) { f.loop.post(bodyComplete{x, until}) }
@@ -429,7 +429,7 @@
 		return q, errors.New(timeLeftHeader + " is not a time in milliseconds")
 	}
 	q.Deadline = float64(left) / 1000 // from when it is whole
-	q.Repeat = h.Get(repeatHeader) == "1"
+	q.ClientRetry = h.Get(repeatHeader) == "1"
 	return q, s.parseTerms(&q, h.Get(termsHeader))
 }
 
@@ -442,9 +442,9 @@
 		case "units":
 			q.Units, err = strconv.ParseFloat(value, 64)
 		case "spread":
-			q.Gateways, err = strconv.Atoi(value)
+			q.GatewayCount, err = strconv.Atoi(value)
 		case "first":
-			q.FirstPeer, err = strconv.Atoi(value)
+			q.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %s is not a number", termsHeader, key)
@@ -454,8 +454,8 @@
 	if most <= 0 {
 		most = math.MaxInt32
 	}
-	if !(q.Units > 0 && q.Units <= most) || q.Gateways < 1 || q.Gateways > s.Fleet ||
-		q.FirstPeer < 0 || q.FirstPeer >= s.Fleet {
+	if !(q.Units > 0 && q.Units <= most) || q.GatewayCount < 1 || q.GatewayCount > s.Fleet ||
+		q.FirstGateway < 0 || q.FirstGateway >= s.Fleet {
 		return errors.New(termsHeader + ": units, spread or first is missing or out of range")
 	}
 	return nil
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	n.Snapshot.Rules.Shift(clockStep(n.Snapshot.At, asked, h.loop.clock.now()))
+	n.Snapshot.Rules.ShiftTimes(clockStep(n.Snapshot.At, asked, h.loop.clock.now()))
 	h.setPeer(l, false)
 	return n.Snapshot, nil
 }
@@ -231,7 +231,7 @@
 			}
 			h.mu.Unlock()
 		case n.Leaving:
-			h.loop.post(moduleEvent{rules.Leaving})
+			h.loop.post(moduleEvent{rules.SiblingDraining})
 		}
 	}
 	l.conn.Close()
@@ -246,7 +246,7 @@
 	if h.peer = nil; !h.closed {
 		slog.Info("the other process has ended", "it was the newer", h.peerIsSuccessor)
 		h.setPaired(false)
-		h.loop.post(moduleEvent{rules.Absent})
+		h.loop.post(moduleEvent{rules.SiblingAbsent})
 		if !h.peerIsSuccessor {
 			close(h.noPredecessor)
 		}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -226,7 +226,7 @@
 		message.known <- l.applyOverride(message.id, message.offline)
 	case settingsChanged:
 		l.service = message.service
-		l.handle(rules.Retune{Settings: l.activeSettings()})
+		l.handle(rules.ApplySettings{Settings: l.activeSettings()})
 		l.resizeSubset(message.subset)
 	case listUpdate:
 		if message.kind == rules.ListFailed {
@@ -261,7 +261,7 @@
 		exchange.reply <- response{status: http.StatusServiceUnavailable}
 		return
 	}
-	if l.service.MaxOpen > 0 && len(l.live) >= l.service.MaxOpen {
+	if l.service.MaxInProgress > 0 && len(l.live) >= l.service.MaxInProgress {
 		exchange.counts.dropped.Add(1)
 		exchange.reply <- response{status: http.StatusServiceUnavailable} // nothing has been sent to a backend
 		return
@@ -271,7 +271,7 @@
 	}
 	exchange.request.ID, exchange.inProgress, exchange.queueDelay = l.nextID, true, l.clock.now()-exchange.request.Sent
 	l.live[exchange.request.ID] = exchange
-	if !exchange.request.Open {
+	if !exchange.request.BodyPending {
 		l.accept(exchange)
 	}
 	l.handle(exchange.request)
@@ -314,7 +314,7 @@
 	if !exchange.inProgress {
 		return
 	}
-	exchange.request.Open, exchange.request.Sent = false, l.clock.now()
+	exchange.request.BodyPending, exchange.request.Sent = false, l.clock.now()
 	exchange.request.Deadline = exchange.request.Sent + time.Until(deadline).Seconds()
 	l.accept(exchange)
 	if exchange.responseStarted {
@@ -324,7 +324,7 @@
 		attempt.deadline = exchange.request.Deadline
 		l.timers.add(timerEntry{at: attempt.deadline, attempt: attempt})
 	}
-	l.handle(rules.Whole{Request: exchange.request.ID, Deadline: exchange.request.Deadline})
+	l.handle(rules.BodyComplete{Request: exchange.request.ID, Deadline: exchange.request.Deadline})
 }
 
 // startResponse lets the client's handler stream a response. It returns false if the
@@ -357,7 +357,7 @@
 // whose class and plan indexes may differ. The request keeps its class; the quota is that
 // of the plan's current settings. It returns false if the plan no longer exists.
 func (l *Loop) carryOver(x *exchange) bool {
-	x.request.Own = x.class
+	x.request.ClassOverride = x.class
 	x.request.Plan = slices.Index(l.service.PlanNames, x.plan)
 	return x.request.Plan >= 0
 }
@@ -376,7 +376,7 @@
 	if offline {
 		l.pools.renew(backend)
 	}
-	l.handle(rules.ByHand{Backend: backend, Offline: offline})
+	l.handle(rules.OperatorOverride{Backend: backend, Offline: offline})
 	if delete(l.offline, backend); offline {
 		l.offline[backend] = true
 	}
@@ -406,7 +406,7 @@
 			delete(l.instances, backend.ID)
 		}
 		if backend.State == rules.Ready {
-			l.pools.update(backend.ID, instance.HostPort, backend.Born)
+			l.pools.update(backend.ID, instance.HostPort, backend.StartedAt)
 		} else {
 			l.pools.remove(backend.ID)
 		}
@@ -438,7 +438,7 @@
 		case rules.Fail:
 			l.reject(action.Request, action.Reason, response{status: http.StatusBadGateway})
 		case rules.SetTimer:
-			l.timers.add(timerEntry{at: l.clock.now() + max(action.In, 0), token: action.Token, request: action.Request})
+			l.timers.add(timerEntry{at: l.clock.now() + max(action.Delay, 0), token: action.Token, request: action.Request})
 		case rules.Count:
 			l.callCounter(action)
 		case rules.Exported:
@@ -466,10 +466,10 @@
 	if action.Timeout > 0 {
 		attempt.deadline = min(attempt.deadline, now+action.Timeout)
 	}
-	if action.Before > 0 {
-		attempt.writeBefore = l.clock.at(action.Before)
+	if action.WriteDeadline > 0 {
+		attempt.writeBefore = l.clock.at(action.WriteDeadline)
 	}
-	if exchange.request.Open {
+	if exchange.request.BodyPending {
 		attempt.deadline = math.Inf(1) // until its body is complete
 	} else {
 		attempt.wallDeadline = l.clock.at(attempt.deadline)
@@ -490,14 +490,14 @@
 	exchange.attempts = append(exchange.attempts, attempt)
 	exchange.inFlight++
 	if !exchange.inProgress || attempt.number >= max(l.service.MaxAttempts, 1) || attempt.deadline <= now {
-		l.endAttempt(attempt, result{outcome: rules.Moot})
+		l.endAttempt(attempt, result{outcome: rules.NotStarted})
 		return
 	}
 	if attempt.number > 0 {
 		l.metrics.retries.Add(1)
 	}
 	attempt.ctx, attempt.cancel = context.WithCancel(context.Background())
-	if !exchange.request.Open {
+	if !exchange.request.BodyPending {
 		l.timers.add(timerEntry{at: attempt.deadline, attempt: attempt})
 	}
 	l.attempts.Go(func() { // ends by attempt.wallDeadline, or when the attempt is aborted
@@ -533,7 +533,7 @@
 		l.respond(exchange.request.ID, res.response)
 	}
 	l.handle(rules.AttemptEnd{Request: exchange.request.ID, Attempt: attempt.number, Backend: attempt.backend, Outcome: res.outcome,
-		Took: attempt.took, Done: !exchange.inProgress, Spent: res.bodyConsumed, Units: res.units})
+		Took: attempt.took, Done: !exchange.inProgress, BodyConsumed: res.bodyConsumed, Units: res.units})
 	l.forget(exchange)
 }
 
@@ -546,8 +546,8 @@
 	attempt := exchange.attempts[action.Attempt]
 	attempt.abort()
 	outcome := rules.Cancelled
-	if exchange.request.Open {
-		outcome = rules.Moot // its backend does not have the whole request
+	if exchange.request.BodyPending {
+		outcome = rules.NotStarted // its backend does not have the whole request
 	} else if l.clock.now() >= attempt.deadline-timeoutTolerance {
 		outcome = rules.TimedOut // counts against the backend
 	}
@@ -596,7 +596,7 @@
 
 // updateBackendCounts publishes the decision module's counts of backends.
 func (l *Loop) updateBackendCounts() {
-	known, skipped := l.gateway.Listed()
+	known, skipped := l.gateway.BackendCounts()
 	l.metrics.knownBackends.Store(int64(known))
 	l.metrics.skippedBackends.Store(int64(skipped))
 }
@@ -604,7 +604,7 @@
 // callCounter starts a counter call for the decision module.
 func (l *Loop) callCounter(action rules.Count) {
 	call := &counterCall{name: action.Name, amount: action.Amount, sent: l.clock.now(),
-		ttl: min(max(time.Duration(action.Keep*float64(time.Second)), minTTL), maxTTL)}
+		ttl: min(max(time.Duration(action.TTL*float64(time.Second)), minTTL), maxTTL)}
 	call.report = func(call *counterCall, outcome rules.Outcome, total float64) {
 		l.post(counterCallDone{call, outcome, total})
 	}
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -40,7 +40,7 @@
 	oldService.Classes = []rules.Class{{Worth: 1}, {Worth: 2}}
 	loop := &Loop{service: &serviceConfig{Deployment: wire.Deployment{ClassNames: []string{"a"}, PlanNames: []string{"q"}}}}
 	exchange := &exchange{service: oldService, class: &oldService.Classes[1], plan: "q", request: rules.Request{Class: 1, Plan: 1}}
-	if !loop.carryOver(exchange) || exchange.request.Own != &oldService.Classes[1] || exchange.request.Plan != 0 {
+	if !loop.carryOver(exchange) || exchange.request.ClassOverride != &oldService.Classes[1] || exchange.request.Plan != 0 {
 		t.Errorf("carried over as %+v", exchange.request)
 	}
 	if exchange.plan = "p"; loop.carryOver(exchange) {
@@ -64,7 +64,7 @@
 		go loop.run(ctx)
 		defer func() { cancel(); <-loop.stopped }()
 		exchange := &exchange{service: service, class: &service.Classes[0], counts: service.counts[0], plan: "basic", reply: make(chan response, 2),
-			request: rules.Request{Customer: 7, Units: 2, Gateways: 2, FirstPeer: 1, Sent: loop.clock.now(), Deadline: loop.clock.now() + 15}}
+			request: rules.Request{Customer: 7, Units: 2, GatewayCount: 2, FirstGateway: 1, Sent: loop.clock.now(), Deadline: loop.clock.now() + 15}}
 		loop.post(requestArrived{exchange})
 		synctest.Wait()
 		var call *counterCall
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -83,7 +83,7 @@
 				return dial(ctx, target, within)
 			}
 			done := startAttempt(pools, newAttempt(testTimeout))
-			want := rules.Moot
+			want := rules.NotStarted
 			if failures == 3 {
 				want = rules.Served
 				conn, reader := backend.accept(t)
@@ -129,8 +129,8 @@
 		if len(state.Rules.Backends) != 1 || len(state.Rules.Customers) != 1 {
 			t.Fatalf("%d backends, %d customers", len(state.Rules.Backends), len(state.Rules.Customers))
 		}
-		for what, at := range map[string]float64{"last answer": state.Rules.Backends[0].LastOK, "last request": state.Rules.Customers[0].Seen,
-			"local share": state.Rules.Customers[0].LocalAt} {
+		for what, at := range map[string]float64{"last answer": state.Rules.Backends[0].LastServed, "last request": state.Rules.Customers[0].LastSeen,
+			"local share": state.Rules.Customers[0].LocalUnitsAt} {
 			if age := now - at; age < -0.1 || age > 5 {
 				t.Errorf("step %v: the %s was %.1f s ago", step, what, age)
 			}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -113,7 +113,7 @@
 	// The body broke off before its end was written, so the backend has run nothing.
 	res.outcome, res.err, res.bodyErr = rules.ConnectFailed, err, bodyErr
 	if bodyErr != nil || errors.Is(err, errUploadAborted) && upload.responseSent() {
-		res.outcome = rules.Moot // says nothing about the backend
+		res.outcome = rules.NotStarted // says nothing about the backend
 	}
 	return res, false
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -126,7 +126,7 @@
 	}
 	s.notifiedAnswersDue = answers
 	clock := s.frontend.loop.clock
-	s.frontend.loop.post(moduleEvent{rules.Leave{Until: clock.now() + (answers - time.Since(s.startedAt)).Seconds()}})
+	s.frontend.loop.post(moduleEvent{rules.Shutdown{Deadline: clock.now() + (answers - time.Since(s.startedAt)).Seconds()}})
 }
 
 // remaining returns the time until a step of the schedule, and at most scheduleCheck.
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -39,7 +39,7 @@
 
 var outcomeNames = map[rules.Outcome]string{rules.Served: "served", rules.Errored: "error", rules.Full: "full",
 	rules.TimedOut: "timeout", rules.ConnectFailed: "no_connection", rules.Broken: "reset",
-	rules.Cancelled: "cancelled", rules.Moot: "moot"}
+	rules.Cancelled: "cancelled", rules.NotStarted: "moot"}
 
 // trace logs how a request that ended badly spent its time. All times are in seconds; those
 // of attempts count from the arrival of the request's last byte.
@@ -66,7 +66,7 @@
 	}
 	slog.Info(event, "id", exchange.header.Get(idHeader), "class", exchange.counts.name,
 		"plan", exchange.plan, "customer", uint64(exchange.request.Customer), "units", exchange.request.Units,
-		"repeat", exchange.request.Repeat, "left", roundToMillis(exchange.request.Deadline-exchange.request.Sent), "queued", roundToMillis(exchange.queueDelay),
+		"repeat", exchange.request.ClientRetry, "left", roundToMillis(exchange.request.Deadline-exchange.request.Sent), "queued", roundToMillis(exchange.queueDelay),
 		"took", roundToMillis(now-exchange.request.Sent), "reason", exchange.rejectReason, "attempts", attempts.String())
 }
 
