--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -21,105 +21,108 @@
 )
 
 const (
-	watchDuration    = 2 * time.Second         // how long a watch may stand open
-	watchGrace       = 500 * time.Millisecond  // and how long after that its answer may take to begin
-	listTimeout      = 2 * time.Second         // for the answer to a call for the whole list to begin, in a line perhaps
-	catchUpTimeout   = 1 * time.Second         // for that to a call for what was missed while one failed
-	bodyTimeout      = 1500 * time.Millisecond // for an answer that has begun
-	watchRetryDelay  = 100 * time.Millisecond  // pause after a failed call: a watch lapses after 200 ms
-	maxListingBytes  = 4 << 20                 // bytes of one answer
-	errorLogInterval = 10 * time.Second        // between lines about a discovery that stays down
+	watchDuration    = 2 * time.Second         // for which discovery may hold a watch open
+	watchGrace       = 500 * time.Millisecond  // for the response header after watchDuration
+	listTimeout      = 2 * time.Second         // for the response header to a request for the full list
+	catchUpTimeout   = 1 * time.Second         // for the response header to the request after a failed one
+	bodyTimeout      = 1500 * time.Millisecond // for the body after the response header
+	watchRetryDelay  = 100 * time.Millisecond  // after a failed request; a watch lapses after 200 ms
+	maxListingBytes  = 4 << 20                 // of one response body
+	errorLogInterval = 10 * time.Second
 )
 
-// listMemoryDivisor is the part of a gateway's memory, one in so many, that the text of an
-// answer of a list service may have: what is read from it takes a multiple of that.
+// listMemoryDivisor is the fraction of the gateway's memory, one in listMemoryDivisor, that the
+// text of a service registry's answer may take; decoding it takes a multiple of that.
 const listMemoryDivisor = 16
 
-// maxAnswerBytes returns the bytes that an answer of a list service may have.
+// maxAnswerBytes returns the size limit of a service registry's answer.
 func maxAnswerBytes(memoryMB int) int64 {
 	return max(int64(memoryMB)<<20/listMemoryDivisor, maxListingBytes)
 }
 
-// Listing is discovery's list of backends, or the changes to it, and Instance one
-// of them.
 type (
-	Listing  = registry.Listing
+	// Listing is the list of backends from discovery, or a set of changes to it.
+	Listing = registry.Listing
+	// Instance is one backend of a Listing.
 	Instance = registry.Instance
 )
 
 var backendStates = map[registry.Lifecycle]rules.BackendState{registry.Ready: rules.Ready,
 	registry.Terminating: rules.Draining, registry.Gone: rules.Gone}
 
-// backendID derives the module's id from the name alone, so that all gateways
-// agree on it whatever order they hear of backends in.
+// backendID returns the module's id of a backend. It depends on the name alone, so that all
+// gateways agree on it.
 func backendID(instance string) rules.BackendID {
-	h := fnv.New32a()
-	io.WriteString(h, instance)
-	return rules.BackendID(h.Sum32())
+	hash := fnv.New32a()
+	io.WriteString(hash, instance)
+	return rules.BackendID(hash.Sum32())
 }
 
-// backendOf translates an entry. The module's clock is Unix time (see clock), so
-// a start needs its unit changed only.
-func backendOf(i Instance, d *wire.Deployment) (rules.Backend, error) {
-	state, known := backendStates[i.Lifecycle]
-	zone := slices.Index(d.Zones, i.Zone)
+// backendOf converts an instance to the module's form. Both clocks are Unix time (see clock), the
+// module's in seconds. It returns an error for a lifecycle or zone that the deployment does not
+// have.
+func backendOf(instance Instance, deployment *wire.Deployment) (rules.Backend, error) {
+	state, known := backendStates[instance.Lifecycle]
+	zone := slices.Index(deployment.Zones, instance.Zone)
 	switch {
-	case i.ID == "" || !known:
-		return rules.Backend{}, fmt.Errorf("instance %q: lifecycle %q is not known", i.ID, i.Lifecycle)
+	case instance.ID == "" || !known:
+		return rules.Backend{}, fmt.Errorf("instance %q: lifecycle %q is not known", instance.ID, instance.Lifecycle)
 	case zone < 0 && state != rules.Gone:
-		// Danger: two unknown zones must not pass for one that drops repeats.
-		return rules.Backend{}, fmt.Errorf("instance %q: zone %q is not known", i.ID, i.Zone)
-	case math.IsNaN(i.Weight) || i.StartedAtMs < 0:
-		return rules.Backend{}, fmt.Errorf("instance %q: impossible weight or start", i.ID)
+		// Danger: two unknown zones must not count as one zone that drops repeats.
+		return rules.Backend{}, fmt.Errorf("instance %q: zone %q is not known", instance.ID, instance.Zone)
+	case math.IsNaN(instance.Weight) || instance.StartedAtMs < 0:
+		return rules.Backend{}, fmt.Errorf("instance %q: weight %g or start %d ms is not valid", instance.ID, instance.Weight, instance.StartedAtMs)
 	}
-	return rules.Backend{ID: backendID(i.ID), Zone: zone, Kind: slices.Index(d.Kinds, i.MachineType), Cell: i.Cell,
-		State: state, Weight: i.Weight, Born: float64(i.StartedAtMs) / 1000}, nil
+	return rules.Backend{ID: backendID(instance.ID), Zone: zone, Kind: slices.Index(deployment.Kinds, instance.MachineType), Cell: instance.Cell,
+		State: state, Weight: instance.Weight, Born: float64(instance.StartedAtMs) / 1000}, nil
 }
 
-// listFollower keeps the loop's list up to date, by discovery or by list services.
+// listFollower keeps the loop's list of backends up to date, from discovery or from service
+// registries.
 type listFollower struct {
-	watcher          *discoveryWatcher
-	registryClient   *registry.Client // nil where discovery is asked
-	discoveryAddress string           // of discovery
-	registries       []string
+	watcher          *discoveryWatcher // nil with service registries
+	registryClient   *registry.Client  // nil with discovery
+	discoveryAddress string
+	registries       []string         // addresses
 	scopes           []registry.Scope // of the configuration
 	scopeChange      scopeChange
-	discoveryMoves   chan string
-	registryMoves    chan []string
+	discoveryMoves   chan string   // new addresses of discovery
+	registryMoves    chan []string // new addresses of the service registries
 }
 
-func newListFollower(c *Config, l *Loop) *listFollower {
-	f := &listFollower{discoveryAddress: c.Discovery, registries: c.Registries, scopes: c.Scopes.scopes, discoveryMoves: make(chan string), registryMoves: make(chan []string)}
-	tell := func(told Listing, history string) {
+func newListFollower(config *Config, loop *Loop) *listFollower {
+	follower := &listFollower{discoveryAddress: config.Discovery, registries: config.Registries, scopes: config.Scopes.scopes, discoveryMoves: make(chan string), registryMoves: make(chan []string)}
+	notify := func(listing Listing, history string) {
 		kind := rules.Delta
-		if told.Reset {
+		if listing.Reset {
 			kind = rules.FullList
 		}
-		l.post(listUpdate{told, kind, history})
+		loop.post(listUpdate{listing, kind, history})
 	}
-	if len(c.Registries) > 0 {
+	if len(config.Registries) > 0 {
 		var unknown unknownScopes
-		f.registryClient = registry.NewClient(c.Registries, rand.New(rand.NewPCG(c.Seed, 1)), func(told registry.Told) {
-			if c.observe != nil {
-				c.observe(told)
+		follower.registryClient = registry.NewClient(config.Registries, rand.New(rand.NewPCG(config.Seed, 1)), func(update registry.Told) {
+			if config.observe != nil {
+				config.observe(update)
 			}
-			unknown.logChange(told.Unknown)
-			if scopes, changed := f.scopeChange.handleAnswer(told.Scopes, told.Unknown); changed {
-				f.registryClient.SetScopes(scopes)
+			unknown.logChange(update.Unknown)
+			if scopes, changed := follower.scopeChange.handleAnswer(update.Scopes, update.Unknown); changed {
+				follower.registryClient.SetScopes(scopes)
 			}
-			tell(told.News, told.History)
+			notify(update.News, update.History)
 		})
-		f.registryClient.SetAnswerLimit(maxAnswerBytes(c.MemoryMB))
-		if len(f.scopes) > 0 {
-			f.scopeChange.active = f.scopes
-			f.registryClient.SetScopes(f.scopes)
+		follower.registryClient.SetAnswerLimit(maxAnswerBytes(config.MemoryMB))
+		if len(follower.scopes) > 0 {
+			follower.scopeChange.active = follower.scopes
+			follower.registryClient.SetScopes(follower.scopes)
 		}
 	} else {
-		f.watcher = newDiscoveryWatcher(c.Discovery, func(told Listing) { tell(told, "") }, l.awaitListRetry)
+		follower.watcher = newDiscoveryWatcher(config.Discovery, func(listing Listing) { notify(listing, "") }, loop.awaitListRetry)
 	}
-	return f
+	return follower
 }
 
+// run follows the list until ctx ends.
 func (f *listFollower) run(ctx context.Context) {
 	if f.registryClient != nil {
 		f.registryClient.Run(ctx, f.registryMoves)
@@ -128,8 +131,8 @@
 	f.watcher.run(ctx, f.discoveryMoves)
 }
 
-// reconfigure follows at the addresses of another configuration, and reads its scopes. Whether
-// it asks discovery or list services stays as it was at the start.
+// reconfigure applies the addresses and scopes of a new configuration. The choice between
+// discovery and service registries stays as it was at the start.
 func (f *listFollower) reconfigure(ctx context.Context, next *Config) {
 	if f.registryClient != nil && !slices.Equal(f.scopes, next.Scopes.scopes) {
 		f.scopes = next.Scopes.scopes
@@ -151,29 +154,29 @@
 	}
 }
 
-// discoveryWatcher follows discovery and hands on each answer.
+// discoveryWatcher polls discovery and passes on each answer.
 type discoveryWatcher struct {
 	address        string
 	client         *http.Client
-	since          int64
-	hasList        bool // a whole list has come
-	lastCallFailed bool // the last call failed
+	since          int64 // version of the list that was received last
+	hasList        bool  // since is valid
+	lastCallFailed bool
 	onListing      func(Listing)
 
-	// onRejected tells that a call was turned away, and returns when to ask again.
+	// onRejected reports that discovery answered 503, and returns when the next request is due.
 	onRejected func(context.Context)
 }
 
-func newDiscoveryWatcher(address string, heard func(Listing), refused func(context.Context)) *discoveryWatcher {
-	return &discoveryWatcher{address: address, onListing: heard, onRejected: refused,
+func newDiscoveryWatcher(address string, onListing func(Listing), onRejected func(context.Context)) *discoveryWatcher {
+	return &discoveryWatcher{address: address, onListing: onListing, onRejected: onRejected,
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 2}}}
 }
 
-// run follows discovery until ctx ends, at each new address from the whole list
-// on: the versions of another agent need not be those of the last.
+// run follows discovery until ctx ends. At each address from moves it starts with the full list,
+// since another agent may count versions differently.
 func (w *discoveryWatcher) run(ctx context.Context, moves <-chan string) {
 	for {
-		inner, leave := context.WithCancel(ctx)
+		inner, cancel := context.WithCancel(ctx)
 		var wg sync.WaitGroup
 		wg.Go(func() { w.follow(inner) })
 		address := ""
@@ -181,7 +184,7 @@
 		case <-ctx.Done():
 		case address = <-moves:
 		}
-		leave()
+		cancel()
 		wg.Wait()
 		if ctx.Err() != nil {
 			return
@@ -190,25 +193,23 @@
 	}
 }
 
-// follow asks until ctx ends: once for the list, from then on for changes. A
-// failed call is made again soon, on a new connection, from the last version
-// that arrived; what changed meanwhile comes with its answer, for which that call
-// does not wait. One that was turned away waits: each call made at once would be
-// one more in a line that is too long already. What discovery has reaches the
-// gateway within 6 s of all of that; the sums are in docs/design.md.
+// follow requests the list once and then its changes, until ctx ends. It repeats a failed request
+// soon, on a new connection, from the last version received; that request does not wait for
+// changes. After a rejected request it waits for onRejected, so as not to add to the overload of
+// discovery. A change reaches the gateway within 6 s, including these retries.
 func (w *discoveryWatcher) follow(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
-	var complained time.Time
+	var lastLogged time.Time
 	for ctx.Err() == nil {
-		l, err := w.requestListing(ctx)
+		listing, err := w.requestListing(ctx)
 		w.lastCallFailed = err != nil
 		if err == nil {
-			w.since, w.hasList = l.Generation, true
-			w.onListing(l)
+			w.since, w.hasList = listing.Generation, true
+			w.onListing(listing)
 			continue
 		}
-		if ctx.Err() == nil && time.Since(complained) > errorLogInterval {
-			complained = time.Now()
+		if ctx.Err() == nil && time.Since(lastLogged) > errorLogInterval {
+			lastLogged = time.Now()
 			log.Printf("discovery: %v", err)
 		}
 		if errors.Is(err, errRejected) {
@@ -225,7 +226,9 @@
 
 var errRejected = errors.New("turned away")
 
-func (w *discoveryWatcher) requestListing(ctx context.Context) (l Listing, err error) {
+// requestListing requests the full list, or the changes since the last version. It returns
+// errRejected if discovery answers 503.
+func (w *discoveryWatcher) requestListing(ctx context.Context) (listing Listing, err error) {
 	url, limit := "http://"+w.address+registry.Path, listTimeout
 	if w.hasList {
 		wait := watchDuration
@@ -236,49 +239,49 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := time.AfterFunc(limit, func() { cancel(context.DeadlineExceeded) })
-	defer patience.Stop()
+	timer := time.AfterFunc(limit, func() { cancel(context.DeadlineExceeded) })
+	defer timer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return l, err
+		return listing, err
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return l, err
+		return listing, err
 	}
 	defer resp.Body.Close()
-	patience.Reset(bodyTimeout)
+	timer.Reset(bodyTimeout)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListingBytes))
 	if err != nil {
-		return l, err
+		return listing, err
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		return l, errRejected // which says nothing against the version
+		return listing, errRejected // the version stays valid
 	}
 	if resp.StatusCode != http.StatusOK {
-		w.hasList = false // the version may be the trouble: start from the whole list
-		return l, fmt.Errorf("status %s", resp.Status)
+		w.hasList = false // discovery may not know the version: start from the full list
+		return listing, fmt.Errorf("status %s", resp.Status)
 	}
-	if l, err = readListing(body, !w.hasList); err != nil {
+	if listing, err = readListing(body, !w.hasList); err != nil {
 		w.hasList = false
-		return l, fmt.Errorf("list: %w", err)
+		return listing, fmt.Errorf("list: %w", err)
 	}
-	return l, nil
+	return listing, nil
 }
 
-// readListing reads an answer; whole says that it has to be a list, not changes.
-// Danger: what is JSON and no list would empty the gateway's.
-func readListing(body []byte, whole bool) (l Listing, err error) {
+// readListing decodes an answer of discovery. With full set, the answer must be the full list.
+// Danger: other JSON text must not decode as an empty list, which would remove all backends.
+func readListing(body []byte, full bool) (listing Listing, err error) {
 	var generation struct{ Generation *int64 }
 	if err := json.Unmarshal(body, &generation); err != nil {
-		return l, err
+		return listing, err
 	}
-	if err := json.Unmarshal(body, &l); err != nil {
-		return l, err
+	if err := json.Unmarshal(body, &listing); err != nil {
+		return listing, err
 	}
-	l.Reset = l.Reset || whole // a call without a version is answered with all there are
-	if generation.Generation == nil || l.Reset && l.Instances == nil {
-		return l, errors.New("no generation or no instances")
+	listing.Reset = listing.Reset || full // discovery answers a request without a version with the full list
+	if generation.Generation == nil || listing.Reset && listing.Instances == nil {
+		return listing, errors.New("no generation or no instances")
 	}
-	return l, nil
+	return listing, nil
 }
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -20,34 +20,34 @@
 
 const (
 	handoverSocketName    = "handover.sock"
-	joinTimeout           = 2 * time.Second // for the state; the platform waits 6 s for a new process
+	joinTimeout           = 2 * time.Second // for receiving the state; the platform waits 6 s for a new process
 	joinRetryInterval     = 20 * time.Millisecond
-	successorTimeout      = 6 * time.Second        // for a new process to serve; the platform waits no longer
-	servingNoticeTimeout  = 200 * time.Millisecond // for its word that it serves, which may be on its way
-	peerCallTimeout       = 700 * time.Millisecond // for the other's word on a call, of which the caller waits 1 s
-	clockToleranceSeconds = 0.05                   // seconds that clocks which begin at one wall clock may differ by
+	successorTimeout      = 6 * time.Second        // for a successor to serve; the platform waits no longer
+	servingNoticeTimeout  = 200 * time.Millisecond // for a Serving message that may still be in transit
+	peerCallTimeout       = 700 * time.Millisecond // below the 1 s that an operator's call waits
+	clockToleranceSeconds = 0.05                   // by which the processes' clocks may differ without a wall clock step
 )
 
-// snapshot is what one process of a gateway leaves to the next.
+// snapshot is the state that a process of a gateway hands over to its successor.
 type snapshot struct {
-	At      float64 // the time of the process that wrote them, on its clock
+	At      float64 // when the state was exported, in seconds on the exporter's clock
 	Listing Listing
-	Plans   []string // the customers' records go by their numbers
+	Plans   []string // names of the plans that the customer records refer to by number
 	Rules   rules.Snapshot
-	Outside []string `json:",omitempty"` // backends outside the subset that are out by hand
+	Outside []string `json:",omitempty"` // backends outside the subset that an operator took offline
 }
 
-// handoverMessage is one line between two processes of a gateway.
+// handoverMessage is a message between two processes of a gateway, one JSON line each.
 type handoverMessage struct {
-	Join     bool             `json:",omitempty"`      // new to old: the state, please
-	Snapshot *snapshot        `json:"Books,omitempty"` // old to new; the name is that of earlier releases
-	Serving  bool             `json:",omitempty"`      // new to old: clients are taken
-	Leaving  bool             `json:",omitempty"`      // old to new: no more clients are taken
-	Call     *overrideMessage `json:",omitempty"`      // an operator's
-	Said     *overrideMessage `json:",omitempty"`      // the answer to one
+	Join           bool             `json:",omitempty"`      // new to old: requests the state
+	Snapshot       *snapshot        `json:"Books,omitempty"` // old to new: the state
+	Serving        bool             `json:",omitempty"`      // new to old: the sender accepts clients
+	Leaving        bool             `json:",omitempty"`      // old to new: the sender accepts no more clients
+	Override       *overrideMessage `json:"Call,omitempty"`
+	OverrideResult *overrideMessage `json:"Said,omitempty"`
 }
 
-// overrideMessage is an operator's, or the answer to it.
+// overrideMessage is an operator override, or the result of one, which has the same Number.
 type overrideMessage struct {
 	Number  int
 	ID      string
@@ -55,7 +55,7 @@
 	Known   bool
 }
 
-// peerConn is the connection to the other process of this gateway.
+// peerConn is the connection to the sibling process.
 type peerConn struct {
 	conn    net.Conn
 	decoder *json.Decoder
@@ -63,10 +63,10 @@
 	mu             sync.Mutex
 	encoder        *json.Encoder
 	lastCallNumber int
-	pendingCalls   map[int]chan bool // words that are out
+	pendingCalls   map[int]chan bool // overrides without a result, by number
 
-	serving chan struct{} // closed once the other has said that it serves
-	closed  chan struct{} // closed once nothing is heard on it any more
+	serving chan struct{} // closed once the sibling has reported that it serves
+	closed  chan struct{} // closed once nothing is received on it any more
 }
 
 func newPeerConn(conn net.Conn) *peerConn {
@@ -74,177 +74,181 @@
 		serving: make(chan struct{}), closed: make(chan struct{})}
 }
 
-func (l *peerConn) send(n handoverMessage) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conn.SetWriteDeadline(time.Now().Add(peerCallTimeout)) // one that has stalled must hold up nobody
-	return l.encoder.Encode(n)
+func (p *peerConn) send(message handoverMessage) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conn.SetWriteDeadline(time.Now().Add(peerCallTimeout)) // a stalled sibling must not block the sender
+	return p.encoder.Encode(message)
 }
 
-var errNoPeerReply = errors.New("the other process did not answer")
+var errNoPeerReply = errors.New("the sibling process did not answer an operator override")
 
-// forwardOverride hands an operator's word on and waits for the answer.
-func (l *peerConn) forwardOverride(id string, offline bool) (known bool, err error) {
+// forwardOverride sends an operator override and waits for its result. It returns errNoPeerReply
+// if none comes within peerCallTimeout or before the connection ends.
+func (p *peerConn) forwardOverride(id string, offline bool) (known bool, err error) {
 	done := make(chan bool, 1)
-	l.mu.Lock()
-	l.lastCallNumber++
-	number := l.lastCallNumber
-	l.pendingCalls[number] = done
-	l.mu.Unlock()
+	p.mu.Lock()
+	p.lastCallNumber++
+	number := p.lastCallNumber
+	p.pendingCalls[number] = done
+	p.mu.Unlock()
 	defer func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		delete(l.pendingCalls, number)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.pendingCalls, number)
 	}()
-	if err := l.send(handoverMessage{Call: &overrideMessage{Number: number, ID: id, Offline: offline}}); err != nil {
+	if err := p.send(handoverMessage{Override: &overrideMessage{Number: number, ID: id, Offline: offline}}); err != nil {
 		return false, err
 	}
-	patience := time.NewTimer(peerCallTimeout)
-	defer patience.Stop()
+	timeout := time.NewTimer(peerCallTimeout)
+	defer timeout.Stop()
 	select {
 	case known, ok := <-done:
 		if !ok {
 			return false, errNoPeerReply
 		}
 		return known, nil
-	case <-patience.C:
+	case <-timeout.C:
 		return false, errNoPeerReply
 	}
 }
 
-func (l *peerConn) completeOverride(w overrideMessage) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if done := l.pendingCalls[w.Number]; done != nil {
-		done <- w.Known
-		delete(l.pendingCalls, w.Number)
+// completeOverride delivers the result of an override to the forwardOverride that waits for it.
+func (p *peerConn) completeOverride(result overrideMessage) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if done := p.pendingCalls[result.Number]; done != nil {
+		done <- result.Known
+		delete(p.pendingCalls, result.Number)
 	}
 }
 
-// handover keeps this process and the one before or after it one gateway.
+// handover makes this process and its predecessor or successor act as one gateway.
 type handover struct {
 	loop          *Loop
-	setPaired     func(bool)    // half of the descriptors, or all
-	noPredecessor chan struct{} // closed once no process came before this one
+	setPaired     func(bool)    // whether a sibling process shares the limits on descriptors and memory
+	noPredecessor chan struct{} // closed once this process has no predecessor
 
 	mu               sync.Mutex
-	peer             *peerConn // nil: there is none
-	peerIsSuccessor  bool      // the other is the newer
-	successorServing bool      // and serves
+	peer             *peerConn // nil: there is no sibling process
+	peerIsSuccessor  bool
+	successorServing bool
 	closed           bool
 	readers          sync.WaitGroup
 }
 
-// join asks the process before for its state, if there is one, and again while
-// that still has the end of another to notice. It returns nil where there is
-// none, or it has nothing to say.
+// join requests the state of the predecessor process in dir, and retries for joinTimeout, since
+// the predecessor may not have noticed yet that an earlier successor has ended. It returns nil
+// without an error if there is no predecessor.
 func (h *handover) join(ctx context.Context, dir string) (*snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	for {
-		b, err := h.requestState(ctx, dir)
+		state, err := h.requestState(ctx, dir)
 		switch {
-		case err == nil && b == nil:
+		case err == nil && state == nil:
 			close(h.noPredecessor)
 			return nil, nil
 		case err == nil:
-			return b, nil
+			return state, nil
 		}
 		select {
 		case <-time.After(joinRetryInterval):
 		case <-ctx.Done():
 			close(h.noPredecessor)
-			return nil, fmt.Errorf("the process before: %w", err)
+			return nil, fmt.Errorf("state of the predecessor process: %w", err)
 		}
 	}
 }
 
+// requestState requests the predecessor's state once. It returns nil without an error if nobody
+// listens on the socket.
 func (h *handover) requestState(ctx context.Context, dir string) (*snapshot, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, "unix", filepath.Join(dir, handoverSocketName))
 	if err != nil {
-		return nil, nil // nobody there; a file may be left of one that is gone
+		return nil, nil // a process that was killed may have left its socket file
 	}
-	l := newPeerConn(conn)
-	var n handoverMessage
-	end, _ := ctx.Deadline()
-	conn.SetReadDeadline(end)
-	asked := h.loop.clock.now()
-	if err = l.send(handoverMessage{Join: true}); err == nil {
-		err = l.decoder.Decode(&n)
+	peer := newPeerConn(conn)
+	var reply handoverMessage
+	deadline, _ := ctx.Deadline()
+	conn.SetReadDeadline(deadline)
+	requestedAt := h.loop.clock.now()
+	if err = peer.send(handoverMessage{Join: true}); err == nil {
+		err = peer.decoder.Decode(&reply)
 	}
-	if err == nil && n.Snapshot == nil {
-		err = errors.New("no state")
+	if err == nil && reply.Snapshot == nil {
+		err = errors.New("the reply to a join has no state")
 	}
 	if err != nil {
 		conn.Close()
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	n.Snapshot.Rules.Shift(clockStep(n.Snapshot.At, asked, h.loop.clock.now()))
-	h.setPeer(l, false)
-	return n.Snapshot, nil
+	reply.Snapshot.Rules.Shift(clockStep(reply.Snapshot.At, requestedAt, h.loop.clock.now()))
+	h.setPeer(peer, false)
+	return reply.Snapshot, nil
 }
 
-// clockStep returns by how much this process's clock is ahead of that of a process that
-// wrote its time between two moments of this one: 0 if it may be the same. Each clock begins
-// at the wall clock, which may have been stepped between their starts.
-func clockStep(theirs, asked, answered float64) float64 {
-	if theirs == 0 || theirs >= asked-clockToleranceSeconds && theirs <= answered+clockToleranceSeconds {
+// clockStep returns by how many seconds the local clock is ahead of the clock of a process that
+// read it as peerTime between requestedAt and repliedAt, or 0 if the two may agree. Each clock
+// starts at the wall clock, which may have been stepped between the starts of the processes.
+func clockStep(peerTime, requestedAt, repliedAt float64) float64 {
+	if peerTime == 0 || peerTime >= requestedAt-clockToleranceSeconds && peerTime <= repliedAt+clockToleranceSeconds {
 		return 0
 	}
-	return answered - theirs
+	return repliedAt - peerTime
 }
 
-// setPeer makes l the connection to the other process and listens on it until it
-// ends. It returns false where there is another already.
-func (h *handover) setPeer(l *peerConn, heir bool) bool {
+// setPeer makes peer the connection to the sibling process and starts to read from it. It returns
+// false if this process has a sibling already, or is closing.
+func (h *handover) setPeer(peer *peerConn, isSuccessor bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.peer != nil || h.closed {
 		return false
 	}
-	h.peer, h.peerIsSuccessor = l, heir
+	h.peer, h.peerIsSuccessor = peer, isSuccessor
 	h.setPaired(true)
-	h.readers.Go(func() { h.readMessages(l) })
+	h.readers.Go(func() { h.readMessages(peer) })
 	return true
 }
 
-// readMessages takes what the other process says until one of the two ends.
-func (h *handover) readMessages(l *peerConn) {
-	defer close(l.closed)
+// readMessages handles the messages of the sibling process until the connection ends.
+func (h *handover) readMessages(peer *peerConn) {
+	defer close(peer.closed)
 	for {
-		var n handoverMessage
-		if err := l.decoder.Decode(&n); err != nil {
+		var message handoverMessage
+		if err := peer.decoder.Decode(&message); err != nil {
 			break
 		}
 		switch {
-		case n.Call != nil:
-			n.Call.Known = h.loop.override(n.Call.ID, n.Call.Offline)
-			l.send(handoverMessage{Said: n.Call})
-		case n.Said != nil:
-			l.completeOverride(*n.Said)
-		case n.Serving:
+		case message.Override != nil:
+			message.Override.Known = h.loop.override(message.Override.ID, message.Override.Offline)
+			peer.send(handoverMessage{OverrideResult: message.Override})
+		case message.OverrideResult != nil:
+			peer.completeOverride(*message.OverrideResult)
+		case message.Serving:
 			h.mu.Lock()
 			if !h.successorServing {
 				h.successorServing = true
-				close(l.serving)
+				close(peer.serving)
 			}
 			h.mu.Unlock()
-		case n.Leaving:
+		case message.Leaving:
 			h.loop.post(moduleEvent{rules.Leaving})
 		}
 	}
-	l.conn.Close()
+	peer.conn.Close()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	l.mu.Lock()
-	for _, done := range l.pendingCalls {
+	peer.mu.Lock()
+	for _, done := range peer.pendingCalls {
 		close(done)
 	}
-	clear(l.pendingCalls)
-	l.mu.Unlock()
+	clear(peer.pendingCalls)
+	peer.mu.Unlock()
 	if h.peer = nil; !h.closed {
-		slog.Info("the other process has ended", "it was the newer", h.peerIsSuccessor)
+		slog.Info("the other process has ended", "successor", h.peerIsSuccessor)
 		h.setPaired(false)
 		h.loop.post(moduleEvent{rules.Absent})
 		if !h.peerIsSuccessor {
@@ -254,10 +258,10 @@
 	h.peerIsSuccessor, h.successorServing = false, false
 }
 
-// serveSuccessors gives the state to the process after this one, until ctx ends. Its file
-// takes the place of that of the process before in one step, once that one has
-// ended: should this one end first, the next must find the old one. What a dead
-// process left is replaced likewise.
+// serveSuccessors exports the state to each successor process until ctx ends. Once the predecessor
+// has ended, the socket file of this process replaces that of the predecessor atomically: if this
+// process ends first, the next one must still find the predecessor. A file that a killed process
+// left is replaced in the same way.
 func (h *handover) serveSuccessors(ctx context.Context, dir string) error {
 	select {
 	case <-h.noPredecessor:
@@ -266,18 +270,18 @@
 	}
 	path := filepath.Join(dir, handoverSocketName+"."+strconv.Itoa(os.Getpid()))
 	os.Remove(path)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return err
 	}
-	l.SetUnlinkOnClose(false) // by then the name may be that of the next process
+	listener.SetUnlinkOnClose(false) // a successor may have replaced the file by then
 	if err := os.Rename(path, filepath.Join(dir, handoverSocketName)); err != nil {
-		l.Close()
+		listener.Close()
 		return err
 	}
-	defer context.AfterFunc(ctx, func() { l.Close() })()
+	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -286,132 +290,132 @@
 		}
 		if err := h.sendState(conn); err != nil {
 			slog.Error("state not exported", "error", err)
-			conn.Close() // which its reader, if it has one, takes for the other's end
+			conn.Close() // ends its reader, if it has one
 		}
 	}
 }
 
-// sendState hands the state over to a process that asks for them.
+// sendState exports the state to a successor process that requests it.
 func (h *handover) sendState(conn net.Conn) error {
-	l := newPeerConn(conn)
+	peer := newPeerConn(conn)
 	conn.SetReadDeadline(time.Now().Add(joinTimeout))
-	var n handoverMessage
-	if err := l.decoder.Decode(&n); err != nil {
+	var request handoverMessage
+	if err := peer.decoder.Decode(&request); err != nil {
 		return err
 	}
-	if !n.Join {
-		return errors.New("it did not ask for them")
+	if !request.Join {
+		return errors.New("the first message of a successor process is not a join")
 	}
 	conn.SetReadDeadline(time.Time{})
-	// Danger: a word of an operator must miss neither process. One that comes from
-	// here on goes to both, and to the new one after the state.
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !h.setPeer(l, true) {
-		return errors.New("this process has another beside it, or ends")
+	// Danger: an operator override must reach both processes. From setPeer on, each is applied
+	// here and sent to the successor; the lock keeps it behind the state.
+	peer.mu.Lock()
+	defer peer.mu.Unlock()
+	if !h.setPeer(peer, true) {
+		return errors.New("this process has a sibling process already, or is stopping")
 	}
-	written := make(chan snapshot, 1)
-	if !h.loop.post(snapshotRequest{written}) {
-		return errors.New("this process has ended")
+	exported := make(chan snapshot, 1)
+	if !h.loop.post(snapshotRequest{exported}) {
+		return errors.New("this process has stopped")
 	}
 	select {
-	case b := <-written:
+	case state := <-exported:
 		conn.SetWriteDeadline(time.Now().Add(peerCallTimeout))
-		if err := l.encoder.Encode(handoverMessage{Snapshot: &b}); err != nil {
+		if err := peer.encoder.Encode(handoverMessage{Snapshot: &state}); err != nil {
 			return err
 		}
 	case <-h.loop.stopped:
-		return errors.New("this process has ended")
+		return errors.New("this process has stopped")
 	}
 	slog.Info("state exported")
-	time.AfterFunc(successorTimeout, func() { h.dropIfNotServing(l) })
+	time.AfterFunc(successorTimeout, func() { h.dropIfNotServing(peer) })
 	return nil
 }
 
-// notifyServing tells the process before that this one takes clients.
+// notifyServing tells the predecessor process, if any, that this one accepts clients.
 func (h *handover) notifyServing() {
 	h.mu.Lock()
-	other, heir := h.peer, h.peerIsSuccessor
+	peer, isSuccessor := h.peer, h.peerIsSuccessor
 	h.mu.Unlock()
-	if other != nil && !heir {
-		other.send(handoverMessage{Serving: true})
+	if peer != nil && !isSuccessor {
+		peer.send(handoverMessage{Serving: true})
 	}
 }
 
-// dropIfNotServing leaves a new process that has stalled: half of the gateway must not wait
-// for one that the platform has given up.
-func (h *handover) dropIfNotServing(l *peerConn) {
+// dropIfNotServing disconnects a successor process that does not serve, so that this process may
+// use all of the gateway's resources again.
+func (h *handover) dropIfNotServing(peer *peerConn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.peer == l && !h.successorServing {
+	if h.peer == peer && !h.successorServing {
 		slog.Error("the new process does not serve")
-		l.conn.Close()
+		peer.conn.Close()
 	}
 }
 
-// hasPeer says whether another process of this gateway runs.
+// hasPeer reports whether a sibling process is connected.
 func (h *handover) hasPeer() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.peer != nil
 }
 
-// applyOverride tells both processes an operator's word. It is true to say yes only
-// once both have it.
+// applyOverride applies an operator override in both processes of the gateway. It returns an error
+// unless both have applied it, and known if at least one of them knows the backend.
 func (h *handover) applyOverride(id string, offline bool) (known bool, err error) {
 	known = h.loop.override(id, offline)
 	h.mu.Lock()
-	other, starting := h.peer, h.peerIsSuccessor && !h.successorServing
+	peer, starting := h.peer, h.peerIsSuccessor && !h.successorServing
 	h.mu.Unlock()
-	if other == nil {
+	if peer == nil {
 		return known, nil
 	}
 	if starting {
-		// It reads this before it serves, and may never do either.
-		other.send(handoverMessage{Call: &overrideMessage{ID: id, Offline: offline}})
+		// No reply is awaited: the successor applies this before it serves, or never serves.
+		peer.send(handoverMessage{Override: &overrideMessage{ID: id, Offline: offline}})
 		return known, nil
 	}
-	theirs, err := other.forwardOverride(id, offline)
+	knownToPeer, err := peer.forwardOverride(id, offline)
 	if err != nil {
 		if !errors.Is(err, errNoPeerReply) && !errors.Is(err, os.ErrDeadlineExceeded) {
-			other.conn.Close()
-			<-other.closed // it has ended, which this word has met before its reader
+			peer.conn.Close()
+			<-peer.closed // the sibling has ended, which its reader may not have noticed yet
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.peer != other {
-			return known, nil // it has ended, and needs to know no more
+		if h.peer != peer {
+			return known, nil // a sibling that has ended does not need the override
 		}
 		return false, err
 	}
-	return known || theirs, nil
+	return known || knownToPeer, nil
 }
 
-// notifyLeaving tells the other process that this one takes no more clients. It returns
-// whether that one takes them.
+// notifyLeaving tells the successor process that this one accepts no more clients. It reports
+// whether there is a successor that accepts them.
 //
-// Danger: the platform may have heard that the other serves before this one has
-// read it. Taken for one that does not serve, it would find its clients cut off.
+// Danger: the platform may send SIGTERM before this process has read that the successor serves.
+// Without the wait, this process would close connections that it should keep.
 func (h *handover) notifyLeaving() bool {
 	h.mu.Lock()
-	other, heir := h.peer, h.peerIsSuccessor
+	peer, isSuccessor := h.peer, h.peerIsSuccessor
 	h.mu.Unlock()
-	if other != nil && heir {
-		moment := time.NewTimer(servingNoticeTimeout)
-		defer moment.Stop()
+	if peer != nil && isSuccessor {
+		timeout := time.NewTimer(servingNoticeTimeout)
+		defer timeout.Stop()
 		select {
-		case <-other.serving:
-		case <-other.closed:
-		case <-moment.C:
+		case <-peer.serving:
+		case <-peer.closed:
+		case <-timeout.C:
 		}
 	}
 	h.mu.Lock()
-	up := h.peer == other && h.peerIsSuccessor && h.successorServing
+	serving := h.peer == peer && h.peerIsSuccessor && h.successorServing
 	h.mu.Unlock()
-	return other != nil && up && other.send(handoverMessage{Leaving: true}) == nil
+	return peer != nil && serving && peer.send(handoverMessage{Leaving: true}) == nil
 }
 
-// close ends the connection to the other process and waits for its reader.
+// close ends the connection to the sibling process and waits for its reader.
 func (h *handover) close() {
 	h.mu.Lock()
 	h.closed = true
@@ -422,31 +426,31 @@
 	h.readers.Wait()
 }
 
-// importState takes the state of the process before, which the loop does before it runs.
-func (l *Loop) importState(b *snapshot) {
-	l.applyList(b.Listing, rules.CachedList)
-	if !slices.Equal(b.Plans, l.service.PlanNames) {
-		b.Rules.Customers = nil // the numbers mean other plans
-	}
-	for _, k := range b.Rules.Backends {
-		if k.Banned {
-			l.offline[k.ID] = true
+// importState applies the state of the predecessor process. It must be called before run.
+func (l *Loop) importState(state *snapshot) {
+	l.applyList(state.Listing, rules.CachedList)
+	if !slices.Equal(state.Plans, l.service.PlanNames) {
+		state.Rules.Customers = nil // plan numbers have changed their meaning
+	}
+	for _, backend := range state.Rules.Backends {
+		if backend.Banned {
+			l.offline[backend.ID] = true
 		}
 	}
 	if l.subset != nil {
-		l.offlineOutside = nameSet(b.Outside)
+		l.offlineOutside = nameSet(state.Outside)
 	}
-	l.handle(rules.Import{Snapshot: b.Rules})
+	l.handle(rules.Import{Snapshot: state.Rules})
 }
 
-// exportState writes the state.
+// exportState returns the state for a successor process.
 func (l *Loop) exportState() snapshot {
 	l.handle(rules.Export{})
-	b := snapshot{At: l.clock.now(), Listing: Listing{Reset: true}, Plans: l.service.PlanNames, Rules: l.exportedState,
+	state := snapshot{At: l.clock.now(), Listing: Listing{Reset: true}, Plans: l.service.PlanNames, Rules: l.exportedState,
 		Outside: slices.Sorted(maps.Keys(l.offlineOutside))}
 	l.exportedState = rules.Snapshot{}
-	for _, i := range l.instances {
-		b.Listing.Instances = append(b.Listing.Instances, i)
+	for _, instance := range l.instances {
+		state.Listing.Instances = append(state.Listing.Instances, instance)
 	}
-	return b
+	return state
 }
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -195,7 +195,7 @@
 	if status, _ := old.operate(t, "POST", "/control/backends/"+backend.address()+"/offline"); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if err := stalled.decoder.Decode(&n); err != nil || n.Call == nil || !n.Call.Offline {
+	if err := stalled.decoder.Decode(&n); err != nil || n.Override == nil || !n.Override.Offline {
 		t.Errorf("the word was not passed on: %+v, %v", n, err)
 	}
 	old.stop()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -10,41 +10,41 @@
 	"dunlintray/rules"
 )
 
-// What the platform says of a planned restart: SIGKILL comes no sooner than the longest
-// deadline, counted as maxCountedDeadline where it is longer, plus killGrace after SIGTERM.
+// In a planned restart the platform sends SIGKILL no sooner than killGrace after the longest
+// deadline of a class, which it caps at maxCountedDeadline, counted from SIGTERM.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killGrace          = 700 * time.Millisecond
 )
 
-// Spans before the earliest SIGKILL. A process may stand still for 150 ms between its clock
-// and a write.
+// Margins before the earliest SIGKILL. The scheduler may suspend the process for 150 ms
+// between reading the clock and writing to a socket.
 const (
-	answersMargin = 350 * time.Millisecond // every request has its answer from the module
-	finishMargin  = 200 * time.Millisecond // what has none still gets an error, and is closed
-	exitMargin    = 50 * time.Millisecond  // answers that are under way are cut, and nothing is waited for
+	answersMargin = 350 * time.Millisecond // the module has answered every request
+	finishMargin  = 200 * time.Millisecond // requests without an answer get an error and their connections are closed
+	exitMargin    = 50 * time.Millisecond  // responses still in progress are cut off
 )
 
 const (
-	acceptPeriod          = 600 * time.Millisecond  // new connections still come so long after SIGTERM
-	idlePeriod            = 2200 * time.Millisecond // clients that keep a connection use it within this time
-	scheduleCheckInterval = 50 * time.Millisecond   // a reload during the stop may change the times
+	acceptPeriod          = 600 * time.Millisecond  // new connections may still arrive after SIGTERM
+	idlePeriod            = 2200 * time.Millisecond // clients reuse a kept-alive connection within this time
+	scheduleCheckInterval = 50 * time.Millisecond   // a reload during the shutdown may change the schedule
 )
 
-// stopSchedule holds the times of a stop, as spans of real time since SIGTERM.
+// stopSchedule holds the times of the shutdown steps, as durations since SIGTERM.
 type stopSchedule struct {
-	closeListener time.Duration // where no other process serves
-	closeIdle     time.Duration // where one does
+	closeListener time.Duration // without a successor process
+	closeIdle     time.Duration // with a successor process
 	answersDue    time.Duration
 	finish        time.Duration
 	exit          time.Duration
 }
 
-// newStopSchedule returns the times of a stop for the longest deadline of a class.
+// newStopSchedule returns the schedule for the longest deadline of a class.
 //
-// A request may wait for longer than the platform lets the process live, so all times count
-// back from the kill and none from a deadline. A third of the time until the answers are due
-// is left to what comes on a connection just before it is closed.
+// A request may wait longer than the platform lets the process live, so every step counts back
+// from SIGKILL and none from a deadline. Idle connections are closed after two thirds of the
+// time until answers are due, so that a request arriving just before can still be answered.
 func newStopSchedule(longestDeadline time.Duration) stopSchedule {
 	kill := min(longestDeadline, maxCountedDeadline) + killGrace
 	answers := kill - answersMargin
@@ -57,28 +57,27 @@
 	}
 }
 
-// shutdownSequence is a shutdown under way.
+// shutdownSequence is a shutdown in progress.
 type shutdownSequence struct {
 	frontend           *frontend
 	startedAt          time.Time
-	notifiedAnswersDue time.Duration // the time for answers that the module has been told
+	notifiedAnswersDue time.Duration // as the module was last notified
 }
 
-// shutdown takes what still comes for a while, answers what is held, and ends before the
-// platform kills the process.
+// shutdown serves new requests for a while, answers those in progress, and returns before the
+// platform kills the process. It returns an error if connections were cut off.
 //
-// A request may cross the closing of its idle connection. Without a process to take over,
-// its client sends it again on a new connection, so idle connections are closed at once,
-// while new ones are still taken, and the listener is closed later. With one, new connections
-// go to it, and those that stand here are closed behind their next answer, or once nothing
-// has come on them for longer than clients keep still.
-func shutdown(front *frontend, server *http.Server, pair *handover) error {
+// A client may send a request while its idle connection is being closed. Without a successor
+// process the client repeats it on a new connection, so idle connections are closed at once and
+// the listener later. With a successor, new connections go to that process, and connections of
+// this one are closed after their next response, or after idlePeriod.
+func shutdown(front *frontend, server *http.Server, sibling *handover) error {
 	s := &shutdownSequence{frontend: front, startedAt: time.Now()}
 	s.notifyModule()
 	front.leaving.Store(true)
-	succeeded := pair.notifyLeaving()
-	s.log("stopping", "successor", succeeded, "answers_due", s.schedule().answersDue, "exit_due", s.schedule().exit)
-	if succeeded {
+	hasSuccessor := sibling.notifyLeaving()
+	s.log("stopping", "successor", hasSuccessor, "answers_due", s.schedule().answersDue, "exit_due", s.schedule().exit)
+	if hasSuccessor {
 		front.clients.Close()
 		s.waitUntil(func(t stopSchedule) time.Duration { return t.closeIdle })
 	} else {
@@ -101,24 +100,25 @@
 	return err
 }
 
-// schedule returns the times by the settings that the process has served under.
+// schedule returns the current schedule; applyService may shorten it.
 func (s *shutdownSequence) schedule() stopSchedule {
 	return newStopSchedule(time.Duration(s.frontend.longestDeadline.Load()))
 }
 
-// applyService puts settings in force. Of all that the process has had, those with the nearest end
-// count for a stop: the platform may have counted before it changed them, or behind that.
-func (f *frontend) applyService(s *serviceConfig) {
+// applyService makes service the active settings. The shutdown schedule follows the shortest of
+// all the longest deadlines that were ever active: the platform may have scheduled SIGKILL by
+// the settings before a change or by those after it.
+func (f *frontend) applyService(service *serviceConfig) {
 	longest := 0.0
-	for _, class := range s.Classes {
+	for _, class := range service.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	if before := f.longestDeadline.Load(); f.service.Swap(s) == nil || int64(seconds(longest)) < before {
+	if previous := f.longestDeadline.Load(); f.service.Swap(service) == nil || int64(seconds(longest)) < previous {
 		f.longestDeadline.Store(int64(seconds(longest)))
 	}
 }
 
-// notifyModule tells the module by when it has to answer, if that is new.
+// notifyModule tells the module when its answers are due, if that time has changed.
 func (s *shutdownSequence) notifyModule() {
 	answers := s.schedule().answersDue
 	if answers == s.notifiedAnswersDue {
@@ -129,35 +129,37 @@
 	s.frontend.loop.post(moduleEvent{rules.Leave{Until: clock.now() + (answers - time.Since(s.startedAt)).Seconds()}})
 }
 
-// remaining returns the time until a step of the schedule, and at most scheduleCheck.
+// remaining returns the time until a step of the schedule, or scheduleCheckInterval if that is
+// shorter. It is negative once the step is due.
 func (s *shutdownSequence) remaining(step func(stopSchedule) time.Duration) time.Duration {
 	s.notifyModule()
 	return min(step(s.schedule())-time.Since(s.startedAt), scheduleCheckInterval)
 }
 
-// waitUntil waits for a step of the schedule.
+// waitUntil sleeps until a step of the schedule is due.
 func (s *shutdownSequence) waitUntil(step func(stopSchedule) time.Duration) {
-	for left := s.remaining(step); left > 0; left = s.remaining(step) {
-		time.Sleep(left)
+	for remaining := s.remaining(step); remaining > 0; remaining = s.remaining(step) {
+		time.Sleep(remaining)
 	}
 }
 
-// drain waits until no connection of a client is left, or for a step of the schedule.
+// drain waits until all client connections are closed, and returns an error if a step of the
+// schedule is due before that.
 func (s *shutdownSequence) drain(step func(stopSchedule) time.Duration) error {
 	for {
-		left := s.remaining(step)
-		ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
+		remaining := s.remaining(step)
+		ctx, cancel := context.WithTimeout(context.Background(), max(remaining, 0))
 		err := s.frontend.clients.drained(ctx)
 		cancel()
-		if err == nil || left <= 0 {
+		if err == nil || remaining <= 0 {
 			return err
 		}
 	}
 }
 
-// log logs a step with what is still open.
+// log writes a line for a step, with the client connections by phase and the requests in progress.
 func (s *shutdownSequence) log(step string, attributes ...any) {
-	open := s.frontend.clients.counts()
-	slog.Info(step, append(attributes, "after", time.Since(s.startedAt), "new", open.In[connlimit.New], "head", open.In[connlimit.Head],
-		"busy", open.In[connlimit.Busy], "idle", open.In[connlimit.Idle], "in_progress", s.frontend.figures.inProgress.Load())...)
+	counts := s.frontend.clients.counts()
+	slog.Info(step, append(attributes, "after", time.Since(s.startedAt), "new", counts.In[connlimit.New], "head", counts.In[connlimit.Head],
+		"busy", counts.In[connlimit.Busy], "idle", counts.In[connlimit.Idle], "in_progress", s.frontend.figures.inProgress.Load())...)
 }
