--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -90,7 +90,7 @@
 func newAttempt(timeout time.Duration) *attempt {
 	a := &attempt{backend: 1, wallDeadline: time.Now().Add(timeout), exchange: &exchange{method: "POST", uri: "/booking/7?a=%2F",
 		host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, body: []byte("pickup")}}
-	a.onStart, a.onInterim = func(answer) bool { return false }, func(answer) {}
+	a.onStart, a.onInterim = func(response) bool { return false }, func(response) {}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
@@ -178,13 +178,13 @@
 	backend := newPeer(t)
 	p := newTestPools(t, backend.address())
 	a := newAttempt(testTimeout)
-	a.exchange.header[keyHeader] = []string{"key-1"}
+	a.exchange.header[idempotencyHeader] = []string{"key-1"}
 	a.exchange.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, maxDiscard/4)
 	done := startAttempt(p, a)
 	conn, r := backend.accept(t)
 	req, body := readRequest(t, r)
 	if req.Method != "POST" || req.RequestURI != a.exchange.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.exchange.body) ||
-		req.Header.Get(idHeader) != "id-1" || req.Header.Get(keyHeader) != "key-1" || req.Header.Get(timeLeftHeader) == "" {
+		req.Header.Get(idHeader) != "id-1" || req.Header.Get(idempotencyHeader) != "key-1" || req.Header.Get(timeLeftHeader) == "" {
 		t.Errorf("got %s %s with %d bytes and %v", req.Method, req.RequestURI, len(body), req.Header)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -345,7 +345,7 @@
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	// The limit is the gateway's own: nothing was sent, and the backend is not to blame.
-	if got := p.runAttempt(newAttempt(testTimeout)); got.outcome != rules.Moot {
+	if got := p.runAttempt(newAttempt(testTimeout)); got.outcome != rules.NotStarted {
 		t.Errorf("past the most connections: outcome %d", got.outcome)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -387,7 +387,7 @@
 		if _, err := r.ReadByte(); err != io.EOF {
 			t.Errorf("%s: the connection that rested: %v", name, err)
 		}
-		want, least := rules.Moot, 3
+		want, least := rules.NotStarted, 3
 		if failures == 1 {
 			want, least = rules.Served, 2
 			conn, r := backend.accept(t)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -50,7 +50,7 @@
 			}
 		})
 	}
-	s := &http.Server{Handler: mux, MaxHeaderBytes: mostHeader, ReadHeaderTimeout: controlReadTimeout,
+	s := &http.Server{Handler: mux, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: controlReadTimeout,
 		ReadTimeout: controlReadTimeout, WriteTimeout: controlWriteTimeout}
 	s.SetKeepAlivesEnabled(false)
 	return s
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -74,7 +74,7 @@
 		return rules.Backend{}, fmt.Errorf("instance %q: weight %g or start %d ms is not valid", instance.ID, instance.Weight, instance.StartedAtMs)
 	}
 	return rules.Backend{ID: backendID(instance.ID), Zone: zone, Kind: slices.Index(deployment.Kinds, instance.MachineType), Cell: instance.Cell,
-		State: state, Weight: instance.Weight, Born: float64(instance.StartedAtMs) / 1000}, nil
+		State: state, Weight: instance.Weight, StartedAt: float64(instance.StartedAtMs) / 1000}, nil
 }
 
 // listFollower keeps the loop's list of backends up to date, from discovery or from service
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -68,9 +68,9 @@
 // clientBodyCause is why a body of a client ended.
 func clientBodyCause(err error) transferCause {
 	switch {
-	case errors.Is(err, errCutShort):
+	case errors.Is(err, errUploadAborted):
 		return cancelledByGateway
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLong):
 		return bodyTooLong
 	}
 	return timeoutCause(err, clientSlow, clientLeft)
@@ -88,7 +88,7 @@
 	uploads, downloads             transferMetrics // bodies to backends and to clients
 	bodyBudget                     budget          // of all bodies
 	subset                         *subsetMetrics
-	clients                        *clients // their connections; nil before they are served
+	clients                        *clientListener // their connections; nil before they are served
 
 	mu      sync.Mutex // of the list, not of the counts
 	classes []*classCounts
@@ -96,7 +96,7 @@
 
 func newMetrics(c *Config) *metrics {
 	f := &metrics{bodyBudget: budget{total: bodyMemory(c.MemoryMB)}}
-	if c.Scopes.subset.On() {
+	if c.Scopes.subset.Enabled() {
 		f.subset = &subsetMetrics{}
 	}
 	return f
@@ -156,7 +156,7 @@
 		}
 	}
 	f.subset.write(w)
-	f.clients.write(w)
+	f.clients.writeMetrics(w)
 	used, most := f.bodyBudget.usage()
 	fmt.Fprintf(w, "app.transfers.memory:%d|g\napp.transfers.memory_most:%d|g\n", used, most)
 }
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -184,7 +184,7 @@
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	reply.Snapshot.Rules.Shift(clockStep(reply.Snapshot.At, requestedAt, h.loop.clock.now()))
+	reply.Snapshot.Rules.ShiftTimes(clockStep(reply.Snapshot.At, requestedAt, h.loop.clock.now()))
 	h.setPeer(peer, false)
 	return reply.Snapshot, nil
 }
@@ -235,7 +235,7 @@
 			}
 			h.mu.Unlock()
 		case message.Leaving:
-			h.loop.post(moduleEvent{rules.Leaving})
+			h.loop.post(moduleEvent{rules.SiblingDraining})
 		}
 	}
 	peer.conn.Close()
@@ -250,7 +250,7 @@
 	if h.peer = nil; !h.closed {
 		slog.Info("the other process has ended", "successor", h.peerIsSuccessor)
 		h.setPaired(false)
-		h.loop.post(moduleEvent{rules.Absent})
+		h.loop.post(moduleEvent{rules.SiblingAbsent})
 		if !h.peerIsSuccessor {
 			close(h.noPredecessor)
 		}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -74,26 +74,26 @@
 func shutdown(front *frontend, server *http.Server, sibling *handover) error {
 	s := &shutdownSequence{frontend: front, startedAt: time.Now()}
 	s.notifyModule()
-	front.leaving.Store(true)
+	front.shuttingDown.Store(true)
 	hasSuccessor := sibling.notifyLeaving()
 	s.log("stopping", "successor", hasSuccessor, "answers_due", s.schedule().answersDue, "exit_due", s.schedule().exit)
 	if hasSuccessor {
 		front.clients.Close()
 		s.waitUntil(func(t stopSchedule) time.Duration { return t.closeIdle })
 	} else {
-		front.clients.leave(leavesIdle)
+		front.clients.setPhase(phaseClosingIdle)
 		s.waitUntil(func(t stopSchedule) time.Duration { return t.closeListener })
-		front.clients.endQueue()
+		front.clients.drainQueue()
 	}
 	s.log("stop: idle connections are closed")
-	front.clients.leave(leavesNew)
+	front.clients.setPhase(phaseClosingNew)
 	err := s.drain(func(t stopSchedule) time.Duration { return t.finish })
 	if err != nil {
-		s.log("stop: requests without an answer are ended", "requests", front.clients.finish())
+		s.log("stop: requests without an answer are ended", "requests", front.clients.failUnanswered())
 		err = s.drain(func(t stopSchedule) time.Duration { return t.exit })
 	}
 	if err != nil {
-		s.log("stop: connections are cut", "connections", front.clients.cut())
+		s.log("stop: connections are cut", "connections", front.clients.closeAll())
 	}
 	s.log("stopped", "error", err)
 	server.Close()
@@ -126,7 +126,7 @@
 	}
 	s.notifiedAnswersDue = answers
 	clock := s.frontend.loop.clock
-	s.frontend.loop.post(moduleEvent{rules.Leave{Until: clock.now() + (answers - time.Since(s.startedAt)).Seconds()}})
+	s.frontend.loop.post(moduleEvent{rules.Shutdown{Deadline: clock.now() + (answers - time.Since(s.startedAt)).Seconds()}})
 }
 
 // remaining returns the time until a step of the schedule, or scheduleCheckInterval if that is
@@ -149,7 +149,7 @@
 	for {
 		remaining := s.remaining(step)
 		ctx, cancel := context.WithTimeout(context.Background(), max(remaining, 0))
-		err := s.frontend.clients.drained(ctx)
+		err := s.frontend.clients.waitDrained(ctx)
 		cancel()
 		if err == nil || remaining <= 0 {
 			return err
@@ -160,6 +160,6 @@
 // log writes a line for a step, with the client connections by phase and the requests in progress.
 func (s *shutdownSequence) log(step string, attributes ...any) {
 	counts := s.frontend.clients.counts()
-	slog.Info(step, append(attributes, "after", time.Since(s.startedAt), "new", counts.In[connlimit.New], "head", counts.In[connlimit.Head],
-		"busy", counts.In[connlimit.Busy], "idle", counts.In[connlimit.Idle], "in_progress", s.frontend.figures.inProgress.Load())...)
+	slog.Info(step, append(attributes, "after", time.Since(s.startedAt), "new", counts.ByState[connlimit.New], "head", counts.ByState[connlimit.Head],
+		"busy", counts.ByState[connlimit.Busy], "idle", counts.ByState[connlimit.Idle], "in_progress", s.frontend.metrics.inProgress.Load())...)
 }
