--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -18,19 +18,19 @@
 
 // Config is the configuration of a gateway, from a file and from the environment.
 type Config struct {
-	Name      string
+	Name      string // of the gateway
 	Listen    string // address for clients
 	Control   string // address for operators; empty: none
 	Discovery string // address; unused with Registries
 	// Registries are the addresses of service registries, any of which can serve the list.
 	// If empty, the gateway uses Discovery.
 	Registries []string
-	Counter    string // address; empty: the deployment has none
-	Seed       uint64
-	Cores      float64
-	MemoryMB   int
-	Sockets    int     // file descriptors
-	BodyMB     int     // limit of a request body; 0: none
+	Counter    string  // address; empty: the deployment has none
+	Seed       uint64  // of the decision module's random choices
+	Cores      float64 // processor cores that the gateway may use
+	MemoryMB   int     // memory that the gateway may use, in MB
+	Sockets    int     // file descriptors that the gateway may use
+	BodyMB     int     // limit of a request body in MB; 0: no limit
 	Known      Listing // cached list, used until discovery or a registry answers
 	Members    membershipConfig
 	Scopes     scopesConfig
@@ -57,7 +57,7 @@
 	minSockets  = 128
 )
 
-// maxBodyBytes returns the limit of a request body; 0: none.
+// maxBodyBytes returns the limit of a request body; 0: no limit.
 func (c *Config) maxBodyBytes() int64 { return int64(c.BodyMB) << 20 }
 
 // ReadConfig reads and checks the configuration file at path.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,7 +19,8 @@
 
 // Run serves clients until ctx ends, then answers the requests in progress and returns. From
 // a reloaded configuration it applies the settings and the addresses of discovery and of the
-// counter; other changes need a restart. An invalid configuration is logged and ignored.
+// counter; other changes need a restart. An invalid configuration is logged and ignored. Run
+// returns an error if it can't open its sockets, join the membership or finish in time.
 func Run(ctx context.Context, config *Config, reloads <-chan Reload) error {
 	var operators net.Listener
 	if config.Control != "" {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -412,7 +412,7 @@
 	select {
 	case g.reloads <- Reload{Config: config, Err: err}:
 	case <-time.After(testTimeout):
-		t.Fatal("nobody took the configuration")
+		t.Fatal("the gateway did not accept the configuration")
 	}
 }
 
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -17,7 +17,7 @@
 	Rank    int    `json:"rank"`              // among the gateways of the fleet, from 0
 	Fleet   int    `json:"fleet"`             // number of gateways
 	History string `json:"history,omitempty"` // identifies the sequence of versions; empty with discovery
-	Version int64  `json:"version"`
+	Version int64  `json:"version"`           // of the list that was applied last
 	// SiblingRunning reports that another process of this gateway runs. Its work is not
 	// included.
 	SiblingRunning bool          `json:"beside,omitempty"`
@@ -30,7 +30,7 @@
 	Number     uint32             `json:"number"`       // see BackendNumber
 	Lifecycle  registry.Lifecycle `json:"lifecycle"`
 	InFlight   int                `json:"inFlight"`         // attempts in flight
-	Overridden bool               `json:"byHand,omitempty"` // taken offline by an operator at this gateway
+	Overridden bool               `json:"byHand,omitempty"` // an operator has taken it offline
 }
 
 // BackendNumber returns the number that gateways derive from a backend's id.
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -91,7 +91,7 @@
 	stopped  chan struct{}  // closed when run returns
 	attempts sync.WaitGroup // attempts that use sockets
 
-	live           map[rules.RequestID]*exchange // until the last attempt has ended
+	live           map[rules.RequestID]*exchange // requests until they have a response and no attempt in flight
 	nextID         rules.RequestID
 	instances      map[rules.BackendID]Instance // on the current list
 	name           string                       // of the gateway
@@ -106,11 +106,13 @@
 	pendingEvents  []rules.Event // events that actions caused
 
 	traceLines       int     // lines about single requests since traceWindowStart
-	traceWindowStart float64 // start of the current second of traceLines
+	traceWindowStart float64 // seconds on the clock
 	maxLag           float64 // seconds; largest timer delay since lagLoggedAt
-	lagLoggedAt      float64
+	lagLoggedAt      float64 // seconds on the clock
 }
 
+// newLoop returns a loop with a new decision module. It carries out the module's first actions;
+// run does the rest.
 func newLoop(config *Config, service *serviceConfig, metrics *metrics, pools *pools, counter *counter, onListApplied func()) *Loop {
 	loop := &Loop{clock: newClock(), service: service, metrics: metrics, pools: pools, counter: counter, onListApplied: onListApplied,
 		resubscribe: make(chan struct{}, 1), inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
