--- a/internal/gateway/scopes.go
+++ b/internal/gateway/scopes.go
@@ -15,36 +15,37 @@
 	"dunlintray/rules"
 )
 
-// scopesConfig is which part of the list a gateway reads, and how much of that it uses.
-// The zero value is all of both.
+// scopesConfig states which part of the list of backends a gateway reads, and which subset of that
+// part it uses. The zero value reads and uses all backends.
 type scopesConfig struct {
 	scopes []registry.Scope
 	subset subset.Settings
 }
 
-// subsetKeys are the keys of a subset in the configuration.
+// subsetKeys is the "subset" object of the configuration file.
 type subsetKeys struct{ Size, Coverage int }
 
-// readScopes takes the keys of the configuration; nil stands for an absent one.
-func readScopes(texts []string, keys *subsetKeys, fleet int) (c scopesConfig, err error) {
+// readScopes converts the keys "scopes" and "subset" of the configuration file; nil stands for an
+// absent key.
+func readScopes(texts []string, keys *subsetKeys, fleet int) (config scopesConfig, err error) {
 	switch {
 	case texts == nil:
 	case len(texts) == 0:
-		return c, errors.New("scopes: there are none; without the key the whole list is read")
+		return config, errors.New("scopes: the list is empty; without the key all backends are read")
 	case len(texts) > registry.MostScopes:
-		return c, fmt.Errorf("scopes: %d are more than %d", len(texts), registry.MostScopes)
+		return config, fmt.Errorf("scopes: %d entries, more than the maximum of %d", len(texts), registry.MostScopes)
 	default:
-		if c.scopes, err = registry.ParseScopes(texts); err != nil {
-			return c, err
+		if config.scopes, err = registry.ParseScopes(texts); err != nil {
+			return config, err
 		}
 	}
 	if keys != nil && *keys != (subsetKeys{}) {
-		c.subset = subset.Settings{Size: keys.Size, Coverage: keys.Coverage, Fleet: fleet}
+		config.subset = subset.Settings{Size: keys.Size, Coverage: keys.Coverage, Fleet: fleet}
 	}
-	return c, nil
+	return config, nil
 }
 
-// check finds what a gateway could not run with.
+// check returns an error if a gateway with so many service registries cannot run with c.
 func (c *scopesConfig) check(registries int) error {
 	switch {
 	case registries == 0 && len(c.scopes) > 0:
@@ -54,45 +55,45 @@
 	}
 	for _, scope := range c.scopes {
 		if first := c.scopes[0].Service; scope.Service != first {
-			return fmt.Errorf("scopes: services %q and %q: a gateway has no routes by service, and all scopes have to be of one", first, scope.Service)
+			return fmt.Errorf("scopes: services %q and %q: a gateway has no routes by service, so all scopes must name the same one", first, scope.Service)
 		}
 	}
 	return c.subset.Check()
 }
 
-// checkReload finds a change that needs a new start.
+// checkReload returns an error if changing c to next requires a restart.
 func (c *scopesConfig) checkReload(next *scopesConfig) error {
 	switch {
 	case (len(c.scopes) > 0) != (len(next.scopes) > 0):
-		return errors.New("scopes: whether there are any needs a new start")
+		return errors.New("scopes: adding or removing the key requires a restart")
 	case c.subset.Enabled() != next.subset.Enabled():
-		return errors.New("subset: whether one is chosen needs a new start")
+		return errors.New("subset: turning it on or off requires a restart")
 	}
 	return nil
 }
 
-// filterListing returns what of a list known from before is in the scopes.
-func (c *scopesConfig) filterListing(known Listing) Listing {
+// filterListing returns the part of a listing that is in the scopes, without changing listing.
+func (c *scopesConfig) filterListing(listing Listing) Listing {
 	if len(c.scopes) == 0 {
-		return known
+		return listing
 	}
-	outside := func(i Instance) bool {
-		return !slices.ContainsFunc(c.scopes, func(scope registry.Scope) bool { return scope.Matches(i) })
+	outside := func(instance Instance) bool {
+		return !slices.ContainsFunc(c.scopes, func(scope registry.Scope) bool { return scope.Matches(instance) })
 	}
-	known.Instances = slices.DeleteFunc(slices.Clone(known.Instances), outside)
-	return known
+	listing.Instances = slices.DeleteFunc(slices.Clone(listing.Instances), outside)
+	return listing
 }
 
-// scopeChange moves a reader from scopes to others. The scopes in force stay beside the
-// next ones until a list service knows one of these, so that a name that is misspelt in a
-// configuration leaves the gateway with the backends that it had.
+// scopeChange replaces the active scopes by the next ones. Both are read until a service registry
+// knows one of the next scopes, so that a misspelt name in a configuration leaves the gateway with
+// the backends that it had.
 type scopeChange struct {
 	mu     sync.Mutex
 	active []registry.Scope
-	next   []registry.Scope // nil: nothing changes
+	next   []registry.Scope // nil: no change is pending
 }
 
-// begin starts a change, in place of one that is under way, and returns what to read.
+// begin starts a change, replacing a pending one, and returns the scopes to read.
 func (c *scopeChange) begin(next []registry.Scope) []registry.Scope {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,20 +101,20 @@
 	return c.activeAndNext()
 }
 
-// activeAndNext returns the scopes in force and the next ones. The caller has the lock.
+// activeAndNext returns the active and the next scopes. The caller must hold the lock.
 func (c *scopeChange) activeAndNext() []registry.Scope { return slices.Concat(c.active, c.next) }
 
-// handleAnswer takes in which of the scopes of an answer are unknown. It returns what to read
-// from now on, and whether that has changed.
+// handleAnswer completes the change if an answer for scopes knows one of the next scopes; unknown
+// holds those that it does not know. It returns the scopes to read, and whether they have changed.
 func (c *scopeChange) handleAnswer(scopes *registry.ScopeSet, unknown []registry.Scope) ([]registry.Scope, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.next == nil {
 		return nil, false
 	}
-	asked, err := registry.NewScopeSet(c.activeAndNext())
-	if err != nil || asked.ID() != scopes.ID() {
-		return nil, false // the answer to an earlier call
+	requested, err := registry.NewScopeSet(c.activeAndNext())
+	if err != nil || requested.ID() != scopes.ID() {
+		return nil, false // answers an earlier request
 	}
 	known := func(scope registry.Scope) bool { return !slices.Contains(unknown, scope) }
 	if !slices.ContainsFunc(c.next, known) {
@@ -124,80 +125,83 @@
 	return c.active, true
 }
 
-// unknownScopes logs the scopes that list services do not know, once for each change.
+// unknownScopes logs the scopes that no service registry knows, once for each change.
 type unknownScopes struct{ last []registry.Scope }
 
-func (u *unknownScopes) logChange(now []registry.Scope) {
-	if slices.Equal(u.last, now) {
+func (u *unknownScopes) logChange(unknown []registry.Scope) {
+	if slices.Equal(u.last, unknown) {
 		return
 	}
-	u.last = slices.Clone(now)
+	u.last = slices.Clone(unknown)
 	var texts []string
-	for _, scope := range now {
+	for _, scope := range unknown {
 		texts = append(texts, scope.String())
 	}
 	slog.Warn("scopes that list services do not know", "scopes", texts)
 }
 
-// subsetMetrics are what operators are told of the subset.
+// subsetMetrics describes the current subset: backends to choose from, target size, backends
+// chosen, and how often the size was doubled.
 type subsetMetrics struct{ candidates, size, chosen, widened atomic.Int64 }
 
-// write puts the figures out. Of a gateway that uses all backends they are nil.
-func (f *subsetMetrics) write(w io.Writer) {
-	if f == nil {
+// write writes the metrics, one per line, and nothing if m is nil.
+func (m *subsetMetrics) write(w io.Writer) {
+	if m == nil {
 		return
 	}
-	for _, l := range []struct {
-		name string
-		n    *atomic.Int64
-	}{{"candidates", &f.candidates}, {"size", &f.size}, {"chosen", &f.chosen}, {"widened", &f.widened}} {
-		fmt.Fprintf(w, "app.subset.%s:%d|g\n", l.name, l.n.Load())
+	for _, metric := range []struct {
+		name  string
+		value *atomic.Int64
+	}{{"candidates", &m.candidates}, {"size", &m.size}, {"chosen", &m.chosen}, {"widened", &m.widened}} {
+		fmt.Fprintf(w, "app.subset.%s:%d|g\n", metric.name, metric.value.Load())
 	}
 }
 
-// backendSubset chooses the backends that this gateway uses. It belongs to the loop. A
-// nil one stands for all there are.
+// backendSubset chooses the backends that this gateway uses. Only the loop may call it. A nil
+// *backendSubset stands for all backends.
 type backendSubset struct {
 	selector           *subset.Selector
 	settings           subset.Settings
 	metrics            *subsetMetrics
-	hasList            bool // a list has come from a list service
-	widened            int
-	gatewaysPerBackend int // gateways that use one backend, in the mean
+	hasList            bool // a service registry has sent a list
+	widened            int  // as last logged
+	gatewaysPerBackend int  // average, as last passed to the module
 }
 
-func newBackendSubset(name string, settings subset.Settings, f *subsetMetrics) *backendSubset {
+func newBackendSubset(name string, settings subset.Settings, metrics *subsetMetrics) *backendSubset {
 	if !settings.Enabled() {
 		return nil
 	}
-	return &backendSubset{selector: subset.New(name, settings), settings: settings, metrics: f}
+	return &backendSubset{selector: subset.New(name, settings), settings: settings, metrics: metrics}
 }
 
-// apply returns what of the news concerns the backends in use.
-func (s *backendSubset) apply(now float64, told Listing, kind rules.ListKind) Listing {
+// apply updates the backends to choose from and returns the changes of the subset. now is in
+// seconds on the module's clock.
+func (s *backendSubset) apply(now float64, listing Listing, kind rules.ListKind) Listing {
 	s.hasList = s.hasList || kind != rules.CachedList
 	if kind != rules.Delta {
-		told.Reset = true
+		listing.Reset = true
 	}
-	return s.selector.Apply(seconds(now), told)
+	return s.selector.Apply(seconds(now), listing)
 }
 
-// review takes in how many backends are usable and returns what changes by that.
+// review reports the number of usable backends to the selector and returns the changes of the
+// subset.
 func (s *backendSubset) review(now float64, usable int) Listing {
 	if !s.hasList {
-		return Listing{} // what is known from before stands until a list service is heard
+		return Listing{} // a cached list stays as it is until a service registry answers
 	}
 	return s.selector.Report(seconds(now), usable)
 }
 
-// resize takes other settings and returns what changes by that.
+// resize applies new settings and returns the changes of the subset.
 func (s *backendSubset) resize(now float64, settings subset.Settings) Listing {
 	s.settings = settings
 	return s.selector.Resize(seconds(now), settings)
 }
 
-// updateMetrics tells operators what the subset is now. It returns whether the number of gateways
-// that share a backend has changed by so much that the module has to know.
+// updateMetrics updates the metrics and gatewaysPerBackend. It reports whether the latter has
+// changed by more than a fraction of 1/sharingStepDivisor, so that the module needs the new value.
 func (s *backendSubset) updateMetrics() bool {
 	stats := s.selector.Stats()
 	s.metrics.candidates.Store(int64(stats.Candidates))
@@ -205,78 +209,79 @@
 	s.metrics.chosen.Store(int64(stats.Chosen))
 	s.metrics.widened.Store(int64(stats.Widened))
 	if stats.Widened != s.widened {
-		slog.Warn("subset", "widened", stats.Widened, "before", s.widened, "size", stats.Size, "chosen", stats.Chosen, "candidates", stats.Candidates)
+		slog.Warn("subset widening changed", "widened", stats.Widened, "before", s.widened, "size", stats.Size, "chosen", stats.Chosen, "candidates", stats.Candidates)
 		s.widened = stats.Widened
 	}
 	if stats.Candidates == 0 {
 		return false
 	}
-	sharing := max(int(math.Round(float64(s.settings.Fleet)*float64(stats.Size)/float64(stats.Candidates))), 1)
-	if differ := sharing - s.gatewaysPerBackend; sharingStepDivisor*max(differ, -differ) <= s.gatewaysPerBackend {
+	gatewaysPerBackend := max(int(math.Round(float64(s.settings.Fleet)*float64(stats.Size)/float64(stats.Candidates))), 1)
+	if difference := gatewaysPerBackend - s.gatewaysPerBackend; sharingStepDivisor*max(difference, -difference) <= s.gatewaysPerBackend {
 		return false
 	}
-	s.gatewaysPerBackend = sharing
+	s.gatewaysPerBackend = gatewaysPerBackend
 	return true
 }
 
-// sharingStepDivisor is the part, one in so many, by which the number of gateways that share a
-// backend may be off before the module hears of it.
+// sharingStepDivisor limits how often the module gets new settings: the number of gateways that
+// share a backend must change by more than one part in sharingStepDivisor.
 const sharingStepDivisor = 10
 
-// usableBackends counts the backends that get requests now.
+// usableBackends returns the number of backends that may get requests now.
 func (l *Loop) usableBackends() int {
 	known, skipped := l.gateway.BackendCounts()
 	return known - skipped
 }
 
-// activeSettings are those of the deployment in force, with what the subset makes of them.
+// activeSettings returns the active settings of the module, adjusted to the current subset.
 func (l *Loop) activeSettings() rules.Settings {
-	s := l.service.Settings
+	settings := l.service.Settings
 	if l.subset != nil {
-		s.GatewaysPerBackend = l.subset.gatewaysPerBackend
+		settings.GatewaysPerBackend = l.subset.gatewaysPerBackend
 	}
-	return s
+	return settings
 }
 
-// receiveListing takes in what list services or discovery tell.
-func (l *Loop) receiveListing(m listUpdate) {
+// receiveListing applies a list or its changes from discovery or a service registry.
+func (l *Loop) receiveListing(update listUpdate) {
 	if l.subset == nil {
-		l.applyList(m.listing, m.kind)
+		l.applyList(update.listing, update.kind)
 		return
 	}
-	l.applySubset(l.subset.apply(l.clock.now(), m.listing, m.kind), m.kind)
+	l.applySubset(l.subset.apply(l.clock.now(), update.listing, update.kind), update.kind)
 }
 
-// reviewSubset widens or narrows the subset, if there is reason to.
+// reviewSubset widens or narrows the subset according to the number of usable backends.
 func (l *Loop) reviewSubset() {
 	if changes := l.subset.review(l.clock.now(), l.usableBackends()); len(changes.Instances) > 0 {
 		l.applySubset(changes, rules.Delta)
 	}
 }
 
-// resizeSubset takes other settings of the subset.
+// resizeSubset applies new settings of the subset.
 func (l *Loop) resizeSubset(settings subset.Settings) {
 	if l.subset != nil && settings != l.subset.settings {
 		l.applySubset(l.subset.resize(l.clock.now(), settings), rules.Delta)
 	}
 }
 
-// applySubset tells the module what has changed of the subset. What it reckons by the number of
-// gateways comes first.
-func (l *Loop) applySubset(chosen Listing, kind rules.ListKind) {
+// applySubset passes changes of the subset to the module, after the number of gateways per backend
+// that belongs to them.
+func (l *Loop) applySubset(changes Listing, kind rules.ListKind) {
 	if l.subset.updateMetrics() {
 		l.handle(rules.ApplySettings{Settings: l.activeSettings()})
 	}
-	for _, i := range chosen.Instances {
-		if i.Lifecycle == registry.Ready && l.offlineOutside[i.ID] {
-			l.addOffline(i)
+	for _, instance := range changes.Instances {
+		if instance.Lifecycle == registry.Ready && l.offlineOutside[instance.ID] {
+			l.addOffline(instance)
 		}
 	}
-	l.applyList(chosen, kind)
+	l.applyList(changes, kind)
 }
 
-// overrideOutsideSubset keeps an operator's word on a backend outside the subset, which the module
-// does not know, for when it enters.
+// overrideOutsideSubset keeps an operator override for a backend outside the subset, which the
+// module does not know, until the backend enters the subset. It reports whether the gateway knows
+// the backend.
 func (l *Loop) overrideOutsideSubset(id string, offline bool) (known bool) {
 	if l.subset == nil || !l.offlineOutside[id] && !l.subset.selector.Listed(id) {
 		return false
@@ -288,7 +293,6 @@
 	return true
 }
 
-// nameSet returns the set of names.
 func nameSet(names []string) map[string]bool {
 	set := make(map[string]bool, len(names))
 	for _, name := range names {
@@ -297,11 +301,11 @@
 	return set
 }
 
-// addOffline makes a backend known to the module that is out by hand. It enters as one
-// that drains, since nothing may go there before the module has the operator's word.
-func (l *Loop) addOffline(i Instance) {
-	delete(l.offlineOutside, i.ID)
-	i.Lifecycle = registry.Terminating
-	l.applyList(Listing{Instances: []Instance{i}}, rules.Delta)
-	l.applyOverride(i.ID, true)
+// addOffline adds a backend that an operator took offline to the module. It enters as draining,
+// so that it gets no request before the module has the override.
+func (l *Loop) addOffline(instance Instance) {
+	delete(l.offlineOutside, instance.ID)
+	instance.Lifecycle = registry.Terminating
+	l.applyList(Listing{Instances: []Instance{instance}}, rules.Delta)
+	l.applyOverride(instance.ID, true)
 }
--- a/internal/gateway/scopes_test.go
+++ b/internal/gateway/scopes_test.go
@@ -434,7 +434,7 @@
 	for _, bad := range []struct{ keys, says string }{
 		{`"scopes": ["checkout"]`, "registries is missing"},
 		{`"subset": {"size": 5}`, "registries is missing"},
-		{services + `, "scopes": []`, "there are none"},
+		{services + `, "scopes": []`, "the list is empty"},
 		{services + `, "scopes": [""]`, "scope"},
 		{services + `, "scopes": ["checkout@rack=7"]`, "rack=7"},
 		{services + `, "scopes": ["checkout", "search"]`, "no routes by service"},
