--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	maxControlConns = 16 // callers at once, part of the reserved descriptors
-	// Callers wait 1 s. One that has said nothing by then waits no longer, and
-	// its place is needed.
+	maxControlConns = 16 // part of reservedDescriptors
+	// Operators' tools wait 1 s for an answer; a connection without a request by then is closed,
+	// so that it does not count against maxControlConns.
 	controlReadTimeout  = 900 * time.Millisecond
 	controlWriteTimeout = 2 * time.Second
 )
 
-// controlServer answers the operators, one call to a connection.
+// controlServer serves the HTTP interface for operators, with one request per connection.
 type controlServer struct {
 	metrics       *metrics
 	ready         func() bool
 	applyOverride func(id string, offline bool) (known bool, err error)
 	connectivity  *connectivity // nil: membership is off
 	loop          *Loop
-	hasPeer       func() bool // another process of this gateway runs
+	hasPeer       func() bool // a sibling process is connected
 }
 
+// server returns the HTTP server, which serves GET /control/ready, /control/counters,
+// /control/backends and /control/members and POST /control/backends/{id}/offline and /online.
 func (c *controlServer) server() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -40,8 +42,8 @@
 	})
 	mux.HandleFunc("GET /control/backends", backendsHandler(c.loop, c.hasPeer))
 	mux.HandleFunc("GET /control/members", membersHandler(c.connectivity))
-	for word, offline := range map[string]bool{"offline": true, "online": false} {
-		mux.HandleFunc("POST /control/backends/{id}/"+word, func(w http.ResponseWriter, r *http.Request) {
+	for action, offline := range map[string]bool{"offline": true, "online": false} {
+		mux.HandleFunc("POST /control/backends/{id}/"+action, func(w http.ResponseWriter, r *http.Request) {
 			switch known, err := c.applyOverride(r.PathValue("id"), offline); {
 			case err != nil:
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -50,17 +52,17 @@
 			}
 		})
 	}
-	s := &http.Server{Handler: mux, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: controlReadTimeout,
+	server := &http.Server{Handler: mux, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: controlReadTimeout,
 		ReadTimeout: controlReadTimeout, WriteTimeout: controlWriteTimeout}
-	s.SetKeepAlivesEnabled(false)
-	return s
+	server.SetKeepAlivesEnabled(false)
+	return server
 }
 
-// listenControl opens the operators' address.
+// listenControl listens on the address for operators, with at most maxControlConns connections.
 func listenControl(address string) (net.Listener, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return netutil.LimitListener(l, maxControlConns), nil
+	return netutil.LimitListener(listener, maxControlConns), nil
 }
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -14,17 +14,17 @@
 	"dunlintray/rules"
 )
 
-// classCounts are the final answers to the requests of one class.
+// classCounts counts the final answers to the requests of one class.
 type classCounts struct {
 	name                        string
 	passed, dropped, badGateway atomic.Int64
 }
 
-// transferMetrics are the bodies that pass through in one direction.
+// transferMetrics describes the bodies that are forwarded in one direction.
 type transferMetrics struct {
-	streaming atomic.Int64 // that go on before they are whole
-	bytes     atomic.Int64 // of all bodies
-	ended     [len(transferCauseNames)]atomic.Int64
+	streaming atomic.Int64 // bodies forwarded now while they are still being received
+	bytes     atomic.Int64
+	ended     [len(transferCauseNames)]atomic.Int64 // streamed bodies by transferCause
 	logLimit  logLimiter
 }
 
@@ -37,7 +37,7 @@
 	clientSlow
 	backendBroken
 	backendSlow
-	cancelledByGateway // by the gateway: its request was over, or answered before the body had come
+	cancelledByGateway // the request ended, or was answered before its body was complete
 	bodyTooLong
 	noMemory
 )
@@ -45,27 +45,27 @@
 var transferCauseNames = [...]string{"whole", "client_left", "client_slow", "backend_broke", "backend_slow", "called_off",
 	"too_long", "no_memory"}
 
-// recordEnd counts a transfer that has ended, and writes a line of one that is not
-// whole.
-func (t *transferMetrics) recordEnd(why transferCause, id string, err error) {
-	t.ended[why].Add(1)
-	if why != transferComplete && t.logLimit.allow() {
-		slog.Info("body not whole", "id", id, "cause", transferCauseNames[why], "error", err)
+// recordEnd counts a transfer that has ended, and logs it if it is incomplete.
+func (t *transferMetrics) recordEnd(cause transferCause, id string, err error) {
+	t.ended[cause].Add(1)
+	if cause != transferComplete && t.logLimit.allow() {
+		slog.Info("body not whole", "id", id, "cause", transferCauseNames[cause], "error", err)
 	}
 }
 
-// timeoutCause tells a peer that was given up from one that broke.
-func timeoutCause(err error, slow, broke transferCause) transferCause {
+// timeoutCause returns slow for an error of a deadline, broken for one of the connection, and
+// cancelledByGateway if the gateway closed the connection itself.
+func timeoutCause(err error, slow, broken transferCause) transferCause {
 	if errors.Is(err, net.ErrClosed) {
 		return cancelledByGateway
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return slow
 	}
-	return broke
+	return broken
 }
 
-// clientBodyCause is why a body of a client ended.
+// clientBodyCause returns the cause of an error of reading a client's body.
 func clientBodyCause(err error) transferCause {
 	switch {
 	case errors.Is(err, errUploadAborted):
@@ -76,95 +76,96 @@
 	return timeoutCause(err, clientSlow, clientLeft)
 }
 
-// metrics is what a gateway tells its operators. Each is counted once, by who
-// owns the event, and read without a lock that requests wait for.
+// metrics holds the gateway's metrics. Each is counted in one place, and read without a lock that
+// requests wait for.
 type metrics struct {
-	attempts                       atomic.Int64 // attempts written whole
-	retries                        atomic.Int64 // attempts begun behind a request's first
+	attempts                       atomic.Int64 // attempts whose request was written completely
+	retries                        atomic.Int64 // attempts started after a request's first one
 	rejected                       [rules.ReasonCount]atomic.Int64
-	loads, loadErrors              atomic.Int64    // configurations taken and turned down
-	inProgress                     atomic.Int64    // requests taken and not ended
-	knownBackends, skippedBackends atomic.Int64    // backends
-	uploads, downloads             transferMetrics // bodies to backends and to clients
-	bodyBudget                     budget          // of all bodies
-	subset                         *subsetMetrics
-	clients                        *clientListener // their connections; nil before they are served
-
-	mu      sync.Mutex // of the list, not of the counts
+	loads, loadErrors              atomic.Int64    // configuration reloads applied and rejected
+	inProgress                     atomic.Int64    // requests accepted and not ended
+	knownBackends, skippedBackends atomic.Int64    // skipped ones get no requests now
+	uploads, downloads             transferMetrics // to backends and to clients
+	bodyBudget                     budget          // memory of all bodies
+	subset                         *subsetMetrics  // nil: the gateway uses all backends
+	clients                        *clientListener // nil before clients are served
+
+	mu      sync.Mutex // guards the slice, not the counts
 	classes []*classCounts
 }
 
 func newMetrics(c *Config) *metrics {
-	f := &metrics{bodyBudget: budget{total: bodyMemory(c.MemoryMB)}}
+	m := &metrics{bodyBudget: budget{total: bodyMemory(c.MemoryMB)}}
 	if c.Scopes.subset.Enabled() {
-		f.subset = &subsetMetrics{}
+		m.subset = &subsetMetrics{}
 	}
-	return f
+	return m
 }
 
-// newService puts the counts of its classes beside a deployment. A class that
-// comes back goes on with the counts it had.
-func (f *metrics) newService(d wire.Deployment, mostBody int64) *serviceConfig {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	s := &serviceConfig{Deployment: d, maxBodyBytes: mostBody}
-	for _, name := range d.ClassNames {
-		s.counts = append(s.counts, f.countsOf(name))
+// newService returns the settings of a deployment with the counts of its classes. A class that
+// was removed and is added again keeps its earlier counts.
+func (m *metrics) newService(deployment wire.Deployment, maxBodyBytes int64) *serviceConfig {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	service := &serviceConfig{Deployment: deployment, maxBodyBytes: maxBodyBytes}
+	for _, name := range deployment.ClassNames {
+		service.counts = append(service.counts, m.countsOf(name))
 	}
-	return s
+	return service
 }
 
-func (f *metrics) countsOf(name string) *classCounts {
-	for _, c := range f.classes {
+// countsOf returns the counts of a class. The caller must hold the lock.
+func (m *metrics) countsOf(name string) *classCounts {
+	for _, c := range m.classes {
 		if c.name == name {
 			return c
 		}
 	}
 	c := &classCounts{name: name}
-	f.classes = append(f.classes, c)
+	m.classes = append(m.classes, c)
 	return c
 }
 
-// write puts the figures out, a line each.
-func (f *metrics) write(w io.Writer) {
-	f.mu.Lock()
-	classes := f.classes[:len(f.classes):len(f.classes)]
-	f.mu.Unlock()
-	line := func(name string, n *atomic.Int64, kind string) {
-		fmt.Fprintf(w, "app.%s:%d|%s\n", name, n.Load(), kind)
+// write writes the metrics, one per line.
+func (m *metrics) write(w io.Writer) {
+	m.mu.Lock()
+	classes := m.classes[:len(m.classes):len(m.classes)]
+	m.mu.Unlock()
+	line := func(name string, value *atomic.Int64, kind string) {
+		fmt.Fprintf(w, "app.%s:%d|%s\n", name, value.Load(), kind)
 	}
-	for _, c := range classes {
-		line("handled."+c.name+".passed", &c.passed, "c")
-		line("handled."+c.name+".dropped", &c.dropped, "c")
-		line("handled."+c.name+".bad_gateway", &c.badGateway, "c")
+	for _, class := range classes {
+		line("handled."+class.name+".passed", &class.passed, "c")
+		line("handled."+class.name+".dropped", &class.dropped, "c")
+		line("handled."+class.name+".bad_gateway", &class.badGateway, "c")
 	}
-	line("upstream_tries", &f.attempts, "c")
-	line("retries", &f.retries, "c")
-	for reason := range f.rejected {
-		line("rejected."+rules.Reason(reason).String(), &f.rejected[reason], "c")
+	line("upstream_tries", &m.attempts, "c")
+	line("retries", &m.retries, "c")
+	for reason := range m.rejected {
+		line("rejected."+rules.Reason(reason).String(), &m.rejected[reason], "c")
 	}
-	line("loads", &f.loads, "c")
-	line("load_errors", &f.loadErrors, "c")
-	line("in_progress", &f.inProgress, "g")
-	line("known_backends", &f.knownBackends, "g")
-	line("skipped_backends", &f.skippedBackends, "g")
-	for name, t := range map[string]*transferMetrics{"up": &f.uploads, "down": &f.downloads} {
-		line("transfers."+name+".open", &t.streaming, "g")
-		line("transfers."+name+".bytes", &t.bytes, "c")
-		for c := range t.ended {
-			line("transfers."+name+".ended."+transferCauseNames[c], &t.ended[c], "c")
+	line("loads", &m.loads, "c")
+	line("load_errors", &m.loadErrors, "c")
+	line("in_progress", &m.inProgress, "g")
+	line("known_backends", &m.knownBackends, "g")
+	line("skipped_backends", &m.skippedBackends, "g")
+	for direction, transfers := range map[string]*transferMetrics{"up": &m.uploads, "down": &m.downloads} {
+		line("transfers."+direction+".open", &transfers.streaming, "g")
+		line("transfers."+direction+".bytes", &transfers.bytes, "c")
+		for cause := range transfers.ended {
+			line("transfers."+direction+".ended."+transferCauseNames[cause], &transfers.ended[cause], "c")
 		}
 	}
-	f.subset.write(w)
-	f.clients.writeMetrics(w)
-	used, most := f.bodyBudget.usage()
-	fmt.Fprintf(w, "app.transfers.memory:%d|g\napp.transfers.memory_most:%d|g\n", used, most)
+	m.subset.write(w)
+	m.clients.writeMetrics(w)
+	used, limit := m.bodyBudget.usage()
+	fmt.Fprintf(w, "app.transfers.memory:%d|g\napp.transfers.memory_most:%d|g\n", used, limit)
 }
 
-// serviceConfig is the deployment in force from one load of the configuration to the
-// next. A request keeps the one it was read under.
+// serviceConfig holds the settings that one load of the configuration made active. It does not
+// change; a request keeps the one that was active when it arrived.
 type serviceConfig struct {
 	wire.Deployment
-	maxBodyBytes int64          // bytes that a client may send in one body; 0: any number
-	counts       []*classCounts // by class
+	maxBodyBytes int64          // limit of one client's body; 0: none
+	counts       []*classCounts // by class number
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -14,128 +14,129 @@
 	"dunlintray/rules"
 )
 
-// membershipInboxFraction is the part of the datagrams that a gateway takes in which membership
-// may have.
+// membershipInboxFraction is the fraction of a gateway's incoming datagrams that membership may use.
 const membershipInboxFraction = 0.5
 
-// membershipConfig is what a gateway is told of the others.
+// membershipConfig configures the membership protocol between the gateways of a fleet.
 type membershipConfig struct {
-	Enabled        bool   // take part
-	PeerListen     string // where datagrams come in
-	Peers          []string
-	InboxPerSecond float64 // that a gateway takes in; of the settings
+	Enabled        bool
+	PeerListen     string   // UDP address for incoming datagrams
+	Peers          []string // UDP addresses of all gateways, in the order of their ranks
+	InboxPerSecond float64  // datagrams that a gateway can receive, from the settings
 }
 
-// agentConfig finds the addresses that a gateway could not take part with.
+// agentConfig returns the configuration of the membership agent, or an error for an invalid
+// address, a wrong number of peers or a datagram rate that is too low.
 func (c *Config) agentConfig() (membership.AgentConfig, error) {
-	a := membership.AgentConfig{Self: c.Rank, InPerS: c.Members.InboxPerSecond * membershipInboxFraction}
+	agent := membership.AgentConfig{Self: c.Rank, InPerS: c.Members.InboxPerSecond * membershipInboxFraction}
 	var err error
-	if a.Listen, err = netip.ParseAddrPort(c.Members.PeerListen); err != nil {
-		return a, fmt.Errorf("peer_listen: %w", err)
+	if agent.Listen, err = netip.ParseAddrPort(c.Members.PeerListen); err != nil {
+		return agent, fmt.Errorf("peer_listen: %w", err)
 	}
 	for n, text := range c.Members.Peers {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return a, fmt.Errorf("peers[%d]: %w", n, err)
+			return agent, fmt.Errorf("peers[%d]: %w", n, err)
 		}
-		a.Peers = append(a.Peers, address)
+		agent.Peers = append(agent.Peers, address)
 	}
 	switch {
-	case len(a.Peers) != c.Fleet:
-		return a, fmt.Errorf("peers: %d addresses of %d gateways", len(a.Peers), c.Fleet)
-	case a.InPerS < minMembershipRate:
-		return a, fmt.Errorf("settings: inboxPerS of %g leaves %g datagrams a second for membership, under %d", c.Members.InboxPerSecond, a.InPerS, minMembershipRate)
+	case len(agent.Peers) != c.Fleet:
+		return agent, fmt.Errorf("peers: %d addresses for a fleet of %d gateways", len(agent.Peers), c.Fleet)
+	case agent.InPerS < minMembershipRate:
+		return agent, fmt.Errorf("settings: inboxPerS of %g leaves %g datagrams a second for membership, under %d", c.Members.InboxPerSecond, agent.InPerS, minMembershipRate)
 	}
-	return a, nil
+	return agent, nil
 }
 
-// minMembershipRate is what a member takes in when half of what is sent is lost.
+// minMembershipRate is how many datagrams a second a member receives when half of them are lost.
 const minMembershipRate = 12
 
-// newMembership returns the agent that tells the module who is present; nil where
-// membership is not asked for.
-func newMembership(c *Config, l *Loop) (*membership.Agent, error) {
-	if !c.Members.Enabled {
+// newMembership returns the agent that notifies the module which gateways are present, or nil if
+// membership is off.
+func newMembership(config *Config, loop *Loop) (*membership.Agent, error) {
+	if !config.Members.Enabled {
 		return nil, nil
 	}
-	a, err := c.agentConfig()
+	agent, err := config.agentConfig()
 	if err != nil {
 		return nil, err
 	}
-	a.Start = time.Now()
-	return membership.NewAgent(a, rand.New(rand.NewPCG(c.Seed, uint64(c.Rank))), func(present []bool) {
-		l.post(moduleEvent{rules.Members{Present: present}})
+	agent.Start = time.Now()
+	return membership.NewAgent(agent, rand.New(rand.NewPCG(config.Seed, uint64(config.Rank))), func(present []bool) {
+		loop.post(moduleEvent{rules.Members{Present: present}})
 	})
 }
 
-// errMembershipOff answers operators of a gateway that takes no part.
+// errMembershipOff answers a call for the members of a gateway without membership.
 var errMembershipOff = errors.New("membership is off")
 
-// Member is one line of what operators are told of the others.
+// Member is one gateway of a MembersView.
 type Member struct {
 	Number      int    `json:"number"`
 	State       string `json:"state"`
 	Incarnation uint32 `json:"incarnation"`
 	StartedAtMs int64  `json:"startedAtMs"`
-	ForMs       int64  `json:"forMs"` // in this state
+	ForMs       int64  `json:"forMs"` // milliseconds in this state
 }
 
-// MembersView is what operators are told.
+// MembersView is the answer to GET /control/members: the gateways as this one sees them.
 type MembersView struct {
 	Self       int      `json:"self"`
 	On         bool     `json:"on"`
 	Superseded bool     `json:"superseded"`
 	Digest     string   `json:"digest"`
-	Same       int      `json:"same"`  // members whose view is this one
-	Heard      int      `json:"heard"` // of so many that are present and have told theirs
-	State      string   `json:"state"` // whole, divided or alone
+	Same       int      `json:"same"`  // present members with the same view as this one
+	Heard      int      `json:"heard"` // present members that have sent their view
+	State      string   `json:"state"` // partition state: whole, divided or alone
 	StateForMs int64    `json:"stateForMs"`
 	Why        string   `json:"why"`
 	Members    []Member `json:"members"`
 }
 
-func membersHandler(s *connectivity) http.HandlerFunc {
+// membersHandler answers with a MembersView, or with status 404 if c is nil.
+func membersHandler(c *connectivity) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		if s == nil {
+		if c == nil {
 			http.Error(w, errMembershipOff.Error(), http.StatusNotFound)
 			return
 		}
-		v := s.agent.View()
-		state, since, why := s.state(time.Now())
-		out := MembersView{Self: v.Self, On: v.On, Superseded: v.Superseded, Digest: fmt.Sprintf("%016x", v.Digest), Same: v.Same, Heard: v.Of,
-			State: state.String(), StateForMs: since.Milliseconds(), Why: why}
-		for _, m := range v.Members {
-			out.Members = append(out.Members, Member{m.Number, m.State.String(), m.Incarnation, m.Start, (v.Now - m.Since).Milliseconds()})
+		view := c.agent.View()
+		state, since, reason := c.state(time.Now())
+		answer := MembersView{Self: view.Self, On: view.On, Superseded: view.Superseded, Digest: fmt.Sprintf("%016x", view.Digest), Same: view.Same, Heard: view.Of,
+			State: state.String(), StateForMs: since.Milliseconds(), Why: reason}
+		for _, member := range view.Members {
+			answer.Members = append(answer.Members, Member{member.Number, member.State.String(), member.Incarnation, member.Start, (view.Now - member.Since).Milliseconds()})
 		}
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(out)
+		json.NewEncoder(w).Encode(answer)
 	}
 }
 
-// writeMembershipMetrics puts the figures out.
-func writeMembershipMetrics(w io.Writer, s *connectivity) {
-	if s == nil {
+// writeMembershipMetrics writes the metrics of membership, one per line, and nothing if c is nil.
+func writeMembershipMetrics(w io.Writer, c *connectivity) {
+	if c == nil {
 		return
 	}
-	v := s.agent.View()
-	state, since, _ := s.state(time.Now())
+	view := c.agent.View()
+	state, since, _ := c.state(time.Now())
 	states := map[membership.State]int64{}
-	for _, m := range v.Members {
-		states[m.State]++
+	for _, member := range view.Members {
+		states[member.State]++
 	}
-	st := v.Stats
+	stats := view.Stats
 	superseded := int64(0)
-	if v.Superseded {
+	if view.Superseded {
 		superseded = 1
 	}
-	for _, l := range []struct {
-		name string
-		n    int64
-		kind string
+	for _, metric := range []struct {
+		name  string
+		value int64
+		kind  string
 	}{{"alive", states[membership.Alive], "g"}, {"suspect", states[membership.Suspect], "g"}, {"dead", states[membership.Dead], "g"}, {"left", states[membership.Left], "g"},
-		{"unknown", states[membership.Unknown], "g"}, {"differing", int64(st.Differing), "g"}, {"health", int64(st.Health), "g"}, {"sent", st.Sent, "c"}, {"sent_bytes", st.SentBytes, "c"},
-		{"received", st.Received, "c"}, {"dropped", st.Dropped, "c"}, {"garbled", st.Garbled, "c"}, {"stale", st.Stale, "c"}, {"refuted", st.Refuted, "c"},
-		{"suspected", st.Suspected, "c"}, {"declared", st.Declared, "c"}, {"superseded", superseded, "g"}, {"standing", int64(state), "g"}, {"standing_ms", since.Milliseconds(), "g"}} {
-		fmt.Fprintf(w, "app.members.%s:%d|%s\n", l.name, l.n, l.kind)
+		{"unknown", states[membership.Unknown], "g"}, {"differing", int64(stats.Differing), "g"}, {"health", int64(stats.Health), "g"}, {"sent", stats.Sent, "c"}, {"sent_bytes", stats.SentBytes, "c"},
+		{"received", stats.Received, "c"}, {"dropped", stats.Dropped, "c"}, {"garbled", stats.Garbled, "c"}, {"stale", stats.Stale, "c"}, {"refuted", stats.Refuted, "c"},
+		{"suspected", stats.Suspected, "c"}, {"declared", stats.Declared, "c"}, {"superseded", superseded, "g"}, {"standing", int64(state), "g"}, {"standing_ms", since.Milliseconds(), "g"}} {
+		fmt.Fprintf(w, "app.members.%s:%d|%s\n", metric.name, metric.value, metric.kind)
 	}
 }
--- a/internal/gateway/standing.go
+++ b/internal/gateway/standing.go
@@ -13,115 +13,117 @@
 )
 
 const (
-	observeInterval      = 500 * time.Millisecond // between two sights
-	registrySilenceLimit = 10 * time.Second       // without an answer of any list service; a watch takes 4 s
-	counterSilenceLimit  = 3 * time.Second        // without an answer of the counter, though it was asked
-	counterCallWindow    = 10 * time.Second       // in which it has to have been asked
-	viewDifferenceLimit  = 30 * time.Second       // views differ for seconds after each change, and longer only where they can't meet
+	observeInterval      = 500 * time.Millisecond
+	registrySilenceLimit = 10 * time.Second // without an answer of any service registry; a watch takes 4 s
+	counterSilenceLimit  = 3 * time.Second  // without an answer of the counter, if it was called within counterCallWindow
+	counterCallWindow    = 10 * time.Second
+	viewDifferenceLimit  = 30 * time.Second // membership views may differ for some seconds after each change
 )
 
-// connectivity watches how the gateway stands in its fleet.
+// connectivity observes whether the gateway reaches the other gateways, the service registries and
+// the counter.
 type connectivity struct {
 	agent       *membership.Agent
 	view        func() membership.View
-	registryAge func() time.Duration // since a list service's last answer; below 0: none; nil: there are none
+	registryAge func() time.Duration // since the last answer of a service registry; negative: none so far; nil: no registries
 	counter     *counterContact
 	startedAt   time.Time
 
-	differingSince time.Time // since when views have; of run
+	differingSince time.Time // zero: membership views agree; owned by run
 
 	mu      sync.Mutex
 	machine *reach.Machine
 }
 
-// counterContact is with the counter: when a call last ended, and when one was answered,
-// in nanoseconds of Unix time.
+// counterContact records when a call of the counter last ended, and when the counter last answered
+// one, in nanoseconds of Unix time.
 type counterContact struct{ lastCall, lastAnswer atomic.Int64 }
 
-// recordCall takes a call's end. A contact that nobody watches is nil.
-func (c *counterContact) recordCall(o rules.Outcome) {
+// recordCall records the end of a call. It does nothing if c is nil.
+func (c *counterContact) recordCall(outcome rules.Outcome) {
 	if c == nil {
 		return
 	}
 	now := time.Now().UnixNano()
 	c.lastCall.Store(now)
-	if o == rules.Served {
+	if outcome == rules.Served {
 		c.lastAnswer.Store(now)
 	}
 }
 
 func (c *counterContact) state(now time.Time) reach.Contact {
-	asked, answered := time.Unix(0, c.lastCall.Load()), time.Unix(0, c.lastAnswer.Load())
+	lastCall, lastAnswer := time.Unix(0, c.lastCall.Load()), time.Unix(0, c.lastAnswer.Load())
 	switch {
-	case now.Sub(asked) > counterCallWindow:
+	case now.Sub(lastCall) > counterCallWindow:
 		return reach.None
-	case now.Sub(answered) > counterSilenceLimit:
+	case now.Sub(lastAnswer) > counterSilenceLimit:
 		return reach.Silent
 	}
 	return reach.Heard
 }
 
-func newConnectivity(a *membership.Agent, lists func() time.Duration, counter *counterContact, now time.Time) *connectivity {
-	return &connectivity{agent: a, view: a.View, registryAge: lists, counter: counter, startedAt: now, machine: reach.New(0)}
+func newConnectivity(agent *membership.Agent, registryAge func() time.Duration, counter *counterContact, now time.Time) *connectivity {
+	return &connectivity{agent: agent, view: agent.View, registryAge: registryAge, counter: counter, startedAt: now, machine: reach.New(0)}
 }
 
-// run looks until ctx ends.
-func (s *connectivity) run(ctx context.Context) {
-	t := time.NewTicker(observeInterval)
-	defer t.Stop()
+// run observes at each observeInterval until ctx ends.
+func (c *connectivity) run(ctx context.Context) {
+	ticker := time.NewTicker(observeInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-t.C:
-			s.observe(now)
+		case now := <-ticker.C:
+			c.observe(now)
 		}
 	}
 }
 
-// observe takes in what the gateway sees now.
-func (s *connectivity) observe(now time.Time) {
-	v := s.view()
-	if !v.On || v.Superseded {
-		return // another process has its place, or takes it
+// observe updates the partition state from the current membership view and the ages of the last
+// answers, and logs a change of state.
+func (c *connectivity) observe(now time.Time) {
+	view := c.view()
+	if !view.On || view.Superseded {
+		return // a sibling process takes part in its place
 	}
-	sight := reach.Sight{Fleet: len(v.Members) - 1, Counter: s.counter.state(now)}
+	observation := reach.Sight{Fleet: len(view.Members) - 1, Counter: c.counter.state(now)}
 	switch {
-	case v.Stats.Differing == 0:
-		s.differingSince = time.Time{}
-	case s.differingSince.IsZero():
-		s.differingSince = now
-	case now.Sub(s.differingSince) >= viewDifferenceLimit:
-		sight.Differing = int(v.Stats.Differing)
+	case view.Stats.Differing == 0:
+		c.differingSince = time.Time{}
+	case c.differingSince.IsZero():
+		c.differingSince = now
+	case now.Sub(c.differingSince) >= viewDifferenceLimit:
+		observation.Differing = int(view.Stats.Differing)
 	}
-	for _, m := range v.Members {
-		if m.Number == v.Self || m.State == membership.Unknown || m.State == membership.Left {
+	for _, member := range view.Members {
+		if member.Number == view.Self || member.State == membership.Unknown || member.State == membership.Left {
 			continue
 		}
-		sight.Heard++
-		if m.State == membership.Alive { // a suspect does not answer, and is not reached
-			sight.Present++
+		observation.Heard++
+		if member.State == membership.Alive { // a suspect does not answer
+			observation.Present++
 		}
 	}
-	if s.registryAge != nil {
-		if sight.Lists = reach.Heard; s.registryAge() < 0 || s.registryAge() > registrySilenceLimit {
-			sight.Lists = reach.Silent
+	if c.registryAge != nil {
+		if observation.Lists = reach.Heard; c.registryAge() < 0 || c.registryAge() > registrySilenceLimit {
+			observation.Lists = reach.Silent
 		}
 	}
-	s.mu.Lock()
-	before, _, _ := s.machine.State()
-	changed := s.machine.See(now.Sub(s.startedAt), sight)
-	state, _, why := s.machine.State()
-	s.mu.Unlock()
+	c.mu.Lock()
+	previous, _, _ := c.machine.State()
+	changed := c.machine.See(now.Sub(c.startedAt), observation)
+	state, _, reason := c.machine.State()
+	c.mu.Unlock()
 	if changed {
-		slog.Warn("standing", "state", state.String(), "before", before.String(), "why", why)
+		slog.Warn("standing", "state", state.String(), "before", previous.String(), "why", reason)
 	}
 }
 
-// state is how the gateway stands, for how long, and why.
-func (s *connectivity) state(now time.Time) (state reach.State, since time.Duration, why string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	state, since, why = s.machine.State()
-	return state, now.Sub(s.startedAt) - since, why
+// state returns the partition state, how long it has lasted, and its reason.
+func (c *connectivity) state(now time.Time) (state reach.State, since time.Duration, reason string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, since, reason = c.machine.State()
+	return state, now.Sub(c.startedAt) - since, reason
 }
