--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -135,7 +135,7 @@
 		wait(t, answers, "answer")
 		idle = append(idle, conn)
 		// The next comes once this one rests, which may be later than its answer.
-		r.tells(t, fmt.Sprintf("app.clients.idle:%d|g", n+1), "app.clients.busy:1|g")
+		r.awaitMetrics(t, fmt.Sprintf("app.clients.idle:%d|g", n+1), "app.clients.busy:1|g")
 	}
 	r.figures.clients.setLimit(4)
 	_, answers := r.request(t, requestText("GET", "lookup", "", idHeader, ""))
@@ -147,7 +147,7 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(idle[1]), nil); err != nil || resp.StatusCode != 400 {
 		t.Errorf("one that was kept: %v %v", resp, err)
 	}
-	r.tells(t, "app.clients.closed.idle_given_up:1|c")
+	r.awaitMetrics(t, "app.clients.closed.idle_given_up:1|c")
 	io.WriteString(to, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the held request: status %d", resp.StatusCode)
@@ -164,28 +164,28 @@
 		_, answers := r.request(t, requestText("GET", "lookup", "", idHeader, ""))
 		wait(t, answers, "answer")
 	}
-	r.tells(t, "app.clients.idle:80|g")
+	r.awaitMetrics(t, "app.clients.idle:80|g")
 	for _, step := range []struct {
 		sockets string
 		idle    string
 	}{{"512", "app.clients.idle:80|g"}, {"128", "app.clients.idle:35|g"}, {"1024", "app.clients.idle:35|g"}} {
 		c, err := parseConfig([]byte(strings.Replace(configText(r.registry.address(), testSettings), `"sockets": 1024`, `"sockets": `+step.sockets, 1)))
 		r.reloads <- Reload{Config: c, Err: err}
-		r.tells(t, step.idle)
+		r.awaitMetrics(t, step.idle)
 	}
 	c, err := parseConfig([]byte(strings.Replace(configText(r.registry.address(), testSettings), `"sockets": 1024`, `"sockets": 3`, 1)))
 	if err == nil {
 		t.Error("3 sockets were taken")
 	}
 	r.reloads <- Reload{Config: c, Err: err}
-	r.tells(t, "app.loads:3|c", "app.load_errors:1|c")
+	r.awaitMetrics(t, "app.loads:3|c", "app.load_errors:1|c")
 }
 
 // A stop in the middle of a rush answers what was taken, and leaves nothing.
 func TestStopInRush(t *testing.T) {
 	t.Parallel()
-	b := &registered{id: "b", backend: newPeer(t)}
-	go b.answerAll()
+	b := &registeredBackend{id: "b", backend: newPeer(t)}
+	go b.serveRequests()
 	r := newTestGatewayWith(t, func(text string) string { return strings.Replace(text, `"sockets": 1024`, `"sockets": 128`, 1) }, b.backend)
 	var wg sync.WaitGroup
 	begun := make(chan struct{}, 1000)
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// operate makes one call to the operators' address.
-func (g *testGateway) operate(t *testing.T, method, path string) (int, string) {
+// callControl makes one call to the operators' address.
+func (g *testGateway) callControl(t *testing.T, method, path string) (int, string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", g.control)
 	if err != nil {
@@ -33,12 +33,12 @@
 	return resp.StatusCode, string(body)
 }
 
-// tells waits until the figures hold all of the lines.
-func (g *testGateway) tells(t *testing.T, lines ...string) {
+// awaitMetrics waits until the figures hold all of the lines.
+func (g *testGateway) awaitMetrics(t *testing.T, lines ...string) {
 	t.Helper()
 	text := ""
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		_, text = g.operate(t, "GET", "/control/counters")
+		_, text = g.callControl(t, "GET", "/control/counters")
 		missing := false
 		for _, line := range lines {
 			missing = missing || !strings.Contains("\n"+text, "\n"+line+"\n")
@@ -50,38 +50,38 @@
 	t.Fatalf("figures never held %q:\n%s", lines, text)
 }
 
-// says tells whether the figures have a line now.
-func (g *testGateway) says(t *testing.T, line string) bool {
+// hasMetric tells whether the figures have a line now.
+func (g *testGateway) hasMetric(t *testing.T, line string) bool {
 	t.Helper()
-	_, text := g.operate(t, "GET", "/control/counters")
+	_, text := g.callControl(t, "GET", "/control/counters")
 	return strings.Contains("\n"+text, "\n"+line+"\n")
 }
 
-func TestFigures(t *testing.T) {
+func TestMetricsFollowRequests(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newTestGateway(t, backend)
-	r.tells(t, "app.handled.booking.passed:0|c", "app.known_backends:1|g", "app.skipped_backends:0|g", "app.loads:0|c")
+	r.awaitMetrics(t, "app.handled.booking.passed:0|c", "app.known_backends:1|g", "app.skipped_backends:0|g", "app.loads:0|c")
 	_, first := r.request(t, requestText("POST", "booking", "x"))
 	conn, br := backend.accept(t)
 	readRequest(t, br)
-	r.tells(t, "app.in_progress:1|g", "app.upstream_tries:1|c")
+	r.awaitMetrics(t, "app.in_progress:1|g", "app.upstream_tries:1|c")
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	wait(t, first, "answer")
 	_, second := r.request(t, requestText("POST", "payment", "x"))
 	readRequest(t, br)
 	conn.Close() // it may have run
 	wait(t, second, "answer")
-	r.tells(t, "app.handled.booking.passed:1|c", "app.handled.payment.bad_gateway:1|c", "app.handled.lookup.passed:0|c",
+	r.awaitMetrics(t, "app.handled.booking.passed:1|c", "app.handled.payment.bad_gateway:1|c", "app.handled.lookup.passed:0|c",
 		"app.handled.payment.dropped:0|c", "app.in_progress:0|g", "app.upstream_tries:2|c")
 	backend.listener.Close()
 	_, third := r.request(t, requestText("GET", "glance", ""))
 	wait(t, third, "answer")
-	r.tells(t, "app.handled.glance.dropped:1|c", "app.upstream_tries:2|c")
+	r.awaitMetrics(t, "app.handled.glance.dropped:1|c", "app.upstream_tries:2|c")
 }
 
 // Callers that finish no call must not keep others waiting.
-func TestControlWithSilentCallers(t *testing.T) {
+func TestSilentControlConnectionsBlockNobody(t *testing.T) {
 	t.Parallel()
 	r := newTestGateway(t, newPeer(t))
 	for range maxControlConns / 2 {
@@ -100,13 +100,13 @@
 		{"POST", "/control/counters", 405},
 		{"GET", "/control/other", 404},
 	} {
-		if status, _ := r.operate(t, call.method, call.path); status != call.status {
+		if status, _ := r.callControl(t, call.method, call.path); status != call.status {
 			t.Errorf("%s %s: status %d, want %d", call.method, call.path, status, call.status)
 		}
 	}
 	r.stop()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if status, _ := r.operate(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
+		if status, _ := r.callControl(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
 			return
 		}
 		if time.Now().After(end) {
@@ -117,7 +117,7 @@
 
 // A backend that is out gets nothing, whatever discovery says, and a single call
 // brings it back.
-func TestByHand(t *testing.T) {
+func TestOverrideWinsOverDiscovery(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newTestGateway(t, backend)
@@ -129,14 +129,14 @@
 		status int
 	}{{"/control/backends/none/offline", 404}, {"/control/backends/none/online", 404}, {path + "/online", 200},
 		{path + "/offline", 200}, {path + "/offline", 200}} {
-		if status, _ := r.operate(t, "POST", call.path); status != call.status {
+		if status, _ := r.callControl(t, "POST", call.path); status != call.status {
 			t.Errorf("%s: status %d, want %d", call.path, status, call.status)
 		}
 	}
-	r.tells(t, "app.known_backends:1|g", "app.skipped_backends:1|g")
+	r.awaitMetrics(t, "app.known_backends:1|g", "app.skipped_backends:1|g")
 	shown := func(byHand bool) {
 		t.Helper()
-		_, text := r.operate(t, "GET", "/control/backends")
+		_, text := r.callControl(t, "GET", "/control/backends")
 		var v BackendsView
 		if err := json.Unmarshal([]byte(text), &v); err != nil || v.Version != 1 || v.Rank != 1 || v.Fleet != 2 || len(v.Backends) != 1 || v.Backends[0].ID != backend.address() || v.Backends[0].Overridden != byHand {
 			t.Errorf("%v: %s", err, text)
@@ -151,7 +151,7 @@
 	if resp := wait(t, refused, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the backend that is out", resp.StatusCode, len(backend.conns))
 	}
-	if status, _ := r.operate(t, "POST", path+"/online"); status != 200 {
+	if status, _ := r.callControl(t, "POST", path+"/online"); status != 200 {
 		t.Errorf("online: status %d", status)
 	}
 	shown(false)
@@ -160,12 +160,12 @@
 	if resp := wait(t, served, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d once it is back", resp.StatusCode)
 	}
-	r.tells(t, "app.skipped_backends:0|g")
+	r.awaitMetrics(t, "app.skipped_backends:0|g")
 }
 
 // An operator who asks for one backend is told of that one alone, with its work, and of
 // none if the gateway does not hold it.
-func TestViewOfOneBackend(t *testing.T) {
+func TestBackendsViewOfOneBackend(t *testing.T) {
 	t.Parallel()
 	first, second := newPeer(t), newPeer(t)
 	r := newTestGateway(t, first, second)
@@ -184,7 +184,7 @@
 		name string
 		held bool
 	}{{first.address(), true}, {second.address(), true}, {"none", false}} {
-		_, text := r.operate(t, "GET", "/control/backends?backend="+c.name)
+		_, text := r.callControl(t, "GET", "/control/backends?backend="+c.name)
 		var v BackendsView
 		if err := json.Unmarshal([]byte(text), &v); err != nil || v.Version != 1 || v.Fleet != 2 {
 			t.Fatalf("%v: %s", err, text)
@@ -197,7 +197,7 @@
 			t.Errorf("the work at %s, busy is %s: %s", c.name, busy.address(), text)
 		}
 	}
-	_, text := r.operate(t, "GET", "/control/backends")
+	_, text := r.callControl(t, "GET", "/control/backends")
 	if !strings.Contains(text, first.address()) || !strings.Contains(text, second.address()) {
 		t.Errorf("asked for all: %s", text)
 	}
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -42,10 +42,10 @@
 				} else {
 					io.Copy(io.Discard, resp.Body)
 				}
-				gateway.tells(t, "app.clients.idle:1|g")
+				gateway.awaitMetrics(t, "app.clients.idle:1|g")
 			}
 			io.WriteString(conn, first)
-			gateway.tells(t, "app.clients.head:1|g")
+			gateway.awaitMetrics(t, "app.clients.head:1|g")
 			gateway.stop()
 			// The rest of the head arrives after the listener has closed.
 			for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -186,7 +186,7 @@
 	conn := gateway.send(t, requestText("POST", "booking", "first")+requestText("POST", "booking", "second", idempotencyHeader, "k2")+requestText("GET", "lookup", ""))
 	upstream, reader := backend.accept(t)
 	readRequest(t, reader)
-	gateway.tells(t, "app.clients.busy:1|g")
+	gateway.awaitMetrics(t, "app.clients.busy:1|g")
 	gateway.stop()
 	gateway.awaitReadiness(t, http.StatusServiceUnavailable)
 	clientReader := bufio.NewReader(conn)
@@ -249,7 +249,7 @@
 	io.WriteString(conn, requestText("POST", "booking", "pickup", "Connection", "close")+strings.Repeat("x", 32<<10))
 	want := bytes.Repeat([]byte("answer"), 10<<10)
 	serveOne(t, backend, string(want))
-	gateway.tells(t, "app.handled.booking.passed:1|c", "app.clients.busy:0|g")
+	gateway.awaitMetrics(t, "app.handled.booking.passed:1|c", "app.clients.busy:0|g")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -258,7 +258,7 @@
 		t.Errorf("%d of %d bytes: %v", len(got), len(want), err)
 	}
 	conn.Close()
-	gateway.tells(t, "app.clients.idle:0|g")
+	gateway.awaitMetrics(t, "app.clients.idle:0|g")
 }
 
 // A retry whose connection is established after its key window has ended is not written, since
@@ -415,9 +415,9 @@
 			conn, _ := gateway.request(t, requestText("POST", "booking", "x"))
 			upstream, reader := backend.accept(t)
 			readRequest(t, reader)
-			gateway.tells(t, "app.clients.busy:1|g")
+			gateway.awaitMetrics(t, "app.clients.busy:1|g")
 			io.WriteString(conn, text[:1]) // net/http takes this byte as the start of the next request
-			gateway.tells(t, "app.in_progress:1|g")
+			gateway.awaitMetrics(t, "app.in_progress:1|g")
 			conn.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) // the gateway stops reading a flood
 			io.WriteString(conn, text[1:])
 			if name == "a flood" {
@@ -429,7 +429,7 @@
 					t.Errorf("the attempt's connection: %v", err)
 				}
 			}
-			gateway.tells(t, "app.clients.busy:0|g", "app.in_progress:0|g", "app.upstream_tries:1|c")
+			gateway.awaitMetrics(t, "app.clients.busy:0|g", "app.in_progress:0|g", "app.upstream_tries:1|c")
 		})
 	}
 }
@@ -470,7 +470,7 @@
 				if resp := answer(); resp.StatusCode != 502 {
 					t.Errorf("an unsafe request: status %d", resp.StatusCode)
 				}
-				gateway.tells(t, "app.upstream_tries:1|c")
+				gateway.awaitMetrics(t, "app.upstream_tries:1|c")
 			}
 		}
 	}
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -17,15 +17,15 @@
 	"dunlintray/rules"
 )
 
-// agent is a discovery whose answers a test gives one by one.
-type agent struct {
+// fakeDiscovery is a discovery whose answers a test gives one by one.
+type fakeDiscovery struct {
 	*httptest.Server
 	calls   chan string // the query of each call
 	answers chan any    // a Listing, or a status
 }
 
-func newAgent(t testing.TB) *agent {
-	r := &agent{calls: make(chan string, 64), answers: make(chan any, 64)}
+func newFakeDiscovery(t testing.TB) *fakeDiscovery {
+	r := &fakeDiscovery{calls: make(chan string, 64), answers: make(chan any, 64)}
 	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.calls <- q.URL.RawQuery
 		select {
@@ -50,10 +50,10 @@
 	return r
 }
 
-func (r *agent) address() string { return r.Listener.Addr().String() }
+func (r *fakeDiscovery) address() string { return r.Listener.Addr().String() }
 
-func TestWatch(t *testing.T) {
-	r := newAgent(t)
+func TestWatchRetriesFailedRequests(t *testing.T) {
+	r := newFakeDiscovery(t)
 	heard := make(chan Listing, 64)
 	turnedAway := make(chan chan struct{}, 1)
 	w := newDiscoveryWatcher(r.address(), func(l Listing) { heard <- l }, func(context.Context) {
@@ -112,8 +112,8 @@
 
 // A watch that stands open at the old address is given up for the new one, and
 // starts there from the whole list.
-func TestWatchMoves(t *testing.T) {
-	old, next := newAgent(t), newAgent(t)
+func TestWatchMovesToNewAddress(t *testing.T) {
+	old, next := newFakeDiscovery(t), newFakeDiscovery(t)
 	heard := make(chan Listing, 64)
 	w := newDiscoveryWatcher(old.address(), func(l Listing) { heard <- l }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -136,7 +136,7 @@
 }
 
 // What is JSON and no list is refused, and changes may be none.
-func TestReadListing(t *testing.T) {
+func TestOnlyCompleteListingsAreRead(t *testing.T) {
 	for _, c := range []struct {
 		text        string
 		whole, good bool
@@ -164,7 +164,7 @@
 // However the calls fail, what discovery has comes within 6 s: the time of each loss
 // in turn is counted on the bubble's clock, with the longest pauses that the module
 // asks for.
-func TestToldWithinSixSeconds(t *testing.T) {
+func TestChangeArrivesWithinSixSeconds(t *testing.T) {
 	type loss string
 	const (
 		silent  loss = "falls silent"
@@ -189,7 +189,7 @@
 				refusals++
 				sleepFor(ctx, []time.Duration{2 * time.Second, 3600 * time.Millisecond}[min(refusals, 2)-1])
 			})
-			w.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
+			w.client.Transport = roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				calls++
 				body := io.Reader(strings.NewReader(`{"generation":2,"reset":true,"instances":[]}`))
 				if calls == 1 {
@@ -223,12 +223,12 @@
 	}
 }
 
-// roundTrip answers a client's calls.
-type roundTrip func(*http.Request) (*http.Response, error)
+// roundTripFunc answers a client's calls.
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-func TestInstances(t *testing.T) {
+func TestInstanceConversion(t *testing.T) {
 	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	b, err := backendOf(Instance{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
 		StartedAtMs: 1500}, d)
--- a/internal/gateway/download_test.go
+++ b/internal/gateway/download_test.go
@@ -44,7 +44,7 @@
 			if _, err := io.ReadFull(resp.Body, start); err != nil { // before the backend has given more
 				t.Fatal(err)
 			}
-			r.tells(t, "app.in_progress:1|g", "app.handled.lookup.passed:0|c")
+			r.awaitMetrics(t, "app.in_progress:1|g", "app.handled.lookup.passed:0|c")
 			go func() {
 				for rest := whole[2*maxHeldBody:]; len(rest) > 0; rest = rest[maxHeldBody:] {
 					io.WriteString(to, c.piece(rest[:maxHeldBody]))
@@ -58,7 +58,7 @@
 			if err != nil || !bytes.Equal(append(start, rest...), whole) {
 				t.Errorf("%d bytes of %d, %v", len(start)+len(rest), len(whole), err)
 			}
-			r.tells(t, "app.in_progress:0|g", "app.handled.lookup.passed:1|c", "app.upstream_tries:1|c")
+			r.awaitMetrics(t, "app.in_progress:0|g", "app.handled.lookup.passed:1|c", "app.upstream_tries:1|c")
 		})
 	}
 }
@@ -82,7 +82,7 @@
 		if rest, err := io.ReadAll(resp.Body); err == nil {
 			t.Errorf("%s: %d more bytes passed for the whole", head, len(rest))
 		}
-		r.tells(t, "app.handled.lookup.bad_gateway:1|c", "app.in_progress:0|g", "app.upstream_tries:1|c")
+		r.awaitMetrics(t, "app.handled.lookup.bad_gateway:1|c", "app.in_progress:0|g", "app.upstream_tries:1|c")
 		if len(backend.conns) != 0 {
 			t.Errorf("%s: sent again", head)
 		}
@@ -105,7 +105,7 @@
 			break // the gateway has closed
 		}
 	}
-	r.tells(t, "app.in_progress:0|g")
+	r.awaitMetrics(t, "app.in_progress:0|g")
 }
 
 // An answer that drips reaches its client as it comes: each event before the next
@@ -132,12 +132,12 @@
 			}
 		}
 	}
-	r.tells(t, "app.transfers.down.open:1|g", "app.transfers.memory:0|g")
+	r.awaitMetrics(t, "app.transfers.down.open:1|g", "app.transfers.memory:0|g")
 	io.WriteString(to, "0\r\n\r\n")
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) > 0 {
 		t.Errorf("%q, %v", rest, err)
 	}
-	r.tells(t, "app.transfers.down.open:0|g", "app.transfers.down.ended.whole:1|c", "app.handled.lookup.passed:1|c")
+	r.awaitMetrics(t, "app.transfers.down.open:0|g", "app.transfers.down.ended.whole:1|c", "app.handled.lookup.passed:1|c")
 }
 
 // Until it is let go, an answer that breaks is made again.
@@ -196,7 +196,7 @@
 				if err != nil || !c.check(resp, string(body)) {
 					t.Errorf("%v %d bytes, %v", resp, len(body), err)
 				}
-				r.tells(t, "app.in_progress:0|g")
+				r.awaitMetrics(t, "app.in_progress:0|g")
 				backend.conns <- to
 				io.WriteString(conn, c.request)
 			}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,7 +19,7 @@
 type testGateway struct {
 	address  string
 	control  string
-	registry *agent
+	registry *fakeDiscovery
 	stop     context.CancelFunc
 	reloads  chan Reload
 	ended    chan error
@@ -35,7 +35,7 @@
 // newTestGatewayWith does so with a changed configuration.
 func newTestGatewayWith(t testing.TB, change func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
-	gateway := &testGateway{registry: newAgent(t), ended: make(chan error, 1)}
+	gateway := &testGateway{registry: newFakeDiscovery(t), ended: make(chan error, 1)}
 	config, err := parseConfig([]byte(change(configText(gateway.registry.address(), testSettings))))
 	if err != nil {
 		t.Fatal(err)
@@ -428,9 +428,9 @@
 	changed := strings.Replace(testSettings, `{"name": "payment", "objectiveS": 10, "deadlineS": 20, "points": 3, "effect": "once"},`,
 		`{"name": "audit", "objectiveS": 5, "deadlineS": 9, "points": 9, "effect": "once"},`, 1)
 	gateway.reload(t, changed)
-	gateway.tells(t, "app.loads:1|c", "app.load_errors:0|c", "app.handled.audit.passed:0|c")
+	gateway.awaitMetrics(t, "app.loads:1|c", "app.load_errors:0|c", "app.handled.audit.passed:0|c")
 	gateway.reload(t, strings.Replace(changed, `"mostTries": 4`, `"mostTries": 0`, 1))
-	gateway.tells(t, "app.loads:1|c", "app.load_errors:1|c")
+	gateway.awaitMetrics(t, "app.loads:1|c", "app.load_errors:1|c")
 	_, dropped := gateway.request(t, requestText("POST", "payment", "x"))
 	if resp := wait(t, dropped, "answer"); resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("a removed class: status %d", resp.StatusCode)
@@ -444,5 +444,5 @@
 	if resp := wait(t, added, "answer"); resp.StatusCode != 200 {
 		t.Errorf("an added class: status %d", resp.StatusCode)
 	}
-	gateway.tells(t, "app.handled.audit.passed:1|c", "app.handled.payment.bad_gateway:1|c")
+	gateway.awaitMetrics(t, "app.handled.audit.passed:1|c", "app.handled.payment.bad_gateway:1|c")
 }
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// newPlatform holds the clients' socket and a folder for all processes of a
+// newSharedListener holds the clients' socket and a folder for all processes of a
 // gateway.
-func newPlatform(t *testing.T) (l net.Listener, dir string) {
+func newSharedListener(t *testing.T) (l net.Listener, dir string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,25 +25,25 @@
 	return l, t.TempDir()
 }
 
-// newPair starts two gateways on one listening socket, the second beside the
+// newSiblings starts two gateways on one listening socket, the second beside the
 // first, which has an idle connection of a client.
-func newPair(t *testing.T, backend *peer) (old, next *testGateway, kept net.Conn) {
+func newSiblings(t *testing.T, backend *peer) (old, next *testGateway, kept net.Conn) {
 	t.Helper()
-	l, dir := newPlatform(t)
+	l, dir := newSharedListener(t)
 	// What a process left that was killed does no harm.
 	if err := os.WriteFile(filepath.Join(dir, handoverSocketName), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	old = newRigOn(t, l, dir, backend)
+	old = newTestGatewayOn(t, l, dir, backend)
 	kept, answers := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
 	wait(t, answers, "answer") // an error, which leaves the connection open
-	return old, newRigOn(t, l, dir, backend), kept
+	return old, newTestGatewayOn(t, l, dir, backend), kept
 }
 
-// newRigOn starts a gateway as one process of several with the given socket.
-func newRigOn(t *testing.T, shared net.Listener, dir string, backends ...*peer) *testGateway {
+// newTestGatewayOn starts a gateway as one process of several with the given socket.
+func newTestGatewayOn(t *testing.T, shared net.Listener, dir string, backends ...*peer) *testGateway {
 	t.Helper()
-	r := &testGateway{registry: newAgent(t), ended: make(chan error, 1)}
+	r := &testGateway{registry: newFakeDiscovery(t), ended: make(chan error, 1)}
 	c, err := parseConfig([]byte(configText(r.registry.address(), testSettings)))
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	r.registry.answers <- newListing(true, "Ready", backends...)
 	wait(t, r.registry.calls, "watch")
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if status, _ := r.operate(t, "GET", "/control/ready"); status == http.StatusOK {
+		if status, _ := r.callControl(t, "GET", "/control/ready"); status == http.StatusOK {
 			return r
 		}
 		if time.Now().After(end) {
@@ -74,42 +74,42 @@
 
 // An operator's word to either process holds in both, and a ban from before the
 // second process as well.
-func TestWordsReachBothProcesses(t *testing.T) {
+func TestOverrideReachesBothProcesses(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	l, dir := newPlatform(t)
-	old := newRigOn(t, l, dir, backend)
+	l, dir := newSharedListener(t)
+	old := newTestGatewayOn(t, l, dir, backend)
 	path := "/control/backends/" + backend.address()
 	say := func(r *testGateway, word string) {
 		t.Helper()
-		if status, _ := r.operate(t, "POST", path+word); status != http.StatusOK {
+		if status, _ := r.callControl(t, "POST", path+word); status != http.StatusOK {
 			t.Errorf("%s: status %d", word, status)
 		}
 	}
 	say(old, "/offline")
-	next := newRigOn(t, l, dir, backend)
-	next.tells(t, "app.skipped_backends:1|g")
+	next := newTestGatewayOn(t, l, dir, backend)
+	next.awaitMetrics(t, "app.skipped_backends:1|g")
 	say(next, "/online")
-	old.tells(t, "app.skipped_backends:0|g")
+	old.awaitMetrics(t, "app.skipped_backends:0|g")
 	say(old, "/offline")
-	next.tells(t, "app.skipped_backends:1|g")
+	next.awaitMetrics(t, "app.skipped_backends:1|g")
 	next.stop() // a new process that ends leaves the old one its gateway
 	if err := wait(t, next.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 	say(old, "/online")
-	old.tells(t, "app.skipped_backends:0|g")
-	third := newRigOn(t, l, dir, backend)
+	old.awaitMetrics(t, "app.skipped_backends:0|g")
+	third := newTestGatewayOn(t, l, dir, backend)
 	say(third, "/offline")
-	old.tells(t, "app.skipped_backends:1|g")
+	old.awaitMetrics(t, "app.skipped_backends:1|g")
 }
 
 // The old process answers what comes on the connections it has, and the new one
 // what comes on new ones. Nothing is closed on a client that may be writing.
-func TestOldProcessLeaves(t *testing.T) {
+func TestOldProcessServesOpenConnections(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	old, next, conn := newPair(t, backend)
+	old, next, conn := newSiblings(t, backend)
 	memory := func(r *testGateway) int {
 		r.figures.bodyBudget.mu.Lock()
 		defer r.figures.bodyBudget.mu.Unlock()
@@ -123,7 +123,7 @@
 		}
 	}
 	old.stop()
-	old.untilLeaving(t)
+	old.awaitNotReady(t)
 	for range 8 { // none meets a closed door
 		_, answers := next.request(t, requestText("POST", "booking", "x"))
 		to, br := backend.accept(t)
@@ -144,7 +144,7 @@
 	if err := wait(t, old.ended, "end"); err != nil {
 		t.Errorf("the old process ended with %v", err)
 	}
-	if status, _ := next.operate(t, "GET", "/control/ready"); status != http.StatusOK {
+	if status, _ := next.callControl(t, "GET", "/control/ready"); status != http.StatusOK {
 		t.Errorf("the new process: status %d", status)
 	}
 	for end := time.Now().Add(testTimeout); memory(next) != bodyMemory(192); time.Sleep(time.Millisecond) {
@@ -157,13 +157,13 @@
 // A process that has the state and stalls holds up neither calls by hand nor the
 // end of the old one.
 // A gateway that can have no Unix socket serves without one and says so once.
-func TestNoSocketForALaterProcess(t *testing.T) {
+func TestServesWithoutHandoverSocket(t *testing.T) {
 	var text bytes.Buffer
 	was := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&text, nil)))
 	t.Cleanup(func() { slog.SetDefault(was) })
-	l, dir := newPlatform(t)
-	r := newRigOn(t, l, filepath.Join(dir, strings.Repeat("x", 120)), newPeer(t)) // longer than its path may be
+	l, dir := newSharedListener(t)
+	r := newTestGatewayOn(t, l, filepath.Join(dir, strings.Repeat("x", 120)), newPeer(t)) // longer than its path may be
 	r.stop()
 	if err := wait(t, r.ended, "end"); err != nil {
 		t.Error(err)
@@ -173,11 +173,11 @@
 	}
 }
 
-func TestNewProcessStalls(t *testing.T) {
+func TestStalledSuccessorBlocksNothing(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	l, dir := newPlatform(t)
-	old := newRigOn(t, l, dir, backend)
+	l, dir := newSharedListener(t)
+	old := newTestGatewayOn(t, l, dir, backend)
 	conn, err := net.Dial("unix", filepath.Join(dir, handoverSocketName))
 	if err != nil {
 		t.Fatal(err)
@@ -192,7 +192,7 @@
 	if err := stalled.decoder.Decode(&n); err != nil || n.Snapshot == nil || len(n.Snapshot.Listing.Instances) != 1 {
 		t.Fatalf("state %+v, %v", n.Snapshot, err)
 	}
-	if status, _ := old.operate(t, "POST", "/control/backends/"+backend.address()+"/offline"); status != http.StatusOK {
+	if status, _ := old.callControl(t, "POST", "/control/backends/"+backend.address()+"/offline"); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
 	if err := stalled.decoder.Decode(&n); err != nil || n.Override == nil || !n.Override.Offline {
@@ -207,11 +207,11 @@
 
 // The word that a new process serves may come after the order to end. Connections
 // that stand are kept for their next request all the same.
-func TestNewProcessServesAtTheLastMoment(t *testing.T) {
+func TestLateServingMessageKeepsIdleConnections(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	l, dir := newPlatform(t)
-	old := newRigOn(t, l, dir, backend)
+	l, dir := newSharedListener(t)
+	old := newTestGatewayOn(t, l, dir, backend)
 	kept, answers := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
 	wait(t, answers, "answer")
 	conn, err := net.Dial("unix", filepath.Join(dir, handoverSocketName))
@@ -229,7 +229,7 @@
 		t.Fatalf("state %+v, %v", n.Snapshot, err)
 	}
 	old.stop()
-	old.untilLeaving(t)
+	old.awaitNotReady(t)
 	if err := next.send(handoverMessage{Serving: true}); err != nil {
 		t.Fatal(err)
 	}
@@ -245,11 +245,11 @@
 	}
 }
 
-// untilLeaving waits until the gateway knows that it is to end.
-func (g *testGateway) untilLeaving(t *testing.T) {
+// awaitNotReady waits until the gateway knows that it is to end.
+func (g *testGateway) awaitNotReady(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if status, _ := g.operate(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
+		if status, _ := g.callControl(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
 			return
 		}
 		if time.Now().After(end) {
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -51,8 +51,8 @@
 	for name, act := range hostile {
 		for _, times := range []int{1, 10, 100} {
 			t.Run(name, func(t *testing.T) {
-				b := &registered{id: "b", backend: newPeer(t)}
-				go b.answerAll()
+				b := &registeredBackend{id: "b", backend: newPeer(t)}
+				go b.serveRequests()
 				r := newTestGatewayWith(t, func(text string) string {
 					return strings.Replace(text, `"sockets": 1024`, `"sockets": 256`, 1) // 105 for clients
 				}, b.backend)
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -36,7 +36,7 @@
 // gateway.
 func TestAcceptSurvivesTransientErrors(t *testing.T) {
 	t.Parallel()
-	gateway := &testGateway{registry: newAgent(t), ended: make(chan error, 1)}
+	gateway := &testGateway{registry: newFakeDiscovery(t), ended: make(chan error, 1)}
 	config, err := parseConfig([]byte(configText(gateway.registry.address(), testSettings)))
 	if err != nil {
 		t.Fatal(err)
@@ -105,8 +105,8 @@
 	t.Cleanup(func() { slog.SetDefault(previous) })
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		backend := newPeer(t)
-		listener, dir := newPlatform(t)
-		old := newRigOn(t, listener, dir, backend)
+		listener, dir := newSharedListener(t)
+		old := newTestGatewayOn(t, listener, dir, backend)
 		_, answers := old.request(t, requestText("GET", "lookup", ""))
 		serveOne(t, backend, "ok")
 		wait(t, answers, "answer")
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -17,15 +17,15 @@
 	"dunlintray/rules"
 )
 
-// membersText is a configuration of one of two gateways that tell each other who is
+// membershipConfigText is a configuration of one of two gateways that tell each other who is
 // present.
-func membersText(listen string, peers ...string) string {
+func membershipConfigText(listen string, peers ...string) string {
 	quoted, _ := json.Marshal(peers)
 	text := configText("127.0.0.1:1", strings.Replace(testSettings, "{", `{"familyInfo": {"inboxPerS": 60},`, 1))
 	return strings.Replace(text, `"seed"`, `"membership": true, "peer_listen": "`+listen+`", "peers": `+string(quoted)+`, "seed"`, 1)
 }
 
-func TestMembersConfig(t *testing.T) {
+func TestMembershipConfigIsValidated(t *testing.T) {
 	c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil || c.Members.Enabled {
 		t.Fatalf("absent is off: %+v, %v", c.Members, err)
@@ -42,11 +42,11 @@
 	for n := range c.Fleet {
 		peers = append(peers, net.JoinHostPort("127.0.0.1", string(rune('1'+n))))
 	}
-	good := membersText("127.0.0.1:1", peers...)
+	good := membershipConfigText("127.0.0.1:1", peers...)
 	if c, err := parseConfig([]byte(good)); err != nil || !c.Members.Enabled {
 		t.Fatalf("%+v, %v", c.Members, err)
 	}
-	for _, bad := range []string{membersText("nowhere", peers...), membersText("127.0.0.1:1", peers[1:]...), membersText("127.0.0.1:1", append([]string{"x"}, peers[1:]...)...),
+	for _, bad := range []string{membershipConfigText("nowhere", peers...), membershipConfigText("127.0.0.1:1", peers[1:]...), membershipConfigText("127.0.0.1:1", append([]string{"x"}, peers[1:]...)...),
 		strings.Replace(good, `"inboxPerS": 60`, `"inboxPerS": 20`, 1)} {
 		if _, err := parseConfig([]byte(bad)); err == nil {
 			t.Errorf("taken: %s", bad)
@@ -61,7 +61,7 @@
 
 // How a gateway stands follows from its members, its list services and the counter,
 // and says so after a while.
-func TestStanding(t *testing.T) {
+func TestPartitionStateFollowsContacts(t *testing.T) {
 	began := time.Now()
 	var members []netip.AddrPort
 	for n := range 3 {
@@ -133,7 +133,7 @@
 
 // A gateway that takes part tells operators whom it holds for present, and the
 // module hears of it.
-func TestMembersView(t *testing.T) {
+func TestMembershipReachesOperatorsAndModule(t *testing.T) {
 	c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -18,11 +18,11 @@
 	"dunlintray/internal/wal"
 )
 
-// listService is a registry behind a link that can fail.
-type listService struct {
+// registryService is a registry behind a link that can fail.
+type registryService struct {
 	address string
 	stop    func()
-	link    *fault.Relay
+	relay   *fault.Relay
 }
 
 var (
@@ -30,8 +30,8 @@
 	serveLimits = registry.ServerLimits{Connections: 100, Watchers: 90, Lists: 100}
 )
 
-// startService serves behind a relay at an address.
-func startService(t *testing.T, address string, serve func(context.Context, net.Listener, net.Listener) error) *listService {
+// startRegistry serves behind a relay at an address.
+func startRegistry(t *testing.T, address string, serve func(context.Context, net.Listener, net.Listener) error) *registryService {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,23 +42,23 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s, done := &listService{address: r.Address(), link: r}, make(chan struct{})
+	s, done := &registryService{address: r.Address(), relay: r}, make(chan struct{})
 	go func() { defer close(done); serve(ctx, l, nil) }()
 	s.stop = sync.OnceFunc(func() { cancel(); <-done; r.Close() })
 	t.Cleanup(s.stop)
 	return s
 }
 
-// answers changes how the service's answers pass.
-func (s *listService) answers(t *testing.T, how fault.How) {
+// setAnswerFault changes how the service's setAnswerFault pass.
+func (s *registryService) setAnswerFault(t *testing.T, how fault.How) {
 	t.Helper()
-	if err := s.link.Set(fault.Back, how); err != nil {
+	if err := s.relay.Set(fault.Back, how); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // startWriter starts a writer that keeps its list in a folder.
-func startWriter(t *testing.T, address, dir string) *listService {
+func startWriter(t *testing.T, address, dir string) *registryService {
 	t.Helper()
 	log, store, err := registry.Open(wal.Dir(dir), 64<<20, storeLimits, 0)
 	if err != nil {
@@ -72,21 +72,21 @@
 	if err := w.Keep(log, fresh); err != nil {
 		t.Fatal(err)
 	}
-	return startService(t, address, w.Serve)
+	return startRegistry(t, address, w.Serve)
 }
 
-// registered keeps a backend on the list until the test ends, at whichever of the
+// registeredBackend keeps a backend on the list until the test ends, at whichever of the
 // services writes.
-type registered struct {
-	id      string
-	mu      sync.Mutex
-	writer  string
-	backend *peer
-	cycle   string
-	served  atomic.Int64
+type registeredBackend struct {
+	id        string
+	mu        sync.Mutex
+	writer    string
+	backend   *peer
+	lifecycle string
+	served    atomic.Int64
 }
 
-func (b *registered) call(method, path, body string) int {
+func (b *registeredBackend) call(method, path, body string) int {
 	b.mu.Lock()
 	url := "http://" + b.writer + registry.Path + "/" + b.id + path
 	b.mu.Unlock()
@@ -100,8 +100,8 @@
 	return resp.StatusCode
 }
 
-// listOf is what a list service tells, or why it does not.
-func listOf(address string) string {
+// readList is what a list service tells, or why it does not.
+func readList(address string) string {
 	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + address + registry.Path)
 	if err != nil {
 		return err.Error()
@@ -111,11 +111,11 @@
 	return fmt.Sprint(resp.Status, " ", string(text), " ", err)
 }
 
-func (b *registered) keep(ctx context.Context) {
+func (b *registeredBackend) renewUntil(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.call("POST", "/renew", `{"startedAtMs":5}`) == 404 {
 			b.mu.Lock()
-			cycle := b.cycle
+			cycle := b.lifecycle
 			b.mu.Unlock()
 			b.call("PUT", "", fmt.Sprintf(`{"hostPort":%q,"zone":"a","machineType":"m","lifecycle":%q,"startedAtMs":5}`,
 				b.backend.address(), cycle))
@@ -128,10 +128,10 @@
 }
 
 // drain tells the list until it is heard.
-func (b *registered) drain(t *testing.T) {
+func (b *registeredBackend) drain(t *testing.T) {
 	t.Helper()
 	b.mu.Lock()
-	b.cycle = "Terminating"
+	b.lifecycle = "Terminating"
 	b.mu.Unlock()
 	for end := time.Now().Add(testTimeout); b.call("POST", "/lifecycle", `{"startedAtMs":5,"lifecycle":"Terminating"}`) != 200; {
 		if time.Now().After(end) {
@@ -142,23 +142,23 @@
 
 // A gateway serves through list services that are stopped, slowed, restarted and
 // replaced. No request is lost for it, and drains are kept.
-func TestServesThroughListServices(t *testing.T) {
+func TestServesThroughRegistryFailures(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	writer := startWriter(t, "127.0.0.1:0", dir)
 	follower := registry.NewFollower("self", writer.address, nil, storeLimits, serveLimits, time.Now(), rand.New(rand.NewPCG(2, 2)))
-	copied := startService(t, "127.0.0.1:0", follower.Serve)
+	copied := startRegistry(t, "127.0.0.1:0", follower.Serve)
 
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	var kept []*registered
+	var kept []*registeredBackend
 	for n := range 3 {
-		b := &registered{id: fmt.Sprint("b", n), writer: writer.address, backend: newPeer(t), cycle: "Ready"}
+		b := &registeredBackend{id: fmt.Sprint("b", n), writer: writer.address, backend: newPeer(t), lifecycle: "Ready"}
 		kept = append(kept, b)
-		wg.Go(func() { b.keep(ctx) })
-		go b.answerAll()
+		wg.Go(func() { b.renewUntil(ctx) })
+		go b.serveRequests()
 	}
 	c, err := parseConfig([]byte(strings.Replace(configText("", testSettings), `"counter"`,
 		fmt.Sprintf(`"registries": [%q, %q], "counter"`, writer.address, copied.address), 1)))
@@ -172,7 +172,7 @@
 	r := &testGateway{ended: make(chan error, 1)}
 	r.serve(t, &c, l)
 	r.awaitReadiness(t, http.StatusOK)
-	r.tells(t, "app.known_backends:3|g")
+	r.awaitMetrics(t, "app.known_backends:3|g")
 	serves := func(when string) {
 		t.Helper()
 		for range 20 {
@@ -183,25 +183,25 @@
 		}
 	}
 	// drained waits until the gateway has heard of a drain; nothing new goes there then.
-	drained := func(b *registered) {
+	drained := func(b *registeredBackend) {
 		t.Helper()
 		b.drain(t)
-		r.tells(t, "app.skipped_backends:1|g")
+		r.awaitMetrics(t, "app.skipped_backends:1|g")
 		before := b.served.Load()
 		serves("beside a backend that drains")
 		if n := b.served.Load() - before; n != 0 {
 			t.Errorf("a backend that drains got %d requests", n)
 		}
 		b.mu.Lock()
-		b.cycle = "Ready"
+		b.lifecycle = "Ready"
 		b.mu.Unlock()
 		// A call that its caller has given up may be heard late, so the end is told until
 		// the gateway knows of it.
-		for end := time.Now().Add(testTimeout); !r.says(t, "app.skipped_backends:0|g"); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !r.hasMetric(t, "app.skipped_backends:0|g"); time.Sleep(time.Millisecond) {
 			b.call("POST", "/lifecycle", `{"startedAtMs":5,"lifecycle":"Ready"}`)
 			if time.Now().After(end) {
-				for _, s := range []*listService{writer, copied} {
-					t.Logf("%s: %s", s.address, listOf(s.address))
+				for _, s := range []*registryService{writer, copied} {
+					t.Logf("%s: %s", s.address, readList(s.address))
 				}
 				t.Fatal("the end of the drain was never heard by the gateway")
 			}
@@ -211,12 +211,12 @@
 	drained(kept[0])
 
 	for _, how := range []fault.How{{Kind: fault.Delayed, Delay: time.Second}, {Kind: fault.Slow, Bytes: 100}, {Kind: fault.Cut, Bytes: 40}, {Kind: fault.Stalled}, {Kind: fault.Dropped}, {Kind: fault.Reset}} {
-		writer.answers(t, how)
-		copied.answers(t, how)
+		writer.setAnswerFault(t, how)
+		copied.setAnswerFault(t, how)
 		serves("with answers " + string(how.Kind))
 	}
-	writer.answers(t, fault.How{Kind: fault.Up})
-	copied.answers(t, fault.How{Kind: fault.Up})
+	writer.setAnswerFault(t, fault.How{Kind: fault.Up})
+	copied.setAnswerFault(t, fault.How{Kind: fault.Up})
 	drained(kept[1])
 
 	writer.stop()
@@ -233,7 +233,7 @@
 	writer = startWriter(t, writer.address, t.TempDir())
 	serves("with a service that begins")
 	drained(kept[0])
-	r.tells(t, "app.known_backends:3|g", "app.handled.lookup.dropped:0|c", "app.handled.lookup.bad_gateway:0|c")
+	r.awaitMetrics(t, "app.known_backends:3|g", "app.handled.lookup.dropped:0|c", "app.handled.lookup.bad_gateway:0|c")
 	for _, b := range kept {
 		if b.served.Load() == 0 {
 			t.Errorf("%s has served nothing", b.id)
@@ -241,8 +241,8 @@
 	}
 }
 
-// answerAll serves every request on every connection of the backend.
-func (b *registered) answerAll() {
+// serveRequests serves every request on every connection of the backend.
+func (b *registeredBackend) serveRequests() {
 	for c := range b.backend.conns {
 		go func() {
 			defer c.Close()
--- a/internal/gateway/scopes_test.go
+++ b/internal/gateway/scopes_test.go
@@ -22,8 +22,8 @@
 	"dunlintray/rules"
 )
 
-// scopedList is a list service with backends in several scopes.
-type scopedList struct {
+// scopedRegistry is a list service with backends in several scopes.
+type scopedRegistry struct {
 	address  string
 	backends map[string]*scopedBackend
 }
@@ -44,15 +44,15 @@
 	io.WriteString(w, "ok")
 }
 
-// newScopedList starts a list service that is ready at once, with so many backends in each
+// newScopedRegistry starts a list service that is ready at once, with so many backends in each
 // place. They need no renewals for as long as a test lasts.
-func newScopedList(t *testing.T, places map[registry.Placement]int) *scopedList {
+func newScopedRegistry(t *testing.T, places map[registry.Placement]int) *scopedRegistry {
 	t.Helper()
 	limits := storeLimits
 	limits.Lease = time.Minute
 	began := time.Now().Add(-time.Hour)
 	writer := registry.NewWriter("self", registry.NewStore(limits, "first", time.Now().UnixMilli(), 0), serveLimits, began, rand.New(rand.NewPCG(1, 1)))
-	s := &scopedList{address: startService(t, "127.0.0.1:0", writer.Serve).address, backends: map[string]*scopedBackend{}}
+	s := &scopedRegistry{address: startRegistry(t, "127.0.0.1:0", writer.Serve).address, backends: map[string]*scopedBackend{}}
 	for place, count := range places {
 		for n := range count {
 			id := fmt.Sprintf("%s-%s-%d", place.Service, place.Region, n)
@@ -67,7 +67,7 @@
 }
 
 // call makes a write that has to succeed.
-func (s *scopedList) call(t *testing.T, method, path string, body any) {
+func (s *scopedRegistry) call(t *testing.T, method, path string, body any) {
 	t.Helper()
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -87,20 +87,20 @@
 	}
 }
 
-func (s *scopedList) register(t *testing.T, id string) {
+func (s *scopedRegistry) register(t *testing.T, id string) {
 	t.Helper()
 	b := s.backends[id]
 	s.call(t, "PUT", id, map[string]any{"hostPort": b.server.Listener.Addr().String(), "zone": b.placement.Zone, "machineType": "m",
 		"lifecycle": "Ready", "startedAtMs": 5, "service": b.placement.Service, "region": b.placement.Region})
 }
 
-func (s *scopedList) drain(t *testing.T, id string) {
+func (s *scopedRegistry) drain(t *testing.T, id string) {
 	t.Helper()
 	s.call(t, "POST", id+"/lifecycle", map[string]any{"startedAtMs": 5, "lifecycle": "Terminating"})
 }
 
 // version is that of the list.
-func (s *scopedList) version(t *testing.T) int64 {
+func (s *scopedRegistry) version(t *testing.T) int64 {
 	t.Helper()
 	resp, err := http.Get("http://" + s.address + registry.Path)
 	if err != nil {
@@ -115,13 +115,13 @@
 }
 
 // config is the text of a gateway's configuration with keys beside its registries.
-func (s *scopedList) config(name, keys string) string {
+func (s *scopedRegistry) config(name, keys string) string {
 	text := strings.Replace(configText("", testSettings), `"counter"`, fmt.Sprintf(`"registries": [%q], %s, "counter"`, s.address, keys), 1)
 	return strings.Replace(text, `"name": "n3"`, fmt.Sprintf(`"name": %q`, name), 1)
 }
 
-// gateway starts one and waits until it is ready.
-func (s *scopedList) gateway(t *testing.T, name, keys string) *testGateway {
+// startGateway starts one and waits until it is ready.
+func (s *scopedRegistry) startGateway(t *testing.T, name, keys string) *testGateway {
 	t.Helper()
 	c, err := parseConfig([]byte(s.config(name, keys)))
 	if err != nil {
@@ -137,20 +137,20 @@
 	return r
 }
 
-// view is what a gateway tells of its backends.
-func (g *testGateway) view(t *testing.T) (v BackendsView) {
+// backendsView is what a gateway tells of its backends.
+func (g *testGateway) backendsView(t *testing.T) (v BackendsView) {
 	t.Helper()
-	_, text := g.operate(t, "GET", "/control/backends")
+	_, text := g.callControl(t, "GET", "/control/backends")
 	if err := json.Unmarshal([]byte(text), &v); err != nil {
 		t.Fatal(err)
 	}
 	return v
 }
 
-// inUse returns the backends that a gateway has as Ready.
-func (g *testGateway) inUse(t *testing.T) (ids []string) {
+// readyBackends returns the backends that a gateway has as Ready.
+func (g *testGateway) readyBackends(t *testing.T) (ids []string) {
 	t.Helper()
-	for _, b := range g.view(t).Backends {
+	for _, b := range g.backendsView(t).Backends {
 		if b.Lifecycle == registry.Ready {
 			ids = append(ids, b.ID)
 		}
@@ -158,9 +158,9 @@
 	return ids
 }
 
-// requests sends so many, one after the other, and returns how many were served, and
+// sendRequests sends so many, one after the other, and returns how many were served, and
 // which backends served them.
-func (s *scopedList) requests(t *testing.T, r *testGateway, count int) (ok int, by []string) {
+func (s *scopedRegistry) sendRequests(t *testing.T, r *testGateway, count int) (ok int, by []string) {
 	t.Helper()
 	before := map[string]int64{}
 	for id, b := range s.backends {
@@ -181,11 +181,11 @@
 	return ok, by
 }
 
-// allServed sends requests that have to be served, by the given backends alone.
-func (s *scopedList) allServed(t *testing.T, r *testGateway, by []string) {
+// expectServedBy sends requests that have to be served, by the given backends alone.
+func (s *scopedRegistry) expectServedBy(t *testing.T, r *testGateway, by []string) {
 	t.Helper()
 	const count = 40
-	ok, served := s.requests(t, r, count)
+	ok, served := s.sendRequests(t, r, count)
 	if ok != count {
 		t.Errorf("%d of %d requests were served", ok, count)
 	}
@@ -196,8 +196,8 @@
 	}
 }
 
-// until waits for a condition.
-func until(t *testing.T, what string, holds func() bool) {
+// eventually waits for a condition.
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -207,15 +207,15 @@
 }
 
 var (
-	checkoutHere  = registry.Placement{Service: "checkout", Region: "eu", Zone: "a"}
-	checkoutThere = registry.Placement{Service: "checkout", Region: "us", Zone: "b"}
-	otherService  = registry.Placement{Service: "search", Region: "eu", Zone: "a"}
+	checkoutEU = registry.Placement{Service: "checkout", Region: "eu", Zone: "a"}
+	checkoutUS = registry.Placement{Service: "checkout", Region: "us", Zone: "b"}
+	searchEU   = registry.Placement{Service: "search", Region: "eu", Zone: "a"}
 )
 
-const scopesHere = `"scopes": ["checkout@region=eu"], "subset": {"size": 3}`
+const scopesEU = `"scopes": ["checkout@region=eu"], "subset": {"size": 3}`
 
-// bestOf returns the backends that a gateway should use by its name alone.
-func (s *scopedList) bestOf(name string, place registry.Placement) (ids []string) {
+// expectedSubset returns the backends that a gateway should use by its name alone.
+func (s *scopedRegistry) expectedSubset(name string, place registry.Placement) (ids []string) {
 	whole := Listing{Reset: true}
 	for id, b := range s.backends {
 		if b.placement == place {
@@ -231,73 +231,73 @@
 
 // A gateway uses its subset of its scopes alone. What of it drains is replaced at once and
 // gets nothing new; what drains outside is acknowledged by the version.
-func TestScopesAndSubset(t *testing.T) {
+func TestGatewayUsesSubsetOfItsScopes(t *testing.T) {
 	t.Parallel()
-	s := newScopedList(t, map[registry.Placement]int{checkoutHere: 8, checkoutThere: 2, otherService: 2})
-	r := s.gateway(t, "gw-1", scopesHere)
-	r.tells(t, "app.known_backends:3|g", "app.subset.candidates:8|g", "app.subset.size:3|g", "app.subset.chosen:3|g", "app.subset.widened:0|g")
-	first := r.inUse(t)
-	if want := s.bestOf("gw-1", checkoutHere); !slices.Equal(first, want) {
+	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 8, checkoutUS: 2, searchEU: 2})
+	r := s.startGateway(t, "gw-1", scopesEU)
+	r.awaitMetrics(t, "app.known_backends:3|g", "app.subset.candidates:8|g", "app.subset.size:3|g", "app.subset.chosen:3|g", "app.subset.widened:0|g")
+	first := r.readyBackends(t)
+	if want := s.expectedSubset("gw-1", checkoutEU); !slices.Equal(first, want) {
 		t.Errorf("%v are in use, want %v", first, want)
 	}
-	s.allServed(t, r, first)
+	s.expectServedBy(t, r, first)
 
 	// Another process of this gateway uses the same, and another gateway others.
-	if again := s.gateway(t, "gw-1", scopesHere).inUse(t); !slices.Equal(again, first) {
+	if again := s.startGateway(t, "gw-1", scopesEU).readyBackends(t); !slices.Equal(again, first) {
 		t.Errorf("a second process uses %v, not %v", again, first)
 	}
-	if others := s.gateway(t, "gw-2", scopesHere).inUse(t); slices.Equal(others, first) {
+	if others := s.startGateway(t, "gw-2", scopesEU).readyBackends(t); slices.Equal(others, first) {
 		t.Errorf("another gateway uses %v too", others)
 	}
 
 	outside := ""
 	for id, b := range s.backends {
-		if b.placement == checkoutHere && !slices.Contains(first, id) {
+		if b.placement == checkoutEU && !slices.Contains(first, id) {
 			outside = id
 		}
 	}
 	for _, id := range []string{outside, "checkout-us-0"} { // of the subset, and of the scopes
 		s.drain(t, id)
 		version := s.version(t)
-		until(t, "the version of a drain outside is told", func() bool { return r.view(t).Version >= version })
-		if now := r.inUse(t); !slices.Equal(now, first) {
+		eventually(t, "the version of a drain outside is told", func() bool { return r.backendsView(t).Version >= version })
+		if now := r.readyBackends(t); !slices.Equal(now, first) {
 			t.Errorf("after a drain of %s %v are in use, not %v", id, now, first)
 		}
 	}
 
 	s.drain(t, first[0])
-	until(t, "the drain is told", func() bool { return !slices.Contains(r.inUse(t), first[0]) })
-	now := r.inUse(t)
+	eventually(t, "the drain is told", func() bool { return !slices.Contains(r.readyBackends(t), first[0]) })
+	now := r.readyBackends(t)
 	if len(now) != 3 || !slices.Contains(now, first[1]) || !slices.Contains(now, first[2]) || slices.Contains(now, outside) {
 		t.Errorf("%v are in use after %v, of which the first drains", now, first)
 	}
-	r.tells(t, "app.known_backends:4|g", "app.skipped_backends:1|g", "app.subset.chosen:3|g")
-	s.allServed(t, r, now)
+	r.awaitMetrics(t, "app.known_backends:4|g", "app.skipped_backends:1|g", "app.subset.chosen:3|g")
+	s.expectServedBy(t, r, now)
 
 	s.call(t, "DELETE", now[0]+"?startedAtMs=5", nil)
-	until(t, "one that has gone is replaced", func() bool { return len(r.inUse(t)) == 3 && !slices.Contains(r.inUse(t), now[0]) })
-	s.allServed(t, r, r.inUse(t))
+	eventually(t, "one that has gone is replaced", func() bool { return len(r.readyBackends(t)) == 3 && !slices.Contains(r.readyBackends(t), now[0]) })
+	s.expectServedBy(t, r, r.readyBackends(t))
 }
 
 // All of the subset fail together, though the list has them for ready: it is widened, and
 // requests are served.
-func TestSubsetLostTogether(t *testing.T) {
+func TestFailingSubsetIsWidened(t *testing.T) {
 	t.Parallel()
-	s := newScopedList(t, map[registry.Placement]int{checkoutHere: 8})
-	r := s.gateway(t, "gw-1", scopesHere)
-	first := r.inUse(t)
-	s.allServed(t, r, first)
+	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 8})
+	r := s.startGateway(t, "gw-1", scopesEU)
+	first := r.readyBackends(t)
+	s.expectServedBy(t, r, first)
 	for _, id := range first {
 		s.backends[id].failing.Store(true)
 	}
 	began := time.Now()
-	until(t, "requests are served by others", func() bool {
-		ok, _ := s.requests(t, r, 1)
+	eventually(t, "requests are served by others", func() bool {
+		ok, _ := s.sendRequests(t, r, 1)
 		return ok == 1
 	})
 	t.Logf("served again after %v", time.Since(began))
-	r.tells(t, "app.subset.widened:1|g", "app.subset.size:6|g", "app.known_backends:6|g")
-	now := r.inUse(t)
+	r.awaitMetrics(t, "app.subset.widened:1|g", "app.subset.size:6|g", "app.known_backends:6|g")
+	now := r.readyBackends(t)
 	for _, id := range first {
 		if !slices.Contains(now, id) {
 			t.Errorf("%s has left the subset as that was widened", id)
@@ -307,12 +307,12 @@
 
 // An operator's word holds for a backend outside the subset too, from the moment that it
 // enters, and in the process that comes next.
-func TestByHandOutsideTheSubset(t *testing.T) {
+func TestOverrideOutsideSubset(t *testing.T) {
 	t.Parallel()
-	s := newScopedList(t, map[registry.Placement]int{checkoutHere: 4})
-	l, dir := newPlatform(t)
+	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 4})
+	l, dir := newSharedListener(t)
 	start := func() *testGateway {
-		c, err := parseConfig([]byte(s.config("gw-1", scopesHere)))
+		c, err := parseConfig([]byte(s.config("gw-1", scopesEU)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -323,7 +323,7 @@
 		return r
 	}
 	old := start()
-	first := old.inUse(t)
+	first := old.readyBackends(t)
 	last := ""
 	for id := range s.backends {
 		if !slices.Contains(first, id) {
@@ -334,23 +334,23 @@
 		path   string
 		status int
 	}{{"none/offline", 404}, {"none/online", 404}, {last + "/offline", 200}, {last + "/online", 200}, {last + "/offline", 200}} {
-		if status, text := old.operate(t, "POST", "/control/backends/"+call.path); status != call.status {
+		if status, text := old.callControl(t, "POST", "/control/backends/"+call.path); status != call.status {
 			t.Errorf("%s: %d %s", call.path, status, text)
 		}
 	}
-	until(t, "the next process can take over", func() bool { _, err := os.Stat(filepath.Join(dir, handoverSocketName)); return err == nil })
+	eventually(t, "the next process can take over", func() bool { _, err := os.Stat(filepath.Join(dir, handoverSocketName)); return err == nil })
 	next := start()
-	next.tells(t, "app.subset.chosen:3|g", "app.skipped_backends:0|g")
+	next.awaitMetrics(t, "app.subset.chosen:3|g", "app.skipped_backends:0|g")
 	s.drain(t, first[0]) // now the last one enters
 	for _, r := range []*testGateway{old, next} {
-		r.tells(t, "app.known_backends:4|g", "app.skipped_backends:2|g")
+		r.awaitMetrics(t, "app.known_backends:4|g", "app.skipped_backends:2|g")
 	}
-	s.allServed(t, next, first[1:]) // by either process, as they have one socket
-	if status, _ := next.operate(t, "POST", "/control/backends/"+last+"/online"); status != 200 {
+	s.expectServedBy(t, next, first[1:]) // by either process, as they have one socket
+	if status, _ := next.callControl(t, "POST", "/control/backends/"+last+"/online"); status != 200 {
 		t.Errorf("back: %d", status)
 	}
 	for _, r := range []*testGateway{old, next} {
-		r.tells(t, "app.known_backends:4|g", "app.skipped_backends:1|g")
+		r.awaitMetrics(t, "app.known_backends:4|g", "app.skipped_backends:1|g")
 	}
 }
 
@@ -370,46 +370,46 @@
 }
 
 // A reload changes the scopes and the subset of a gateway that has them, and no others.
-func TestReloadOfScopes(t *testing.T) {
+func TestReloadChangesScopesAndSubset(t *testing.T) {
 	t.Parallel()
-	s := newScopedList(t, map[registry.Placement]int{checkoutHere: 8, checkoutThere: 5, otherService: 2})
-	r := s.gateway(t, "gw-1", scopesHere)
+	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 8, checkoutUS: 5, searchEU: 2})
+	r := s.startGateway(t, "gw-1", scopesEU)
 	reload := func(keys string) {
 		t.Helper()
 		c, err := parseConfig([]byte(s.config("gw-1", keys)))
 		r.reloads <- Reload{Config: c, Err: err}
 	}
 	reload(`"scopes": ["checkout@region=us"], "subset": {"size": 3}`)
-	there := s.bestOf("gw-1", checkoutThere)
-	until(t, "the other scope is in use", func() bool { return slices.Equal(r.inUse(t), there) })
-	s.allServed(t, r, there)
-	r.tells(t, "app.loads:1|c", "app.subset.candidates:5|g", "app.known_backends:3|g")
+	there := s.expectedSubset("gw-1", checkoutUS)
+	eventually(t, "the other scope is in use", func() bool { return slices.Equal(r.readyBackends(t), there) })
+	s.expectServedBy(t, r, there)
+	r.awaitMetrics(t, "app.loads:1|c", "app.subset.candidates:5|g", "app.known_backends:3|g")
 
 	reload(`"scopes": ["checkout@region=us"], "subset": {"size": 4}`)
-	until(t, "the subset is larger", func() bool { return len(r.inUse(t)) == 4 })
-	s.allServed(t, r, r.inUse(t))
+	eventually(t, "the subset is larger", func() bool { return len(r.readyBackends(t)) == 4 })
+	s.expectServedBy(t, r, r.readyBackends(t))
 
 	for n, bad := range []string{`"subset": {"size": 4}`, `"scopes": ["checkout"]`, `"scopes": ["checkout"], "subset": {"size": 0}`,
 		`"scopes": ["checkout", "search"], "subset": {"size": 4}`} {
 		reload(bad)
-		r.tells(t, fmt.Sprintf("app.load_errors:%d|c", n+1), "app.loads:2|c")
+		r.awaitMetrics(t, fmt.Sprintf("app.load_errors:%d|c", n+1), "app.loads:2|c")
 	}
-	s.allServed(t, r, r.inUse(t))
+	s.expectServedBy(t, r, r.readyBackends(t))
 }
 
 // Scopes alone, without a subset, give the gateway all that is in them.
-func TestScopesAlone(t *testing.T) {
+func TestScopesWithoutSubset(t *testing.T) {
 	t.Parallel()
-	s := newScopedList(t, map[registry.Placement]int{checkoutHere: 4, checkoutThere: 2, otherService: 2})
-	r := s.gateway(t, "gw-1", `"scopes": ["checkout@region=eu", "checkout@zone=b", "checkout@region=none"]`)
-	r.tells(t, "app.known_backends:6|g")
-	if _, text := r.operate(t, "GET", "/control/counters"); strings.Contains(text, "subset") {
+	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 4, checkoutUS: 2, searchEU: 2})
+	r := s.startGateway(t, "gw-1", `"scopes": ["checkout@region=eu", "checkout@zone=b", "checkout@region=none"]`)
+	r.awaitMetrics(t, "app.known_backends:6|g")
+	if _, text := r.callControl(t, "GET", "/control/counters"); strings.Contains(text, "subset") {
 		t.Errorf("figures of a subset that is off:\n%s", text)
 	}
-	s.allServed(t, r, r.inUse(t))
+	s.expectServedBy(t, r, r.readyBackends(t))
 }
 
-func TestScopesConfig(t *testing.T) {
+func TestScopesConfigIsValidated(t *testing.T) {
 	t.Parallel()
 	text := func(keys string) []byte {
 		return []byte(strings.Replace(configText("127.0.0.1:1", testSettings), `"counter"`, keys+`, "counter"`, 1))
@@ -451,7 +451,7 @@
 }
 
 // Of a list known from before, what is in the scopes counts.
-func TestKnownListInScopes(t *testing.T) {
+func TestCachedListIsFilteredByScopes(t *testing.T) {
 	known := Listing{Instances: []Instance{{ID: "b-1", Service: "checkout"}, {ID: "b-2", Service: "search"}, {ID: "b-3"}}}
 	c := scopesConfig{scopes: []registry.Scope{{Service: "checkout"}}}
 	if got := c.filterListing(known); len(got.Instances) != 1 || got.Instances[0].ID != "b-1" || len(known.Instances) != 3 {
@@ -464,7 +464,7 @@
 
 // The module is told how many gateways share a backend, and again only when that has
 // changed by a tenth.
-func TestSharing(t *testing.T) {
+func TestGatewaysPerBackendUpdatesInSteps(t *testing.T) {
 	t.Parallel()
 	of := func(first, last int) Listing {
 		l := Listing{Reset: first == 0}
@@ -490,35 +490,35 @@
 
 // A gateway whose new scopes no list service knows goes on with those that it had, and
 // takes the new ones once there is such a service.
-func TestReloadOfUnknownScopes(t *testing.T) {
+func TestUnknownScopesKeepActiveOnes(t *testing.T) {
 	t.Parallel()
-	s := newScopedList(t, map[registry.Placement]int{checkoutHere: 4})
-	r := s.gateway(t, "gw-1", scopesHere)
-	had := s.bestOf("gw-1", checkoutHere)
-	until(t, "the scope is in use", func() bool { return slices.Equal(r.inUse(t), had) })
+	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 4})
+	r := s.startGateway(t, "gw-1", scopesEU)
+	had := s.expectedSubset("gw-1", checkoutEU)
+	eventually(t, "the scope is in use", func() bool { return slices.Equal(r.readyBackends(t), had) })
 
 	c, err := parseConfig([]byte(s.config("gw-1", `"scopes": ["chekcout"], "subset": {"size": 3}`)))
 	r.reloads <- Reload{Config: c, Err: err}
-	r.tells(t, "app.loads:1|c")
+	r.awaitMetrics(t, "app.loads:1|c")
 	before := s.version(t)
 	s.drain(t, had[0]) // which is heard in the union of both, and so behind its first answer
-	until(t, "the drain was heard", func() bool { return r.view(t).Version > before })
-	if got := r.inUse(t); len(got) != len(had) || slices.Contains(got, had[0]) {
+	eventually(t, "the drain was heard", func() bool { return r.backendsView(t).Version > before })
+	if got := r.readyBackends(t); len(got) != len(had) || slices.Contains(got, had[0]) {
 		t.Errorf("in use after a reload with an unknown scope: %v, before %v", got, had)
 	}
-	s.allServed(t, r, r.inUse(t))
+	s.expectServedBy(t, r, r.readyBackends(t))
 
-	place := registry.Placement{Service: "chekcout", Region: "us", Zone: checkoutHere.Zone}
+	place := registry.Placement{Service: "chekcout", Region: "us", Zone: checkoutEU.Zone}
 	b := &scopedBackend{placement: place}
 	b.server = httptest.NewServer(b)
 	t.Cleanup(b.server.Close)
 	s.backends["late"] = b
 	s.register(t, "late")
-	until(t, "the new scope is in use", func() bool { return slices.Equal(r.inUse(t), []string{"late"}) })
+	eventually(t, "the new scope is in use", func() bool { return slices.Equal(r.readyBackends(t), []string{"late"}) })
 }
 
 // The scopes in force stay until an answer to both says that one of the next is known.
-func TestScopeChange(t *testing.T) {
+func TestScopeChangeNeedsKnownScope(t *testing.T) {
 	scopesOf := func(texts ...string) []registry.Scope {
 		scopes, err := registry.ParseScopes(texts)
 		if err != nil {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,7 +14,7 @@
 
 // All times of a stop are in order and before the earliest kill, whatever the longest
 // deadline of a class is.
-func TestStopSchedule(t *testing.T) {
+func TestStopScheduleEndsBeforeKill(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 300 * time.Millisecond, 800 * time.Millisecond, 1500 * time.Millisecond,
 		3 * time.Second, 7500 * time.Millisecond, time.Hour} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
@@ -29,7 +29,7 @@
 }
 
 // Of all settings that a process has had, those with the nearest end count for a stop.
-func TestStopCountsTheNearestEnd(t *testing.T) {
+func TestStopFollowsShortestActiveDeadline(t *testing.T) {
 	f := &frontend{}
 	for n, c := range []struct{ deadline, want float64 }{{2, 2}, {7, 2}, {1, 1}, {3, 1}} {
 		s := &serviceConfig{}
@@ -43,7 +43,7 @@
 
 // Connections that stand in the queue of a listener when it closes are taken: their clients
 // may have written requests that this machine has acknowledged.
-func TestStopTakesTheQueue(t *testing.T) {
+func TestStopServesQueuedConnections(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -110,8 +110,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.tells(t, "app.clients.busy:2|g", "app.clients.head:1|g")
-	late := lateness(t)
+	r.awaitMetrics(t, "app.clients.busy:2|g", "app.clients.head:1|g")
+	late := measureTimerDelay(t)
 	began := time.Now()
 	r.stop()
 	for what, c := range map[string]net.Conn{"in a head": inHead, "in a body": inBody} {
@@ -135,9 +135,9 @@
 	}
 }
 
-// lateness begins to measure by how much timers of this process come late, all together. The
+// measureTimerDelay begins to measure by how much timers of this process come late, all together. The
 // function that it returns ends that.
-func lateness(t *testing.T) func() time.Duration {
+func measureTimerDelay(t *testing.T) func() time.Duration {
 	const tick = 10 * time.Millisecond
 	end, total := make(chan struct{}), make(chan time.Duration, 1)
 	go func() {
--- a/internal/gateway/stream_memory_test.go
+++ b/internal/gateway/stream_memory_test.go
@@ -122,7 +122,7 @@
 	}
 	close(told)
 	wg.Wait()
-	r.tells(t, fmt.Sprintf("app.transfers.up.ended.no_memory:%d|c", 9*fit), fmt.Sprintf("app.transfers.up.ended.whole:%d|c", fit))
+	r.awaitMetrics(t, fmt.Sprintf("app.transfers.up.ended.no_memory:%d|c", 9*fit), fmt.Sprintf("app.transfers.up.ended.whole:%d|c", fit))
 }
 
 // Answers have run. Ten times as many as the budget holds all come whole, at the
@@ -146,7 +146,7 @@
 			to.Write(whole)
 		}()
 	}
-	r.tells(t, fmt.Sprintf("app.transfers.down.open:%d|g", 10*fit)) // all flow, and nobody reads
+	r.awaitMetrics(t, fmt.Sprintf("app.transfers.down.open:%d|g", 10*fit)) // all flow, and nobody reads
 	var wg sync.WaitGroup
 	for _, head := range heads {
 		wg.Go(func() {
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -60,7 +60,7 @@
 				t.Error("the backend took the body for whole")
 			}
 			conn.Close()
-			r.tells(t, "app.transfers.up.ended.called_off:1|c", "app.transfers.up.open:0|g", "app.upstream_tries:0|c")
+			r.awaitMetrics(t, "app.transfers.up.ended.called_off:1|c", "app.transfers.up.open:0|g", "app.upstream_tries:0|c")
 			if len(backend.conns) != 0 {
 				t.Error("sent again")
 			}
@@ -98,12 +98,12 @@
 	if rest, err := io.ReadAll(req.Body); err != nil || len(rest) > 0 {
 		t.Errorf("%q, %v", rest, err)
 	}
-	r.tells(t, "app.in_progress:1|g")
+	r.awaitMetrics(t, "app.in_progress:1|g")
 	io.WriteString(to, "0\r\n\r\n")
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) > 0 {
 		t.Errorf("%q, %v", rest, err)
 	}
-	r.tells(t, "app.handled.booking.passed:1|c", "app.in_progress:0|g", "app.upstream_tries:1|c")
+	r.awaitMetrics(t, "app.handled.booking.passed:1|c", "app.in_progress:0|g", "app.upstream_tries:1|c")
 }
 
 // noise gives a body of its own for each seed.
@@ -214,7 +214,7 @@
 		<-served
 		conn.Close()
 	}
-	r.tells(t, "app.in_progress:0|g")
+	r.awaitMetrics(t, "app.in_progress:0|g")
 }
 
 // A transfer that ends in the time that a stop leaves ends whole.
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -43,13 +43,13 @@
 			if _, err := io.ReadFull(req.Body, start); err != nil {
 				t.Fatal(err)
 			}
-			r.tells(t, "app.in_progress:0|g", "app.upstream_tries:0|c")
+			r.awaitMetrics(t, "app.in_progress:0|g", "app.upstream_tries:0|c")
 			io.WriteString(conn, piece(whole[2*maxHeldBody:])+tail)
 			rest, err := io.ReadAll(req.Body)
 			if err != nil || string(start)+string(rest) != whole {
 				t.Errorf("%d bytes of %d, %v", len(start)+len(rest), len(whole), err)
 			}
-			r.tells(t, "app.in_progress:1|g", "app.upstream_tries:1|c")
+			r.awaitMetrics(t, "app.in_progress:1|g", "app.upstream_tries:1|c")
 		})
 	}
 }
@@ -71,7 +71,7 @@
 	if _, err := io.ReadAll(req.Body); err == nil {
 		t.Error("the backend has a whole request")
 	}
-	r.tells(t, "app.in_progress:0|g", "app.upstream_tries:0|c", "app.skipped_backends:0|g")
+	r.awaitMetrics(t, "app.in_progress:0|g", "app.upstream_tries:0|c", "app.skipped_backends:0|g")
 	if len(backend.conns) != 0 {
 		t.Error("sent again")
 	}
@@ -93,7 +93,7 @@
 			t.Errorf("status %d, closed %t; want %d", resp.StatusCode, resp.Close, status)
 		}
 	}
-	r.tells(t, "app.handled.booking.dropped:1|c", "app.in_progress:0|g")
+	r.awaitMetrics(t, "app.handled.booking.dropped:1|c", "app.in_progress:0|g")
 }
 
 // Slow clients are told from silent ones by whether their body goes on.
@@ -229,7 +229,7 @@
 			t.Fatalf("%q, %v; want %q", got, err, want)
 		}
 	}
-	r.tells(t, "app.transfers.up.open:1|g")
+	r.awaitMetrics(t, "app.transfers.up.open:1|g")
 	io.WriteString(conn, "0\r\nX-Sum: 8\r\n\r\n")
 	if rest, err := io.ReadAll(req.Body); err != nil || len(rest) > 0 || req.Trailer.Get("X-Sum") != "8" {
 		t.Errorf("%q, %v, trailer %v", rest, err, req.Trailer)
@@ -238,7 +238,7 @@
 	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	r.tells(t, "app.transfers.up.open:0|g", "app.transfers.up.ended.whole:1|c", "app.upstream_tries:1|c")
+	r.awaitMetrics(t, "app.transfers.up.open:0|g", "app.transfers.up.ended.whole:1|c", "app.upstream_tries:1|c")
 }
 
 // A second request goes out on a connection whose upload has flowed to its end.
@@ -258,7 +258,7 @@
 		if err != nil || resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("%v %v", resp, err)
 		}
-		r.tells(t, "app.in_progress:0|g", "app.transfers.up.open:0|g")
+		r.awaitMetrics(t, "app.in_progress:0|g", "app.transfers.up.open:0|g")
 		io.WriteString(conn, requestText("POST", "booking", body))
 	}
 }
--- a/internal/gateway/upload_time_test.go
+++ b/internal/gateway/upload_time_test.go
@@ -66,7 +66,7 @@
 			} else {
 				r.send(t, requestText("POST", "booking", body))
 			}
-			r.tells(t, "app.clients.busy:4|g")
+			r.awaitMetrics(t, "app.clients.busy:4|g")
 			time.Sleep(waited)
 			io.WriteString(busy[0], "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			if left, _ := told(t, backend); left > given-waited+50*time.Millisecond {
