--- a/internal/gateway/client_connection.go
+++ b/internal/gateway/client_connection.go
@@ -19,29 +19,28 @@
 	entry     *connlimit.Conn
 	readAhead *readAheadConn // of Conn
 
-	// Of the owner's mu:
+	// Guarded by listener.mu:
 	evicted     bool
-	lingering   bool // its end is on the way to the client
-	evictedBusy bool // it was given up in the middle of a request
+	lingering   bool // the gateway's side is closed, or is about to be
+	evictedBusy bool // evicted in the middle of a request
 	closeCause  int
 
-	idle            atomic.Bool // New or Idle: the next byte begins a request
+	idle            atomic.Bool // in state New or Idle: the next byte begins a request
 	responseStarted atomic.Bool // something was written since the last request began
-	skipLinger      atomic.Bool // there is nobody, or nothing more, to wait for
-	closeDelimited  atomic.Bool // its answer ends with the connection, so a client can't tell a part from the whole
+	skipLinger      atomic.Bool // Close need not wait for the client to close its side
+	closeDelimited  atomic.Bool // the end of the connection ends the response (HTTP/1.0)
 	closeOnce       sync.Once
 	unread          unreadProbe
 
 	mu          sync.Mutex
 	framing     framingScanner
-	headsServed int  // of requests that the server has taken
-	rejected    bool // it has had its last answer; the server writes nothing more
+	headsServed int  // request headers that the server has received
+	rejected    bool // the final response was a rejection; the server may write nothing more
 }
 
-// Read reads along, for heads that could be read in two ways, and tells that a
-// request has begun. One that begins on a connection that was given up goes no
-// further. Its bytes have been read, so its client is told: from a close alone it
-// could not know that the request never ran.
+// Read implements net.Conn. It checks request headers for ambiguous framing and records the
+// beginning of a request. A request that begins on an evicted connection is rejected: its
+// bytes have been read, and from a close alone the client could not know that it never ran.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.readAhead.Read(p)
 	if n > 0 && c.idle.Load() && !c.beginRequest() {
@@ -49,7 +48,7 @@
 		return 0, io.EOF
 	}
 	if n == 1 && len(p) == 1 {
-		c.readAhead.start() // net/http listens for the client's end byte by byte, and has found another
+		c.readAhead.start() // a read of one byte is net/http's wait for the client to disconnect
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.skipLinger.Store(true)
@@ -60,18 +59,19 @@
 	return n, err
 }
 
+// Write implements net.Conn. It fails once the connection has been rejected.
 func (c *clientConn) Write(p []byte) (int, error) {
 	if !c.startWrite() {
 		return 0, net.ErrClosed
 	}
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		c.skipLinger.Store(true) // the client takes nothing more
+		c.skipLinger.Store(true) // the client reads nothing more
 	}
 	return n, err
 }
 
-// answers notes that the server writes, and reports whether it may.
+// startWrite reports whether the server may write, and records that it does.
 func (c *clientConn) startWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,8 +81,8 @@
 	return !c.rejected
 }
 
-// reject gives the request on the connection its answer, unless the server has begun to,
-// and nothing behind it.
+// rejectRequest writes text as the last response on the connection, unless the server has
+// started to write one.
 func (c *clientConn) rejectRequest(text string) {
 	c.mu.Lock()
 	if c.rejected || c.responseStarted.Load() {
@@ -97,8 +97,8 @@
 	io.WriteString(c.Conn, text)
 }
 
-// endGivenUp ends a connection that was given up. One that rests is closed by whoever reads
-// it, since only the reader knows whether a byte of a request has come.
+// closeEvicted closes an evicted connection. If it is idle, it interrupts the reader, which
+// closes the connection, since only the reader knows whether a request has begun.
 func (c *clientConn) closeEvicted() {
 	switch {
 	case c.idle.Load():
@@ -115,15 +115,17 @@
 	c.Close()
 }
 
-// cutShort reports whether the connection ends in the middle of an answer whose client
-// could take the part for the whole.
+// truncatesResponse reports whether closing the connection now may truncate a response in a
+// way that the client cannot notice.
 func (c *clientConn) truncatesResponse() bool {
 	return c.closeDelimited.Load() && c.responseStarted.Load()
 }
 
-// SetReadDeadline is for reads of the server's.
+// SetReadDeadline implements net.Conn.
 func (c *clientConn) SetReadDeadline(t time.Time) error { return c.readAhead.SetReadDeadline(t) }
 
+// beginRequest records that the first byte of a request has been read. It returns false if
+// the connection has been evicted.
 func (c *clientConn) beginRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -136,50 +138,51 @@
 	return true
 }
 
-func (c *clientConn) setState(s connlimit.State) {
-	if s == connlimit.Busy {
+// setState records the state of the connection and closes it if the shutdown calls for that.
+func (c *clientConn) setState(state connlimit.State) {
+	if state == connlimit.Busy {
 		c.mu.Lock()
 		c.headsServed++
 		c.mu.Unlock()
 	}
-	if c.enterState(s) {
+	if c.enterState(state) {
 		c.Close()
 	}
 }
 
-// enter takes note of the state, and tells whether the connection goes for it.
-func (c *clientConn) enterState(s connlimit.State) (goes bool) {
+// enterState records the state and reports whether the shutdown closes the connection.
+func (c *clientConn) enterState(state connlimit.State) (closing bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	if c.evicted {
 		return false
 	}
-	c.idle.Store(s == connlimit.Idle)
-	c.listener.table.Set(c.listener.now(), c.entry, s)
-	if s != connlimit.Busy {
+	c.idle.Store(state == connlimit.Idle)
+	c.listener.table.Set(c.listener.now(), c.entry, state)
+	if state != connlimit.Busy {
 		c.responseStarted.Store(false)
 	}
-	if s == connlimit.Idle {
+	if state == connlimit.Idle {
 		c.listener.placeFreed.Broadcast()
 	}
-	// What waits to be read came before the end, and is answered.
-	if goes = c.listener.closesInPhase(c.entry) && !hasUnreadBytes(c.Conn); goes {
+	// Bytes that have arrived before the close get a response.
+	if closing = c.listener.closesInPhase(c.entry) && !hasUnreadBytes(c.Conn); closing {
 		c.listener.evict(c.entry, closedShutdown)
 	}
-	return goes
+	return closing
 }
 
-// dropped tells whether the connection was given up. Danger: a head may have been
-// read whole in the moment in which it was given up for taking too long. Sent on,
-// its request would run for nobody.
+// wasEvicted reports whether the connection was evicted. A header may be complete at the
+// moment in which its connection is evicted for being slow; forwarding the request would
+// run it for no client.
 func (c *clientConn) wasEvicted() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.evicted
 }
 
-// gone tells whether the client has ended the connection, behind a request that has
-// been read before.
+// peerClosed reports whether the client has closed the connection after a request that has
+// been read.
 func (c *clientConn) peerClosed() bool {
 	select {
 	case <-c.readAhead.peerClosed:
@@ -189,40 +192,41 @@
 	}
 }
 
-// between tells whether no byte of a next request has come.
+// betweenRequests reports whether no byte of a next request has been read.
 func (c *clientConn) betweenRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.heads == c.headsServed && c.framing.betweenMessages()
 }
 
-// pipelined reports whether bytes of a next request have been read, beside the one that is
-// under way.
+// pipelined reports whether bytes of a next request have been read while one is in progress.
 func (c *clientConn) pipelined() bool {
 	return c.readAhead.bufferedBytes.Load() > 0 || !c.betweenRequests()
 }
 
+// ambiguousFraming reports whether a request header gave the length of its body in more than
+// one way.
 func (c *clientConn) ambiguousFraming() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.ambiguous
 }
 
-// bodies is how many bytes of bodies have come.
+// bodyBytes returns the number of body bytes read on the connection, without their framing.
 func (c *clientConn) bodyBytes() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.bodyBytes
 }
 
-// before is how many had come before the last head.
+// earlierBodyBytes returns the number of body bytes read before the last request header.
 func (c *clientConn) earlierBodyBytes() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.earlierBodyBytes
 }
 
-// reset makes the connection's end one that the peer can tell from a proper one.
+// reset makes the next close reset the connection, so that the client notices a truncation.
 func (c *clientConn) reset() {
 	c.skipLinger.Store(true)
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
@@ -230,21 +234,21 @@
 	}
 }
 
-// turnAway ends a connection for which there is no place. At a stop it waits for the client
-// to hear so, which in a crowd would cost too much.
-func (c *clientConn) rejectConnection(stops bool) {
+// rejectConnection rejects a connection for which there is no place. During a shutdown it
+// lingers, so that the client receives the response; under overload that would cost too much.
+func (c *clientConn) rejectConnection(stopping bool) {
 	c.SetWriteDeadline(time.Now().Add(rejectConnTimeout))
 	io.WriteString(c.Conn, unavailableResponse)
-	if tcp, ok := c.Conn.(*net.TCPConn); ok && stops {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok && stopping {
 		go c.linger(tcp, rejectedLingerTime)
 		return
 	}
 	c.closeNow()
 }
 
-// Close ends the connection and frees its place, once. Behind an answer it ends
-// the gateway's side first and waits for the client's: a close over bytes that nobody
-// has read resets the connection, and the answer that is on its way goes with it.
+// Close implements net.Conn. It frees the connection's place, once. After a response it
+// closes the gateway's side first and waits for the client to close the other: closing a
+// socket with unread bytes resets the connection, and the response in transit would be lost.
 func (c *clientConn) Close() error {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	switch {
@@ -259,8 +263,8 @@
 	return nil
 }
 
-// beginLinger reports whether to wait for the client's end: not where its place is wanted,
-// and not twice.
+// beginLinger reports whether to linger: not if the connection was evicted to free its
+// place, and not twice.
 func (c *clientConn) beginLinger() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -268,24 +272,25 @@
 		return false
 	}
 	c.lingering = true
-	c.listener.table.Set(c.listener.now(), c.entry, connlimit.Idle) // it may go for another
+	c.listener.table.Set(c.listener.now(), c.entry, connlimit.Idle) // may be evicted
 	c.listener.placeFreed.Broadcast()
 	return true
 }
 
+// wasRejected reports whether the final response was a rejection.
 func (c *clientConn) wasRejected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rejected
 }
 
-// closeRejected waits for the client's end behind a rejection, once, for a short time. The
-// server closes the connection too, which must not end it sooner.
+// closeRejected lingers for a short time after a rejection, once. A second close, by the
+// server, must not cut that short.
 func (c *clientConn) closeRejected(tcp *net.TCPConn) error {
 	c.listener.mu.Lock()
 	first := !c.lingering
-	wait := first && c.listener.rejectedLingering < maxRejectedLingering
-	if wait {
+	mayLinger := first && c.listener.rejectedLingering < maxRejectedLingering
+	if mayLinger {
 		c.lingering = true
 		c.listener.rejectedLingering++
 	}
@@ -293,7 +298,7 @@
 	switch {
 	case !first:
 		return nil
-	case !wait:
+	case !mayLinger:
 		return c.closeNow()
 	}
 	go func() {
@@ -305,15 +310,16 @@
 	return nil
 }
 
-// linger waits for the client's end. Whoever wants the place closes the connection
-// under it.
-func (c *clientConn) linger(tcp *net.TCPConn, wait time.Duration) {
+// linger closes the gateway's side of the connection, waits for the client to close the
+// other, and closes the connection. An eviction closes it sooner.
+func (c *clientConn) linger(tcp *net.TCPConn, timeout time.Duration) {
 	defer c.closeNow()
-	if tcp.CloseWrite() == nil && tcp.SetReadDeadline(time.Now().Add(wait)) == nil {
+	if tcp.CloseWrite() == nil && tcp.SetReadDeadline(time.Now().Add(timeout)) == nil {
 		io.Copy(io.Discard, io.LimitReader(tcp, maxLingerBytes))
 	}
 }
 
+// closeNow closes the connection without lingering and frees its place.
 func (c *clientConn) closeNow() error {
 	err := c.Conn.Close()
 	c.closeOnce.Do(func() {
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -19,179 +19,185 @@
 )
 
 const (
-	idleConnBytes        = 20 << 10              // bytes that an idle connection of a client takes
-	clientMemoryDivisor  = 4                     // a part of the memory, for them
-	minRetryDelay        = 5 * time.Millisecond  // of accepting, while descriptors have run out
-	maxRetryDelay        = time.Second           // it doubles to this
-	overloadLogInterval  = time.Second           // between lines about a crowd, or about descriptors
-	rejectConnTimeout    = 20 * time.Millisecond // for the word to one that is turned away
+	idleConnBytes        = 20 << 10              // memory that an idle client connection takes
+	clientMemoryDivisor  = 4                     // client connections may take 1/4 of the memory
+	minRetryDelay        = 5 * time.Millisecond  // before a failed call is retried
+	maxRetryDelay        = time.Second           // the delay doubles up to this
+	overloadLogInterval  = time.Second           // between log lines of one kind
+	rejectConnTimeout    = 20 * time.Millisecond // for writing the rejection of a new connection
 	rejectRequestTimeout = 200 * time.Millisecond
 
-	// A client whose connection ends behind its answer has so long to end its side,
-	// and may send so many bytes more, which nobody reads.
+	// After a response the gateway closes its side of the connection and waits for the
+	// client to close the other. It discards what the client sends meanwhile.
 	lingerTime     = 500 * time.Millisecond
 	maxLingerBytes = 256 << 10
 
-	// One that was rejected in the middle of a request lingers for a shorter time, and so
-	// many at once: the table does not count them any more.
+	// Connections rejected in the middle of a request linger for a shorter time, and only
+	// so many at once, since the table no longer counts them.
 	rejectedLingerTime   = 100 * time.Millisecond
 	maxRejectedLingering = 32
 
-	queueAcceptTimeout = 10 * time.Millisecond  // for the next connection of a queue that is emptied
-	queueDrainTimeout  = 100 * time.Millisecond // for all of them
+	queueAcceptTimeout = 10 * time.Millisecond  // for the next connection while the accept queue is drained
+	queueDrainTimeout  = 100 * time.Millisecond // for draining the whole queue
 )
 
-// A connection that is turned away is told so, as far as it listens: nothing of
-// it has been read.
+// unavailableResponse rejects a connection or a request of which no backend has received
+// anything.
 const unavailableResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// What a client is told whose request may have gone on to a backend.
+// badGatewayResponse ends a request that may have reached a backend.
 const badGatewayResponse = "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// closeCauses are why the gateway's side closed a connection, or that it did not.
+// Causes of the end of a client connection.
 const (
-	closedByPeer   = iota // or after an answer, or a time-out of the server's
-	closedIdle            // given up between requests, for another
-	closedNew             // given up before its first byte, for another
-	closedShutdown        // at the stop, between requests or before the first byte
-	closedRejected        // there was no place for it
+	closedByPeer   = iota // also after a response or a timeout of the server
+	closedIdle            // evicted between requests to make room
+	closedNew             // evicted before its first byte to make room
+	closedShutdown        // closed by the shutdown
+	closedRejected        // not admitted
 	closeCauseCount
 )
 
 var closeCauseNames = [closeCauseCount]string{"peer", "idle_given_up", "new_given_up", "stop", "turned_away"}
 
-// clients owns the connections of clients, from the listener to their end. What
-// is given up for what is decided by its table.
+// clientListener accepts client connections and owns them until they are closed. Its table
+// decides which connection is evicted to make room for another.
 type clientListener struct {
 	net.Listener
 
 	mu            sync.Mutex
-	placeFreed    sync.Cond // on mu: a place may have come free
+	placeFreed    sync.Cond // on mu; signals that a place may be free, or a change of state
 	startedAt     time.Time
 	table         *connlimit.Table
 	conns         map[*connlimit.Conn]*clientConn
 	closed        bool
-	drainingQueue bool // what is in the queue is accepted, and nothing behind it
+	drainingQueue bool // connections in the accept queue are still accepted, later ones are not
 	phase         shutdownPhase
 	sharedQueue   bool // other processes accept from the same queue
 
-	rejectedLingering int // connections that wait for their end behind a rejection
+	rejectedLingering int // rejected connections that wait for the client to close
 	logLimit          logLimiter
 
-	onState func(*clientConn, http.ConnState) // for tests, before a state is taken note of
+	onState func(*clientConn, http.ConnState) // test hook, called before a state is recorded
 
 	accepted         atomic.Int64
 	closeCounts      [closeCauseCount]atomic.Int64
-	silenceUnlimited atomic.Int64 // connections on which no limit on silence could be set
-	queueWaitMs      atomic.Int64 // milliseconds that the last connection stood in the queue, where the system tells
-	descriptorErrors atomic.Int64 // times that no descriptor was to be had
-	acceptErrors     atomic.Int64 // times that accepting failed otherwise
-	rejectedRequests atomic.Int64 // connections that were given up and had to be answered
+	silenceUnlimited atomic.Int64 // connections whose silence timeout could not be set
+	queueWaitMs      atomic.Int64 // time that the last connection spent in the accept queue, if known
+	descriptorErrors atomic.Int64 // accept calls that failed for lack of descriptors or buffers
+	acceptErrors     atomic.Int64 // accept calls that failed otherwise
+	rejectedRequests atomic.Int64 // requests that were rejected on an evicted connection
 }
 
-// ending is how far a stop has come.
+// shutdownPhase says which connections the shutdown closes.
 type shutdownPhase int
 
 const (
-	phaseServing     shutdownPhase = iota
-	phaseClosingIdle               // what is between requests is given up, now and from now on
-	phaseClosingNew                // and so is what no byte has come on
+	phaseServing     shutdownPhase = iota // none
+	phaseClosingIdle                      // those between requests
+	phaseClosingNew                       // also those without a first byte
 )
 
-func newClientListener(l net.Listener, most int) *clientListener {
-	c := &clientListener{Listener: l, startedAt: time.Now(), table: connlimit.NewTable(connlimit.Limits{Total: most}),
+// newClientListener wraps a listener and admits at most maxConns connections at once.
+func newClientListener(listener net.Listener, maxConns int) *clientListener {
+	clients := &clientListener{Listener: listener, startedAt: time.Now(), table: connlimit.NewTable(connlimit.Limits{Total: maxConns}),
 		conns: map[*connlimit.Conn]*clientConn{}, logLimit: logLimiter{max: 1}}
-	c.placeFreed.L = &c.mu
-	return c
+	clients.placeFreed.L = &clients.mu
+	return clients
 }
 
+// now returns the time since the listener was created, as the table counts it.
 func (l *clientListener) now() time.Duration { return time.Since(l.startedAt) }
 
-// limit changes how many connections there may be. Those that may go for it, go.
-func (l *clientListener) setLimit(most int) {
+// setLimit changes the limit of connections and evicts those above it that are between
+// requests or have sent nothing.
+func (l *clientListener) setLimit(maxConns int) {
 	l.mu.Lock()
-	var gone []*clientConn
-	for _, c := range l.table.SetLimits(connlimit.Limits{Total: most}) {
-		gone = append(gone, l.evict(c, evictionCause(c)))
+	var evicted []*clientConn
+	for _, entry := range l.table.SetLimits(connlimit.Limits{Total: maxConns}) {
+		evicted = append(evicted, l.evict(entry, evictionCause(entry)))
 	}
 	l.placeFreed.Broadcast()
 	l.mu.Unlock()
-	closeEvicted(gone)
+	closeEvicted(evicted)
 }
 
-// giveUp marks a connection that is given up and frees its place. Its end has to follow,
-// outside the lock.
-func (l *clientListener) evict(c *connlimit.Conn, cause int) *clientConn {
-	conn := l.conns[c]
-	l.table.Close(c)
+// evict marks a connection as evicted and frees its place. The caller holds mu, and closes
+// the connection after releasing it.
+func (l *clientListener) evict(entry *connlimit.Conn, cause int) *clientConn {
+	conn := l.conns[entry]
+	l.table.Close(entry)
 	conn.evicted, conn.closeCause = true, cause
 	return conn
 }
 
-// endAll ends connections that were given up.
-func closeEvicted(gone []*clientConn) {
-	for _, c := range gone {
-		c.closeEvicted()
+// closeEvicted closes connections that were evicted. The caller must not hold mu.
+func closeEvicted(conns []*clientConn) {
+	for _, conn := range conns {
+		conn.closeEvicted()
 	}
 }
 
-// causeOf is why a connection is given up for another.
-func evictionCause(c *connlimit.Conn) int {
-	if c.State() == connlimit.New {
+// evictionCause returns the close cause of a connection that is evicted to make room.
+func evictionCause(entry *connlimit.Conn) int {
+	if entry.State() == connlimit.New {
 		return closedNew
 	}
 	return closedIdle
 }
 
-// leave gives up what has no request, now and from now on. What is in a request,
-// or in the head of one, goes on to its answer, and so does one whose first bytes wait
-// to be read.
+// setPhase enters a phase of the shutdown and closes the connections that the phase calls
+// for, now and from now on. A connection in a request, in its header or with unread bytes
+// stays open until its response is sent.
 //
-// net/http would close what it takes for idle though the head of a request has been
-// read in part or whole, and its answer would be lost. Here a connection is given up in
-// one step with the look at its state, and whoever reads beside it owes an answer for
-// the bytes.
-func (l *clientListener) setPhase(how shutdownPhase) {
+// http.Server.Shutdown would close a connection that it considers idle although the header
+// of a request has been read in part, and the response would be lost. Here the state is
+// checked and the connection evicted under one lock, and its reader rejects a request whose
+// bytes arrive at the same time.
+func (l *clientListener) setPhase(phase shutdownPhase) {
 	l.mu.Lock()
-	l.phase = how
-	var gone []*clientConn
-	for place, c := range l.conns {
-		if !c.evicted && !c.lingering && l.closesInPhase(place) && !hasUnreadBytes(c.Conn) {
-			gone = append(gone, l.evict(place, closedShutdown))
+	l.phase = phase
+	var evicted []*clientConn
+	for entry, conn := range l.conns {
+		if !conn.evicted && !conn.lingering && l.closesInPhase(entry) && !hasUnreadBytes(conn.Conn) {
+			evicted = append(evicted, l.evict(entry, closedShutdown))
 		}
 	}
 	l.mu.Unlock()
-	closeEvicted(gone)
+	closeEvicted(evicted)
 }
 
-// finish ends every request that has no answer with an error, since the process is about to
-// be killed. Answers that are under way go on. It returns how many it ended.
+// failUnanswered ends every request without a response with an error, since the process is
+// about to be killed. Responses in progress continue. It returns the number of connections
+// that it evicted.
 func (l *clientListener) failUnanswered() int {
-	return l.evictWhere(func(c *clientConn) bool { return !c.responseStarted.Load() })
+	return l.evictWhere(func(conn *clientConn) bool { return !conn.responseStarted.Load() })
 }
 
-// cut ends all that is left: an answer whose client could take a part for the whole with a
-// reset. It returns how many it ended.
+// closeAll evicts all remaining connections and returns their number. A connection is reset
+// if its client could take the truncated response for a complete one.
 func (l *clientListener) closeAll() int { return l.evictWhere(func(*clientConn) bool { return true }) }
 
-// endWhere gives up the connections that are chosen, whatever they are doing.
-func (l *clientListener) evictWhere(chosen func(*clientConn) bool) int {
+// evictWhere evicts and closes the connections that match, in any state, and returns their
+// number.
+func (l *clientListener) evictWhere(match func(*clientConn) bool) int {
 	l.mu.Lock()
-	var gone []*clientConn
-	for place, c := range l.conns {
-		if !c.evicted && !c.lingering && chosen(c) {
-			c.evictedBusy = place.State() == connlimit.Busy
-			gone = append(gone, l.evict(place, closedShutdown))
+	var evicted []*clientConn
+	for entry, conn := range l.conns {
+		if !conn.evicted && !conn.lingering && match(conn) {
+			conn.evictedBusy = entry.State() == connlimit.Busy
+			evicted = append(evicted, l.evict(entry, closedShutdown))
 		}
 	}
 	l.mu.Unlock()
-	closeEvicted(gone)
-	return len(gone)
+	closeEvicted(evicted)
+	return len(evicted)
 }
 
-// goes tells whether a connection goes at this point of a stop.
-func (l *clientListener) closesInPhase(place *connlimit.Conn) bool {
-	switch place.State() {
+// closesInPhase reports whether the present phase of the shutdown closes a connection. The
+// caller holds mu.
+func (l *clientListener) closesInPhase(entry *connlimit.Conn) bool {
+	switch entry.State() {
 	case connlimit.Idle:
 		return l.phase >= phaseClosingIdle
 	case connlimit.New:
@@ -200,7 +206,7 @@
 	return false
 }
 
-// drained waits until no connection is left.
+// waitDrained waits until all connections are closed. It returns an error if ctx ends first.
 func (l *clientListener) waitDrained(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() {
 		l.mu.Lock()
@@ -218,17 +224,17 @@
 	return nil
 }
 
-// Accept waits for room, then for a connection. While all places are taken by
-// requests, connections wait in the queue, where another process may take them.
-// One whose source has more than its share is told at once, as the queue behind it
-// would wait for it.
+// Accept implements net.Listener. It waits for a free place before it accepts: while all
+// places are taken by requests, connections stay in the accept queue, where another process
+// may accept them. A connection whose source has its share already is rejected at once, so
+// that it does not hold up the queue behind it.
 func (l *clientListener) Accept() (net.Conn, error) {
-	var pause backoff
+	var acceptBackoff backoff
 	for {
 		if !l.awaitRoom() {
 			return nil, net.ErrClosed
 		}
-		c, err := l.Listener.Accept()
+		accepted, err := l.Listener.Accept()
 		switch {
 		case err != nil && l.queueEnded(err):
 			return nil, net.ErrClosed
@@ -236,56 +242,56 @@
 			return nil, err
 		case err != nil:
 			l.recordAcceptError(err)
-			l.sleep(pause.nextDelay())
+			l.sleep(acceptBackoff.nextDelay())
 			continue
 		}
-		pause.reset()
+		acceptBackoff.reset()
 		l.accepted.Add(1)
-		if conn := l.admit(c); conn != nil {
-			// Who has a connection goes before who wants one.
-			runtime.Gosched()
+		if conn := l.admit(accepted); conn != nil {
+			runtime.Gosched() // lets open connections run before the next accept
 			return conn, nil
 		}
 	}
 }
 
-// acceptFailed counts an error that passes and, once a second at most, logs it.
+// recordAcceptError counts a temporary error and logs it, at most once a second.
 func (l *clientListener) recordAcceptError(err error) {
-	text := "accepting a client failed"
+	message := "accepting a client failed"
 	if outOfResources(err) {
 		l.descriptorErrors.Add(1)
-		text = "no descriptor for a client"
+		message = "no descriptor for a client"
 	} else {
 		l.acceptErrors.Add(1)
 	}
 	if l.logLimit.allow() {
-		slog.Error(text, "error", err)
+		slog.Error(message, "error", err)
 	}
 }
 
-// endQueue takes the connections that already wait in the listener's queue, and ends
-// accepting. Their requests may have been taken by this machine; closing the listener over
-// them would reset them. A queue that other processes have too is left to those.
+// drainQueue accepts the connections that wait in the accept queue and then closes the
+// listener. Closing it with connections in the queue would reset them, though this machine
+// may already have received their requests. A queue shared with other processes is left to
+// them.
 func (l *clientListener) drainQueue() {
 	l.mu.Lock()
 	l.drainingQueue = !l.sharedQueue && l.extendQueueDeadline()
 	l.placeFreed.Broadcast()
-	for began := l.now(); l.drainingQueue && !l.closed && l.now()-began < queueDrainTimeout; {
+	for start := l.now(); l.drainingQueue && !l.closed && l.now()-start < queueDrainTimeout; {
 		l.wait(queueDrainTimeout)
 	}
 	l.mu.Unlock()
 	l.Close()
 }
 
-// awaitNext leaves time for the next connection of a queue that is emptied, and reports
-// whether the listener can. The caller holds mu.
+// extendQueueDeadline allows queueAcceptTimeout for the next connection in the accept queue.
+// It returns false if the listener supports no deadline. The caller holds mu.
 func (l *clientListener) extendQueueDeadline() bool {
 	listener, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	return ok && listener.SetDeadline(time.Now().Add(queueAcceptTimeout)) == nil
 }
 
-// queueEnded reports whether an error of Accept says that the last connection of the queue
-// has been taken. It closes the listener then.
+// queueEnded reports whether an error of Accept means that the accept queue has been
+// drained, and closes the listener if so.
 func (l *clientListener) queueEnded(err error) bool {
 	l.mu.Lock()
 	ended := l.drainingQueue && errors.Is(err, os.ErrDeadlineExceeded)
@@ -296,23 +302,24 @@
 	return ended
 }
 
-// sleep waits, or until the listener is closed.
+// sleep waits for d or until the listener is closed.
 func (l *clientListener) sleep(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	over := false
+	elapsed := false
 	defer time.AfterFunc(d, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		over = true
+		elapsed = true
 		l.placeFreed.Broadcast()
 	}).Stop()
-	for !over && !l.closed {
+	for !elapsed && !l.closed {
 		l.placeFreed.Wait()
 	}
 }
 
-// awaitRoom returns false once the listener is closed.
+// awaitRoom waits until another connection may be accepted. It returns false once the
+// listener is closed.
 func (l *clientListener) awaitRoom() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -320,20 +327,21 @@
 		if l.drainingQueue {
 			return l.extendQueueDeadline()
 		}
-		ok, look := l.table.Room(l.now())
+		ok, recheckAfter := l.table.Room(l.now())
 		if ok {
 			return true
 		}
 		l.logOverload()
-		l.wait(look)
+		l.wait(recheckAfter)
 	}
 	return false
 }
 
-// wait waits until a place may have come free, or for so long, if that is not 0.
-func (l *clientListener) wait(most time.Duration) {
-	if most > 0 {
-		defer time.AfterFunc(most, func() {
+// wait waits for placeFreed, for at most the timeout; 0 means no timeout. The caller holds
+// mu.
+func (l *clientListener) wait(timeout time.Duration) {
+	if timeout > 0 {
+		defer time.AfterFunc(timeout, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			l.placeFreed.Broadcast()
@@ -342,44 +350,46 @@
 	l.placeFreed.Wait()
 }
 
+// logOverload logs the connections by state, at most once a second. The caller holds mu.
 func (l *clientListener) logOverload() {
-	if n := l.table.Counts(); l.logLimit.allow() {
-		slog.Warn("many connections of clients", "open", n.Open, "new", n.ByState[connlimit.New], "head", n.ByState[connlimit.Head],
-			"busy", n.ByState[connlimit.Busy], "idle", n.ByState[connlimit.Idle], "sources", n.Sources, "over_share", n.OverShare)
+	if counts := l.table.Counts(); l.logLimit.allow() {
+		slog.Warn("many connections of clients", "open", counts.Open, "new", counts.ByState[connlimit.New], "head", counts.ByState[connlimit.Head],
+			"busy", counts.ByState[connlimit.Busy], "idle", counts.ByState[connlimit.Idle], "sources", counts.Sources, "over_share", counts.OverShare)
 	}
 }
 
-// take finds a place for a connection, or turns it away and returns nil.
-func (l *clientListener) admit(c net.Conn) *clientConn {
+// admit enters an accepted connection into the table. If there is no place, it rejects the
+// connection and returns nil.
+func (l *clientListener) admit(accepted net.Conn) *clientConn {
 	address := netip.Addr{}
-	if tcp, ok := c.RemoteAddr().(*net.TCPAddr); ok {
+	if tcp, ok := accepted.RemoteAddr().(*net.TCPAddr); ok {
 		address = tcp.AddrPort().Addr()
 	}
-	conn := &clientConn{Conn: c, listener: l, readAhead: newReadAheadConn(c)}
+	conn := &clientConn{Conn: accepted, listener: l, readAhead: newReadAheadConn(accepted)}
 	conn.idle.Store(true)
 	l.mu.Lock()
 	var victim *clientConn
 	for {
-		place, over, out := l.table.Open(l.now(), address)
-		if out != nil {
-			victim = l.evict(out, evictionCause(out))
+		entry, atShare, evicted := l.table.Open(l.now(), address)
+		if evicted != nil {
+			victim = l.evict(evicted, evictionCause(evicted))
 		}
-		if place != nil && l.phase < phaseClosingNew {
-			conn.entry = place
-			l.conns[place] = conn
+		if entry != nil && l.phase < phaseClosingNew {
+			conn.entry = entry
+			l.conns[entry] = conn
 			break
 		}
-		if place != nil {
-			l.table.Close(place)
+		if entry != nil {
+			l.table.Close(entry)
 		}
-		if over || l.closed || l.drainingQueue {
+		if atShare || l.closed || l.drainingQueue {
 			conn.closeCause = closedRejected
-			stops := l.closed || l.drainingQueue
+			stopping := l.closed || l.drainingQueue
 			l.mu.Unlock()
-			conn.rejectConnection(stops)
+			conn.rejectConnection(stopping)
 			return nil
 		}
-		// What had room for it is in a request by now.
+		// The connection that could have been evicted is in a request by now.
 		l.logOverload()
 		l.wait(connlimit.NewGrace)
 	}
@@ -387,22 +397,22 @@
 	if victim != nil {
 		victim.closeEvicted()
 	}
-	l.setSilenceTimeout(c) // not before: one that is turned away has to be cheap
+	l.setSilenceTimeout(accepted) // only now, since a rejection has to be cheap
 	return conn
 }
 
-// limitSilence makes the system end a connection whose peer has vanished, without a
-// byte that a client could see, and reads how long it has waited.
-func (l *clientListener) setSilenceTimeout(c net.Conn) {
-	if err := setSilenceTimeout(c); err != nil {
+// setSilenceTimeout sets the silence timeout of a new connection and records how long the
+// connection waited in the accept queue.
+func (l *clientListener) setSilenceTimeout(conn net.Conn) {
+	if err := setSilenceTimeout(conn); err != nil {
 		l.silenceUnlimited.Add(1)
 	}
-	if waited, ok := sinceLastSegment(c); ok {
+	if waited, ok := sinceLastSegment(conn); ok {
 		l.queueWaitMs.Store(waited.Milliseconds())
 	}
 }
 
-// Close ends accepting.
+// Close implements net.Listener. Open connections stay open.
 func (l *clientListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -411,41 +421,42 @@
 	return l.Listener.Close()
 }
 
-// connState follows what the server does with its connections.
-func (l *clientListener) connState(c net.Conn, s http.ConnState) {
-	conn, ok := c.(*clientConn)
+// connState is the ConnState hook of the server. It records the state of a connection.
+func (l *clientListener) connState(netConn net.Conn, state http.ConnState) {
+	conn, ok := netConn.(*clientConn)
 	if !ok {
 		return
 	}
 	if l.onState != nil {
-		l.onState(conn, s)
+		l.onState(conn, state)
 	}
-	switch s {
+	switch state {
 	case http.StateActive:
 		conn.setState(connlimit.Busy)
 	case http.StateIdle:
 		if conn.betweenRequests() {
 			conn.setState(connlimit.Idle)
 		} else {
-			conn.setState(connlimit.Head) // the next request has come behind the last
+			conn.setState(connlimit.Head) // bytes of the next request have been read
 		}
 	}
 }
 
+// counts returns the statistics of the table.
 func (l *clientListener) counts() connlimit.Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Counts()
 }
 
-// write puts the figures out, a line each.
+// writeMetrics writes the metrics of client connections, one per line.
 func (l *clientListener) writeMetrics(w io.Writer) {
-	n := l.counts()
+	counts := l.counts()
 	for state, name := range map[connlimit.State]string{connlimit.New: "new", connlimit.Head: "head", connlimit.Busy: "busy",
 		connlimit.Idle: "idle"} {
-		fmt.Fprintf(w, "app.clients.%s:%d|g\n", name, n.ByState[state])
+		fmt.Fprintf(w, "app.clients.%s:%d|g\n", name, counts.ByState[state])
 	}
-	fmt.Fprintf(w, "app.clients.sources:%d|g\napp.clients.sources_over:%d|g\napp.clients.accepted:%d|c\n", n.Sources, n.OverShare, l.accepted.Load())
+	fmt.Fprintf(w, "app.clients.sources:%d|g\napp.clients.sources_over:%d|g\napp.clients.accepted:%d|c\n", counts.Sources, counts.OverShare, l.accepted.Load())
 	for cause, name := range closeCauseNames {
 		fmt.Fprintf(w, "app.clients.closed.%s:%d|c\n", name, l.closeCounts[cause].Load())
 	}
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -68,7 +68,7 @@
 // clientBodyCause is why a body of a client ended.
 func clientBodyCause(err error) transferCause {
 	switch {
-	case errors.Is(err, errUploadAborted):
+	case errors.Is(err, errTransferAborted):
 		return cancelledByGateway
 	case errors.Is(err, errBodyTooLong):
 		return bodyTooLong
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	maxHeaderBytes   = 16 << 10 // bytes
-	maxIDBytes       = 256      // bytes of an id or a key
+	maxHeaderBytes   = 16 << 10
+	maxIDBytes       = 256 // of a correlation id or an idempotency key
 	maxClientTimeout = time.Hour
-	headerTimeout    = 2600 * time.Millisecond // a client may take 2 s; a peer that sends no request is owed an end within 3 s
-	readTimeout      = 2800 * time.Millisecond // and one that stops short of a whole request as well
-	writeTimeout     = 5 * time.Second         // for a short answer; a peer that takes none is owed an end within 6 s
+	headerTimeout    = 2600 * time.Millisecond // a client may take 2 s; one that sends no request is disconnected within 3 s
+	readTimeout      = 2800 * time.Millisecond // a client that stops in the middle of a request is disconnected within 3 s
+	writeTimeout     = 5 * time.Second         // for a short response; a client that reads none is disconnected within 6 s
 	idleTimeout      = 2 * time.Minute
 	readyPath        = "/health/ready"
 
@@ -35,125 +35,129 @@
 	termsHeader       = "X-Call-Terms"
 	repeatHeader      = "X-Repeat"
 
-	customerIDLimit = 1 << 33 // ids are below it
+	customerIDLimit = 1 << 33 // exclusive
 )
 
-// exchange is one request of a client, from its last byte to its final answer.
+// exchange is one request of a client and its response.
 type exchange struct {
-	request        rules.Request // the loop gives it its id
+	request        rules.Request // the loop sets its id
 	method         string
 	uri            string
 	host           string
-	header         http.Header // what goes on to a backend
-	body           []byte      // the whole
-	reservedMemory int         // of the budget, for the body
-	upload         *upload     // a body that is still to come; nil: body is all
+	header         http.Header // headers to forward to a backend
+	body           []byte      // complete body, unless upload is set
+	reservedMemory int         // bytes reserved from the budget for body
+	upload         *upload     // body that is still arriving; nil if body is complete
 
-	announcedTrailers []string    // names of the body's trailers, as far as they are known
-	trailer           http.Header // of a whole body; nil: none
+	announcedTrailers []string    // names from the Trailer header
+	trailer           http.Header // trailers of a complete body; nil: none
 
-	// reply takes the one final answer, and may take one of 1xx before; the loop
-	// sends them and never waits.
+	// reply receives at most one 1xx response and then the final response. It has room
+	// for both, so that the loop never blocks on it.
 	reply chan response
 
-	service *serviceConfig // that it was read under, and in it
-	class   *rules.Class
+	service *serviceConfig // configuration that the request was parsed with
+	class   *rules.Class   // class, counts and plan belong to service
 	counts  *classCounts
 	plan    string
 
-	// The loop's own:
-	queueDelay      float64 // seconds until the loop took it in
-	inProgress      bool    // the final answer has not been given
-	accepted        bool    // its last byte has come
-	responseStarted bool    // its answer is on the way to the client
-	inFlight        int     // attempts out
+	// Owned by the loop:
+	queueDelay      float64 // seconds between the last byte and the loop's receipt
+	inProgress      bool    // the final response has not been sent
+	accepted        bool    // the last byte of the request has arrived
+	responseStarted bool    // a response is being streamed to the client
+	inFlight        int     // attempts in flight
 	attempts        []*attempt
-	rejectReason    string // why it was rejected; empty: it was not
+	rejectReason    string // empty if the request was not rejected
 }
 
-// abandon ends answers that nobody takes, as their handler has gone.
-func (x *exchange) discardReplies(b *budget) {
+// discardReplies discards responses whose handler has returned.
+func (x *exchange) discardReplies(budget *budget) {
 	for {
 		select {
-		case a := <-x.reply:
-			a.discard(b)
+		case reply := <-x.reply:
+			reply.discard(budget)
 		default:
 			return
 		}
 	}
 }
 
-// answer is what a client is told.
+// response is an interim (1xx) or final response to a client.
 type response struct {
 	status         int
-	fromBackend    bool    // a backend made it
-	retryAfter     float64 // seconds; 0: no advice
+	fromBackend    bool    // false if the gateway generated it
+	retryAfter     float64 // seconds; 0: no Retry-After header
 	header         http.Header
-	trailer        http.Header // behind the body; nil: none
+	trailer        http.Header // nil: none
 	body           []byte
-	reservedMemory int       // of the budget, for the body
-	length         int64     // of the body, or -1
-	download       *download // the body, where it is let go; nil: it is whole
+	reservedMemory int       // bytes reserved from the budget for body
+	length         int64     // of the body in bytes; -1 if unknown
+	download       *download // body that is streamed; nil if body is complete
 }
 
-// drop frees what an answer takes that goes to nobody.
-func (a response) discard(b *budget) {
-	b.release(a.reservedMemory)
-	if a.download != nil {
-		a.download.discard()
+// discard releases the resources of a response that is not sent.
+func (r response) discard(budget *budget) {
+	budget.release(r.reservedMemory)
+	if r.download != nil {
+		r.download.discard()
 	}
 }
 
-// frontend serves clients.
+// frontend is the HTTP handler for client requests.
 type frontend struct {
 	loop    *Loop
 	service atomic.Pointer[serviceConfig]
 
-	longestDeadline atomic.Int64 // of a class, nanoseconds: the shortest of all settings so far
+	// longestDeadline is the longest deadline of a class in nanoseconds, taken from
+	// the settings for which it was shortest since the start.
+	longestDeadline atomic.Int64
 
 	ready        atomic.Bool
-	shuttingDown atomic.Bool // connections are closed after their answer
+	shuttingDown atomic.Bool // connections are closed after their response
 	clients      *clientListener
 	metrics      *metrics
 }
 
-// server serves clients. The time for a body and for an answer depends on their
-// length, and is set where they are read and written.
+// server returns the HTTP server for clients. The deadlines for bodies and responses
+// depend on their length and are set where they are read and written.
 func (f *frontend) server() *http.Server {
 	return &http.Server{Handler: f, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		ConnState: f.clients.connState, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connInfoKey{}, &connInfo{acceptedAt: time.Now(), conn: c})
+		ConnState: f.clients.connState, ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
+			return context.WithValue(ctx, connInfoKey{}, &connInfo{acceptedAt: time.Now(), conn: conn})
 		}}
 }
 
-// takesClients is what "ready" means to the platform and to operators.
+// acceptsClients reports whether the gateway is ready to serve clients.
 func (f *frontend) acceptsClients() bool { return f.ready.Load() && !f.shuttingDown.Load() }
 
-// firstRequest tells the first request on a connection from later ones. Its
-// client's time counts from the connection, so that a slow head takes from it.
+// connInfo is the context value of a connection. The read timeout of the first request
+// counts from acceptedAt, so that a slow header uses up part of it.
 type connInfo struct {
 	acceptedAt       time.Time
 	conn             net.Conn
-	firstRequestDone bool // read and set by one request after the other
+	firstRequestDone bool // requests on a connection are served one at a time
 }
 
 type connInfoKey struct{}
 
-// requestSince is when a request may have begun.
+// requestStart returns the earliest time at which a request can have begun.
 func requestStart(r *http.Request) time.Time {
-	first, ok := r.Context().Value(connInfoKey{}).(*connInfo)
-	if !ok || first.firstRequestDone {
+	info, ok := r.Context().Value(connInfoKey{}).(*connInfo)
+	if !ok || info.firstRequestDone {
 		return time.Now()
 	}
-	return first.acceptedAt
+	return info.acceptedAt
 }
 
+// markRequestDone records that the first request on the connection has been served.
 func markRequestDone(r *http.Request) {
-	if first, ok := r.Context().Value(connInfoKey{}).(*connInfo); ok {
-		first.firstRequestDone = true
+	if info, ok := r.Context().Value(connInfoKey{}).(*connInfo); ok {
+		info.firstRequestDone = true
 	}
 }
 
+// ServeHTTP implements http.Handler.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.shuttingDown.Load() {
 		w.Header().Set("Connection", "close")
@@ -168,30 +172,30 @@
 	}
 	control := http.NewResponseController(w)
 	defer markRequestDone(r)
-	c := connOf(r)
-	if c != nil && c.wasEvicted() {
-		c.rejectRequest(unavailableResponse) // the request has been read
+	conn := connOf(r)
+	if conn != nil && conn.wasEvicted() {
+		conn.rejectRequest(unavailableResponse) // the request was read before the eviction
 		panic(http.ErrAbortHandler)
 	}
-	if c != nil && c.peerClosed() {
+	if conn != nil && conn.peerClosed() {
 		panic(http.ErrAbortHandler)
 	}
-	if c != nil && c.ambiguousFraming() {
+	if conn != nil && conn.ambiguousFraming() {
 		w.Header().Set("Connection", "close")
 		control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		http.Error(w, "the length of a request is told twice", http.StatusBadRequest)
 		return
 	}
 	if r.ContentLength != 0 {
-		// The answer may come before the end of the body, and the server reads a part
-		// of what is left over.
+		// The response may precede the end of the body, and net/http otherwise reads
+		// part of the remaining body first.
 		control.EnableFullDuplex()
 		control.SetReadDeadline(requestStart(r).Add(readTimeout))
 	}
-	x, status, err := f.read(r, control)
+	exch, status, err := f.read(r, control)
 	if err != nil {
 		if r.ContentLength != 0 {
-			w.Header().Set("Connection", "close") // the rest of its body may still come
+			w.Header().Set("Connection", "close") // the rest of the body may still arrive
 		}
 		if errors.Is(err, errNoBodyMemory) {
 			w.Header().Set("Retry-After", strconv.Itoa(budgetRetryAfter))
@@ -200,96 +204,97 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	defer func() { f.metrics.bodyBudget.release(x.reservedMemory) }()
-	if x.upload != nil {
-		defer x.upload.releaseMemory()
+	defer func() { f.metrics.bodyBudget.release(exch.reservedMemory) }()
+	if exch.upload != nil {
+		defer exch.upload.releaseMemory()
 	}
-	if !f.loop.post(requestArrived{x}) {
+	if !f.loop.post(requestArrived{exch}) {
 		http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		return
 	}
-	f.awaitResponse(w, r, x, control)
+	f.awaitResponse(w, r, exch, control)
 }
 
-// await gives the client what the loop says, or tells the loop that it has left.
-func (f *frontend) awaitResponse(w http.ResponseWriter, r *http.Request, x *exchange, control *http.ResponseController) {
-	var left <-chan struct{}
-	c := connOf(r)
-	if c != nil {
-		left = c.readAhead.peerClosed
+// awaitResponse sends the client the responses of the loop. It notifies the loop if the
+// client disconnects first.
+func (f *frontend) awaitResponse(w http.ResponseWriter, r *http.Request, exch *exchange, control *http.ResponseController) {
+	var peerClosed <-chan struct{}
+	conn := connOf(r)
+	if conn != nil {
+		peerClosed = conn.readAhead.peerClosed
 	}
 	for {
 		select {
-		case a := <-x.reply:
-			if a.interim() {
+		case reply := <-exch.reply:
+			if reply.interim() {
 				if r.ProtoAtLeast(1, 1) {
 					control.SetWriteDeadline(time.Now().Add(writeTimeout))
-					a.writeInterim(w)
+					reply.writeInterim(w)
 				}
 				continue
 			}
 			w.Header().Del("Connection")
-			if f.shuttingDown.Load() && (c == nil || !c.pipelined()) || !x.upload.complete() || c != nil && c.readAhead.full() {
+			if f.shuttingDown.Load() && (conn == nil || !conn.pipelined()) || !exch.upload.complete() || conn != nil && conn.readAhead.full() {
 				w.Header().Set("Connection", "close")
 			}
 			control.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if c != nil && !r.ProtoAtLeast(1, 1) {
-				c.closeDelimited.Store(true)
+			if conn != nil && !r.ProtoAtLeast(1, 1) {
+				conn.closeDelimited.Store(true)
 			}
-			err := f.writeResponse(a, x.header.Get(idHeader), w, control)
-			if x.upload != nil {
-				x.upload.close(control)
+			err := f.writeResponse(reply, exch.header.Get(idHeader), w, control)
+			if exch.upload != nil {
+				exch.upload.close(control)
 			}
 			if err != nil {
 				abortConnection(r)
 			}
-		case <-left:
-			if !f.loop.post(clientGone{x}) {
-				x.discardReplies(&f.metrics.bodyBudget)
+		case <-peerClosed:
+			if !f.loop.post(clientGone{exch}) {
+				exch.discardReplies(&f.metrics.bodyBudget)
 			}
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
-			if !f.loop.post(clientGone{x}) {
-				x.discardReplies(&f.metrics.bodyBudget)
+			if !f.loop.post(clientGone{exch}) {
+				exch.discardReplies(&f.metrics.bodyBudget)
 			}
 		case <-f.loop.stopped:
-			x.discardReplies(&f.metrics.bodyBudget)
+			exch.discardReplies(&f.metrics.bodyBudget)
 			http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		}
 		return
 	}
 }
 
-// connOf returns the connection of a request, if it is one of the gateway's own.
+// connOf returns the connection of a request, or nil if it is not a *clientConn.
 func connOf(r *http.Request) *clientConn {
-	if first, ok := r.Context().Value(connInfoKey{}).(*connInfo); ok {
-		c, _ := first.conn.(*clientConn)
-		return c
+	if info, ok := r.Context().Value(connInfoKey{}).(*connInfo); ok {
+		conn, _ := info.conn.(*clientConn)
+		return conn
 	}
 	return nil
 }
 
-// cutOff ends the connection of a client whose answer is not whole. It must not
-// take a part for the whole, as it would after a proper end in HTTP/1.0.
+// abortConnection aborts a connection whose response is incomplete. An HTTP/1.0 client
+// would take an orderly close for the end of the response, so it gets a reset.
 func abortConnection(r *http.Request) {
-	if c := connOf(r); c != nil && !r.ProtoAtLeast(1, 1) {
-		c.reset()
+	if conn := connOf(r); conn != nil && !r.ProtoAtLeast(1, 1) {
+		conn.reset()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// read takes a request in, as far as it is held, or says with which status it is
-// turned down.
+// read parses a request and reads its body as far as it is held in memory. On an error
+// it returns the status of the response.
 func (f *frontend) read(r *http.Request, control *http.ResponseController) (*exchange, int, error) {
 	now := f.loop.clock.now()
-	x := &exchange{method: r.Method, uri: originForm(r.RequestURI), host: r.Host, reply: make(chan response, 2)}
-	x.service = f.service.Load()
-	ask, err := x.service.parseRequest(r)
+	exch := &exchange{method: r.Method, uri: originForm(r.RequestURI), host: r.Host, reply: make(chan response, 2)}
+	exch.service = f.service.Load()
+	request, err := exch.service.parseRequest(r)
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
-	class := &x.service.Classes[ask.Class]
-	x.request, x.class, x.counts, x.plan = ask, class, x.service.counts[ask.Class], x.service.PlanNames[ask.Plan]
+	class := &exch.service.Classes[request.Class]
+	exch.request, exch.class, exch.counts, exch.plan = request, class, exch.service.counts[request.Class], exch.service.PlanNames[request.Plan]
 	switch key := r.Header.Get(idempotencyHeader); {
 	case class.Effect == rules.Repeatable && r.Method != http.MethodGet && r.Method != http.MethodHead,
 		class.Effect != rules.Repeatable && r.Method != http.MethodPost:
@@ -298,24 +303,25 @@
 		return nil, http.StatusBadRequest, errors.New(idempotencyHeader + " is missing")
 	case len(key) > maxIDBytes:
 		return nil, http.StatusBadRequest, errors.New(idempotencyHeader + " is too long")
-	case x.service.maxBodyBytes > 0 && r.ContentLength > x.service.maxBodyBytes:
+	case exch.service.maxBodyBytes > 0 && r.ContentLength > exch.service.maxBodyBytes:
 		return nil, http.StatusRequestEntityTooLarge, errBodyTooLong
 	}
 	if r.ContentLength != 0 {
-		if status, err := f.readBody(x, r, control); err != nil {
+		if status, err := f.readBody(exch, r, control); err != nil {
 			return nil, status, err
 		}
-		now = f.loop.clock.now() // a request's time counts from its last byte
+		now = f.loop.clock.now() // the client timeout counts from the last byte
 	}
-	x.request.Sent = now
-	x.request.Deadline += now - responseMargin
-	x.header = endToEndHeaders(r.Header)
-	delete(x.header, timeLeftHeader) // each attempt has its own
-	return x, 0, nil
+	exch.request.Sent = now
+	exch.request.Deadline += now - responseMargin
+	exch.header = endToEndHeaders(r.Header)
+	delete(exch.header, timeLeftHeader) // each attempt sets its own
+	return exch, 0, nil
 }
 
-// readBody takes in the body of a request until it is whole or has to go on.
-func (f *frontend) readBody(x *exchange, r *http.Request, control *http.ResponseController) (int, error) {
+// readBody reads the body of a request until it is complete or has to be streamed. On an
+// error it returns the status of the response.
+func (f *frontend) readBody(exch *exchange, r *http.Request, control *http.ResponseController) (int, error) {
 	long := r.ContentLength > maxHeldBody
 	held := int(r.ContentLength)
 	memory := held
@@ -327,22 +333,22 @@
 	}
 	if memory > uncountedBytes {
 		if err := f.metrics.bodyBudget.reserve(r.Context(), memory); err != nil {
-			x.counts.dropped.Add(1)
+			exch.counts.dropped.Add(1)
 			f.metrics.uploads.ended[noMemory].Add(1)
 			return http.StatusServiceUnavailable, err
 		}
 	} else {
 		memory = 0
 	}
-	rest := newClientBody(r, control, x.service.maxBodyBytes, &f.metrics.uploads.bytes)
-	start := newBodyPrefix(rest, r.ContentLength, held)
-	whole, err := false, error(nil)
+	remainder := newClientBody(r, control, exch.service.maxBodyBytes, &f.metrics.uploads.bytes)
+	prefix := newBodyPrefix(remainder, r.ContentLength, held)
+	complete, err := false, error(nil)
 	switch {
 	case long:
 	case r.ContentLength > 0:
-		whole, err = start.fill()
+		complete, err = prefix.fill()
 	default:
-		whole, err = fillWithin(start, maxHoldTime)
+		complete, err = fillWithin(prefix, maxHoldTime)
 	}
 	if err != nil {
 		f.metrics.bodyBudget.release(memory)
@@ -350,126 +356,127 @@
 		return uploadStatus(err), fmt.Errorf("body: %w", err)
 	}
 	for name := range r.Trailer {
-		x.announcedTrailers = append(x.announcedTrailers, name)
+		exch.announcedTrailers = append(exch.announcedTrailers, name)
 	}
-	if whole {
-		x.body, x.trailer, x.reservedMemory = start.held, forwardableTrailers(r.Trailer), f.metrics.bodyBudget.shrink(memory, len(start.held))
+	if complete {
+		exch.body, exch.trailer, exch.reservedMemory = prefix.held, forwardableTrailers(r.Trailer), f.metrics.bodyBudget.shrink(memory, len(prefix.held))
 		return 0, nil
 	}
-	x.request.Open = true
-	x.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(x.request.Deadline), budget: &f.metrics.bodyBudget,
-		prefix: start, remainder: rest, memory: held, window: window{budget: &f.metrics.bodyBudget, prepaid: minWindow}}
-	x.upload.onComplete = func(until time.Time) { f.loop.post(bodyComplete{x, until}) }
+	exch.request.Open = true
+	exch.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(exch.request.Deadline), budget: &f.metrics.bodyBudget,
+		prefix: prefix, remainder: remainder, memory: held, window: window{budget: &f.metrics.bodyBudget, prepaid: minWindow}}
+	exch.upload.onComplete = func(until time.Time) { f.loop.post(bodyComplete{exch, until}) }
 	return 0, nil
 }
 
-// fillFor fills an intake for so long. Longer than that, it goes on filling, and
-// the body is let go.
-func fillWithin(in *bodyPrefix, d time.Duration) (whole bool, err error) {
-	type end struct {
-		whole bool
-		err   error
+// fillWithin fills a prefix for at most the given time. After that the body is released
+// for streaming and the prefix is filled in the background.
+func fillWithin(prefix *bodyPrefix, timeout time.Duration) (complete bool, err error) {
+	type fillResult struct {
+		complete bool
+		err      error
 	}
-	ended := make(chan end, 1)
-	go func() { whole, err := in.fill(); ended <- end{whole, err} }()
-	timer := time.NewTimer(d)
+	results := make(chan fillResult, 1)
+	go func() { complete, err := prefix.fill(); results <- fillResult{complete, err} }()
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case e := <-ended:
-		return e.whole, e.err
+	case result := <-results:
+		return result.complete, result.err
 	case <-timer.C:
 	}
-	if in.release() {
+	if prefix.release() {
 		return false, nil
 	}
-	e := <-ended
-	return e.whole, e.err
+	result := <-results
+	return result.complete, result.err
 }
 
-// originForm takes the address off a request target that has one; to a backend
-// goes what is left.
+// originForm returns the origin form (path and query) of a request target, which may be
+// in absolute form.
 func originForm(target string) string {
 	if _, rest, absolute := strings.Cut(target, "://"); absolute && !strings.HasPrefix(target, "/") {
 		_, path, _ := strings.Cut(rest, "/")
-		if at := strings.IndexByte(rest, '?'); at >= 0 && at < len(rest)-len(path)-1 {
-			path = rest[at:] // a query with no path before it
+		if query := strings.IndexByte(rest, '?'); query >= 0 && query < len(rest)-len(path)-1 {
+			path = rest[query:] // a query without a path
 		}
 		return "/" + path
 	}
 	return target
 }
 
-// parse reads the headers that the decisions need. Nothing has a default: a
-// request that is not understood might be charged to the wrong customer or
-// repeated against its class.
+// parseRequest parses the headers that the decision module needs. No header has a default:
+// a misread request could be charged to the wrong customer or retried against the rules
+// of its class.
 func (s *serviceConfig) parseRequest(r *http.Request) (rules.Request, error) {
-	var q rules.Request
-	h := r.Header
-	if id := h.Get(idHeader); id == "" || len(id) > maxIDBytes {
-		return q, errors.New(idHeader + " is missing or too long")
+	var request rules.Request
+	header := r.Header
+	if id := header.Get(idHeader); id == "" || len(id) > maxIDBytes {
+		return request, errors.New(idHeader + " is missing or too long")
 	}
-	class := h.Get(classHeader)
-	if q.Class = slices.Index(s.ClassNames, class); q.Class < 0 {
-		return q, errors.New(classHeader + " names no class")
+	class := header.Get(classHeader)
+	if request.Class = slices.Index(s.ClassNames, class); request.Class < 0 {
+		return request, errors.New(classHeader + " names no class")
 	}
 	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != class || strings.HasPrefix(r.RequestURI, "//") {
-		return q, errors.New("the path is not one of the class")
+		return request, errors.New("the path is not one of the class")
 	}
-	if q.Plan = slices.Index(s.PlanNames, h.Get(planHeader)); q.Plan < 0 {
-		return q, errors.New(planHeader + " names no plan")
+	if request.Plan = slices.Index(s.PlanNames, header.Get(planHeader)); request.Plan < 0 {
+		return request, errors.New(planHeader + " names no plan")
 	}
-	customer := h.Get(customerHeader)
-	n, err := strconv.ParseUint(customer, 16, 64)
-	if err != nil || len(customer) != 16 || n >= customerIDLimit {
-		return q, errors.New(customerHeader + " is not the number of a customer")
+	customer := header.Get(customerHeader)
+	id, err := strconv.ParseUint(customer, 16, 64)
+	if err != nil || len(customer) != 16 || id >= customerIDLimit {
+		return request, errors.New(customerHeader + " is not the number of a customer")
 	}
-	q.Customer = rules.CustomerID(n)
-	left, err := strconv.ParseInt(h.Get(timeLeftHeader), 10, 64)
-	if err != nil || left <= 0 || left > maxClientTimeout.Milliseconds() {
-		return q, errors.New(timeLeftHeader + " is not a time in milliseconds")
+	request.Customer = rules.CustomerID(id)
+	timeLeft, err := strconv.ParseInt(header.Get(timeLeftHeader), 10, 64)
+	if err != nil || timeLeft <= 0 || timeLeft > maxClientTimeout.Milliseconds() {
+		return request, errors.New(timeLeftHeader + " is not a time in milliseconds")
 	}
-	q.Deadline = float64(left) / 1000 // from when it is whole
-	q.Repeat = h.Get(repeatHeader) == "1"
-	return q, s.parseTerms(&q, h.Get(termsHeader))
+	request.Deadline = float64(timeLeft) / 1000 // seconds after the last byte
+	request.Repeat = header.Get(repeatHeader) == "1"
+	return request, s.parseTerms(&request, header.Get(termsHeader))
 }
 
-// terms reads the units of a request and the gateways of its customer.
-func (s *serviceConfig) parseTerms(q *rules.Request, text string) error {
+// parseTerms parses the units of a request and the gateways that its customer is spread
+// over.
+func (s *serviceConfig) parseTerms(request *rules.Request, text string) error {
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		var err error
 		switch key {
 		case "units":
-			q.Units, err = strconv.ParseFloat(value, 64)
+			request.Units, err = strconv.ParseFloat(value, 64)
 		case "spread":
-			q.Gateways, err = strconv.Atoi(value)
+			request.Gateways, err = strconv.Atoi(value)
 		case "first":
-			q.FirstPeer, err = strconv.Atoi(value)
+			request.FirstPeer, err = strconv.Atoi(value)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %s is not a number", termsHeader, key)
 		}
 	}
-	most := s.MaxUnits
-	if most <= 0 {
-		most = math.MaxInt32
+	maxUnits := s.MaxUnits
+	if maxUnits <= 0 {
+		maxUnits = math.MaxInt32
 	}
-	if !(q.Units > 0 && q.Units <= most) || q.Gateways < 1 || q.Gateways > s.Fleet ||
-		q.FirstPeer < 0 || q.FirstPeer >= s.Fleet {
+	if !(request.Units > 0 && request.Units <= maxUnits) || request.Gateways < 1 || request.Gateways > s.Fleet ||
+		request.FirstPeer < 0 || request.FirstPeer >= s.Fleet {
 		return errors.New(termsHeader + ": units, spread or first is missing or out of range")
 	}
 	return nil
 }
 
-// hopByHop are the headers that end at this gateway.
+// hopByHopHeaders are the headers that are not forwarded.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// passedOn returns the headers for the other side: all but those that belong to
-// the connection. It uses up h.
+// endToEndHeaders removes the hop-by-hop headers from h, including those that Connection
+// lists, and returns h.
 func endToEndHeaders(h http.Header) http.Header {
-	for _, named := range h["Connection"] {
-		for name := range strings.SplitSeq(named, ",") {
+	for _, list := range h["Connection"] {
+		for name := range strings.SplitSeq(list, ",") {
 			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name != idHeader && name != idempotencyHeader {
 				delete(h, name)
 			}
@@ -481,7 +488,7 @@
 	return h
 }
 
-// trailers returns what goes on of the headers behind a body, or nil.
+// forwardableTrailers returns the end-to-end trailers in h, or nil if there are none.
 func forwardableTrailers(h http.Header) http.Header {
 	var kept http.Header
 	for name, values := range h {
@@ -495,67 +502,68 @@
 	return kept
 }
 
-func (a response) interim() bool { return a.status/100 == 1 }
+// interim reports whether the response is a 1xx.
+func (r response) interim() bool { return r.status/100 == 1 }
 
-// writeInterim passes a 1xx on, whose headers are its own.
-func (a response) writeInterim(w http.ResponseWriter) {
-	h := w.Header()
-	for k, v := range endToEndHeaders(a.header) {
-		h[k] = v
+// writeInterim writes a 1xx response. Its headers are not repeated in the final one.
+func (r response) writeInterim(w http.ResponseWriter) {
+	header := w.Header()
+	for name, values := range endToEndHeaders(r.header) {
+		header[name] = values
 	}
-	w.WriteHeader(a.status)
-	clear(h)
+	w.WriteHeader(r.status)
+	clear(header)
 }
 
-// write gives the answer to the client. An error says that it is not whole, and
-// that the client can't tell so far.
-func (f *frontend) writeResponse(a response, id string, w http.ResponseWriter, control *http.ResponseController) error {
-	defer f.metrics.bodyBudget.release(a.reservedMemory)
-	h := w.Header()
-	for k, v := range a.header {
-		h[k] = v
-	}
-	if !a.fromBackend {
-		if a.retryAfter > 0 {
-			h["Retry-After"] = []string{strconv.FormatFloat(math.Ceil(a.retryAfter*1000)/1000, 'f', -1, 64)}
+// writeResponse writes a final response. An error means that the response is incomplete
+// and that the client cannot tell so far.
+func (f *frontend) writeResponse(reply response, id string, w http.ResponseWriter, control *http.ResponseController) error {
+	defer f.metrics.bodyBudget.release(reply.reservedMemory)
+	header := w.Header()
+	for name, values := range reply.header {
+		header[name] = values
+	}
+	if !reply.fromBackend {
+		if reply.retryAfter > 0 {
+			header["Retry-After"] = []string{strconv.FormatFloat(math.Ceil(reply.retryAfter*1000)/1000, 'f', -1, 64)}
 		}
-		h["Content-Length"] = []string{"0"}
-		w.WriteHeader(a.status)
+		header["Content-Length"] = []string{"0"}
+		w.WriteHeader(reply.status)
 		return nil
 	}
-	if _, typed := h["Content-Type"]; !typed {
-		h["Content-Type"] = nil // the backend named none, and guessing costs time
+	if _, typed := header["Content-Type"]; !typed {
+		header["Content-Type"] = nil // prevents content sniffing
 	}
-	if a.length < 0 && a.download == nil && a.trailer == nil {
-		a.length = int64(len(a.body))
+	if reply.length < 0 && reply.download == nil && reply.trailer == nil {
+		reply.length = int64(len(reply.body))
 	}
-	if a.length >= 0 && a.status != http.StatusNoContent && a.status != http.StatusNotModified {
-		h["Content-Length"] = []string{strconv.FormatInt(a.length, 10)}
+	if reply.length >= 0 && reply.status != http.StatusNoContent && reply.status != http.StatusNotModified {
+		header["Content-Length"] = []string{strconv.FormatInt(reply.length, 10)}
 	}
-	if a.download == nil {
-		addTrailers(h, a.trailer) // before the head, so that the body goes in chunks
-		w.WriteHeader(a.status)
-		w.Write(a.body) // an error means that the client has left
+	if reply.download == nil {
+		addTrailers(header, reply.trailer) // before the header, so that the body is sent in chunks
+		w.WriteHeader(reply.status)
+		w.Write(reply.body) // an error means that the client has disconnected
 		return nil
 	}
-	return f.streamResponse(a, id, w, control)
+	return f.streamResponse(reply, id, w, control)
 }
 
-// stream gives an answer to the client that is let go.
-func (f *frontend) streamResponse(a response, id string, w http.ResponseWriter, control *http.ResponseController) error {
-	d := a.download
-	if !d.claim() {
-		return errUploadAborted // the loop has dropped it, as the client has left
+// streamResponse writes a response whose body is still arriving from the backend.
+func (f *frontend) streamResponse(reply response, id string, w http.ResponseWriter, control *http.ResponseController) error {
+	download := reply.download
+	if !download.claim() {
+		return errTransferAborted // the loop discarded it because the client disconnected
 	}
 	f.metrics.downloads.streaming.Add(1)
 	defer f.metrics.downloads.streaming.Add(-1)
-	w.WriteHeader(a.status)
+	w.WriteHeader(reply.status)
 	outcome, err := rules.Cancelled, control.Flush()
 	if err == nil {
-		outcome, err = d.copyTo(w, control)
+		outcome, err = download.copyTo(w, control)
 	}
 	if outcome == rules.Served {
-		addTrailers(w.Header(), d.trailers())
+		addTrailers(w.Header(), download.trailers())
 		if err = control.Flush(); err != nil {
 			outcome = rules.Cancelled
 		}
@@ -568,11 +576,11 @@
 	default:
 		f.metrics.downloads.recordEnd(timeoutCause(err, backendSlow, backendBroken), id, err)
 	}
-	d.done <- outcome
+	download.done <- outcome
 	return err
 }
 
-// addTrailers puts headers behind a body.
+// addTrailers adds trailers to the headers h of a response.
 func addTrailers(h, trailer http.Header) {
 	for name, values := range trailer {
 		h[http.TrailerPrefix+name] = values
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -102,7 +102,7 @@
 	if !over {
 		c.Close() // nothing more of the body may leave
 		reuse = false
-		if err = errUploadAborted; a.lastPiece.Load() {
+		if err = errTransferAborted; a.lastPiece.Load() {
 			err = <-sent // the sender is at the last piece
 		}
 	}
@@ -112,7 +112,7 @@
 	}
 	// The body broke off before its end was written, so the backend has run nothing.
 	res.outcome, res.err, res.bodyErr = rules.ConnectFailed, err, cut
-	if cut != nil || errors.Is(err, errUploadAborted) && u.responseSent() {
+	if cut != nil || errors.Is(err, errTransferAborted) && u.responseSent() {
 		res.outcome = rules.Moot // the backend is not to blame
 	}
 	return res, false
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -24,8 +24,8 @@
 )
 
 var (
-	errBodyTooLong   = errors.New("the body is too long")
-	errUploadAborted = errors.New("the client has its answer")
+	errBodyTooLong     = errors.New("the body is too long")
+	errTransferAborted = errors.New("the client has its answer")
 )
 
 // pace bounds how long one side of a transfer may keep it waiting: not longer
@@ -80,7 +80,7 @@
 
 // fill reads until the body need not be held any more. It tells whether the body
 // is whole, and why not if its reading has failed.
-func (in *bodyPrefix) fill() (whole bool, err error) {
+func (in *bodyPrefix) fill() (complete bool, err error) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for {
@@ -284,7 +284,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sender = nil
-	if u.err != io.EOF && u.err != errUploadAborted {
+	if u.err != io.EOF && u.err != errTransferAborted {
 		cut = u.err
 	}
 	return u.reader != nil, cut
@@ -320,7 +320,7 @@
 	case u.err != nil:
 		return u.err
 	case u.closed || u.sender != a:
-		return errUploadAborted
+		return errTransferAborted
 	case reads && u.reader == nil:
 		u.reader = a
 		u.prefix.discard()
@@ -338,7 +338,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.err = err; u.closed && err != io.EOF {
-		u.err = errUploadAborted // by the handler's own hand
+		u.err = errTransferAborted // by the handler's own hand
 	}
 	if err == io.EOF {
 		u.responseDeadline = u.remainder.arrival.lastByteTime().Add(u.clientTimeout - seconds(responseMargin))
