--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -96,7 +96,7 @@
 
 func newMetrics(c *Config) *metrics {
 	f := &metrics{bodyBudget: budget{total: bodyMemory(c.MemoryMB)}}
-	if c.Scopes.subset.On() {
+	if c.Scopes.subset.Enabled() {
 		f.subset = &subsetMetrics{}
 	}
 	return f
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -362,7 +362,7 @@
 		exch.body, exch.trailer, exch.reservedMemory = prefix.held, forwardableTrailers(r.Trailer), f.metrics.bodyBudget.shrink(memory, len(prefix.held))
 		return 0, nil
 	}
-	exch.request.Open = true
+	exch.request.BodyPending = true
 	exch.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(exch.request.Deadline), budget: &f.metrics.bodyBudget,
 		prefix: prefix, remainder: remainder, memory: held, window: window{budget: &f.metrics.bodyBudget, prepaid: minWindow}}
 	exch.upload.onComplete = func(until time.Time) { f.loop.post(bodyComplete{exch, until}) }
@@ -435,7 +435,7 @@
 		return request, errors.New(timeLeftHeader + " is not a time in milliseconds")
 	}
 	request.Deadline = float64(timeLeft) / 1000 // seconds after the last byte
-	request.Repeat = header.Get(repeatHeader) == "1"
+	request.ClientRetry = header.Get(repeatHeader) == "1"
 	return request, s.parseTerms(&request, header.Get(termsHeader))
 }
 
@@ -449,9 +449,9 @@
 		case "units":
 			request.Units, err = strconv.ParseFloat(value, 64)
 		case "spread":
-			request.Gateways, err = strconv.Atoi(value)
+			request.GatewayCount, err = strconv.Atoi(value)
 		case "first":
-			request.FirstPeer, err = strconv.Atoi(value)
+			request.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %s is not a number", termsHeader, key)
@@ -461,8 +461,8 @@
 	if maxUnits <= 0 {
 		maxUnits = math.MaxInt32
 	}
-	if !(request.Units > 0 && request.Units <= maxUnits) || request.Gateways < 1 || request.Gateways > s.Fleet ||
-		request.FirstPeer < 0 || request.FirstPeer >= s.Fleet {
+	if !(request.Units > 0 && request.Units <= maxUnits) || request.GatewayCount < 1 || request.GatewayCount > s.Fleet ||
+		request.FirstGateway < 0 || request.FirstGateway >= s.Fleet {
 		return errors.New(termsHeader + ": units, spread or first is missing or out of range")
 	}
 	return nil
