--- a/internal/group/bench_test.go
+++ b/internal/group/bench_test.go
@@ -12,12 +12,12 @@
 	"dunlintray/internal/wal"
 )
 
-// BenchmarkWrites is of writers that each wait for their answer, before groups whose
-// members meet by HTTP on this machine and keep what they promise on its disk.
+// BenchmarkWrites measures concurrent clients that wait for each write, on groups whose members
+// use HTTP on the loopback interface and logs on the local disk.
 func BenchmarkWrites(b *testing.B) {
-	before := slog.Default()
+	previousLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	defer slog.SetDefault(before)
+	defer slog.SetDefault(previousLogger)
 	for _, size := range []int{1, 3, 5} {
 		for _, writers := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("members=%d/writers=%d", size, writers), func(b *testing.B) {
@@ -25,14 +25,14 @@
 				var wg sync.WaitGroup
 				defer wg.Wait()
 				defer stop()
-				members, listeners, at := map[uint64]string{}, make([]net.Listener, size), []string(nil)
+				members, listeners, addresses := map[uint64]string{}, make([]net.Listener, size), []string(nil)
 				for n := range size {
-					l, err := net.Listen("tcp", "127.0.0.1:0")
+					listener, err := net.Listen("tcp", "127.0.0.1:0")
 					if err != nil {
 						b.Fatal(err)
 					}
-					listeners[n], members[uint64(n+1)] = l, l.Addr().String()
-					at = append(at, l.Addr().String())
+					listeners[n], members[uint64(n+1)] = listener, listener.Addr().String()
+					addresses = append(addresses, listener.Addr().String())
 				}
 				var groups []*Group
 				for n := range size {
@@ -47,7 +47,7 @@
 				}
 				clients := make([]*Client, writers)
 				for n := range clients {
-					clients[n] = NewClient(at)
+					clients[n] = NewClient(addresses)
 					defer clients[n].Close()
 				}
 				write := func(n int) {
@@ -56,29 +56,29 @@
 					}
 				}
 				for n := range clients {
-					write(n) // the connections stand
+					write(n) // opens the connections
 				}
-				before := int64(0)
+				syncsBefore := int64(0)
 				for _, g := range groups {
-					before += g.log.Stats().Syncs
+					syncsBefore += g.log.Stats().Syncs
 				}
 				b.ResetTimer()
-				var each sync.WaitGroup
+				var writing sync.WaitGroup
 				for n := range clients {
-					each.Go(func() {
+					writing.Go(func() {
 						for i := n; i < b.N; i += writers {
 							write(n)
 						}
 					})
 				}
-				each.Wait()
+				writing.Wait()
 				b.StopTimer()
-				after := int64(0)
+				syncsAfter := int64(0)
 				for _, g := range groups {
-					after += g.log.Stats().Syncs
+					syncsAfter += g.log.Stats().Syncs
 				}
 				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "writes/s")
-				b.ReportMetric(float64(after-before)/float64(b.N), "syncs/write")
+				b.ReportMetric(float64(syncsAfter-syncsBefore)/float64(b.N), "syncs/write")
 			})
 		}
 	}
--- a/internal/group/client_test.go
+++ b/internal/group/client_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// A call that ends with its context names the last failure from before, not the try that
-// the end of the context cut short.
-func TestCallNamesItsLastFailure(t *testing.T) {
+// A call that ends with its context reports the last failure before that, not the attempt that
+// the context aborted.
+func TestCallReportsLastFailure(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var calls atomic.Int32
 	member := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -28,9 +28,9 @@
 	defer c.Close()
 	_, _, err := c.call(ctx, http.MethodGet, "/", nil)
 	if !errors.Is(err, context.Canceled) || !strings.Contains(err.Error(), "no leader is elected") {
-		t.Errorf("the call ended with: %v", err)
+		t.Errorf("got error %v, want the last failure and context.Canceled", err)
 	}
 	if n := calls.Load(); n != 2 {
-		t.Errorf("%d calls came, not 2", n)
+		t.Errorf("got %d requests, want 2", n)
 	}
 }
--- a/internal/group/simulation_test.go
+++ b/internal/group/simulation_test.go
@@ -19,18 +19,18 @@
 	"dunlintray/internal/linear"
 )
 
-// memory is a disk whose power can be cut: what was appended stays.
-type memory struct {
+// memoryLog is a DurableLog in memory that survives restarts of its member.
+type memoryLog struct {
 	records  [][]byte
 	last     uint64
-	appended int // since the snapshot
+	appended int // records since the snapshot
 	defect   string
-	fail     bool
+	failing  bool
 }
 
-func (m *memory) Append(records [][]byte) (uint64, error) {
-	if m.fail {
-		return 0, fmt.Errorf("no room")
+func (m *memoryLog) Append(records [][]byte) (uint64, error) {
+	if m.failing {
+		return 0, fmt.Errorf("no space")
 	}
 	for _, r := range records {
 		m.last++
@@ -43,363 +43,367 @@
 	return m.last, nil
 }
 
-func (m *memory) SnapshotDue() bool { return m.appended > 300 }
+func (m *memoryLog) SnapshotDue() bool { return m.appended > 300 }
 
-func (m *memory) LastSequence() uint64 { return m.last }
+func (m *memoryLog) LastSequence() uint64 { return m.last }
 
-func (m *memory) Snapshot(_ uint64, records func(func([]byte) error) error) error {
+func (m *memoryLog) Snapshot(_ uint64, records func(func([]byte) error) error) error {
 	var all [][]byte
 	err := records(func(r []byte) error { all = append(all, append([]byte(nil), r...)); return nil })
 	m.records, m.appended = all, 0
 	return err
 }
 
-// simulated is one member in a simulation.
-type simulated struct {
-	disk  *memory
-	core  *core // nil: it is down
-	state *ledger.State
-	book  *memberTable
-	gone  bool              // it was taken out
-	reads map[uint64]uint64 // confirmed at, by key
+// simulatedMember is one member in a simulation.
+type simulatedMember struct {
+	log            *memoryLog
+	core           *core // nil: stopped
+	state          *ledger.State
+	members        *memberTable
+	removed        bool              // removed from the group
+	confirmedReads map[uint64]uint64 // index of each confirmed read by key
 }
 
-// call is one that a client has under way.
-type call struct {
-	member  int
-	key     uint64
-	command ledger.Command
-	get     bool
-	current bool
-	began   int64
-	until   int64 // then the client asks elsewhere
+// pendingCall is the call that a client waits for.
+type pendingCall struct {
+	member   int
+	key      uint64
+	command  ledger.Command
+	read     bool
+	current  bool
+	start    int64
+	deadline int64 // the client retries elsewhere after that
 }
 
-type client struct {
-	n       int
+// simulatedClient is a client with at most one pending call.
+type simulatedClient struct {
+	number  int
 	request uint64
-	known   map[string]known // by name, of the last read
-	call    *call
+	known   map[string]lastRead // last read by record name
+	call    *pendingCall
 }
 
-type known struct {
+// lastRead is the version and value of a record that a client has seen last.
+type lastRead struct {
 	version uint64
 	value   string
 }
 
+// simulation runs the members of a group and their clients in one goroutine.
 type simulation struct {
-	t        *testing.T
-	random   *rand.Rand
-	defect   string
-	members  []*simulated
-	founders int
-	changed  int // times that the members were
-	wires    []*raftpb.Message
-	cut      func(a, b uint64) bool
-	now      int64
-	key      uint64
-	clients  []*client
-	history  []porcupine.Operation
-	done     int
-	unknown  int
-	closing  bool // no new calls
+	t              *testing.T
+	random         *rand.Rand
+	defect         string
+	members        []*simulatedMember
+	founders       int
+	memberChanges  int // proposed
+	messages       []*raftpb.Message
+	blocked        func(a, b uint64) bool
+	clock          int64
+	key            uint64
+	clients        []*simulatedClient
+	history        []porcupine.Operation
+	completedCalls int
+	unknownCalls   int
+	closing        bool // clients start no new calls
 }
 
-const callSteps = 400
+// callTimeoutSteps is the number of steps after which a client retries a call.
+const callTimeoutSteps = 400
 
-func (s *simulation) start(n int) {
-	m := s.members[n]
-	r := &recoveredState{}
-	for _, text := range m.disk.records {
-		if err := r.addRecord(text); err != nil {
+// start starts the process of a member from its log.
+func (s *simulation) start(index int) {
+	member := s.members[index]
+	recovered := &recoveredState{}
+	for _, record := range member.log.records {
+		if err := recovered.addRecord(record); err != nil {
 			s.t.Fatal(err)
 		}
 	}
-	founding := map[uint64]Member{}
-	for _, v := range voters(s.founders) {
-		founding[v] = Member{Address: fmt.Sprint(v)}
+	initialMembers := map[uint64]Member{}
+	for _, v := range voterNumbers(s.founders) {
+		initialMembers[v] = Member{Address: fmt.Sprint(v)}
 	}
-	m.state, m.book = ledger.New(ledger.DefaultLimits), newMemberTable(founding)
+	member.state, member.members = ledger.New(ledger.DefaultLimits), newMemberTable(initialMembers)
 	var err error
-	if m.core, err = newCore(identity{"g", uint64(n + 1)}, "p", voters(s.founders), n >= s.founders, m.disk, r, replicatedState{m.state, nil, m.book}); err != nil {
+	if member.core, err = newCore(identity{"g", uint64(index + 1)}, "p", voterNumbers(s.founders), index >= s.founders, member.log, recovered, replicatedState{member.state, nil, member.members}); err != nil {
 		s.t.Fatal(err)
 	}
-	m.reads = map[uint64]uint64{}
+	member.confirmedReads = map[uint64]uint64{}
 }
 
-func voters(n int) (all []uint64) {
+func voterNumbers(n int) (numbers []uint64) {
 	for i := range n {
-		all = append(all, uint64(i+1))
+		numbers = append(numbers, uint64(i+1))
 	}
-	return all
+	return numbers
 }
 
-// turn carries out what a member's last event led to.
-func (s *simulation) turn(n int) {
-	m := s.members[n]
-	out, err := m.core.processReady()
+// advance processes what the last event of a member has made ready.
+func (s *simulation) advance(index int) {
+	member := s.members[index]
+	output, err := member.core.processReady()
 	if err != nil {
-		m.core = nil // its disk has failed, and it ends
+		member.core = nil // stopped by a failed disk
 		return
 	}
-	if m.book.wasRemoved(uint64(n + 1)) {
-		m.core, m.gone = nil, true // it says no more
+	if member.members.wasRemoved(uint64(index + 1)) {
+		member.core, member.removed = nil, true // a removed member sends nothing
 		return
 	}
-	for _, w := range out.send {
-		s.wires = append(s.wires, proto.Clone(w).(*raftpb.Message))
+	for _, message := range output.send {
+		s.messages = append(s.messages, proto.Clone(message).(*raftpb.Message))
 	}
-	for _, r := range out.reads {
-		m.reads[binary.BigEndian.Uint64(r.RequestCtx)] = max(r.Index, 1)
+	for _, r := range output.reads {
+		member.confirmedReads[binary.BigEndian.Uint64(r.RequestCtx)] = max(r.Index, 1)
 	}
-	for _, a := range out.applied {
+	for _, a := range output.applied {
 		for _, c := range s.clients {
-			if c.call != nil && !c.call.get && c.call.member == n && !a.isConfChange && c.call.key == a.key {
-				s.answered(c, a.result.(ledger.Result))
+			if c.call != nil && !c.call.read && c.call.member == index && !a.isConfChange && c.call.key == a.key {
+				s.completeWrite(c, a.result.(ledger.Result))
 			}
 		}
 	}
 	for _, c := range s.clients {
-		if k := c.call; k != nil && k.get && k.member == n {
-			if index, confirmed := m.reads[k.key]; confirmed && m.core.applied >= index {
-				s.read(c)
+		if call := c.call; call != nil && call.read && call.member == index {
+			if readIndex, confirmed := member.confirmedReads[call.key]; confirmed && member.core.applied >= readIndex {
+				s.completeRead(c)
 			}
 		}
 	}
 }
 
-func (s *simulation) finish(c *client, in linear.Asked, out linear.Got) {
-	end := s.now
-	if !out.Known {
-		s.unknown++
+func (s *simulation) finish(client *simulatedClient, input linear.Asked, output linear.Got) {
+	end := s.clock
+	if !output.Known {
+		s.unknownCalls++
 		end = 1 << 60
 	}
-	s.history = append(s.history, porcupine.Operation{ClientId: c.n, Input: in, Call: c.call.began, Output: out, Return: end})
-	c.call = nil
-	s.done++
+	s.history = append(s.history, porcupine.Operation{ClientId: client.number, Input: input, Call: client.call.start, Output: output, Return: end})
+	client.call = nil
+	s.completedCalls++
 }
 
-func (s *simulation) answered(c *client, r ledger.Result) {
-	in := c.input()
+func (s *simulation) completeWrite(client *simulatedClient, r ledger.Result) {
+	input := client.input()
 	switch r.Code {
 	case ledger.OK:
-		c.known[in.Name] = known{r.Version, in.Value}
-		s.finish(c, in, linear.Got{Known: true})
+		client.known[input.Name] = lastRead{r.Version, input.Value}
+		s.finish(client, input, linear.Got{Known: true})
 	case ledger.Conflict:
-		s.finish(c, in, linear.Got{Known: true, Conflict: true})
+		s.finish(client, input, linear.Got{Known: true, Conflict: true})
 	default:
-		s.t.Fatalf("%+v: %+v", c.call.command, r)
+		s.t.Fatalf("%+v: %+v", client.call.command, r)
 	}
 }
 
-func (c *client) input() linear.Asked {
-	in := linear.Asked{Name: c.call.command.Name, Get: c.call.get, Any: c.call.command.Expect == nil}
-	json.Unmarshal(c.call.command.Value, &in.Value)
-	if !in.Get && !in.Any {
-		in.Expect = c.known[in.Name].value
+func (c *simulatedClient) input() linear.Asked {
+	input := linear.Asked{Name: c.call.command.Name, Get: c.call.read, Any: c.call.command.Expect == nil}
+	json.Unmarshal(c.call.command.Value, &input.Value)
+	if !input.Get && !input.Any {
+		input.Expect = c.known[input.Name].value
 	}
-	return in
+	return input
 }
 
-func (s *simulation) read(c *client) {
-	r, _ := s.members[c.call.member].state.Get(c.call.command.Name)
-	k := known{version: r.Version}
-	json.Unmarshal(r.Value, &k.value)
-	in := c.input()
-	c.known[in.Name] = k
-	s.finish(c, in, linear.Got{Known: true, Value: k.value})
+func (s *simulation) completeRead(client *simulatedClient) {
+	r, _ := s.members[client.call.member].state.Get(client.call.command.Name)
+	current := lastRead{version: r.Version}
+	json.Unmarshal(r.Value, &current.value)
+	input := client.input()
+	client.known[input.Name] = current
+	s.finish(client, input, linear.Got{Known: true, Value: current.value})
 }
 
-// pick draws one of those that were not taken out.
-func (s *simulation) pick() int {
+// pickMember returns the index of a random member that was not removed.
+func (s *simulation) pickMember() int {
 	for {
-		if n := s.random.IntN(len(s.members)); !s.members[n].gone {
+		if n := s.random.IntN(len(s.members)); !s.members[n].removed {
 			return n
 		}
 	}
 }
 
-// step does one thing that can happen.
+// step simulates one random event: a tick, a message or a client's call.
 func (s *simulation) step() {
-	s.now++
-	n := s.pick()
-	m := s.members[n]
-	switch d := s.random.IntN(100); {
-	case d < 25 && m.core != nil:
-		m.core.raw.Tick()
-		s.turn(n)
-	case d < 75 && len(s.wires) > 0:
-		i := s.random.IntN(min(len(s.wires), 20)) // nearly in order
-		w := s.wires[i]
-		s.wires = append(s.wires[:i], s.wires[i+1:]...)
-		to := s.members[w.GetTo()-1]
-		if s.cut(w.GetFrom(), w.GetTo()) || s.random.IntN(100) < 3 || to.core == nil {
+	s.clock++
+	index := s.pickMember()
+	member := s.members[index]
+	switch draw := s.random.IntN(100); {
+	case draw < 25 && member.core != nil:
+		member.core.raw.Tick()
+		s.advance(index)
+	case draw < 75 && len(s.messages) > 0:
+		i := s.random.IntN(min(len(s.messages), 20)) // mild reordering
+		message := s.messages[i]
+		s.messages = append(s.messages[:i], s.messages[i+1:]...)
+		to := s.members[message.GetTo()-1]
+		if s.blocked(message.GetFrom(), message.GetTo()) || s.random.IntN(100) < 3 || to.core == nil {
 			return
 		}
 		if s.random.IntN(100) < 2 {
-			s.wires = append(s.wires, proto.Clone(w).(*raftpb.Message)) // once more, later
+			s.messages = append(s.messages, proto.Clone(message).(*raftpb.Message)) // duplicate
 		}
-		n := int(w.GetTo()) - 1 // before Step, which addresses a proposal that it forwards anew
-		to.core.raw.Step(w)
-		s.turn(n)
+		receiver := int(message.GetTo()) - 1 // read before Step, which may change the receiver
+		to.core.raw.Step(message)
+		s.advance(receiver)
 	default:
-		s.ask(s.clients[s.random.IntN(len(s.clients))])
+		s.startOrRetry(s.clients[s.random.IntN(len(s.clients))])
 	}
 }
 
-// ask has a client make a call, or make it again elsewhere.
-func (s *simulation) ask(c *client) {
-	if c.call != nil && s.now < c.call.until || c.call == nil && s.closing {
+// startOrRetry starts a client's call, or retries it at another member.
+func (s *simulation) startOrRetry(client *simulatedClient) {
+	if client.call != nil && s.clock < client.call.deadline || client.call == nil && s.closing {
 		return
 	}
-	n := s.pick()
-	m := s.members[n]
-	if m.core == nil {
+	index := s.pickMember()
+	member := s.members[index]
+	if member.core == nil {
 		return
 	}
-	if c.call == nil {
-		k := &call{began: s.now, get: s.random.IntN(2) == 0, current: true}
-		k.command = ledger.Command{Op: ledger.Put, Name: []string{"a", "b"}[s.random.IntN(2)]}
-		if !k.get {
-			c.request++
-			k.command.Caller, k.command.Request = fmt.Sprint("c", c.n), c.request
-			k.command.Value, _ = json.Marshal(fmt.Sprint(c.n, "-", c.request))
-			if have, read := c.known[k.command.Name]; read && s.random.IntN(3) > 0 {
-				k.command.Expect = &have.version
+	if client.call == nil {
+		call := &pendingCall{start: s.clock, read: s.random.IntN(2) == 0, current: true}
+		call.command = ledger.Command{Op: ledger.Put, Name: []string{"a", "b"}[s.random.IntN(2)]}
+		if !call.read {
+			client.request++
+			call.command.Caller, call.command.Request = fmt.Sprint("c", client.number), client.request
+			call.command.Value, _ = json.Marshal(fmt.Sprint(client.number, "-", client.request))
+			if known, read := client.known[call.command.Name]; read && s.random.IntN(3) > 0 {
+				call.command.Expect = &known.version
 			}
 		}
-		c.call = k
-	} else if !c.call.get && s.random.IntN(16) == 0 {
-		// It gives up, and never knows. Danger: the caller must not use the number again.
-		s.finish(c, c.input(), linear.Got{})
+		client.call = call
+	} else if !client.call.read && s.random.IntN(16) == 0 {
+		// The client gives up with an unknown outcome and never reuses the request number.
+		s.finish(client, client.input(), linear.Got{})
 		return
 	}
 	s.key++
-	c.call.member, c.call.key, c.call.until = n, s.key, s.now+callSteps
+	client.call.member, client.call.key, client.call.deadline = index, s.key, s.clock+callTimeoutSteps
 	key := binary.BigEndian.AppendUint64(nil, s.key)
-	switch text, _ := json.Marshal(c.call.command); {
-	case c.call.get && s.defect == "reads are not confirmed":
-		m.reads[s.key] = 1
-	case c.call.get:
-		m.core.raw.ReadIndex(key)
+	switch data, _ := json.Marshal(client.call.command); {
+	case client.call.read && s.defect == "reads are not confirmed":
+		member.confirmedReads[s.key] = 1
+	case client.call.read:
+		member.core.raw.ReadIndex(key)
 	default:
-		m.core.raw.Propose(append(append(key, payloadLedger), text...)) // one that is refused is made again in time
+		member.core.raw.Propose(append(append(key, payloadLedger), data...)) // retried after the deadline if it is dropped
 	}
-	s.turn(n)
+	s.advance(index)
 }
 
-// change has a writer, if there is one, add a member, make one that has caught up a
-// voter, or take one out.
-func (s *simulation) change() {
-	for n, m := range s.members {
-		if m.core == nil || m.core.raw.BasicStatus().RaftState != raft.StateLeader {
+// changeMembers has a leader add a member, promote a learner that has caught up, or remove a
+// voter.
+func (s *simulation) changeMembers() {
+	for index, member := range s.members {
+		if member.core == nil || member.core.raw.BasicStatus().RaftState != raft.StateLeader {
 			continue
 		}
 		kind, to := raftpb.ConfChangeType_ConfChangeAddLearnerNode, uint64(len(s.members)+1)
-		switch learners, voters := m.core.confState.GetLearners(), m.core.confState.GetVoters(); {
+		switch learners, voters := member.core.confState.GetLearners(), member.core.confState.GetVoters(); {
 		case len(learners) > 0:
-			if kind, to = raftpb.ConfChangeType_ConfChangeAddNode, learners[0]; m.core.raw.Status().Progress[to].Match+maxPromotionLag < m.core.lastIndex() {
+			if kind, to = raftpb.ConfChangeType_ConfChangeAddNode, learners[0]; member.core.raw.Status().Progress[to].Match+maxPromotionLag < member.core.lastIndex() {
 				return
 			}
 		case len(voters) > s.founders:
 			kind, to = raftpb.ConfChangeType_ConfChangeRemoveNode, voters[s.random.IntN(len(voters))]
-			if to == uint64(n+1) {
+			if to == uint64(index+1) {
 				return
 			}
 		default:
-			s.members = append(s.members, &simulated{disk: &memory{defect: s.defect}, book: newMemberTable(nil)})
+			s.members = append(s.members, &simulatedMember{log: &memoryLog{defect: s.defect}, members: newMemberTable(nil)})
 			s.start(len(s.members) - 1)
 		}
-		text, _ := json.Marshal(memberChange{Member: Member{Address: fmt.Sprint(to)}})
-		if m.core.raw.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &to, Context: text}) == nil {
-			s.changed++
+		data, _ := json.Marshal(memberChange{Member: Member{Address: fmt.Sprint(to)}})
+		if member.core.raw.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &to, Context: data}) == nil {
+			s.memberChanges++
 		}
-		s.turn(n)
+		s.advance(index)
 		return
 	}
 }
 
-// simulate plays a group under faults, and says what its clients' history comes to.
-// Danger: the algorithm draws its election times by itself, so that a seed gives the
-// same faults and not the same play.
-func simulate(t *testing.T, size int, seed uint64, steps int, defect string) (result porcupine.CheckResult, s *simulation) {
-	s = &simulation{t: t, random: rand.New(rand.NewPCG(seed, uint64(size))), defect: defect, cut: func(a, b uint64) bool { return false }}
-	s.founders = size
+// simulate runs a group under faults and checks the history of its clients. Raft draws its
+// election timeouts itself, so a seed repeats the faults but not the whole run.
+func simulate(t *testing.T, size int, seed uint64, steps int, defect string) (result porcupine.CheckResult, sim *simulation) {
+	sim = &simulation{t: t, random: rand.New(rand.NewPCG(seed, uint64(size))), defect: defect, blocked: func(from, to uint64) bool { return false }}
+	sim.founders = size
 	for range size {
-		s.members = append(s.members, &simulated{disk: &memory{defect: defect}})
+		sim.members = append(sim.members, &simulatedMember{log: &memoryLog{defect: defect}})
 	}
-	for n := range s.members {
-		s.start(n)
+	for n := range sim.members {
+		sim.start(n)
 	}
 	for n := range 4 {
-		s.clients = append(s.clients, &client{n: n, known: map[string]known{}})
+		sim.clients = append(sim.clients, &simulatedClient{number: n, known: map[string]lastRead{}})
 	}
 	calm := func() {
-		s.cut = func(a, b uint64) bool { return false }
-		for n, m := range s.members {
-			m.disk.fail = false
-			if m.core == nil && !m.gone {
-				s.start(n)
+		sim.blocked = func(from, to uint64) bool { return false }
+		for n, m := range sim.members {
+			m.log.failing = false
+			if m.core == nil && !m.removed {
+				sim.start(n)
 			}
 		}
 	}
 	for step := range steps {
 		if step%1500 == 0 {
 			calm()
-			switch one := uint64(s.random.IntN(size) + 1); s.random.IntN(6) {
-			case 0: // one is cut off from the others
-				s.cut = func(a, b uint64) bool { return a == one || b == one }
-			case 1: // it hears all and is heard by none
-				s.cut = func(a, _ uint64) bool { return a == one }
-			case 2: // two hear a third, and not each other
-				s.cut = func(a, b uint64) bool { return a != one && b != one }
-			case 3: // all are killed at once
-				for n := range s.members {
-					s.members[n].core = nil
+			switch target := uint64(sim.random.IntN(size) + 1); sim.random.IntN(6) {
+			case 0: // one member is isolated
+				sim.blocked = func(from, to uint64) bool { return from == target || to == target }
+			case 1: // messages of one member are lost
+				sim.blocked = func(from, _ uint64) bool { return from == target }
+			case 2: // only one member is connected to the others
+				sim.blocked = func(from, to uint64) bool { return from != target && to != target }
+			case 3: // all members crash
+				for n := range sim.members {
+					sim.members[n].core = nil
 				}
-			case 4: // one's disk is full
-				s.members[one-1].disk.fail = true
+			case 4: // one disk is full
+				sim.members[target-1].log.failing = true
 			}
 		}
 		if step%97 == 0 {
-			n := s.pick()
-			if m := s.members[n]; m.core == nil && !m.disk.fail {
-				s.start(n)
-			} else if s.random.IntN(4) == 0 {
+			n := sim.pickMember()
+			if m := sim.members[n]; m.core == nil && !m.log.failing {
+				sim.start(n)
+			} else if sim.random.IntN(4) == 0 {
 				m.core = nil
 			}
 		}
 		if size > 1 && step%701 == 0 {
-			s.change()
+			sim.changeMembers()
 		}
-		s.step()
+		sim.step()
 	}
 	calm()
-	s.closing = true
-	for n := 0; n < 50_000 && !s.idle(); n++ { // everybody gets an answer once nothing fails
-		s.step()
+	sim.closing = true
+	for n := 0; n < 50_000 && !sim.idle(); n++ { // all calls complete without faults
+		sim.step()
 	}
-	if !s.idle() {
+	if !sim.idle() {
 		if defect == "" {
-			t.Errorf("%d members, seed %d: calls go on without end", size, seed)
-			for n, m := range s.members {
+			t.Errorf("%d members, seed %d: calls still pending after 50000 steps without faults", size, seed)
+			for n, m := range sim.members {
 				if m.core == nil {
-					t.Logf("member %d: not there, taken out %t", n+1, m.gone)
+					t.Logf("member %d: stopped, removed %t", n+1, m.removed)
 					continue
 				}
-				b := m.core.raw.BasicStatus()
-				t.Logf("member %d: %v of term %d, writer %d, committed %d, applied %d, last %d, voters %v, learners %v", n+1,
-					b.RaftState, b.GetTerm(), b.Lead, b.GetCommit(), m.core.applied, m.core.lastIndex(), m.core.confState.GetVoters(), m.core.confState.GetLearners())
+				status := m.core.raw.BasicStatus()
+				t.Logf("member %d: %v of term %d, leader %d, committed %d, applied %d, last %d, voters %v, learners %v", n+1,
+					status.RaftState, status.GetTerm(), status.Lead, status.GetCommit(), m.core.applied, m.core.lastIndex(), m.core.confState.GetVoters(), m.core.confState.GetLearners())
 			}
 		}
-		return porcupine.Unknown, s
+		return porcupine.Unknown, sim
 	}
-	t.Logf("%d members, seed %d: %d calls, %d of which not known, the members were changed %d times", size, seed, s.done, s.unknown, s.changed)
-	within := time.Minute
+	t.Logf("%d members, seed %d: %d calls, %d with an unknown outcome, %d member changes", size, seed, sim.completedCalls, sim.unknownCalls, sim.memberChanges)
+	timeLimit := time.Minute
 	if defect != "" {
-		within = 3 * time.Second // it is found at once, or at another seed
+		timeLimit = 3 * time.Second // a defect is found quickly, or at another seed
 	}
-	return porcupine.CheckOperationsTimeout(linear.Registers, s.history, within), s
+	return porcupine.CheckOperationsTimeout(linear.Registers, sim.history, timeLimit), sim
 }
 
 func (s *simulation) idle() bool {
@@ -411,7 +415,7 @@
 	return true
 }
 
-func number(name string, otherwise int) int {
+func envInt(name string, otherwise int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
