--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,8 +1,6 @@
-// Package budget decides which units of a fleet may be out at once: gateways, backends
-// and list services. It is a state machine and part of what list services agree on:
-// commands go in, in one order, and all members come to the same grants. No clock is in
-// it. A unit is out from the grant of a permit until it has been seen ready after the
-// permit was given back; what failed by itself is out too.
+// Package budget is a deterministic state machine that decides which units of a fleet may be
+// unavailable at the same time. A unit counts as unavailable from the grant of a permit until it
+// has been observed ready after the permit's return, and whenever it is not ready.
 package budget
 
 import (
@@ -19,17 +17,17 @@
 // Kind is a kind of unit.
 type Kind string
 
-// The kinds.
+// Kinds of units.
 const (
 	Backend Kind = "backend"
 	Gateway Kind = "gateway"
 	Service Kind = "service"
 )
 
-// Kinds are all of them.
+// Kinds holds all kinds.
 var Kinds = []Kind{Backend, Gateway, Service}
 
-// Name is one unit's.
+// Name identifies a unit.
 type Name struct {
 	Kind Kind   `json:"kind"`
 	ID   string `json:"id"`
@@ -37,47 +35,47 @@
 
 func (n Name) String() string { return string(n.Kind) + " " + n.ID }
 
-// Unit is one that can be out.
+// Unit is a unit of the fleet.
 type Unit struct {
 	Name
 	Zone        string  `json:"zone,omitempty"`
-	Weight      float64 `json:"weight,omitempty"` // its capacity
+	Weight      float64 `json:"weight,omitempty"` // capacity, relative to other units
 	Canary      bool    `json:"canary,omitempty"`
-	Incarnation string  `json:"life,omitempty"` // of its process, by whoever sees it
+	Incarnation string  `json:"life,omitempty"` // of its process, as its observer names it
 	Ready       bool    `json:"ready"`
-	// Session is of who tells how the unit is; 0: the list does. Once it ends, nobody
-	// knows, and the unit counts as out.
+	// Session is the session of the unit's observer; 0: the list of backends. Once the session
+	// ends, the unit counts as unavailable.
 	Session uint64  `json:"session,omitempty"`
-	Since   uint64  `json:"since"` // the place in the order at which it became as it is
+	Since   uint64  `json:"since"` // index at which Ready or Incarnation changed last
 	Permit  *Permit `json:"permit,omitempty"`
 }
 
 func (u *Unit) weightMillionths() int64 { return int64(math.Round(u.Weight * 1e6)) }
 
-// Out says whether the unit counts as out.
+// Unavailable reports whether the unit counts as unavailable.
 func (u *Unit) Unavailable() bool { return !u.Ready || u.Permit != nil }
 
-// Permit lets its holder take a unit out.
+// Permit allows its holder to make a unit unavailable.
 type Permit struct {
-	Number     uint64 `json:"number"` // the place of its grant in the order: the later fences the earlier
+	Number     uint64 `json:"number"` // index of its grant, a fencing token: a later permit has a higher number
 	Holder     string `json:"holder"`
-	Session    uint64 `json:"session,omitempty"` // of the holder; 0: it has none
+	Session    uint64 `json:"session,omitempty"` // of the holder; 0: none
 	Reason     string `json:"reason"`
-	TermMs     int64  `json:"termMs"`         // by the holder's clock, from before it asked: then it takes nothing out any more
-	Lost       bool   `json:"lost,omitempty"` // its session has ended; the unit may still be down
-	ReturnedAt uint64 `json:"back,omitempty"` // where it was given back: it ends when the unit is seen ready by who had heard of that
+	TermMs     int64  `json:"termMs"`         // validity by the holder's clock, counted from before it sent the request
+	Lost       bool   `json:"lost,omitempty"` // the holder's session has ended; the unit may still be down
+	ReturnedAt uint64 `json:"back,omitempty"` // index of its return; 0: not returned. It ends once the unit is observed ready after that
 }
 
-// Rule bounds what may be out, of the units that it is for. What it does not name is
-// not bounded.
+// Rule limits how many of the units that it covers may be unavailable. An absent limit does not
+// apply.
 type Rule struct {
 	Kind   Kind   `json:"kind"`
-	Zone   string `json:"zone,omitempty"`   // one zone; "*": each by itself; empty: all together
-	Canary bool   `json:"canary,omitempty"` // canaries alone
+	Zone   string `json:"zone,omitempty"`   // one zone; "*": each zone by itself; empty: all zones together
+	Canary bool   `json:"canary,omitempty"` // canaries only
 
 	MaxUnavailable         *int     `json:"mostOut,omitempty"`
 	MaxUnavailableFraction *float64 `json:"mostShare,omitempty"`
-	ByWeight               bool     `json:"byWeight,omitempty"` // the share is of capacity, not of units
+	ByWeight               bool     `json:"byWeight,omitempty"` // MaxUnavailableFraction is of the capacity, not of the number of units
 	MinReady               *int     `json:"leastReady,omitempty"`
 }
 
@@ -110,7 +108,7 @@
 	return b.String()
 }
 
-// check finds what no rule can be.
+// check validates the rule.
 func (r *Rule) check() error {
 	switch {
 	case !slices.Contains(Kinds, r.Kind):
@@ -118,41 +116,41 @@
 	case r.MaxUnavailable == nil && r.MaxUnavailableFraction == nil && r.MinReady == nil:
 		return fmt.Errorf("%s: it bounds nothing", r)
 	case r.MaxUnavailable != nil && *r.MaxUnavailable < 0 || r.MinReady != nil && *r.MinReady < 0:
-		return fmt.Errorf("%s: less than none", r)
+		return fmt.Errorf("%s: mostOut and leastReady must not be negative", r)
 	case r.MaxUnavailableFraction != nil && !(*r.MaxUnavailableFraction >= 0 && *r.MaxUnavailableFraction <= 1):
-		return fmt.Errorf("%s: a share is from 0 to 1", r)
+		return fmt.Errorf("%s: mostShare must be between 0 and 1", r)
 	case r.ByWeight && r.MaxUnavailableFraction == nil:
-		return fmt.Errorf("%s: byWeight is of mostShare", r)
+		return fmt.Errorf("%s: byWeight requires mostShare", r)
 	}
 	return nil
 }
 
-// Op is what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The operations.
+// Operations of commands.
 const (
-	SetRules Op = "rules"  // put rules in the place of those that there are
-	Observe  Op = "see"    // say how a unit is
-	Acquire  Op = "ask"    // for a permit
-	Return   Op = "back"   // give one back
-	Forget   Op = "forget" // a unit that is gone for good
+	SetRules Op = "rules"  // replaces all rules
+	Observe  Op = "see"    // reports the state of a unit
+	Acquire  Op = "ask"    // requests a permit
+	Return   Op = "back"   // returns a permit
+	Forget   Op = "forget" // removes a unit that is gone for good
 )
 
-// Command is one change.
+// Command is a change of the state.
 type Command struct {
 	Op    Op     `json:"op"`
 	Rules []Rule `json:"rules,omitempty"`
 	Unit  Unit   `json:"unit,omitzero"`
-	// Of Ask: the permit that is asked for. Of Back: its number, and who has it.
+	// Permit is the requested permit of Acquire, or the number and holder of Return.
 	Permit Permit `json:"permit,omitzero"`
-	// At is, of See, a place in the order that whoever looked had heard of before it looked.
+	// ObservedIndex is an index that the observer had received before its observation. For Observe.
 	ObservedIndex uint64 `json:"at,omitempty"`
-	// Untouched says of Back that the unit was never taken out.
+	// Untouched reports that the holder never made the unit unavailable. For Return.
 	Untouched bool `json:"untouched,omitempty"`
 }
 
-// Bounds.
+// Limits of a command and of the state.
 const (
 	maxTextBytes = 200
 	maxRules     = 64
@@ -161,23 +159,24 @@
 	maxTermMs    = 7 * 24 * 60 * 60 * 1000 // ms
 )
 
-// Refused is why a command changed nothing.
+// RefusedError explains why a command changed nothing. Its text becomes part of the replicated
+// state and must not differ between members.
 type RefusedError struct{ Text string }
 
 func (e *RefusedError) Error() string { return e.Text }
 
 func refusedf(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
-// Check finds what no state would take.
+// Check validates the command without a state.
 func (c *Command) Check() error {
 	for _, text := range []string{c.Unit.ID, c.Unit.Zone, c.Unit.Incarnation, c.Permit.Holder, c.Permit.Reason} {
 		if len(text) > maxTextBytes {
-			return fmt.Errorf("%.40q... has over %d bytes", text, maxTextBytes)
+			return fmt.Errorf("text %.40q... has more than %d bytes", text, maxTextBytes)
 		}
 	}
 	if c.Op == SetRules {
 		if len(c.Rules) > maxRules {
-			return fmt.Errorf("%d rules are over %d", len(c.Rules), maxRules)
+			return fmt.Errorf("rules: got %d, limit %d", len(c.Rules), maxRules)
 		}
 		for i := range c.Rules {
 			if err := c.Rules[i].check(); err != nil {
@@ -190,22 +189,22 @@
 	case !slices.Contains([]Op{Observe, Acquire, Return, Forget}, c.Op):
 		return fmt.Errorf("op: %.40q is not rules, see, ask, back or forget", c.Op)
 	case !slices.Contains(Kinds, c.Unit.Kind) || c.Unit.ID == "":
-		return fmt.Errorf("unit: %.40q is no kind of %v, or it has no id", c.Unit.Kind, Kinds)
+		return fmt.Errorf("unit: kind %.40q is not one of %v, or the id is missing", c.Unit.Kind, Kinds)
 	case c.Op == Observe && (c.Unit.Session == 0 || c.Unit.Kind == Backend):
-		return errors.New("unit: the list tells of backends, and who tells of others has a session")
+		return errors.New("unit: only the list reports backends, and observers of other units need a session")
 	case !(c.Unit.Weight >= 0 && c.Unit.Weight <= maxWeight):
-		return fmt.Errorf("unit: a weight of %g", c.Unit.Weight)
+		return fmt.Errorf("unit: weight %g is out of range", c.Unit.Weight)
 	case c.Op == Acquire && (c.Permit.Holder == "" || c.Permit.Reason == ""):
-		return errors.New("permit: it names who asks, and why")
+		return errors.New("permit: holder and reason are required")
 	case c.Op == Acquire && (c.Permit.TermMs < 1 || c.Permit.TermMs > maxTermMs):
-		return fmt.Errorf("permit: a term of %d ms is not from 1 to %d", c.Permit.TermMs, maxTermMs)
+		return fmt.Errorf("permit: a term of %d ms is not between 1 and %d", c.Permit.TermMs, maxTermMs)
 	case c.Op == Return && c.Permit.Number == 0:
-		return errors.New("permit: it has no number")
+		return errors.New("permit: number is missing")
 	}
 	return nil
 }
 
-// State is who is out, and who may be. It is not safe for use by several goroutines.
+// State holds the rules and the units with their permits. It is not safe for concurrent use.
 type State struct {
 	rules []Rule
 	units map[Name]*Unit
@@ -214,8 +213,9 @@
 // New returns a state without units and rules.
 func New() *State { return &State{units: map[Name]*Unit{}} }
 
-// Do carries a command out at its place in the order. Open says of a session whether it
-// is. What is returned for Ask is the permit.
+// Apply applies the command at the index. sessionOpen reports whether a session is open. The
+// permit is that of Acquire and nil for other operations. The error is a RefusedError or that of
+// Check, and the state is unchanged then.
 func (s *State) Apply(index uint64, command Command, sessionOpen func(session uint64) bool) (*Permit, error) {
 	if err := command.Check(); err != nil {
 		return nil, err
@@ -245,11 +245,12 @@
 	}
 	switch permit := unit.Permit; {
 	case permit == nil || permit.Number > command.Permit.Number:
-		return nil, nil // it has ended
+		return nil, nil // the permit has ended already
 	case permit.Number != command.Permit.Number || permit.Holder != command.Permit.Holder:
 		return nil, refusedf("permit %d of %s is held by %s", permit.Number, unit.Name, permit.Holder)
 	case unit.Ready && unit.Session == 0, command.Untouched && unit.Ready && unit.Since < permit.Number:
-		// The list is in the same order, so it has it ready now; or it has been all the time.
+		// The list is replicated in the same order, so it shows the backend as ready now; or the
+		// unit has been ready all the time.
 		unit.Permit = nil
 	case permit.ReturnedAt == 0:
 		next := *permit
@@ -259,7 +260,7 @@
 	return nil, nil
 }
 
-// see takes in how a unit is.
+// observe updates a unit from an observation.
 func (s *State) observe(index uint64, observed Unit, observedIndex uint64) error {
 	unit := s.units[observed.Name]
 	if unit == nil {
@@ -282,7 +283,8 @@
 	return nil
 }
 
-// evict forgets the backend that has been gone longest, if one is that nobody holds.
+// evictOldest removes the backend that has been unavailable longest and has no permit. It returns
+// false if there is none.
 func (s *State) evictOldest() bool {
 	var oldest *Unit
 	for _, u := range s.units {
@@ -296,7 +298,7 @@
 	return oldest != nil
 }
 
-// Sight is how the list has a backend.
+// BackendState is the state of a backend in the list.
 type BackendState struct {
 	ID, Zone    string
 	Weight      float64
@@ -304,14 +306,14 @@
 	Ready       bool
 }
 
-// SeeBackend takes in how the list has a backend. One that the bound has no room for is
-// not known here, and gets no permit.
+// ObserveBackend updates a backend from the list. A new backend beyond the limit of units is
+// ignored and gets no permits.
 func (s *State) ObserveBackend(index uint64, backend BackendState) {
 	s.observe(index, Unit{Name: Name{Backend, backend.ID}, Zone: backend.Zone, Weight: backend.Weight, Incarnation: backend.Incarnation, Ready: backend.Ready}, index)
 }
 
-// SessionOver says that a session has ended: nobody knows how the units are that it
-// told of, and its permits are nobody's. The units may still be down.
+// SessionEnded marks the units that the session observed as not ready, and its permits as lost.
+// The units of those permits may still be down.
 func (s *State) SessionEnded(index, session uint64) {
 	for _, u := range s.units {
 		if u.Session == session && u.Ready {
@@ -325,7 +327,7 @@
 	}
 }
 
-// ask grants a permit, or says why not.
+// acquire grants a permit, or returns a RefusedError.
 func (s *State) acquire(index uint64, command Command, sessionOpen func(uint64) bool) (*Permit, error) {
 	unit := s.units[command.Unit.Name]
 	switch {
@@ -341,7 +343,7 @@
 		case permit.Holder != command.Permit.Holder && !permit.Lost:
 			return nil, refusedf("%s is out by permit %d of %s (%s)", unit.Name, permit.Number, permit.Holder, permit.Reason)
 		}
-		// It is taken over: the unit is out already.
+		// The permit is taken over: the unit is unavailable already.
 	} else if !unit.Unavailable() {
 		if err := s.checkRules(unit); err != nil {
 			return nil, err
@@ -351,7 +353,7 @@
 	return unit.Permit, nil
 }
 
-// fits says whether a unit that is ready may go out beside all that are.
+// checkRules returns an error if a rule does not allow a ready unit to become unavailable.
 func (s *State) checkRules(unit *Unit) error {
 	for i := range s.rules {
 		rule := &s.rules[i]
@@ -371,13 +373,13 @@
 	return r.Kind == unit.Kind && (!r.Canary || unit.Canary) && (r.Zone == "" || r.Zone == "*" || r.Zone == unit.Zone)
 }
 
-// counted are the units of a rule.
+// unitCounts counts the units that a rule covers.
 type unitCounts struct {
 	total, unavailable, ready      int
-	totalWeight, unavailableWeight int64 // in millionths, so that sums don't depend on their order
+	totalWeight, unavailableWeight int64 // in millionths: integer sums don't depend on their order
 }
 
-// count counts those that a rule takes together with a unit.
+// countUnits counts the units that the rule covers together with the given one.
 func (s *State) countUnits(rule *Rule, unit *Unit) (counts unitCounts) {
 	for _, other := range s.units {
 		if !rule.covers(other) || rule.Zone == "*" && other.Zone != unit.Zone {
@@ -395,7 +397,7 @@
 	return counts
 }
 
-// shareSlack is for what floating-point numbers lose of a share.
+// fractionTolerance allows for rounding errors of fractions.
 const fractionTolerance = 1e-9
 
 func (c unitCounts) satisfies(rule *Rule) error {
@@ -412,8 +414,8 @@
 	return nil
 }
 
-// Never are the rules by which no unit of theirs could ever go out, though all were
-// ready.
+// UnsatisfiableRules describes the rules that never allow a unit to become unavailable, even with
+// all units ready.
 func (s *State) UnsatisfiableRules() (problems []string) {
 	for i := range s.rules {
 		rule := &s.rules[i]
@@ -446,10 +448,10 @@
 	return problems
 }
 
-// Rules are those in force.
+// Rules returns the active rules. The caller must not modify them.
 func (s *State) Rules() []Rule { return s.rules }
 
-// Unit returns one.
+// Unit returns a unit and whether it is known.
 func (s *State) Unit(n Name) (Unit, bool) {
 	u := s.units[n]
 	if u == nil {
@@ -458,7 +460,7 @@
 	return *u, true
 }
 
-// Units returns all, by kind and id.
+// Units returns all units, sorted by kind and id.
 func (s *State) Units() []Unit {
 	units := make([]Unit, 0, len(s.units))
 	for _, u := range s.units {
@@ -468,18 +470,18 @@
 	return units
 }
 
-// saved is one line of a snapshot.
+// snapshotLine is the encoding of one line of a snapshot.
 type snapshotLine struct {
 	Rules []Rule `json:"rules,omitempty"`
 	Unit  *Unit  `json:"unit,omitempty"`
 }
 
-// Save returns the state as lines.
+// Save returns a snapshot as lines.
 func (s *State) Save() (lines [][]byte) {
 	add := func(line snapshotLine) {
 		text, err := json.Marshal(line)
 		if err != nil {
-			panic(err) // of plain fields
+			panic(err) // unreachable: all fields can be encoded
 		}
 		lines = append(lines, text)
 	}
@@ -492,11 +494,11 @@
 	return lines
 }
 
-// Restore takes in a line of Save's.
+// Restore adds one line of a snapshot to the state.
 func (s *State) Restore(line []byte) error {
 	var parsed snapshotLine
 	if err := json.Unmarshal(line, &parsed); err != nil {
-		return fmt.Errorf("budget: %w", err)
+		return fmt.Errorf("budget: decode line of a snapshot: %w", err)
 	}
 	if parsed.Rules != nil {
 		s.rules = parsed.Rules
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -7,334 +7,340 @@
 	"testing"
 )
 
-// fleet is what really happens to units, beside what the state is told of it.
+// fleet simulates the actual state of units beside the observations reported to State.
 type fleet struct {
-	t      *testing.T
-	random *rand.Rand
-	defect string
-	s      *State
-	index  uint64
-	open   map[uint64]bool // sessions
-	units  []*real
-	asked  int
-	given  int
-	taken  int // over from who was lost
+	t            *testing.T
+	random       *rand.Rand
+	defect       string
+	state        *State
+	index        uint64
+	openSessions map[uint64]bool
+	units        []*simulatedUnit
+	requested    int
+	granted      int
+	takenOver    int // from holders whose session ended
 }
 
-// real is a unit, its observer, and whoever holds a permit for it.
-type real struct {
-	name    Name
-	zone    string
-	weight  float64
-	canary  bool
-	up      bool
-	byHand  bool // it is down as a holder took it down
-	life    int
-	session uint64 // of its observer
-	late    *Command
-	holder  string
-	number  uint64 // of the permit that its holder has
-	has     uint64 // the holder's session
-	back    bool
+// simulatedUnit is a unit, its observer and the holder of its permit.
+type simulatedUnit struct {
+	name            Name
+	zone            string
+	weight          float64
+	canary          bool
+	available       bool
+	takenDown       bool // by a holder
+	incarnation     int
+	observerSession uint64
+	delayed         *Command
+	holder          string
+	permit          uint64 // number of the holder's permit
+	holderSession   uint64
+	returned        bool
 }
 
+// newFleet returns a fleet of available units of all kinds in three zones.
 func newFleet(t *testing.T, seed uint64, units int, defect string) *fleet {
-	f := &fleet{t: t, random: rand.New(rand.NewPCG(seed, 1)), defect: defect, s: New(), open: map[uint64]bool{}}
-	for n := range units {
-		f.units = append(f.units, &real{name: Name{Kinds[n%3], fmt.Sprint(n)}, zone: []string{"a", "b", "c"}[n/3%3], weight: float64(1 + n%4), canary: n%10 < 3, up: true})
+	f := &fleet{t: t, random: rand.New(rand.NewPCG(seed, 1)), defect: defect, state: New(), openSessions: map[uint64]bool{}}
+	for index := range units {
+		f.units = append(f.units, &simulatedUnit{name: Name{Kinds[index%3], fmt.Sprint(index)}, zone: []string{"a", "b", "c"}[index/3%3], weight: float64(1 + index%4), canary: index%10 < 3, available: true})
 	}
 	return f
 }
 
-func (f *fleet) do(c Command) (*Permit, error) {
+// apply applies a command at the next index.
+func (f *fleet) apply(command Command) (*Permit, error) {
 	f.index++
-	return f.s.Apply(f.index, c, func(n uint64) bool { return f.open[n] })
+	return f.state.Apply(f.index, command, func(n uint64) bool { return f.openSessions[n] })
 }
 
-// look is what an observer sees now, to be told at once or later.
-func (f *fleet) look(u *real) Command {
-	return Command{Op: Observe, ObservedIndex: f.index, Unit: Unit{Name: u.name, Zone: u.zone, Weight: u.weight, Canary: u.canary, Incarnation: fmt.Sprint(u.life), Ready: u.up, Session: u.session}}
+// observation returns the current observation of a unit, which may be applied later.
+func (f *fleet) observation(unit *simulatedUnit) Command {
+	return Command{Op: Observe, ObservedIndex: f.index, Unit: Unit{Name: unit.name, Zone: unit.zone, Weight: unit.weight, Canary: unit.canary, Incarnation: fmt.Sprint(unit.incarnation), Ready: unit.available, Session: unit.observerSession}}
 }
 
-func (f *fleet) tell(u *real) {
-	if u.name.Kind == Backend {
+// report applies the current observation of a unit, by a new session if the observer has none.
+func (f *fleet) report(unit *simulatedUnit) {
+	if unit.name.Kind == Backend {
 		f.index++
-		f.s.ObserveBackend(f.index, BackendState{u.name.ID, u.zone, u.weight, fmt.Sprint(u.life), u.up})
+		f.state.ObserveBackend(f.index, BackendState{unit.name.ID, unit.zone, unit.weight, fmt.Sprint(unit.incarnation), unit.available})
 		return
 	}
-	if !f.open[u.session] {
+	if !f.openSessions[unit.observerSession] {
 		f.index++
-		u.session = f.index
-		f.open[u.session] = true
+		unit.observerSession = f.index
+		f.openSessions[unit.observerSession] = true
 	}
-	f.do(f.look(u))
+	f.apply(f.observation(unit))
 }
 
-// over is the end of a session.
-func (f *fleet) over(session uint64) {
+// endSession ends a session.
+func (f *fleet) endSession(session uint64) {
 	f.index++
-	delete(f.open, session)
+	delete(f.openSessions, session)
 	if f.defect != "sessions that end change nothing" {
-		f.s.SessionEnded(f.index, session)
+		f.state.SessionEnded(f.index, session)
 	}
 }
 
-// step does one thing that can happen to a unit, its observer or its holder.
+// step simulates one random event of a unit, its observer or its holder.
 func (f *fleet) step() {
-	u := f.units[f.random.IntN(len(f.units))]
-	held := u.holder != "" && f.open[u.has]
-	switch d := f.random.IntN(100); {
-	case d < 3: // it fails by itself, and comes back
-		u.up, u.life = !u.up || u.byHand, u.life+1
-		u.up = u.up && !u.byHand
-		f.tell(u)
-	case d < 30:
-		f.tell(u)
-	case d < 34 && u.name.Kind != Backend: // a sight that comes late
-		late := f.look(u)
-		u.late = &late
-	case d < 40 && u.late != nil:
-		f.do(*u.late)
-		u.late = nil
-	case d < 42 && u.name.Kind != Backend:
-		f.over(u.session)
-	case d < 44 && held: // its holder is lost, wherever it is with it
-		f.over(u.has)
-		u.holder = ""
-	case d < 60 && !held:
-		f.ask(u)
-	case d < 75 && held && !u.back: // its holder takes it down, if it may act
-		u.up, u.byHand = false, true
-		if u.name.Kind == Backend {
-			f.tell(u) // the list itself says so
+	unit := f.units[f.random.IntN(len(f.units))]
+	held := unit.holder != "" && f.openSessions[unit.holderSession]
+	switch draw := f.random.IntN(100); {
+	case draw < 3: // the unit fails or recovers
+		unit.available, unit.incarnation = !unit.available || unit.takenDown, unit.incarnation+1
+		unit.available = unit.available && !unit.takenDown
+		f.report(unit)
+	case draw < 30:
+		f.report(unit)
+	case draw < 34 && unit.name.Kind != Backend: // an observation is delayed
+		observation := f.observation(unit)
+		unit.delayed = &observation
+	case draw < 40 && unit.delayed != nil:
+		f.apply(*unit.delayed)
+		unit.delayed = nil
+	case draw < 42 && unit.name.Kind != Backend:
+		f.endSession(unit.observerSession)
+	case draw < 44 && held: // the holder's session ends
+		f.endSession(unit.holderSession)
+		unit.holder = ""
+	case draw < 60 && !held:
+		f.acquire(unit)
+	case draw < 75 && held && !unit.returned: // the holder takes the unit down
+		unit.available, unit.takenDown = false, true
+		if unit.name.Kind == Backend {
+			f.report(unit) // the list shows the change at once
 		}
-	case d < 90 && held:
-		if !u.back {
-			c := Command{Op: Return, Unit: Unit{Name: u.name}, Permit: Permit{Number: u.number, Holder: u.holder}, Untouched: !u.byHand}
-			if _, err := f.do(c); err != nil {
-				f.t.Errorf("back: %v", err)
+	case draw < 90 && held:
+		if !unit.returned {
+			command := Command{Op: Return, Unit: Unit{Name: unit.name}, Permit: Permit{Number: unit.permit, Holder: unit.holder}, Untouched: !unit.takenDown}
+			if _, err := f.apply(command); err != nil {
+				f.t.Errorf("return a permit: %v", err)
 			}
-			u.back = true
+			unit.returned = true
 		}
-		if f.random.IntN(2) == 0 { // it takes a while until it is up
-			u.up, u.byHand, u.life = true, false, u.life+1
-			u.holder = ""
-			f.tell(u)
+		if f.random.IntN(2) == 0 { // the unit recovers with a delay
+			unit.available, unit.takenDown, unit.incarnation = true, false, unit.incarnation+1
+			unit.holder = ""
+			f.report(unit)
 		}
 	}
 }
 
-func (f *fleet) ask(u *real) {
+// acquire requests a permit for a unit by a new holder and checks the grant.
+func (f *fleet) acquire(unit *simulatedUnit) {
 	f.index++
 	session := f.index
-	f.open[session] = true
+	f.openSessions[session] = true
 	holder := fmt.Sprint("h", session)
-	was, known := f.s.Unit(u.name)
-	p, err := f.do(Command{Op: Acquire, Unit: Unit{Name: u.name}, Permit: Permit{Holder: holder, Session: session, Reason: "test", TermMs: 1000}})
-	f.asked++
+	before, known := f.state.Unit(unit.name)
+	permit, err := f.apply(Command{Op: Acquire, Unit: Unit{Name: unit.name}, Permit: Permit{Holder: holder, Session: session, Reason: "test", TermMs: 1000}})
+	f.requested++
 	if err != nil {
 		return
 	}
-	if f.given++; known && was.Permit != nil {
-		f.taken++
+	if f.granted++; known && before.Permit != nil {
+		f.takenOver++
 	}
-	if p.Number <= u.number {
-		f.t.Errorf("permit %d after %d", p.Number, u.number)
+	if permit.Number <= unit.permit {
+		f.t.Errorf("permit %d is not higher than the earlier permit %d", permit.Number, unit.permit)
 	}
-	u.holder, u.has, u.number, u.back = holder, session, p.Number, false
-	// What this grant adds has to fit beside all that is out, whatever put it there.
-	if !known || was.Unavailable() {
+	unit.holder, unit.holderSession, unit.permit, unit.returned = holder, session, permit.Number, false
+	// The grant must satisfy the rules together with all units that are unavailable already.
+	if !known || before.Unavailable() {
 		return
 	}
-	for _, r := range f.s.Rules() {
-		if r.covers(&was) {
-			if err := f.s.countUnits(&r, &was).satisfies(&r); err != nil {
-				f.t.Errorf("permit %d: %v", p.Number, err)
+	for _, r := range f.state.Rules() {
+		if r.covers(&before) {
+			if err := f.state.countUnits(&r, &before).satisfies(&r); err != nil {
+				f.t.Errorf("permit %d: %v", permit.Number, err)
 			}
 		}
 	}
 }
 
-// wrong finds a unit that a holder has taken down, or may, and that does not count as out.
-func (f *fleet) wrong() error {
-	for _, u := range f.units {
-		told, known := f.s.Unit(u.name)
-		if known && !told.Unavailable() && (u.byHand && !u.up || u.holder != "" && f.open[u.has] && !u.back) {
-			return fmt.Errorf("%s is down, or may be, by permit %d, and does not count as out: %+v", u.name, u.number, told)
+// findViolation returns an error if a unit that a holder took down, or still may, does not count as
+// unavailable.
+func (f *fleet) findViolation() error {
+	for _, unit := range f.units {
+		observed, known := f.state.Unit(unit.name)
+		if known && !observed.Unavailable() && (unit.takenDown && !unit.available || unit.holder != "" && f.openSessions[unit.holderSession] && !unit.returned) {
+			return fmt.Errorf("%s is or may be down by permit %d, but does not count as unavailable: %+v", unit.name, unit.permit, observed)
 		}
 	}
 	return nil
 }
 
-func (f *fleet) rules() {
-	n := func(n int) *int { return &n }
-	share := func(x float64) *float64 { return &x }
-	all := []Rule{{Kind: Gateway, MaxUnavailable: n(1 + f.random.IntN(5))}, {Kind: Backend, Zone: "*", MaxUnavailableFraction: share(f.random.Float64() / 2)}, {Kind: Backend, MaxUnavailableFraction: share(0.3), ByWeight: true},
-		{Kind: Service, MinReady: n(f.random.IntN(4))}, {Kind: Gateway, Canary: true, MaxUnavailable: n(1)}, {Kind: Gateway, Zone: "b", MaxUnavailable: n(1)}}
-	if _, err := f.do(Command{Op: SetRules, Rules: all[f.random.IntN(2):]}); err != nil {
+// setRules applies random rules.
+func (f *fleet) setRules() {
+	intPointer := func(n int) *int { return &n }
+	floatPointer := func(value float64) *float64 { return &value }
+	rules := []Rule{{Kind: Gateway, MaxUnavailable: intPointer(1 + f.random.IntN(5))}, {Kind: Backend, Zone: "*", MaxUnavailableFraction: floatPointer(f.random.Float64() / 2)}, {Kind: Backend, MaxUnavailableFraction: floatPointer(0.3), ByWeight: true},
+		{Kind: Service, MinReady: intPointer(f.random.IntN(4))}, {Kind: Gateway, Canary: true, MaxUnavailable: intPointer(1)}, {Kind: Gateway, Zone: "b", MaxUnavailable: intPointer(1)}}
+	if _, err := f.apply(Command{Op: SetRules, Rules: rules[f.random.IntN(2):]}); err != nil {
 		f.t.Error(err)
 	}
 }
 
-// Whatever fails, is told late or is lost, and however rules change under it: a unit that
-// a holder has taken down counts as out, no grant adds what does not fit, later permits
-// have higher numbers, and a snapshot goes on as its original. Planted defects show.
-func TestPermits(t *testing.T) {
-	play := func(t *testing.T, seed uint64, units, steps int, defect string) (f *fleet, err error) {
+// A unit that a holder took down counts as unavailable, grants satisfy the rules, and permit numbers
+// increase, for random failures, delays and changes of rules. Planted defects are detected.
+func TestUnitsTakenDownCountAsUnavailable(t *testing.T) {
+	simulate := func(t *testing.T, seed uint64, units, steps int, defect string) (f *fleet, err error) {
 		f = newFleet(t, seed, units, defect)
-		f.rules()
-		for _, u := range f.units {
-			f.tell(u)
+		f.setRules()
+		for _, unit := range f.units {
+			f.report(unit)
 		}
-		for n := range steps {
-			if n%500 == 499 {
-				f.rules()
-				next := New()
-				for _, line := range f.s.Save() {
-					if err := next.Restore(line); err != nil {
+		for step := range steps {
+			if step%500 == 499 {
+				f.setRules()
+				restored := New()
+				for _, line := range f.state.Save() {
+					if err := restored.Restore(line); err != nil {
 						return f, err
 					}
 				}
-				if !bytes.Equal(bytes.Join(next.Save(), nil), bytes.Join(f.s.Save(), nil)) {
-					return f, fmt.Errorf("a snapshot is not as its original")
+				if !bytes.Equal(bytes.Join(restored.Save(), nil), bytes.Join(f.state.Save(), nil)) {
+					return f, fmt.Errorf("restored snapshot differs from its original")
 				}
-				f.s = next
+				f.state = restored
 			}
 			f.step()
-			switch u := f.units[f.random.IntN(units)]; defect {
+			switch unit := f.units[f.random.IntN(units)]; defect {
 			case "permits end with their holder":
-				if unit := f.s.units[u.name]; unit != nil && unit.Permit != nil && unit.Permit.Lost {
-					unit.Permit = nil
+				if stored := f.state.units[unit.name]; stored != nil && stored.Permit != nil && stored.Permit.Lost {
+					stored.Permit = nil
 				}
-			case "permits end when they are given back":
-				if unit := f.s.units[u.name]; unit != nil && unit.Permit != nil && unit.Permit.ReturnedAt != 0 {
-					unit.Permit, unit.Ready = nil, true
+			case "permits end when they are returned":
+				if stored := f.state.units[unit.name]; stored != nil && stored.Permit != nil && stored.Permit.ReturnedAt != 0 {
+					stored.Permit, stored.Ready = nil, true
 				}
-			case "any sight ends a permit that was given back":
-				if u.late != nil {
-					u.late.ObservedIndex = f.index
+			case "any observation ends a returned permit":
+				if unit.delayed != nil {
+					unit.delayed.ObservedIndex = f.index
 				}
 			}
-			if err := f.wrong(); err != nil {
+			if err := f.findViolation(); err != nil {
 				return f, err
 			}
 		}
 		return f, nil
 	}
-	for _, c := range []struct{ units, steps, seeds int }{{9, 4000, 40}, {30, 4000, 20}, {1000, 10_000, 2}} {
-		asked, given, taken := 0, 0, 0
-		for seed := range uint64(c.seeds) {
-			f, err := play(t, seed, c.units, c.steps, "")
+	for _, scenario := range []struct{ units, steps, seeds int }{{9, 4000, 40}, {30, 4000, 20}, {1000, 10_000, 2}} {
+		requested, granted, takenOver := 0, 0, 0
+		for seed := range uint64(scenario.seeds) {
+			f, err := simulate(t, seed, scenario.units, scenario.steps, "")
 			if err != nil {
-				t.Fatalf("%d units, seed %d: %v", c.units, seed, err)
+				t.Fatalf("%d units, seed %d: %v", scenario.units, seed, err)
 			}
-			asked, given, taken = asked+f.asked, given+f.given, taken+f.taken
+			requested, granted, takenOver = requested+f.requested, granted+f.granted, takenOver+f.takenOver
 		}
-		t.Logf("%d units: %d permits asked for, %d given, %d of them taken over from holders that were lost", c.units, asked, given, taken)
-		if given*20 < asked || given == asked || taken == 0 {
-			t.Errorf("%d units: %d of %d given, %d taken over", c.units, given, asked, taken)
+		t.Logf("%d units: %d permits requested, %d granted, %d of them taken over from lost holders", scenario.units, requested, granted, takenOver)
+		if granted*20 < requested || granted == requested || takenOver == 0 {
+			t.Errorf("%d units: %d of %d granted, %d taken over", scenario.units, granted, requested, takenOver)
 		}
 	}
-	for _, defect := range []string{"permits end with their holder", "permits end when they are given back", "any sight ends a permit that was given back"} {
+	for _, defect := range []string{"permits end with their holder", "permits end when they are returned", "any observation ends a returned permit"} {
 		found := 0
 		for seed := range uint64(10) {
-			if _, err := play(t, seed, 9, 4000, defect); err != nil {
+			if _, err := simulate(t, seed, 9, 4000, defect); err != nil {
 				found++
 			}
 		}
 		if found < 3 {
-			t.Errorf("%s: found at %d of 10 seeds", defect, found)
+			t.Errorf("%s: detected at %d of 10 seeds, want at least 3", defect, found)
 		}
 	}
 }
 
-// What is asked for in vain says why, and what has been done once is done.
-func TestRefusals(t *testing.T) {
-	s, index := New(), uint64(0)
+// Refused commands name the reason, and repeated commands have no further effect.
+func TestRefusalsAndRepeatedCommands(t *testing.T) {
+	state, index := New(), uint64(0)
 	open := map[uint64]bool{1: true, 2: true}
-	do := func(c Command) (*Permit, error) {
+	apply := func(c Command) (*Permit, error) {
 		index++
-		return s.Apply(index+10, c, func(n uint64) bool { return open[n] })
+		return state.Apply(index+10, c, func(n uint64) bool { return open[n] })
 	}
 	one, none := 1, 0
-	unit := func(id string, ready bool, session uint64) Command {
+	observe := func(id string, ready bool, session uint64) Command {
 		return Command{Op: Observe, Unit: Unit{Name: Name{Gateway, id}, Ready: ready, Session: session}}
 	}
-	ask := func(id, holder string, session uint64) Command {
+	acquire := func(id, holder string, session uint64) Command {
 		return Command{Op: Acquire, Unit: Unit{Name: Name{Gateway, id}}, Permit: Permit{Holder: holder, Session: session, Reason: "r", TermMs: 1}}
 	}
-	back := func(id, holder string, number uint64) Command {
+	returnPermit := func(id, holder string, number uint64) Command {
 		return Command{Op: Return, Unit: Unit{Name: Name{Gateway, id}}, Permit: Permit{Number: number, Holder: holder}}
 	}
-	for n, c := range []struct {
-		c    Command
-		want string // of the error, or the permit's number
+	for n, testCase := range []struct {
+		command Command
+		want    string // of the error, or the permit's number
 	}{
 		{Command{Op: SetRules, Rules: []Rule{{Kind: Gateway}}}, "it bounds nothing"},
 		{Command{Op: SetRules, Rules: []Rule{{Kind: "disk", MaxUnavailable: &one}}}, "is not one of"},
 		{Command{Op: SetRules, Rules: []Rule{{Kind: Gateway, MaxUnavailable: &one}}}, ""},
-		{ask("a", "x", 1), "that anybody has seen"},
-		{unit("a", true, 3), "session 3 has ended"},
-		{unit("a", true, 1), ""},
-		{unit("b", true, 2), ""},
-		{unit("a", true, 2), ""},
-		{unit("a", true, 1), "is told of by session 2"},
-		{ask("a", "x", 1), "permit 20"},
-		{ask("a", "x", 1), "permit 20"}, // asked again
-		{ask("a", "y", 2), "is out by permit 20 of x"},
-		{ask("b", "y", 2), "1 out at most, and 2 would be"},
-		{back("a", "y", 20), "is held by x"},
+		{acquire("a", "x", 1), "that anybody has seen"},
+		{observe("a", true, 3), "session 3 has ended"},
+		{observe("a", true, 1), ""},
+		{observe("b", true, 2), ""},
+		{observe("a", true, 2), ""},
+		{observe("a", true, 1), "is told of by session 2"},
+		{acquire("a", "x", 1), "permit 20"},
+		{acquire("a", "x", 1), "permit 20"}, // repeated
+		{acquire("a", "y", 2), "is out by permit 20 of x"},
+		{acquire("b", "y", 2), "1 out at most, and 2 would be"},
+		{returnPermit("a", "y", 20), "is held by x"},
 		{Command{Op: Forget, Unit: Unit{Name: Name{Gateway, "a"}}}, "is ready"},
-		{back("a", "x", 20), ""},
-		{ask("b", "y", 2), "and 2 would be"}, // it was not seen since
-		{unit("a", true, 2), ""},
-		{ask("b", "y", 2), "permit 29"},
-		{back("a", "x", 20), ""}, // once more
+		{returnPermit("a", "x", 20), ""},
+		{acquire("b", "y", 2), "and 2 would be"}, // a has not been observed since its return
+		{observe("a", true, 2), ""},
+		{acquire("b", "y", 2), "permit 29"},
+		{returnPermit("a", "x", 20), ""}, // repeated
 		{Command{Op: Return, Unit: Unit{Name: Name{Gateway, "b"}}, Permit: Permit{Number: 29, Holder: "y"}, Untouched: true}, ""},
-		{ask("a", "y", 2), "permit 32"},
+		{acquire("a", "y", 2), "permit 32"},
 		{Command{Op: SetRules, Rules: []Rule{{Kind: Gateway, MaxUnavailable: &none}}}, ""},
-		{ask("b", "y", 2), "0 out at most"},
-		{unit("b", false, 2), ""},
-		{ask("b", "y", 2), "permit 36"}, // it is out by itself
+		{acquire("b", "y", 2), "0 out at most"},
+		{observe("b", false, 2), ""},
+		{acquire("b", "y", 2), "permit 36"}, // b is unavailable without a permit
 		{Command{Op: Forget, Unit: Unit{Name: Name{Gateway, "b"}}}, ""},
-		{ask("b", "y", 2), "that anybody has seen"},
+		{acquire("b", "y", 2), "that anybody has seen"},
 	} {
-		c.c.ObservedIndex = index + 10 // whoever looks has heard of all before
-		p, err := do(c.c)
+		testCase.command.ObservedIndex = index + 10 // the observer has received all earlier commands
+		permit, err := apply(testCase.command)
 		got := ""
 		switch {
 		case err != nil:
 			got = err.Error()
-		case p != nil:
-			got = fmt.Sprint("permit ", p.Number)
+		case permit != nil:
+			got = fmt.Sprint("permit ", permit.Number)
 		}
-		if got != c.want && (c.want == "" || !bytes.Contains([]byte(got), []byte(c.want))) {
-			t.Errorf("%d: %+v: %q, not %q", n, c.c, got, c.want)
+		if got != testCase.want && (testCase.want == "" || !bytes.Contains([]byte(got), []byte(testCase.want))) {
+			t.Errorf("%d: %+v: got %q, want %q", n, testCase.command, got, testCase.want)
 		}
 	}
-	if never := s.UnsatisfiableRules(); len(never) != 1 {
-		t.Errorf("rules that can never be met: %q", never)
+	if unsatisfiable := state.UnsatisfiableRules(); len(unsatisfiable) != 1 {
+		t.Errorf("unsatisfiable rules: got %q, want one", unsatisfiable)
 	}
 }
 
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkAcquire measures the grant and return of a permit by the number of units.
+func BenchmarkAcquire(b *testing.B) {
 	for _, units := range []int{300, 1000, 10_000} {
 		b.Run(fmt.Sprint(units), func(b *testing.B) {
-			s, most := New(), units/10
+			state, maxUnavailable := New(), units/10
 			for n := range units {
-				s.ObserveBackend(uint64(n+1), BackendState{fmt.Sprint(n), fmt.Sprint(n % 3), 1, "1", true})
+				state.ObserveBackend(uint64(n+1), BackendState{fmt.Sprint(n), fmt.Sprint(n % 3), 1, "1", true})
 			}
-			s.rules = []Rule{{Kind: Backend, MaxUnavailable: &most}, {Kind: Backend, Zone: "*", MaxUnavailable: &most}}
+			state.rules = []Rule{{Kind: Backend, MaxUnavailable: &maxUnavailable}, {Kind: Backend, Zone: "*", MaxUnavailable: &maxUnavailable}}
 			index := uint64(units + 1)
 			for n := 0; b.Loop(); n++ {
-				u := Unit{Name: Name{Backend, fmt.Sprint(n % units)}}
+				unit := Unit{Name: Name{Backend, fmt.Sprint(n % units)}}
 				index++
-				p, err := s.Apply(index, Command{Op: Acquire, Unit: u, Permit: Permit{Holder: "h", Reason: "r", TermMs: 1}}, nil)
+				permit, err := state.Apply(index, Command{Op: Acquire, Unit: unit, Permit: Permit{Holder: "h", Reason: "r", TermMs: 1}}, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
 				index++
-				if _, err := s.Apply(index, Command{Op: Return, Unit: u, Permit: Permit{Number: p.Number, Holder: "h"}}, nil); err != nil {
+				if _, err := state.Apply(index, Command{Op: Return, Unit: unit, Permit: Permit{Number: permit.Number, Holder: "h"}}, nil); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/ledger/lease.go
+++ b/internal/ledger/lease.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Drift is by how much two clocks are assumed to differ in their pace at most: one may
-// count 1.01 s where the other counts 1 s. Clocks need not agree on the time.
+// MaxClockDrift is the maximum relative difference between the rates of two clocks: one may count
+// 1.01 s while the other counts 1 s. Clocks need not agree on the time.
 const MaxClockDrift = 0.01
 
-// Leases are the writer's clocks of sessions. They are not agreed on: a member that
-// becomes the writer begins all of them anew, so none ends early for it.
+// Leases holds the leader's deadlines of sessions. They are not replicated: a new leader restarts
+// all of them, so that no lease ends early. Leases is not safe for concurrent use.
 type Leases struct {
 	deadlines map[uint64]time.Duration
 }
 
-// Begin begins the leases of all sessions, as of a member that becomes the writer at a
-// time by its own clock.
+// Reset restarts the leases of all sessions. A member calls it when it becomes the leader, with
+// the time of its own clock.
 func (l *Leases) Reset(now time.Duration, sessions []Session) {
 	l.deadlines = map[uint64]time.Duration{}
 	for _, s := range sessions {
@@ -25,14 +25,15 @@
 	}
 }
 
-// Renew begins one anew. Danger: a renewal may be answered only by who was certain to
-// be the writer after it had come; a later writer's lease then begins later still.
+// Renew restarts the lease of a session. The caller must have confirmed that it is still the
+// leader after the renewal arrived; a later leader's lease then starts even later.
 func (l *Leases) Renew(now time.Duration, s Session) {
-	// Its holder counts from before it asked, by a clock that may be slow.
+	// The holder counts from before it sent the renewal, by a clock that may be slow.
 	l.deadlines[s.ID] = max(l.deadlines[s.ID], now+time.Duration(float64(s.TTL())*(1+MaxClockDrift)/(1-MaxClockDrift)))
 }
 
-// Over returns the sessions whose time is over, and begins those that have none.
+// Expired returns the sorted numbers of the sessions whose lease has run out. It starts the leases
+// of sessions that have none, and drops those of sessions that have ended.
 func (l *Leases) Expired(now time.Duration, sessions []Session) (expired []uint64) {
 	isOpen := make(map[uint64]bool, len(sessions))
 	for _, s := range sessions {
@@ -53,19 +54,20 @@
 	return expired
 }
 
-// Holding is a session as its holder knows it, by its own clock.
+// HeldLease is the holder's view of its session, by its own clock. It is not safe for concurrent
+// use.
 type HeldLease struct {
 	Session
 	validUntil time.Duration
 }
 
-// Opened takes note of a session whose opening, or whose renewal, was asked for at a
-// time and has been answered.
+// Renewed extends the lease after a successful call that opened or renewed the session and was
+// sent at sentAt.
 func (h *HeldLease) Renewed(sentAt time.Duration, s Session) {
 	h.Session = s
 	h.validUntil = max(h.validUntil, sentAt+s.TTL())
 }
 
-// Holds says whether the holder may act on it. It ends by this clock before any writer
-// ends it.
+// Valid reports whether the holder may act on the session. The lease ends by the holder's clock
+// before any leader ends the session.
 func (h *HeldLease) Valid(now time.Duration) bool { return h.ID != 0 && now < h.validUntil }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,9 +1,7 @@
-// Package ledger is what a group of list services agrees on beside the list: named
-// records that change by compare-and-set, sessions that they can be bound to, and permits
-// by which units of the fleet may be out (internal/budget). It
-// is a state machine: commands go in, in the order that the group has agreed on, and
-// every member comes to the same results. No clock is in it; whoever writes tells by a
-// command of its own that a session has ended (see Leases).
+// Package ledger is a deterministic state machine of named records that change by
+// compare-and-set, sessions that records can be bound to, and permits that make units of the fleet
+// unavailable (internal/budget). It reads no clock: the leader of a group ends expired sessions by
+// a command (see Leases).
 package ledger
 
 import (
@@ -20,113 +18,113 @@
 	"dunlintray/internal/budget"
 )
 
-// Limits bound a State.
+// Limits holds the limits of a State.
 type Limits struct {
 	Records  int
 	Sessions int
-	Bytes    int // of all names and values
-	Value    int // bytes of one
-	Callers  int // of which the last request is remembered
-	History  int // changes that watchers can go on from
+	Bytes    int // of all names and values together
+	Value    int // bytes of one value
+	Callers  int // callers whose last request is kept
+	History  int // changes kept for watchers
 }
 
-// DefaultLimits keep a snapshot under the 8 MiB that a log takes in one piece.
+// DefaultLimits keeps a snapshot below the 8 MiB that a log accepts in one frame.
 var DefaultLimits = Limits{Records: 10000, Sessions: 8000, Bytes: 3 << 20, Value: 16 << 10, Callers: 8000, History: 20000}
 
 const (
 	maxNameBytes = 200
-	// LeastTTL and MostTTL bound a session's time to live.
+	// MinTTL and MaxTTL are the limits of a session's time to live.
 	MinTTL = time.Second
 	MaxTTL = time.Hour
 )
 
-// Op is what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The operations.
+// Operations of commands.
 const (
-	Put    Op = "put"    // a record, which is made if it is not there
-	Delete Op = "delete" // a record
-	Open   Op = "open"   // a session
-	End    Op = "end"    // a session, with all records bound to it
-	Budget Op = "budget" // what Units says
+	Put    Op = "put"    // creates or replaces a record
+	Delete Op = "delete" // removes a record
+	Open   Op = "open"   // opens a session
+	End    Op = "end"    // ends a session and removes all records bound to it
+	Budget Op = "budget" // applies Command.Units
 )
 
-// Command is one change.
+// Command is a change of the state.
 type Command struct {
 	Op Op `json:"op"`
-	// Caller and Request name the call: one that is made again is done once. A caller
-	// numbers its requests upward and makes one at a time. Without a caller nothing is
-	// remembered.
+	// Caller and Request identify the call, so that a repeated one is applied once. A caller
+	// numbers its requests upward from 1 and sends one at a time. A command without a caller
+	// is applied each time.
 	Caller  string `json:"caller,omitempty"`
 	Request uint64 `json:"request,omitempty"`
 
 	Name    string          `json:"name,omitempty"`
 	Value   json.RawMessage `json:"value,omitempty"`
-	Expect  *uint64         `json:"expect,omitempty"`  // the record's version, 0: none; absent: any
-	Session uint64          `json:"session,omitempty"` // that the record is bound to, or that ends
+	Expect  *uint64         `json:"expect,omitempty"`  // version that the record must have; 0: it must not exist; absent: any
+	Session uint64          `json:"session,omitempty"` // that the record is bound to, or that End ends
 	TTLMs   int64           `json:"ttlMs,omitempty"`   // of a session
 
 	Units *budget.Command `json:"units,omitempty"` // of Budget
 }
 
-// Code is why a command changed nothing.
+// Code is the reason why a command changed nothing, or OK.
 type Code string
 
-// The codes.
+// Codes of results.
 const (
 	OK        Code = ""
-	Conflict  Code = "conflict"   // the record is at another version
-	NoSession Code = "no session" // it has ended, or never was
-	NotFound  Code = "not found"  // there is no such record
-	Full      Code = "full"       // a bound is reached
+	Conflict  Code = "conflict"   // the record has another version
+	NoSession Code = "no session" // the session has ended or never existed
+	NotFound  Code = "not found"  // the record does not exist
+	Full      Code = "full"       // a limit is reached
 	Invalid   Code = "invalid"
-	Stale     Code = "stale"   // a later request of the caller has been done
-	Refused   Code = "refused" // no permit, or none such
+	Stale     Code = "stale"   // a later request of the caller has been applied
+	Refused   Code = "refused" // the budget rejected the command
 )
 
-// Result is what a command came to.
+// Result is the result of a command.
 type Result struct {
 	Code    Code   `json:"code,omitempty"`
 	Text    string `json:"text,omitempty"`
-	Version uint64 `json:"version,omitempty"` // of the record now; 0: there is none
-	Session uint64 `json:"session,omitempty"` // that was opened
+	Version uint64 `json:"version,omitempty"` // of the record after the command; 0: none
+	Session uint64 `json:"session,omitempty"` // number of the opened session
 
 	Permit *budget.Permit `json:"permit,omitempty"`
 }
 
-// Record is one by its name.
+// Record is a named value.
 type Record struct {
 	Name    string          `json:"name"`
-	Version uint64          `json:"version"` // the place in the agreed order at which it changed last
+	Version uint64          `json:"version"` // index of the command that changed it last
 	Value   json.RawMessage `json:"value"`
 	Session uint64          `json:"session,omitempty"`
 }
 
-// Session is one that is open.
+// Session is an open session.
 type Session struct {
 	ID     uint64 `json:"id"`
 	Caller string `json:"caller,omitempty"`
 	TTLMs  int64  `json:"ttlMs"`
 }
 
-// TTL is how long it lives without a renewal.
+// TTL returns the session's time to live without a renewal.
 func (s Session) TTL() time.Duration { return time.Duration(s.TTLMs) * time.Millisecond }
 
-// Change is one of the history. A record without a value is gone.
+// Change is a change of a record. A deleted record has no value.
 type Change struct {
 	Record
 	Deleted bool `json:"gone,omitempty"`
 }
 
-// done is a caller's last request and what it came to.
+// completedRequest is the last request of a caller and its result.
 type completedRequest struct {
 	Request uint64 `json:"request"`
 	Result  Result `json:"result"`
 	Index   uint64 `json:"at"`
 }
 
-// State is the ledger. It is not safe for use by several goroutines.
+// State is the state of the ledger. It is not safe for concurrent use.
 type State struct {
 	limits       Limits
 	index        uint64 // of the last command
@@ -136,50 +134,51 @@
 	bytes        int
 	callers      map[string]completedRequest
 	changes      []Change
-	historyStart uint64 // the version that changes follow
+	historyStart uint64 // version before the first entry of changes
 	units        *budget.State
 }
 
-// New returns an empty ledger.
+// New returns an empty state.
 func New(limits Limits) *State {
 	return &State{limits: limits, records: map[string]*Record{}, bound: map[uint64]map[string]bool{}, sessions: map[uint64]Session{}, callers: map[string]completedRequest{}, units: budget.New()}
 }
 
-// Check finds what no ledger would take, so that it need not be agreed on.
+// Check validates the command, so that an invalid one need not be replicated.
 func (c Command) Check(limits Limits) error {
 	switch {
 	case len(c.Caller) > maxNameBytes:
-		return fmt.Errorf("caller: %d bytes are over %d", len(c.Caller), maxNameBytes)
+		return fmt.Errorf("caller: got %d bytes, limit %d", len(c.Caller), maxNameBytes)
 	case c.Caller != "" && c.Request == 0:
-		return errors.New("request: a caller numbers its requests from 1")
+		return errors.New("request: numbers start from 1, got 0")
 	case c.Op == Open:
 		if ttl := time.Duration(c.TTLMs) * time.Millisecond; ttl < MinTTL || ttl > MaxTTL {
-			return fmt.Errorf("ttlMs: %v is not from %v to %v", ttl, MinTTL, MaxTTL)
+			return fmt.Errorf("ttlMs: %v is not between %v and %v", ttl, MinTTL, MaxTTL)
 		}
 		return nil
 	case c.Op == End:
 		if c.Session == 0 {
-			return errors.New("session: none is named")
+			return errors.New("session: number is missing")
 		}
 		return nil
 	case c.Op == Budget && c.Units == nil:
-		return errors.New("units: nothing is said of them")
+		return errors.New("units: command is missing")
 	case c.Op == Budget:
 		return c.Units.Check()
 	case c.Op != Put && c.Op != Delete:
 		return fmt.Errorf("op: %.80q is not put, delete, open, end or budget", c.Op)
 	case c.Name == "" || len(c.Name) > maxNameBytes || strings.ContainsFunc(c.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }):
-		return fmt.Errorf("name: %.80q is not from 1 to %d bytes without blanks", c.Name, maxNameBytes)
+		return fmt.Errorf("name: %.80q does not have 1 to %d bytes without blanks", c.Name, maxNameBytes)
 	case c.Op == Put && !json.Valid(c.Value):
-		return errors.New("value: it is not JSON")
+		return errors.New("value: not valid JSON")
 	case len(c.Value) > limits.Value:
-		return fmt.Errorf("value: %d bytes are over %d", len(c.Value), limits.Value)
+		return fmt.Errorf("value: got %d bytes, limit %d", len(c.Value), limits.Value)
 	}
 	return nil
 }
 
-// Apply does a command at its place in the agreed order. What it came to follows from
-// the ledger and the command alone.
+// Apply applies the command at the index, which must be higher than that of the previous one. The
+// result depends on the state and the command only. Results are part of the replicated state, so
+// their texts must not differ between members.
 func (s *State) Apply(index uint64, command Command) Result {
 	s.index = index
 	if command.Caller != "" {
@@ -187,7 +186,7 @@
 		case known && command.Request == last.Request:
 			return last.Result
 		case known && command.Request < last.Request:
-			return Result{Code: Stale, Text: fmt.Sprintf("request %d of %s has been done, this is %d", last.Request, command.Caller, command.Request)}
+			return Result{Code: Stale, Text: fmt.Sprintf("request %d of caller %s has been applied already, got request %d", last.Request, command.Caller, command.Request)}
 		}
 	}
 	result := s.execute(index, command)
@@ -198,12 +197,12 @@
 	return result
 }
 
-// forget drops callers beyond the limit, those that have asked longest ago.
+// evictCallers removes the callers with the oldest requests if there are more than the limit.
 func (s *State) evictCallers() {
 	if len(s.callers) <= s.limits.Callers {
 		return
 	}
-	// A tenth at once, so that not every call looks for the oldest.
+	// A tenth of the callers at once amortizes the search for the oldest.
 	callers := slices.SortedFunc(maps.Keys(s.callers), func(a, b string) int { return cmp.Compare(s.callers[a].Index, s.callers[b].Index) })
 	for _, caller := range callers[:1+len(callers)/10] {
 		delete(s.callers, caller)
@@ -299,7 +298,7 @@
 	s.appendChange(Change{Record{Name: name, Version: index}, true})
 }
 
-// remember puts a change into the history, which forgets the oldest for it.
+// appendChange appends to the history and drops the oldest change beyond the limit.
 func (s *State) appendChange(c Change) {
 	if s.changes = append(s.changes, c); len(s.changes) > s.limits.History {
 		s.historyStart = s.changes[0].Version
@@ -308,13 +307,13 @@
 	}
 }
 
-// Units are the units of the fleet, and who may be out.
+// Units returns the state of the fleet's units. It belongs to s.
 func (s *State) Units() *budget.State { return s.units }
 
-// Index is the place of the last command.
+// Index returns the index of the last command.
 func (s *State) Index() uint64 { return s.index }
 
-// Get returns a record.
+// Get returns a record and whether it exists.
 func (s *State) Get(name string) (Record, bool) {
 	r := s.records[name]
 	if r == nil {
@@ -323,7 +322,7 @@
 	return *r, true
 }
 
-// List returns the records whose names begin so, by name.
+// List returns the records whose names start with prefix, sorted by name.
 func (s *State) List(prefix string) []Record {
 	records := []Record{}
 	for name, r := range s.records {
@@ -335,8 +334,8 @@
 	return records
 }
 
-// Since returns what has changed behind a place in the order, the last state of each
-// record, if the history goes back so far.
+// Since returns the last change after index of each record whose name starts with prefix. It
+// returns false if the history does not go back that far.
 func (s *State) Since(index uint64, prefix string) (changes []Change, ok bool) {
 	if index < s.historyStart {
 		return nil, false
@@ -352,20 +351,20 @@
 	return changes, true
 }
 
-// Sessions returns those that are open, by number.
+// Sessions returns the open sessions, sorted by number.
 func (s *State) Sessions() []Session {
 	return slices.SortedFunc(maps.Values(s.sessions), func(a, b Session) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Stats are a State's figures.
+// Stats holds the sizes of a State. Its fields are encoded under their Go names.
 type Stats struct{ Records, Sessions, Bytes, Callers, History int }
 
-// Stats returns the figures.
+// Stats returns the sizes of the state.
 func (s *State) Stats() Stats {
 	return Stats{len(s.records), len(s.sessions), s.bytes, len(s.callers), len(s.changes)}
 }
 
-// saved is one line of a snapshot; one of its parts is set.
+// snapshotLine is the encoding of one line of a snapshot. One of its parts is set.
 type snapshotLine struct {
 	Index   *uint64           `json:"index,omitempty"`
 	Record  *Record           `json:"record,omitempty"`
@@ -376,14 +375,14 @@
 	Units json.RawMessage `json:"units,omitempty"`
 }
 
-// Save returns the ledger as lines. The history is not in it: who watches across a
-// restart is told everything.
+// Save returns a snapshot as lines. It leaves out the history, so watchers get all records after
+// a restart.
 func (s *State) Save() [][]byte {
 	var lines [][]byte
 	add := func(line snapshotLine) {
 		text, err := json.Marshal(line)
 		if err != nil {
-			panic(err) // of plain fields, and values that are JSON
+			panic(err) // unreachable: all fields can be encoded, and values are valid JSON
 		}
 		lines = append(lines, text)
 	}
@@ -404,13 +403,13 @@
 	return lines
 }
 
-// Restore puts what Save returned in the ledger's place.
+// Restore replaces the state by a snapshot that Save returned.
 func (s *State) Restore(lines [][]byte) error {
 	next := New(s.limits)
 	for n, text := range lines {
 		var line snapshotLine
 		if err := json.Unmarshal(text, &line); err != nil {
-			return fmt.Errorf("ledger: line %d of a snapshot: %w", n+1, err)
+			return fmt.Errorf("ledger: decode line %d of a snapshot: %w", n+1, err)
 		}
 		switch {
 		case line.Index != nil:
@@ -426,7 +425,7 @@
 				return err
 			}
 		default:
-			return fmt.Errorf("ledger: line %d of a snapshot says nothing", n+1)
+			return fmt.Errorf("ledger: line %d of a snapshot has no content", n+1)
 		}
 	}
 	*s = *next
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -13,137 +13,136 @@
 	"pgregory.net/rapid"
 )
 
-// model is the ledger as a reader would write it down, without bounds of callers.
+// model is a simple reference implementation of State without the limit of callers.
 type model struct {
-	records  map[string]Record
-	sessions map[uint64]Session
-	done     map[string]completedRequest
-	history  []Change
+	records      map[string]Record
+	sessions     map[uint64]Session
+	lastRequests map[string]completedRequest
+	history      []Change
 }
 
-// apply is what a command has to come to.
-func (m *model) apply(index uint64, c Command, limits Limits) (r Result) {
-	if c.Caller != "" {
-		switch last, known := m.done[c.Caller]; {
-		case known && c.Request == last.Request:
+// apply returns the expected result of a command.
+func (m *model) apply(index uint64, command Command, limits Limits) (result Result) {
+	if command.Caller != "" {
+		switch last, known := m.lastRequests[command.Caller]; {
+		case known && command.Request == last.Request:
 			return last.Result
-		case known && c.Request < last.Request:
+		case known && command.Request < last.Request:
 			return Result{Code: Stale}
 		}
-		defer func() { m.done[c.Caller] = completedRequest{c.Request, r, index} }()
+		defer func() { m.lastRequests[command.Caller] = completedRequest{command.Request, result, index} }()
 	}
-	have := m.records[c.Name]
-	gone := func(name string) {
+	current := m.records[command.Name]
+	remove := func(name string) {
 		delete(m.records, name)
 		m.history = append(m.history, Change{Record{Name: name, Version: index}, true})
 	}
-	_, open := m.sessions[c.Session]
-	bytes := len(c.Name) + len(c.Value)
+	_, open := m.sessions[command.Session]
+	size := len(command.Name) + len(command.Value)
 	for name, r := range m.records {
-		if name != c.Name {
-			bytes += len(name) + len(r.Value)
+		if name != command.Name {
+			size += len(name) + len(r.Value)
 		}
 	}
 	switch {
-	case c.Op == Open && len(m.sessions) >= limits.Sessions:
+	case command.Op == Open && len(m.sessions) >= limits.Sessions:
 		return Result{Code: Full}
-	case c.Op == Open:
-		m.sessions[index] = Session{index, c.Caller, c.TTLMs}
+	case command.Op == Open:
+		m.sessions[index] = Session{index, command.Caller, command.TTLMs}
 		return Result{Session: index}
-	case c.Op == End && !open:
+	case command.Op == End && !open:
 		return Result{Code: NoSession}
-	case c.Op == End:
+	case command.Op == End:
 		for _, name := range slices.Sorted(maps.Keys(m.records)) {
-			if m.records[name].Session == c.Session {
-				gone(name)
+			if m.records[name].Session == command.Session {
+				remove(name)
 			}
 		}
-		delete(m.sessions, c.Session)
+		delete(m.sessions, command.Session)
 		return Result{}
-	case c.Expect != nil && *c.Expect != have.Version:
-		return Result{Code: Conflict, Version: have.Version}
-	case c.Op == Delete && have.Version == 0:
+	case command.Expect != nil && *command.Expect != current.Version:
+		return Result{Code: Conflict, Version: current.Version}
+	case command.Op == Delete && current.Version == 0:
 		return Result{Code: NotFound}
-	case c.Op == Delete:
-		gone(c.Name)
+	case command.Op == Delete:
+		remove(command.Name)
 		return Result{}
-	case c.Session != 0 && !open:
-		return Result{Code: NoSession, Version: have.Version}
-	case have.Version == 0 && len(m.records) >= limits.Records, bytes > limits.Bytes:
-		return Result{Code: Full, Version: have.Version}
+	case command.Session != 0 && !open:
+		return Result{Code: NoSession, Version: current.Version}
+	case current.Version == 0 && len(m.records) >= limits.Records, size > limits.Bytes:
+		return Result{Code: Full, Version: current.Version}
 	}
-	m.records[c.Name] = Record{c.Name, index, c.Value, c.Session}
-	m.history = append(m.history, Change{Record: m.records[c.Name]})
+	m.records[command.Name] = Record{command.Name, index, command.Value, command.Session}
+	m.history = append(m.history, Change{Record: m.records[command.Name]})
 	return Result{Version: index}
 }
 
-// Whatever commands come, also again, the ledger does what the model says, within its
-// bounds; watchers that go on from any place come to the same records; and a snapshot
-// goes on like the ledger that it is of.
-func TestState(t *testing.T) {
+// State matches the model for random and repeated commands, for watchers that continue from any
+// index, and after a restore, and it stays within its limits.
+func TestStateMatchesModel(t *testing.T) {
 	limits := Limits{Records: 4, Sessions: 3, Bytes: 60, Value: 30, Callers: 100, History: 6}
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(limits)
-		m := &model{records: map[string]Record{}, sessions: map[uint64]Session{}, done: map[string]completedRequest{}}
-		watched, at := map[string]Record{}, uint64(0)
+		state := New(limits)
+		reference := &model{records: map[string]Record{}, sessions: map[uint64]Session{}, lastRequests: map[string]completedRequest{}}
+		watched, watchedIndex := map[string]Record{}, uint64(0)
 		var index uint64
 		var last Command
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			index += uint64(rapid.IntRange(1, 2).Draw(t, "gap"))
-			c := Command{Op: rapid.SampledFrom([]Op{Put, Put, Put, Delete, Open, End}).Draw(t, "op")}
-			switch c.Op {
+			command := Command{Op: rapid.SampledFrom([]Op{Put, Put, Put, Delete, Open, End}).Draw(t, "op")}
+			switch command.Op {
 			case Put, Delete:
-				c.Name = rapid.SampledFrom([]string{"a", "b/1", "b/2", "c", "d", "e"}).Draw(t, "name")
+				command.Name = rapid.SampledFrom([]string{"a", "b/1", "b/2", "c", "d", "e"}).Draw(t, "name")
 				if rapid.Bool().Draw(t, "conditional") {
-					v := m.records[c.Name].Version
+					version := reference.records[command.Name].Version
 					if rapid.IntRange(0, 3).Draw(t, "wrong") == 0 {
-						v++
+						version++
 					}
-					c.Expect = &v
+					command.Expect = &version
 				}
 			case Open:
-				c.TTLMs = 2000
+				command.TTLMs = 2000
 			}
-			if c.Op == Put {
-				c.Value, _ = json.Marshal(strings.Repeat("x", rapid.IntRange(0, 25).Draw(t, "size")))
+			if command.Op == Put {
+				command.Value, _ = json.Marshal(strings.Repeat("x", rapid.IntRange(0, 25).Draw(t, "size")))
 			}
-			if c.Op == End || c.Op == Put && rapid.Bool().Draw(t, "bound") {
-				all := append(slices.Sorted(maps.Keys(m.sessions)), 999)
-				c.Session = rapid.SampledFrom(all).Draw(t, "session")
+			if command.Op == End || command.Op == Put && rapid.Bool().Draw(t, "bound") {
+				sessions := append(slices.Sorted(maps.Keys(reference.sessions)), 999)
+				command.Session = rapid.SampledFrom(sessions).Draw(t, "session")
 			}
 			if rapid.Bool().Draw(t, "named") {
-				c.Caller = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "caller")
-				c.Request = m.done[c.Caller].Request + uint64(rapid.IntRange(0, 2).Draw(t, "request"))
-				if c.Request == 0 {
-					c.Request = 1
+				command.Caller = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "caller")
+				command.Request = reference.lastRequests[command.Caller].Request + uint64(rapid.IntRange(0, 2).Draw(t, "request"))
+				if command.Request == 0 {
+					command.Request = 1
 				}
 			}
 			if last.Op != "" && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
-				c = last
+				command = last
 			}
-			last = c
-			got, want := s.Apply(index, c), m.apply(index, c, limits)
+			last = command
+			got, want := state.Apply(index, command), reference.apply(index, command, limits)
 			if got.Text, want.Text = "", ""; got != want {
-				t.Fatalf("%+v at %d: %+v, not %+v", c, index, got, want)
+				t.Fatalf("%+v at %d: got %+v, want %+v", command, index, got, want)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
-				next := New(limits)
-				if err := next.Restore(s.Save()); err != nil {
+				restored := New(limits)
+				if err := restored.Restore(state.Save()); err != nil {
 					t.Fatal(err)
 				}
-				if fmt.Sprintf("%q", next.Save()) != fmt.Sprintf("%q", s.Save()) || !reflect.DeepEqual(next.bound, s.bound) || next.bytes != s.bytes {
-					t.Fatalf("restored: %q, not %q", next.Save(), s.Save())
+				if fmt.Sprintf("%q", restored.Save()) != fmt.Sprintf("%q", state.Save()) || !reflect.DeepEqual(restored.bound, state.bound) || restored.bytes != state.bytes {
+					t.Fatalf("restored: got %q, want %q", restored.Save(), state.Save())
 				}
-				s = next
+				state = restored
 			}
-			if st := s.Stats(); st.Records > limits.Records || st.Sessions > limits.Sessions || st.Bytes > limits.Bytes || st.History > limits.History {
-				t.Fatalf("%+v", st)
+			if stats := state.Stats(); stats.Records > limits.Records || stats.Sessions > limits.Sessions || stats.Bytes > limits.Bytes || stats.History > limits.History {
+				t.Fatalf("limits exceeded: %+v", stats)
 			}
 			if rapid.Bool().Draw(t, "watch") {
-				changes, known := s.Since(at, "")
-				if !known {
+				changes, complete := state.Since(watchedIndex, "")
+				if !complete {
 					clear(watched)
-					for _, r := range s.List("") {
+					for _, r := range state.List("") {
 						watched[r.Name] = r
 					}
 				}
@@ -152,99 +151,99 @@
 						delete(watched, c.Name)
 					}
 				}
-				at = s.Index()
-				if fmt.Sprint(watched) != fmt.Sprint(m.records) {
-					t.Fatalf("a watcher has %v, not %v", watched, m.records)
+				watchedIndex = state.Index()
+				if fmt.Sprint(watched) != fmt.Sprint(reference.records) {
+					t.Fatalf("watched records: got %v, want %v", watched, reference.records)
 				}
 			}
-			for name, r := range m.records {
-				if got, there := s.Get(name); !there || !reflect.DeepEqual(got, r) {
-					t.Fatalf("%s is %+v, not %+v", name, got, r)
+			for name, r := range reference.records {
+				if got, there := state.Get(name); !there || !reflect.DeepEqual(got, r) {
+					t.Fatalf("record %s: got %+v, want %+v", name, got, r)
 				}
 			}
-			if len(s.records) != len(m.records) || !slices.Equal(slices.Sorted(maps.Keys(s.sessions)), slices.Sorted(maps.Keys(m.sessions))) {
-				t.Fatalf("%v and %v, not %v and %v", s.records, s.sessions, m.records, m.sessions)
+			if len(state.records) != len(reference.records) || !slices.Equal(slices.Sorted(maps.Keys(state.sessions)), slices.Sorted(maps.Keys(reference.sessions))) {
+				t.Fatalf("got records %v and sessions %v, want %v and %v", state.records, state.sessions, reference.records, reference.sessions)
 			}
 		}
 	})
 }
 
-// Of callers beyond the limit those are forgotten that have asked longest ago, and
-// what can't be is refused.
-func TestBounds(t *testing.T) {
-	s := New(Limits{Records: 10, Sessions: 10, Bytes: 1000, Value: 10, Callers: 20, History: 10})
+// The callers with the oldest requests are evicted beyond the limit, and invalid commands and
+// snapshots are refused.
+func TestCallersAreBoundedAndInvalidCommandsRefused(t *testing.T) {
+	state := New(Limits{Records: 10, Sessions: 10, Bytes: 1000, Value: 10, Callers: 20, History: 10})
 	for n := range uint64(100) {
-		s.Apply(n+1, Command{Op: Open, TTLMs: 2000, Caller: fmt.Sprint(n), Request: 1})
+		state.Apply(n+1, Command{Op: Open, TTLMs: 2000, Caller: fmt.Sprint(n), Request: 1})
 	}
-	if st := s.Stats(); st.Callers > 20 || st.Callers < 15 || s.callers["99"].Index != 100 || s.callers["0"].Index != 0 {
-		t.Errorf("%+v", st)
+	if stats := state.Stats(); stats.Callers > 20 || stats.Callers < 15 || state.callers["99"].Index != 100 || state.callers["0"].Index != 0 {
+		t.Errorf("wrong callers evicted: %+v", stats)
 	}
 	for _, c := range []Command{{}, {Op: "steal"}, {Op: Put, Name: "a"}, {Op: Put, Name: "a", Value: []byte("{")}, {Op: Put, Name: "a b", Value: []byte("1")},
 		{Op: Put, Name: "a", Value: []byte(`"0123456789"`)}, {Op: Put, Value: []byte("1")}, {Op: Open}, {Op: Open, TTLMs: 1 << 40}, {Op: End}, {Op: Delete, Name: "a", Caller: "c"}} {
-		if r := s.Apply(1000, c); r.Code != Invalid {
-			t.Errorf("%+v: %+v", c, r)
+		if r := state.Apply(1000, c); r.Code != Invalid {
+			t.Errorf("%+v: got %+v, want code invalid", c, r)
 		}
 	}
-	if err := s.Restore([][]byte{[]byte("{}")}); err == nil {
-		t.Error("a snapshot that says nothing is taken")
+	if err := state.Restore([][]byte{[]byte("{}")}); err == nil {
+		t.Error("restored a snapshot line without content")
 	}
 }
 
-// However the clocks of holders and writers drift, whoever writes, and whatever is lost,
-// no writer ends a session while its holder acts on it. A margin that is left out shows.
-func TestSessions(t *testing.T) {
-	early := false
-	play := func(t *rapid.T, margin bool) (ended, held time.Duration) {
-		drift := func(name string) float64 {
+// No leader ends a session while its holder may act on it, for any clock drift, change of the
+// leader or lost response. Without the drift margin the test fails.
+func TestNoSessionEndsWhileHeld(t *testing.T) {
+	endsEarly := false
+	simulate := func(t *rapid.T, withMargin bool) (endedAt, heldUntil time.Duration) {
+		drawRate := func(name string) float64 {
 			return rapid.Float64Range(1-MaxClockDrift/2, 1+MaxClockDrift/2).Draw(t, name)
-		} // of two clocks, from the time
-		holders := drift("holder's")
-		s := Session{ID: 7, TTLMs: 2000}
-		var h HeldLease
-		var l Leases
-		writers := drift("writer's")
+		} // half of the drift, relative to real time
+		holderRate := drawRate("holder rate")
+		session := Session{ID: 7, TTLMs: 2000}
+		var held HeldLease
+		var leases Leases
+		leaderRate := drawRate("leader rate")
 		clock := func(now time.Duration, rate float64) time.Duration { return time.Duration(float64(now) * rate) }
 		renew := func(now time.Duration) {
-			if l.Renew(now, s); !margin {
-				l.deadlines[s.ID] = now + s.TTL()
+			if leases.Renew(now, session); !withMargin {
+				leases.deadlines[session.ID] = now + session.TTL()
 			}
 		}
 		now := time.Duration(0)
-		h.Renewed(clock(now, holders), s)
-		l.Reset(clock(now, writers), nil)
-		renew(clock(now, writers))
+		held.Renewed(clock(now, holderRate), session)
+		leases.Reset(clock(now, leaderRate), nil)
+		renew(clock(now, leaderRate))
 		for range rapid.IntRange(0, 20).Draw(t, "renewals") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-			asked := clock(now, holders)
+			sentAt := clock(now, holderRate)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0: // the answer is lost
-				renew(clock(now, writers))
-			case 1: // another writes from now on
-				writers = drift("next writer's")
-				l.Reset(clock(now, writers), []Session{s})
+			case 0: // the response is lost
+				renew(clock(now, leaderRate))
+			case 1: // another member becomes the leader
+				leaderRate = drawRate("next leader rate")
+				leases.Reset(clock(now, leaderRate), []Session{session})
 			case 2:
 				now += time.Duration(rapid.IntRange(0, 300).Draw(t, "late")) * time.Millisecond
-				if len(l.Expired(clock(now, writers), []Session{s})) == 0 {
-					renew(clock(now, writers))
-					h.Renewed(asked, s)
+				if len(leases.Expired(clock(now, leaderRate), []Session{session})) == 0 {
+					renew(clock(now, leaderRate))
+					held.Renewed(sentAt, session)
 				}
 			}
-			if len(l.Expired(clock(now, writers), []Session{s})) > 0 {
+			if len(leases.Expired(clock(now, leaderRate), []Session{session})) > 0 {
 				break
 			}
 		}
-		for ; len(l.Expired(clock(now, writers), []Session{s})) == 0; now += time.Millisecond {
+		for ; len(leases.Expired(clock(now, leaderRate), []Session{session})) == 0; now += time.Millisecond {
 		}
-		return now, time.Duration(float64(h.validUntil) / holders)
+		return now, time.Duration(float64(held.validUntil) / holderRate)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		if ended, held := play(t, true); held > ended {
-			t.Fatalf("ended after %v and held until %v", ended, held)
+		if endedAt, heldUntil := simulate(t, true); heldUntil > endedAt {
+			t.Fatalf("session ended at %v while its lease was valid until %v", endedAt, heldUntil)
 		}
-		ended, held := play(t, false)
-		early = early || held > ended
+		endedAt, heldUntil := simulate(t, false)
+		endsEarly = endsEarly || heldUntil > endedAt
 	})
-	if !early {
-		t.Error("without its margin no session ends early: this test finds nothing")
+	if !endsEarly {
+		t.Error("no session ends early without the margin: the test detects nothing")
 	}
 }
