--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -195,7 +195,7 @@
 	if status, _ := old.operate(t, "POST", "/control/backends/"+backend.address()+"/offline"); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if err := stalled.decoder.Decode(&n); err != nil || n.Call == nil || !n.Call.Offline {
+	if err := stalled.decoder.Decode(&n); err != nil || n.Override == nil || !n.Override.Offline {
 		t.Errorf("the word was not passed on: %+v, %v", n, err)
 	}
 	old.stop()
@@ -246,10 +246,10 @@
 }
 
 // untilLeaving waits until the gateway knows that it is to end.
-func (r *testGateway) untilLeaving(t *testing.T) {
+func (g *testGateway) untilLeaving(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if status, _ := r.operate(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
+		if status, _ := g.operate(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
 			return
 		}
 		if time.Now().After(end) {
