--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -102,7 +102,7 @@
 	if !finished {
 		conn.Close() // nothing more of the body may leave
 		reuse = false
-		if err = errUploadAborted; attempt.lastPiece.Load() {
+		if err = errTransferAborted; attempt.lastPiece.Load() {
 			err = <-sent // the sender is at the last piece
 		}
 	}
@@ -112,7 +112,7 @@
 	}
 	// The body broke off before its end was written, so the backend has run nothing.
 	res.outcome, res.err, res.bodyErr = rules.ConnectFailed, err, bodyErr
-	if bodyErr != nil || errors.Is(err, errUploadAborted) && upload.responseSent() {
+	if bodyErr != nil || errors.Is(err, errTransferAborted) && upload.responseSent() {
 		res.outcome = rules.NotStarted // says nothing about the backend
 	}
 	return res, false
