--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -156,8 +156,8 @@
 			}
 			pools.mu.Lock()
 			defer pools.mu.Unlock()
-			if kept := len(pools.targets[1].idle) == 1 && pools.open == 1; kept != test.kept {
-				t.Errorf("connection kept: %t, %d open", kept, pools.open)
+			if kept := len(pools.targets[1].idle) == 1 && pools.openCount == 1; kept != test.kept {
+				t.Errorf("connection kept: %t, %d open", kept, pools.openCount)
 			}
 		})
 	}
@@ -204,8 +204,8 @@
 		t.Errorf("refused: outcome %d", got.outcome)
 	}
 	pools.remove(1)
-	if got := pools.runAttempt(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed || pools.open != 0 {
-		t.Errorf("not listed: outcome %d, %d open", got.outcome, pools.open)
+	if got := pools.runAttempt(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed || pools.openCount != 0 {
+		t.Errorf("not listed: outcome %d, %d open", got.outcome, pools.openCount)
 	}
 }
 
@@ -215,8 +215,8 @@
 	backend := newPeer(t)
 	pools := newTestPools(t, backend.address())
 	got := pools.runAttempt(newAttempt(50 * time.Millisecond))
-	if got.outcome != rules.TimedOut || pools.open != 0 {
-		t.Errorf("outcome %d, %d open", got.outcome, pools.open)
+	if got.outcome != rules.TimedOut || pools.openCount != 0 {
+		t.Errorf("outcome %d, %d open", got.outcome, pools.openCount)
 	}
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
@@ -249,8 +249,8 @@
 		t.Errorf("the connection after the abort: %v", err)
 	}
 	wait(t, done, "result")
-	if pools.open != 0 {
-		t.Errorf("%d connections open", pools.open)
+	if pools.openCount != 0 {
+		t.Errorf("%d connections open", pools.openCount)
 	}
 }
 
@@ -296,8 +296,8 @@
 		conn, reader := []*peer{backend, moved}[i].accept(t)
 		readRequest(t, reader)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		if got := wait(t, done, "result"); got.outcome != rules.Served || pools.open != 1 {
-			t.Errorf("change %d: outcome %d, %d open", i, got.outcome, pools.open)
+		if got := wait(t, done, "result"); got.outcome != rules.Served || pools.openCount != 1 {
+			t.Errorf("change %d: outcome %d, %d open", i, got.outcome, pools.openCount)
 		}
 	}
 }
@@ -314,8 +314,8 @@
 		t.Errorf("new request: outcome %d", got.outcome)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if got := wait(t, inFlight, "result"); got.outcome != rules.Served || pools.open != 0 {
-		t.Errorf("request in flight: outcome %d, %d open", got.outcome, pools.open)
+	if got := wait(t, inFlight, "result"); got.outcome != rules.Served || pools.openCount != 0 {
+		t.Errorf("request in flight: outcome %d, %d open", got.outcome, pools.openCount)
 	}
 }
 
@@ -336,8 +336,8 @@
 			done = startAttempt(pools, newAttempt(testTimeout))
 		}
 	}
-	if len(backend.conns) != 0 || pools.open != 1 {
-		t.Errorf("%d more connections, %d open", len(backend.conns), pools.open)
+	if len(backend.conns) != 0 || pools.openCount != 1 {
+		t.Errorf("%d more connections, %d open", len(backend.conns), pools.openCount)
 	}
 }
 
@@ -358,11 +358,11 @@
 	wait(t, first, "result")
 	pools.mu.Lock()
 	defer pools.mu.Unlock()
-	if pools.closeIdleSince(pools.targets[1], time.Now().Add(-time.Hour)); pools.open != 1 {
+	if pools.closeIdleSince(pools.targets[1], time.Now().Add(-time.Hour)); pools.openCount != 1 {
 		t.Errorf("a fresh connection was closed")
 	}
-	if pools.closeIdleSince(pools.targets[1], time.Now().Add(time.Hour)); pools.open != 0 || len(pools.targets[1].idle) != 0 {
-		t.Errorf("%d open after the idle limit", pools.open)
+	if pools.closeIdleSince(pools.targets[1], time.Now().Add(time.Hour)); pools.openCount != 0 || len(pools.targets[1].idle) != 0 {
+		t.Errorf("%d open after the idle limit", pools.openCount)
 	}
 }
 
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -26,18 +26,18 @@
 // target is the pool of connections to one backend process at one address. Retiring the
 // target closes its idle connections and cancels its dials.
 type target struct {
-	address string
-	born    float64         // start of the backend process in Unix seconds, as discovery reports it
-	ctx     context.Context // cancelled when the target is retired; dials stop with it
-	cancel  context.CancelFunc
-	conns   map[*backendConn]struct{} // all, idle or in use
-	idle    []*backendConn            // most recently used last
-	retired bool
+	address   string
+	startedAt float64         // start of the backend process in Unix seconds, as discovery reports it
+	ctx       context.Context // cancelled when the target is retired; dials stop with it
+	cancel    context.CancelFunc
+	conns     map[*backendConn]struct{} // all, idle or in use
+	idle      []*backendConn            // most recently used last
+	retired   bool
 }
 
 // newTarget returns an empty pool for a backend process.
-func newTarget(address string, born float64) *target {
-	t := &target{address: address, born: born, conns: map[*backendConn]struct{}{}}
+func newTarget(address string, startedAt float64) *target {
+	t := &target{address: address, startedAt: startedAt, conns: map[*backendConn]struct{}{}}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	return t
 }
@@ -52,9 +52,9 @@
 	logLimit       logLimiter // for log lines about local failures
 	dial           func(context.Context, *target, time.Duration) (*backendConn, error)
 
-	mu      sync.Mutex
-	targets map[rules.BackendID]*target
-	open    int // connections and dials over all targets
+	mu        sync.Mutex
+	targets   map[rules.BackendID]*target
+	openCount int // connections and dials over all targets
 }
 
 // newPools returns pools without backends.
@@ -83,18 +83,18 @@
 
 // update sets the address and the process start of a ready backend. If either is new, it
 // retires the connections to the former process or address.
-func (p *pools) update(id rules.BackendID, address string, born float64) {
+func (p *pools) update(id rules.BackendID, address string, startedAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	existing := p.targets[id]
-	if existing != nil && existing.address == address && existing.born >= born {
+	if existing != nil && existing.address == address && existing.startedAt >= startedAt {
 		return
 	}
 	if existing != nil {
 		// Requests in flight at an earlier process will never be answered.
-		p.retire(existing, existing.born < born)
+		p.retire(existing, existing.startedAt < startedAt)
 	}
-	p.targets[id] = newTarget(address, born)
+	p.targets[id] = newTarget(address, startedAt)
 }
 
 // renew cancels the dials and closes the idle connections to a backend, and keeps its
@@ -104,7 +104,7 @@
 	defer p.mu.Unlock()
 	if t := p.targets[id]; t != nil {
 		p.retire(t, false)
-		p.targets[id] = newTarget(t.address, t.born)
+		p.targets[id] = newTarget(t.address, t.startedAt)
 	}
 }
 
@@ -155,7 +155,7 @@
 	// detects them. A connection is reused at once only if the limit allows no new one.
 	for i := len(target.idle) - 1; i >= 0; i-- {
 		conn := target.idle[i]
-		if conn.idleFor = time.Since(conn.idleSince); conn.idleFor < p.settle && p.open < p.maxOpen {
+		if conn.idleFor = time.Since(conn.idleSince); conn.idleFor < p.settle && p.openCount < p.maxOpen {
 			continue
 		}
 		target.idle = slices.Delete(target.idle, i, i+1)
@@ -167,11 +167,11 @@
 		conn.Close()
 		p.forget(conn)
 	}
-	if p.open >= p.maxOpen {
+	if p.openCount >= p.maxOpen {
 		p.mu.Unlock()
 		return nil, errConnLimit
 	}
-	p.open++
+	p.openCount++
 	connectTimeout := p.connectTimeout
 	p.mu.Unlock()
 	conn, err := p.dialWithRetry(ctx, target, connectTimeout)
@@ -182,7 +182,7 @@
 		err = errNoConn
 	}
 	if err != nil {
-		p.open--
+		p.openCount--
 		return nil, err
 	}
 	target.conns[conn] = struct{}{}
@@ -236,7 +236,7 @@
 func (p *pools) forget(conn *backendConn) {
 	if _, open := conn.target.conns[conn]; open {
 		delete(conn.target.conns, conn)
-		p.open--
+		p.openCount--
 	}
 }
 
