--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -13,133 +13,133 @@
 	"time"
 )
 
-// newSharedListener holds the clients' socket and a folder for all processes of a
-// gateway.
-func newSharedListener(t *testing.T) (l net.Listener, dir string) {
+// newSharedListener returns the client listener and the hand-over directory that all processes of a
+// gateway share.
+func newSharedListener(t *testing.T) (listener net.Listener, dir string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	return l, t.TempDir()
+	t.Cleanup(func() { listener.Close() })
+	return listener, t.TempDir()
 }
 
-// newSiblings starts two gateways on one listening socket, the second beside the
-// first, which has an idle connection of a client.
+// newSiblings starts two processes of a gateway on one listening socket. The older one has an idle
+// client connection, kept.
 func newSiblings(t *testing.T, backend *peer) (old, next *testGateway, kept net.Conn) {
 	t.Helper()
-	l, dir := newSharedListener(t)
-	// What a process left that was killed does no harm.
+	listener, dir := newSharedListener(t)
+	// The socket file of a killed process must do no harm.
 	if err := os.WriteFile(filepath.Join(dir, handoverSocketName), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	old = newTestGatewayOn(t, l, dir, backend)
+	old = newTestGatewayOn(t, listener, dir, backend)
 	kept, answers := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
-	wait(t, answers, "answer") // an error, which leaves the connection open
-	return old, newTestGatewayOn(t, l, dir, backend), kept
+	wait(t, answers, "answer") // an error response, which leaves the connection open
+	return old, newTestGatewayOn(t, listener, dir, backend), kept
 }
 
-// newTestGatewayOn starts a gateway as one process of several with the given socket.
+// newTestGatewayOn starts one process of a gateway on a shared listening socket.
 func newTestGatewayOn(t *testing.T, shared net.Listener, dir string, backends ...*peer) *testGateway {
 	t.Helper()
-	r := &testGateway{registry: newFakeDiscovery(t), ended: make(chan error, 1)}
-	c, err := parseConfig([]byte(configText(r.registry.address(), testSettings)))
+	gateway := &testGateway{registry: newFakeDiscovery(t), ended: make(chan error, 1)}
+	config, err := parseConfig([]byte(configText(gateway.registry.address(), testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.HandoverDir = dir
-	f, err := shared.(*net.TCPListener).File()
+	config.HandoverDir = dir
+	file, err := shared.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	l, err := net.FileListener(f)
+	defer file.Close()
+	listener, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.serve(t, &c, l)
-	wait(t, r.registry.calls, "list")
-	r.registry.answers <- newListing(true, "Ready", backends...)
-	wait(t, r.registry.calls, "watch")
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if status, _ := r.callControl(t, "GET", "/control/ready"); status == http.StatusOK {
-			return r
+	gateway.serve(t, &config, listener)
+	wait(t, gateway.registry.calls, "list")
+	gateway.registry.answers <- newListing(true, "Ready", backends...)
+	wait(t, gateway.registry.calls, "watch")
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		if status, _ := gateway.callControl(t, "GET", "/control/ready"); status == http.StatusOK {
+			return gateway
 		}
-		if time.Now().After(end) {
-			t.Fatal("never ready")
+		if time.Now().After(deadline) {
+			t.Fatalf("the gateway did not get ready within %v", testTimeout)
 		}
 	}
 }
 
-// An operator's word to either process holds in both, and a ban from before the
-// second process as well.
+// An operator override at either process must apply in both, also one from before the second
+// process was started.
 func TestOverrideReachesBothProcesses(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	l, dir := newSharedListener(t)
-	old := newTestGatewayOn(t, l, dir, backend)
+	listener, dir := newSharedListener(t)
+	old := newTestGatewayOn(t, listener, dir, backend)
 	path := "/control/backends/" + backend.address()
-	say := func(r *testGateway, word string) {
+	override := func(process *testGateway, action string) {
 		t.Helper()
-		if status, _ := r.callControl(t, "POST", path+word); status != http.StatusOK {
-			t.Errorf("%s: status %d", word, status)
+		if status, _ := process.callControl(t, "POST", path+action); status != http.StatusOK {
+			t.Errorf("%s: status %d", action, status)
 		}
 	}
-	say(old, "/offline")
-	next := newTestGatewayOn(t, l, dir, backend)
+	override(old, "/offline")
+	next := newTestGatewayOn(t, listener, dir, backend)
 	next.awaitMetrics(t, "app.skipped_backends:1|g")
-	say(next, "/online")
+	override(next, "/online")
 	old.awaitMetrics(t, "app.skipped_backends:0|g")
-	say(old, "/offline")
+	override(old, "/offline")
 	next.awaitMetrics(t, "app.skipped_backends:1|g")
-	next.stop() // a new process that ends leaves the old one its gateway
+	next.stop() // a successor that ends leaves the gateway to the old process
 	if err := wait(t, next.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	say(old, "/online")
+	override(old, "/online")
 	old.awaitMetrics(t, "app.skipped_backends:0|g")
-	third := newTestGatewayOn(t, l, dir, backend)
-	say(third, "/offline")
+	third := newTestGatewayOn(t, listener, dir, backend)
+	override(third, "/offline")
 	old.awaitMetrics(t, "app.skipped_backends:1|g")
 }
 
-// The old process answers what comes on the connections it has, and the new one
-// what comes on new ones. Nothing is closed on a client that may be writing.
+// After SIGTERM, the old process must answer requests on its open connections, and the successor
+// those on new ones. No connection may be closed while its client may be sending a request.
 func TestOldProcessServesOpenConnections(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	old, next, conn := newSiblings(t, backend)
-	memory := func(r *testGateway) int {
-		r.figures.bodyBudget.mu.Lock()
-		defer r.figures.bodyBudget.mu.Unlock()
-		return r.figures.bodyBudget.total
-	}
-	for _, r := range []*testGateway{old, next} {
-		for end := time.Now().Add(testTimeout); memory(r) != bodyMemory(192)/2; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%d bytes for the bodies of one of two processes", memory(r))
+	old, next, kept := newSiblings(t, backend)
+	memory := func(process *testGateway) int {
+		process.figures.bodyBudget.mu.Lock()
+		defer process.figures.bodyBudget.mu.Unlock()
+		return process.figures.bodyBudget.total
+	}
+	for _, process := range []*testGateway{old, next} {
+		for deadline := time.Now().Add(testTimeout); memory(process) != bodyMemory(192)/2; time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("%d bytes of body memory for one of two processes", memory(process))
 			}
 		}
 	}
 	old.stop()
 	old.awaitNotReady(t)
-	for range 8 { // none meets a closed door
+	for range 8 { // no connection is refused
 		_, answers := next.request(t, requestText("POST", "booking", "x"))
-		to, br := backend.accept(t)
-		readRequest(t, br)
-		to.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
+		backendConn, backendReader := backend.accept(t)
+		readRequest(t, backendReader)
+		backendConn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
 		if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
-	if _, err := conn.Write([]byte(requestText("GET", "lookup", ""))); err != nil {
+	if _, err := kept.Write([]byte(requestText("GET", "lookup", ""))); err != nil {
 		t.Fatal(err)
 	}
 	serveOne(t, backend, "kept")
-	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(kept), nil)
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("on a connection from before: %v, %v", resp, err)
+		t.Errorf("on the connection of the old process: %v, %v", resp, err)
 	}
 	if err := wait(t, old.ended, "end"); err != nil {
 		t.Errorf("the old process ended with %v", err)
@@ -147,37 +147,37 @@
 	if status, _ := next.callControl(t, "GET", "/control/ready"); status != http.StatusOK {
 		t.Errorf("the new process: status %d", status)
 	}
-	for end := time.Now().Add(testTimeout); memory(next) != bodyMemory(192); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%d bytes for the bodies of a process that is alone", memory(next))
+	for deadline := time.Now().Add(testTimeout); memory(next) != bodyMemory(192); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%d bytes of body memory for a single process", memory(next))
 		}
 	}
 }
 
-// A process that has the state and stalls holds up neither calls by hand nor the
-// end of the old one.
-// A gateway that can have no Unix socket serves without one and says so once.
+// A gateway that cannot open its hand-over socket must serve without it and log that once.
 func TestServesWithoutHandoverSocket(t *testing.T) {
-	var text bytes.Buffer
-	was := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(&text, nil)))
-	t.Cleanup(func() { slog.SetDefault(was) })
-	l, dir := newSharedListener(t)
-	r := newTestGatewayOn(t, l, filepath.Join(dir, strings.Repeat("x", 120)), newPeer(t)) // longer than its path may be
-	r.stop()
-	if err := wait(t, r.ended, "end"); err != nil {
+	var logged bytes.Buffer
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
+	t.Cleanup(func() { slog.SetDefault(previous) })
+	listener, dir := newSharedListener(t)
+	gateway := newTestGatewayOn(t, listener, filepath.Join(dir, strings.Repeat("x", 120)), newPeer(t)) // longer than the path of a socket may be
+	gateway.stop()
+	if err := wait(t, gateway.ended, "end"); err != nil {
 		t.Error(err)
 	}
-	if n := strings.Count(text.String(), "no later process can take over"); n != 1 || strings.Contains(text.String(), "without state") {
-		t.Errorf("logged:\n%s", text.String())
+	if count := strings.Count(logged.String(), "no later process can take over"); count != 1 || strings.Contains(logged.String(), "without state") {
+		t.Errorf("logged:\n%s", logged.String())
 	}
 }
 
+// A successor that got the state and then stalls must delay neither operator overrides nor the
+// shutdown of the old process.
 func TestStalledSuccessorBlocksNothing(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	l, dir := newSharedListener(t)
-	old := newTestGatewayOn(t, l, dir, backend)
+	listener, dir := newSharedListener(t)
+	old := newTestGatewayOn(t, listener, dir, backend)
 	conn, err := net.Dial("unix", filepath.Join(dir, handoverSocketName))
 	if err != nil {
 		t.Fatal(err)
@@ -185,18 +185,18 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	stalled := newPeerConn(conn)
-	var n handoverMessage
+	var message handoverMessage
 	if err := stalled.send(handoverMessage{Join: true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := stalled.decoder.Decode(&n); err != nil || n.Snapshot == nil || len(n.Snapshot.Listing.Instances) != 1 {
-		t.Fatalf("state %+v, %v", n.Snapshot, err)
+	if err := stalled.decoder.Decode(&message); err != nil || message.Snapshot == nil || len(message.Snapshot.Listing.Instances) != 1 {
+		t.Fatalf("state %+v, %v", message.Snapshot, err)
 	}
 	if status, _ := old.callControl(t, "POST", "/control/backends/"+backend.address()+"/offline"); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if err := stalled.decoder.Decode(&n); err != nil || n.Override == nil || !n.Override.Offline {
-		t.Errorf("the word was not passed on: %+v, %v", n, err)
+	if err := stalled.decoder.Decode(&message); err != nil || message.Override == nil || !message.Override.Offline {
+		t.Errorf("the override was not sent to the successor: %+v, %v", message, err)
 	}
 	old.stop()
 	old.awaitReadiness(t, http.StatusServiceUnavailable) // it still answers on new connections
@@ -205,13 +205,13 @@
 	}
 }
 
-// The word that a new process serves may come after the order to end. Connections
-// that stand are kept for their next request all the same.
+// The Serving message of a successor may arrive after SIGTERM. Idle connections must then still be
+// kept for their next request.
 func TestLateServingMessageKeepsIdleConnections(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	l, dir := newSharedListener(t)
-	old := newTestGatewayOn(t, l, dir, backend)
+	listener, dir := newSharedListener(t)
+	old := newTestGatewayOn(t, listener, dir, backend)
 	kept, answers := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
 	wait(t, answers, "answer")
 	conn, err := net.Dial("unix", filepath.Join(dir, handoverSocketName))
@@ -221,20 +221,20 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	next := newPeerConn(conn)
-	var n handoverMessage
+	var message handoverMessage
 	if err := next.send(handoverMessage{Join: true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := next.decoder.Decode(&n); err != nil || n.Snapshot == nil {
-		t.Fatalf("state %+v, %v", n.Snapshot, err)
+	if err := next.decoder.Decode(&message); err != nil || message.Snapshot == nil {
+		t.Fatalf("state %+v, %v", message.Snapshot, err)
 	}
 	old.stop()
 	old.awaitNotReady(t)
 	if err := next.send(handoverMessage{Serving: true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := next.decoder.Decode(&n); err != nil || !n.Leaving {
-		t.Fatalf("%+v, %v", n, err)
+	if err := next.decoder.Decode(&message); err != nil || !message.Leaving {
+		t.Fatalf("%+v, %v", message, err)
 	}
 	if _, err := kept.Write([]byte(requestText("GET", "lookup", ""))); err != nil {
 		t.Fatal(err)
@@ -245,15 +245,15 @@
 	}
 }
 
-// awaitNotReady waits until the gateway knows that it is to end.
+// awaitNotReady waits until the gateway reports that it is not ready, as it does once it shuts down.
 func (g *testGateway) awaitNotReady(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if status, _ := g.callControl(t, "GET", "/control/ready"); status == http.StatusServiceUnavailable {
 			return
 		}
-		if time.Now().After(end) {
-			t.Fatal("it is still ready")
+		if time.Now().After(deadline) {
+			t.Fatalf("the gateway is still ready after %v", testTimeout)
 		}
 	}
 }
