--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -17,129 +17,130 @@
 	"dunlintray/rules"
 )
 
-// fakeDiscovery is a discovery whose answers a test gives one by one.
+// fakeDiscovery is a discovery server that answers each request with the next value of answers.
 type fakeDiscovery struct {
 	*httptest.Server
-	calls   chan string // the query of each call
-	answers chan any    // a Listing, or a status
+	calls   chan string // the query string of each request
+	answers chan any    // a Listing, a body (string), a status (int), or nil to close the connection
 }
 
 func newFakeDiscovery(t testing.TB) *fakeDiscovery {
-	r := &fakeDiscovery{calls: make(chan string, 64), answers: make(chan any, 64)}
-	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.calls <- q.URL.RawQuery
+	discovery := &fakeDiscovery{calls: make(chan string, 64), answers: make(chan any, 64)}
+	discovery.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		discovery.calls <- r.URL.RawQuery
 		select {
-		case <-q.Context().Done():
-		case a := <-r.answers:
-			switch a := a.(type) {
+		case <-r.Context().Done():
+		case answer := <-discovery.answers:
+			switch answer := answer.(type) {
 			case Listing:
-				if a.Instances == nil {
-					a.Instances = []Instance{}
+				if answer.Instances == nil {
+					answer.Instances = []Instance{}
 				}
-				json.NewEncoder(w).Encode(a)
+				json.NewEncoder(w).Encode(answer)
 			case string:
-				w.Write([]byte(a))
+				w.Write([]byte(answer))
 			case nil:
 				panic(http.ErrAbortHandler)
 			case int:
-				w.WriteHeader(a)
+				w.WriteHeader(answer)
 			}
 		}
 	}))
-	t.Cleanup(r.Server.Close)
-	return r
+	t.Cleanup(discovery.Server.Close)
+	return discovery
 }
 
-func (r *fakeDiscovery) address() string { return r.Listener.Addr().String() }
+func (d *fakeDiscovery) address() string { return d.Listener.Addr().String() }
 
+// A failed request must be retried from the right version, and an answer that is not a complete list
+// must not be passed on.
 func TestWatchRetriesFailedRequests(t *testing.T) {
-	r := newFakeDiscovery(t)
-	heard := make(chan Listing, 64)
-	turnedAway := make(chan chan struct{}, 1)
-	w := newDiscoveryWatcher(r.address(), func(l Listing) { heard <- l }, func(context.Context) {
-		again := make(chan struct{})
-		turnedAway <- again
-		<-again
+	discovery := newFakeDiscovery(t)
+	received := make(chan Listing, 64)
+	rejections := make(chan chan struct{}, 1)
+	watcher := newDiscoveryWatcher(discovery.address(), func(l Listing) { received <- l }, func(context.Context) {
+		retry := make(chan struct{})
+		rejections <- retry
+		<-retry
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { w.run(ctx, nil) })
+	wg.Go(func() { watcher.run(ctx, nil) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 
-	// Each step: the call that is expected, its answer, and what is handed on.
-	for i, step := range []struct {
+	// Each step has the expected request, its answer, and whether the answer is passed on.
+	for number, step := range []struct {
 		query  string
 		answer any
 		reset  bool
-		none   bool
+		none   bool // nothing is passed on
 	}{
-		{"", nil, false, true}, // discovery is not there yet
+		{"", nil, false, true}, // discovery is not available yet
 		{"", Listing{Generation: 41}, true, false},
-		{"since=41&timeout_ms=2000", nil, false, true}, // net/http calls again by itself
-		{"since=41&timeout_ms=2000", nil, false, true}, // a broken watch goes on from the same version, at once
+		{"since=41&timeout_ms=2000", nil, false, true}, // net/http repeats the request by itself
+		{"since=41&timeout_ms=2000", nil, false, true}, // a broken watch is retried at once from the same version
 		{"since=41&timeout_ms=1", Listing{Generation: 43}, false, false},
 		{"since=43&timeout_ms=2000", Listing{Generation: 2, Reset: true}, true, false},
-		{"since=2&timeout_ms=2000", 500, false, true}, // a version that is turned down is given up
+		{"since=2&timeout_ms=2000", 500, false, true}, // after another status the version is not used again
 		{"", Listing{Generation: 50, Reset: true}, true, false},
 		{"since=50&timeout_ms=2000", "{", false, true},
-		{"", "{}", false, true}, // no list, which must not empty the gateway's
+		{"", "{}", false, true}, // not a list; it must not remove all backends
 		{"", `{"generation":60,"reset":true}`, false, true},
 		{"", `{"generation":60,"instances":null}`, false, true},
 		{"", `null`, false, true},
 		{"", Listing{Generation: 51, Reset: true}, true, false},
-		{"since=51&timeout_ms=2000", 503, false, true}, // turned away, the version still holds
+		{"since=51&timeout_ms=2000", 503, false, true}, // a rejected request leaves the version valid
 		{"since=51&timeout_ms=1", Listing{Generation: 52}, false, false},
 	} {
-		if got := wait(t, r.calls, "call"); got != step.query {
-			t.Fatalf("step %d: call %q, want %q", i, got, step.query)
+		if got := wait(t, discovery.calls, "call"); got != step.query {
+			t.Fatalf("step %d: call %q, want %q", number, got, step.query)
 		}
-		r.answers <- step.answer
+		discovery.answers <- step.answer
 		if step.answer == 503 {
-			again := wait(t, turnedAway, "word of the refusal")
-			if len(r.calls) > 0 {
-				t.Fatalf("step %d: asked again at once", i)
+			retry := wait(t, rejections, "report of the rejected request")
+			if len(discovery.calls) > 0 {
+				t.Fatalf("step %d: the rejected request was repeated at once", number)
 			}
-			close(again)
+			close(retry)
 		}
 		if step.none {
 			continue
 		}
-		if got := wait(t, heard, "list"); got.Generation != step.answer.(Listing).Generation || got.Reset != step.reset {
-			t.Fatalf("step %d: heard %+v", i, got)
+		if got := wait(t, received, "list"); got.Generation != step.answer.(Listing).Generation || got.Reset != step.reset {
+			t.Fatalf("step %d: received %+v", number, got)
 		}
 	}
 }
 
-// A watch that stands open at the old address is given up for the new one, and
-// starts there from the whole list.
+// A new address must end the open watch at the old one, and start with a request for the full list.
 func TestWatchMovesToNewAddress(t *testing.T) {
 	old, next := newFakeDiscovery(t), newFakeDiscovery(t)
-	heard := make(chan Listing, 64)
-	w := newDiscoveryWatcher(old.address(), func(l Listing) { heard <- l }, nil)
+	received := make(chan Listing, 64)
+	watcher := newDiscoveryWatcher(old.address(), func(l Listing) { received <- l }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	moves := make(chan string)
 	var wg sync.WaitGroup
-	wg.Go(func() { w.run(ctx, moves) })
+	wg.Go(func() { watcher.run(ctx, moves) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	wait(t, old.calls, "first call")
 	old.answers <- Listing{Generation: 41, Reset: true}
-	wait(t, heard, "list")
+	wait(t, received, "list")
 	wait(t, old.calls, "watch")
 	moves <- next.address()
 	if got := wait(t, next.calls, "call at the new address"); got != "" {
-		t.Errorf("call %q, want the whole list", got)
+		t.Errorf("call %q, want a request for the full list", got)
 	}
 	next.answers <- Listing{Generation: 7}
-	if got := wait(t, heard, "list from the new address"); got.Generation != 7 || !got.Reset {
-		t.Errorf("heard %+v", got)
+	if got := wait(t, received, "list from the new address"); got.Generation != 7 || !got.Reset {
+		t.Errorf("received %+v", got)
 	}
 }
 
-// What is JSON and no list is refused, and changes may be none.
+// JSON text that is not a list must be rejected; a set of changes may be empty.
 func TestOnlyCompleteListingsAreRead(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text        string
-		whole, good bool
+		full, valid bool
 	}{
 		{`{"generation":5,"reset":true,"instances":[]}`, false, true},
 		{`{ "generation" : 5,
@@ -155,98 +156,99 @@
 		{`{"generation":"5","instances":[]}`, true, false},
 		{`{"generation":5,"instances":[{]}`, true, false},
 	} {
-		if l, err := readListing([]byte(c.text), c.whole); (err == nil) != c.good {
-			t.Errorf("%s, whole %t: %+v, %v", c.text, c.whole, l, err)
+		if listing, err := readListing([]byte(test.text), test.full); (err == nil) != test.valid {
+			t.Errorf("%s, full %t: %+v, %v", test.text, test.full, listing, err)
 		}
 	}
 }
 
-// However the calls fail, what discovery has comes within 6 s: the time of each loss
-// in turn is counted on the bubble's clock, with the longest pauses that the module
-// asks for.
+// A change must arrive within 6 s however the requests fail, with the longest pauses that the module
+// requests after a rejected one. The clock is that of a synctest bubble.
 func TestChangeArrivesWithinSixSeconds(t *testing.T) {
-	type loss string
+	type failure string
 	const (
-		silent  loss = "falls silent"
-		refused loss = "is refused"
-		broken  loss = "breaks"
-		slow    loss = "is slow to end"
-		cut     loss = "is cut in its body"
-		odd     loss = "has another status"
+		silent      failure = "no answer"
+		rejected    failure = "status 503"
+		broken      failure = "connection closed"
+		slow        failure = "slow body"
+		truncated   failure = "body cut off"
+		otherStatus failure = "status 500"
 	)
-	for _, losses := range [][]loss{{}, {silent}, {refused}, {broken}, {cut}, {odd}, {slow}, {silent, silent}, {silent, refused},
-		{refused, refused}, {silent, broken, refused}, {silent, silent, refused}, {silent, odd}, {cut, silent, slow}, {silent, slow}} {
+	for _, failures := range [][]failure{{}, {silent}, {rejected}, {broken}, {truncated}, {otherStatus}, {slow}, {silent, silent}, {silent, rejected},
+		{rejected, rejected}, {silent, broken, rejected}, {silent, silent, rejected}, {silent, otherStatus}, {truncated, silent, slow}, {silent, slow}} {
 		synctest.Test(t, func(t *testing.T) {
-			calls, refusals := 0, 0
-			var heard time.Time
+			calls, rejections := 0, 0
+			var receivedAt time.Time
 			ctx, cancel := context.WithCancel(context.Background())
-			w := newDiscoveryWatcher("discovery", func(l Listing) {
-				if l.Generation == 2 && heard.IsZero() {
-					heard = time.Now()
+			watcher := newDiscoveryWatcher("discovery", func(listing Listing) {
+				if listing.Generation == 2 && receivedAt.IsZero() {
+					receivedAt = time.Now()
 					cancel()
 				}
 			}, func(ctx context.Context) {
-				refusals++
-				sleepFor(ctx, []time.Duration{2 * time.Second, 3600 * time.Millisecond}[min(refusals, 2)-1])
+				rejections++
+				sleepFor(ctx, []time.Duration{2 * time.Second, 3600 * time.Millisecond}[min(rejections, 2)-1])
 			})
-			w.client.Transport = roundTripFunc(func(r *http.Request) (*http.Response, error) {
+			watcher.client.Transport = roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				calls++
 				body := io.Reader(strings.NewReader(`{"generation":2,"reset":true,"instances":[]}`))
 				if calls == 1 {
 					body = strings.NewReader(`{"generation":1,"reset":true,"instances":[]}`)
 				}
-				if n := calls - 2; n >= 0 && n < len(losses) {
-					switch losses[n] {
+				if index := calls - 2; index >= 0 && index < len(failures) {
+					switch failures[index] {
 					case silent:
 						<-r.Context().Done()
 						return nil, context.Cause(r.Context())
-					case refused:
+					case rejected:
 						return &http.Response{StatusCode: 503, Body: http.NoBody}, nil
-					case odd:
+					case otherStatus:
 						return &http.Response{StatusCode: 500, Body: http.NoBody}, nil
 					case broken:
 						return nil, io.ErrUnexpectedEOF
 					case slow:
 						time.Sleep(bodyTimeout - time.Millisecond)
-					case cut:
+					case truncated:
 						body = iotest.TimeoutReader(iotest.OneByteReader(body))
 					}
 				}
 				return &http.Response{StatusCode: 200, Body: io.NopCloser(body)}, nil
 			})
-			began := time.Now()
-			w.follow(ctx)
-			if took := heard.Sub(began); heard.IsZero() || took > 5800*time.Millisecond {
-				t.Errorf("%q: told after %v", losses, took)
+			start := time.Now()
+			watcher.follow(ctx)
+			if took := receivedAt.Sub(start); receivedAt.IsZero() || took > 5800*time.Millisecond {
+				t.Errorf("%q: received after %v", failures, took)
 			}
 		})
 	}
 }
 
-// roundTripFunc answers a client's calls.
+// roundTripFunc is an http.RoundTripper.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
+// An instance must be converted to the module's form and units, and an invalid one rejected. The id
+// of a name must never change.
 func TestInstanceConversion(t *testing.T) {
-	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
-	b, err := backendOf(Instance{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
-		StartedAtMs: 1500}, d)
+	deployment := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
+	backend, err := backendOf(Instance{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
+		StartedAtMs: 1500}, deployment)
 	want := rules.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: rules.Draining, Weight: 1.5, StartedAt: 1.5}
-	if err != nil || b != want {
-		t.Errorf("%+v, %v; want %+v", b, err, want)
+	if err != nil || backend != want {
+		t.Errorf("%+v, %v; want %+v", backend, err, want)
 	}
 	if backendID("s-5be2a07c") != 0x4caec46a {
-		t.Errorf("the id of a name has changed to %#x: gateways of two versions would not agree", backendID("s-5be2a07c"))
+		t.Errorf("the id of a name has changed to %#x: gateways of different versions would not agree", backendID("s-5be2a07c"))
 	}
-	for _, bad := range []Instance{
+	for _, invalid := range []Instance{
 		{ID: "", Zone: "a", Lifecycle: "Ready"},
 		{ID: "s-1", Zone: "a", Lifecycle: "ready"},
 		{ID: "s-1", Zone: "c", Lifecycle: "Ready"},
 		{ID: "s-1", Zone: "a", Lifecycle: "Ready", StartedAtMs: -1},
 	} {
-		if _, err := backendOf(bad, d); err == nil {
-			t.Errorf("%+v was taken", bad)
+		if _, err := backendOf(invalid, deployment); err == nil {
+			t.Errorf("%+v was accepted", invalid)
 		}
 	}
 }
