--- a/rules/drive_test.go
+++ b/rules/drive_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// drive drives one gateway by hand and keeps the actions of the last event.
-type harness struct {
+// gatewayHarness passes events to one gateway and keeps the actions of the last one.
+type gatewayHarness struct {
 	t       *testing.T
 	gateway *Gateway
 	now     float64
@@ -22,60 +22,66 @@
 	}
 }
 
-func start(t *testing.T, settings Settings, backends ...Backend) *harness {
+// newHarness returns a gateway at time 100 that knows the backends.
+func newHarness(t *testing.T, settings Settings, backends ...Backend) *gatewayHarness {
 	t.Helper()
-	harness := &harness{t: t, now: 100}
+	harness := &gatewayHarness{t: t, now: 100}
 	harness.gateway, harness.last = New(settings, 7, harness.now, nil)
 	harness.handle(Backends{Kind: CachedList, Entries: backends})
 	return harness
 }
 
-func ready(id BackendID) Backend { return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1} }
+func readyBackend(id BackendID) Backend {
+	return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1}
+}
 
-func some(n int) (out []Backend) {
+func readyBackends(n int) (backends []Backend) {
 	for i := range n {
-		out = append(out, ready(BackendID(i+1)))
+		backends = append(backends, readyBackend(BackendID(i+1)))
 	}
-	return out
+	return backends
 }
 
-func (harness *harness) handle(ev Event) []Action {
+func (harness *gatewayHarness) handle(ev Event) []Action {
 	harness.last = harness.gateway.Handle(harness.now, ev, nil)
 	return harness.last
 }
 
-// ask sends a request of the class and plan and answers its counter calls in full.
-func (harness *harness) ask(class, plan int, who CustomerID) RequestID {
+// request sends a request of the class and plan and answers its counter calls in full.
+func (harness *gatewayHarness) request(class, plan int, customer CustomerID) RequestID {
 	harness.nextID++
 	settings := harness.gateway.settings
-	actions := harness.handle(Request{ID: harness.nextID, Class: class, Plan: plan, Customer: who, Units: 1, GatewayCount: 2,
+	actions := harness.handle(Request{ID: harness.nextID, Class: class, Plan: plan, Customer: customer, Units: 1, GatewayCount: 2,
 		Deadline: harness.now + settings.Classes[class].Deadline})
-	harness.last = append(actions, harness.grantAll(actions)...)
+	harness.last = append(actions, harness.answerCalls(actions)...)
 	return harness.nextID
 }
 
-func (harness *harness) grantAll(actions []Action) (all []Action) {
-	for _, c := range find[Count](actions) {
-		all = append(all, harness.gateway.Handle(harness.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
+// answerCalls grants the full amount of each counter call and returns the resulting actions.
+func (harness *gatewayHarness) answerCalls(actions []Action) (replies []Action) {
+	for _, c := range actionsOf[Count](actions) {
+		replies = append(replies, harness.gateway.Handle(harness.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
 	}
-	return all
+	return replies
 }
 
-func find[A Action](actions []Action) (out []A) {
+// actionsOf returns the actions of one type.
+func actionsOf[A Action](actions []Action) (found []A) {
 	for _, a := range actions {
-		if x, ok := a.(A); ok {
-			out = append(out, x)
+		if action, ok := a.(A); ok {
+			found = append(found, action)
 		}
 	}
-	return out
+	return found
 }
 
-func one[A Action](t *testing.T, actions []Action) A {
+// onlyAction returns the action of one type and fails the test unless there is exactly one.
+func onlyAction[A Action](t *testing.T, actions []Action) A {
 	t.Helper()
-	all := find[A](actions)
+	all := actionsOf[A](actions)
 	if len(all) != 1 {
-		var none A
-		t.Fatalf("want one %T, got %v", none, actions)
+		var zero A
+		t.Fatalf("want one %T, got %v", zero, actions)
 	}
 	return all[0]
 }
--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -6,90 +6,91 @@
 	"testing"
 )
 
+// A cold backend gets some attempts, but not many although it is idle.
 func TestColdBackendGetsNoBurst(t *testing.T) {
 	cold := Backend{ID: 9, State: Ready, StartedAt: 99.9}
-	harness := start(t, testSettings(), append(some(1), cold)...)
-	toCold := 0
-	var out []Send
+	harness := newHarness(t, testSettings(), append(readyBackends(1), cold)...)
+	sentToCold := 0
+	var inFlight []Send
 	for i := range 200 {
 		harness.now = 100 + float64(i)*0.01
-		harness.ask(0, 1, CustomerID(i))
-		for _, send := range find[Send](harness.last) {
+		harness.request(0, 1, CustomerID(i))
+		for _, send := range actionsOf[Send](harness.last) {
 			if send.Backend == 9 {
-				toCold++
+				sentToCold++
 			}
-			out = append(out, send)
+			inFlight = append(inFlight, send)
 		}
-		if len(out) > 3 { // each takes four steps
-			harness.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.04, Done: true})
-			out = out[1:]
+		if len(inFlight) > 3 { // each attempt takes four steps
+			harness.handle(AttemptEnd{Request: inFlight[0].Request, Backend: inFlight[0].Backend, Took: 0.04, Done: true})
+			inFlight = inFlight[1:]
 		}
 		harness.handle(Timer{Token: timerHousekeeping << 56})
 	}
-	// A warm backend had 100 a second for two seconds; the cold one may do 20 to 36 of these.
-	if toCold > 2*2*36 {
-		t.Errorf("%d sends to a cold backend in 2 s", toCold)
+	// A warm backend gets 100 requests per second for 2 s; the cold one has 20 % to 36 % of that capacity.
+	if sentToCold > 2*2*36 {
+		t.Errorf("%d attempts at a cold backend in 2 s, want at most 144", sentToCold)
 	}
-	if toCold == 0 {
-		t.Error("a cold backend never gets anything and cannot take over")
+	if sentToCold == 0 {
+		t.Error("a cold backend gets no attempts")
 	}
 }
 
-// Many gateways with less than a request for each backend must use cold ones too, and in sum no more than a
-// cold one bears.
-func TestManyGatewaysShareAColdBackend(t *testing.T) {
-	const fleet, warm, cold, perSecond, work, span = 80, 20, 30, 400, 0.2, 6.0
+// A large fleet, with less than one request per gateway and backend, must use cold backends too, and in
+// total no more than their capacity.
+func TestLargeFleetRespectsTheCapacityOfAColdBackend(t *testing.T) {
+	const fleet, warm, cold, perSecond, serviceTime, span = 80, 20, 30, 400, 0.2, 6.0
 	settings := testSettings()
 	settings.Fleet, settings.Tick = fleet, 0.001
 	settings.Plans[1].Rate = 0
 	var backends []Backend
 	for i := range warm {
-		backends = append(backends, ready(BackendID(i+1)))
+		backends = append(backends, readyBackend(BackendID(i+1)))
 	}
-	var gates []*harness
+	var harnesses []*gatewayHarness
 	for rank := range fleet {
 		settings.Rank = rank
-		harness := &harness{t: t, now: 100, nextID: RequestID(rank << 16)}
+		harness := &gatewayHarness{t: t, now: 100, nextID: RequestID(rank << 16)}
 		harness.gateway, _ = New(settings, uint64(rank), harness.now, nil)
 		harness.handle(Backends{Kind: FullList, Entries: backends})
-		gates = append(gates, harness)
+		harnesses = append(harnesses, harness)
 	}
 	type sent struct {
-		by *harness
-		s  Send
-		at float64
+		by   *gatewayHarness
+		send Send
+		at   float64
 	}
-	var out []sent
+	var inFlight []sent
 	rng := rand.New(rand.NewPCG(1, 2))
-	perCold, perWarm := map[BackendID][]float64{}, 0
+	sentToCold, sentToWarm := map[BackendID][]float64{}, 0
 	step := func(now float64) {
-		for len(out) > 0 && out[0].at+work <= now {
-			o := out[0]
-			o.by.now, out = now, out[1:]
-			for _, send := range find[Send](o.by.handle(AttemptEnd{Request: o.s.Request, Backend: o.s.Backend, Outcome: Served})) {
-				out = append(out, sent{o.by, send, now})
+		for len(inFlight) > 0 && inFlight[0].at+serviceTime <= now {
+			first := inFlight[0]
+			first.by.now, inFlight = now, inFlight[1:]
+			for _, send := range actionsOf[Send](first.by.handle(AttemptEnd{Request: first.send.Request, Backend: first.send.Backend, Outcome: Served})) {
+				inFlight = append(inFlight, sent{first.by, send, now})
 			}
 		}
-		harness := gates[rng.IntN(fleet)]
+		harness := harnesses[rng.IntN(fleet)]
 		harness.now = now
-		harness.ask(0, 1, CustomerID(rng.IntN(1000)))
-		for _, send := range find[Send](harness.last) {
-			out = append(out, sent{harness, send, now})
+		harness.request(0, 1, CustomerID(rng.IntN(1000)))
+		for _, send := range actionsOf[Send](harness.last) {
+			inFlight = append(inFlight, sent{harness, send, now})
 			if send.Backend <= warm {
-				perWarm++
+				sentToWarm++
 			} else {
-				perCold[send.Backend] = append(perCold[send.Backend], now)
+				sentToCold[send.Backend] = append(sentToCold[send.Backend], now)
 			}
 		}
 	}
 	housekeeping := func(now float64) {
-		for _, harness := range gates {
+		for _, harness := range harnesses {
 			harness.now = now
 			harness.handle(Timer{Token: timerHousekeeping << 56})
 		}
 	}
 	now := 100.0
-	play := func(until float64) {
+	runUntil := func(until float64) {
 		for n := 0; now < until; n++ {
 			if now += 1.0 / perSecond; n%20 == 0 {
 				housekeeping(now)
@@ -97,208 +98,211 @@
 			step(now)
 		}
 	}
-	play(104)
-	var fresh []Backend
+	runUntil(104)
+	var started []Backend
 	for i := range cold {
-		fresh = append(fresh, Backend{ID: BackendID(warm + i + 1), State: Ready, StartedAt: now})
+		started = append(started, Backend{ID: BackendID(warm + i + 1), State: Ready, StartedAt: now})
 	}
-	for _, harness := range gates {
+	for _, harness := range harnesses {
 		harness.now = now
-		harness.handle(Backends{Kind: Delta, Entries: fresh})
+		harness.handle(Backends{Kind: Delta, Entries: started})
 	}
-	perWarm = 0
-	play(now + span)
-	bears := float64(perWarm) / warm / span // a second, as a warm one gets
-	for _, b := range fresh {
-		times := perCold[b.ID]
-		// Its warmth goes from 0.2 to 0.68 of ColdFor's 10 s; its share is a third of what a warm one gets.
-		if n := float64(len(times)); n < 0.2*bears*span || n > 0.68*bears*span {
-			t.Errorf("backend %d got %v requests in %v s, a warm one %v", b.ID, n, span, bears*span)
+	sentToWarm = 0
+	runUntil(now + span)
+	warmRate := float64(sentToWarm) / warm / span // per second, for each warm backend
+	for _, backend := range started {
+		times := sentToCold[backend.ID]
+		// During the span its capacity fraction grows from 0.2 to 0.68.
+		if n := float64(len(times)); n < 0.2*warmRate*span || n > 0.68*warmRate*span {
+			t.Errorf("backend %d got %v attempts in %v s, a warm one %v", backend.ID, n, span, warmRate*span)
 		}
 		for i := range times {
 			n := 0
 			for n+i < len(times) && times[n+i] < times[i]+1 {
 				n++
 			}
-			if w := 0.2 + 0.08*(times[i]+1-fresh[0].StartedAt); float64(n) > 2*w*bears+4 {
-				t.Fatalf("backend %d got %d requests in a second, a warm one %v", b.ID, n, bears)
+			if fraction := 0.2 + 0.08*(times[i]+1-started[0].StartedAt); float64(n) > 2*fraction*warmRate+4 {
+				t.Fatalf("backend %d got %d attempts in a second, a warm one %v", backend.ID, n, warmRate)
 			}
 		}
 	}
 }
 
-// Many gateways that each have a connection to each backend open as many of them as there are requests for
-// minutes. They keep to a few, and the backends all the same get as much each.
-func TestManyGatewaysKeepToTheirConnections(t *testing.T) {
-	const fleet, backends, perSecond, work, span = 80, 60, 400, 0.2, 60.0
+// In a large fleet each gateway keeps to few connections, and all backends still get about the same number
+// of attempts.
+func TestLargeFleetReusesConnections(t *testing.T) {
+	const fleet, backends, perSecond, serviceTime, span = 80, 60, 400, 0.2, 60.0
 	settings := testSettings()
 	settings.Fleet, settings.Tick, settings.KeepAlive = fleet, 0.001, 15
 	settings.Plans[1].Rate = 0
-	var gates []*harness
+	var harnesses []*gatewayHarness
 	for rank := range fleet {
 		settings.Rank = rank
-		harness := &harness{t: t, now: 100, nextID: RequestID(rank << 16)}
+		harness := &gatewayHarness{t: t, now: 100, nextID: RequestID(rank << 16)}
 		harness.gateway, _ = New(settings, uint64(rank), harness.now, nil)
-		harness.handle(Backends{Kind: FullList, Entries: some(backends)})
-		gates = append(gates, harness)
+		harness.handle(Backends{Kind: FullList, Entries: readyBackends(backends)})
+		harnesses = append(harnesses, harness)
 	}
 	type sent struct {
 		rank int
-		s    Send
+		send Send
 		at   float64
 	}
-	var out []sent
+	var inFlight []sent
 	rng := rand.New(rand.NewPCG(1, 2))
-	pairs, got, all := map[[2]int]bool{}, map[BackendID]float64{}, 0.0
-	take := func(rank int, actions []Action, now float64) {
-		for _, send := range find[Send](actions) {
-			out = append(out, sent{rank, send, now})
-			pairs[[2]int{rank, int(send.Backend)}] = true
-			got[send.Backend]++
-			all++
+	connections, sentTo, total := map[[2]int]bool{}, map[BackendID]float64{}, 0.0
+	record := func(rank int, actions []Action, now float64) {
+		for _, send := range actionsOf[Send](actions) {
+			inFlight = append(inFlight, sent{rank, send, now})
+			connections[[2]int{rank, int(send.Backend)}] = true
+			sentTo[send.Backend]++
+			total++
 		}
 	}
 	for now := 100.0; now < 100+span; now += 1.0 / perSecond {
-		for len(out) > 0 && out[0].at+work <= now {
-			o, harness := out[0], gates[out[0].rank]
-			harness.now, out = now, out[1:]
-			take(o.rank, harness.handle(AttemptEnd{Request: o.s.Request, Backend: o.s.Backend, Outcome: Served}), now)
+		for len(inFlight) > 0 && inFlight[0].at+serviceTime <= now {
+			first, harness := inFlight[0], harnesses[inFlight[0].rank]
+			harness.now, inFlight = now, inFlight[1:]
+			record(first.rank, harness.handle(AttemptEnd{Request: first.send.Request, Backend: first.send.Backend, Outcome: Served}), now)
 		}
 		rank := rng.IntN(fleet)
-		harness := gates[rank]
+		harness := harnesses[rank]
 		harness.now = now
-		harness.ask(0, 1, CustomerID(rng.IntN(1000)))
-		take(rank, harness.last, now)
+		harness.request(0, 1, CustomerID(rng.IntN(1000)))
+		record(rank, harness.last, now)
 	}
-	if n := len(pairs); n > fleet*backends/2 {
-		t.Errorf("connections between %d pairs of %d", n, fleet*backends)
+	if n := len(connections); n > fleet*backends/2 {
+		t.Errorf("%d of %d possible connections used, want at most half", n, fleet*backends)
 	}
 	for id := range BackendID(backends) {
-		if n, mean := got[id+1], all/backends; n < 0.6*mean || n > 1.5*mean {
-			t.Errorf("backend %d got %v requests, of %v on average", id+1, n, mean)
+		if n, mean := sentTo[id+1], total/backends; n < 0.6*mean || n > 1.5*mean {
+			t.Errorf("backend %d got %v attempts, want 0.6 to 1.5 times the mean of %v", id+1, n, mean)
 		}
 	}
 }
 
-// While the counter is silent the present share out what the absent of a customer's set leave, but under a
-// ceiling, and only where most are present: two halves may each take the other for dead.
-func TestThePresentShareOutWhatTheAbsentLeave(t *testing.T) {
-	for _, c := range []struct {
+// While the counter does not answer, present gateways divide the allowances of absent ones, except under a
+// ceiling or if most gateways seem absent: two partitions may each consider the other dead.
+func TestPresentGatewaysDivideLocalAllowances(t *testing.T) {
+	for _, test := range []struct {
 		present []bool
 		ceiling float64
-		want    float64 // units a second here
+		want    float64 // units per second at this gateway
 	}{
 		{nil, 0, 2},
 		{[]bool{true, true, true, true, true, true}, 0, 2},
-		{[]bool{true, true, false, true, true, true}, 0, 2.5}, // one of the set of five, 1 to 5
-		{[]bool{false, true, true, true, true, true}, 0, 2},   // none of it
+		{[]bool{true, true, false, true, true, true}, 0, 2.5}, // one of the five gateways, 1 to 5, is absent
+		{[]bool{false, true, true, true, true, true}, 0, 2},   // the absent one is not among the five
 		{[]bool{true, true, false, false, true, true}, 0, 10. / 3},
-		{[]bool{true, true, false, false, false, true}, 0, 2},  // most of it
-		{[]bool{true, false, false, true, true, true}, 0, 2.5}, // this one, 1, is there whatever is told
-		{[]bool{true, true, false, true, true, true}, 30, 4},   // a ceiling's part is everybody's own
+		{[]bool{true, true, false, false, false, true}, 0, 2},  // most of the five are absent
+		{[]bool{true, false, false, true, true, true}, 0, 2.5}, // this gateway, 1, always counts as present
+		{[]bool{true, true, false, true, true, true}, 30, 4},   // under a ceiling, absent gateways keep their part
 	} {
 		settings := testSettings()
 		settings.Fleet, settings.Rank = 6, 1
-		plan := Plan{Price: 1, Rate: 10, Burst: 40, CeilingRate: c.ceiling, CeilingBurst: 4 * c.ceiling}
+		plan := Plan{Price: 1, Rate: 10, Burst: 40, CeilingRate: test.ceiling, CeilingBurst: 4 * test.ceiling}
 		settings.Plans = []Plan{plan}
-		harness := start(t, settings, some(2)...)
-		harness.handle(Members{Present: c.present})
-		if got := harness.gateway.computeTerms(&plan, 5, 0).localRate; math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%v, ceiling %g: %g units a second, not %g", c.present, c.ceiling, got, c.want)
+		harness := newHarness(t, settings, readyBackends(2)...)
+		harness.handle(Members{Present: test.present})
+		if got := harness.gateway.computeTerms(&plan, 5, 0).localRate; math.Abs(got-test.want) > 1e-9 {
+			t.Errorf("%v, ceiling %g: %g units per second, want %g", test.present, test.ceiling, got, test.want)
 		}
 	}
 }
 
-func TestFailedDiscoveryIsAskedAgainAfterAPause(t *testing.T) {
+// A failed discovery is retried after a backoff.
+func TestFailedDiscoveryIsRetriedAfterABackoff(t *testing.T) {
 	settings := testSettings()
 	settings.SubscribeToDiscovery = true
-	harness := &harness{t: t, now: 100}
+	harness := &gatewayHarness{t: t, now: 100}
 	harness.gateway, harness.last = New(settings, 7, harness.now, nil)
-	one[Subscribe](t, harness.last)
+	onlyAction[Subscribe](t, harness.last)
 	actions := harness.handle(Backends{Kind: ListFailed})
-	if len(find[Subscribe](actions)) > 0 {
-		t.Error("asked again at once")
+	if len(actionsOf[Subscribe](actions)) > 0 {
+		t.Error("subscribed again without a backoff")
 	}
-	pause := one[SetTimer](t, actions)
-	harness.now += pause.Delay
-	one[Subscribe](t, harness.handle(Timer{Token: pause.Token}))
+	timer := onlyAction[SetTimer](t, actions)
+	harness.now += timer.Delay
+	onlyAction[Subscribe](t, harness.handle(Timer{Token: timer.Token}))
 }
 
-// What turns all gateways away at once must not have them back in step, nor more and more.
-func TestManyGatewaysAskDiscoveryApart(t *testing.T) {
+// Gateways that fail together must not retry discovery in step.
+func TestDiscoveryRetriesOfAFleetAreSpread(t *testing.T) {
 	const fleet = 80
 	settings := testSettings()
 	settings.SubscribeToDiscovery, settings.Fleet = true, fleet
 	perSecond := map[int]int{}
 	for rank := range fleet {
 		settings.Rank = rank
-		harness := &harness{t: t, now: 100}
+		harness := &gatewayHarness{t: t, now: 100}
 		harness.gateway, _ = New(settings, uint64(rank+1), harness.now, nil)
 		for harness.now < 160 {
-			pause := one[SetTimer](t, harness.handle(Backends{Kind: ListFailed}))
-			if pause.Delay > 3.6 {
-				t.Fatalf("asks after %v s: what is told within 6 s would be missed", pause.Delay)
+			timer := onlyAction[SetTimer](t, harness.handle(Backends{Kind: ListFailed}))
+			if timer.Delay > 3.6 {
+				t.Fatalf("backoff of %v s, want at most 3.6 s", timer.Delay)
 			}
-			harness.now += pause.Delay
-			one[Subscribe](t, harness.handle(Timer{Token: pause.Token}))
+			harness.now += timer.Delay
+			onlyAction[Subscribe](t, harness.handle(Timer{Token: timer.Token}))
 			perSecond[int(harness.now-100)]++
 		}
 		harness.handle(Backends{Kind: Delta})
-		if pause := one[SetTimer](t, harness.handle(Backends{Kind: ListFailed})); pause.Delay > 2*initialDiscoveryBackoff {
-			t.Errorf("asks after %v s, though the last call went well", pause.Delay)
+		if timer := onlyAction[SetTimer](t, harness.handle(Backends{Kind: ListFailed})); timer.Delay > 2*initialDiscoveryBackoff {
+			t.Errorf("backoff of %v s after an update, want at most twice the initial one", timer.Delay)
 		}
 	}
 	for second, n := range perSecond {
 		if n > 3*fleet/4 || second > 5 && n > 3*fleet/5 {
-			t.Errorf("%d calls in second %d", n, second)
+			t.Errorf("%d subscriptions in second %d", n, second)
 		}
 	}
 }
 
-func TestBoundOfManyGatewaysIsKeptInTheMean(t *testing.T) {
+// A concurrency limit below one attempt applies to the mean number in flight.
+func TestLimitBelowOneAttemptAppliesToTheMean(t *testing.T) {
 	settings := testSettings()
 	settings.Fleet, settings.Counter = 300, false
-	harness := start(t, settings, some(60)...)
-	harness.gateway.concurrencyLimit = 0.5 // half an attempt each
-	var out []Send
-	sent, together := 0, 0
-	for i := range 4000 { // ten a second; each takes half a second
+	harness := newHarness(t, settings, readyBackends(60)...)
+	harness.gateway.concurrencyLimit = 0.5 // half an attempt
+	var inFlight []Send
+	sent, maxInFlight := 0, 0
+	for i := range 4000 { // 10 per second; each takes 0.5 s
 		harness.now += 0.1
-		for len(out) > 0 && harness.now > harness.gateway.requests[out[0].Request].attempts[0].sent+0.5 {
-			harness.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.5, Outcome: Full})
-			out = out[1:]
+		for len(inFlight) > 0 && harness.now > harness.gateway.requests[inFlight[0].Request].attempts[0].sent+0.5 {
+			harness.handle(AttemptEnd{Request: inFlight[0].Request, Backend: inFlight[0].Backend, Took: 0.5, Outcome: Full})
+			inFlight = inFlight[1:]
 		}
 		harness.gateway.concurrencyLimit = 0.5
 		harness.gateway.retryBudget = 0
 		harness.nextID++
-		sends := find[Send](harness.handle(Request{ID: harness.nextID, Plan: 1, Units: 1, GatewayCount: 300, Customer: CustomerID(i),
+		sends := actionsOf[Send](harness.handle(Request{ID: harness.nextID, Plan: 1, Units: 1, GatewayCount: 300, Customer: CustomerID(i),
 			Deadline: harness.now + 2}))
 		for _, id := range []RequestID{harness.nextID, harness.nextID - 8} {
 			harness.handle(Timer{Token: timerAnswerBy<<56 | uint64(id)})
 		}
 		sent += len(sends)
-		out = append(out, sends...)
-		together = max(together, harness.gateway.inFlight)
+		inFlight = append(inFlight, sends...)
+		maxInFlight = max(maxInFlight, harness.gateway.inFlight)
 	}
 	mean := float64(sent) * 0.5 / 400
 	if mean > 0.75 || mean < 0.2 {
-		t.Errorf("%.2f attempts in flight on average with a bound of a half", mean)
+		t.Errorf("%.2f attempts in flight on average with a limit of 0.5, want 0.2 to 0.75", mean)
 	}
-	if together < 1 || together > 3 {
-		t.Errorf("%d attempts at once", together)
+	if maxInFlight < 1 || maxInFlight > 3 {
+		t.Errorf("at most %d attempts in flight at once, want 1 to 3", maxInFlight)
 	}
 }
 
-func TestGoneBackendsAreForgotten(t *testing.T) {
-	harness := start(t, testSettings(), some(3)...)
+// State of backends that are gone does not accumulate.
+func TestGoneBackendsAreRemoved(t *testing.T) {
+	harness := newHarness(t, testSettings(), readyBackends(3)...)
 	for i := range 50 {
 		id := BackendID(10 + i)
-		harness.handle(Backends{Kind: Delta, Entries: []Backend{ready(id)}})
+		harness.handle(Backends{Kind: Delta, Entries: []Backend{readyBackend(id)}})
 		harness.handle(Backends{Kind: Delta, Entries: []Backend{{ID: id, State: Gone}}})
 		harness.now += 0.05
 		harness.handle(Timer{Token: timerHousekeeping << 56})
 	}
 	if len(harness.gateway.backendList) != 3 || len(harness.gateway.backendByID) != 3 {
-		t.Errorf("%d listed and %d known, want 3", len(harness.gateway.backendList), len(harness.gateway.backendByID))
+		t.Errorf("%d listed and %d known backends, want 3", len(harness.gateway.backendList), len(harness.gateway.backendByID))
 	}
 }
--- a/rules/sharing_test.go
+++ b/rules/sharing_test.go
@@ -2,34 +2,33 @@
 
 import "testing"
 
-// boundOf returns the bound that a gateway begins with before so many backends.
-func boundOf(t *testing.T, backends, fleet, sharing int) float64 {
+// initialLimitOf returns the concurrency limit of a gateway that has received its first list.
+func initialLimitOf(t *testing.T, backends, fleet, gatewaysPerBackend int) float64 {
 	t.Helper()
-	g, _ := New(Settings{Fleet: fleet, GatewaysPerBackend: sharing, Tick: 0.002, MaxAttempts: 3,
+	gateway, _ := New(Settings{Fleet: fleet, GatewaysPerBackend: gatewaysPerBackend, Tick: 0.002, MaxAttempts: 3,
 		Classes: []Class{{Worth: 1, Aim: 1, Deadline: 2}}, Plans: []Plan{{Price: 1}}}, 1, 0, nil)
-	news := Backends{Kind: FullList}
-	for n := range backends {
-		news.Entries = append(news.Entries, Backend{ID: BackendID(n + 1), State: Ready, Weight: 1})
+	update := Backends{Kind: FullList}
+	for index := range backends {
+		update.Entries = append(update.Entries, Backend{ID: BackendID(index + 1), State: Ready, Weight: 1})
 	}
-	g.Handle(1, news, nil)
-	for _, action := range g.Handle(2, Export{}, nil) {
-		if h, ok := action.(Exported); ok {
-			return h.Snapshot.ConcurrencyLimit
+	gateway.Handle(1, update, nil)
+	for _, action := range gateway.Handle(2, Export{}, nil) {
+		if exported, ok := action.(Exported); ok {
+			return exported.Snapshot.ConcurrencyLimit
 		}
 	}
-	t.Fatal("no state was exported")
+	t.Fatal("no Exported action")
 	return 0
 }
 
-// A gateway that is told a subset of the backends reckons its part of them by those that
-// share each, as it would before all of them by the fleet.
-func TestBoundOfASubset(t *testing.T) {
-	const backends, fleet, chosen = 1000, 500, 40 // of 1000 backends, each shared by 20
-	whole, part := boundOf(t, backends, fleet, 0), boundOf(t, chosen, fleet, 20)
-	if whole != part || whole != initialLimit*backends/fleet {
-		t.Errorf("bound %g with the whole list, %g with a subset", whole, part)
+// The limit of a gateway with a subset of the backends follows the number of gateways per backend.
+func TestInitialLimitOfASubset(t *testing.T) {
+	const backends, fleet, chosen = 1000, 500, 40 // each backend is used by 20 gateways
+	full, subset := initialLimitOf(t, backends, fleet, 0), initialLimitOf(t, chosen, fleet, 20)
+	if full != subset || full != initialLimit*backends/fleet {
+		t.Errorf("limit %g with the full list, %g with a subset, want both equal", full, subset)
 	}
-	if got := boundOf(t, chosen, fleet, 0); got >= part {
-		t.Errorf("bound %g of a subset by the whole fleet", got)
+	if got := initialLimitOf(t, chosen, fleet, 0); got >= subset {
+		t.Errorf("limit %g of a subset used by the whole fleet, want less than %g", got, subset)
 	}
 }
