--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -176,7 +176,7 @@
 			rejected = g.notLeader()
 		case to == g.config.Self:
 		case !slices.Contains(g.core.confState.GetVoters(), to):
-			rejected = refusedf("member %d is not a voter", to)
+			rejected = refusedf("member %d is no voter", to)
 		case !g.recentlyActive(to):
 			rejected = refusedf("member %d does not answer", to)
 		default:
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -169,7 +169,7 @@
 	case c.Name == "" || len(c.Name) > maxNameBytes || strings.ContainsFunc(c.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }):
 		return fmt.Errorf("name: %.80q does not have 1 to %d bytes without blanks", c.Name, maxNameBytes)
 	case c.Op == Put && !json.Valid(c.Value):
-		return errors.New("value: not valid JSON")
+		return errors.New("value: it is not JSON")
 	case len(c.Value) > limits.Value:
 		return fmt.Errorf("value: got %d bytes, limit %d", len(c.Value), limits.Value)
 	}
