--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -68,7 +68,7 @@
 // clientBodyCause returns the cause of an error of reading a client's body.
 func clientBodyCause(err error) transferCause {
 	switch {
-	case errors.Is(err, errUploadAborted):
+	case errors.Is(err, errTransferAborted):
 		return cancelledByGateway
 	case errors.Is(err, errBodyTooLong):
 		return bodyTooLong
