--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -9,34 +9,36 @@
 	"time"
 )
 
-// lastingAcceptErrors say that a listener will never accept anything.
+// permanentAcceptErrors mean that a listener will never accept a connection again.
 var permanentAcceptErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT}
 
-// acceptPasses reports whether accepting may succeed again after an error. accept returns
-// errors of the connection that was to be accepted, of the network and of filters as well:
-// none of them says anything about the listener.
+// isTemporaryAcceptError reports whether accepting may succeed again after an error. accept
+// also returns errors of the pending connection, the network and packet filters, which say
+// nothing about the listener.
 func isTemporaryAcceptError(err error) bool {
-	for _, lasting := range permanentAcceptErrors {
-		if errors.Is(err, lasting) {
+	for _, permanent := range permanentAcceptErrors {
+		if errors.Is(err, permanent) {
 			return false
 		}
 	}
 	return true
 }
 
-// retryPause is the pause before a call is made again that failed. It doubles from error to error,
-// from leastPause to mostPause.
+// backoff is the delay before a failed call is retried. It doubles with each error, from
+// minRetryDelay to maxRetryDelay. The zero value is ready to use.
 type backoff struct{ delay time.Duration }
 
+// reset starts again from minRetryDelay, after a success.
 func (p *backoff) reset() { p.delay = 0 }
 
+// nextDelay returns the delay before the next retry.
 func (p *backoff) nextDelay() time.Duration {
 	p.delay = min(max(2*p.delay, minRetryDelay), maxRetryDelay)
 	return p.delay
 }
 
-// steadyListener tries again when accepting fails with an error that passes, so that it does
-// not end a server. One goroutine accepts.
+// retryingListener retries after temporary accept errors, which would otherwise end an
+// http.Server. Only one goroutine may call Accept.
 type retryingListener struct {
 	net.Listener
 	name      string // for the log
@@ -46,8 +48,9 @@
 	closeOnce sync.Once
 }
 
-func newRetryingListener(l net.Listener, name string) *retryingListener {
-	return &retryingListener{Listener: l, name: name, logLimit: logLimiter{max: 1}, closed: make(chan struct{})}
+// newRetryingListener wraps a listener. The name appears in the log.
+func newRetryingListener(listener net.Listener, name string) *retryingListener {
+	return &retryingListener{Listener: listener, name: name, logLimit: logLimiter{max: 1}, closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
--- a/internal/gateway/ahead.go
+++ b/internal/gateway/ahead.go
@@ -9,33 +9,36 @@
 	"time"
 )
 
-// aheadMost is how many bytes of later requests are held while one is under way.
+// maxReadAhead is the number of bytes of later requests that are buffered while a request is
+// in progress.
 const maxReadAhead = 16 << 10
 
-// aheadReader reads on behind a request that is under way, if its client has sent
-// more. Danger: net/http stops listening at the first byte of a next request, and
-// would not notice then that the client has left: an attempt would begin for nobody.
+// readAheadConn reads ahead while a request is in progress and its client has pipelined more.
+// net/http stops watching for a disconnect at the first byte of a next request; without the
+// read-ahead, an attempt could begin for a client that has disconnected.
 //
-// net/http's side reads one call at a time. Between a begin and the next Read a
-// goroutine of its own has the socket.
+// net/http calls Read from one goroutine at a time. Between start and the next Read, a
+// goroutine of the readAheadConn reads from the socket.
 type readAheadConn struct {
 	net.Conn
-	peerClosed chan struct{} // closed once the client has ended, or its connection has
+	peerClosed chan struct{} // closed once a read has failed or reached the end of the stream
 
 	mu       sync.Mutex
-	deadline time.Time     // that net/http has set
-	running  chan struct{} // closed when the goroutine has ended; nil: there is none
+	deadline time.Time     // set by net/http
+	running  chan struct{} // closed when the read-ahead goroutine has ended; nil if there is none
 	stopped  bool          // nothing more is read from the connection
 
 	buffered      []byte       // not yet read by net/http
-	err           error        // behind what is held
-	bufferedBytes atomic.Int64 // bytes that are held, for whoever asks beside the goroutine
+	err           error        // returned after buffered
+	bufferedBytes atomic.Int64 // length of buffered, for concurrent readers
 }
 
-func newReadAheadConn(c net.Conn) *readAheadConn {
-	return &readAheadConn{Conn: c, peerClosed: make(chan struct{})}
+// newReadAheadConn wraps a connection.
+func newReadAheadConn(conn net.Conn) *readAheadConn {
+	return &readAheadConn{Conn: conn, peerClosed: make(chan struct{})}
 }
 
+// Read implements net.Conn.
 func (a *readAheadConn) Read(p []byte) (int, error) {
 	a.stop()
 	if len(a.buffered) > 0 {
@@ -54,7 +57,7 @@
 	return n, err
 }
 
-// ended takes note of the connection's end.
+// recordEnd records an error that ends the connection. A timeout does not.
 func (a *readAheadConn) recordEnd(err error) {
 	if err != nil && a.err == nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		a.err = err
@@ -62,7 +65,8 @@
 	}
 }
 
-// begin reads on until the next Read, the client's end, or until enough is held.
+// start reads ahead until the next Read, the end of the connection, or until maxReadAhead
+// bytes are buffered.
 func (a *readAheadConn) start() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,12 +78,13 @@
 	go a.run(a.running)
 }
 
+// run is the read-ahead goroutine. It closes done when it returns.
 func (a *readAheadConn) run(done chan struct{}) {
 	defer close(done)
-	var piece [1 << 10]byte
+	var buffer [1 << 10]byte
 	for len(a.buffered) < maxReadAhead {
-		n, err := a.Conn.Read(piece[:min(len(piece), maxReadAhead-len(a.buffered))])
-		a.buffered = append(a.buffered, piece[:n]...)
+		n, err := a.Conn.Read(buffer[:min(len(buffer), maxReadAhead-len(a.buffered))])
+		a.buffered = append(a.buffered, buffer[:n]...)
 		a.bufferedBytes.Store(int64(len(a.buffered)))
 		if err != nil {
 			a.recordEnd(err)
@@ -88,7 +93,7 @@
 	}
 }
 
-// end has the goroutine end and puts the deadline in force that was set meanwhile.
+// stop ends the read-ahead goroutine and restores the deadline of net/http.
 func (a *readAheadConn) stop() {
 	a.mu.Lock()
 	running := a.running
@@ -107,8 +112,8 @@
 	}
 }
 
-// interrupt ends the read that is under way, if nothing has come, and every later one. What
-// has been read before is still returned.
+// interrupt makes the current and every later read from the socket time out. Buffered bytes
+// are still returned.
 func (a *readAheadConn) interrupt() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -116,7 +121,7 @@
 	a.Conn.SetReadDeadline(time.Now().Add(-time.Second))
 }
 
-// SetReadDeadline is for net/http's own reads.
+// SetReadDeadline implements net.Conn. During read-ahead the deadline is only recorded.
 func (a *readAheadConn) SetReadDeadline(t time.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -127,8 +132,8 @@
 	return a.Conn.SetReadDeadline(t)
 }
 
-// full tells whether the client has sent more ahead than is held. It may be asked by
-// the handler of the request that is under way.
+// full reports whether the read-ahead has ended because maxReadAhead bytes are buffered. The
+// handler of the request in progress may call it.
 func (a *readAheadConn) full() bool {
 	a.mu.Lock()
 	running := a.running
--- a/internal/gateway/arrival.go
+++ b/internal/gateway/arrival.go
@@ -8,29 +8,28 @@
 	"unsafe"
 )
 
-// bodyArrival tells when the last byte of a client's body was sent. A client's patience
-// counts from then; the gateway may read the byte much later, as a body waits in its socket,
-// or in that of its client, while its request waits for room or a backend takes it slowly.
+// bodyArrival estimates when the last byte of a request body was sent. The client timeout
+// counts from then. The gateway may read the byte much later, since a body waits in the
+// socket buffers while its request is queued or the backend reads slowly.
 //
-// What can be seen is a moment at which everything that had been sent was read and more was
-// missing: the socket is empty, and the body is not whole. The last byte was sent behind the
-// latest such moment, which therefore counts as the time of the last byte.
+// When the socket is empty and the body incomplete, the last byte has not arrived. The latest
+// such time is the lower bound that counts as the time of the last byte.
 //
 // It is safe for concurrent use.
 type bodyArrival struct {
-	conn *clientConn // nil: it is not known what waits in the socket
+	conn *clientConn // nil if the socket cannot be inspected
 
 	mu             sync.Mutex
-	lastIncomplete time.Time // the latest moment at which the body was known not to be whole
+	lastIncomplete time.Time // latest time at which the body was known to be incomplete
 	complete       bool      // the last byte has been read
 }
 
-// begin begins with a body of which nothing has been read.
+// start begins the observation of a body of which nothing has been read.
 func (a *bodyArrival) start(conn *clientConn) {
 	a.conn, a.lastIncomplete = conn, time.Now()
 }
 
-// look reports whether the rest of the body has still to be sent.
+// checkMissing reports whether a part of the body has still to be sent.
 func (a *bodyArrival) checkMissing() (missing bool) {
 	if a.conn != nil && (a.conn.betweenRequests() || a.conn.unread.unread(a.conn.Conn) > 0) {
 		return false
@@ -39,7 +38,7 @@
 	return true
 }
 
-// still notes that the body is not whole yet.
+// markIncomplete records that the body is incomplete now.
 func (a *bodyArrival) markIncomplete() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,42 +47,42 @@
 	}
 }
 
-// end notes that the last byte has been read.
+// markComplete records that the last byte has been read.
 func (a *bodyArrival) markComplete() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.complete = true
 }
 
-// at returns when the last byte was sent at the earliest. It may be called behind end.
+// lastByteTime returns the earliest time at which the last byte can have been sent. It may
+// also be called after markComplete.
 func (a *bodyArrival) lastByteTime() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastIncomplete
 }
 
-// left returns how much of a patience from the last byte on remains at least.
-func (a *bodyArrival) remaining(patience time.Duration) time.Duration {
+// remaining returns a lower bound of what remains of a timeout that counts from the last byte.
+func (a *bodyArrival) remaining(timeout time.Duration) time.Duration {
 	a.mu.Lock()
 	ended := a.complete
 	a.mu.Unlock()
 	if !ended && a.checkMissing() {
-		return patience
+		return timeout
 	}
-	return time.Until(a.lastByteTime().Add(patience))
+	return time.Until(a.lastByteTime().Add(timeout))
 }
 
-// unreadProbe counts the bytes that wait in a socket. It keeps what a look needs, so that a
-// look allocates nothing, and is safe for concurrent use.
+// unreadProbe counts the unread bytes in a socket. It keeps the callback for the system call,
+// so that a count allocates nothing. It is safe for concurrent use.
 type unreadProbe struct {
 	mu        sync.Mutex
-	raw       syscall.RawConn // nil: there has been no look, or the connection has none
+	raw       syscall.RawConn // nil before the first count, or if the connection has no socket
 	readCount func(fd uintptr)
 	count     int32
 }
 
-// unread returns how many bytes wait in the connection's socket, or 0 where the system does
-// not tell.
+// unread returns the number of unread bytes in the connection's socket, or 0 if it is unknown.
 func (p *unreadProbe) unread(conn net.Conn) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,6 +97,7 @@
 	return int(p.count)
 }
 
+// readUnread sets count to the number of unread bytes in a socket.
 func (p *unreadProbe) readUnread(fd uintptr) {
 	if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, fd, syscall.TIOCINQ, uintptr(unsafe.Pointer(&p.count))); errno != 0 {
 		p.count = 0
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -7,38 +7,40 @@
 	"time"
 )
 
-// A body's start is held in full, its rest goes through a window.
+// The start of a body is buffered in full; its remainder passes through a window.
 const (
-	bodyMemoryDivisor = 4               // a part of the memory, for all bodies
-	uncountedBytes    = 4 << 10         // bytes; there are no more bodies than connections, which hold as much themselves
-	minWindow         = 16 << 10        // what every transfer is sure of
-	maxWindow         = 64 << 10        // of one that uses it, while there is room
-	spareDivisor      = 4               // a part of the budget that larger windows leave to those that come
-	budgetTimeout     = 2 * time.Second // for memory
-	budgetRetryAfter  = 1               // seconds after which one that was refused may come again
+	bodyMemoryDivisor = 4               // bodies may take 1/4 of the memory
+	uncountedBytes    = 4 << 10         // buffers up to this size are not counted: each connection holds as much anyway
+	minWindow         = 16 << 10        // bytes
+	maxWindow         = 64 << 10        // bytes, for a transfer that fills its window, while memory is free
+	spareDivisor      = 4               // windows above minWindow leave 1/4 of the budget free
+	budgetTimeout     = 2 * time.Second // for a reservation
+	budgetRetryAfter  = 1               // seconds, for the Retry-After header of a rejected request
 )
 
 var errNoBodyMemory = errors.New("no memory for a body")
 
-// budget bounds the memory that bodies take, both ways. Those that wait stand in
-// one line and hold nothing, so that none waits for one that waits for it.
+// budget limits the memory that the bodies of requests and responses take. Reservations that
+// have to wait are served in order. Who waits holds no memory, so that waiters cannot
+// deadlock. It is safe for concurrent use.
 type budget struct {
 	mu      sync.Mutex
 	total   int // bytes
-	used    int
-	peak    int // used at once since the start
+	used    int // bytes
+	peak    int // maximum of used since the start
 	waiters []*waiter
 }
 
-// claim is one that waits.
+// waiter is a reservation that waits for memory.
 type waiter struct {
 	bytes   int
 	granted chan struct{}
 }
 
+// bodyMemory returns the bytes for bodies of a gateway with the given memory.
 func bodyMemory(memoryMB int) int { return memoryMB << 20 / bodyMemoryDivisor }
 
-// limit changes the total. What is taken stays taken.
+// setTotal changes the total. Existing reservations stay.
 func (b *budget) setTotal(total int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,114 +48,118 @@
 	b.grantWaiters()
 }
 
-// try takes n bytes if they are free and nobody waits.
-func (b *budget) tryReserve(n int) bool {
+// tryReserve reserves bytes if they are free and no reservation waits.
+func (b *budget) tryReserve(bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiters) > 0 || b.used+n > b.total {
+	if len(b.waiters) > 0 || b.used+bytes > b.total {
 		return false
 	}
-	b.add(n)
+	b.add(bytes)
 	return true
 }
 
-// room takes what holding the start of an answer needs, or less if there is
-// less. What is not counted is always to be had.
-func (b *budget) reserveUpTo(most int) (taken, room int) {
-	for _, n := range [...]int{most, minWindow} {
-		if n <= uncountedBytes {
-			return 0, n
+// reserveUpTo reserves memory for a buffer of at most maxBytes, or a smaller one if that is
+// not free, and returns the bytes reserved and the size of the buffer. A buffer of
+// uncountedBytes is always available.
+func (b *budget) reserveUpTo(maxBytes int) (reserved, room int) {
+	for _, size := range [...]int{maxBytes, minWindow} {
+		if size <= uncountedBytes {
+			return 0, size
 		}
-		if n <= most && b.tryReserve(n) {
-			return n, n
+		if size <= maxBytes && b.tryReserve(size) {
+			return size, size
 		}
 	}
 	return 0, uncountedBytes
 }
 
-// shrink gives back what a body of so many bytes does not need of what was taken
-// for it, and returns the rest.
-func (b *budget) shrink(taken, bytes int) int {
+// shrink releases what a body of the given length does not need of its reservation, and
+// returns the bytes that stay reserved.
+func (b *budget) shrink(reserved, bytes int) int {
 	if bytes <= uncountedBytes {
 		bytes = 0
 	}
-	left := min(taken, bytes)
-	b.release(taken - left)
-	return left
+	kept := min(reserved, bytes)
+	b.release(reserved - kept)
+	return kept
 }
 
-// tryMore takes n bytes that are not needed, only wanted.
-func (b *budget) tryReserveSpare(n int) bool {
+// tryReserveSpare reserves bytes that are optional: it leaves a part of the budget free.
+func (b *budget) tryReserveSpare(bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiters) > 0 || b.used+n > b.total-b.total/spareDivisor {
+	if len(b.waiters) > 0 || b.used+bytes > b.total-b.total/spareDivisor {
 		return false
 	}
-	b.add(n)
+	b.add(bytes)
 	return true
 }
 
-// take waits for n bytes for a while.
-func (b *budget) reserve(ctx context.Context, n int) error {
+// reserve reserves bytes, and waits up to budgetTimeout for them. It returns
+// errNoBodyMemory if they do not become free in time or ctx ends.
+func (b *budget) reserve(ctx context.Context, bytes int) error {
 	b.mu.Lock()
-	if len(b.waiters) == 0 && b.used+n <= b.total {
-		b.add(n)
+	if len(b.waiters) == 0 && b.used+bytes <= b.total {
+		b.add(bytes)
 		b.mu.Unlock()
 		return nil
 	}
-	c := &waiter{n, make(chan struct{})}
-	b.waiters = append(b.waiters, c)
+	w := &waiter{bytes, make(chan struct{})}
+	b.waiters = append(b.waiters, w)
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, budgetTimeout)
 	defer cancel()
 	select {
-	case <-c.granted:
+	case <-w.granted:
 		return nil
 	case <-ctx.Done():
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, waiting := range b.waiters {
-		if waiting == c {
+		if waiting == w {
 			b.waiters = append(b.waiters[:i], b.waiters[i+1:]...)
-			b.grantWaiters() // one that wanted less may stand behind it
+			b.grantWaiters() // a smaller reservation may come next
 			return errNoBodyMemory
 		}
 	}
-	return nil // granted just now
+	return nil // granted meanwhile
 }
 
-func (b *budget) release(n int) {
-	if n == 0 {
+// release returns reserved bytes.
+func (b *budget) release(bytes int) {
+	if bytes == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.used -= n
+	b.used -= bytes
 	b.grantWaiters()
 }
 
-// crowded tells whether some wait.
+// hasWaiters reports whether reservations wait.
 func (b *budget) hasWaiters() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.waiters) > 0
 }
 
-// usage returns the bytes taken, and the most that were.
-func (b *budget) usage() (used, most int) {
+// usage returns the bytes reserved now and at the peak.
+func (b *budget) usage() (used, peak int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used, b.peak
 }
 
-func (b *budget) add(n int) {
-	b.used += n
+// add counts a granted reservation. The caller holds mu.
+func (b *budget) add(bytes int) {
+	b.used += bytes
 	b.peak = max(b.peak, b.used)
 }
 
-// serve grants what there is room for, first come first served. Danger: one that
-// wants much would starve if those that want little went past it.
+// grantWaiters grants waiting reservations in order while memory is free. Smaller ones do not
+// overtake a large one, which would starve. The caller holds mu.
 func (b *budget) grantWaiters() {
 	for len(b.waiters) > 0 && b.used+b.waiters[0].bytes <= b.total {
 		b.add(b.waiters[0].bytes)
@@ -163,13 +169,13 @@
 	}
 }
 
-// window is the buffer through which the rest of a body passes. One goroutine
-// owns it. It has none while there is nothing to pass.
+// window is the buffer through which the remainder of a body passes. One goroutine owns it.
+// Between pieces it may be empty.
 type window struct {
 	budget  *budget
-	prepaid int // bytes of the budget that its transfer holds already: 0 or leastWindow
+	prepaid int // bytes that the transfer has reserved already: 0 or minWindow
 	buf     []byte
-	full    bool // the last piece filled it: there is more where that came from
+	full    bool // the last piece filled the buffer, so more is likely to follow
 }
 
 var (
@@ -178,9 +184,8 @@
 	uncountedPool = sync.Pool{New: func() any { return new([uncountedBytes]byte) }}
 )
 
-// open returns a buffer: a large one for a body that fills it, while there is
-// room, else the least one. Where even that is not to be had, there is the
-// small one that is not counted.
+// buffer returns a buffer for the next piece: of maxWindow for a body that fills it while
+// memory is free, else of minWindow, and if not even that is free, of uncountedBytes.
 func (w *window) buffer() []byte {
 	switch size := len(w.buf); {
 	case size == maxWindow && w.budget.hasWaiters():
@@ -195,14 +200,14 @@
 	return w.buf
 }
 
-// passed notes how much of the buffer was used.
-func (w *window) recordUse(n int) { w.full = n == len(w.buf) }
+// recordUse records how many bytes of the buffer the last piece used.
+func (w *window) recordUse(bytes int) { w.full = bytes == len(w.buf) }
 
-// close gives the buffer back.
+// release returns the buffer.
 func (w *window) release() { w.resize(0) }
 
-// resize swaps the buffer, and gives back what it takes less of the budget. What
-// it takes more has been taken.
+// resize replaces the buffer and releases the difference if the new one is smaller. The
+// caller has reserved the difference if it is larger.
 func (w *window) resize(size int) {
 	w.budget.release(max(w.cost(len(w.buf))-w.cost(size), 0))
 	switch len(w.buf) {
@@ -223,7 +228,7 @@
 	}
 }
 
-// counted is what a buffer takes of the budget.
+// cost returns the bytes that a buffer of the given size takes from the budget.
 func (w *window) cost(size int) int {
 	if size < minWindow {
 		return 0
--- a/internal/gateway/chunked.go
+++ b/internal/gateway/chunked.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	maxTrailerBytes  = 4 << 10  // bytes, all lines together
-	maxChunkOverhead = 16 << 10 // bytes beside the data, beyond 16 for each chunk and what the data pays for
+	maxTrailerBytes  = 4 << 10  // all lines together
+	maxChunkOverhead = 16 << 10 // bytes of size lines beyond 16 per chunk and twice the data
 )
 
-var errInvalidChunks = errors.New("bad chunks")
+var errInvalidChunks = errors.New("invalid chunked encoding")
 
-// chunkedReader reads the chunks of an answer. Unlike that of net/http, it does not
-// wait for the rest of a chunk: who makes an answer may take its time with it.
+// chunkedReader decodes a chunked response body. Unlike the reader of net/http, it does not
+// wait for the end of a chunk, which the backend may send slowly.
 type chunkedReader struct {
 	r          *bufio.Reader
-	trailer    http.Header // once the end has come
-	remaining  uint64      // bytes of the chunk
-	overhead   int64
-	lineEndDue bool // a chunk has been read, whose line end is still to come
+	trailer    http.Header // set at the end of the body
+	remaining  uint64      // bytes of the current chunk
+	overhead   int64       // bytes of size lines that count towards maxChunkOverhead
+	lineEndDue bool        // the line end of the last chunk is still to be read
 	err        error
 }
 
-// Read waits for a byte and returns what there is of the chunk that it is in.
+// Read implements io.Reader. It waits for a byte and returns the available bytes of one chunk.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	if c.err == nil && c.remaining == 0 {
 		c.err = c.nextChunk()
@@ -47,8 +47,8 @@
 	return n, err
 }
 
-// ready tells whether a read would not have to wait for the connection, but for
-// data behind the line of its chunk.
+// ready reports whether the next chunk data, or at least its size line, is buffered. A read
+// may then wait only for the data after that line.
 func (c *chunkedReader) ready() bool {
 	buffered, _ := c.r.Peek(c.r.Buffered())
 	switch {
@@ -60,7 +60,7 @@
 	return bytes.IndexByte(buffered, '\n') >= 0
 }
 
-// next reads up to the data of the next chunk, or to the end.
+// nextChunk reads up to the data of the next chunk. At the end of the body it returns io.EOF.
 func (c *chunkedReader) nextChunk() error {
 	if c.lineEndDue {
 		if line, err := c.readLine(); err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// line reads a line that ends as it has to.
+// readLine reads a line, which must end in CRLF, and returns it without the line end.
 func (c *chunkedReader) readLine() ([]byte, error) {
 	line, err := c.r.ReadSlice('\n')
 	switch {
@@ -110,6 +110,7 @@
 	return line, nil
 }
 
+// readTrailer reads the trailers after the last chunk.
 func (c *chunkedReader) readTrailer() error {
 	var lines []byte
 	for {
@@ -128,34 +129,34 @@
 	if len(lines) == len("\r\n") {
 		return nil
 	}
-	h, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(lines))).ReadMIMEHeader()
+	header, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(lines))).ReadMIMEHeader()
 	if err != nil {
 		return errInvalidChunks
 	}
-	c.trailer = http.Header(h)
+	c.trailer = http.Header(header)
 	return nil
 }
 
-// parseHex reads the size of a chunk, which is no more than 62 bits long.
-func parseHex(digits []byte) (n uint64, ok bool) {
+// parseHex parses the size of a chunk, of at most 62 bits.
+func parseHex(digits []byte) (value uint64, ok bool) {
 	if len(digits) == 0 {
 		return 0, false
 	}
-	for _, d := range digits {
+	for _, digit := range digits {
 		switch {
-		case '0' <= d && d <= '9':
-			d -= '0'
-		case 'a' <= d && d <= 'f':
-			d -= 'a' - 10
-		case 'A' <= d && d <= 'F':
-			d -= 'A' - 10
+		case '0' <= digit && digit <= '9':
+			digit -= '0'
+		case 'a' <= digit && digit <= 'f':
+			digit -= 'a' - 10
+		case 'A' <= digit && digit <= 'F':
+			digit -= 'A' - 10
 		default:
 			return 0, false
 		}
-		if n >= 1<<58 {
+		if value >= 1<<58 {
 			return 0, false
 		}
-		n = n<<4 | uint64(d)
+		value = value<<4 | uint64(digit)
 	}
-	return n, true
+	return value, true
 }
--- a/internal/gateway/framing.go
+++ b/internal/gateway/framing.go
@@ -5,58 +5,59 @@
 	"strconv"
 )
 
-// framing reads along on a connection and finds heads that tell the length of
-// their body in more than one way. net/http takes the one that counts and forgets
-// the other; whoever stands before or behind may take the other, and then see a
-// message where there was a body. What net/http refuses by itself is not looked at.
+// framingScanner scans the bytes of an HTTP/1 connection for messages whose header gives the
+// length of the body in more than one way. net/http applies one of them silently; another
+// proxy may apply the other and take part of a body for a message (request smuggling).
+// Messages that net/http rejects itself are not checked.
 type framingScanner struct {
-	responses bool // it reads those of a backend; else requests
-	ambiguous bool // such a head has come
+	responses bool // scans the responses of a backend; otherwise requests
+	ambiguous bool // such a header was found
 
-	bodyBytes        uint64 // bytes of bodies that have come, without their framing
-	earlierBodyBytes uint64 // of these, those of the bodies before the last head
-	heads            int    // that have come whole
+	bodyBytes        uint64 // body bytes so far, without their framing
+	earlierBodyBytes uint64 // body bytes before the last header
+	heads            int    // complete headers so far
 
 	state             framingState
-	line              [40]byte // the start of the line that is being read
-	lineBytes         int      // its bytes so far
-	lastTwo           [2]byte  // those before the next
-	contentLengths    int      // of the head that is being read
-	transferEncodings int
-	remaining         uint64 // bytes of the body or chunk to come
-	interim           bool   // the head is that of a 1xx
-	http10            bool   // or of HTTP/1.0, which has no codings
+	line              [40]byte // start of the current line
+	lineBytes         int      // length of the current line so far
+	lastTwo           [2]byte  // last two bytes scanned
+	contentLengths    int      // Content-Length lines in the current header
+	transferEncodings int      // Transfer-Encoding lines in the current header
+	remaining         uint64   // bytes to come of the body, or of the chunk and its line end
+	interim           bool     // the current header is of a 1xx response
+	http10            bool     // the current message is HTTP/1.0, which has no transfer encodings
 }
 
+// framingState is the part of a message that is being scanned.
 type framingState int
 
 const (
-	frameStartLine framingState = iota // the first line of a head
-	frameHeaders                       // its other lines
+	frameStartLine framingState = iota
+	frameHeaders
 	frameBody
-	frameChunkSize // the line of a chunk's size
-	frameChunkData // and what belongs to it, with the line's end behind
-	frameTrailers  // what stands behind the last chunk
-	frameIgnored   // nothing more is looked at
+	frameChunkSize
+	frameChunkData // with the line end after it
+	frameTrailers
+	frameIgnored // nothing more is scanned
 )
 
-// begin looks out for the answer to the next request.
+// beginResponse starts the scan of the response to the next request.
 func (f *framingScanner) beginResponse() { *f = framingScanner{responses: true} }
 
-// between tells whether nothing has come behind the last message.
+// betweenMessages reports whether nothing has been scanned after the last message.
 func (f *framingScanner) betweenMessages() bool { return f.state == frameStartLine && f.lineBytes == 0 }
 
-// read takes in what has come on the connection.
+// scan scans the next bytes of the connection.
 func (f *framingScanner) scan(p []byte) {
 	for len(p) > 0 && f.state != frameIgnored {
 		if f.state == frameBody || f.state == frameChunkData {
 			n := min(f.remaining, uint64(len(p)))
 			p = p[n:]
-			over := uint64(0) // a chunk's line end is none of its data
+			lineEnd := uint64(0) // the line end is not part of the data
 			if f.state == frameChunkData {
-				over = 2
+				lineEnd = 2
 			}
-			f.bodyBytes += max(f.remaining, over) - max(f.remaining-n, over)
+			f.bodyBytes += max(f.remaining, lineEnd) - max(f.remaining-n, lineEnd)
 			if f.remaining -= n; f.remaining == 0 {
 				if f.state == frameBody {
 					f.state = frameStartLine
@@ -66,18 +67,18 @@
 			}
 			continue
 		}
-		end := bytes.IndexByte(p, '\n')
-		if end < 0 {
+		newline := bytes.IndexByte(p, '\n')
+		if newline < 0 {
 			f.appendLine(p)
 			return
 		}
-		f.appendLine(p[:end])
-		p = p[end+1:]
+		f.appendLine(p[:newline])
+		p = p[newline+1:]
 		f.endLine()
 	}
 }
 
-// take keeps the start of a line.
+// appendLine adds bytes to the current line, of which only the start is kept.
 func (f *framingScanner) appendLine(p []byte) {
 	if f.lineBytes < len(f.line) {
 		copy(f.line[f.lineBytes:], p)
@@ -89,7 +90,7 @@
 	}
 }
 
-// endLine reads a line whose end has come.
+// endLine parses the current line, which is complete.
 func (f *framingScanner) endLine() {
 	if f.lineBytes > 0 && f.lastTwo[1] == '\r' {
 		f.lineBytes--
@@ -99,7 +100,7 @@
 	switch f.state {
 	case frameStartLine:
 		if empty {
-			break // before a request
+			break // empty lines may precede a request
 		}
 		f.contentLengths, f.transferEncodings, f.remaining = 0, 0, 0
 		if f.responses {
@@ -134,7 +135,7 @@
 		n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 62)
 		switch {
 		case err != nil:
-			f.state = frameIgnored // and the end of the connection
+			f.state = frameIgnored // net/http closes the connection
 		case n == 0:
 			f.state = frameTrailers
 		default:
@@ -148,16 +149,16 @@
 	f.lineBytes = 0
 }
 
-// header notes what a line of a head says of the length.
+// scanHeader parses a header line that gives the length of the body.
 func (f *framingScanner) scanHeader(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
-	name = bytes.TrimRight(name, " \t") // as some read it
+	name = bytes.TrimRight(name, " \t") // some parsers accept this
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		var err error
 		f.contentLengths++
 		f.remaining, err = strconv.ParseUint(string(bytes.Trim(value, " \t")), 10, 63)
-		f.ambiguous = f.ambiguous || err != nil || f.lineBytes > len(f.line) // on a line of its own, or far behind
+		f.ambiguous = f.ambiguous || err != nil || f.lineBytes > len(f.line) // folded, or too long to be kept
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		f.transferEncodings++
 	}
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -364,7 +364,7 @@
 	}
 	exch.request.BodyPending = true
 	exch.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(exch.request.Deadline), budget: &f.metrics.bodyBudget,
-		prefix: prefix, remainder: remainder, memory: held, window: window{budget: &f.metrics.bodyBudget, prepaid: minWindow}}
+		prefix: prefix, remainder: remainder, reservedMemory: held, window: window{budget: &f.metrics.bodyBudget, prepaid: minWindow}}
 	exch.upload.onComplete = func(until time.Time) { f.loop.post(bodyComplete{exch, until}) }
 	return 0, nil
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -7,9 +7,9 @@
 	"strconv"
 )
 
-// listenClients opens the clients' address or, where the platform holds its
-// socket, takes the descriptor that it is inherited as. All processes of a
-// gateway then accept from one queue, and it outlives each of them.
+// listenClients listens on the address for clients. If inherited is not empty, it uses the
+// socket with that descriptor number instead, which the platform keeps open: all processes of
+// a gateway then share one accept queue, which outlives each of them.
 func listenClients(address, inherited string) (net.Listener, error) {
 	if inherited == "" {
 		return net.Listen("tcp", address)
@@ -18,14 +18,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("inherited socket: %w", err)
 	}
-	f := os.NewFile(uintptr(fd), "clients")
-	if f == nil {
+	file := os.NewFile(uintptr(fd), "clients")
+	if file == nil {
 		return nil, fmt.Errorf("inherited socket: %d is no descriptor", fd)
 	}
-	defer f.Close() // the listener has its own
-	l, err := net.FileListener(f)
+	defer file.Close() // the listener duplicates the descriptor
+	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("inherited socket: %w", err)
 	}
-	return l, nil
+	return listener, nil
 }
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -8,19 +8,19 @@
 	"unsafe"
 )
 
-// A peer that has vanished is ended after so long, if something goes
-// unacknowledged, be it one of the probes that package net sends after 15 s.
 const (
+	// silenceTimeout is how long sent data, or a keep-alive probe of package net, may stay
+	// unacknowledged before the system closes the connection.
 	silenceTimeout = 30 * time.Second
-	tcpUserTimeout = 18 // TCP_USER_TIMEOUT, which package syscall does not name
+	tcpUserTimeout = 18 // TCP_USER_TIMEOUT, which package syscall does not define
 )
 
-var errTimeoutNotSet = errors.New("the system did not keep the limit")
+var errTimeoutNotSet = errors.New("the system ignored TCP_USER_TIMEOUT")
 
-// limitSilence sets the limit on a connection and looks whether it holds. Where
-// there is no such thing, as on a platform's emulated sockets, it says so.
-func setSilenceTimeout(c net.Conn) error {
-	tcp, ok := c.(*net.TCPConn)
+// setSilenceTimeout sets silenceTimeout on a TCP connection. It returns an error if the
+// system does not support or does not apply the option.
+func setSilenceTimeout(conn net.Conn) error {
+	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return nil
 	}
@@ -28,24 +28,24 @@
 	if err != nil {
 		return err
 	}
-	var failed error
+	var sockoptErr error
 	err = raw.Control(func(fd uintptr) {
-		most := int(silenceTimeout.Milliseconds())
-		if failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, most); failed != nil {
+		timeoutMs := int(silenceTimeout.Milliseconds())
+		if sockoptErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, timeoutMs); sockoptErr != nil {
 			return
 		}
-		var kept int
-		if kept, failed = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout); failed == nil && kept != most {
-			failed = errTimeoutNotSet
+		var actual int
+		if actual, sockoptErr = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout); sockoptErr == nil && actual != timeoutMs {
+			sockoptErr = errTimeoutNotSet
 		}
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, sockoptErr)
 }
 
-// sinceLastWord is how long ago the last segment of a peer came. For one that was
-// just accepted, this is how long it stood in the queue.
-func sinceLastSegment(c net.Conn) (time.Duration, bool) {
-	tcp, ok := c.(*net.TCPConn)
+// sinceLastSegment returns the time since the peer's last segment arrived, if known. For a
+// connection that was just accepted, this is its time in the accept queue.
+func sinceLastSegment(conn net.Conn) (time.Duration, bool) {
+	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return 0, false
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -12,34 +12,34 @@
 	"dunlintray/rules"
 )
 
-// When a body is let go, and how long a peer may keep one waiting.
+// Limits of transfers.
 const (
-	maxHeldBody      = 64 << 10               // bytes of a body that are held at most
-	maxHoldTime      = 100 * time.Millisecond // after its head, a body whose end is not in sight
-	maxWriteSize     = 32 << 10               // bytes that are written at once at most
-	minClientRate    = 32 << 10               // bytes a second; least of a client's body
-	minTransferRate  = 4 << 10                // and of all that is not a client's body
-	stallTimeout     = 10 * time.Second       // without a byte, and all waits that no byte pays for
-	uploadLingerTime = time.Second            // for a client that still writes to hear its answer
+	maxHeldBody      = 64 << 10               // bytes of a body that are held before it is streamed
+	maxHoldTime      = 100 * time.Millisecond // after the header, for a body of unknown length
+	maxWriteSize     = 32 << 10               // bytes written at once
+	minClientRate    = 32 << 10               // bytes per second of a client's body
+	minTransferRate  = 4 << 10                // bytes per second of all other transfers
+	stallTimeout     = 10 * time.Second       // without a byte, and in total beyond the minimum rate
+	uploadLingerTime = time.Second            // for a client that still sends its body to receive the response
 )
 
 var (
 	errBodyTooLong     = errors.New("the body is too long")
-	errTransferAborted = errors.New("the client has its answer")
+	errTransferAborted = errors.New("transfer aborted: the client has its response or has disconnected")
 )
 
-// pace bounds how long one side of a transfer may keep it waiting: not longer
-// than a pause at once, nor, over all, than a grace and the time that its bytes
-// take at a least rate. A peer that sends a byte now and then is told from one
-// that is slow. Only time spent waiting for that side counts.
+// pace limits how long the transfer waits for one of its sides: at most maxPause at a time,
+// and in total at most grace plus the time that the transferred bytes take at minRate. Only
+// the time spent waiting for that side counts. The total limit ends transfers to a peer that
+// moves a byte now and then, but not to one that is merely slow.
 type pace struct {
 	maxPause, grace time.Duration
-	minRate         float64 // bytes a second; 0: none is asked for
+	minRate         float64 // bytes per second; 0: no total limit
 	bytes           int64
 	waited          time.Duration
 }
 
-// wait is how long the side may be waited for now.
+// allowedWait returns how long the transfer may wait for the side now.
 func (p *pace) allowedWait() time.Duration {
 	if p.minRate == 0 {
 		return p.maxPause
@@ -48,145 +48,149 @@
 	return min(p.maxPause, p.grace+earned-p.waited)
 }
 
+// record adds the bytes moved by one read or write and the time spent waiting for them.
 func (p *pace) record(bytes int, waited time.Duration) {
 	p.bytes += int64(bytes)
 	p.waited += waited
 }
 
-// intake holds the start of a body until it is whole, has filled the room for
-// it, or is let go. One goroutine fills it. Whoever takes the body gets what is
-// held, also while it is filled, and reads the rest itself after that.
+// bodyPrefix buffers the start of a body until the body is complete, the buffer is full, or
+// the body is released for streaming. One goroutine fills it. The consumer of the body gets
+// the buffered bytes, also while the buffer is being filled, and then reads the remainder
+// from src itself.
 type bodyPrefix struct {
 	src      io.Reader
-	capacity int // bytes to hold
+	capacity int // bytes to buffer
 
 	mu        sync.Mutex
-	changed   sync.Cond // on mu: something has come, or nobody fills it any more
+	changed   sync.Cond // on mu; signals new bytes and fillDone
 	held      []byte
-	err       error // of the last read; io.EOF at its end
+	err       error // of the last read; io.EOF at the end of the body
 	streaming bool
-	fillDone  bool // nobody fills it any more
+	fillDone  bool // fill has returned or has nothing left to do
 }
 
-// newIntake has room for a body, which may have a length or, below 0, none.
-func newBodyPrefix(src io.Reader, length int64, most int) *bodyPrefix {
-	in := &bodyPrefix{src: src, capacity: most, fillDone: most == 0}
-	in.changed.L = &in.mu
-	if length >= 0 && length <= int64(most) {
-		in.held = make([]byte, 0, length)
+// newBodyPrefix returns an empty prefix of a body. A negative length means that the length is
+// unknown.
+func newBodyPrefix(src io.Reader, length int64, capacity int) *bodyPrefix {
+	prefix := &bodyPrefix{src: src, capacity: capacity, fillDone: capacity == 0}
+	prefix.changed.L = &prefix.mu
+	if length >= 0 && length <= int64(capacity) {
+		prefix.held = make([]byte, 0, length)
 	}
-	return in
+	return prefix
 }
 
-// fill reads until the body need not be held any more. It tells whether the body
-// is whole, and why not if its reading has failed.
-func (in *bodyPrefix) fill() (complete bool, err error) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
+// fill reads until the body is complete, the buffer is full, or the body has been released.
+// It reports whether the body is complete, or the error of a failed read.
+func (p *bodyPrefix) fill() (complete bool, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for {
-		if len(in.held) == cap(in.held) && (cap(in.held) == 0 || len(in.held) < in.capacity) {
-			grown := make([]byte, len(in.held), min(max(2*cap(in.held), 512), in.capacity))
-			copy(grown, in.held)
-			in.held = grown
+		if len(p.held) == cap(p.held) && (cap(p.held) == 0 || len(p.held) < p.capacity) {
+			grown := make([]byte, len(p.held), min(max(2*cap(p.held), 512), p.capacity))
+			copy(grown, p.held)
+			p.held = grown
 		}
-		room := in.held[len(in.held):cap(in.held)]
-		in.mu.Unlock()
-		n, err := in.src.Read(room)
-		in.mu.Lock()
-		in.held, in.err = in.held[:len(in.held)+n], err
-		in.fillDone = err != nil || in.streaming || len(in.held) == in.capacity
-		in.changed.Broadcast()
+		room := p.held[len(p.held):cap(p.held)]
+		p.mu.Unlock()
+		n, err := p.src.Read(room)
+		p.mu.Lock()
+		p.held, p.err = p.held[:len(p.held)+n], err
+		p.fillDone = err != nil || p.streaming || len(p.held) == p.capacity
+		p.changed.Broadcast()
 		switch {
 		case err == io.EOF:
 			return true, nil
-		case in.fillDone:
+		case p.fillDone:
 			return false, err
 		}
 	}
 }
 
-// release lets the body go, if it is still held. From then on it is no more
-// than what it was: a start that goes on.
-func (in *bodyPrefix) release() bool {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	if in.fillDone || in.streaming {
+// release marks the body for streaming. It returns false if the body is already being
+// streamed or the buffer is no longer being filled.
+func (p *bodyPrefix) release() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.fillDone || p.streaming {
 		return false
 	}
-	in.streaming = true
+	p.streaming = true
 	return true
 }
 
-// released tells whether it was let go before it was whole or full.
-func (in *bodyPrefix) released() bool {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.streaming
+// released reports whether the body was marked for streaming.
+func (p *bodyPrefix) released() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.streaming
 }
 
-// next returns what is held from at on; it waits while that is nothing and more
-// may come. It returns nothing once the rest has to be read from src.
-func (in *bodyPrefix) next(at int) ([]byte, error) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.streaming = true
-	for at == len(in.held) && !in.fillDone {
-		in.changed.Wait()
+// next returns the buffered bytes from offset on. It waits while there are none and the
+// buffer is being filled. It returns nil once the remainder has to be read from src, with
+// the error of the last read, if any.
+func (p *bodyPrefix) next(offset int) ([]byte, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.streaming = true
+	for offset == len(p.held) && !p.fillDone {
+		p.changed.Wait()
 	}
-	if at < len(in.held) {
-		return in.held[at:], nil
+	if offset < len(p.held) {
+		return p.held[offset:], nil
 	}
-	return nil, in.err
+	return nil, p.err
 }
 
-// wait returns once nobody fills it.
-func (in *bodyPrefix) wait() {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.streaming = true
-	for !in.fillDone {
-		in.changed.Wait()
+// wait waits until the buffer is no longer being filled.
+func (p *bodyPrefix) wait() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.streaming = true
+	for !p.fillDone {
+		p.changed.Wait()
 	}
 }
 
-// forget frees what is held, once it has gone on for good.
-func (in *bodyPrefix) discard() {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.held = nil
+// discard frees the buffered bytes, which are not needed any more.
+func (p *bodyPrefix) discard() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.held = nil
 }
 
-// clientBody reads the body of a request as long as it comes on. Danger: a peer
-// that sends nothing holds a place that clients need, and so does one that sends
-// a byte now and then.
+// clientBody reads the body of a request. It fails if the client sends nothing for too long
+// or sends too slowly, since the connection takes a place that other clients need.
 type clientBody struct {
 	body         io.Reader
-	length       int64 // or -1
-	maxLength    int64 // bytes; 0: any number
+	length       int64 // bytes; -1 if unknown
+	maxLength    int64 // bytes; 0: unlimited
 	control      *http.ResponseController
 	pace         pace
-	conn         *clientConn // nil: it does not tell what has come
+	conn         *clientConn // nil if the connection does not count body bytes
 	earlierBytes uint64      // bytes of earlier bodies on the connection
 	arrival      bodyArrival
-	deadline     time.Time // not to be read after this; zero: no such time
+	deadline     time.Time // replaces the deadline set by pace; zero: none
 	ended        bool
-	total        *atomic.Int64 // bytes of all bodies
+	total        *atomic.Int64 // metric: bytes of all bodies
 }
 
-func newClientBody(r *http.Request, control *http.ResponseController, most int64, total *atomic.Int64) *clientBody {
-	b := &clientBody{body: r.Body, length: r.ContentLength, maxLength: most, control: control, total: total,
-		// What a slow head has taken of the time is gone.
+// newClientBody returns a reader of the body of r. It adds the bytes it reads to total.
+func newClientBody(r *http.Request, control *http.ResponseController, maxLength int64, total *atomic.Int64) *clientBody {
+	body := &clientBody{body: r.Body, length: r.ContentLength, maxLength: maxLength, control: control, total: total,
+		// The time that the header took counts too.
 		pace: pace{maxPause: readTimeout, grace: readTimeout, minRate: minClientRate, waited: time.Since(requestStart(r))}}
-	b.conn = connOf(r)
-	b.arrival.start(b.conn)
-	if b.conn != nil {
-		b.earlierBytes = b.conn.earlierBodyBytes()
+	body.conn = connOf(r)
+	body.arrival.start(body.conn)
+	if body.conn != nil {
+		body.earlierBytes = body.conn.earlierBodyBytes()
 	}
-	return b
+	return body
 }
 
-// Read implements io.Reader. It notes when the end of the body came: what a read had to
-// wait for was sent no sooner than the read returned.
+// Read implements io.Reader. It also records when the body arrived: bytes that a read had to
+// wait for count as sent when the read returned.
 func (b *clientBody) Read(p []byte) (int, error) {
 	missing := b.arrival.checkMissing()
 	n, err := b.readPaced(p)
@@ -199,21 +203,22 @@
 	return n, err
 }
 
+// readPaced reads with the deadline that the pace allows, and enforces maxLength.
 func (b *clientBody) readPaced(p []byte) (int, error) {
-	// Danger: after the last byte the server itself listens for the client to
-	// leave, and a time-out of ours would pass for that.
+	// After the last byte net/http reads in order to notice a disconnect, and would take
+	// an expired read deadline for one.
 	if b.ended || b.pace.bytes == b.length {
 		return b.body.Read(p)
 	}
-	before := time.Now()
-	end := before.Add(b.pace.allowedWait())
+	start := time.Now()
+	deadline := start.Add(b.pace.allowedWait())
 	if !b.deadline.IsZero() {
-		end = b.deadline
+		deadline = b.deadline
 	}
-	b.control.SetReadDeadline(end)
+	b.control.SetReadDeadline(deadline)
 	n, err := b.readAvailable(p)
 	b.ended = err != nil
-	b.pace.record(n, time.Since(before))
+	b.pace.record(n, time.Since(start))
 	b.total.Add(int64(n))
 	if b.maxLength > 0 && b.pace.bytes > b.maxLength {
 		b.ended = true
@@ -222,84 +227,84 @@
 	return n, err
 }
 
-// readSome waits for a byte and returns what has come. Danger: net/http waits for
-// the whole of a chunk, or for as much of it as there is room for.
+// readAvailable waits for a byte and returns the bytes that have arrived. A plain read would
+// wait, in net/http, for the end of the chunk or until p is full.
 func (b *clientBody) readAvailable(p []byte) (int, error) {
 	if b.conn == nil || b.length >= 0 || len(p) < 2 {
 		return b.body.Read(p)
 	}
-	if there := b.available(); there > 0 {
-		return b.body.Read(p[:min(uint64(len(p)), there)])
+	if available := b.available(); available > 0 {
+		return b.body.Read(p[:min(uint64(len(p)), available)])
 	}
 	n, err := b.body.Read(p[:1])
 	if err != nil || n == 0 {
 		return n, err
 	}
-	there := b.available() // this byte among it
-	if there <= 1 {
+	available := b.available() // includes this byte
+	if available <= 1 {
 		return n, nil
 	}
-	more, err := b.body.Read(p[1:min(uint64(len(p)), there)])
+	more, err := b.body.Read(p[1:min(uint64(len(p)), available)])
 	return n + more, err
 }
 
-// there is how many bytes of the body have come and have not been read.
+// available returns the number of bytes of the body that have arrived and are unread.
 func (b *clientBody) available() uint64 {
 	return b.conn.bodyBytes() - b.earlierBytes - uint64(b.pace.bytes)
 }
 
-// upload is a body that goes on to a backend while it comes. The attempt that
-// takes it reads it; the client's handler may end that.
+// upload is a request body that is streamed to a backend while it arrives. The attempt that
+// sends it reads it; the client's handler may stop that.
 type upload struct {
-	request       *http.Request // of the client; it has the trailers, at the end
-	length        int64         // of the whole body, or -1
-	clientTimeout time.Duration // the client's patience, from the last byte on
-	onComplete    func(until time.Time)
+	request       *http.Request // of the client; has the trailers once the body is complete
+	length        int64         // bytes; -1 if unknown
+	clientTimeout time.Duration // counts from the last byte of the body
+	onComplete    func(responseDeadline time.Time)
 	budget        *budget
 	prefix        *bodyPrefix
 
-	readMu    sync.Mutex // held by who reads the rest
+	readMu    sync.Mutex // held while remainder is read
 	remainder *clientBody
 	window    window
 
 	mu               sync.Mutex
-	memory           int       // of the budget, for what is held
-	sender           *attempt  // that has the body
-	reader           *attempt  // that reads the rest; nil: it has not been read from
+	reservedMemory   int       // bytes reserved from the budget for prefix
+	sender           *attempt  // attempt that sends the body
+	reader           *attempt  // attempt that reads remainder; nil if it has not been read
 	closed           bool      // by the client's handler
-	err              error     // that the body ended with
-	responseDeadline time.Time // for an answer, once the body is whole
+	err              error     // of the last read of the body; io.EOF at its end
+	responseDeadline time.Time // set once the body is complete
 }
 
-// take makes an attempt the one that reads the body, from its start.
-func (u *upload) assign(a *attempt) {
+// assign makes an attempt the sender of the body, from its start.
+func (u *upload) assign(sender *attempt) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.sender = a
+	u.sender = sender
 }
 
-// leave takes the body from an attempt. It tells whether the body can't be sent
-// once more, and why the client's side broke, if it did.
-func (u *upload) unassign() (spent bool, cut error) {
+// unassign takes the body from its sender. It reports whether the body can no longer be sent
+// to another backend, and the error of the client's side, if any.
+func (u *upload) unassign() (consumed bool, clientErr error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sender = nil
 	if u.err != io.EOF && u.err != errTransferAborted {
-		cut = u.err
+		clientErr = u.err
 	}
-	return u.reader != nil, cut
+	return u.reader != nil, clientErr
 }
 
-// next returns the next piece of the body for an attempt that has had so many
-// bytes of its start. What is not held comes only once.
-func (u *upload) next(a *attempt, at int) (piece []byte, err error) {
-	if piece, err = u.prefix.next(at); piece != nil {
+// next returns the next piece of the body for a sender that has sent offset bytes of its
+// prefix. The remainder can be read only once.
+func (u *upload) next(sender *attempt, offset int) (piece []byte, err error) {
+	if piece, err = u.prefix.next(offset); piece != nil {
 		return piece, nil
 	}
 	u.readMu.Lock()
 	defer u.readMu.Unlock()
-	if over := u.beginRead(a, err == nil); over != nil {
-		return nil, over
+	if ended := u.beginRead(sender, err == nil); ended != nil {
+		return nil, ended
 	}
 	if err == nil {
 		var n int
@@ -311,26 +316,27 @@
 	return piece, u.recordEnd(err)
 }
 
-// begin tells whether an attempt may read on. What is held is of no use any more
-// once the rest is read.
-func (u *upload) beginRead(a *attempt, reads bool) error {
+// beginRead returns an error if the sender may not continue. Before the first read of the
+// remainder it discards the prefix.
+func (u *upload) beginRead(sender *attempt, willRead bool) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch {
 	case u.err != nil:
 		return u.err
-	case u.closed || u.sender != a:
+	case u.closed || u.sender != sender:
 		return errTransferAborted
-	case reads && u.reader == nil:
-		u.reader = a
+	case willRead && u.reader == nil:
+		u.reader = sender
 		u.prefix.discard()
-		u.budget.release(u.memory)
-		u.memory = 0
+		u.budget.release(u.reservedMemory)
+		u.reservedMemory = 0
 	}
 	return nil
 }
 
-// ended takes note of what the reading of the body ended with, if it did.
+// recordEnd records the error that ended the body, if any, and returns the error for the
+// sender.
 func (u *upload) recordEnd(err error) error {
 	if err == nil {
 		return nil
@@ -338,7 +344,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.err = err; u.closed && err != io.EOF {
-		u.err = errTransferAborted // by the handler's own hand
+		u.err = errTransferAborted // the handler has stopped the reading
 	}
 	if err == io.EOF {
 		u.responseDeadline = u.remainder.arrival.lastByteTime().Add(u.clientTimeout - seconds(responseMargin))
@@ -347,12 +353,12 @@
 	return u.err
 }
 
-// timeLeft returns what the client has left at least, to be told to a backend: all of its
-// patience while the body still comes.
+// remaining returns a lower bound of the client's remaining time, for the backend: the whole
+// client timeout while the body is still arriving.
 func (u *upload) remaining() time.Duration { return u.remainder.arrival.remaining(u.clientTimeout) }
 
-// over tells whether nothing more of the body is to come, as of one that was
-// held whole.
+// complete reports whether the whole body has been read. A nil upload, of a body that was
+// held completely, is complete.
 func (u *upload) complete() bool {
 	if u == nil {
 		return true
@@ -362,9 +368,9 @@
 	return u.err == io.EOF
 }
 
-// close ends the reading of a body whose client has its answer, and gives a
-// client that still writes time to hear it: what is unread when a connection
-// closes takes the answer with it.
+// close stops the reading of a body whose client has its response. It discards what the
+// client still sends for a while: closing a connection with unread bytes would reset it and
+// the response could be lost.
 func (u *upload) close(control *http.ResponseController) {
 	u.mu.Lock()
 	u.closed = true
@@ -372,7 +378,7 @@
 	if u.complete() || control.Flush() != nil {
 		return
 	}
-	control.SetReadDeadline(time.Now()) // for whoever reads
+	control.SetReadDeadline(time.Now()) // interrupts a read in progress
 	u.prefix.wait()
 	u.readMu.Lock()
 	defer u.readMu.Unlock()
@@ -380,34 +386,34 @@
 	io.Copy(io.Discard, u.remainder)
 }
 
-// answered tells whether the client has its answer.
+// responseSent reports whether the client has its response.
 func (u *upload) responseSent() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.closed
 }
 
-// free gives back the memory of what is held, at the end of the request.
+// releaseMemory returns the memory of the upload to the budget, at the end of the request.
 func (u *upload) releaseMemory() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.budget.release(u.memory + minWindow)
-	u.memory = 0
+	u.budget.release(u.reservedMemory + minWindow)
+	u.reservedMemory = 0
 }
 
-// done gives the window back, if it is the attempt's, which writes from it to
-// the last.
-func (u *upload) releaseWindow(a *attempt) {
+// releaseWindow releases the window if the sender has used it. The sender writes from it
+// until its end.
+func (u *upload) releaseWindow(sender *attempt) {
 	u.readMu.Lock()
 	defer u.readMu.Unlock()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.reader == a {
+	if u.reader == sender {
 		u.window.release()
 	}
 }
 
-// uploadStatus is the answer to a client whose body did not come whole.
+// uploadStatus returns the status for a client whose body was incomplete.
 func uploadStatus(err error) int {
 	switch tooSlow := errors.Is(err, os.ErrDeadlineExceeded); {
 	case errors.Is(err, errBodyTooLong):
@@ -420,24 +426,24 @@
 	return http.StatusBadRequest
 }
 
-// download is an answer that is let go. The attempt holds the connection until
-// the client's handler, or the loop, says how it went.
+// download is a response body that is streamed to the client. The attempt keeps the backend
+// connection until the client's handler, or the loop, reports the outcome.
 type download struct {
 	prefix         *bodyPrefix
-	reservedMemory int // of the budget, for what is held
+	reservedMemory int // bytes reserved from the budget for prefix
 	body           io.Reader
-	chunked        *chunkedReader // that body is, or nil
-	length         int64          // or -1
+	chunked        *chunkedReader // body, if it is chunked; otherwise nil
+	length         int64          // bytes; -1 if unknown
 	conn           *backendConn
 	window         window
 	metrics        *metrics
 	done           chan rules.Outcome // has room for one
 
 	mu      sync.Mutex
-	claimed bool // by the client's handler, which alone ends it then
+	claimed bool // the owner is set; only the owner reports the outcome
 }
 
-// take makes the client's handler its owner, unless it was dropped.
+// claim makes the caller the owner of the download. It returns false if it has one already.
 func (d *download) claim() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -446,7 +452,7 @@
 	return first
 }
 
-// trailers returns the headers behind the whole body, or nil.
+// trailers returns the trailers to forward after a complete body, or nil.
 func (d *download) trailers() http.Header {
 	if d.chunked == nil {
 		return nil
@@ -454,42 +460,42 @@
 	return forwardableTrailers(d.chunked.trailer)
 }
 
-// drop ends an answer that nobody has taken. One that was taken ends by itself,
-// as its client has left.
+// discard ends a download that has no owner. An owner ends the download itself, since its
+// client has disconnected.
 func (d *download) discard() {
 	if d.claim() {
 		d.done <- rules.Cancelled
 	}
 }
 
-// pass copies the answer to the client, each piece as it comes, and tells who
-// broke it if it did not come whole.
+// copyTo copies the body to the client, each piece as it arrives. An outcome of Cancelled
+// means that the client's side failed, and Broken that the backend's did.
 func (d *download) copyTo(w http.ResponseWriter, control *http.ResponseController) (rules.Outcome, error) {
 	defer d.window.release()
-	from := pace{maxPause: stallTimeout, grace: stallTimeout}
-	to := pace{maxPause: stallTimeout, grace: stallTimeout, minRate: minTransferRate}
+	backendPace := pace{maxPause: stallTimeout, grace: stallTimeout}
+	clientPace := pace{maxPause: stallTimeout, grace: stallTimeout, minRate: minTransferRate}
 	if d.length >= 0 {
-		from.minRate = minTransferRate // one without a length may be of events, which are rare
-	}
-	d.conn.SetReadDeadline(time.Now().Add(stallTimeout)) // for who fills the start
-	for at := 0; ; {
-		piece, err := d.prefix.next(at)
-		held := piece != nil // somebody else may be reading
-		if at += len(piece); !held && err == nil {
-			piece, err = d.readNext(&from)
+		backendPace.minRate = minTransferRate // a body of unknown length may be a stream of rare events
+	}
+	d.conn.SetReadDeadline(time.Now().Add(stallTimeout)) // for the goroutine that fills the prefix
+	for offset := 0; ; {
+		piece, err := d.prefix.next(offset)
+		fromPrefix := piece != nil // the prefix may still be being filled
+		if offset += len(piece); !fromPrefix && err == nil {
+			piece, err = d.readNext(&backendPace)
 		}
 		for len(piece) > 0 {
 			n := min(len(piece), maxWriteSize)
-			before := time.Now()
-			control.SetWriteDeadline(before.Add(to.allowedWait()))
-			_, broke := w.Write(piece[:n])
-			if piece = piece[n:]; broke == nil && len(piece) == 0 && err == nil && (held || !d.hasBuffered()) {
-				broke = control.Flush()
+			start := time.Now()
+			control.SetWriteDeadline(start.Add(clientPace.allowedWait()))
+			_, writeErr := w.Write(piece[:n])
+			if piece = piece[n:]; writeErr == nil && len(piece) == 0 && err == nil && (fromPrefix || !d.hasBuffered()) {
+				writeErr = control.Flush()
 			}
-			if broke != nil {
-				return rules.Cancelled, broke // the client has left, or does not read
+			if writeErr != nil {
+				return rules.Cancelled, writeErr // the client has disconnected or does not read
 			}
-			to.record(n, time.Since(before))
+			clientPace.record(n, time.Since(start))
 			d.metrics.downloads.bytes.Add(int64(n))
 		}
 		switch {
@@ -501,7 +507,7 @@
 	}
 }
 
-// more tells whether the next piece is there already.
+// hasBuffered reports whether the next piece can be read without waiting.
 func (d *download) hasBuffered() bool {
 	if d.chunked != nil {
 		return d.chunked.ready()
@@ -509,25 +515,25 @@
 	return d.conn.reader.Buffered() > 0
 }
 
-// read waits for the next piece. While there is none, it takes no memory but the
+// readNext waits for the next piece. While it waits, the download takes no memory beyond the
 // connection's own.
-func (d *download) readNext(from *pace) ([]byte, error) {
+func (d *download) readNext(backendPace *pace) ([]byte, error) {
 	if d.reservedMemory > 0 {
 		d.prefix.discard()
 		d.metrics.bodyBudget.release(d.reservedMemory)
 		d.reservedMemory = 0
 	}
-	before := time.Now()
-	d.conn.SetReadDeadline(before.Add(from.allowedWait()))
+	start := time.Now()
+	d.conn.SetReadDeadline(start.Add(backendPace.allowedWait()))
 	if !d.hasBuffered() {
 		d.window.release()
 		if err := d.conn.awaitReadable(); err != nil {
 			return nil, err
 		}
 	}
-	buf := d.window.buffer()
-	n, err := d.body.Read(buf)
+	buffer := d.window.buffer()
+	n, err := d.body.Read(buffer)
 	d.window.recordUse(n)
-	from.record(n, time.Since(before))
-	return buf[:n], err
+	backendPace.record(n, time.Since(start))
+	return buffer[:n], err
 }
