--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -1,6 +1,6 @@
-// Package connlimit decides which clients' connections a gateway takes and which
-// it gives up for them. It is a state machine: it is told what happens on
-// connections, and says what to close.
+// Package connlimit limits the client connections of a gateway and shares them fairly among
+// source addresses. It is a state machine without I/O: the caller reports the state of each
+// connection, and a Table says which connections to admit and which to evict for them.
 package connlimit
 
 import (
@@ -10,51 +10,54 @@
 	"time"
 )
 
-// Limits bound a Table.
+// Limits are the limits of a Table.
 type Limits struct {
-	Total int // connections
+	Total int // open connections
 }
 
-// State is what a connection is doing.
+// State is the state of a connection.
 type State int
 
-// The states. One that is Busy is never given up for another.
+// The states of a connection. A Busy connection is never evicted.
 const (
-	New  State = iota // no byte has come
-	Head              // the head of a request is coming
+	New  State = iota // no byte has been received
+	Head              // receiving the header of a request
 	Busy              // in a request
 	Idle              // between requests
 	stateCount
 )
 
 const (
-	// NewGrace is how long a new connection may say nothing before it can be given up
-	// for another, and HeadGrace how long a head may take.
-	NewGrace  = 250 * time.Millisecond
+	// NewGrace is how long a connection may stay in state New before it may be evicted.
+	NewGrace = 250 * time.Millisecond
+	// HeadGrace is how long a connection may stay in state Head before it may be evicted.
 	HeadGrace = time.Second
-	// A part of the places is what the New and Head ones of one source may take
-	// together: a client that has a request sends it.
+
+	// openingDivisor limits the New and Head connections of one source to 1/2 of the places.
 	openingDivisor = 2
-	// An eighth of the places is free or idle, or goes to sources below their share
-	// alone: those in a request can't be given up, however many one source has.
+	// reserveDivisor keeps 1/8 of the places free or idle for sources below their share,
+	// since the Busy connections of the others cannot be evicted.
 	reserveDivisor = 8
 )
 
-// Conn is one connection. Its owner keeps it and hands it back.
+// Conn is the entry of one connection in a Table. The caller keeps it and passes it back to
+// the methods of its Table.
 type Conn struct {
-	source *source
+	source *source // nil once closed
 	state  State
-	since  time.Duration // in this state
-	older  *Conn         // in its source's list of those in its state
+	since  time.Duration // time of the last change of state
+	older  *Conn         // neighbours in the list of the source and state
 	newer  *Conn
 }
 
-// State returns what the connection is doing.
+// State returns the state of the connection.
 func (c *Conn) State() State { return c.state }
 
-// list has the connections of one source in one state, those longest in it first.
+// connList is a linked list of the connections of one source in one state, ordered by the
+// time at which they entered it.
 type connList struct{ oldest, newest *Conn }
 
+// push appends a connection as the newest.
 func (l *connList) push(c *Conn) {
 	if c.older = l.newest; l.newest != nil {
 		l.newest.newer = c
@@ -78,34 +81,35 @@
 	c.older, c.newer = nil, nil
 }
 
-// source is where connections come from. It is forgotten with the last of them.
+// source is an address that connections come from. It is removed with its last connection.
 type source struct {
 	address     netip.Addr
 	connections int
-	opening     int                  // New and Head
-	byState     [stateCount]connList // but Busy, which are in none
-	heapIndex   int                  // in the heap; -1: it has none to give up
+	opening     int                  // connections in state New or Head
+	byState     [stateCount]connList // Busy connections are in no list
+	heapIndex   int                  // position in Table.evictable; -1 if it has no connection that may be evicted
 }
 
-// first returns the connection that the source would give up first, and from when
-// on it may.
-func (s *source) nextVictim() (c *Conn, from time.Duration) {
+// nextVictim returns the connection of the source that is evicted first, and the time from
+// which on it may be. It returns nil if all are Busy.
+func (s *source) nextVictim() (conn *Conn, evictableAt time.Duration) {
 	switch {
 	case s.byState[Idle].oldest != nil:
-		c = s.byState[Idle].oldest
-		return c, c.since
+		conn = s.byState[Idle].oldest
+		return conn, conn.since
 	case s.byState[New].oldest != nil:
-		c = s.byState[New].oldest
-		return c, c.since + NewGrace
+		conn = s.byState[New].oldest
+		return conn, conn.since + NewGrace
 	case s.byState[Head].oldest != nil:
-		c = s.byState[Head].oldest
-		return c, c.since + HeadGrace
+		conn = s.byState[Head].oldest
+		return conn, conn.since + HeadGrace
 	}
 	return nil, 0
 }
 
-// Table has all connections. Its cost for an event grows with the logarithm of the
-// number of sources, of which there are no more than connections.
+// Table holds all open connections. Each call takes time logarithmic in the number of sources,
+// except SetLimits and Counts, which may visit all sources. All times are durations since a
+// fixed point that the caller chooses. A Table is not safe for concurrent use.
 type Table struct {
 	limits      Limits
 	connections int
@@ -114,243 +118,251 @@
 	evictable   victimHeap
 }
 
-// New returns a table with nothing in it.
+// NewTable returns an empty table.
 func NewTable(limits Limits) *Table {
 	return &Table{limits: limits, sources: map[netip.Addr]*source{}}
 }
 
-// SourceAddress is the address that connections are counted by: an IPv4 address is the
-// same however it is written.
+// SourceAddress returns the form of an address by which connections are counted: without a
+// zone, and IPv4-mapped IPv6 addresses as IPv4.
 func SourceAddress(a netip.Addr) netip.Addr { return a.Unmap().WithZone("") }
 
-// Open takes a new connection from an address, and names one that gives its place
-// up, or none. If there is no place it returns nil, and whether the source has its
-// share already. Whoever has most gives up first, so that all have as many, but for
-// one, when all want more.
-func (t *Table) Open(now time.Duration, address netip.Addr) (c *Conn, over bool, victim *Conn) {
+// Open admits a new connection from an address, in state New. If another connection had to be
+// evicted for it, Open removes that one from the table and returns it as victim, for the
+// caller to close. If there is no place, conn is nil, and atShare reports whether the source
+// has its share of the places already.
+//
+// The source with the most connections loses one first. If all sources want more than there
+// are places, their numbers of connections differ by at most one.
+func (t *Table) Open(now time.Duration, address netip.Addr) (conn *Conn, atShare bool, victim *Conn) {
 	address = SourceAddress(address)
-	s := t.sources[address]
-	has := 0
-	if s != nil {
-		has = s.connections
+	src := t.sources[address]
+	open := 0
+	if src != nil {
+		open = src.connections
 	}
-	over = t.atShare(s, has)
+	atShare = t.atShare(src, open)
 	switch {
-	case s != nil && s.opening >= max(t.limits.Total/openingDivisor, 1):
-		if victim = s.nextOpeningVictim(now); victim == nil {
+	case src != nil && src.opening >= max(t.limits.Total/openingDivisor, 1):
+		if victim = src.nextOpeningVictim(now); victim == nil {
 			return nil, true, nil
 		}
-	case t.connections >= t.limits.Total || over && t.limits.Total-t.connections+t.byState[Idle] <= t.limits.Total/reserveDivisor:
-		if victim = t.victim(now, s, has); victim == nil {
-			return nil, over, nil
+	case t.connections >= t.limits.Total || atShare && t.limits.Total-t.connections+t.byState[Idle] <= t.limits.Total/reserveDivisor:
+		if victim = t.victim(now, src, open); victim == nil {
+			return nil, atShare, nil
 		}
 	}
-	if s == nil {
-		s = &source{address: address, heapIndex: -1}
-		t.sources[address] = s
+	if src == nil {
+		src = &source{address: address, heapIndex: -1}
+		t.sources[address] = src
 	}
-	c = &Conn{source: s, state: New, since: now}
-	s.connections++
+	conn = &Conn{source: src, state: New, since: now}
+	src.connections++
 	t.connections++
-	t.link(c)
-	t.updateHeap(s)
+	t.link(conn)
+	t.updateHeap(src)
 	if victim != nil {
 		t.Close(victim)
 	}
-	return c, over, victim
+	return conn, atShare, victim
 }
 
-// over tells whether a source that has so many, and wants one more, has its share
-// already. A source that is alone may have all.
-func (t *Table) atShare(s *source, has int) bool {
+// atShare reports whether a source with the given number of open connections has its share
+// already, and so may not open one more. A single source may have all places. A nil source
+// is one that has no connection yet.
+func (t *Table) atShare(src *source, open int) bool {
 	sources := len(t.sources)
-	if s == nil {
+	if src == nil {
 		sources++
 	}
-	return has >= (t.limits.Total+sources-1)/sources
+	return open >= (t.limits.Total+sources-1)/sources
 }
 
-// victim returns the connection that makes room for one of a source that has so
-// many: that of the source that has most, which may be its own.
-func (t *Table) victim(now time.Duration, s *source, has int) *Conn {
+// victim returns the connection to evict for a new one of a source with the given number of
+// open connections, or nil. It belongs to the source with the most connections, which may be
+// the same source.
+func (t *Table) victim(now time.Duration, src *source, open int) *Conn {
 	if t.evictable.Len() == 0 {
 		return nil
 	}
-	v := t.evictable.sources[0]
-	if v.connections <= has && v != s {
-		// It has no more than the one that wants a place, which makes do with its own.
-		if v = s; s == nil || s.heapIndex < 0 {
+	candidate := t.evictable.sources[0]
+	if candidate.connections <= open && candidate != src {
+		// The candidate has no more connections than the source, which has to evict its own.
+		if candidate = src; src == nil || src.heapIndex < 0 {
 			return nil
 		}
 	}
-	if c, from := v.nextVictim(); from <= now {
-		return c
+	if conn, evictableAt := candidate.nextVictim(); evictableAt <= now {
+		return conn
 	}
 	return nil
 }
 
-// unread returns the connection of a source with too many New and Head ones that
-// makes room for another.
+// nextOpeningVictim returns the connection to evict from a source with too many New and Head
+// connections, or nil.
 func (s *source) nextOpeningVictim(now time.Duration) *Conn {
-	if c := s.byState[New].oldest; c != nil && c.since+NewGrace <= now {
-		return c
+	if conn := s.byState[New].oldest; conn != nil && conn.since+NewGrace <= now {
+		return conn
 	}
-	if c := s.byState[Head].oldest; c != nil && c.since+HeadGrace <= now {
-		return c
+	if conn := s.byState[Head].oldest; conn != nil && conn.since+HeadGrace <= now {
+		return conn
 	}
 	return nil
 }
 
-// Room tells whether to accept another connection, and if not, after how long to
-// look again, if nothing happens before; 0: only then. While all places are in use
-// by requests, connections wait in the listener's queue.
-func (t *Table) Room(now time.Duration) (ok bool, look time.Duration) {
+// Room reports whether another connection may be accepted. If not, recheckAfter is the time
+// after which that may change without a call of Set, Close or SetLimits; 0 means never. While
+// all places are taken by requests, connections should stay in the listener's accept queue.
+func (t *Table) Room(now time.Duration) (ok bool, recheckAfter time.Duration) {
 	if t.connections < t.limits.Total {
 		return true, 0
 	}
 	if t.evictable.Len() == 0 {
 		return false, 0
 	}
-	if _, from := t.evictable.sources[0].nextVictim(); from > now {
-		return false, from - now
+	if _, evictableAt := t.evictable.sources[0].nextVictim(); evictableAt > now {
+		return false, evictableAt - now
 	}
 	return true, 0
 }
 
-// Set tells what a connection is doing now. One that was closed does nothing any
-// more.
-func (t *Table) Set(now time.Duration, c *Conn, state State) {
-	if c.source == nil || c.state == state {
+// Set records the state of a connection. It ignores a connection that has been closed.
+func (t *Table) Set(now time.Duration, conn *Conn, state State) {
+	if conn.source == nil || conn.state == state {
 		return
 	}
-	t.unlink(c)
-	c.state, c.since = state, now
-	t.link(c)
-	t.updateHeap(c.source)
+	t.unlink(conn)
+	conn.state, conn.since = state, now
+	t.link(conn)
+	t.updateHeap(conn.source)
 }
 
-func (t *Table) link(c *Conn) {
-	t.byState[c.state]++
-	if c.state != Busy {
-		c.source.byState[c.state].push(c)
+// link counts a connection in its state and adds it to the list of that state.
+func (t *Table) link(conn *Conn) {
+	t.byState[conn.state]++
+	if conn.state != Busy {
+		conn.source.byState[conn.state].push(conn)
 	}
-	if c.state == New || c.state == Head {
-		c.source.opening++
+	if conn.state == New || conn.state == Head {
+		conn.source.opening++
 	}
 }
 
-func (t *Table) unlink(c *Conn) {
-	t.byState[c.state]--
-	if c.state != Busy {
-		c.source.byState[c.state].remove(c)
+// unlink undoes link.
+func (t *Table) unlink(conn *Conn) {
+	t.byState[conn.state]--
+	if conn.state != Busy {
+		conn.source.byState[conn.state].remove(conn)
 	}
-	if c.state == New || c.state == Head {
-		c.source.opening--
+	if conn.state == New || conn.state == Head {
+		conn.source.opening--
 	}
 }
 
-// Close tells that a connection has ended. It may be told more than once.
-func (t *Table) Close(c *Conn) {
-	s := c.source
-	if s == nil {
+// Close removes a connection. Closing it again has no effect.
+func (t *Table) Close(conn *Conn) {
+	src := conn.source
+	if src == nil {
 		return
 	}
-	t.unlink(c)
-	c.source = nil
+	t.unlink(conn)
+	conn.source = nil
 	t.connections--
-	if s.connections--; s.connections == 0 {
-		delete(t.sources, s.address)
+	if src.connections--; src.connections == 0 {
+		delete(t.sources, src.address)
 	}
-	t.updateHeap(s)
+	t.updateHeap(src)
 }
 
-// SetLimits puts other limits in force, and returns those that have to go for them. No
-// head is cut off, and no request.
+// SetLimits changes the limits. It removes the connections above the new limits from the table
+// and returns them, for the caller to close. Connections in state Head or Busy stay, so the
+// table may remain above its limits until they end.
 func (t *Table) SetLimits(limits Limits) (victims []*Conn) {
 	t.limits = limits
 	for t.connections > limits.Total {
-		var most *source
-		for _, s := range t.sources {
-			if (s.byState[Idle].oldest != nil || s.byState[New].oldest != nil) && (most == nil || s.connections > most.connections) {
-				most = s
+		var largest *source
+		for _, src := range t.sources {
+			if (src.byState[Idle].oldest != nil || src.byState[New].oldest != nil) && (largest == nil || src.connections > largest.connections) {
+				largest = src
 			}
 		}
-		if most == nil {
+		if largest == nil {
 			break
 		}
-		c := cmp.Or(most.byState[Idle].oldest, most.byState[New].oldest)
-		t.Close(c)
-		victims = append(victims, c)
+		conn := cmp.Or(largest.byState[Idle].oldest, largest.byState[New].oldest)
+		t.Close(conn)
+		victims = append(victims, conn)
 	}
 	return victims
 }
 
-// Counts are a Table's figures.
+// Counts are the statistics of a Table.
 type Counts struct {
-	Open      int
-	ByState   [stateCount]int
-	Sources   int
-	OverShare int // sources with more than their share, while places run short
+	Open      int             // connections
+	ByState   [stateCount]int // connections, indexed by State
+	Sources   int             // source addresses with connections
+	OverShare int             // sources above their share; 0 unless 7/8 of the places are taken
 }
 
-// Counts returns them.
+// Counts returns the current statistics.
 func (t *Table) Counts() Counts {
-	n := Counts{Open: t.connections, ByState: t.byState, Sources: len(t.sources)}
+	counts := Counts{Open: t.connections, ByState: t.byState, Sources: len(t.sources)}
 	if t.connections >= t.limits.Total-t.limits.Total/reserveDivisor {
-		for _, s := range t.sources {
-			if t.atShare(s, s.connections-1) {
-				n.OverShare++
+		for _, src := range t.sources {
+			if t.atShare(src, src.connections-1) {
+				counts.OverShare++
 			}
 		}
 	}
-	return n
+	return counts
 }
 
-// fix puts a source where it belongs among those that can give up connections.
-func (t *Table) updateHeap(s *source) {
-	c, _ := s.nextVictim()
-	gives := c != nil
+// updateHeap moves a source to its position in the heap, or removes it if none of its
+// connections may be evicted.
+func (t *Table) updateHeap(src *source) {
+	conn, _ := src.nextVictim()
+	evictable := conn != nil
 	switch {
-	case gives && s.heapIndex < 0:
-		heap.Push(&t.evictable, s)
-	case gives:
-		heap.Fix(&t.evictable, s.heapIndex)
-	case s.heapIndex >= 0:
-		heap.Remove(&t.evictable, s.heapIndex)
+	case evictable && src.heapIndex < 0:
+		heap.Push(&t.evictable, src)
+	case evictable:
+		heap.Fix(&t.evictable, src.heapIndex)
+	case src.heapIndex >= 0:
+		heap.Remove(&t.evictable, src.heapIndex)
 	}
 }
 
-// givers has the source first that has most; of equals, that with the connection
-// that stands longest.
+// victimHeap is a heap.Interface of the sources that have connections to evict. The source with
+// the most connections comes first; among equals, the one whose victim may be evicted earliest.
 type victimHeap struct {
 	sources     []*source
-	comparisons int // so often, for measurements
+	comparisons int // calls of Less, for benchmarks
 }
 
-func (g *victimHeap) Len() int { return len(g.sources) }
-func (g *victimHeap) Less(i, j int) bool {
-	g.comparisons++
-	a, b := g.sources[i], g.sources[j]
+func (h *victimHeap) Len() int { return len(h.sources) }
+func (h *victimHeap) Less(i, j int) bool {
+	h.comparisons++
+	a, b := h.sources[i], h.sources[j]
 	if a.connections != b.connections {
 		return a.connections > b.connections
 	}
-	_, from := a.nextVictim()
-	_, other := b.nextVictim()
-	return from < other
+	_, evictableAt := a.nextVictim()
+	_, otherEvictableAt := b.nextVictim()
+	return evictableAt < otherEvictableAt
 }
-func (g *victimHeap) Swap(i, j int) {
-	g.sources[i], g.sources[j] = g.sources[j], g.sources[i]
-	g.sources[i].heapIndex, g.sources[j].heapIndex = i, j
+func (h *victimHeap) Swap(i, j int) {
+	h.sources[i], h.sources[j] = h.sources[j], h.sources[i]
+	h.sources[i].heapIndex, h.sources[j].heapIndex = i, j
 }
-func (g *victimHeap) Push(s any) {
-	s.(*source).heapIndex = len(g.sources)
-	g.sources = append(g.sources, s.(*source))
+func (h *victimHeap) Push(src any) {
+	src.(*source).heapIndex = len(h.sources)
+	h.sources = append(h.sources, src.(*source))
 }
-func (g *victimHeap) Pop() any {
-	last := len(g.sources) - 1
-	s := g.sources[last]
-	g.sources[last] = nil
-	g.sources = g.sources[:last]
-	s.heapIndex = -1
-	return s
+func (h *victimHeap) Pop() any {
+	last := len(h.sources) - 1
+	src := h.sources[last]
+	h.sources[last] = nil
+	h.sources = h.sources[:last]
+	src.heapIndex = -1
+	return src
 }
--- a/internal/connlimit/table_test.go
+++ b/internal/connlimit/table_test.go
@@ -9,152 +9,153 @@
 	"time"
 )
 
+// address returns the address of the nth source.
 func address(n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(n >> 16), byte(n >> 8), byte(n)})
 }
 
-// sound checks what must hold after every event.
-func sound(t *testing.T, tab *Table, conns map[*Conn]bool) {
+// checkInvariants checks what must hold after every call: no limit is exceeded, the counts
+// match the open connections, and the heap has every source with evictable connections.
+func checkInvariants(t *testing.T, table *Table, conns map[*Conn]bool) {
 	t.Helper()
-	n := tab.Counts()
-	if n.Open > tab.limits.Total || n.Open != len(conns) {
-		t.Fatalf("%d open, %d known, %d allowed", n.Open, len(conns), tab.limits.Total)
+	counts := table.Counts()
+	if counts.Open > table.limits.Total || counts.Open != len(conns) {
+		t.Fatalf("table counts %d open connections, test %d, limit %d", counts.Open, len(conns), table.limits.Total)
 	}
-	sum := 0
-	for _, in := range n.ByState {
-		sum += in
+	total := 0
+	for _, count := range counts.ByState {
+		total += count
 	}
 	bySource := map[*source]int{}
-	for c := range conns {
-		bySource[c.source]++
+	for conn := range conns {
+		bySource[conn.source]++
 	}
-	if sum != n.Open || n.Sources != len(bySource) {
-		t.Fatalf("%d by state, %d open; %d sources, %d known", sum, n.Open, n.Sources, len(bySource))
+	if total != counts.Open || counts.Sources != len(bySource) {
+		t.Fatalf("%d connections by state, %d open; table counts %d sources, test %d", total, counts.Open, counts.Sources, len(bySource))
 	}
-	giving := 0
-	for s, has := range bySource {
-		if s.connections != has || tab.sources[s.address] != s {
-			t.Fatalf("%s has %d, the table says %d", s.address, has, s.connections)
+	evictable := 0
+	for src, open := range bySource {
+		if src.connections != open || table.sources[src.address] != src {
+			t.Fatalf("source %s has %d connections, table counts %d", src.address, open, src.connections)
 		}
-		if c, _ := s.nextVictim(); c != nil {
-			giving++
-			if s.heapIndex < 0 || tab.evictable.sources[s.heapIndex] != s {
-				t.Fatalf("%s is not among those that can give", s.address)
+		if conn, _ := src.nextVictim(); conn != nil {
+			evictable++
+			if src.heapIndex < 0 || table.evictable.sources[src.heapIndex] != src {
+				t.Fatalf("source %s is missing from the heap", src.address)
 			}
 		}
 	}
-	if giving != tab.evictable.Len() {
-		t.Fatalf("%d can give, %d are known", giving, tab.evictable.Len())
+	if evictable != table.evictable.Len() {
+		t.Fatalf("%d sources have evictable connections, heap has %d", evictable, table.evictable.Len())
 	}
-	for i := range tab.evictable.sources {
-		if i > 0 && tab.evictable.Less(i, (i-1)/2) {
-			t.Fatal("those that can give are out of order")
+	for i := range table.evictable.sources {
+		if i > 0 && table.evictable.Less(i, (i-1)/2) {
+			t.Fatalf("heap out of order at index %d", i)
 		}
 	}
 }
 
-// Over any schedule: never over a limit, no place lost, none in a request given up,
-// and none for a source that has more.
-func TestRandomSchedules(t *testing.T) {
+// Over random schedules the invariants hold, no place is lost, and no connection in a request
+// is evicted.
+func TestInvariantsHoldOverRandomSchedules(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		tab := NewTable(Limits{Total: 1 + random.IntN(40)})
+		table := NewTable(Limits{Total: 1 + random.IntN(40)})
 		conns := map[*Conn]bool{}
 		now := time.Duration(0)
-		pick := func() *Conn {
-			n := random.IntN(max(len(conns), 1))
-			for c := range conns {
-				if n--; n < 0 {
-					return c
+		randomConn := func() *Conn {
+			skip := random.IntN(max(len(conns), 1))
+			for conn := range conns {
+				if skip--; skip < 0 {
+					return conn
 				}
 			}
 			return nil
 		}
-		drop := func(c *Conn, why string) {
-			if c.state == Busy || c.state == Head && (why != "for another" || now-c.since < HeadGrace) {
-				t.Fatalf("seed %d: one in state %d was given up %s", seed, c.state, why)
+		checkEvicted := func(conn *Conn, why string) {
+			if conn.state == Busy || conn.state == Head && (why != "to make room" || now-conn.since < HeadGrace) {
+				t.Fatalf("seed %d: connection in state %d was evicted %s", seed, conn.state, why)
 			}
-			if c.source != nil || !conns[c] {
-				t.Fatalf("seed %d: one that was given up has a place", seed)
+			if conn.source != nil || !conns[conn] {
+				t.Fatalf("seed %d: evicted connection still has a place", seed)
 			}
-			delete(conns, c)
+			delete(conns, conn)
 		}
 		for range 2000 {
 			now += time.Duration(random.IntN(100)) * time.Millisecond
 			switch random.IntN(8) {
 			case 0, 1, 2:
-				from := address(random.IntN(1 + random.IntN(30)))
-				has := 0
-				if s := tab.sources[from]; s != nil {
-					has = s.connections
+				source := address(random.IntN(1 + random.IntN(30)))
+				open := 0
+				if src := table.sources[source]; src != nil {
+					open = src.connections
 				}
-				most := 0
-				for _, s := range tab.sources {
-					if s.heapIndex >= 0 {
-						most = max(most, s.connections)
+				largest := 0
+				for _, src := range table.sources {
+					if src.heapIndex >= 0 {
+						largest = max(largest, src.connections)
 					}
 				}
-				ok, _ := tab.Room(now)
-				c, over, victim := tab.Open(now, from)
-				if c == nil && victim != nil || c == nil && tab.connections < tab.limits.Total && !over && has < tab.limits.Total/openingDivisor {
-					t.Fatalf("seed %d: no place, with %d of %d open", seed, tab.connections, tab.limits.Total)
+				ok, _ := table.Room(now)
+				conn, atShare, victim := table.Open(now, source)
+				if conn == nil && victim != nil || conn == nil && table.connections < table.limits.Total && !atShare && open < table.limits.Total/openingDivisor {
+					t.Fatalf("seed %d: connection rejected with %d of %d open", seed, table.connections, table.limits.Total)
 				}
-				if c != nil && !ok && victim == nil {
-					t.Fatalf("seed %d: a place where there is no room", seed)
+				if conn != nil && !ok && victim == nil {
+					t.Fatalf("seed %d: connection admitted without room or victim", seed)
 				}
-				if c != nil {
-					conns[c] = true
+				if conn != nil {
+					conns[conn] = true
 				}
 				if victim != nil {
-					drop(victim, "for another")
-					if has+1 > most && most > 0 && victim.older != nil {
-						t.Fatalf("seed %d: a victim is still in a list", seed)
+					checkEvicted(victim, "to make room")
+					if open+1 > largest && largest > 0 && victim.older != nil {
+						t.Fatalf("seed %d: victim is still in a list", seed)
 					}
 				}
 			case 3:
-				if c := pick(); c != nil {
-					tab.Close(c)
-					tab.Close(c) // as a connection may be closed twice
-					delete(conns, c)
+				if conn := randomConn(); conn != nil {
+					table.Close(conn)
+					table.Close(conn) // a connection may be closed twice
+					delete(conns, conn)
 				}
 			case 4:
 				if random.IntN(20) == 0 {
-					for _, c := range tab.SetLimits(Limits{Total: 1 + random.IntN(40)}) {
-						drop(c, "for a limit")
+					for _, conn := range table.SetLimits(Limits{Total: 1 + random.IntN(40)}) {
+						checkEvicted(conn, "for a lower limit")
 					}
-					for tab.connections > tab.limits.Total { // those in requests end by themselves
-						c := pick()
-						if c.state == New || c.state == Idle {
-							t.Fatalf("seed %d: %d open of %d, and one rests", seed, tab.connections, tab.limits.Total)
+					for table.connections > table.limits.Total { // Head and Busy connections end by themselves
+						conn := randomConn()
+						if conn.state == New || conn.state == Idle {
+							t.Fatalf("seed %d: %d connections open, limit %d, and one of them is in state %d", seed, table.connections, table.limits.Total, conn.state)
 						}
-						tab.Close(c)
-						delete(conns, c)
+						table.Close(conn)
+						delete(conns, conn)
 					}
 				}
 			default:
-				if c := pick(); c != nil {
-					tab.Set(now, c, State(random.IntN(int(stateCount))))
+				if conn := randomConn(); conn != nil {
+					table.Set(now, conn, State(random.IntN(int(stateCount))))
 				}
 			}
-			sound(t, tab, conns)
+			checkInvariants(t, table, conns)
 		}
-		for c := range conns {
-			tab.Close(c)
+		for conn := range conns {
+			table.Close(conn)
 		}
-		if tab.connections != 0 || len(tab.sources) != 0 || tab.evictable.Len() != 0 {
-			t.Fatalf("seed %d: something is left", seed)
+		if table.connections != 0 || len(table.sources) != 0 || table.evictable.Len() != 0 {
+			t.Fatalf("seed %d: %d connections and %d sources left after all were closed", seed, table.connections, len(table.sources))
 		}
 	}
 }
 
-// Where all want more than there is, and nobody is in a request, all have as many,
-// but for one.
-func TestSharesAreMaxMinFair(t *testing.T) {
+// Without Busy connections, the places are shared max-min fairly, up to one connection.
+func TestConnectionsAreSharedMaxMinFair(t *testing.T) {
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		total := 20 + random.IntN(100)
-		tab := NewTable(Limits{Total: total})
-		wants := make([]int, 2+random.IntN(12)) // of each source
+		table := NewTable(Limits{Total: total})
+		wants := make([]int, 2+random.IntN(12)) // connections wanted, by source
 		has := make([]map[*Conn]bool, len(wants))
 		for n := range wants {
 			wants[n], has[n] = 1+random.IntN(2*total/len(wants)), map[*Conn]bool{}
@@ -169,28 +170,28 @@
 			if len(has[n]) >= wants[n] {
 				continue
 			}
-			c, _, victim := tab.Open(now, address(n))
+			conn, _, victim := table.Open(now, address(n))
 			if victim != nil {
 				for _, conns := range has {
 					delete(conns, victim)
 				}
 			}
-			if c != nil {
-				has[n][c] = true
-				tab.Set(now, c, Idle)
+			if conn != nil {
+				has[n][conn] = true
+				table.Set(now, conn, Idle)
 			}
 		}
-		// What is left when those that want little have it is the same for all others.
+		// Serve the sources in the order of what they want: what remains is split evenly.
 		order := make([]int, len(wants))
 		for n := range order {
 			order[n] = n
 		}
 		slices.SortFunc(order, func(a, b int) int { return wants[a] - wants[b] })
-		left := total
+		remaining := total
 		for i, n := range order {
-			fair := left / (len(order) - i)
+			fair := remaining / (len(order) - i)
 			if got := len(has[n]); got < min(fair, wants[n])-1 {
-				t.Fatalf("seed %d: %d of %d wanted, %d are fair; %v have %v", seed, got, wants[n], fair, wants,
+				t.Fatalf("seed %d: a source has %d connections, wants %d, fair share %d; all want %v and have %v", seed, got, wants[n], fair, wants,
 					func() (n []int) {
 						for _, conns := range has {
 							n = append(n, len(conns))
@@ -198,88 +199,88 @@
 						return n
 					}())
 			}
-			left -= min(fair, wants[n])
+			remaining -= min(fair, wants[n])
 		}
 	}
 }
 
-// The rules one by one.
-func TestWhoGivesUp(t *testing.T) {
-	tab := NewTable(Limits{Total: 4})
-	open := func(now time.Duration, from int) *Conn {
+// Each rule of admission and eviction, one by one, and the counting of addresses.
+func TestEvictionRules(t *testing.T) {
+	table := NewTable(Limits{Total: 4})
+	open := func(now time.Duration, source int) *Conn {
 		t.Helper()
-		c, _, victim := tab.Open(now, address(from))
-		if c == nil || victim != nil {
-			t.Fatalf("%v, %v given up", c, victim)
+		conn, _, victim := table.Open(now, address(source))
+		if conn == nil || victim != nil {
+			t.Fatalf("connection %v, victim %v; want a connection and no victim", conn, victim)
 		}
-		return c
+		return conn
 	}
 	a1, a2 := open(0, 1), open(1, 1)
-	if c, over, _ := tab.Open(2, address(1)); c != nil || !over {
-		t.Errorf("%v, over its share %t, of New ones", c, over)
+	if conn, atShare, _ := table.Open(2, address(1)); conn != nil || !atShare {
+		t.Errorf("third New connection of a source: connection %v, at share %t", conn, atShare)
 	}
-	tab.Set(2, a1, Busy)
+	table.Set(2, a1, Busy)
 	a3, b1 := open(2, 1), open(3, 2)
-	tab.Set(3, a1, Idle)
-	tab.Set(3, a1, New)
-	if ok, look := tab.Room(4); ok || look != NewGrace-3 {
-		t.Errorf("room %t, look after %v, while all are new", ok, look)
+	table.Set(3, a1, Idle)
+	table.Set(3, a1, New)
+	if ok, recheckAfter := table.Room(4); ok || recheckAfter != NewGrace-3 {
+		t.Errorf("all connections New: room %t, recheck after %v", ok, recheckAfter)
 	}
-	if c, over, _ := tab.Open(4, address(1)); c != nil || !over {
-		t.Errorf("%v, over its share %t", c, over)
+	if conn, atShare, _ := table.Open(4, address(1)); conn != nil || !atShare {
+		t.Errorf("source at its share: connection %v, at share %t", conn, atShare)
 	}
-	if c, over, _ := tab.Open(4, address(3)); c != nil || over {
-		t.Errorf("%v, over its share %t: in its grace nobody gives up", c, over)
+	if conn, atShare, _ := table.Open(4, address(3)); conn != nil || atShare {
+		t.Errorf("all connections within their grace: connection %v, at share %t", conn, atShare)
 	}
-	for _, c := range []*Conn{a1, a2, a3, b1} {
-		tab.Set(10, c, Busy)
+	for _, conn := range []*Conn{a1, a2, a3, b1} {
+		table.Set(10, conn, Busy)
 	}
-	if ok, look := tab.Room(time.Hour); ok || look != 0 {
-		t.Errorf("room %t, look after %v, while all are in requests", ok, look)
+	if ok, recheckAfter := table.Room(time.Hour); ok || recheckAfter != 0 {
+		t.Errorf("all connections Busy: room %t, recheck after %v", ok, recheckAfter)
 	}
-	tab.Set(20, b1, Idle)
-	if c, _, _ := tab.Open(30, address(1)); c != nil {
-		t.Error("one with one gave up for one with three")
+	table.Set(20, b1, Idle)
+	if conn, _, _ := table.Open(30, address(1)); conn != nil {
+		t.Error("a source with one connection lost it to a source with three")
 	}
-	tab.Set(40, a3, Idle)
-	tab.Set(50, a1, Idle)
-	if _, _, victim := tab.Open(60, address(3)); victim != a3 {
-		t.Error("the one that was idle longest, of who has most, did not give up")
+	table.Set(40, a3, Idle)
+	table.Set(50, a1, Idle)
+	if _, _, victim := table.Open(60, address(3)); victim != a3 {
+		t.Errorf("victim %v; want the longest idle connection of the largest source", victim)
 	}
-	// One source is the same in both families.
-	lone := NewTable(Limits{Total: 2})
-	lone.Open(0, netip.MustParseAddr("127.0.0.1"))
-	lone.Open(0, netip.MustParseAddr("::ffff:127.0.0.1"))
-	if n := lone.Counts(); n.Sources != 1 {
-		t.Errorf("%d sources", n.Sources)
+	// An IPv4 address and its IPv4-mapped IPv6 form are one source.
+	single := NewTable(Limits{Total: 2})
+	single.Open(0, netip.MustParseAddr("127.0.0.1"))
+	single.Open(0, netip.MustParseAddr("::ffff:127.0.0.1"))
+	if counts := single.Counts(); counts.Sources != 1 {
+		t.Errorf("%d sources, want 1", counts.Sources)
 	}
-	if ok, _ := lone.Room(NewGrace); !ok {
-		t.Error("one that says nothing keeps its place past its grace")
+	if ok, _ := single.Room(NewGrace); !ok {
+		t.Error("a New connection was not evictable after NewGrace")
 	}
 }
 
-// BenchmarkEvent counts what an event costs: one connection goes, another comes
-// for it, has a request and rests again.
+// BenchmarkEvent measures the cost of a call: a connection is evicted, another is opened, has
+// a request and becomes idle.
 func BenchmarkEvent(b *testing.B) {
-	for _, n := range []int{10, 1000, 10000} {
-		for _, sources := range []int{1, n} {
-			b.Run(fmt.Sprintf("conns=%d/sources=%d", n, sources), func(b *testing.B) {
-				tab := NewTable(Limits{Total: n})
-				for i := range n {
-					c, _, _ := tab.Open(0, address(i%sources))
-					tab.Set(0, c, Idle)
+	for _, conns := range []int{10, 1000, 10000} {
+		for _, sources := range []int{1, conns} {
+			b.Run(fmt.Sprintf("conns=%d/sources=%d", conns, sources), func(b *testing.B) {
+				table := NewTable(Limits{Total: conns})
+				for i := range conns {
+					conn, _, _ := table.Open(0, address(i%sources))
+					table.Set(0, conn, Idle)
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
-				tab.evictable.comparisons = 0
+				table.evictable.comparisons = 0
 				for i := range b.N {
 					now := time.Duration(i)
-					c, _, _ := tab.Open(now, address(n+i%n))
-					tab.Set(now, c, Head)
-					tab.Set(now, c, Busy)
-					tab.Set(now, c, Idle)
+					conn, _, _ := table.Open(now, address(conns+i%conns))
+					table.Set(now, conn, Head)
+					table.Set(now, conn, Busy)
+					table.Set(now, conn, Idle)
 				}
-				b.ReportMetric(float64(tab.evictable.comparisons)/float64(b.N)/5, "comparisons/event")
+				b.ReportMetric(float64(table.evictable.comparisons)/float64(b.N)/5, "comparisons/event")
 			})
 		}
 	}
