--- a/internal/gateway/scopes_test.go
+++ b/internal/gateway/scopes_test.go
@@ -22,13 +22,13 @@
 	"dunlintray/rules"
 )
 
-// scopedRegistry is a list service with backends in several scopes.
+// scopedRegistry is a service registry with backends in several scopes.
 type scopedRegistry struct {
 	address  string
 	backends map[string]*scopedBackend
 }
 
-// scopedBackend answers requests, or breaks their connections.
+// scopedBackend answers requests, or aborts their connections while failing is set.
 type scopedBackend struct {
 	placement registry.Placement
 	server    *httptest.Server
@@ -44,29 +44,29 @@
 	io.WriteString(w, "ok")
 }
 
-// newScopedRegistry starts a list service that is ready at once, with so many backends in each
-// place. They need no renewals for as long as a test lasts.
+// newScopedRegistry starts a service registry that is ready at once, with the given number of
+// backends per placement. Their leases outlast a test.
 func newScopedRegistry(t *testing.T, places map[registry.Placement]int) *scopedRegistry {
 	t.Helper()
 	limits := storeLimits
 	limits.Lease = time.Minute
-	began := time.Now().Add(-time.Hour)
-	writer := registry.NewWriter("self", registry.NewStore(limits, "first", time.Now().UnixMilli(), 0), serveLimits, began, rand.New(rand.NewPCG(1, 1)))
-	s := &scopedRegistry{address: startRegistry(t, "127.0.0.1:0", writer.Serve).address, backends: map[string]*scopedBackend{}}
+	startedAt := time.Now().Add(-time.Hour)
+	writer := registry.NewWriter("self", registry.NewStore(limits, "first", time.Now().UnixMilli(), 0), serveLimits, startedAt, rand.New(rand.NewPCG(1, 1)))
+	scoped := &scopedRegistry{address: startRegistry(t, "127.0.0.1:0", writer.Serve).address, backends: map[string]*scopedBackend{}}
 	for place, count := range places {
-		for n := range count {
-			id := fmt.Sprintf("%s-%s-%d", place.Service, place.Region, n)
-			b := &scopedBackend{placement: place}
-			b.server = httptest.NewServer(b)
-			t.Cleanup(b.server.Close)
-			s.backends[id] = b
-			s.register(t, id)
+		for index := range count {
+			id := fmt.Sprintf("%s-%s-%d", place.Service, place.Region, index)
+			backend := &scopedBackend{placement: place}
+			backend.server = httptest.NewServer(backend)
+			t.Cleanup(backend.server.Close)
+			scoped.backends[id] = backend
+			scoped.register(t, id)
 		}
 	}
-	return s
+	return scoped
 }
 
-// call makes a write that has to succeed.
+// call sends a write to the registry, which must succeed.
 func (s *scopedRegistry) call(t *testing.T, method, path string, body any) {
 	t.Helper()
 	text, err := json.Marshal(body)
@@ -99,7 +99,7 @@
 	s.call(t, "POST", id+"/lifecycle", map[string]any{"startedAtMs": 5, "lifecycle": "Terminating"})
 }
 
-// version is that of the list.
+// version returns the version of the registry's list.
 func (s *scopedRegistry) version(t *testing.T) int64 {
 	t.Helper()
 	resp, err := http.Get("http://" + s.address + registry.Path)
@@ -107,37 +107,37 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var l Listing
-	if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
+	var listing Listing
+	if err := json.NewDecoder(resp.Body).Decode(&listing); err != nil {
 		t.Fatal(err)
 	}
-	return l.Generation
+	return listing.Generation
 }
 
-// config is the text of a gateway's configuration with keys beside its registries.
+// config returns the text of a gateway's configuration that reads this registry, with further keys.
 func (s *scopedRegistry) config(name, keys string) string {
 	text := strings.Replace(configText("", testSettings), `"counter"`, fmt.Sprintf(`"registries": [%q], %s, "counter"`, s.address, keys), 1)
 	return strings.Replace(text, `"name": "n3"`, fmt.Sprintf(`"name": %q`, name), 1)
 }
 
-// startGateway starts one and waits until it is ready.
+// startGateway starts a gateway and waits until it is ready.
 func (s *scopedRegistry) startGateway(t *testing.T, name, keys string) *testGateway {
 	t.Helper()
-	c, err := parseConfig([]byte(s.config(name, keys)))
+	config, err := parseConfig([]byte(s.config(name, keys)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.Listen("tcp", c.Listen)
+	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testGateway{ended: make(chan error, 1)}
-	r.serve(t, &c, l)
-	r.awaitReadiness(t, http.StatusOK)
-	return r
+	gateway := &testGateway{ended: make(chan error, 1)}
+	gateway.serve(t, &config, listener)
+	gateway.awaitReadiness(t, http.StatusOK)
+	return gateway
 }
 
-// backendsView is what a gateway tells of its backends.
+// backendsView returns the answer to GET /control/backends.
 func (g *testGateway) backendsView(t *testing.T) (v BackendsView) {
 	t.Helper()
 	_, text := g.callControl(t, "GET", "/control/backends")
@@ -147,7 +147,7 @@
 	return v
 }
 
-// readyBackends returns the backends that a gateway has as Ready.
+// readyBackends returns the ids of the backends that the gateway lists as Ready.
 func (g *testGateway) readyBackends(t *testing.T) (ids []string) {
 	t.Helper()
 	for _, b := range g.backendsView(t).Backends {
@@ -158,50 +158,50 @@
 	return ids
 }
 
-// sendRequests sends so many, one after the other, and returns how many were served, and
-// which backends served them.
-func (s *scopedRegistry) sendRequests(t *testing.T, r *testGateway, count int) (ok int, by []string) {
+// sendRequests sends count requests in sequence. It returns how many were served, and the sorted
+// ids of the backends that served them.
+func (s *scopedRegistry) sendRequests(t *testing.T, gateway *testGateway, count int) (served int, servers []string) {
 	t.Helper()
 	before := map[string]int64{}
-	for id, b := range s.backends {
-		before[id] = b.served.Load()
+	for id, backend := range s.backends {
+		before[id] = backend.served.Load()
 	}
 	for range count {
-		_, answers := r.request(t, requestText("GET", "lookup", ""))
+		_, answers := gateway.request(t, requestText("GET", "lookup", ""))
 		if wait(t, answers, "answer").StatusCode == http.StatusOK {
-			ok++
+			served++
 		}
 	}
-	for id, b := range s.backends {
-		if b.served.Load() > before[id] {
-			by = append(by, id)
+	for id, backend := range s.backends {
+		if backend.served.Load() > before[id] {
+			servers = append(servers, id)
 		}
 	}
-	slices.Sort(by)
-	return ok, by
+	slices.Sort(servers)
+	return served, servers
 }
 
-// expectServedBy sends requests that have to be served, by the given backends alone.
-func (s *scopedRegistry) expectServedBy(t *testing.T, r *testGateway, by []string) {
+// expectServedBy sends requests, which must all be served, and by the given backends alone.
+func (s *scopedRegistry) expectServedBy(t *testing.T, gateway *testGateway, allowed []string) {
 	t.Helper()
 	const count = 40
-	ok, served := s.sendRequests(t, r, count)
-	if ok != count {
-		t.Errorf("%d of %d requests were served", ok, count)
+	served, servers := s.sendRequests(t, gateway, count)
+	if served != count {
+		t.Errorf("%d of %d requests were served", served, count)
 	}
-	for _, id := range served {
-		if !slices.Contains(by, id) {
-			t.Errorf("%s has served, and is not among %v", id, by)
+	for _, id := range servers {
+		if !slices.Contains(allowed, id) {
+			t.Errorf("%s served requests and is not among %v", id, allowed)
 		}
 	}
 }
 
-// eventually waits for a condition.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds, at most testTimeout.
+func eventually(t *testing.T, event string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("did not happen in time: %s", event)
 		}
 	}
 }
@@ -214,208 +214,212 @@
 
 const scopesEU = `"scopes": ["checkout@region=eu"], "subset": {"size": 3}`
 
-// expectedSubset returns the backends that a gateway should use by its name alone.
+// expectedSubset returns the sorted ids of the subset that follows from a gateway's name alone.
 func (s *scopedRegistry) expectedSubset(name string, place registry.Placement) (ids []string) {
-	whole := Listing{Reset: true}
-	for id, b := range s.backends {
-		if b.placement == place {
-			whole.Instances = append(whole.Instances, Instance{ID: id, Lifecycle: registry.Ready, Service: place.Service})
+	listing := Listing{Reset: true}
+	for id, backend := range s.backends {
+		if backend.placement == place {
+			listing.Instances = append(listing.Instances, Instance{ID: id, Lifecycle: registry.Ready, Service: place.Service})
 		}
 	}
-	for _, i := range subset.New(name, subset.Settings{Size: 3, Fleet: 2}).Apply(0, whole).Instances {
-		ids = append(ids, i.ID)
+	for _, instance := range subset.New(name, subset.Settings{Size: 3, Fleet: 2}).Apply(0, listing).Instances {
+		ids = append(ids, instance.ID)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// A gateway uses its subset of its scopes alone. What of it drains is replaced at once and
-// gets nothing new; what drains outside is acknowledged by the version.
+// A gateway must use only the subset of its scopes. A draining backend of the subset must be replaced
+// at once; the drain of another one must be acknowledged by the version.
 func TestGatewayUsesSubsetOfItsScopes(t *testing.T) {
 	t.Parallel()
-	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 8, checkoutUS: 2, searchEU: 2})
-	r := s.startGateway(t, "gw-1", scopesEU)
-	r.awaitMetrics(t, "app.known_backends:3|g", "app.subset.candidates:8|g", "app.subset.size:3|g", "app.subset.chosen:3|g", "app.subset.widened:0|g")
-	first := r.readyBackends(t)
-	if want := s.expectedSubset("gw-1", checkoutEU); !slices.Equal(first, want) {
-		t.Errorf("%v are in use, want %v", first, want)
+	scoped := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 8, checkoutUS: 2, searchEU: 2})
+	gateway := scoped.startGateway(t, "gw-1", scopesEU)
+	gateway.awaitMetrics(t, "app.known_backends:3|g", "app.subset.candidates:8|g", "app.subset.size:3|g", "app.subset.chosen:3|g", "app.subset.widened:0|g")
+	first := gateway.readyBackends(t)
+	if want := scoped.expectedSubset("gw-1", checkoutEU); !slices.Equal(first, want) {
+		t.Errorf("%v are used, want %v", first, want)
 	}
-	s.expectServedBy(t, r, first)
+	scoped.expectServedBy(t, gateway, first)
 
-	// Another process of this gateway uses the same, and another gateway others.
-	if again := s.startGateway(t, "gw-1", scopesEU).readyBackends(t); !slices.Equal(again, first) {
+	// A sibling process uses the same subset, another gateway a different one.
+	if again := scoped.startGateway(t, "gw-1", scopesEU).readyBackends(t); !slices.Equal(again, first) {
 		t.Errorf("a second process uses %v, not %v", again, first)
 	}
-	if others := s.startGateway(t, "gw-2", scopesEU).readyBackends(t); slices.Equal(others, first) {
-		t.Errorf("another gateway uses %v too", others)
+	if others := scoped.startGateway(t, "gw-2", scopesEU).readyBackends(t); slices.Equal(others, first) {
+		t.Errorf("another gateway uses the same subset %v", others)
 	}
 
 	outside := ""
-	for id, b := range s.backends {
-		if b.placement == checkoutEU && !slices.Contains(first, id) {
+	for id, backend := range scoped.backends {
+		if backend.placement == checkoutEU && !slices.Contains(first, id) {
 			outside = id
 		}
 	}
-	for _, id := range []string{outside, "checkout-us-0"} { // of the subset, and of the scopes
-		s.drain(t, id)
-		version := s.version(t)
-		eventually(t, "the version of a drain outside is told", func() bool { return r.backendsView(t).Version >= version })
-		if now := r.readyBackends(t); !slices.Equal(now, first) {
-			t.Errorf("after a drain of %s %v are in use, not %v", id, now, first)
+	for _, id := range []string{outside, "checkout-us-0"} { // outside the subset, and outside the scopes
+		scoped.drain(t, id)
+		version := scoped.version(t)
+		eventually(t, "the version of a drain outside the subset is shown", func() bool { return gateway.backendsView(t).Version >= version })
+		if now := gateway.readyBackends(t); !slices.Equal(now, first) {
+			t.Errorf("after a drain of %s %v are used, want %v", id, now, first)
 		}
 	}
 
-	s.drain(t, first[0])
-	eventually(t, "the drain is told", func() bool { return !slices.Contains(r.readyBackends(t), first[0]) })
-	now := r.readyBackends(t)
+	scoped.drain(t, first[0])
+	eventually(t, "the draining backend is no longer used", func() bool { return !slices.Contains(gateway.readyBackends(t), first[0]) })
+	now := gateway.readyBackends(t)
 	if len(now) != 3 || !slices.Contains(now, first[1]) || !slices.Contains(now, first[2]) || slices.Contains(now, outside) {
-		t.Errorf("%v are in use after %v, of which the first drains", now, first)
+		t.Errorf("%v are used after %v, of which the first drains", now, first)
 	}
-	r.awaitMetrics(t, "app.known_backends:4|g", "app.skipped_backends:1|g", "app.subset.chosen:3|g")
-	s.expectServedBy(t, r, now)
+	gateway.awaitMetrics(t, "app.known_backends:4|g", "app.skipped_backends:1|g", "app.subset.chosen:3|g")
+	scoped.expectServedBy(t, gateway, now)
 
-	s.call(t, "DELETE", now[0]+"?startedAtMs=5", nil)
-	eventually(t, "one that has gone is replaced", func() bool { return len(r.readyBackends(t)) == 3 && !slices.Contains(r.readyBackends(t), now[0]) })
-	s.expectServedBy(t, r, r.readyBackends(t))
+	scoped.call(t, "DELETE", now[0]+"?startedAtMs=5", nil)
+	eventually(t, "a removed backend is replaced", func() bool {
+		return len(gateway.readyBackends(t)) == 3 && !slices.Contains(gateway.readyBackends(t), now[0])
+	})
+	scoped.expectServedBy(t, gateway, gateway.readyBackends(t))
 }
 
-// All of the subset fail together, though the list has them for ready: it is widened, and
-// requests are served.
+// If all backends of the subset fail while the list has them as ready, the subset must be widened so
+// that requests are served.
 func TestFailingSubsetIsWidened(t *testing.T) {
 	t.Parallel()
-	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 8})
-	r := s.startGateway(t, "gw-1", scopesEU)
-	first := r.readyBackends(t)
-	s.expectServedBy(t, r, first)
+	scoped := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 8})
+	gateway := scoped.startGateway(t, "gw-1", scopesEU)
+	first := gateway.readyBackends(t)
+	scoped.expectServedBy(t, gateway, first)
 	for _, id := range first {
-		s.backends[id].failing.Store(true)
+		scoped.backends[id].failing.Store(true)
 	}
-	began := time.Now()
-	eventually(t, "requests are served by others", func() bool {
-		ok, _ := s.sendRequests(t, r, 1)
+	start := time.Now()
+	eventually(t, "requests are served by other backends", func() bool {
+		ok, _ := scoped.sendRequests(t, gateway, 1)
 		return ok == 1
 	})
-	t.Logf("served again after %v", time.Since(began))
-	r.awaitMetrics(t, "app.subset.widened:1|g", "app.subset.size:6|g", "app.known_backends:6|g")
-	now := r.readyBackends(t)
+	t.Logf("served again after %v", time.Since(start))
+	gateway.awaitMetrics(t, "app.subset.widened:1|g", "app.subset.size:6|g", "app.known_backends:6|g")
+	now := gateway.readyBackends(t)
 	for _, id := range first {
 		if !slices.Contains(now, id) {
-			t.Errorf("%s has left the subset as that was widened", id)
+			t.Errorf("%s left the subset when it was widened", id)
 		}
 	}
 }
 
-// An operator's word holds for a backend outside the subset too, from the moment that it
-// enters, and in the process that comes next.
+// An operator override for a backend outside the subset must apply once the backend enters it, also
+// in a successor process.
 func TestOverrideOutsideSubset(t *testing.T) {
 	t.Parallel()
-	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 4})
-	l, dir := newSharedListener(t)
+	scoped := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 4})
+	listener, dir := newSharedListener(t)
 	start := func() *testGateway {
-		c, err := parseConfig([]byte(s.config("gw-1", scopesEU)))
+		config, err := parseConfig([]byte(scoped.config("gw-1", scopesEU)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.HandoverDir = dir
-		r := &testGateway{ended: make(chan error, 1)}
-		r.serve(t, &c, duplicate(t, l))
-		r.awaitReadiness(t, http.StatusOK)
-		return r
+		config.HandoverDir = dir
+		gateway := &testGateway{ended: make(chan error, 1)}
+		gateway.serve(t, &config, duplicate(t, listener))
+		gateway.awaitReadiness(t, http.StatusOK)
+		return gateway
 	}
 	old := start()
 	first := old.readyBackends(t)
-	last := ""
-	for id := range s.backends {
+	outside := ""
+	for id := range scoped.backends {
 		if !slices.Contains(first, id) {
-			last = id
+			outside = id
 		}
 	}
 	for _, call := range []struct {
 		path   string
 		status int
-	}{{"none/offline", 404}, {"none/online", 404}, {last + "/offline", 200}, {last + "/online", 200}, {last + "/offline", 200}} {
+	}{{"none/offline", 404}, {"none/online", 404}, {outside + "/offline", 200}, {outside + "/online", 200}, {outside + "/offline", 200}} {
 		if status, text := old.callControl(t, "POST", "/control/backends/"+call.path); status != call.status {
 			t.Errorf("%s: %d %s", call.path, status, text)
 		}
 	}
-	eventually(t, "the next process can take over", func() bool { _, err := os.Stat(filepath.Join(dir, handoverSocketName)); return err == nil })
+	eventually(t, "a successor process can connect", func() bool { _, err := os.Stat(filepath.Join(dir, handoverSocketName)); return err == nil })
 	next := start()
 	next.awaitMetrics(t, "app.subset.chosen:3|g", "app.skipped_backends:0|g")
-	s.drain(t, first[0]) // now the last one enters
-	for _, r := range []*testGateway{old, next} {
-		r.awaitMetrics(t, "app.known_backends:4|g", "app.skipped_backends:2|g")
+	scoped.drain(t, first[0]) // now the backend outside enters
+	for _, gateway := range []*testGateway{old, next} {
+		gateway.awaitMetrics(t, "app.known_backends:4|g", "app.skipped_backends:2|g")
 	}
-	s.expectServedBy(t, next, first[1:]) // by either process, as they have one socket
-	if status, _ := next.callControl(t, "POST", "/control/backends/"+last+"/online"); status != 200 {
-		t.Errorf("back: %d", status)
+	scoped.expectServedBy(t, next, first[1:]) // by either process, as they share the socket
+	if status, _ := next.callControl(t, "POST", "/control/backends/"+outside+"/online"); status != 200 {
+		t.Errorf("online: %d", status)
 	}
-	for _, r := range []*testGateway{old, next} {
-		r.awaitMetrics(t, "app.known_backends:4|g", "app.skipped_backends:1|g")
+	for _, gateway := range []*testGateway{old, next} {
+		gateway.awaitMetrics(t, "app.known_backends:4|g", "app.skipped_backends:1|g")
 	}
 }
 
-// duplicate returns another listener of the same socket.
+// duplicate returns another listener on the same socket.
 func duplicate(t *testing.T, shared net.Listener) net.Listener {
 	t.Helper()
-	f, err := shared.(*net.TCPListener).File()
+	file, err := shared.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	l, err := net.FileListener(f)
+	defer file.Close()
+	listener, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return listener
 }
 
-// A reload changes the scopes and the subset of a gateway that has them, and no others.
+// A reload must change the values of scopes and subset, and be rejected if it adds or removes them.
 func TestReloadChangesScopesAndSubset(t *testing.T) {
 	t.Parallel()
-	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 8, checkoutUS: 5, searchEU: 2})
-	r := s.startGateway(t, "gw-1", scopesEU)
+	scoped := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 8, checkoutUS: 5, searchEU: 2})
+	gateway := scoped.startGateway(t, "gw-1", scopesEU)
 	reload := func(keys string) {
 		t.Helper()
-		c, err := parseConfig([]byte(s.config("gw-1", keys)))
-		r.reloads <- Reload{Config: c, Err: err}
+		config, err := parseConfig([]byte(scoped.config("gw-1", keys)))
+		gateway.reloads <- Reload{Config: config, Err: err}
 	}
 	reload(`"scopes": ["checkout@region=us"], "subset": {"size": 3}`)
-	there := s.expectedSubset("gw-1", checkoutUS)
-	eventually(t, "the other scope is in use", func() bool { return slices.Equal(r.readyBackends(t), there) })
-	s.expectServedBy(t, r, there)
-	r.awaitMetrics(t, "app.loads:1|c", "app.subset.candidates:5|g", "app.known_backends:3|g")
+	expected := scoped.expectedSubset("gw-1", checkoutUS)
+	eventually(t, "the other scope is used", func() bool { return slices.Equal(gateway.readyBackends(t), expected) })
+	scoped.expectServedBy(t, gateway, expected)
+	gateway.awaitMetrics(t, "app.loads:1|c", "app.subset.candidates:5|g", "app.known_backends:3|g")
 
 	reload(`"scopes": ["checkout@region=us"], "subset": {"size": 4}`)
-	eventually(t, "the subset is larger", func() bool { return len(r.readyBackends(t)) == 4 })
-	s.expectServedBy(t, r, r.readyBackends(t))
+	eventually(t, "the subset grows", func() bool { return len(gateway.readyBackends(t)) == 4 })
+	scoped.expectServedBy(t, gateway, gateway.readyBackends(t))
 
-	for n, bad := range []string{`"subset": {"size": 4}`, `"scopes": ["checkout"]`, `"scopes": ["checkout"], "subset": {"size": 0}`,
+	for index, rejected := range []string{`"subset": {"size": 4}`, `"scopes": ["checkout"]`, `"scopes": ["checkout"], "subset": {"size": 0}`,
 		`"scopes": ["checkout", "search"], "subset": {"size": 4}`} {
-		reload(bad)
-		r.awaitMetrics(t, fmt.Sprintf("app.load_errors:%d|c", n+1), "app.loads:2|c")
+		reload(rejected)
+		gateway.awaitMetrics(t, fmt.Sprintf("app.load_errors:%d|c", index+1), "app.loads:2|c")
 	}
-	s.expectServedBy(t, r, r.readyBackends(t))
+	scoped.expectServedBy(t, gateway, gateway.readyBackends(t))
 }
 
-// Scopes alone, without a subset, give the gateway all that is in them.
+// With scopes but no subset, a gateway must use all backends in the scopes.
 func TestScopesWithoutSubset(t *testing.T) {
 	t.Parallel()
-	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 4, checkoutUS: 2, searchEU: 2})
-	r := s.startGateway(t, "gw-1", `"scopes": ["checkout@region=eu", "checkout@zone=b", "checkout@region=none"]`)
-	r.awaitMetrics(t, "app.known_backends:6|g")
-	if _, text := r.callControl(t, "GET", "/control/counters"); strings.Contains(text, "subset") {
-		t.Errorf("figures of a subset that is off:\n%s", text)
+	scoped := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 4, checkoutUS: 2, searchEU: 2})
+	gateway := scoped.startGateway(t, "gw-1", `"scopes": ["checkout@region=eu", "checkout@zone=b", "checkout@region=none"]`)
+	gateway.awaitMetrics(t, "app.known_backends:6|g")
+	if _, text := gateway.callControl(t, "GET", "/control/counters"); strings.Contains(text, "subset") {
+		t.Errorf("metrics of a subset that is off:\n%s", text)
 	}
-	s.expectServedBy(t, r, r.readyBackends(t))
+	scoped.expectServedBy(t, gateway, gateway.readyBackends(t))
 }
 
+// The keys scopes and subset must be read, and a bad value must be rejected with an error that names
+// the reason.
 func TestScopesConfigIsValidated(t *testing.T) {
 	t.Parallel()
 	text := func(keys string) []byte {
 		return []byte(strings.Replace(configText("127.0.0.1:1", testSettings), `"counter"`, keys+`, "counter"`, 1))
 	}
 	const services = `"registries": ["127.0.0.1:1"]`
-	for _, good := range []struct {
+	for _, valid := range []struct {
 		keys string
 		want scopesConfig
 	}{
@@ -426,12 +430,12 @@
 			scopesConfig{[]registry.Scope{{Service: "checkout", Zone: "a"}, {Service: "checkout", Region: "eu"}},
 				subset.Settings{Size: 100, Coverage: 20, Fleet: 2}}},
 	} {
-		c, err := parseConfig(text(good.keys))
-		if err != nil || !reflect.DeepEqual(c.Scopes, good.want) {
-			t.Errorf("%s: %+v, %v", good.keys, c.Scopes, err)
+		config, err := parseConfig(text(valid.keys))
+		if err != nil || !reflect.DeepEqual(config.Scopes, valid.want) {
+			t.Errorf("%s: %+v, %v", valid.keys, config.Scopes, err)
 		}
 	}
-	for _, bad := range []struct{ keys, says string }{
+	for _, invalid := range []struct{ keys, message string }{
 		{`"scopes": ["checkout"]`, "registries is missing"},
 		{`"subset": {"size": 5}`, "registries is missing"},
 		{services + `, "scopes": []`, "the list is empty"},
@@ -443,81 +447,80 @@
 		{services + `, "subset": {"size": 1000000}`, "size of 1000000"},
 		{services + `, "subset": {"coverage": -3}`, "coverage of -3"},
 	} {
-		_, err := parseConfig(text(bad.keys))
-		if err == nil || !strings.Contains(err.Error(), bad.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one of %q", bad.keys, err, bad.says)
+		_, err := parseConfig(text(invalid.keys))
+		if err == nil || !strings.Contains(err.Error(), invalid.message) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want one with %q", invalid.keys, err, invalid.message)
 		}
 	}
 }
 
-// Of a list known from before, what is in the scopes counts.
+// A cached list must be reduced to the scopes, and must not be changed itself.
 func TestCachedListIsFilteredByScopes(t *testing.T) {
-	known := Listing{Instances: []Instance{{ID: "b-1", Service: "checkout"}, {ID: "b-2", Service: "search"}, {ID: "b-3"}}}
-	c := scopesConfig{scopes: []registry.Scope{{Service: "checkout"}}}
-	if got := c.filterListing(known); len(got.Instances) != 1 || got.Instances[0].ID != "b-1" || len(known.Instances) != 3 {
-		t.Errorf("%+v of %+v", got, known)
+	cached := Listing{Instances: []Instance{{ID: "b-1", Service: "checkout"}, {ID: "b-2", Service: "search"}, {ID: "b-3"}}}
+	config := scopesConfig{scopes: []registry.Scope{{Service: "checkout"}}}
+	if got := config.filterListing(cached); len(got.Instances) != 1 || got.Instances[0].ID != "b-1" || len(cached.Instances) != 3 {
+		t.Errorf("%+v of %+v", got, cached)
 	}
-	if got := (&scopesConfig{}).filterListing(known); len(got.Instances) != 3 {
+	if got := (&scopesConfig{}).filterListing(cached); len(got.Instances) != 3 {
 		t.Errorf("%+v without scopes", got)
 	}
 }
 
-// The module is told how many gateways share a backend, and again only when that has
-// changed by a tenth.
+// The module must get the number of gateways per backend only when it changes by more than a tenth.
 func TestGatewaysPerBackendUpdatesInSteps(t *testing.T) {
 	t.Parallel()
-	of := func(first, last int) Listing {
-		l := Listing{Reset: first == 0}
-		for n := first; n < last; n++ {
-			l.Instances = append(l.Instances, Instance{ID: fmt.Sprint("b-", n), Lifecycle: registry.Ready})
+	listingOf := func(first, last int) Listing {
+		listing := Listing{Reset: first == 0}
+		for index := first; index < last; index++ {
+			listing.Instances = append(listing.Instances, Instance{ID: fmt.Sprint("b-", index), Lifecycle: registry.Ready})
 		}
-		return l
+		return listing
 	}
-	s := newBackendSubset("gw-1", subset.Settings{Size: 10, Fleet: 500}, &subsetMetrics{})
+	backends := newBackendSubset("gw-1", subset.Settings{Size: 10, Fleet: 500}, &subsetMetrics{})
 	for _, step := range []struct {
-		first, last, sharing int
-		told                 bool
+		first, last, gatewaysPerBackend int
+		changed                         bool
 	}{{0, 100, 50, true}, {100, 105, 50, false}, {105, 200, 25, true}, {200, 250, 20, true}} {
-		s.apply(0, of(step.first, step.last), rules.Delta)
-		if told := s.updateMetrics(); told != step.told || s.gatewaysPerBackend != step.sharing {
-			t.Errorf("of %d: shared by %d, told %t", step.last, s.gatewaysPerBackend, told)
+		backends.apply(0, listingOf(step.first, step.last), rules.Delta)
+		if changed := backends.updateMetrics(); changed != step.changed || backends.gatewaysPerBackend != step.gatewaysPerBackend {
+			t.Errorf("%d backends: %d gateways per backend, changed %t", step.last, backends.gatewaysPerBackend, changed)
 		}
 	}
-	if got := s.metrics.candidates.Load(); got != 250 {
+	if got := backends.metrics.candidates.Load(); got != 250 {
 		t.Errorf("%d candidates", got)
 	}
 }
 
-// A gateway whose new scopes no list service knows goes on with those that it had, and
-// takes the new ones once there is such a service.
+// If no service registry knows the new scopes of a reload, the gateway must keep the active ones, and
+// apply the new ones once a backend registers for them.
 func TestUnknownScopesKeepActiveOnes(t *testing.T) {
 	t.Parallel()
-	s := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 4})
-	r := s.startGateway(t, "gw-1", scopesEU)
-	had := s.expectedSubset("gw-1", checkoutEU)
-	eventually(t, "the scope is in use", func() bool { return slices.Equal(r.readyBackends(t), had) })
-
-	c, err := parseConfig([]byte(s.config("gw-1", `"scopes": ["chekcout"], "subset": {"size": 3}`)))
-	r.reloads <- Reload{Config: c, Err: err}
-	r.awaitMetrics(t, "app.loads:1|c")
-	before := s.version(t)
-	s.drain(t, had[0]) // which is heard in the union of both, and so behind its first answer
-	eventually(t, "the drain was heard", func() bool { return r.backendsView(t).Version > before })
-	if got := r.readyBackends(t); len(got) != len(had) || slices.Contains(got, had[0]) {
-		t.Errorf("in use after a reload with an unknown scope: %v, before %v", got, had)
-	}
-	s.expectServedBy(t, r, r.readyBackends(t))
+	scoped := newScopedRegistry(t, map[registry.Placement]int{checkoutEU: 4})
+	gateway := scoped.startGateway(t, "gw-1", scopesEU)
+	initial := scoped.expectedSubset("gw-1", checkoutEU)
+	eventually(t, "the scope is used", func() bool { return slices.Equal(gateway.readyBackends(t), initial) })
+
+	config, err := parseConfig([]byte(scoped.config("gw-1", `"scopes": ["chekcout"], "subset": {"size": 3}`)))
+	gateway.reloads <- Reload{Config: config, Err: err}
+	gateway.awaitMetrics(t, "app.loads:1|c")
+	before := scoped.version(t)
+	scoped.drain(t, initial[0]) // shows that the gateway has an answer for the old and new scopes together
+	eventually(t, "the drain was received", func() bool { return gateway.backendsView(t).Version > before })
+	if got := gateway.readyBackends(t); len(got) != len(initial) || slices.Contains(got, initial[0]) {
+		t.Errorf("used after a reload with an unknown scope: %v, before: %v", got, initial)
+	}
+	scoped.expectServedBy(t, gateway, gateway.readyBackends(t))
 
 	place := registry.Placement{Service: "chekcout", Region: "us", Zone: checkoutEU.Zone}
-	b := &scopedBackend{placement: place}
-	b.server = httptest.NewServer(b)
-	t.Cleanup(b.server.Close)
-	s.backends["late"] = b
-	s.register(t, "late")
-	eventually(t, "the new scope is in use", func() bool { return slices.Equal(r.readyBackends(t), []string{"late"}) })
+	backend := &scopedBackend{placement: place}
+	backend.server = httptest.NewServer(backend)
+	t.Cleanup(backend.server.Close)
+	scoped.backends["late"] = backend
+	scoped.register(t, "late")
+	eventually(t, "the new scope is used", func() bool { return slices.Equal(gateway.readyBackends(t), []string{"late"}) })
 }
 
-// The scopes in force stay until an answer to both says that one of the next is known.
+// The active scopes must stay until an answer for the active and next scopes knows one of the next.
 func TestScopeChangeNeedsKnownScope(t *testing.T) {
 	scopesOf := func(texts ...string) []registry.Scope {
 		scopes, err := registry.ParseScopes(texts)
@@ -526,34 +529,34 @@
 		}
 		return scopes
 	}
-	set := func(texts ...string) *registry.ScopeSet {
-		s, err := registry.NewScopeSet(scopesOf(texts...))
+	setOf := func(texts ...string) *registry.ScopeSet {
+		scopes, err := registry.NewScopeSet(scopesOf(texts...))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s
+		return scopes
 	}
-	c := scopeChange{active: scopesOf("a")}
-	if _, changed := c.handleAnswer(set("a"), nil); changed {
+	change := scopeChange{active: scopesOf("a")}
+	if _, changed := change.handleAnswer(setOf("a"), nil); changed {
 		t.Error("an answer changes the scopes of a reader that keeps them")
 	}
-	if read := c.begin(scopesOf("b", "c")); !slices.Equal(read, scopesOf("a", "b", "c")) {
+	if read := change.begin(scopesOf("b", "c")); !slices.Equal(read, scopesOf("a", "b", "c")) {
 		t.Errorf("reads %v while the scopes change", read)
 	}
 	for name, answer := range map[string]struct {
 		of      *registry.ScopeSet
 		unknown []registry.Scope
 	}{
-		"an answer to the call before":     {set("a"), nil},
-		"an answer that knows none":        {set("a", "b", "c"), scopesOf("b", "c")},
-		"an answer to scopes of long ago":  {set("a", "d"), scopesOf("b")},
-		"an answer with the old one alone": {nil, nil},
+		"an answer for the active scopes":              {setOf("a"), nil},
+		"an answer that knows none of the next scopes": {setOf("a", "b", "c"), scopesOf("b", "c")},
+		"an answer for other scopes":                   {setOf("a", "d"), scopesOf("b")},
+		"an answer without scopes":                     {nil, nil},
 	} {
-		if _, changed := c.handleAnswer(answer.of, answer.unknown); changed {
-			t.Errorf("%s ends the scopes in force", name)
+		if _, changed := change.handleAnswer(answer.of, answer.unknown); changed {
+			t.Errorf("%s replaces the active scopes", name)
 		}
 	}
-	if read, changed := c.handleAnswer(set("a", "b", "c"), scopesOf("c")); !changed || !slices.Equal(read, scopesOf("b", "c")) {
-		t.Errorf("reads %v, changed %v, once a scope is known", read, changed)
+	if read, changed := change.handleAnswer(setOf("a", "b", "c"), scopesOf("c")); !changed || !slices.Equal(read, scopesOf("b", "c")) {
+		t.Errorf("reads %v, changed %v, after an answer that knows a scope", read, changed)
 	}
 }
