--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -17,81 +17,82 @@
 	"dunlintray/rules"
 )
 
-// membershipConfigText is a configuration of one of two gateways that tell each other who is
-// present.
+// membershipConfigText returns the text of a configuration with membership on.
 func membershipConfigText(listen string, peers ...string) string {
 	quoted, _ := json.Marshal(peers)
 	text := configText("127.0.0.1:1", strings.Replace(testSettings, "{", `{"familyInfo": {"inboxPerS": 60},`, 1))
 	return strings.Replace(text, `"seed"`, `"membership": true, "peer_listen": "`+listen+`", "peers": `+string(quoted)+`, "seed"`, 1)
 }
 
+// Membership must be off by default, a bad address or rate must be rejected, and a reload must not turn
+// it on.
 func TestMembershipConfigIsValidated(t *testing.T) {
-	c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
-	if err != nil || c.Members.Enabled {
-		t.Fatalf("absent is off: %+v, %v", c.Members, err)
+	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
+	if err != nil || config.Members.Enabled {
+		t.Fatalf("membership is on by default: %+v, %v", config.Members, err)
 	}
-	if a, err := newMembership(&c, nil); a != nil || err != nil {
-		t.Errorf("off: %v, %v", a, err)
+	if agent, err := newMembership(&config, nil); agent != nil || err != nil {
+		t.Errorf("off: %v, %v", agent, err)
 	}
-	off := httptest.NewRecorder()
-	membersHandler(nil)(off, nil)
-	if off.Code != 404 {
-		t.Errorf("off: status %d", off.Code)
+	recorder := httptest.NewRecorder()
+	membersHandler(nil)(recorder, nil)
+	if recorder.Code != 404 {
+		t.Errorf("off: status %d", recorder.Code)
 	}
 	var peers []string
-	for n := range c.Fleet {
-		peers = append(peers, net.JoinHostPort("127.0.0.1", string(rune('1'+n))))
+	for index := range config.Fleet {
+		peers = append(peers, net.JoinHostPort("127.0.0.1", string(rune('1'+index))))
 	}
-	good := membershipConfigText("127.0.0.1:1", peers...)
-	if c, err := parseConfig([]byte(good)); err != nil || !c.Members.Enabled {
-		t.Fatalf("%+v, %v", c.Members, err)
+	valid := membershipConfigText("127.0.0.1:1", peers...)
+	if config, err := parseConfig([]byte(valid)); err != nil || !config.Members.Enabled {
+		t.Fatalf("%+v, %v", config.Members, err)
 	}
-	for _, bad := range []string{membershipConfigText("nowhere", peers...), membershipConfigText("127.0.0.1:1", peers[1:]...), membershipConfigText("127.0.0.1:1", append([]string{"x"}, peers[1:]...)...),
-		strings.Replace(good, `"inboxPerS": 60`, `"inboxPerS": 20`, 1)} {
-		if _, err := parseConfig([]byte(bad)); err == nil {
-			t.Errorf("taken: %s", bad)
+	for _, invalid := range []string{membershipConfigText("nowhere", peers...), membershipConfigText("127.0.0.1:1", peers[1:]...), membershipConfigText("127.0.0.1:1", append([]string{"x"}, peers[1:]...)...),
+		strings.Replace(valid, `"inboxPerS": 60`, `"inboxPerS": 20`, 1)} {
+		if _, err := parseConfig([]byte(invalid)); err == nil {
+			t.Errorf("accepted: %s", invalid)
 		}
 	}
-	next, _ := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
-	on, _ := parseConfig([]byte(good))
-	if err := next.checkReload(&on); err == nil {
-		t.Error("a reload turns it on")
+	withoutMembership, _ := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
+	withMembership, _ := parseConfig([]byte(valid))
+	if err := withoutMembership.checkReload(&withMembership); err == nil {
+		t.Error("a reload turns membership on")
 	}
 }
 
-// How a gateway stands follows from its members, its list services and the counter,
-// and says so after a while.
+// The partition state must follow from the contacts with members, service registries and the counter,
+// after some time in which they stay the same.
 func TestPartitionStateFollowsContacts(t *testing.T) {
-	began := time.Now()
+	start := time.Now()
 	var members []netip.AddrPort
-	for n := range 3 {
-		members = append(members, netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 7000+n)))
+	for number := range 3 {
+		members = append(members, netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 7000+number)))
 	}
-	a, err := membership.NewAgent(membership.AgentConfig{Self: 0, Listen: members[0], Peers: members, InPerS: 50, Start: began}, rand.New(rand.NewPCG(1, 1)), func([]bool) {})
+	agent, err := membership.NewAgent(membership.AgentConfig{Self: 0, Listen: members[0], Peers: members, InPerS: 50, Start: start}, rand.New(rand.NewPCG(1, 1)), func([]bool) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	age, counter := time.Second, &counterContact{}
-	s := newConnectivity(a, func() time.Duration { return age }, counter, began)
-	s.view = func() membership.View {
-		v := membership.View{Self: 0, On: true, Members: make([]membership.Member, 3)}
-		for n := range v.Members {
-			v.Members[n] = membership.Member{Number: n, State: membership.Dead}
+	connectivity := newConnectivity(agent, func() time.Duration { return age }, counter, start)
+	connectivity.view = func() membership.View {
+		view := membership.View{Self: 0, On: true, Members: make([]membership.Member, 3)}
+		for number := range view.Members {
+			view.Members[number] = membership.Member{Number: number, State: membership.Dead}
 		}
-		return v
-	}
-	at, answers := began, false
-	stands := func() string {
-		for range 20 { // of half a second each
-			at = at.Add(observeInterval)
-			counter.lastCall.Store(at.UnixNano())
-			if answers {
-				counter.lastAnswer.Store(at.UnixNano())
+		return view
+	}
+	now, answered := start, false
+	stateAfterSteps := func() string {
+		for range 20 { // observeInterval each
+			now = now.Add(observeInterval)
+			counter.lastCall.Store(now.UnixNano())
+			if answered {
+				counter.lastAnswer.Store(now.UnixNano())
 			}
-			s.observe(at)
+			connectivity.observe(now)
 		}
-		state, _, why := s.state(at)
-		return state.String() + ": " + why
+		state, _, reason := connectivity.state(now)
+		return state.String() + ": " + reason
 	}
 	for _, step := range []struct {
 		change func()
@@ -99,75 +100,75 @@
 	}{
 		{func() {}, "divided: reaches none of 2 other gateways; the counter is silent"},
 		{func() { age = -1 }, "alone: reaches no other gateway, no list service and no counter"},
-		{func() { answers = true }, "divided: reaches none of 2"},
-		{func() { age, answers = registrySilenceLimit+1, false }, "alone: "},
+		{func() { answered = true }, "divided: reaches none of 2"},
+		{func() { age, answered = registrySilenceLimit+1, false }, "alone: "},
 		{func() {
 			age = 0
-			s.view = func() membership.View {
+			connectivity.view = func() membership.View {
 				return membership.View{Self: 0, On: true, Members: []membership.Member{{Number: 0, State: membership.Alive}, {Number: 1, State: membership.Alive}, {Number: 2, State: membership.Left}}}
 			}
 		}, "whole: reaches 1 of 1"},
 		{func() {
-			s.view = func() membership.View {
+			connectivity.view = func() membership.View {
 				return membership.View{Self: 0, On: true, Members: []membership.Member{{Number: 0, State: membership.Alive}, {Number: 1, State: membership.Suspect}, {Number: 2, State: membership.Left}}}
 			}
 		}, "divided: reaches none of 2"},
 		{func() {
-			s.view = func() membership.View { return membership.View{Self: 0, Members: make([]membership.Member, 3)} }
-		}, "divided: "}, // another process has its place, and it looks no more
+			connectivity.view = func() membership.View { return membership.View{Self: 0, Members: make([]membership.Member, 3)} }
+		}, "divided: "}, // a sibling process takes part instead, and the state stays
 	} {
 		step.change()
-		if got := stands(); !strings.HasPrefix(got, step.want) {
+		if got := stateAfterSteps(); !strings.HasPrefix(got, step.want) {
 			t.Errorf("%s; want %s", got, step.want)
 		}
 	}
-	(*counterContact)(nil).recordCall(rules.Served) // nobody watches
+	(*counterContact)(nil).recordCall(rules.Served) // must not panic
 	counter = &counterContact{}
 	if counter.recordCall(rules.TimedOut); counter.lastAnswer.Load() >= counter.lastCall.Load() {
 		t.Error("a call that timed out counts as answered")
 	}
 	if counter.recordCall(rules.Served); counter.lastAnswer.Load() != counter.lastCall.Load() {
-		t.Error("a call that was answered does not count")
+		t.Error("an answered call does not count as answered")
 	}
 }
 
-// A gateway that takes part tells operators whom it holds for present, and the
-// module hears of it.
+// A gateway with membership must show the members to operators and pass the present ones to the
+// module.
 func TestMembershipReachesOperatorsAndModule(t *testing.T) {
-	c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
+	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := testnet.UDP(t)
-	c.Rank, c.Fleet = 0, 1
-	c.Members = membershipConfig{true, address, []string{address}, 60}
-	l := &Loop{inbox: make(chan any, inboxSize), stopped: make(chan struct{})}
-	a, err := newMembership(&c, l)
+	config.Rank, config.Fleet = 0, 1
+	config.Members = membershipConfig{true, address, []string{address}, 60}
+	loop := &Loop{inbox: make(chan any, inboxSize), stopped: make(chan struct{})}
+	agent, err := newMembership(&config, loop)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); a.Run(ctx) }()
+	go func() { defer close(ended); agent.Run(ctx) }()
 	select {
-	case m := <-l.inbox:
-		if _, ok := m.(moduleEvent); !ok {
-			t.Errorf("%T", m)
+	case message := <-loop.inbox:
+		if _, ok := message.(moduleEvent); !ok {
+			t.Errorf("%T", message)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the module hears nothing")
-	}
-	w := httptest.NewRecorder()
-	stands := newConnectivity(a, nil, &counterContact{}, time.Now())
-	membersHandler(stands)(w, nil)
-	var v MembersView
-	if err := json.Unmarshal(w.Body.Bytes(), &v); err != nil || len(v.Members) != 1 || v.Members[0].State != "alive" || !v.On || v.State != "whole" || v.Why == "" {
-		t.Errorf("%s, %v", w.Body, err)
-	}
-	var figures strings.Builder
-	writeMembershipMetrics(&figures, stands)
-	if !strings.Contains(figures.String(), "app.members.alive:1|g\n") || !strings.Contains(figures.String(), "app.members.standing:0|g\n") {
-		t.Error(figures.String())
+		t.Fatalf("no event for the module within %v", testTimeout)
+	}
+	recorder := httptest.NewRecorder()
+	connectivity := newConnectivity(agent, nil, &counterContact{}, time.Now())
+	membersHandler(connectivity)(recorder, nil)
+	var view MembersView
+	if err := json.Unmarshal(recorder.Body.Bytes(), &view); err != nil || len(view.Members) != 1 || view.Members[0].State != "alive" || !view.On || view.State != "whole" || view.Why == "" {
+		t.Errorf("%s, %v", recorder.Body, err)
+	}
+	var metrics strings.Builder
+	writeMembershipMetrics(&metrics, connectivity)
+	if !strings.Contains(metrics.String(), "app.members.alive:1|g\n") || !strings.Contains(metrics.String(), "app.members.standing:0|g\n") {
+		t.Error(metrics.String())
 	}
 	stop()
 	<-ended
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -18,7 +18,7 @@
 	"dunlintray/internal/wal"
 )
 
-// registryService is a registry behind a link that can fail.
+// registryService is a service registry behind a relay that can inject faults.
 type registryService struct {
 	address string
 	stop    func()
@@ -30,26 +30,26 @@
 	serveLimits = registry.ServerLimits{Connections: 100, Watchers: 90, Lists: 100}
 )
 
-// startRegistry serves behind a relay at an address.
+// startRegistry starts a service registry behind a relay at the given address.
 func startRegistry(t *testing.T, address string, serve func(context.Context, net.Listener, net.Listener) error) *registryService {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := fault.NewRelay(address, l.Addr().String(), fault.Limits{Connections: 100, Buffer: 64 << 10}, 1)
+	relay, err := fault.NewRelay(address, listener.Addr().String(), fault.Limits{Connections: 100, Buffer: 64 << 10}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s, done := &registryService{address: r.Address(), relay: r}, make(chan struct{})
-	go func() { defer close(done); serve(ctx, l, nil) }()
-	s.stop = sync.OnceFunc(func() { cancel(); <-done; r.Close() })
-	t.Cleanup(s.stop)
-	return s
+	service, done := &registryService{address: relay.Address(), relay: relay}, make(chan struct{})
+	go func() { defer close(done); serve(ctx, listener, nil) }()
+	service.stop = sync.OnceFunc(func() { cancel(); <-done; relay.Close() })
+	t.Cleanup(service.stop)
+	return service
 }
 
-// setAnswerFault changes how the service's setAnswerFault pass.
+// setAnswerFault sets the fault that the relay applies to the registry's answers.
 func (s *registryService) setAnswerFault(t *testing.T, how fault.How) {
 	t.Helper()
 	if err := s.relay.Set(fault.Back, how); err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// startWriter starts a writer that keeps its list in a folder.
+// startWriter starts a registry that stores its list in dir.
 func startWriter(t *testing.T, address, dir string) *registryService {
 	t.Helper()
 	log, store, err := registry.Open(wal.Dir(dir), 64<<20, storeLimits, 0)
@@ -68,15 +68,14 @@
 	if fresh {
 		store = registry.NewStore(storeLimits, fmt.Sprintf("%x", rand.Uint64()), time.Now().UnixMilli(), 0)
 	}
-	w := registry.NewWriter("self", store, serveLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
-	if err := w.Keep(log, fresh); err != nil {
+	writer := registry.NewWriter("self", store, serveLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
+	if err := writer.Keep(log, fresh); err != nil {
 		t.Fatal(err)
 	}
-	return startRegistry(t, address, w.Serve)
+	return startRegistry(t, address, writer.Serve)
 }
 
-// registeredBackend keeps a backend on the list until the test ends, at whichever of the
-// services writes.
+// registeredBackend is a backend that registers itself at the registry at address writer.
 type registeredBackend struct {
 	id        string
 	mu        sync.Mutex
@@ -86,6 +85,7 @@
 	served    atomic.Int64
 }
 
+// call sends a write for this backend and returns the status, or 0 if there is no answer.
 func (b *registeredBackend) call(method, path, body string) int {
 	b.mu.Lock()
 	url := "http://" + b.writer + registry.Path + "/" + b.id + path
@@ -100,7 +100,7 @@
 	return resp.StatusCode
 }
 
-// readList is what a list service tells, or why it does not.
+// readList returns a registry's answer to a request for the list, or the error.
 func readList(address string) string {
 	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + address + registry.Path)
 	if err != nil {
@@ -111,14 +111,15 @@
 	return fmt.Sprint(resp.Status, " ", string(text), " ", err)
 }
 
+// renewUntil renews the registration until ctx ends, and registers again where it is unknown.
 func (b *registeredBackend) renewUntil(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.call("POST", "/renew", `{"startedAtMs":5}`) == 404 {
 			b.mu.Lock()
-			cycle := b.lifecycle
+			lifecycle := b.lifecycle
 			b.mu.Unlock()
 			b.call("PUT", "", fmt.Sprintf(`{"hostPort":%q,"zone":"a","machineType":"m","lifecycle":%q,"startedAtMs":5}`,
-				b.backend.address(), cycle))
+				b.backend.address(), lifecycle))
 		}
 		select {
 		case <-ctx.Done():
@@ -127,135 +128,134 @@
 	}
 }
 
-// drain tells the list until it is heard.
+// drain reports the backend as draining until the registry accepts that.
 func (b *registeredBackend) drain(t *testing.T) {
 	t.Helper()
 	b.mu.Lock()
 	b.lifecycle = "Terminating"
 	b.mu.Unlock()
-	for end := time.Now().Add(testTimeout); b.call("POST", "/lifecycle", `{"startedAtMs":5,"lifecycle":"Terminating"}`) != 200; {
-		if time.Now().After(end) {
-			t.Fatal("the drain was never heard")
+	for deadline := time.Now().Add(testTimeout); b.call("POST", "/lifecycle", `{"startedAtMs":5,"lifecycle":"Terminating"}`) != 200; {
+		if time.Now().After(deadline) {
+			t.Fatalf("the registry did not accept the drain within %v", testTimeout)
 		}
 	}
 }
 
-// A gateway serves through list services that are stopped, slowed, restarted and
-// replaced. No request is lost for it, and drains are kept.
+// Service registries that are slow, unreachable, restarted or replaced must cost no request, and a
+// drain must be respected.
 func TestServesThroughRegistryFailures(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	writer := startWriter(t, "127.0.0.1:0", dir)
 	follower := registry.NewFollower("self", writer.address, nil, storeLimits, serveLimits, time.Now(), rand.New(rand.NewPCG(2, 2)))
-	copied := startRegistry(t, "127.0.0.1:0", follower.Serve)
+	replica := startRegistry(t, "127.0.0.1:0", follower.Serve)
 
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	var kept []*registeredBackend
-	for n := range 3 {
-		b := &registeredBackend{id: fmt.Sprint("b", n), writer: writer.address, backend: newPeer(t), lifecycle: "Ready"}
-		kept = append(kept, b)
-		wg.Go(func() { b.renewUntil(ctx) })
-		go b.serveRequests()
+	var backends []*registeredBackend
+	for count := range 3 {
+		backend := &registeredBackend{id: fmt.Sprint("b", count), writer: writer.address, backend: newPeer(t), lifecycle: "Ready"}
+		backends = append(backends, backend)
+		wg.Go(func() { backend.renewUntil(ctx) })
+		go backend.serveRequests()
 	}
-	c, err := parseConfig([]byte(strings.Replace(configText("", testSettings), `"counter"`,
-		fmt.Sprintf(`"registries": [%q, %q], "counter"`, writer.address, copied.address), 1)))
+	config, err := parseConfig([]byte(strings.Replace(configText("", testSettings), `"counter"`,
+		fmt.Sprintf(`"registries": [%q, %q], "counter"`, writer.address, replica.address), 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.Listen("tcp", c.Listen)
+	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testGateway{ended: make(chan error, 1)}
-	r.serve(t, &c, l)
-	r.awaitReadiness(t, http.StatusOK)
-	r.awaitMetrics(t, "app.known_backends:3|g")
-	serves := func(when string) {
+	gateway := &testGateway{ended: make(chan error, 1)}
+	gateway.serve(t, &config, listener)
+	gateway.awaitReadiness(t, http.StatusOK)
+	gateway.awaitMetrics(t, "app.known_backends:3|g")
+	expectServed := func(when string) {
 		t.Helper()
 		for range 20 {
-			_, answers := r.request(t, requestText("GET", "lookup", ""))
+			_, answers := gateway.request(t, requestText("GET", "lookup", ""))
 			if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
 				t.Fatalf("%s: status %d", when, resp.StatusCode)
 			}
 		}
 	}
-	// drained waits until the gateway has heard of a drain; nothing new goes there then.
-	drained := func(b *registeredBackend) {
+	// expectDrained drains a backend, and expects that the gateway then sends it nothing.
+	expectDrained := func(backend *registeredBackend) {
 		t.Helper()
-		b.drain(t)
-		r.awaitMetrics(t, "app.skipped_backends:1|g")
-		before := b.served.Load()
-		serves("beside a backend that drains")
-		if n := b.served.Load() - before; n != 0 {
-			t.Errorf("a backend that drains got %d requests", n)
+		backend.drain(t)
+		gateway.awaitMetrics(t, "app.skipped_backends:1|g")
+		before := backend.served.Load()
+		expectServed("beside a draining backend")
+		if count := backend.served.Load() - before; count != 0 {
+			t.Errorf("a draining backend got %d requests", count)
 		}
-		b.mu.Lock()
-		b.lifecycle = "Ready"
-		b.mu.Unlock()
-		// A call that its caller has given up may be heard late, so the end is told until
-		// the gateway knows of it.
-		for end := time.Now().Add(testTimeout); !r.hasMetric(t, "app.skipped_backends:0|g"); time.Sleep(time.Millisecond) {
-			b.call("POST", "/lifecycle", `{"startedAtMs":5,"lifecycle":"Ready"}`)
-			if time.Now().After(end) {
-				for _, s := range []*registryService{writer, copied} {
-					t.Logf("%s: %s", s.address, readList(s.address))
+		backend.mu.Lock()
+		backend.lifecycle = "Ready"
+		backend.mu.Unlock()
+		// A delayed call from the drain may still arrive, so this is repeated until the gateway has it.
+		for deadline := time.Now().Add(testTimeout); !gateway.hasMetric(t, "app.skipped_backends:0|g"); time.Sleep(time.Millisecond) {
+			backend.call("POST", "/lifecycle", `{"startedAtMs":5,"lifecycle":"Ready"}`)
+			if time.Now().After(deadline) {
+				for _, service := range []*registryService{writer, replica} {
+					t.Logf("%s: %s", service.address, readList(service.address))
 				}
-				t.Fatal("the end of the drain was never heard by the gateway")
+				t.Fatalf("the gateway did not receive the end of the drain within %v", testTimeout)
 			}
 		}
 	}
-	serves("at first")
-	drained(kept[0])
+	expectServed("at the start")
+	expectDrained(backends[0])
 
-	for _, how := range []fault.How{{Kind: fault.Delayed, Delay: time.Second}, {Kind: fault.Slow, Bytes: 100}, {Kind: fault.Cut, Bytes: 40}, {Kind: fault.Stalled}, {Kind: fault.Dropped}, {Kind: fault.Reset}} {
-		writer.setAnswerFault(t, how)
-		copied.setAnswerFault(t, how)
-		serves("with answers " + string(how.Kind))
+	for _, answerFault := range []fault.How{{Kind: fault.Delayed, Delay: time.Second}, {Kind: fault.Slow, Bytes: 100}, {Kind: fault.Cut, Bytes: 40}, {Kind: fault.Stalled}, {Kind: fault.Dropped}, {Kind: fault.Reset}} {
+		writer.setAnswerFault(t, answerFault)
+		replica.setAnswerFault(t, answerFault)
+		expectServed("with answers " + string(answerFault.Kind))
 	}
 	writer.setAnswerFault(t, fault.How{Kind: fault.Up})
-	copied.setAnswerFault(t, fault.How{Kind: fault.Up})
-	drained(kept[1])
+	replica.setAnswerFault(t, fault.How{Kind: fault.Up})
+	expectDrained(backends[1])
 
 	writer.stop()
-	serves("without the writer")
-	writer = startWriter(t, writer.address, dir) // with what it has kept
-	serves("with the writer again")
-	drained(kept[2])
+	expectServed("without the writer")
+	writer = startWriter(t, writer.address, dir) // with its stored list
+	expectServed("with the writer restarted")
+	expectDrained(backends[2])
 
 	writer.stop()
-	copied.stop()
-	serves("with no service at all")
-	// Another, with nothing, takes the writer's place: nobody goes before all could
+	replica.stop()
+	expectServed("without any registry")
+	// A registry with an empty list replaces the writer: no backend may be removed before all could
 	// register.
 	writer = startWriter(t, writer.address, t.TempDir())
-	serves("with a service that begins")
-	drained(kept[0])
-	r.awaitMetrics(t, "app.known_backends:3|g", "app.handled.lookup.dropped:0|c", "app.handled.lookup.bad_gateway:0|c")
-	for _, b := range kept {
-		if b.served.Load() == 0 {
-			t.Errorf("%s has served nothing", b.id)
+	expectServed("with a new registry")
+	expectDrained(backends[0])
+	gateway.awaitMetrics(t, "app.known_backends:3|g", "app.handled.lookup.dropped:0|c", "app.handled.lookup.bad_gateway:0|c")
+	for _, backend := range backends {
+		if backend.served.Load() == 0 {
+			t.Errorf("%s served no request", backend.id)
 		}
 	}
 }
 
-// serveRequests serves every request on every connection of the backend.
+// serveRequests answers every request on every connection of the backend with status 200.
 func (b *registeredBackend) serveRequests() {
-	for c := range b.backend.conns {
+	for conn := range b.backend.conns {
 		go func() {
-			defer c.Close()
-			buf := make([]byte, 16<<10)
-			for n := 0; ; {
-				m, err := c.Read(buf[n:])
-				if n += m; err != nil {
+			defer conn.Close()
+			buffer := make([]byte, 16<<10)
+			for length := 0; ; {
+				count, err := conn.Read(buffer[length:])
+				if length += count; err != nil {
 					return
 				}
-				if strings.HasSuffix(string(buf[:n]), "\r\n\r\n") {
-					n = 0
+				if strings.HasSuffix(string(buffer[:length]), "\r\n\r\n") {
+					length = 0
 					b.served.Add(1)
-					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+					io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 				}
 			}
 		}()
