--- a/cmd/dunlintray/data.go
+++ b/cmd/dunlintray/data.go
@@ -24,7 +24,7 @@
 
 // ignored takes records whose text is looked at, but not kept.
 func ignored(text []byte) error {
-	_, err := registry.ParseSaved(text)
+	_, err := registry.ParseRecord(text)
 	return err
 }
 
--- a/cmd/dunlintray/permits.go
+++ b/cmd/dunlintray/permits.go
@@ -248,7 +248,7 @@
 	if err != nil {
 		return 0, "", fmt.Errorf("list services: %w", err)
 	}
-	var w registry.Written
+	var w registry.WriteResult
 	if err := json.Unmarshal(text, &w); err != nil {
 		return 0, "", fmt.Errorf("list services: %w", err)
 	}
--- a/cmd/registry/group_test.go
+++ b/cmd/registry/group_test.go
@@ -214,7 +214,7 @@
 	look := func(n int, want map[string]int64) bool {
 		ask := feed.Next()
 		url := "http://" + m.lists[n] + registry.Path
-		if !ask.Whole {
+		if !ask.Full {
 			url += fmt.Sprintf("?since=%d&history=%s", ask.Since, ask.History)
 		}
 		status, text, header := get(url)
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -93,7 +93,7 @@
 }
 
 func (c *config) serves() registry.ServerLimits {
-	return registry.ServerLimits{Connections: c.Limits.Connections, Watchers: c.Limits.Watchers, Lists: c.Limits.ListsPerS,
+	return registry.ServerLimits{Connections: c.Limits.Connections, Watchers: c.Limits.Watchers, ListingsPerSecond: c.Limits.ListsPerS,
 		Subscriptions: c.Limits.Subscriptions, SubscriptionScopes: c.Limits.SubscriptionScopes,
 		SubscribedScopes: c.Limits.SubscribedScopes, SubscriptionBytes: c.Limits.SubscriptionBytes}
 }
@@ -169,8 +169,8 @@
 		return errors.New("limits: each has to allow something")
 	case l.Subscriptions < 1 || l.SubscriptionScopes < 1 || l.SubscribedScopes < l.SubscriptionScopes || l.SubscriptionBytes < 1024 || l.EmptyServices < 1:
 		return errors.New("limits: subscriptions: each has to allow something, and subscribed_scopes one whole subscription")
-	case l.SubscriptionScopes > registry.MostScopes:
-		return fmt.Errorf("limits: subscription_scopes: %d is above %d", l.SubscriptionScopes, registry.MostScopes)
+	case l.SubscriptionScopes > registry.MaxScopes:
+		return fmt.Errorf("limits: subscription_scopes: %d is above %d", l.SubscriptionScopes, registry.MaxScopes)
 	case l.DataMB < 32:
 		return fmt.Errorf("limits: data_mb: %d is under 32", l.DataMB)
 	case l.Watchers >= l.Connections:
@@ -239,8 +239,8 @@
 	crand.Read(seed[:])
 	random := rand.New(rand.NewChaCha8(seed))
 	if c.Group != nil && c.Group.Lists != nil {
-		s := registry.NewAgreed(c.Listen, c.store(), c.serves(), began, random)
-		go reload(ctx, path, c, hangups, func(next *config) { s.Retune(next.store(), next.serves()) })
+		s := registry.NewGroupMember(c.Listen, c.store(), c.serves(), began, random)
+		go reload(ctx, path, c, hangups, func(next *config) { s.SetLimits(next.store(), next.serves()) })
 		return c.withGroup(ctx, s, func(ctx context.Context) error { return s.Serve(ctx, l, operators) })
 	}
 	var data *wal.Log
@@ -257,17 +257,17 @@
 		slog.Info("starting", "listen", c.Listen, "writer", c.Writer)
 		f := registry.NewFollower(c.Listen, c.Writer, kept, c.store(), c.serves(), began, random)
 		if data != nil {
-			if err := f.Keep(data, false); err != nil {
+			if err := f.Persist(data, false); err != nil {
 				return err
 			}
 		}
-		if kept != nil && kept.Writes() {
+		if kept != nil && kept.IsWriter() {
 			slog.Warn("this follower was promoted and is the writer; its configuration still names another", "writer", c.Writer)
 		}
 		go reload(ctx, path, c, hangups, func(next *config) {
-			f.Retune(next.store(), next.serves())
+			f.SetLimits(next.store(), next.serves())
 			if next.Writer != c.Writer {
-				f.Move(ctx, next.Writer)
+				f.SetSource(ctx, next.Writer)
 			}
 		})
 		return c.withGroup(ctx, nil, func(ctx context.Context) error { return f.Serve(ctx, l, operators) })
@@ -278,20 +278,20 @@
 		name := fmt.Sprintf("%016x", random.Uint64())
 		store = registry.NewStore(c.store(), name, began.UnixMilli(), 0)
 		slog.Info("starting a new history", "listen", c.Listen, "name", name, "version", began.UnixMilli(), "reads_in", c.store().Lease)
-	case !kept.Writes():
+	case !kept.IsWriter():
 		return fmt.Errorf("data_dir %s: it has a follower's copy; promote that follower, or begin in an empty folder", c.DataDir)
 	}
 	w := registry.NewWriter(c.Listen, store, c.serves(), began, random)
 	if data != nil {
-		if err := w.Keep(data, kept == nil); err != nil {
+		if err := w.Persist(data, kept == nil); err != nil {
 			return err
 		}
 	}
-	w.AskPeers(ctx, c.Peers)
+	w.QueryPeers(ctx, c.Peers)
 	if f := w.Fenced(); f != nil {
 		slog.Error("another writer was put in this one's place; make this one its follower", "writer", f.Writer, "epoch", f.Epoch)
 	}
-	go reload(ctx, path, c, hangups, func(next *config) { w.Retune(next.store(), next.serves()) })
+	go reload(ctx, path, c, hangups, func(next *config) { w.SetLimits(next.store(), next.serves()) })
 	return c.withGroup(ctx, nil, func(ctx context.Context) error { return w.Serve(ctx, l, operators) })
 }
 
@@ -318,7 +318,7 @@
 		return err
 	}
 	if list != nil {
-		list.Agree(g)
+		list.SetGroup(g)
 	}
 	slog.Info("member of a group", "name", c.Group.Name, "self", c.Group.Self, "members", len(c.Group.Members), "listen", c.Group.Listen)
 	ctx, stop := context.WithCancel(ctx)
@@ -349,7 +349,7 @@
 	if c.Group.Lists != nil {
 		var seed [32]byte
 		crand.Read(seed[:])
-		list = registry.NewAgreed(c.Listen, c.store(), c.serves(), time.Now(), rand.New(rand.NewChaCha8(seed)))
+		list = registry.NewGroupMember(c.Listen, c.store(), c.serves(), time.Now(), rand.New(rand.NewChaCha8(seed)))
 	}
 	return c, list, c.Group.group(), os.MkdirAll(c.Group.DataDir, 0o700)
 }
--- a/cmd/registry/membership_test.go
+++ b/cmd/registry/membership_test.go
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	was := store.Save()[0].Begin
+	was := store.SnapshotRecords()[0].Begin
 	for _, at := range m.lists {
 		until(t, "the list is there", func() bool {
 			status, text, header := get(fmt.Sprintf("http://%s%s?since=%d&history=%s", at, registry.Path, was.Version, was.History))
--- a/cmd/registry/scoped_test.go
+++ b/cmd/registry/scoped_test.go
@@ -43,13 +43,13 @@
 	outside []string // instances that it was told of outside of its scopes
 }
 
-func (r *scopedReader) notify(told registry.Told) {
+func (r *scopedReader) notify(told registry.Update) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told.News.Reset {
+	if told.Changes.Reset {
 		clear(r.view)
 	}
-	for _, instance := range told.News.Instances {
+	for _, instance := range told.Changes.Instances {
 		if instance.Lifecycle == registry.Gone {
 			delete(r.view, instance.ID)
 			continue
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -664,7 +664,7 @@
 		t.Fatal(err)
 	}
 	s := &service{version: store.Stats().Version, address: l.Addr().String(), operators: operators.Addr().String(), ended: make(chan error, 1)}
-	limits := registry.ServerLimits{Connections: connections, Watchers: connections, Lists: 1000}
+	limits := registry.ServerLimits{Connections: connections, Watchers: connections, ListingsPerSecond: 1000}
 	server := registry.NewWriter("self", store, limits, time.Now(), random())
 	var ctx context.Context
 	ctx, s.stop = context.WithCancel(context.Background())
@@ -928,7 +928,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	client := registry.NewClient([]string{s.address}, random(), func(registry.Told) { heard <- struct{}{} })
+	client := registry.NewClient([]string{s.address}, random(), func(registry.Update) { heard <- struct{}{} })
 	wg.Go(func() { client.Run(ctx, nil) })
 	<-heard
 	writer := dial(t, s.address)
@@ -986,7 +986,7 @@
 	heard := make(chan int, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	n := 0
-	client := registry.NewClient([]string{l.Addr().String()}, random(), func(registry.Told) {
+	client := registry.NewClient([]string{l.Addr().String()}, random(), func(registry.Update) {
 		if n++; n == 10 || n == 10+rounds {
 			heard <- n
 		}
--- a/internal/capacity/scoped_test.go
+++ b/internal/capacity/scoped_test.go
@@ -262,7 +262,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	client := registry.NewClient([]string{s.address}, random(), func(registry.Told) { heard <- struct{}{} })
+	client := registry.NewClient([]string{s.address}, random(), func(registry.Update) { heard <- struct{}{} })
 	client.SetScopes(scopesOf(scopes))
 	wg.Go(func() { client.Run(ctx, nil) })
 	<-heard
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -41,8 +41,8 @@
 	HandoverDir string // directory of the hand-over socket
 	wire.Deployment
 
-	document any                 // the file as decoded JSON, for checkReload
-	observe  func(registry.Told) // set for a Hollow, see NewHollow
+	document any                   // the file as decoded JSON, for checkReload
+	observe  func(registry.Update) // set for a Hollow, see NewHollow
 }
 
 // Reload is the result of reading the configuration again.
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -101,7 +101,7 @@
 	}
 	if len(config.Registries) > 0 {
 		var unknown unknownScopes
-		follower.registryClient = registry.NewClient(config.Registries, rand.New(rand.NewPCG(config.Seed, 1)), func(update registry.Told) {
+		follower.registryClient = registry.NewClient(config.Registries, rand.New(rand.NewPCG(config.Seed, 1)), func(update registry.Update) {
 			if config.observe != nil {
 				config.observe(update)
 			}
@@ -109,7 +109,7 @@
 			if scopes, changed := follower.scopeChange.handleAnswer(update.Scopes, update.Unknown); changed {
 				follower.registryClient.SetScopes(scopes)
 			}
-			notify(update.News, update.History)
+			notify(update.Changes, update.History)
 		})
 		follower.registryClient.SetAnswerLimit(maxAnswerBytes(config.MemoryMB))
 		if len(follower.scopes) > 0 {
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -27,7 +27,7 @@
 // If scopes is not empty, it replaces the scopes of the configuration and may span several
 // services. The gateway passes each answer of a service registry that has changes to observe,
 // from one of its goroutines, before it applies the answer.
-func NewHollow(config []byte, scopes []registry.Scope, observe func(registry.Told)) (*Hollow, error) {
+func NewHollow(config []byte, scopes []registry.Scope, observe func(registry.Update)) (*Hollow, error) {
 	parsed, err := parseConfig(config)
 	if err != nil {
 		return nil, err
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -27,7 +27,7 @@
 
 var (
 	storeLimits = registry.Limits{Lease: 2 * time.Second, Instances: 100, History: 100, HistoryBytes: 1 << 20}
-	serveLimits = registry.ServerLimits{Connections: 100, Watchers: 90, Lists: 100}
+	serveLimits = registry.ServerLimits{Connections: 100, Watchers: 90, ListingsPerSecond: 100}
 )
 
 // startRegistry starts a service registry behind a relay at the given address.
@@ -69,7 +69,7 @@
 		store = registry.NewStore(storeLimits, fmt.Sprintf("%x", rand.Uint64()), time.Now().UnixMilli(), 0)
 	}
 	writer := registry.NewWriter("self", store, serveLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
-	if err := writer.Keep(log, fresh); err != nil {
+	if err := writer.Persist(log, fresh); err != nil {
 		t.Fatal(err)
 	}
 	return startRegistry(t, address, writer.Serve)
--- a/internal/gateway/scopes.go
+++ b/internal/gateway/scopes.go
@@ -32,8 +32,8 @@
 	case texts == nil:
 	case len(texts) == 0:
 		return config, errors.New("scopes: the list is empty; without the key all backends are read")
-	case len(texts) > registry.MostScopes:
-		return config, fmt.Errorf("scopes: %d entries, more than the maximum of %d", len(texts), registry.MostScopes)
+	case len(texts) > registry.MaxScopes:
+		return config, fmt.Errorf("scopes: %d entries, more than the maximum of %d", len(texts), registry.MaxScopes)
 	default:
 		if config.scopes, err = registry.ParseScopes(texts); err != nil {
 			return config, err
--- a/internal/registry/admission.go
+++ b/internal/registry/admission.go
@@ -7,9 +7,9 @@
 
 // ServerLimits bound a Server.
 type ServerLimits struct {
-	Connections int
-	Watchers    int
-	Lists       float64 // whole lists in a second; one of scopes counts by its share
+	Connections       int
+	Watchers          int
+	ListingsPerSecond float64 // whole lists in a second; one of scopes counts by its share
 
 	// Of the scopes that readers name; 0: the defaults above.
 	Subscriptions      int   // sets of scopes that are kept
@@ -21,13 +21,13 @@
 // withDefaults puts the defaults in the place of what is not said.
 func (l ServerLimits) withDefaults() ServerLimits {
 	l.Subscriptions = cmp.Or(l.Subscriptions, defaultSubscriptions)
-	l.SubscriptionScopes = min(cmp.Or(l.SubscriptionScopes, defaultSubscriptionScopes), MostScopes)
+	l.SubscriptionScopes = min(cmp.Or(l.SubscriptionScopes, defaultSubscriptionScopes), MaxScopes)
 	l.SubscribedScopes = cmp.Or(l.SubscribedScopes, defaultSubscribedScopes)
 	l.SubscriptionBytes = cmp.Or(l.SubscriptionBytes, defaultSubscriptionBytes)
 	return l
 }
 
-func (s *Server) mostWatchers() int {
+func (s *Server) maxWatchers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limits.Watchers
@@ -36,12 +36,12 @@
 // mayList bounds the whole lists, of which each costs as much as many changes. The list of
 // scopes counts as the part of the instances that has to be looked at for it, so that a
 // thousand readers of small services are let in where a hundred of everything are.
-func (s *Server) mayList(cost float64) bool {
+func (s *Server) takeListingTokens(cost float64) bool {
 	now := time.Now()
-	s.lists = min(s.lists+now.Sub(s.listsAt).Seconds()*s.limits.Lists, s.limits.Lists)
-	if s.listsAt = now; s.lists < cost {
+	s.listingTokens = min(s.listingTokens+now.Sub(s.listingTokensAt).Seconds()*s.limits.ListingsPerSecond, s.limits.ListingsPerSecond)
+	if s.listingTokensAt = now; s.listingTokens < cost {
 		return false
 	}
-	s.lists -= cost
+	s.listingTokens -= cost
 	return true
 }
--- a/internal/registry/agreed.go
+++ b/internal/registry/agreed.go
@@ -15,7 +15,7 @@
 )
 
 // Agreement is a group of list services that agree on one list.
-type Agreement interface {
+type Group interface {
 	// Append has the group agree on records, in one piece. Without an error this member
 	// has applied them. With one it is not known whether they will be, and this member
 	// writes no more until it is told anew that it does.
@@ -24,31 +24,31 @@
 	Age() time.Duration
 }
 
-var errNotAgreed = errors.New("it is not known whether the group takes it")
+var errOutcomeUnknown = errors.New("it is not known whether the group takes it")
 
 // agreed is the part of a Server whose list a group agrees on. Changes are made by the
 // member that writes: it stages them as for a log, the group agrees on the records, and
 // each member applies them.
-type agreed struct {
-	group Agreement
-	name  string // of the history, if this member begins it
+type replicated struct {
+	group       Group
+	historyName string // of the history, if this member begins it
 }
 
 // NewAgreed serves a list that a group agrees on, at an address that others know. It
 // writes nothing until the group says that it does.
-func NewAgreed(self string, limits Limits, serves ServerLimits, began time.Time, random *rand.Rand) *Server {
+func NewGroupMember(self string, limits Limits, serves ServerLimits, began time.Time, random *rand.Rand) *Server {
 	s := NewWriter(self, newStore(limits, 0), serves, began, random)
-	s.agreed = &agreed{name: fmt.Sprintf("%016x", random.Uint64())}
-	s.store.Stage()
+	s.replicated = &replicated{historyName: fmt.Sprintf("%016x", random.Uint64())}
+	s.store.EnableStaging()
 	nobody := ""
 	s.writer.Store(&nobody)
-	s.keeper = &keeper{s: s, calls: make(chan *job), snap: make(chan error, 1)}
+	s.persister = &persister{server: s, requests: make(chan *pendingWrite), snapshotDone: make(chan error, 1)}
 	return s
 }
 
 // Agree names the group. It comes before Serve.
-func (s *Server) Agree(group Agreement) {
-	s.agreed.group = group
+func (s *Server) SetGroup(group Group) {
+	s.replicated.group = group
 	s.age = func() int64 {
 		if s.writer.Load() == nil {
 			return 0
@@ -58,9 +58,9 @@
 		}
 		return -1
 	}
-	s.keeper.append = func(records [][]byte) error {
+	s.persister.appendRecords = func(records [][]byte) error {
 		if err := group.Append(records); err != nil {
-			return fmt.Errorf("%w: %w", errNotAgreed, err)
+			return fmt.Errorf("%w: %w", errOutcomeUnknown, err)
 		}
 		return nil
 	}
@@ -73,15 +73,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !here {
-		if s.store.writes {
-			s.store.writes = false
-			s.store.Drop() // what is staged comes by the group, or never
+		if s.store.isWriter {
+			s.store.isWriter = false
+			s.store.DropStaged() // what is staged comes by the group, or never
 		}
 		s.writer.Store(&address)
 		return
 	}
 	now := s.now()
-	s.store.writes, s.store.ticked = true, now
+	s.store.isWriter, s.store.lastTick = true, now
 	s.store.renewAll(now) // they were renewed elsewhere
 	s.writer.Store(nil)
 	slog.Info("this list service writes", "history", s.store.history, "version", s.store.version)
@@ -89,16 +89,16 @@
 
 // begin has the group agree on a history, if it has none and this member writes. The
 // keeper does it, between two batches.
-func (s *Server) begin() {
+func (s *Server) beginHistory() {
 	s.mu.Lock()
-	begins := s.store.writes && s.store.history == ""
+	begins := s.store.isWriter && s.store.history == ""
 	s.mu.Unlock()
 	if !begins {
 		return
 	}
-	b := Begin{History: s.agreed.name, Version: time.Now().UnixMilli(), Epoch: 1}
-	b.From = b.Version
-	if err := s.agreed.group.Append([][]byte{encodeSaved(Saved{Begin: &b})}); err != nil {
+	b := Begin{History: s.replicated.historyName, Version: time.Now().UnixMilli(), Epoch: 1}
+	b.BaseVersion = b.Version
+	if err := s.replicated.group.Append([][]byte{encodeRecord(Record{Begin: &b})}); err != nil {
 		slog.Warn("no history was begun", "error", err) // it is tried again, here or by who writes next
 	}
 }
@@ -109,7 +109,7 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	for _, text := range records {
-		r, err := ParseSaved(text)
+		r, err := ParseRecord(text)
 		switch {
 		case err != nil:
 		case r.Begin != nil && s.store.history != "":
@@ -118,14 +118,14 @@
 			// All members see the same, and leave it out.
 			err = fmt.Errorf("a change to version %d where the list is at %d", r.Change.Version, s.store.version)
 		default:
-			writes := s.store.writes
+			writes := s.store.isWriter
 			err = s.store.Restore(now, r)
-			s.store.writes = writes
+			s.store.isWriter = writes
 			if r.Begin != nil && err == nil {
 				// It may have begun long ago, and be applied again by a process that starts.
 				age := time.Duration(time.Now().UnixMilli()-r.Begin.Version) * time.Millisecond
 				wait := min(max(s.store.limits.Lease-age, 0), s.store.limits.Lease)
-				s.store.gathering = now + wait
+				s.store.gatheringUntil = now + wait
 				slog.Info("a history", "name", r.Begin.History, "version", r.Begin.Version, "reads_in", wait)
 			}
 		}
@@ -139,12 +139,12 @@
 // Sights are what records of the list say of backends.
 func (s *Server) BackendStates(records [][]byte) (all []budget.BackendState) {
 	for _, text := range records {
-		r, err := ParseSaved(text)
+		r, err := ParseRecord(text)
 		if err != nil || r.Change == nil {
 			continue
 		}
 		if i, err := r.Change.instance(); err == nil {
-			all = append(all, sightOf(i))
+			all = append(all, backendState(i))
 		}
 	}
 	return all
@@ -157,11 +157,11 @@
 	if s.store.history == "" {
 		return nil
 	}
-	for _, r := range s.store.Save() {
+	for _, r := range s.store.SnapshotRecords() {
 		if r.Begin != nil {
 			r.Begin.Writer = false // of a member, not of the list
 		}
-		lines = append(lines, encodeSaved(r))
+		lines = append(lines, encodeRecord(r))
 	}
 	return lines
 }
@@ -173,7 +173,7 @@
 	now := s.now()
 	next := newStore(s.store.limits, now)
 	for _, text := range lines {
-		r, err := ParseSaved(text)
+		r, err := ParseRecord(text)
 		if err == nil {
 			err = next.Restore(now, r)
 		}
@@ -181,7 +181,7 @@
 			return err
 		}
 	}
-	next.writes, next.staging, next.stats = s.store.writes, true, s.store.stats
+	next.isWriter, next.staging, next.stats = s.store.isWriter, true, s.store.stats
 	s.store = next
 	s.wake()
 	return nil
@@ -195,9 +195,9 @@
 	if s.store.history == "" {
 		return nil // none has begun
 	}
-	b := Begin{History: s.agreed.name, Version: max(time.Now().UnixMilli(), s.store.version+1), Epoch: s.store.epoch + 1}
-	b.From = b.Version
-	return s.store.Restore(s.now(), Saved{Begin: &b})
+	b := Begin{History: s.replicated.historyName, Version: max(time.Now().UnixMilli(), s.store.version+1), Epoch: s.store.epoch + 1}
+	b.BaseVersion = b.Version
+	return s.store.Restore(s.now(), Record{Begin: &b})
 }
 
 // TakeOver puts a list in this one's place: a writer's with its history, a follower's copy
@@ -207,13 +207,13 @@
 		return false, fmt.Errorf("another, %s, has taken this writer's place", from.fence.Writer)
 	}
 	var lines [][]byte
-	for _, r := range from.Save() {
+	for _, r := range from.SnapshotRecords() {
 		if r.Begin != nil {
 			r.Begin.Writer = false
 		}
-		lines = append(lines, encodeSaved(r))
+		lines = append(lines, encodeRecord(r))
 	}
-	if err := s.RestoreList(lines); err != nil || from.writes {
+	if err := s.RestoreList(lines); err != nil || from.isWriter {
 		return false, err
 	}
 	return true, s.StartHistory()
@@ -224,28 +224,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(s.store.entries)) {
-		all = append(all, sightOf(s.store.entries[id].Instance))
+		all = append(all, backendState(s.store.entries[id].Instance))
 	}
 	return all
 }
 
-func sightOf(i Instance) budget.BackendState {
+func backendState(i Instance) budget.BackendState {
 	return budget.BackendState{ID: i.ID, Zone: i.Zone, Weight: i.Weight, Incarnation: strconv.FormatInt(i.StartedAtMs, 10), Ready: i.Lifecycle == Ready}
 }
 
 // refuseElsewhere turns away what only the writer does. The caller has the lock.
-func (s *Server) refuseElsewhere() error {
+func (s *Server) checkIsWriter() error {
 	switch {
-	case s.agreed == nil || s.store.writes && s.store.history != "":
+	case s.replicated == nil || s.store.isWriter && s.store.history != "":
 		return nil
-	case s.store.writes:
+	case s.store.isWriter:
 		return refuse(http.StatusServiceUnavailable, "the history has not begun")
 	}
 	return refuse(http.StatusServiceUnavailable, "this list service does not write now")
 }
 
 // closeLog ends a log, where the keeper has one of its own.
-func (k *keeper) closeLog() error {
+func (k *persister) closeLog() error {
 	if k.log == nil {
 		return nil
 	}
--- a/internal/registry/agreed_test.go
+++ b/internal/registry/agreed_test.go
@@ -93,10 +93,10 @@
 	limits := Limits{Lease: time.Hour, Instances: 100, History: 1000, HistoryBytes: 1 << 20}
 	addresses := map[uint64]string{1: "a", 2: "b", 3: "c"}
 	for n := range 3 {
-		s := NewAgreed(addresses[uint64(n+1)], limits, ServerLimits{Connections: 10, Watchers: 10, Lists: 100}, time.Now(), rand.New(rand.NewPCG(seed, uint64(n))))
-		s.Agree(fakeMember{f, n})
+		s := NewGroupMember(addresses[uint64(n+1)], limits, ServerLimits{Connections: 10, Watchers: 10, ListingsPerSecond: 100}, time.Now(), rand.New(rand.NewPCG(seed, uint64(n))))
+		s.SetGroup(fakeMember{f, n})
 		f.members = append(f.members, s)
-		wg.Go(func() { s.keeper.run(ctx) })
+		wg.Go(func() { s.persister.run(ctx) })
 	}
 	f.members[0].SetWriter(true, "")
 	for end := time.Now().Add(patience); !f.members[f.now()].begun(); time.Sleep(time.Millisecond) {
@@ -114,7 +114,7 @@
 			i.Service, i.Region = fmt.Sprint("service-", random.IntN(4)), "r"
 		}
 		s := f.members[f.now()]
-		w, err := s.writeChange(func(now time.Duration) (Written, error) { return s.store.Register(now, i, nil) })
+		w, err := s.writeChange(func(now time.Duration) (WriteResult, error) { return s.store.Register(now, i, nil) })
 		if err == nil {
 			if w.Lifecycle != Ready {
 				return fmt.Errorf("answered %+v", w)
@@ -165,7 +165,7 @@
 	if found < 3 {
 		t.Errorf("the defect is found in %d of 4", found)
 	}
-	nobody := NewAgreed("a", Limits{Lease: time.Second, Instances: 1, History: 1, HistoryBytes: 1}, ServerLimits{Connections: 1, Watchers: 1, Lists: 1}, time.Now(), rand.New(rand.NewPCG(1, 1)))
+	nobody := NewGroupMember("a", Limits{Lease: time.Second, Instances: 1, History: 1, HistoryBytes: 1}, ServerLimits{Connections: 1, Watchers: 1, ListingsPerSecond: 1}, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	if _, err := nobody.store.Read(time.Hour, -1, ""); err == nil || !strings.Contains(err.Error(), "not whole") || nobody.ready() {
 		t.Errorf("a list that has not begun is read: %v", err)
 	}
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -49,7 +49,7 @@
 				conns = append(conns, conn)
 				ask(conn, store.version)
 			}
-			for s.figures.watchers.Load() < int64(watchers) {
+			for s.metrics.watchers.Load() < int64(watchers) {
 				runtime.Gosched()
 			}
 			perWatcher := float64(heap()-before) / float64(watchers)
@@ -70,11 +70,11 @@
 					}
 				}()
 			}
-			was, bytes := store.Stats(), s.figures.bytes.Load()
+			was, bytes := store.Stats(), s.metrics.bytes.Load()
 			b.ResetTimer()
 			for n := range b.N {
-				written, err := s.change(func(now time.Duration) (Written, error) {
-					s.wokenAt = time.Time{} // no waiting for further changes
+				written, err := s.change(func(now time.Duration) (WriteResult, error) {
+					s.lastWake = time.Time{} // no waiting for further changes
 					return store.Register(now, inst(fmt.Sprint("instance-", n%200), int64(n+2)), nil)
 				})
 				if err != nil {
@@ -85,15 +85,15 @@
 						b.Fatalf("told of %d, not %d", v, written.Version)
 					}
 				}
-				for s.figures.watchers.Load() < int64(watchers) {
+				for s.metrics.watchers.Load() < int64(watchers) {
 					runtime.Gosched()
 				}
 			}
 			b.StopTimer()
 			now := store.Stats()
-			b.ReportMetric(float64(now.Encoded-was.Encoded)/float64(b.N), "encoded/op")
-			b.ReportMetric(float64(now.Joined-was.Joined)/float64(b.N), "joined/op")
-			b.ReportMetric(float64(s.figures.bytes.Load()-bytes)/float64(b.N)/float64(watchers), "B/watcher/op")
+			b.ReportMetric(float64(now.ChangesEncoded-was.ChangesEncoded)/float64(b.N), "encoded/op")
+			b.ReportMetric(float64(now.AnswersEncoded-was.AnswersEncoded)/float64(b.N), "joined/op")
+			b.ReportMetric(float64(s.metrics.bytes.Load()-bytes)/float64(b.N)/float64(watchers), "B/watcher/op")
 			b.ReportMetric(perWatcher, "B/watcher")
 			b.ReportMetric(float64(now.Bytes)/float64(now.History), "B/change")
 		})
@@ -132,21 +132,21 @@
 					b.Fatal(err)
 				}
 				store := NewStore(limits, "h", 1000, 0)
-				log.Append([][]byte{encodeSaved(store.Save()[0])})
-				store.Stage()
+				log.Append([][]byte{encodeRecord(store.SnapshotRecords()[0])})
+				store.EnableStaging()
 				for round := range c.rounds {
 					for n := range instances {
 						store.Register(0, inst(fmt.Sprint("instance-", n), int64(round)), nil)
 						if len(store.staged) == 1000 || n == instances-1 {
-							if _, err := log.Append(store.Staged()); err != nil {
+							if _, err := log.Append(store.StagedRecords()); err != nil {
 								b.Fatal(err)
 							}
-							store.Settle(0)
+							store.CommitStaged(0)
 						}
 					}
 				}
 				if c.snapshot {
-					if err := writeSnapshot(log, log.LastSequence(), store.Save()); err != nil {
+					if err := writeSnapshot(log, log.LastSequence(), store.SnapshotRecords()); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -183,13 +183,13 @@
 					if log, _, err = Open(wal.Dir(b.TempDir()), 512<<20, limits, 0); err != nil {
 						b.Fatal(err)
 					}
-					if err := s.Keep(log, true); err != nil {
+					if err := s.Persist(log, true); err != nil {
 						b.Fatal(err)
 					}
 					ctx, stop := context.WithCancel(context.Background())
 					ended := make(chan error, 1)
-					go func() { ended <- s.keeper.run(ctx) }()
-					defer func() { stop(); <-ended; s.wg.Wait() }()
+					go func() { ended <- s.persister.run(ctx) }()
+					defer func() { stop(); <-ended; s.snapshots.Wait() }()
 				}
 				var next atomic.Int64
 				var wg sync.WaitGroup
@@ -197,7 +197,7 @@
 				for n := range writers {
 					wg.Go(func() {
 						for started := next.Add(1); started <= int64(b.N); started = next.Add(1) {
-							_, err := s.writeChange(func(now time.Duration) (Written, error) {
+							_, err := s.writeChange(func(now time.Duration) (WriteResult, error) {
 								return s.store.Register(now, inst(fmt.Sprint("s-", n), started), nil)
 							})
 							if err != nil {
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -27,11 +27,11 @@
 	watchWait         = 1500 * time.Millisecond
 	followerWatchWait = time.Second
 
-	watchGrace  = 500 * time.Millisecond // how much longer than that the answer may take
-	scopeGap    = 100 * time.Millisecond // between two watches that are ended for other scopes, each with its connection
-	listTimeout = 3 * time.Second
-	mostReply   = 4 << 10          // bytes of an answer that is no list
-	complainGap = 10 * time.Second // between lines about services that stay down
+	watchGrace             = 500 * time.Millisecond // how much longer than that the answer may take
+	minScopeChangeInterval = 100 * time.Millisecond // between two watches that are ended for other scopes, each with its connection
+	listTimeout            = 3 * time.Second
+	maxReplyBytes          = 4 << 10          // bytes of an answer that is no list
+	warningInterval        = 10 * time.Second // between lines about services that stay down
 )
 
 // DefaultAnswerLimit is how many bytes an answer may have, unless SetAnswerLimit says
@@ -40,29 +40,29 @@
 
 // errNoScopes says that a list service is of a build that does not know scopes: it has
 // answered with the whole list where a part of it was asked for.
-var errNoScopes = errors.New("the list service does not know scopes: upgrade it, or take the scopes out of this reader's configuration")
+var errScopesUnsupported = errors.New("the list service does not know scopes: upgrade it, or take the scopes out of this reader's configuration")
 
 // Client keeps a list, or the part of it that scopes select, up to date from several
 // services. It has one connection, over which all of its scopes come.
 type Client struct {
-	feed  *Feed // of Run
-	heard func(Told)
-	http  *http.Client
+	feed     *Feed // of Run
+	onUpdate func(Update)
+	http     *http.Client
 
 	watchWait   time.Duration
 	answerLimit int64        // bytes
-	heardAt     atomic.Int64 // Unix nanoseconds at which the last answer was current; 0: none
+	currentAt   atomic.Int64 // Unix nanoseconds at which the last answer was current; 0: none
 
-	mu       sync.Mutex // of what follows
-	wanted   []Scope
-	rescoped bool          // wanted has changed, and the feed does not know
-	rescope  chan struct{} // says so to a Run that waits
+	mu            sync.Mutex // of what follows
+	wanted        []Scope
+	scopesChanged bool          // wanted has changed, and the feed does not know
+	scopesSignal  chan struct{} // says so to a Run that waits
 }
 
 // Told is an answer that tells something new, or the first one to other scopes.
-type Told struct {
+type Update struct {
 	Listing         // as it came
-	News    Listing // what of it is news for this reader; the instances of dropped scopes are Gone
+	Changes Listing // what of it is news for this reader; the instances of dropped scopes are Gone
 	History string
 	Epoch   int64 // of the writer; 0: not told
 	Scopes  *ScopeSet
@@ -70,8 +70,8 @@
 }
 
 // NewClient calls heard, one at a time, with each answer that tells something new.
-func NewClient(addresses []string, random *rand.Rand, heard func(Told)) *Client {
-	return &Client{feed: NewFeed(addresses, random), heard: heard, rescope: make(chan struct{}, 1), watchWait: watchWait, answerLimit: DefaultAnswerLimit,
+func NewClient(addresses []string, random *rand.Rand, heard func(Update)) *Client {
+	return &Client{feed: NewFeed(addresses, random), onUpdate: heard, scopesSignal: make(chan struct{}, 1), watchWait: watchWait, answerLimit: DefaultAnswerLimit,
 		http: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
@@ -85,37 +85,37 @@
 // a row the last counts.
 func (c *Client) SetScopes(scopes []Scope) {
 	c.mu.Lock()
-	c.wanted, c.rescoped = slices.Clone(scopes), true
+	c.wanted, c.scopesChanged = slices.Clone(scopes), true
 	c.mu.Unlock()
 	select {
-	case c.rescope <- struct{}{}:
+	case c.scopesSignal <- struct{}{}:
 	default: // it has been said
 	}
 }
 
 // takeScopes puts the scopes that SetScopes has named in force.
-func (c *Client) takeScopes() {
+func (c *Client) applyScopes() {
 	c.mu.Lock()
-	wanted, rescoped := c.wanted, c.rescoped
-	c.rescoped = false
+	wanted, rescoped := c.wanted, c.scopesChanged
+	c.scopesChanged = false
 	c.mu.Unlock()
 	if !rescoped {
 		return
 	}
 	news := c.feed.SetScopes(wanted)
 	if len(news.Instances) > 0 {
-		c.heard(Told{Listing: Listing{Generation: news.Generation}, News: news, History: c.feed.history, Unknown: c.feed.Unknown()})
+		c.onUpdate(Update{Listing: Listing{Generation: news.Generation}, Changes: news, History: c.feed.history, Unknown: c.feed.Unknown()})
 	}
 }
 
 // answer is what a call came to.
-type answer struct {
-	listing Listing
-	history string
-	epoch   int64
-	age     time.Duration
-	advised time.Duration // a pause that the service asks for
-	err     error
+type readResult struct {
+	listing    Listing
+	history    string
+	epoch      int64
+	age        time.Duration
+	retryAfter time.Duration // a pause that the service asks for
+	err        error
 }
 
 // Run follows the list until ctx ends, from other addresses when moves has some.
@@ -123,16 +123,16 @@
 	defer c.http.CloseIdleConnections()
 	var complained, rescopedAt time.Time
 	for ctx.Err() == nil {
-		c.takeScopes()
+		c.applyScopes()
 		ask := c.feed.Next()
 		calling, cancel := context.WithCancel(ctx)
-		ended := make(chan answer, 1)
-		go func() { ended <- c.ask(calling, ask) }()
-		var a answer
+		ended := make(chan readResult, 1)
+		go func() { ended <- c.read(calling, ask) }()
+		var a readResult
 		var moved []string
 		var rescope chan struct{}
-		if ask.Waits() {
-			rescope = c.rescope // other calls are answered soon, and scopes that change often must not keep them from that
+		if ask.IsLongPoll() {
+			rescope = c.scopesSignal // other calls are answered soon, and scopes that change often must not keep them from that
 		}
 		select {
 		case a = <-ended:
@@ -142,7 +142,7 @@
 		case <-rescope:
 			cancel()
 			<-ended
-			c.pause(ctx, scopeGap-time.Since(rescopedAt), moves)
+			c.sleep(ctx, minScopeChangeInterval-time.Since(rescopedAt), moves)
 			rescopedAt = time.Now()
 			continue
 		}
@@ -151,24 +151,24 @@
 		case ctx.Err() != nil:
 			return
 		case moved != nil:
-			c.feed.Move(moved)
+			c.feed.SetAddresses(moved)
 			continue
 		case a.err == nil:
-			if a.err = c.take(ask, a); a.err == nil {
+			if a.err = c.handleAnswer(ask, a); a.err == nil {
 				continue
 			}
 		}
-		if time.Since(complained) > complainGap {
+		if time.Since(complained) > warningInterval {
 			complained = time.Now()
 			slog.Warn("list service", "address", ask.Address, "error", a.err)
 		}
 		c.http.CloseIdleConnections()
-		c.pause(ctx, c.feed.Failed(a.advised), moves)
+		c.sleep(ctx, c.feed.Failed(a.retryAfter), moves)
 	}
 }
 
 // pause waits for the next call, or until there are other addresses.
-func (c *Client) pause(ctx context.Context, pause time.Duration, moves <-chan []string) {
+func (c *Client) sleep(ctx context.Context, pause time.Duration, moves <-chan []string) {
 	wait := time.NewTimer(pause)
 	defer wait.Stop()
 	for {
@@ -176,10 +176,10 @@
 		case <-ctx.Done():
 			return
 		case moved := <-moves:
-			c.feed.Move(moved)
+			c.feed.SetAddresses(moved)
 			return
-		case <-c.rescope:
-			c.takeScopes() // what is dropped is told at once; the call for what is new keeps to the pause
+		case <-c.scopesSignal:
+			c.applyScopes() // what is dropped is told at once; the call for what is new keeps to the pause
 		case <-wait.C:
 			return
 		}
@@ -187,16 +187,16 @@
 }
 
 // take hands on what an answer tells.
-func (c *Client) take(ask Ask, a answer) error {
+func (c *Client) handleAnswer(ask ReadRequest, a readResult) error {
 	before := c.feed.Unknown()
 	news, err := c.feed.AnsweredTo(ask, a.listing, a.history, a.age)
 	if err != nil {
 		return err
 	}
-	c.heardAt.Store(time.Now().Add(-a.age).UnixNano())
+	c.currentAt.Store(time.Now().Add(-a.age).UnixNano())
 	unknown := c.feed.Unknown()
-	if news.Reset || len(news.Instances) > 0 || news.Generation != ask.Since || !ask.Waits() || !slices.Equal(before, unknown) {
-		c.heard(Told{a.listing, news, a.history, a.epoch, ask.Scopes, unknown})
+	if news.Reset || len(news.Instances) > 0 || news.Generation != ask.Since || !ask.IsLongPoll() || !slices.Equal(before, unknown) {
+		c.onUpdate(Update{a.listing, news, a.history, a.epoch, ask.Scopes, unknown})
 	}
 	return nil
 }
@@ -204,7 +204,7 @@
 // Age is how old the list may be: how long ago the last answer came and, of a follower's
 // answer, how old that was. Below 0: none has come.
 func (c *Client) Age() time.Duration {
-	at := c.heardAt.Load()
+	at := c.currentAt.Load()
 	if at == 0 {
 		return -1
 	}
@@ -212,62 +212,62 @@
 }
 
 // ask makes a call. A service that does not know its scopes by their id is told them.
-func (c *Client) ask(ctx context.Context, a Ask) answer {
+func (c *Client) read(ctx context.Context, a ReadRequest) readResult {
 	limit := listTimeout
-	if a.Waits() {
+	if a.IsLongPoll() {
 		limit = c.watchWait + watchGrace
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	got, known := c.list(ctx, a)
+	got, known := c.fetch(ctx, a)
 	if known {
 		return got
 	}
 	sets := []*ScopeSet{a.Scopes}
-	if a.Held != nil && !a.Held.same(a.Scopes) {
+	if a.Held != nil && !a.Held.equal(a.Scopes) {
 		sets = append(sets, a.Held)
 	}
 	for _, set := range sets {
 		if err := c.subscribe(ctx, a.Address, set); err != nil {
-			return answer{err: err}
+			return readResult{err: err}
 		}
 	}
-	got, _ = c.list(ctx, a)
+	got, _ = c.fetch(ctx, a)
 	return got
 }
 
 // list asks for a list, and says whether the service knows the scopes.
-func (c *Client) list(ctx context.Context, a Ask) (got answer, known bool) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.Address+Path+a.query(c.watchWait), nil)
+func (c *Client) fetch(ctx context.Context, a ReadRequest) (got readResult, known bool) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.Address+Path+a.queryString(c.watchWait), nil)
 	if err != nil {
-		return answer{err: err}, true
+		return readResult{err: err}, true
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return answer{err: err}, true
+		return readResult{err: err}, true
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusOK && resp.Header.Get(SubscriptionHeader) != a.Scopes.ID() {
-		return answer{err: errNoScopes}, true // its body is left, which may be all of a long list
+		return readResult{err: errScopesUnsupported}, true // its body is left, which may be all of a long list
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.answerLimit+1))
 	switch {
 	case err != nil:
-		return answer{err: err}, true
+		return readResult{err: err}, true
 	case int64(len(body)) > c.answerLimit:
-		return answer{err: fmt.Errorf("the list has more than %d bytes", c.answerLimit)}, true
+		return readResult{err: fmt.Errorf("the list has more than %d bytes", c.answerLimit)}, true
 	case resp.StatusCode != http.StatusOK:
-		return answer{advised: advisedPause(resp), err: fmt.Errorf("status %s: %.200s", resp.Status, body)},
+		return readResult{retryAfter: parseRetryAfter(resp), err: fmt.Errorf("status %s: %.200s", resp.Status, body)},
 			a.Scopes == nil || resp.StatusCode != http.StatusNotFound
 	}
 	if got.listing, got.err = ParseListing(body); got.err != nil {
-		return answer{err: got.err}, true
+		return readResult{err: got.err}, true
 	}
-	if a.Whole {
+	if a.Full {
 		got.listing.Reset = true // a call without a version is answered with all there are
 	}
 	if ms, err := strconv.ParseInt(resp.Header.Get(AgeHeader), 10, 64); err == nil && ms > 0 {
-		got.age = time.Duration(min(ms, mostAdvised.Milliseconds())) * time.Millisecond
+		got.age = time.Duration(min(ms, maxRetryAfterHonored.Milliseconds())) * time.Millisecond
 	}
 	if n, err := strconv.ParseInt(resp.Header.Get(EpochHeader), 10, 64); err == nil && n > 0 {
 		got.epoch = n
@@ -278,16 +278,16 @@
 
 // query is the part of a call's address that says what is asked for, and for how long the
 // service may wait for it where the call waits.
-func (a Ask) query(wait time.Duration) string {
-	if !a.Waits() {
+func (a ReadRequest) queryString(wait time.Duration) string {
+	if !a.IsLongPoll() {
 		wait = 0
 	}
 	var parts []string
 	if a.Scopes != nil {
 		parts = append(parts, subscriptionParameter+"="+a.Scopes.ID())
 	}
-	if !a.Whole {
-		if a.Held != nil && !a.Held.same(a.Scopes) {
+	if !a.Full {
+		if a.Held != nil && !a.Held.equal(a.Scopes) {
 			parts = append(parts, heldParameter+"="+a.Held.ID())
 		}
 		parts = append(parts, fmt.Sprintf("since=%d&timeout_ms=%d&history=%s", a.Since, wait.Milliseconds(), url.QueryEscape(a.History)))
@@ -313,7 +313,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostReply))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return err
 	}
@@ -328,10 +328,10 @@
 }
 
 // advisedPause is how long a service asks a caller to wait.
-func advisedPause(resp *http.Response) time.Duration {
+func parseRetryAfter(resp *http.Response) time.Duration {
 	after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if !(after > 0) {
 		return 0
 	}
-	return time.Duration(min(after, mostAdvised.Seconds()) * float64(time.Second))
+	return time.Duration(min(after, maxRetryAfterHonored.Seconds()) * float64(time.Second))
 }
--- a/internal/registry/control.go
+++ b/internal/registry/control.go
@@ -12,11 +12,11 @@
 func (s *Server) ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now() >= s.store.gathering && !s.left() && s.store.fence == nil && (s.agreed == nil || s.store.history != "")
+	return s.now() >= s.store.gatheringUntil && !s.isStopping() && s.store.fence == nil && (s.replicated == nil || s.store.history != "")
 }
 
 // control answers operators.
-func (s *Server) control() http.Handler {
+func (s *Server) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !s.ready() {
@@ -29,10 +29,10 @@
 			err = s.promote()
 		}
 		if err != nil {
-			s.fail(w, err)
+			s.writeError(w, err)
 		}
 	})
-	mux.HandleFunc("GET /control/counters", func(w http.ResponseWriter, _ *http.Request) { s.writeFigures(w) })
+	mux.HandleFunc("GET /control/counters", func(w http.ResponseWriter, _ *http.Request) { s.writeMetrics(w) })
 	mux.HandleFunc("GET /control/where", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		where := struct {
@@ -60,12 +60,12 @@
 }
 
 // writeFigures puts the figures out, a line each.
-func (s *Server) writeFigures(w io.Writer) {
+func (s *Server) writeMetrics(w io.Writer) {
 	s.mu.Lock()
 	st := s.store.Stats()
-	subscriptions, scopes := s.subscribed.recent.Len(), s.subscribed.scopes
+	subscriptions, scopes := s.subscriptions.recent.Len(), s.subscriptions.scopes
 	s.mu.Unlock()
-	f := &s.figures
+	f := &s.metrics
 	type line struct {
 		name string
 		n    int64
@@ -74,15 +74,15 @@
 	lines := []line{{"version", st.Version, "g"}, {"instances", int64(st.Instances), "g"}, {"history", int64(st.History), "g"},
 		{"history_bytes", int64(st.Bytes), "g"}, {"watchers", f.watchers.Load(), "g"}, {"overdue", int64(st.Overdue), "g"},
 		{"registered", st.Registered, "c"}, {"renewed", st.Renewed, "c"}, {"lapsed", st.Lapsed, "c"}, {"pauses", st.Pauses, "c"},
-		{"encoded", st.Encoded, "c"}, {"joined", st.Joined, "c"}, {"answers", f.answers.Load(), "c"},
-		{"answer_bytes", f.bytes.Load(), "c"}, {"watchers_cut", f.cut.Load(), "c"}, {"refused", f.refused.Load(), "c"},
-		{"turned_away", f.turnedAway.Load(), "c"}, {"services", int64(st.Services), "g"}, {"empty_services", int64(st.EmptyServices), "g"},
-		{"subscriptions", int64(subscriptions), "g"}, {"subscribed_scopes", int64(scopes), "g"}, {"joined_scoped", st.Scoped, "c"}}
+		{"encoded", st.ChangesEncoded, "c"}, {"joined", st.AnswersEncoded, "c"}, {"answers", f.answers.Load(), "c"},
+		{"answer_bytes", f.bytes.Load(), "c"}, {"watchers_cut", f.aborted.Load(), "c"}, {"refused", f.refused.Load(), "c"},
+		{"turned_away", f.overloaded.Load(), "c"}, {"services", int64(st.Services), "g"}, {"empty_services", int64(st.EmptyServices), "g"},
+		{"subscriptions", int64(subscriptions), "g"}, {"subscribed_scopes", int64(scopes), "g"}, {"joined_scoped", st.ScopedAnswersEncoded, "c"}}
 	if s.age != nil {
 		lines = append(lines, line{"age_ms", s.age(), "g"})
 	}
-	if s.keeper != nil && s.keeper.log != nil {
-		k := s.keeper.log.Stats()
+	if s.persister != nil && s.persister.log != nil {
+		k := s.persister.log.Stats()
 		since := int64(-1)
 		if !k.SnapshotAt.IsZero() {
 			since = time.Since(k.SnapshotAt).Milliseconds()
--- a/internal/registry/feed.go
+++ b/internal/registry/feed.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	firstPause  = 500 * time.Millisecond // after a round of failures; it doubles
-	mostPause   = 15 * time.Second
-	stepPause   = 200 * time.Millisecond // at most, before the next address of a round
-	mostPast    = 8                      // histories that were left, which are not taken again
-	staleAge    = 3 * time.Second        // of a list, from which on another address is tried; two followers in a row stay below
-	mostAdvised = time.Minute            // of a pause that a service asks for
+	initialBackoff       = 500 * time.Millisecond // after a round of failures; it doubles
+	maxBackoff           = 15 * time.Second
+	maxNextAddressDelay  = 200 * time.Millisecond // at most, before the next address of a round
+	maxPastHistories     = 8                      // histories that were left, which are not taken again
+	staleAge             = 3 * time.Second        // of a list, from which on another address is tried; two followers in a row stay below
+	maxRetryAfterHonored = time.Minute            // of a pause that a service asks for
 )
 
 var (
-	errOlder   = errors.New("the list is older than the one that is had")
-	errLeft    = errors.New("the list is of a history that was left, or is older")
-	errNoWhole = errors.New("changes of a history that is not known")
+	errOlderVersion = errors.New("the list is older than the one that is had")
+	errPastHistory  = errors.New("the list is of a history that was left, or is older")
+	errNoFullList   = errors.New("changes of a history that is not known")
 
 	// errScopesChanged says that an answer is to a call made before the reader's scopes
 	// changed.
@@ -39,19 +39,19 @@
 // instances of the new scopes and the changes to the others, at one version.
 type Feed struct {
 	addresses []string
-	at        int
+	current   int
 	random    *rand.Rand
 	failures  int // in a row
 
-	listed  bool
-	history string
-	version int64
-	past    []string
-	known   map[string]Instance
+	hasList       bool
+	history       string
+	version       int64
+	pastHistories []string
+	instances     map[string]Instance
 
 	wanted   *ScopeSet // nil: the whole list
 	held     *ScopeSet // the scopes that known has the list of; nil: none, or it is the whole list
-	whole    bool      // known is the whole list
+	heldAll  bool      // known is the whole list
 	revision int       // counts the changes of wanted
 	unknown  []Scope   // of the wanted scopes, those that the service does not know
 
@@ -60,21 +60,21 @@
 
 // NewFeed reads from the given addresses, in an order of its own.
 func NewFeed(addresses []string, random *rand.Rand) *Feed {
-	f := &Feed{random: random, known: map[string]Instance{}}
-	f.Move(addresses)
+	f := &Feed{random: random, instances: map[string]Instance{}}
+	f.SetAddresses(addresses)
 	return f
 }
 
 // Move changes the addresses. What is known stays.
-func (f *Feed) Move(addresses []string) {
-	f.addresses, f.at, f.failures = slices.Clone(addresses), 0, 0
+func (f *Feed) SetAddresses(addresses []string) {
+	f.addresses, f.current, f.failures = slices.Clone(addresses), 0, 0
 	f.random.Shuffle(len(f.addresses), func(i, j int) { f.addresses[i], f.addresses[j] = f.addresses[j], f.addresses[i] })
 }
 
 // Ask is a call to make.
-type Ask struct {
+type ReadRequest struct {
 	Address string
-	Whole   bool // else what has changed since
+	Full    bool // else what has changed since
 	Since   int64
 	History string
 
@@ -85,17 +85,19 @@
 }
 
 // Waits reports whether the call may wait for changes: it asks for no new scopes.
-func (a Ask) Waits() bool { return !a.Whole && a.Held.same(a.Scopes) }
+func (a ReadRequest) IsLongPoll() bool { return !a.Full && a.Held.equal(a.Scopes) }
 
 // Next returns the call to make now.
-func (f *Feed) Next() Ask {
-	return Ask{Address: f.addresses[f.at], Whole: !f.listed || !f.holds(), Since: f.version, History: f.history,
+func (f *Feed) Next() ReadRequest {
+	return ReadRequest{Address: f.addresses[f.current], Full: !f.hasList || !f.canUseChanges(), Since: f.version, History: f.history,
 		Scopes: f.wanted, Held: f.held, revision: f.revision}
 }
 
 // holds reports whether changes behind the version are of use: the feed has the list of
 // some scopes that it wants or, where it wants the whole list, has that.
-func (f *Feed) holds() bool { return f.whole == (f.wanted == nil) && (f.whole || f.held != nil) }
+func (f *Feed) canUseChanges() bool {
+	return f.heldAll == (f.wanted == nil) && (f.heldAll || f.held != nil)
+}
 
 // Answered takes a list in that came whole in answer to the call that Next returns, and
 // returns what of it is news. An error says that the list is not for this reader; it counts
@@ -106,28 +108,28 @@
 
 // AnsweredTo takes the answer to a call that an earlier Next returned. If the scopes have
 // changed since, the answer is refused, and it is no failure of the service.
-func (f *Feed) AnsweredTo(ask Ask, l Listing, history string, age time.Duration) (news Listing, err error) {
+func (f *Feed) AnsweredTo(ask ReadRequest, l Listing, history string, age time.Duration) (news Listing, err error) {
 	switch {
 	case ask.revision != f.revision:
 		return Listing{}, errScopesChanged
-	case f.listed && history == f.history && l.Generation < f.version:
-		return Listing{}, errOlder
-	case f.listed && history != f.history && !f.mayLeaveFor(history, l.Generation):
-		return Listing{}, errLeft
-	case (!f.listed || history != f.history) && !l.Reset:
-		return Listing{}, errNoWhole
+	case f.hasList && history == f.history && l.Generation < f.version:
+		return Listing{}, errOlderVersion
+	case f.hasList && history != f.history && !f.maySwitchHistory(history, l.Generation):
+		return Listing{}, errPastHistory
+	case (!f.hasList || history != f.history) && !l.Reset:
+		return Listing{}, errNoFullList
 	}
-	news = Listing{Generation: l.Generation, Reset: !f.listed || history != f.history}
-	unknown, err := f.admit(ask, l)
+	news = Listing{Generation: l.Generation, Reset: !f.hasList || history != f.history}
+	unknown, err := f.checkScopes(ask, l)
 	if err != nil {
 		return Listing{}, err
 	}
-	if f.listed && history != f.history {
-		if f.past = append(f.past, f.history); len(f.past) > mostPast {
-			f.past = f.past[1:]
+	if f.hasList && history != f.history {
+		if f.pastHistories = append(f.pastHistories, f.history); len(f.pastHistories) > maxPastHistories {
+			f.pastHistories = f.pastHistories[1:]
 		}
 	}
-	next := f.known
+	next := f.instances
 	if l.Reset {
 		next = make(map[string]Instance, len(l.Instances))
 	}
@@ -137,7 +139,7 @@
 	}
 	for _, i := range l.Instances {
 		f.compared++
-		if was, there := f.known[i.ID]; news.Reset || !there && i.Lifecycle != Gone || there && was != i {
+		if was, there := f.instances[i.ID]; news.Reset || !there && i.Lifecycle != Gone || there && was != i {
 			news.Instances = append(news.Instances, i)
 			if told != nil {
 				told[i.ID] = true
@@ -148,20 +150,20 @@
 		}
 	}
 	if told != nil {
-		news.Instances = appendGone(news.Instances, f.known, func(i Instance) bool {
+		news.Instances = appendGone(news.Instances, f.instances, func(i Instance) bool {
 			f.compared++
 			_, still := next[i.ID]
 			return !still && !told[i.ID]
 		})
 	}
-	f.known = next
-	if ask.Scopes != nil && !l.Reset && !ask.Waits() {
-		news.Instances = append(news.Instances, f.drop(ask.Scopes)...)
+	f.instances = next
+	if ask.Scopes != nil && !l.Reset && !ask.IsLongPoll() {
+		news.Instances = append(news.Instances, f.dropOutside(ask.Scopes)...)
 	}
-	f.held, f.whole, f.unknown = ask.Scopes, ask.Scopes == nil, unknown
-	f.listed, f.history, f.version, f.failures = true, history, l.Generation, 0
+	f.held, f.heldAll, f.unknown = ask.Scopes, ask.Scopes == nil, unknown
+	f.hasList, f.history, f.version, f.failures = true, history, l.Generation, 0
 	if age > staleAge {
-		f.step()
+		f.nextAddress()
 	}
 	return news, nil
 }
@@ -172,8 +174,8 @@
 // only if no other address has an answer. A history that was left is taken again only if it
 // is at a higher version and no address has had an answer in a whole round: then it was left
 // for an older one.
-func (f *Feed) mayLeaveFor(history string, version int64) bool {
-	if slices.Contains(f.past, history) {
+func (f *Feed) maySwitchHistory(history string, version int64) bool {
+	if slices.Contains(f.pastHistories, history) {
 		return version > f.version && f.failures >= len(f.addresses)
 	}
 	return version > f.version || f.failures+1 >= len(f.addresses)
@@ -181,7 +183,7 @@
 
 // admit finds the scopes that the service does not know, and refuses an answer with
 // instances that were not asked for.
-func (f *Feed) admit(ask Ask, l Listing) (unknown []Scope, err error) {
+func (f *Feed) checkScopes(ask ReadRequest, l Listing) (unknown []Scope, err error) {
 	if ask.Scopes == nil {
 		return nil, nil
 	}
@@ -203,12 +205,12 @@
 func (f *Feed) SetScopes(scopes []Scope) (news Listing) {
 	news = Listing{Generation: f.version}
 	wanted := newScopeSet(scopes)
-	if wanted.same(f.wanted) {
+	if wanted.equal(f.wanted) {
 		return news
 	}
 	f.wanted = wanted
 	f.revision++
-	f.unknown = slices.DeleteFunc(f.unknown, func(scope Scope) bool { return !wanted.has(scope) })
+	f.unknown = slices.DeleteFunc(f.unknown, func(scope Scope) bool { return !wanted.includes(scope) })
 	if wanted == nil || f.held == nil {
 		f.held = nil
 		return news
@@ -228,7 +230,7 @@
 		}
 	}
 	f.held = newScopeSet(held)
-	news.Instances = f.drop(f.held)
+	news.Instances = f.dropOutside(f.held)
 	return news
 }
 
@@ -239,10 +241,10 @@
 func (f *Feed) Unknown() []Scope { return slices.Clone(f.unknown) }
 
 // drop forgets all instances but those of scopes, and returns them as Gone.
-func (f *Feed) drop(scopes *ScopeSet) []Instance {
-	dropped := appendGone(nil, f.known, func(i Instance) bool { return scopes == nil || !scopes.Matches(i) })
+func (f *Feed) dropOutside(scopes *ScopeSet) []Instance {
+	dropped := appendGone(nil, f.instances, func(i Instance) bool { return scopes == nil || !scopes.Matches(i) })
 	for _, i := range dropped {
-		delete(f.known, i.ID)
+		delete(f.instances, i.ID)
 	}
 	return dropped
 }
@@ -264,20 +266,20 @@
 // next. A service that turned the call away may have said for how long.
 func (f *Feed) Failed(advised time.Duration) time.Duration {
 	f.failures++
-	f.step()
+	f.nextAddress()
 	if f.failures < len(f.addresses) {
-		return f.between(0, stepPause)
+		return f.randomBetween(0, maxNextAddressDelay)
 	}
 	round := min(f.failures/len(f.addresses)-1, 16)
-	pause := min(firstPause<<round, mostPause)
-	if advised = min(advised, mostAdvised); advised > pause {
-		return f.between(advised, advised+advised/2)
+	pause := min(initialBackoff<<round, maxBackoff)
+	if advised = min(advised, maxRetryAfterHonored); advised > pause {
+		return f.randomBetween(advised, advised+advised/2)
 	}
-	return f.between(pause/2, pause+pause/2)
+	return f.randomBetween(pause/2, pause+pause/2)
 }
 
-func (f *Feed) step() { f.at = (f.at + 1) % len(f.addresses) }
+func (f *Feed) nextAddress() { f.current = (f.current + 1) % len(f.addresses) }
 
-func (f *Feed) between(least, most time.Duration) time.Duration {
+func (f *Feed) randomBetween(least, most time.Duration) time.Duration {
 	return least + time.Duration(f.random.Int64N(int64(most-least)+1))
 }
--- a/internal/registry/feed_test.go
+++ b/internal/registry/feed_test.go
@@ -28,16 +28,16 @@
 		err     error
 		news    Listing
 	}{
-		{Listing{Generation: 5}, "h1", errNoWhole, Listing{}},
+		{Listing{Generation: 5}, "h1", errNoFullList, Listing{}},
 		{whole(5, inst("x", 1), inst("y", 1)), "h1", nil, whole(5, inst("x", 1), inst("y", 1))},
 		{whole(5, inst("x", 1), inst("y", 1)), "h1", nil, Listing{Generation: 5}}, // nothing new
 		{Listing{Generation: 6, Instances: []Instance{drained, left}}, "h1", nil, Listing{Generation: 6, Instances: []Instance{drained, left}}},
-		{whole(5, inst("x", 1), inst("y", 1)), "h1", errOlder, Listing{}},                                 // from one that lags
+		{whole(5, inst("x", 1), inst("y", 1)), "h1", errOlderVersion, Listing{}},                          // from one that lags
 		{Listing{Generation: 6, Instances: []Instance{drained, left}}, "h1", nil, Listing{Generation: 6}}, // told again
 		{whole(9, inst("z", 1)), "h1", nil, Listing{Generation: 9, Instances: []Instance{inst("z", 1), func() Instance { i := drained; i.Lifecycle = Gone; return i }()}}},
-		{Listing{Generation: 20}, "h2", errNoWhole, Listing{}},
+		{Listing{Generation: 20}, "h2", errNoFullList, Listing{}},
 		{whole(3, inst("z", 1)), "h2", nil, whole(3, inst("z", 1))}, // a service that was replaced
-		{whole(99, inst("x", 1)), "h1", errLeft, Listing{}},         // and one that has not heard of it
+		{whole(99, inst("x", 1)), "h1", errPastHistory, Listing{}},  // and one that has not heard of it
 	} {
 		news, err := f.Answered(step.l, step.history, 0)
 		if !errors.Is(err, step.err) || news.Generation != step.news.Generation || news.Reset != step.news.Reset ||
@@ -45,9 +45,9 @@
 			t.Fatalf("step %d: %+v, %v; want %+v, %v", n, news, err, step.news, step.err)
 		}
 	}
-	for range 3 * mostPast {
-		if f.Answered(whole(1), "h"+string(rune('a'+len(f.past))), 0); len(f.past) > mostPast {
-			t.Fatalf("%d histories are remembered", len(f.past))
+	for range 3 * maxPastHistories {
+		if f.Answered(whole(1), "h"+string(rune('a'+len(f.pastHistories))), 0); len(f.pastHistories) > maxPastHistories {
+			t.Fatalf("%d histories are remembered", len(f.pastHistories))
 		}
 	}
 }
@@ -64,24 +64,24 @@
 	}
 	step(100, "h1", nil)
 	step(300, "h3", nil)
-	step(200, "h2", errLeft) // of one that lags
+	step(200, "h2", errPastHistory) // of one that lags
 	f.Failed(0)
 	step(310, "h3", nil)
 	for range 2 { // nobody else answers
-		step(200, "h2", errLeft)
+		step(200, "h2", errPastHistory)
 		f.Failed(0)
 	}
 	step(200, "h2", nil)
 	for range 3 { // one that was left, in the first round
-		step(400, "h3", errLeft)
+		step(400, "h3", errPastHistory)
 		f.Failed(0)
 	}
-	step(110, "h1", errLeft) // older than what is had
+	step(110, "h1", errPastHistory) // older than what is had
 	step(400, "h3", nil)
 	f.Failed(0)
 	f.Failed(0)
 	f.Failed(0)
-	step(210, "h2", errLeft)
+	step(210, "h2", errPastHistory)
 }
 
 // At a failure the next address has its turn soon; after a round the pauses grow,
@@ -91,7 +91,7 @@
 	first := f.Next().Address
 	seen := map[string]bool{first: true}
 	for range 2 {
-		if wait := f.Failed(0); wait > stepPause {
+		if wait := f.Failed(0); wait > maxNextAddressDelay {
 			t.Errorf("%v to the next address", wait)
 		}
 		seen[f.Next().Address] = true
@@ -102,13 +102,13 @@
 	most := time.Duration(0)
 	for round := range 20 {
 		wait := f.Failed(0)
-		pause := min(firstPause<<min(round/3, 10), mostPause)
+		pause := min(initialBackoff<<min(round/3, 10), maxBackoff)
 		if wait < pause/2 || wait > pause+pause/2 {
 			t.Errorf("%v after %d failures, about %v", wait, f.failures, pause)
 		}
 		most = max(most, wait)
 	}
-	if f.Next().Address == "" || most < mostPause/2 {
+	if f.Next().Address == "" || most < maxBackoff/2 {
 		t.Errorf("never more than %v", most)
 	}
 	if wait := f.Failed(40 * time.Second); wait < 40*time.Second || wait > time.Minute {
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -13,14 +13,14 @@
 
 // keptCopyAge is the least age that a follower tells of the copy that an earlier process
 // kept, as it does not know how long ago that was. It is above staleAge.
-const keptCopyAge = 10 * time.Second
+const minPersistedCopyAge = 10 * time.Second
 
 // Follower copies a writer by its watch and serves reads. It never writes, until
 // an operator promotes it.
 type Follower struct {
 	*Server
 	client   *Client
-	moves    chan []string
+	sources  chan []string
 	source   string        // the writer that it copies, or whose place it has taken
 	promoted chan struct{} // closed then
 }
@@ -32,52 +32,52 @@
 	store := kept
 	if store == nil {
 		store = newStore(limits, 0)
-		store.gathering = math.MaxInt64
+		store.gatheringUntil = math.MaxInt64
 	}
-	f := &Follower{Server: NewWriter(self, store, serves, began, random), moves: make(chan []string), source: writer, promoted: make(chan struct{})}
-	f.client = NewClient([]string{writer}, rand.New(rand.NewPCG(random.Uint64(), 1)), f.heard)
+	f := &Follower{Server: NewWriter(self, store, serves, began, random), sources: make(chan []string), source: writer, promoted: make(chan struct{})}
+	f.client = NewClient([]string{writer}, rand.New(rand.NewPCG(random.Uint64(), 1)), f.applyUpdate)
 	f.client.watchWait = followerWatchWait
 	f.age = func() int64 {
 		switch age := f.client.Age(); {
 		case age >= 0:
 			return age.Milliseconds()
 		case kept != nil:
-			return (keptCopyAge + f.now()).Milliseconds()
+			return (minPersistedCopyAge + f.now()).Milliseconds()
 		}
 		return -1
 	}
 	name := fmt.Sprintf("%016x", random.Uint64())
 	f.Server.promote = func() error { return f.promote(name) }
-	if store.writes && store.fence == nil {
+	if store.isWriter && store.fence == nil {
 		close(f.promoted) // in an earlier life
 		return f
 	}
 	f.writer.Store(&writer)
-	if store.writes {
+	if store.isWriter {
 		// A writer that was fenced, and copies from now on.
-		store.writes, store.fence = false, nil
+		store.isWriter, store.fence = false, nil
 	}
 	return f
 }
 
 // heard copies what the writer tells.
-func (f *Follower) heard(told Told) {
-	_, err := f.change(func(now time.Duration) (Written, error) {
-		if f.store.writes || f.left() {
-			return Written{}, nil // promoted meanwhile, or at the end
+func (f *Follower) applyUpdate(told Update) {
+	_, err := f.change(func(now time.Duration) (WriteResult, error) {
+		if f.store.isWriter || f.isStopping() {
+			return WriteResult{}, nil // promoted meanwhile, or at the end
 		}
 		if told.History != f.store.history {
 			slog.Info("history", "name", told.History, "version", told.Generation, "before", f.store.history)
 		}
-		f.store.gathering = 0
+		f.store.gatheringUntil = 0
 		f.store.epoch = max(f.store.epoch, told.Epoch)
-		if f.keeper != nil {
+		if f.persister != nil {
 			// A copy that can't be kept is served all the same.
-			if err := f.keeper.keep(Saved{Copy: &SavedCopy{told.History, told.Epoch, told.Listing}}); err != nil {
+			if err := f.persister.persist(Record{Copy: &CopyRecord{told.History, told.Epoch, told.Listing}}); err != nil {
 				slog.Error("the copy is not kept", "error", err)
 			}
 		}
-		return Written{}, f.store.Copy(now, told.Listing, told.History)
+		return WriteResult{}, f.store.ApplyListing(now, told.Listing, told.History)
 	})
 	if err != nil {
 		slog.Error("copy", "error", err)
@@ -85,13 +85,13 @@
 }
 
 // Move copies another writer from now on. What is had stays until it answers.
-func (f *Follower) Move(ctx context.Context, writer string) {
+func (f *Follower) SetSource(ctx context.Context, writer string) {
 	if f.writer.Load() == nil {
 		return // it is the writer
 	}
 	f.writer.Store(&writer)
 	select {
-	case f.moves <- []string{writer}:
+	case f.sources <- []string{writer}:
 	case <-ctx.Done():
 	}
 }
@@ -107,11 +107,11 @@
 		select {
 		case <-f.promoted:
 			end()
-			f.tellOld(inner, f.source)
+			f.notifyOldWriter(inner, f.source)
 		case <-inner.Done():
 			end()
 		}
 	})
-	wg.Go(func() { f.client.Run(copying, f.moves) })
+	wg.Go(func() { f.client.Run(copying, f.sources) })
 	return f.Server.Serve(ctx, l, operators)
 }
--- a/internal/registry/handlers.go
+++ b/internal/registry/handlers.go
@@ -13,11 +13,11 @@
 // Handler answers the calls of readers and writers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+Path, s.read)
-	mux.HandleFunc("POST "+SubscriptionsPath, s.subscribe)
-	mux.HandleFunc("GET "+FencePath, s.fenceHandler)
-	mux.HandleFunc("POST "+FencePath, s.fenceHandler)
-	for pattern, f := range map[string]func(id string, r *http.Request) (Written, error){
+	mux.HandleFunc("GET "+Path, s.handleRead)
+	mux.HandleFunc("POST "+SubscriptionsPath, s.handleSubscribe)
+	mux.HandleFunc("GET "+FencePath, s.handleFence)
+	mux.HandleFunc("POST "+FencePath, s.handleFence)
+	for pattern, f := range map[string]func(id string, r *http.Request) (WriteResult, error){
 		"PUT " + Path + "/{id}":            s.register,
 		"POST " + Path + "/{id}/renew":     s.renew,
 		"POST " + Path + "/{id}/lifecycle": s.lifecycle,
@@ -26,24 +26,24 @@
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			if writer := s.writer.Load(); writer != nil {
 				if *writer == "" {
-					s.fail(w, refuse(http.StatusServiceUnavailable, "nobody writes now"))
+					s.writeError(w, refuse(http.StatusServiceUnavailable, "nobody writes now"))
 					return
 				}
 				w.Header().Set("Location", "http://"+*writer+r.URL.RequestURI())
-				s.fail(w, refuse(http.StatusTemporaryRedirect, "writes go to %s", *writer))
+				s.writeError(w, refuse(http.StatusTemporaryRedirect, "writes go to %s", *writer))
 				return
 			}
 			// A time-out of the server's own would end watches too.
 			control := http.NewResponseController(w)
-			control.SetReadDeadline(time.Now().Add(readWait))
+			control.SetReadDeadline(time.Now().Add(readTimeout))
 			written, err := f(r.PathValue("id"), r)
 			if err != nil {
 				w.Header().Set("Connection", "close") // the rest of its body may still come
-				s.fail(w, err)
+				s.writeError(w, err)
 				return
 			}
 			control.SetReadDeadline(time.Time{})
-			s.write(w, fmt.Appendf(nil, `{"version":%d,"lifecycle":%q,"leaseMs":%d}`+"\n", written.Version, written.Lifecycle, s.lease().Milliseconds()))
+			s.writeAnswer(w, fmt.Appendf(nil, `{"version":%d,"lifecycle":%q,"leaseMs":%d}`+"\n", written.Version, written.Lifecycle, s.lease().Milliseconds()))
 		})
 	}
 	return mux
@@ -51,7 +51,7 @@
 
 // writeCall is the body of a write. All calls name the process by its start, and may
 // name the version that its instance is at; 0: that it is not on the list.
-type writeCall struct {
+type writeRequest struct {
 	HostPort    string    `json:"hostPort"`
 	Zone        string    `json:"zone"`
 	MachineType string    `json:"machineType"`
@@ -64,13 +64,13 @@
 	IfVersion   *int64    `json:"ifVersion"`
 }
 
-func readCall(r *http.Request) (writeCall, error) {
-	var c writeCall
-	text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, mostCall))
+func readWriteRequest(r *http.Request) (writeRequest, error) {
+	var c writeRequest
+	text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxRequestBytes))
 	var long *http.MaxBytesError
 	switch {
 	case errors.As(err, &long):
-		return c, refuse(http.StatusRequestEntityTooLarge, "a call has %d bytes at most", mostCall)
+		return c, refuse(http.StatusRequestEntityTooLarge, "a call has %d bytes at most", maxRequestBytes)
 	case err != nil:
 		return c, refuse(http.StatusBadRequest, "the call did not come whole")
 	}
@@ -83,62 +83,62 @@
 	return c, nil
 }
 
-func (s *Server) register(id string, r *http.Request) (Written, error) {
-	c, err := readCall(r)
+func (s *Server) register(id string, r *http.Request) (WriteResult, error) {
+	c, err := readWriteRequest(r)
 	if err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
 	i := Instance{ID: id, HostPort: c.HostPort, Zone: c.Zone, MachineType: c.MachineType, Cell: c.Cell,
 		Service: c.Service, Region: c.Region, Lifecycle: c.Lifecycle, Weight: 1, StartedAtMs: *c.StartedAtMs}
 	if c.Weight != nil {
 		i.Weight = *c.Weight
 	}
-	return s.writeChange(func(now time.Duration) (Written, error) { return s.store.Register(now, i, c.IfVersion) })
+	return s.writeChange(func(now time.Duration) (WriteResult, error) { return s.store.Register(now, i, c.IfVersion) })
 }
 
-func (s *Server) renew(id string, r *http.Request) (Written, error) {
-	c, err := readCall(r)
-	if err == nil && c != (writeCall{StartedAtMs: c.StartedAtMs}) {
+func (s *Server) renew(id string, r *http.Request) (WriteResult, error) {
+	c, err := readWriteRequest(r)
+	if err == nil && c != (writeRequest{StartedAtMs: c.StartedAtMs}) {
 		err = refuse(http.StatusBadRequest, "a renewal has startedAtMs alone")
 	}
 	if err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
-	return s.writeChange(func(now time.Duration) (Written, error) { return s.store.Renew(now, id, *c.StartedAtMs) })
+	return s.writeChange(func(now time.Duration) (WriteResult, error) { return s.store.Renew(now, id, *c.StartedAtMs) })
 }
 
-func (s *Server) lifecycle(id string, r *http.Request) (Written, error) {
-	c, err := readCall(r)
-	if err == nil && c != (writeCall{StartedAtMs: c.StartedAtMs, Lifecycle: c.Lifecycle, IfVersion: c.IfVersion}) {
+func (s *Server) lifecycle(id string, r *http.Request) (WriteResult, error) {
+	c, err := readWriteRequest(r)
+	if err == nil && c != (writeRequest{StartedAtMs: c.StartedAtMs, Lifecycle: c.Lifecycle, IfVersion: c.IfVersion}) {
 		err = refuse(http.StatusBadRequest, "a change of lifecycle has lifecycle, startedAtMs and ifVersion alone")
 	}
 	if err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
-	return s.writeChange(func(now time.Duration) (Written, error) {
+	return s.writeChange(func(now time.Duration) (WriteResult, error) {
 		return s.store.SetLifecycle(now, id, *c.StartedAtMs, c.Lifecycle, c.IfVersion)
 	})
 }
 
-func (s *Server) leave(id string, r *http.Request) (Written, error) {
-	started, err := number(r, "startedAtMs", 0, mostStart)
+func (s *Server) leave(id string, r *http.Request) (WriteResult, error) {
+	started, err := queryInteger(r, "startedAtMs", 0, maxExactInteger)
 	if err == nil && started < 0 {
 		err = refuse(http.StatusBadRequest, "startedAtMs is missing")
 	}
 	if err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
 	var expect *int64
-	if version, err := number(r, "ifVersion", 0, mostStart); err != nil {
-		return Written{}, err
+	if version, err := queryInteger(r, "ifVersion", 0, maxExactInteger); err != nil {
+		return WriteResult{}, err
 	} else if version >= 0 {
 		expect = &version
 	}
-	return s.writeChange(func(now time.Duration) (Written, error) { return s.store.Leave(now, id, started, expect) })
+	return s.writeChange(func(now time.Duration) (WriteResult, error) { return s.store.Leave(now, id, started, expect) })
 }
 
 // number reads a number of a call's query; -1: it names none.
-func number(r *http.Request, name string, least, most int64) (int64, error) {
+func queryInteger(r *http.Request, name string, least, most int64) (int64, error) {
 	values := r.URL.Query()[name]
 	if len(values) == 0 {
 		return -1, nil
@@ -151,35 +151,35 @@
 }
 
 // write gives an answer, for which a watcher has so long.
-func (s *Server) write(w http.ResponseWriter, body []byte) {
+func (s *Server) writeAnswer(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if s.left() {
+	if s.isStopping() {
 		w.Header().Set("Connection", "close")
 	}
 	control := http.NewResponseController(w)
-	control.SetWriteDeadline(time.Now().Add(writeWait))
-	s.figures.answers.Add(1)
+	control.SetWriteDeadline(time.Now().Add(writeTimeout))
+	s.metrics.answers.Add(1)
 	_, err := w.Write(body)
 	if err = cmp.Or(err, control.Flush()); err != nil { // a short answer fails only when it is sent
-		s.figures.cut.Add(1)
+		s.metrics.aborted.Add(1)
 		return
 	}
-	s.figures.bytes.Add(int64(len(body)))
+	s.metrics.bytes.Add(int64(len(body)))
 }
 
 // fail says in one line why a call changed nothing.
-func (s *Server) fail(w http.ResponseWriter, err error) {
+func (s *Server) writeError(w http.ResponseWriter, err error) {
 	var r *Refusal
 	if !errors.As(err, &r) {
 		r = &Refusal{http.StatusServiceUnavailable, err.Error()}
 	}
 	if r.Status == http.StatusServiceUnavailable {
-		s.figures.turnedAway.Add(1)
-		w.Header().Set("Retry-After", strconv.FormatFloat(s.between(leastAfter, mostAfter).Seconds(), 'f', 3, 64))
+		s.metrics.overloaded.Add(1)
+		w.Header().Set("Retry-After", strconv.FormatFloat(s.randomBetween(minRetryAfter, maxRetryAfter).Seconds(), 'f', 3, 64))
 	} else {
-		s.figures.refused.Add(1)
+		s.metrics.refused.Add(1)
 	}
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWait))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	http.Error(w, r.Text, r.Status)
 }
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -7,43 +7,43 @@
 )
 
 type change struct {
-	version int64
-	id      string
-	started int64
-	drained bool
-	gone    bool
-	text    []byte
-	places  *places // nil: the instance is in no service, and was in none
+	version    int64
+	id         string
+	started    int64
+	drained    bool
+	gone       bool
+	encoded    []byte
+	placements *placements // nil: the instance is in no service, and was in none
 }
 
 // places are where an instance is after a change, and where it was before.
-type places struct {
-	at Placement
+type placements struct {
+	current Placement
 	// left are the other placements that the instance had since the version before, which
 	// is several changes ago where a follower was told of them at once.
-	left []Placement
+	previous []Placement
 }
 
 // at is where the instance is; nowhere that a scope knows if it is in no service.
-func (c *change) at() Placement {
-	if c.places == nil {
+func (c *change) currentPlacement() Placement {
+	if c.placements == nil {
 		return Placement{}
 	}
-	return c.places.at
+	return c.placements.current
 }
 
 // left are the placements that the instance left with the change.
-func (c *change) left() []Placement {
-	if c.places == nil {
+func (c *change) previousPlacements() []Placement {
+	if c.placements == nil {
 		return nil
 	}
-	return c.places.left
+	return c.placements.previous
 }
 
 // size is what a change counts for in the bytes of the history.
 func (c *change) size() int {
-	bytes := len(c.text)
-	for _, p := range c.left() {
+	bytes := len(c.encoded)
+	for _, p := range c.previousPlacements() {
 		bytes += len(p.Service) + len(p.Region) + len(p.Zone)
 	}
 	return bytes
@@ -51,58 +51,58 @@
 
 // forget drops the history: what there was before is no list that anybody may
 // go on from.
-func (s *Store) forget() {
-	s.changes, s.bytes, s.from = nil, 0, s.version
+func (s *Store) clearHistory() {
+	s.changes, s.bytes, s.baseVersion = nil, 0, s.version
 	clear(s.gone)
-	s.dropAnswers()
+	s.clearCache()
 }
 
 // put takes a change in under its version. Meanwhile the instance has been at some
 // other placements, or at none.
-func (s *Store) put(i Instance, version int64, now time.Duration, meanwhile []Placement) error {
+func (s *Store) applyChange(i Instance, version int64, now time.Duration, meanwhile []Placement) error {
 	text, err := json.Marshal(i)
 	if err != nil {
 		return err
 	}
-	s.stats.Encoded++
-	s.putText(i, text, version, now, meanwhile)
+	s.stats.ChangesEncoded++
+	s.applyEncoded(i, text, version, now, meanwhile)
 	return nil
 }
 
 // putText takes a change in whose text there is.
-func (s *Store) putText(i Instance, text []byte, version int64, now time.Duration, meanwhile []Placement) {
+func (s *Store) applyEncoded(i Instance, text []byte, version int64, now time.Duration, meanwhile []Placement) {
 	var left []Placement
 	if e := s.entries[i.ID]; e != nil {
-		left = appendLeft(left, e.placement(), i.placement())
+		left = appendPrevious(left, e.placement(), i.placement())
 	}
 	for _, p := range meanwhile {
-		left = appendLeft(left, p, i.placement())
-		s.services.mention(p.Service)
+		left = appendPrevious(left, p, i.placement())
+		s.services.addKnown(p.Service)
 	}
 	c := newChange(i, version, text, left)
 	s.version = version
-	s.dropAnswers()
+	s.clearCache()
 	if i.Lifecycle == Gone {
-		s.withdraw(i.ID)
-		s.services.mention(i.Service)
+		s.removeEntry(i.ID)
+		s.services.addKnown(i.Service)
 	} else {
-		s.enter(&entry{Instance: i, version: version, text: text, expires: now + s.limits.Lease})
+		s.putEntry(&entry{Instance: i, version: version, encoded: text, expires: now + s.limits.Lease})
 		delete(s.gone, i.ID)
 	}
-	s.remember(c, c.gone)
+	s.appendChange(c, c.gone)
 }
 
 func newChange(i Instance, version int64, text []byte, left []Placement) change {
-	c := change{version: version, id: i.ID, started: i.StartedAtMs, drained: i.Drained, gone: i.Lifecycle == Gone, text: text}
+	c := change{version: version, id: i.ID, started: i.StartedAtMs, drained: i.Drained, gone: i.Lifecycle == Gone, encoded: text}
 	if i.Service != "" || len(left) > 0 {
-		c.places = &places{i.placement(), left}
+		c.placements = &placements{i.placement(), left}
 	}
 	return c
 }
 
 // appendLeft adds a placement that was left for another, once. One without a service is
 // in no scope.
-func appendLeft(left []Placement, from, to Placement) []Placement {
+func appendPrevious(left []Placement, from, to Placement) []Placement {
 	if from.Service == "" || from == to || slices.Contains(left, from) {
 		return left
 	}
@@ -111,18 +111,18 @@
 
 // remember puts a change into the history, which forgets the oldest for it, and with one
 // all of its version: a follower has several, and nobody goes on from between them.
-func (s *Store) remember(c change, gone bool) {
+func (s *Store) appendChange(c change, gone bool) {
 	if gone {
 		s.gone[c.id] = c
 	}
 	s.changes = append(s.changes, c)
 	s.bytes += c.size()
-	for len(s.changes) > 0 && (len(s.changes) > s.limits.History || s.bytes > s.limits.HistoryBytes || s.changes[0].version <= s.from) {
+	for len(s.changes) > 0 && (len(s.changes) > s.limits.History || s.bytes > s.limits.HistoryBytes || s.changes[0].version <= s.baseVersion) {
 		old := s.changes[0]
 		s.changes[0] = change{}
 		s.changes = s.changes[1:]
 		s.bytes -= old.size()
-		s.from = old.version
+		s.baseVersion = old.version
 		if s.gone[old.id].version == old.version {
 			delete(s.gone, old.id)
 		}
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -79,11 +79,11 @@
 func (l Lifecycle) known() bool { return l == Ready || l == Terminating || l == Gone }
 
 const (
-	mostID     = 64      // bytes
-	mostName   = 64      // of a zone or machine type
-	mostCell   = 1 << 20 // cells are numbered below it
-	mostWeight = 1e6
-	mostStart  = 1 << 53 // milliseconds that JSON readers keep exact
+	maxIDBytes      = 64      // bytes
+	maxNameBytes    = 64      // of a zone or machine type
+	maxCells        = 1 << 20 // cells are numbered below it
+	maxWeight       = 1e6
+	maxExactInteger = 1 << 53 // milliseconds that JSON readers keep exact
 )
 
 // check finds what an instance in a list can't be.
@@ -96,29 +96,29 @@
 	case err != nil || address.Port() == 0:
 		return fmt.Errorf("hostPort: %.80q is not a numeric address with a port", i.HostPort)
 	case !isName(i.Zone):
-		return fmt.Errorf("zone: %.80q is not a name of 1 to %d letters", i.Zone, mostName)
+		return fmt.Errorf("zone: %.80q is not a name of 1 to %d letters", i.Zone, maxNameBytes)
 	case !isName(i.MachineType):
-		return fmt.Errorf("machineType: %.80q is not a name of 1 to %d letters", i.MachineType, mostName)
-	case i.Cell < 0 || i.Cell >= mostCell:
+		return fmt.Errorf("machineType: %.80q is not a name of 1 to %d letters", i.MachineType, maxNameBytes)
+	case i.Cell < 0 || i.Cell >= maxCells:
 		return fmt.Errorf("cell: %d is out of range", i.Cell)
 	case !i.Lifecycle.known():
 		return fmt.Errorf("lifecycle: %.80q is not known", i.Lifecycle)
-	case !(i.Weight >= 0 && i.Weight <= mostWeight) || math.IsNaN(i.Weight):
+	case !(i.Weight >= 0 && i.Weight <= maxWeight) || math.IsNaN(i.Weight):
 		return fmt.Errorf("weight: %g is out of range", i.Weight)
-	case i.StartedAtMs < 0 || i.StartedAtMs > mostStart:
+	case i.StartedAtMs < 0 || i.StartedAtMs > maxExactInteger:
 		return fmt.Errorf("startedAtMs: %d is out of range", i.StartedAtMs)
 	case i.Drained && i.Lifecycle != Gone:
 		return fmt.Errorf("drained: %s is %s, not Gone", i.ID, i.Lifecycle)
 	case i.Service != "" && !isServiceName(i.Service):
-		return fmt.Errorf("service: %.80q is not 1 to %d characters of a-z, A-Z, 0-9, dot, dash and underscore", i.Service, mostName)
+		return fmt.Errorf("service: %.80q is not 1 to %d characters of a-z, A-Z, 0-9, dot, dash and underscore", i.Service, maxNameBytes)
 	case i.Region != "" && !isName(i.Region):
-		return fmt.Errorf("region: %.80q is not a name of 1 to %d letters", i.Region, mostName)
+		return fmt.Errorf("region: %.80q is not a name of 1 to %d letters", i.Region, maxNameBytes)
 	}
 	return nil
 }
 
 func checkID(id string) error {
-	if id == "" || len(id) > mostID {
+	if id == "" || len(id) > maxIDBytes {
 		return fmt.Errorf("instanceId: %d bytes are none or too many", len(id))
 	}
 	for _, c := range []byte(id) {
@@ -130,7 +130,7 @@
 }
 
 func isName(s string) bool {
-	if s == "" || len(s) > mostName {
+	if s == "" || len(s) > maxNameBytes {
 		return false
 	}
 	for _, r := range s {
@@ -160,7 +160,7 @@
 	if err := json.Unmarshal(text, &l); err != nil {
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
-	if l.Generation < 0 || l.Generation > mostStart {
+	if l.Generation < 0 || l.Generation > maxExactInteger {
 		return Listing{}, fmt.Errorf("list: generation %d is out of range", l.Generation)
 	}
 	ids := make([]string, 0, len(l.Instances))
--- a/internal/registry/keeper.go
+++ b/internal/registry/keeper.go
@@ -15,30 +15,30 @@
 const WALKind = "registry"
 
 const (
-	mostBatch  = 1024             // calls that one sync is for
-	batchBytes = 1 << 20          // of their records, about
-	keptWithin = 5 * time.Second  // that a call waits
-	roomGap    = 10 * time.Second // between two lines about a full disk
-	snapAgain  = 5 * time.Second  // after a snapshot that failed
+	maxBatchWrites       = 1024             // calls that one sync is for
+	maxBatchBytes        = 1 << 20          // of their records, about
+	persistTimeout       = 5 * time.Second  // that a call waits
+	diskErrorLogInterval = 10 * time.Second // between two lines about a full disk
+	snapshotRetryDelay   = 5 * time.Second  // after a snapshot that failed
 )
 
 // keeper makes changes last before anybody is told of them. One goroutine applies
 // the calls that have come, makes what they change last with one sync, and answers
 // them all; what comes meanwhile is the next batch.
-type keeper struct {
-	s      *Server
-	log    *wal.Log                     // nil where a group keeps what is changed
-	append func(records [][]byte) error // makes records last
-	calls  chan *job
-	snap   chan error // the end of a snapshot under way
-	toldAt time.Time
-	again  time.Time // no snapshot before
+type persister struct {
+	server            *Server
+	log               *wal.Log                     // nil where a group keeps what is changed
+	appendRecords     func(records [][]byte) error // makes records last
+	requests          chan *pendingWrite
+	snapshotDone      chan error // the end of a snapshot under way
+	diskErrorLoggedAt time.Time
+	nextSnapshotAt    time.Time // no snapshot before
 }
 
 // job is a call that somebody waits for.
-type job struct {
-	f       func(now time.Duration) (Written, error)
-	written Written
+type pendingWrite struct {
+	apply   func(now time.Duration) (WriteResult, error)
+	written WriteResult
 	err     error
 	done    chan struct{}
 }
@@ -49,7 +49,7 @@
 	store := newStore(limits, now)
 	any := false
 	restore := func(text []byte) error {
-		r, err := ParseSaved(text)
+		r, err := ParseRecord(text)
 		if err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 		return store.Restore(now, r)
 	}
 	const segments = 16 // files that the log is in, about, when it is full
-	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(2*batchBytes, most/segments), MaxBytes: most},
+	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(2*maxBatchBytes, most/segments), MaxBytes: most},
 		wal.Visitor{Snapshot: restore, Record: func(_ uint64, text []byte) error { return restore(text) }})
 	if err != nil {
 		return nil, nil, err
@@ -76,71 +76,71 @@
 
 // Keep makes the server's changes last in a log. A history that begins is kept at
 // once.
-func (s *Server) Keep(log *wal.Log, fresh bool) error {
+func (s *Server) Persist(log *wal.Log, fresh bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if fresh {
-		b := Begin{History: s.store.history, Version: s.store.version, From: s.store.from, Epoch: s.store.epoch, Writer: true}
-		if _, err := log.Append([][]byte{encodeSaved(Saved{Begin: &b})}); err != nil {
+		b := Begin{History: s.store.history, Version: s.store.version, BaseVersion: s.store.baseVersion, Epoch: s.store.epoch, Writer: true}
+		if _, err := log.Append([][]byte{encodeRecord(Record{Begin: &b})}); err != nil {
 			return err
 		}
 	}
-	s.keeper = &keeper{s: s, log: log, calls: make(chan *job), snap: make(chan error, 1), append: func(records [][]byte) error {
+	s.persister = &persister{server: s, log: log, requests: make(chan *pendingWrite), snapshotDone: make(chan error, 1), appendRecords: func(records [][]byte) error {
 		_, err := log.Append(records)
 		return err
 	}}
-	if s.store.writes {
-		s.store.Stage()
+	if s.store.isWriter {
+		s.store.EnableStaging()
 	}
 	return nil
 }
 
 // do makes a call and waits until what it changes lasts.
-func (k *keeper) do(f func(now time.Duration) (Written, error)) (Written, error) {
-	c := &job{f: f, done: make(chan struct{})}
-	late := time.NewTimer(keptWithin)
+func (k *persister) submit(f func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
+	c := &pendingWrite{apply: f, done: make(chan struct{})}
+	late := time.NewTimer(persistTimeout)
 	defer late.Stop()
 	select {
-	case k.calls <- c:
+	case k.requests <- c:
 	case <-late.C:
-		return Written{}, refuse(http.StatusServiceUnavailable, "the disk does not keep up")
-	case <-k.s.ended:
-		return Written{}, refuse(http.StatusServiceUnavailable, "the service has ended")
+		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the disk does not keep up")
+	case <-k.server.persisterDone:
+		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the service has ended")
 	}
 	select {
 	case <-c.done:
 		return c.written, c.err
 	case <-late.C:
-		return Written{}, refuse(http.StatusServiceUnavailable, "the disk does not answer; the change may be kept")
+		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the disk does not answer; the change may be kept")
 	}
 }
 
 // run keeps changes until ctx ends or the log fails.
-func (k *keeper) run(ctx context.Context) error {
-	tick := time.NewTicker(tickGap)
+func (k *persister) run(ctx context.Context) error {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	var waiting []*job
+	var waiting []*pendingWrite
 	for {
 		if len(waiting) == 0 {
 			select {
 			case <-ctx.Done():
 				return nil
-			case err := <-k.snap:
-				k.snapped(err)
+			case err := <-k.snapshotDone:
+				k.finishSnapshot(err)
 				continue
 			case <-tick.C:
-				if k.s.agreed != nil {
-					k.s.begin()
+				if k.server.replicated != nil {
+					k.server.beginHistory()
 				}
 				waiting = append(waiting, k.tick())
-			case c := <-k.calls:
+			case c := <-k.requests:
 				waiting = append(waiting, c)
 			}
 		}
 	more:
-		for len(waiting) < mostBatch {
+		for len(waiting) < maxBatchWrites {
 			select {
-			case c := <-k.calls:
+			case c := <-k.requests:
 				waiting = append(waiting, c)
 			default:
 				break more
@@ -154,31 +154,31 @@
 }
 
 // tick is the call that lets leases lapse.
-func (k *keeper) tick() *job {
-	return &job{done: make(chan struct{}), f: func(now time.Duration) (Written, error) {
-		if !k.s.store.writes || k.s.store.fence != nil {
-			return Written{}, nil
+func (k *persister) tick() *pendingWrite {
+	return &pendingWrite{done: make(chan struct{}), apply: func(now time.Duration) (WriteResult, error) {
+		if !k.server.store.isWriter || k.server.store.fence != nil {
+			return WriteResult{}, nil
 		}
-		return Written{}, k.s.store.Tick(now)
+		return WriteResult{}, k.server.store.Tick(now)
 	}}
 }
 
 // batch makes calls, makes what they change last, and answers them. It returns
 // those that have to wait for the changes of others.
-func (k *keeper) batch(calls []*job) (later []*job, err error) {
-	var made []*job
-	k.s.mu.Lock()
+func (k *persister) batch(calls []*pendingWrite) (later []*pendingWrite, err error) {
+	var made []*pendingWrite
+	k.server.mu.Lock()
 	bytes := 0
-	pauses := k.s.store.stats.Pauses
+	pauses := k.server.store.stats.Pauses
 	for i, c := range calls {
-		if bytes > batchBytes {
+		if bytes > maxBatchBytes {
 			later = append(later, calls[i:]...)
 			break
 		}
-		before := len(k.s.store.staged)
-		c.written, c.err = c.f(k.s.now())
-		for _, staged := range k.s.store.staged[before:] {
-			bytes += len(staged.text)
+		before := len(k.server.store.staged)
+		c.written, c.err = c.apply(k.server.now())
+		for _, staged := range k.server.store.staged[before:] {
+			bytes += len(staged.encoded)
 		}
 		if errors.Is(c.err, errPending) {
 			later = append(later, c)
@@ -186,43 +186,43 @@
 		}
 		made = append(made, c)
 	}
-	if k.s.store.stats.Pauses != pauses {
+	if k.server.store.stats.Pauses != pauses {
 		slog.Warn("the service stood still; all leases begin anew")
 	}
-	records := k.s.store.Staged()
-	k.s.mu.Unlock()
+	records := k.server.store.StagedRecords()
+	k.server.mu.Unlock()
 	if len(records) > 0 {
-		err = k.append(records) // while readers and renewals that wait are let be
-		k.s.mu.Lock()
+		err = k.appendRecords(records) // while readers and renewals that wait are let be
+		k.server.mu.Lock()
 		switch {
-		case err == nil && k.s.agreed != nil:
-			k.s.store.Drop() // they have come by the group
+		case err == nil && k.server.replicated != nil:
+			k.server.store.DropStaged() // they have come by the group
 		case err == nil:
-			k.s.store.Settle(k.s.now())
-			k.s.wake()
+			k.server.store.CommitStaged(k.server.now())
+			k.server.wake()
 		default:
-			k.s.store.Drop()
+			k.server.store.DropStaged()
 			for _, c := range made {
 				if c.err == nil {
 					c.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
 				}
 			}
 		}
-		k.s.mu.Unlock()
+		k.server.mu.Unlock()
 	}
 	for _, c := range made {
 		close(c.done)
 	}
 	if err != nil {
-		if !errors.Is(err, wal.ErrNoSpace) && !errors.Is(err, errNotAgreed) {
+		if !errors.Is(err, wal.ErrNoSpace) && !errors.Is(err, errOutcomeUnknown) {
 			for _, c := range later {
 				c.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
 				close(c.done)
 			}
 			return nil, fmt.Errorf("changes can't be kept any more: %w", err)
 		}
-		if time.Since(k.toldAt) > roomGap {
-			k.toldAt = time.Now()
+		if time.Since(k.diskErrorLoggedAt) > diskErrorLogInterval {
+			k.diskErrorLoggedAt = time.Now()
 			slog.Error("writes are turned away, reads go on", "error", err)
 		}
 	}
@@ -231,21 +231,21 @@
 }
 
 // snapshot begins to write one, if it is due and none is being written.
-func (k *keeper) snapshot() {
-	if k.log == nil || !k.log.SnapshotDue() || time.Now().Before(k.again) {
+func (k *persister) snapshot() {
+	if k.log == nil || !k.log.SnapshotDue() || time.Now().Before(k.nextSnapshotAt) {
 		return
 	}
-	k.again = time.Now().Add(time.Hour) // until this one has ended
-	k.s.mu.Lock()
-	all, sequence := k.s.store.Save(), k.log.LastSequence()
-	k.s.mu.Unlock()
-	k.s.wg.Go(func() { k.snap <- writeSnapshot(k.log, sequence, all) })
+	k.nextSnapshotAt = time.Now().Add(time.Hour) // until this one has ended
+	k.server.mu.Lock()
+	all, sequence := k.server.store.SnapshotRecords(), k.log.LastSequence()
+	k.server.mu.Unlock()
+	k.server.snapshots.Go(func() { k.snapshotDone <- writeSnapshot(k.log, sequence, all) })
 }
 
-func writeSnapshot(log *wal.Log, sequence uint64, all []Saved) error {
+func writeSnapshot(log *wal.Log, sequence uint64, all []Record) error {
 	return log.Snapshot(sequence, func(emit func([]byte) error) error {
 		for _, r := range all {
-			if err := emit(encodeSaved(r)); err != nil {
+			if err := emit(encodeRecord(r)); err != nil {
 				return err
 			}
 		}
@@ -253,11 +253,11 @@
 	})
 }
 
-func (k *keeper) snapped(err error) {
-	k.again = time.Now()
+func (k *persister) finishSnapshot(err error) {
+	k.nextSnapshotAt = time.Now()
 	st := k.log.Stats()
 	if err != nil {
-		k.again = k.again.Add(snapAgain)
+		k.nextSnapshotAt = k.nextSnapshotAt.Add(snapshotRetryDelay)
 		slog.Error("snapshot", "error", err)
 		return
 	}
@@ -266,7 +266,7 @@
 
 // keep keeps a record of a follower, or of what befalls the service itself. The
 // caller has the server's lock.
-func (k *keeper) keep(r Saved) error { return k.append([][]byte{encodeSaved(r)}) }
+func (k *persister) persist(r Record) error { return k.appendRecords([][]byte{encodeRecord(r)}) }
 
 // Compact writes a snapshot of a folder that no process has.
 func Compact(fs wal.FS, most int64) (wal.Stats, error) {
@@ -275,7 +275,7 @@
 		return wal.Stats{}, err
 	}
 	if store != nil && log.LastSequence() > log.Stats().Snapshot {
-		err = writeSnapshot(log, log.LastSequence(), store.Save())
+		err = writeSnapshot(log, log.LastSequence(), store.SnapshotRecords())
 	}
 	st := log.Stats()
 	return st, errors.Join(err, log.Close())
--- a/internal/registry/keeper_test.go
+++ b/internal/registry/keeper_test.go
@@ -59,7 +59,7 @@
 	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1))
 	if writer != "" {
 		f := NewFollower(address, writer, store, testLimits, testServes, time.Now(), random)
-		if err := f.Keep(log, false); err != nil {
+		if err := f.Persist(log, false); err != nil {
 			t.Fatal(err)
 		}
 		s := &service{Server: f.Server}
@@ -71,7 +71,7 @@
 		store = newTestStore(testLimits, 0)
 	}
 	s := &service{Server: NewWriter(address, store, testServes, time.Now(), random)}
-	if err := s.Keep(log, fresh); err != nil {
+	if err := s.Persist(log, fresh); err != nil {
 		t.Fatal(err)
 	}
 	s.run(t, s.Server.Serve, address)
@@ -117,21 +117,21 @@
 	if code, text, _ := call(t, "PUT", s.url("/s-0"), registration(4)); code != 409 {
 		t.Errorf("an earlier process than the one that left: %d %s", code, text)
 	}
-	joined := s.storeStats().Joined
+	joined := s.storeStats().AnswersEncoded
 	var wg sync.WaitGroup
 	var whole atomic.Int64
 	for range 1000 {
 		wg.Go(func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if a, err := s.store.Read(s.now(), before.Generation, "h1"); err != nil || a.Whole || !a.Nothing {
+			if a, err := s.store.Read(s.now(), before.Generation, "h1"); err != nil || a.Full || !a.Unchanged {
 				whole.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	if whole.Load() > 0 || s.storeStats().Joined > joined+1 {
-		t.Errorf("%d of 1000 got more than nothing, %d answers put together", whole.Load(), s.storeStats().Joined-joined)
+	if whole.Load() > 0 || s.storeStats().AnswersEncoded > joined+1 {
+		t.Errorf("%d of 1000 got more than nothing, %d answers put together", whole.Load(), s.storeStats().AnswersEncoded-joined)
 	}
 	_, figures, _ := call(t, "GET", "http://"+s.control+"/control/counters", "")
 	for _, want := range []string{"registry.data.syncs:", "registry.data.segments:", "registry.data.recovery_us:", "registry.data.cut_bytes:0|g"} {
@@ -145,14 +145,14 @@
 func TestWritersShareSyncs(t *testing.T) {
 	dir := wal.Dir(t.TempDir())
 	s, _ := startKeeping(t, dir, "127.0.0.1:0", "")
-	s.Retune(Limits{Lease: time.Minute, Instances: 1000, History: 10_000, HistoryBytes: 1 << 24}, testServes)
+	s.SetLimits(Limits{Lease: time.Minute, Instances: 1000, History: 10_000, HistoryBytes: 1 << 24}, testServes)
 	var wg sync.WaitGroup
 	var failed atomic.Int64
 	for n := range 50 {
 		wg.Go(func() {
 			for started := range int64(10) {
 				id := fmt.Sprint("s-", n)
-				_, err := s.writeChange(func(now time.Duration) (Written, error) {
+				_, err := s.writeChange(func(now time.Duration) (WriteResult, error) {
 					return s.store.Register(now, inst(id, started+1), nil)
 				})
 				if err != nil {
@@ -162,7 +162,7 @@
 		})
 	}
 	wg.Wait()
-	st := s.keeper.log.Stats()
+	st := s.persister.log.Stats()
 	t.Logf("%d records, %d syncs", st.Records, st.Syncs)
 	if failed.Load() > 0 || st.Records != 501 || st.Syncs >= 500 {
 		t.Errorf("%d failed, %+v", failed.Load(), st)
@@ -277,7 +277,7 @@
 	}
 	f.put(t, "s-5", 5)
 	fresh := NewWriter("w", newTestStore(testLimits, 0), testServes, time.Now(), rand.New(rand.NewPCG(1, 1)))
-	fresh.AskPeers(t.Context(), []string{"127.0.0.1:1", f.address})
+	fresh.QueryPeers(t.Context(), []string{"127.0.0.1:1", f.address})
 	if fenced := fresh.Fenced(); fenced == nil || fenced.Epoch != 2 {
 		t.Errorf("%+v", fenced)
 	}
@@ -306,13 +306,13 @@
 		s := newTestStore(testLimits, 0)
 		s.Register(0, inst("a", 1), nil)
 		before := s.version
-		if err := s.Restore(0, s.Promote(0, "h2", clock)); err != nil {
+		if err := s.Restore(0, s.PromotionRecord(0, "h2", clock)); err != nil {
 			t.Fatal(err)
 		}
 		if s.version <= before || s.version < clock || s.epoch != 2 || s.entries["a"] == nil {
 			t.Errorf("clock %d: version %d after %d, epoch %d", clock, s.version, before, s.epoch)
 		}
-		if err := s.Restore(0, Saved{Begin: &Begin{History: "h3", Version: before, Epoch: 3}}); err == nil {
+		if err := s.Restore(0, Record{Begin: &Begin{History: "h3", Version: before, Epoch: 3}}); err == nil {
 			t.Errorf("clock %d: a record of version %d was taken at %d", clock, before, s.version)
 		}
 	}
@@ -355,12 +355,12 @@
 			}
 			if store == nil {
 				store = newTestStore(limits, now)
-				log.Append([][]byte{encodeSaved(store.Save()[0])})
+				log.Append([][]byte{encodeRecord(store.SnapshotRecords()[0])})
 			}
 			if got := fmt.Sprint(texts(store)); model != "" && got != model {
 				t.Fatalf("seed %d:\n%s\nbefore\n%s", seed, got, model)
 			}
-			store.Stage()
+			store.EnableStaging()
 			for range 60 {
 				now += time.Duration(random.IntN(200)) * time.Millisecond
 				id := fmt.Sprint("i", random.IntN(14))
@@ -375,23 +375,23 @@
 					store.Tick(now)
 				case 4:
 					if random.IntN(4) == 0 && log.LastSequence() > log.Stats().Snapshot && len(store.staged) == 0 {
-						if err := writeSnapshot(log, log.LastSequence(), store.Save()); err != nil {
+						if err := writeSnapshot(log, log.LastSequence(), store.SnapshotRecords()); err != nil {
 							t.Fatal(err)
 						}
 					}
 				}
-				if staged := store.Staged(); len(staged) > 0 && random.IntN(3) > 0 {
+				if staged := store.StagedRecords(); len(staged) > 0 && random.IntN(3) > 0 {
 					if random.IntN(10) == 0 {
-						store.Drop()
+						store.DropStaged()
 						continue
 					}
 					if _, err := log.Append(staged); err != nil {
 						t.Fatal(err)
 					}
-					store.Settle(now)
+					store.CommitStaged(now)
 				}
 			}
-			store.Drop()
+			store.DropStaged()
 			model = fmt.Sprint(texts(store))
 			if err := log.Close(); err != nil {
 				t.Fatal(err)
@@ -401,8 +401,8 @@
 }
 
 func texts(s *Store) (all []string) {
-	for _, r := range s.Save() {
-		all = append(all, string(encodeSaved(r)))
+	for _, r := range s.SnapshotRecords() {
+		all = append(all, string(encodeRecord(r)))
 	}
 	return all
 }
--- a/internal/registry/promote.go
+++ b/internal/registry/promote.go
@@ -18,9 +18,9 @@
 const FencePath = "/registry/fence"
 
 const (
-	fenceGap  = time.Second // between two tries to tell the old writer
-	fenceWait = time.Second // for its answer
-	mostFence = 1 << 10     // bytes
+	fenceRetryInterval = time.Second // between two tries to tell the old writer
+	fenceTimeout       = time.Second // for its answer
+	maxFenceBytes      = 1 << 10     // bytes
 )
 
 // EpochHeader has the epoch of the writer that a list comes from.
@@ -28,7 +28,7 @@
 
 // refuseFenced turns away what a writer must not do any more. The caller has the
 // lock.
-func (s *Server) refuseFenced() error {
+func (s *Server) checkFenced() error {
 	if f := s.store.fence; f != nil {
 		return refuse(http.StatusServiceUnavailable, "%s has taken this writer's place (epoch %d)", f.Writer, f.Epoch)
 	}
@@ -36,11 +36,11 @@
 }
 
 // fence stops this service's writing if the other has the higher epoch.
-func (s *Server) fence(f Fence) error {
+func (s *Server) applyFence(f Fence) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case !s.store.writes:
+	case !s.store.isWriter:
 		return nil // it copies; whom is the operator's to say
 	case f.Epoch <= s.store.epoch:
 		return refuse(http.StatusConflict, "this writer has epoch %d, not below %d", s.store.epoch, f.Epoch)
@@ -52,26 +52,26 @@
 	s.store.fence = &f
 	slog.Error("another writer was put in this one's place; writes and reads are refused from now on", "writer", f.Writer, "epoch", f.Epoch, "own", s.store.epoch)
 	s.wake()
-	if s.keeper != nil {
-		return s.keeper.keep(Saved{Fence: &f})
+	if s.persister != nil {
+		return s.persister.persist(Record{Fence: &f})
 	}
 	return nil
 }
 
 // fenceHandler answers another service's question or news.
-func (s *Server) fenceHandler(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleFence(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var f Fence
-		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostFence))
+		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxFenceBytes))
 		if err == nil {
 			err = decode(text, &f)
 		}
-		if err != nil || f.Epoch < 1 || f.History == "" || len(f.History) > mostName || len(f.Writer) > mostName {
-			s.fail(w, refuse(http.StatusBadRequest, "no fence: %v", err))
+		if err != nil || f.Epoch < 1 || f.History == "" || len(f.History) > maxNameBytes || len(f.Writer) > maxNameBytes {
+			s.writeError(w, refuse(http.StatusBadRequest, "no fence: %v", err))
 			return
 		}
-		if err := s.fence(f); err != nil {
-			s.fail(w, err)
+		if err := s.applyFence(f); err != nil {
+			s.writeError(w, err)
 			return
 		}
 	}
@@ -79,16 +79,16 @@
 	f := Fence{Epoch: s.store.epoch, History: s.store.history}
 	if s.store.fence != nil {
 		f = *s.store.fence
-	} else if s.store.writes {
-		f.Writer = s.self
+	} else if s.store.isWriter {
+		f.Writer = s.selfAddress
 	}
 	s.mu.Unlock()
 	text, err := json.Marshal(f)
 	if err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
-	s.write(w, text)
+	s.writeAnswer(w, text)
 }
 
 // Fenced names the writer in whose favour this one was fenced.
@@ -100,13 +100,13 @@
 
 // AskPeers asks other list services, before this writer takes any write, whether
 // another was put in its place. Those that do not answer in time know nothing.
-func (s *Server) AskPeers(ctx context.Context, peers []string) {
+func (s *Server) QueryPeers(ctx context.Context, peers []string) {
 	var wg sync.WaitGroup
 	for _, peer := range peers {
 		wg.Go(func() {
 			f, err := callFence(ctx, peer, nil)
-			if err == nil && f.Writer != "" && f.Writer != s.self {
-				if err = s.fence(f); isConflict(err) {
+			if err == nil && f.Writer != "" && f.Writer != s.selfAddress {
+				if err = s.applyFence(f); isConflict(err) {
 					err = nil // this one has the higher epoch
 				}
 			}
@@ -125,7 +125,7 @@
 
 // callFence asks a service which writer it knows, or tells it.
 func callFence(ctx context.Context, address string, tell *Fence) (Fence, error) {
-	ctx, cancel := context.WithTimeout(ctx, fenceWait)
+	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
 	method, body := http.MethodGet, []byte(nil)
 	if tell != nil {
@@ -144,7 +144,7 @@
 		return Fence{}, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostFence))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxFenceBytes))
 	if err != nil {
 		return Fence{}, err
 	}
@@ -157,9 +157,9 @@
 
 // tellOld tells the old writer, until it has heard or ctx ends, that this service
 // has taken its place.
-func (s *Server) tellOld(ctx context.Context, old string) {
+func (s *Server) notifyOldWriter(ctx context.Context, old string) {
 	s.mu.Lock()
-	f := Fence{Epoch: s.store.epoch, History: s.store.history, Writer: s.self}
+	f := Fence{Epoch: s.store.epoch, History: s.store.history, Writer: s.selfAddress}
 	s.mu.Unlock()
 	for {
 		if _, err := callFence(ctx, old, &f); err == nil {
@@ -169,7 +169,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(fenceGap):
+		case <-time.After(fenceRetryInterval):
 		}
 	}
 }
@@ -179,27 +179,27 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.store.fence != nil && f.store.writes:
+	case f.store.fence != nil && f.store.isWriter:
 		return refuse(http.StatusConflict, "%s has taken this writer's place (epoch %d)", f.store.fence.Writer, f.store.fence.Epoch)
-	case f.store.writes:
+	case f.store.isWriter:
 		return nil // it is
-	case f.keeper == nil:
+	case f.persister == nil:
 		return refuse(http.StatusConflict, "a follower without data_dir would forget that it is the writer")
 	case f.store.history == "":
 		return refuse(http.StatusConflict, "this follower has no list yet")
 	}
 	now := f.now()
-	r := f.store.Promote(now, name, time.Now().UnixMilli())
-	if err := f.keeper.keep(r); err != nil {
+	r := f.store.PromotionRecord(now, name, time.Now().UnixMilli())
+	if err := f.persister.persist(r); err != nil {
 		return fmt.Errorf("the promotion could not be kept: %w", err)
 	}
 	before, version := f.store.history, f.store.version
 	if err := f.store.Restore(now, r); err != nil {
 		return err
 	}
-	f.store.Stage()
-	f.store.gathering = 0
-	f.store.ticked = now
+	f.store.EnableStaging()
+	f.store.gatheringUntil = 0
+	f.store.lastTick = now
 	f.store.renewAll(now)
 	f.writer.Store(nil)
 	slog.Warn("promoted: this service is the writer now", "history", f.store.history, "version", f.store.version, "epoch", f.store.epoch, "before", before, "at", version)
--- a/internal/registry/saved.go
+++ b/internal/registry/saved.go
@@ -11,40 +11,40 @@
 
 // Saved is a record of a list service's log or of a snapshot. One of its parts is
 // set.
-type Saved struct {
-	Begin  *Begin         `json:"begin,omitempty"`
-	Entry  *SavedInstance `json:"entry,omitempty"`  // of a snapshot: an instance on the list
-	Change *SavedInstance `json:"change,omitempty"` // a change of the history
-	Copy   *SavedCopy     `json:"copy,omitempty"`   // what a follower's writer has told
-	Fence  *Fence         `json:"fence,omitempty"`  // another has taken this writer's place
-	Empty  *SavedServices `json:"empty,omitempty"`  // of a snapshot: services without instances
+type Record struct {
+	Begin  *Begin          `json:"begin,omitempty"`
+	Entry  *InstanceRecord `json:"entry,omitempty"`  // of a snapshot: an instance on the list
+	Change *InstanceRecord `json:"change,omitempty"` // a change of the history
+	Copy   *CopyRecord     `json:"copy,omitempty"`   // what a follower's writer has told
+	Fence  *Fence          `json:"fence,omitempty"`  // another has taken this writer's place
+	Empty  *ServicesRecord `json:"empty,omitempty"`  // of a snapshot: services without instances
 }
 
 // Begin is where a history begins or, in a snapshot, where it is.
 type Begin struct {
-	History string `json:"history"`
-	Version int64  `json:"version"`
-	From    int64  `json:"from"` // the version that the changes follow
-	Epoch   int64  `json:"epoch"`
-	Writer  bool   `json:"writer"` // of this service's own
+	History     string `json:"history"`
+	Version     int64  `json:"version"`
+	BaseVersion int64  `json:"from"` // the version that the changes follow
+	Epoch       int64  `json:"epoch"`
+	Writer      bool   `json:"writer"` // of this service's own
 }
 
 // SavedInstance is an instance at a version.
-type SavedInstance struct {
+type InstanceRecord struct {
 	Version  int64           `json:"version"`
 	Instance json.RawMessage `json:"instance"`
 	// Left are, of a change in a snapshot, the placements that the instance left with it.
-	Left []Placement `json:"left,omitempty"`
+	Previous []Placement `json:"left,omitempty"`
 }
 
 // SavedServices are the services that have had instances and have none, the first to
 // become empty first.
-type SavedServices struct {
+type ServicesRecord struct {
 	Names []string `json:"names"`
 }
 
 // SavedCopy is a list that a follower has copied.
-type SavedCopy struct {
+type CopyRecord struct {
 	History string  `json:"history"`
 	Epoch   int64   `json:"epoch"`
 	Listing Listing `json:"listing"`
@@ -58,7 +58,7 @@
 	Writer  string `json:"writer"` // its address
 }
 
-func encodeSaved(s Saved) []byte {
+func encodeRecord(s Record) []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // of plain fields
@@ -67,8 +67,8 @@
 }
 
 // ParseSaved reads a record.
-func ParseSaved(text []byte) (Saved, error) {
-	var s Saved
+func ParseRecord(text []byte) (Record, error) {
+	var s Record
 	if err := decode(text, &s); err != nil {
 		return s, err
 	}
@@ -85,7 +85,7 @@
 }
 
 // instance reads and checks the instance of a record.
-func (s *SavedInstance) instance() (Instance, error) {
+func (s *InstanceRecord) instance() (Instance, error) {
 	var i Instance
 	if err := decode(s.Instance, &i); err != nil {
 		return i, err
@@ -95,22 +95,22 @@
 
 // Restore takes a record in, as it was read from a log or a snapshot. All leases
 // begin anew.
-func (s *Store) Restore(now time.Duration, r Saved) error {
+func (s *Store) Restore(now time.Duration, r Record) error {
 	switch {
 	case r.Begin != nil:
 		b := r.Begin
-		if b.Version < s.version || b.From > b.Version || b.History == "" {
-			return fmt.Errorf("a history %q from %d to %d behind version %d", b.History, b.From, b.Version, s.version)
+		if b.Version < s.version || b.BaseVersion > b.Version || b.History == "" {
+			return fmt.Errorf("a history %q from %d to %d behind version %d", b.History, b.BaseVersion, b.Version, s.version)
 		}
-		s.forget()
-		s.history, s.version, s.from, s.epoch, s.writes = b.History, b.Version, b.From, b.Epoch, b.Writer
+		s.clearHistory()
+		s.history, s.version, s.baseVersion, s.epoch, s.isWriter = b.History, b.Version, b.BaseVersion, b.Epoch, b.Writer
 		s.fence = nil
 	case r.Entry != nil:
 		i, err := r.Entry.instance()
 		if err != nil {
 			return err
 		}
-		s.enter(&entry{Instance: i, version: r.Entry.Version, text: r.Entry.Instance, expires: now + s.limits.Lease})
+		s.putEntry(&entry{Instance: i, version: r.Entry.Version, encoded: r.Entry.Instance, expires: now + s.limits.Lease})
 	case r.Change != nil:
 		i, err := r.Change.instance()
 		if err != nil {
@@ -118,48 +118,48 @@
 		}
 		if r.Change.Version <= s.version {
 			// Of a snapshot, which has what it led to beside it.
-			if r.Change.Version == s.from {
+			if r.Change.Version == s.baseVersion {
 				return nil // a follower's; earlier builds kept some of a version that was forgotten
 			}
-			if r.Change.Version < s.from {
-				return fmt.Errorf("version %d is not behind %d", r.Change.Version, s.from)
+			if r.Change.Version < s.baseVersion {
+				return fmt.Errorf("version %d is not behind %d", r.Change.Version, s.baseVersion)
 			}
-			c := newChange(i, r.Change.Version, r.Change.Instance, r.Change.Left)
-			s.remember(c, c.gone && s.entries[i.ID] == nil)
+			c := newChange(i, r.Change.Version, r.Change.Instance, r.Change.Previous)
+			s.appendChange(c, c.gone && s.entries[i.ID] == nil)
 			return nil
 		}
-		s.putText(i, r.Change.Instance, r.Change.Version, now, r.Change.Left)
-		s.forgetServices()
+		s.applyEncoded(i, r.Change.Instance, r.Change.Version, now, r.Change.Previous)
+		s.trimServices()
 	case r.Copy != nil:
-		s.epoch, s.writes = max(s.epoch, r.Copy.Epoch), false
-		return s.Copy(now, r.Copy.Listing, r.Copy.History)
+		s.epoch, s.isWriter = max(s.epoch, r.Copy.Epoch), false
+		return s.ApplyListing(now, r.Copy.Listing, r.Copy.History)
 	case r.Fence != nil:
 		s.fence = r.Fence
 	case r.Empty != nil:
 		for _, name := range r.Empty.Names {
-			s.services.mention(name)
+			s.services.addKnown(name)
 		}
-		s.forgetServices()
+		s.trimServices()
 	}
 	return nil
 }
 
 // Save tells all that a snapshot has to hold, as it is now. The texts may be used
 // after others have changed the store.
-func (s *Store) Save() []Saved {
-	all := []Saved{{Begin: &Begin{History: s.history, Version: s.version, From: s.from, Epoch: s.epoch, Writer: s.writes}}}
+func (s *Store) SnapshotRecords() []Record {
+	all := []Record{{Begin: &Begin{History: s.history, Version: s.version, BaseVersion: s.baseVersion, Epoch: s.epoch, Writer: s.isWriter}}}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 		e := s.entries[id]
-		all = append(all, Saved{Entry: &SavedInstance{Version: e.version, Instance: e.text}})
+		all = append(all, Record{Entry: &InstanceRecord{Version: e.version, Instance: e.encoded}})
 	}
 	if names := s.services.emptyNames(); len(names) > 0 {
-		all = append(all, Saved{Empty: &SavedServices{names}})
+		all = append(all, Record{Empty: &ServicesRecord{names}})
 	}
 	for _, c := range s.changes {
-		all = append(all, Saved{Change: &SavedInstance{c.version, c.text, c.left()}})
+		all = append(all, Record{Change: &InstanceRecord{c.version, c.encoded, c.previousPlacements()}})
 	}
 	if s.fence != nil {
-		all = append(all, Saved{Fence: s.fence})
+		all = append(all, Record{Fence: s.fence})
 	}
 	return all
 }
@@ -169,32 +169,32 @@
 var errPending = errors.New("a change of the instance is being kept")
 
 // Writes says whether the history is this service's own.
-func (s *Store) Writes() bool { return s.writes }
+func (s *Store) IsWriter() bool { return s.isWriter }
 
 // Stage makes changes wait: from now on they are not told before Settle.
-func (s *Store) Stage() { s.staging = true }
+func (s *Store) EnableStaging() { s.staging = true }
 
 // Staged are the changes that have to last, as records.
-func (s *Store) Staged() [][]byte {
+func (s *Store) StagedRecords() [][]byte {
 	var all [][]byte
 	for _, c := range s.staged {
-		all = append(all, encodeSaved(Saved{Change: &SavedInstance{Version: c.version, Instance: c.text}}))
+		all = append(all, encodeRecord(Record{Change: &InstanceRecord{Version: c.version, Instance: c.encoded}}))
 	}
 	return all
 }
 
 // Settle takes the staged changes in: they last.
-func (s *Store) Settle(now time.Duration) {
+func (s *Store) CommitStaged(now time.Duration) {
 	staged := s.staged
-	s.Drop()
+	s.DropStaged()
 	for _, c := range staged {
-		s.putText(c.instance, c.text, c.version, now, nil)
+		s.applyEncoded(c.instance, c.encoded, c.version, now, nil)
 	}
-	s.forgetServices()
+	s.trimServices()
 }
 
 // Drop forgets the staged changes: they have not happened.
-func (s *Store) Drop() {
+func (s *Store) DropStaged() {
 	s.staged = nil
 	clear(s.pending)
 }
@@ -202,10 +202,10 @@
 // Promote makes the copy of a follower a list that is written here, under a new
 // history with a version that is higher than all before. The record has to last
 // before it is told.
-func (s *Store) Promote(now time.Duration, name string, unixMs int64) Saved {
+func (s *Store) PromotionRecord(now time.Duration, name string, unixMs int64) Record {
 	b := &Begin{History: name, Version: max(unixMs, s.version+1), Epoch: s.epoch + 1, Writer: true}
-	b.From = b.Version
-	return Saved{Begin: b}
+	b.BaseVersion = b.Version
+	return Record{Begin: b}
 }
 
 // renewAll begins all leases anew.
--- a/internal/registry/scope.go
+++ b/internal/registry/scope.go
@@ -11,7 +11,7 @@
 )
 
 // MostScopes bounds the scopes of one set, whatever a service is configured to take.
-const MostScopes = 1 << 16
+const MaxScopes = 1 << 16
 
 const (
 	regionQualifier = "region="
@@ -67,13 +67,13 @@
 func (s Scope) check() error {
 	switch {
 	case !isServiceName(s.Service):
-		return fmt.Errorf("scope: service %.80q is not 1 to %d characters of a-z, A-Z, 0-9, dot, dash and underscore", s.Service, mostName)
+		return fmt.Errorf("scope: service %.80q is not 1 to %d characters of a-z, A-Z, 0-9, dot, dash and underscore", s.Service, maxNameBytes)
 	case s.Region != "" && s.Zone != "":
 		return fmt.Errorf("scope: %s has both a region and a zone", s.Service)
 	case s.Region != "" && !isName(s.Region):
-		return fmt.Errorf("scope: region %.80q is not a name of 1 to %d bytes", s.Region, mostName)
+		return fmt.Errorf("scope: region %.80q is not a name of 1 to %d bytes", s.Region, maxNameBytes)
 	case s.Zone != "" && !isName(s.Zone):
-		return fmt.Errorf("scope: zone %.80q is not a name of 1 to %d bytes", s.Zone, mostName)
+		return fmt.Errorf("scope: zone %.80q is not a name of 1 to %d bytes", s.Zone, maxNameBytes)
 	}
 	return nil
 }
@@ -119,11 +119,11 @@
 func (p Placement) check() error {
 	switch {
 	case !isServiceName(p.Service):
-		return fmt.Errorf("service: %.80q is not 1 to %d characters of a-z, A-Z, 0-9, dot, dash and underscore", p.Service, mostName)
+		return fmt.Errorf("service: %.80q is not 1 to %d characters of a-z, A-Z, 0-9, dot, dash and underscore", p.Service, maxNameBytes)
 	case p.Region != "" && !isName(p.Region):
-		return fmt.Errorf("region: %.80q is not a name of 1 to %d bytes", p.Region, mostName)
+		return fmt.Errorf("region: %.80q is not a name of 1 to %d bytes", p.Region, maxNameBytes)
 	case !isName(p.Zone):
-		return fmt.Errorf("zone: %.80q is not a name of 1 to %d bytes", p.Zone, mostName)
+		return fmt.Errorf("zone: %.80q is not a name of 1 to %d bytes", p.Zone, maxNameBytes)
 	}
 	return nil
 }
@@ -142,8 +142,8 @@
 	if len(scopes) == 0 {
 		return nil, fmt.Errorf("scopes: there are none")
 	}
-	if len(scopes) > MostScopes {
-		return nil, fmt.Errorf("scopes: %d are more than %d", len(scopes), MostScopes)
+	if len(scopes) > MaxScopes {
+		return nil, fmt.Errorf("scopes: %d are more than %d", len(scopes), MaxScopes)
 	}
 	for _, scope := range scopes {
 		if err := scope.check(); err != nil {
@@ -234,7 +234,7 @@
 }
 
 // meets reports whether one of the scopes is of one of the services.
-func (s *ScopeSet) meets(services map[string]bool) bool {
+func (s *ScopeSet) includesServiceOf(services map[string]bool) bool {
 	if len(services) < len(s.byService) {
 		for name := range services {
 			if len(s.byService[name]) > 0 {
@@ -252,16 +252,16 @@
 }
 
 // has reports whether a scope is one of the set.
-func (s *ScopeSet) has(scope Scope) bool {
+func (s *ScopeSet) includes(scope Scope) bool {
 	return s != nil && slices.Contains(s.byService[scope.Service], scope)
 }
 
 // same reports whether two sets have the same scopes.
-func (s *ScopeSet) same(other *ScopeSet) bool { return s.ID() == other.ID() }
+func (s *ScopeSet) equal(other *ScopeSet) bool { return s.ID() == other.ID() }
 
 // isServiceName reports whether a text can name a service.
 func isServiceName(s string) bool {
-	if s == "" || len(s) > mostName {
+	if s == "" || len(s) > maxNameBytes {
 		return false
 	}
 	for _, c := range []byte(s) {
--- a/internal/registry/scope_http_test.go
+++ b/internal/registry/scope_http_test.go
@@ -45,7 +45,7 @@
 	client *Client
 	mu     sync.Mutex
 	has    map[string]Instance
-	last   Told
+	last   Update
 	told   int
 	resets int
 }
@@ -62,15 +62,15 @@
 	return w
 }
 
-func (w *scopedWatching) heard(told Told) {
+func (w *scopedWatching) heard(told Update) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.last, w.told = told, w.told+1
-	if told.News.Reset {
+	if told.Changes.Reset {
 		w.resets++
 		clear(w.has)
 	}
-	for _, i := range told.News.Instances {
+	for _, i := range told.Changes.Instances {
 		if w.has[i.ID] = i; i.Lifecycle == Gone {
 			delete(w.has, i.ID)
 		}
@@ -88,7 +88,7 @@
 	return strings.Join(ids, " ")
 }
 
-func (w *scopedWatching) state() (told Told, tolds, resets int) {
+func (w *scopedWatching) state() (told Update, tolds, resets int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.last, w.told, w.resets
@@ -225,9 +225,9 @@
 	for n := range 10_000 {
 		scopes = append(scopes, Scope{Service: fmt.Sprint("s", n)})
 	}
-	before := s.figures.refused.Load()
+	before := s.metrics.refused.Load()
 	w.client.SetScopes(append(scopes, mustScopes(t, "a")...))
-	until(t, "it is refused", func() bool { return s.figures.refused.Load() > before })
+	until(t, "it is refused", func() bool { return s.metrics.refused.Load() > before })
 	w.client.SetScopes(mustScopes(t, "a"))
 	s.putPlaced(t, of("x", "a", "r", "z"))
 	until(t, "it goes on with fewer", func() bool { return w.ids() == "x:R" })
@@ -242,7 +242,7 @@
 	query := s.named(t, "a@region=r1", "c")
 	told := make(chan Listing, 1)
 	go func() { told <- s.list(t, query+"&since=1001&timeout_ms=60000&history=h1") }()
-	until(t, "a watcher", func() bool { return s.figures.watchers.Load() == 1 })
+	until(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
 	for n := range int64(30) {
 		i := of("y", []string{"a", "b"}[n%2], "r2", "z1")
 		i.StartedAtMs = n
@@ -251,7 +251,7 @@
 	select {
 	case l := <-told:
 		t.Errorf("answered %+v", l)
-	case <-time.After(3 * wakeGap):
+	case <-time.After(3 * wakeInterval):
 	}
 	s.putPlaced(t, of("z", "a", "r1", "z1"))
 	if l := <-told; l.Generation != 1032 || l.Reset || ids(l.Instances) != "z" {
@@ -308,7 +308,7 @@
 	}
 	again.mu.Lock()
 	defer again.mu.Unlock()
-	if n := len(again.subscribed.byID); n != 1 {
+	if n := len(again.subscriptions.byID); n != 1 {
 		t.Errorf("%d subscriptions", n)
 	}
 }
@@ -334,10 +334,10 @@
 	defer old.Close()
 	oldAddress := strings.TrimPrefix(old.URL, "http://")
 	alone := NewClient([]string{oldAddress}, rand.New(rand.NewPCG(1, 1)), nil)
-	if got := alone.ask(t.Context(), Ask{Address: oldAddress, Whole: true, Scopes: mustSet(t, "a")}); got.err != errNoScopes {
+	if got := alone.read(t.Context(), ReadRequest{Address: oldAddress, Full: true, Scopes: mustSet(t, "a")}); got.err != errScopesUnsupported {
 		t.Errorf("%v", got.err)
 	}
-	if got := alone.ask(t.Context(), Ask{Address: oldAddress, Whole: true}); got.err != nil || len(got.listing.Instances) != 2 {
+	if got := alone.read(t.Context(), ReadRequest{Address: oldAddress, Full: true}); got.err != nil || len(got.listing.Instances) != 2 {
 		t.Errorf("a reader of everything: %+v", got)
 	}
 	for n := range uint64(4) { // in whichever order the addresses come
@@ -391,7 +391,7 @@
 	if resets != readers {
 		t.Errorf("%d lists anew for %d readers", resets-readers, readers)
 	}
-	if watching := followers[1].figures.watchers.Load(); watching > readers {
+	if watching := followers[1].metrics.watchers.Load(); watching > readers {
 		t.Errorf("%d watch at the other follower", watching)
 	}
 }
@@ -423,12 +423,12 @@
 		scopes = append(scopes, fmt.Sprint("s", n))
 		c.feed.SetScopes(mustScopes(t, scopes...))
 		ask := c.feed.Next()
-		got := c.ask(t.Context(), ask)
+		got := c.read(t.Context(), ask)
 		if got.err != nil {
 			t.Fatal(got.err)
 		}
-		if _, err := c.feed.AnsweredTo(ask, got.listing, got.history, 0); err != nil || len(c.feed.known) != n+1 || len(got.listing.Instances) != 1 {
-			t.Fatalf("%d known, %d told, %v", len(c.feed.known), len(got.listing.Instances), err)
+		if _, err := c.feed.AnsweredTo(ask, got.listing, got.history, 0); err != nil || len(c.feed.instances) != n+1 || len(got.listing.Instances) != 1 {
+			t.Fatalf("%d known, %d told, %v", len(c.feed.instances), len(got.listing.Instances), err)
 		}
 	}
 	if opened.Load() != 1 {
@@ -483,11 +483,11 @@
 		{ScopedRead{Scopes: mustSet(t, "s1", "s2"), Held: mustSet(t, "s2")}, 39, 40},
 		{ScopedRead{Since: -1, Scopes: mustSet(t, "other", "never")}, 127, 128}, // of none, but not for nothing
 	} {
-		s := NewWriter("self", store, ServerLimits{Connections: 100, Watchers: 1, Lists: 2}, time.Now(), rand.New(rand.NewPCG(1, 1)))
-		s.limits.Lists = 2
-		s.lists, s.listsAt = 2, time.Now()
+		s := NewWriter("self", store, ServerLimits{Connections: 100, Watchers: 1, ListingsPerSecond: 2}, time.Now(), rand.New(rand.NewPCG(1, 1)))
+		s.limits.ListingsPerSecond = 2
+		s.listingTokens, s.listingTokensAt = 2, time.Now()
 		answered := 0
-		for s.mayList(store.listCost(c.question)) {
+		for s.takeListingTokens(store.listCost(c.question)) {
 			answered++
 		}
 		if answered < c.least || answered > c.most {
@@ -525,7 +525,7 @@
 			for _, q := range questions {
 				wg.Go(func() {
 					for q := *q; ; {
-						found, err := s.await(ctx, q, time.Hour)
+						found, err := s.awaitAnswer(ctx, q, time.Hour)
 						if err != nil {
 							return
 						}
@@ -536,14 +536,14 @@
 					}
 				})
 			}
-			for s.figures.watchers.Load() < int64(watchers) {
+			for s.metrics.watchers.Load() < int64(watchers) {
 				runtime.Gosched()
 			}
 			before := processorTime(b)
 			b.ResetTimer()
 			for n := range b.N {
-				_, err := s.change(func(now time.Duration) (Written, error) {
-					s.wokenAt = time.Time{} // no waiting for further changes
+				_, err := s.change(func(now time.Duration) (WriteResult, error) {
+					s.lastWake = time.Time{} // no waiting for further changes
 					i := of(fmt.Sprint("x", n%100), fmt.Sprint("common", n%100), "r", "z")
 					i.StartedAtMs = int64(n + 2)
 					return s.store.Register(now, i, nil)
@@ -577,13 +577,13 @@
 			b.ResetTimer()
 			for range b.N {
 				for watch := range s.watches {
-					watch.question.Since = since
+					watch.read.Since = since
 				}
-				s.passedOver = since
-				s.passOver()
+				s.watchesVersion = since
+				s.advanceWatches()
 			}
 			for watch := range s.watches {
-				if watch.question.Since != s.store.version || len(watch.concerned) > 0 {
+				if watch.read.Since != s.store.version || len(watch.wake) > 0 {
 					b.Fatal("a watch was woken")
 				}
 			}
@@ -632,7 +632,7 @@
 	for n := range 2000 {
 		store.Register(0, of(fmt.Sprint("x", n), fmt.Sprint("common", n%100), "r", "z"), nil)
 	}
-	s := NewWriter("self", store, ServerLimits{Connections: watchers, Watchers: watchers, Lists: 1e9}, time.Now(), rand.New(rand.NewPCG(1, 1)))
+	s := NewWriter("self", store, ServerLimits{Connections: watchers, Watchers: watchers, ListingsPerSecond: 1e9}, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	var questions []*ScopedRead
 	for n := range watchers {
 		scopes := []string{fmt.Sprintf("common%d@region=r", n%100)}
@@ -655,7 +655,7 @@
 	}
 	answered := 0
 	for _, q := range questions {
-		found, err := s.look(q, false)
+		found, err := s.poll(q, false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -737,15 +737,15 @@
 		json.NewEncoder(w).Encode(list)
 	}))
 	defer server.Close()
-	c := NewClient([]string{server.Listener.Addr().String()}, rand.New(rand.NewPCG(1, 1)), func(Told) {})
+	c := NewClient([]string{server.Listener.Addr().String()}, rand.New(rand.NewPCG(1, 1)), func(Update) {})
 	const limit = 1000
 	c.SetAnswerLimit(limit)
 	ask := c.feed.Next()
-	if got := c.ask(t.Context(), ask); got.err != nil || len(got.listing.Instances) != 1 {
+	if got := c.read(t.Context(), ask); got.err != nil || len(got.listing.Instances) != 1 {
 		t.Fatalf("a short list: %+v", got)
 	}
 	big = true
-	if got := c.ask(t.Context(), ask); got.err == nil || !strings.Contains(got.err.Error(), "more than 1000 bytes") {
+	if got := c.read(t.Context(), ask); got.err == nil || !strings.Contains(got.err.Error(), "more than 1000 bytes") {
 		t.Errorf("a list beyond the limit: %+v", got)
 	}
 }
--- a/internal/registry/scope_model_test.go
+++ b/internal/registry/scope_model_test.go
@@ -38,7 +38,7 @@
 // pendingCall is a watch that a service has not answered.
 type pendingCall struct {
 	service *Server
-	ask     Ask
+	ask     ReadRequest
 	watch   *scopedWatch
 	news    <-chan struct{}
 }
@@ -99,7 +99,7 @@
 
 // serve puts a store behind a server, whose looks answer readers.
 func (w *scopedWorld) serve(store *Store, source string) *Server {
-	s := NewWriter("self", store, ServerLimits{Connections: 1, Watchers: 1, Lists: 1e9}, time.Now(), rand.New(rand.NewPCG(1, 1)))
+	s := NewWriter("self", store, ServerLimits{Connections: 1, Watchers: 1, ListingsPerSecond: 1e9}, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	if source != "" {
 		s.writer.Store(&source)
 	}
@@ -115,7 +115,7 @@
 
 func (w *scopedWorld) restartEmpty(f *scopedFollower) {
 	store := newStore(scopedLimits, w.now)
-	store.gathering = math.MaxInt64
+	store.gatheringUntil = math.MaxInt64
 	f.service, f.copying = w.serve(store, f.source), NewFeed([]string{f.source}, w.random)
 }
 
@@ -149,8 +149,8 @@
 	w.wake(w.writer)
 	if w.defect == defectFoldMoves {
 		for n := range store.changes {
-			if p := store.changes[n].places; p != nil {
-				p.left = nil
+			if p := store.changes[n].placements; p != nil {
+				p.previous = nil
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 		return
 	case defectResumePassed:
 		for watch := range s.watches {
-			watch.question.Since = max(watch.question.Since, s.store.version)
+			watch.read.Since = max(watch.read.Since, s.store.version)
 		}
 	}
 	s.wakeNow()
@@ -206,9 +206,9 @@
 }
 
 // look has a service look at a question once, through the planted defect.
-func (w *scopedWorld) look(call *pendingCall, last bool) (awaited, error) {
-	s, question := call.service, &call.watch.question
-	s.began = time.Now().Add(-w.now)
+func (w *scopedWorld) look(call *pendingCall, last bool) (watchResult, error) {
+	s, question := call.service, &call.watch.read
+	s.startedAt = time.Now().Add(-w.now)
 	asked := *question
 	switch w.defect {
 	case defectScopeHeld:
@@ -219,11 +219,11 @@
 		}
 	case defectFoldFirst:
 		kept := s.store.changes
-		defer func() { s.store.changes = kept; s.store.dropAnswers() }()
-		s.store.dropAnswers()
+		defer func() { s.store.changes = kept; s.store.clearCache() }()
+		s.store.clearCache()
 		s.store.changes = foldedToFirst(kept, question.Since)
 	}
-	found, news, err := s.lookFor(call.watch, last)
+	found, news, err := s.pollWatch(call.watch, last)
 	call.news = news
 	if w.defect == defectResumeHistory && asked.Since >= 0 && asked.History != "" {
 		found.history = asked.History
@@ -264,20 +264,20 @@
 	if !waited {
 		ask := r.feed.Next()
 		question := ScopedRead{Since: ask.Since, History: ask.History, Scopes: ask.Scopes, Held: ask.Held}
-		if ask.Whole {
+		if ask.Full {
 			question.Since, question.Held = -1, ask.Scopes
 		}
-		if question.joins() {
+		if question.addsScopes() {
 			w.joins++
 		}
 		call = &pendingCall{service: w.service(ask.Address), ask: ask, watch: newScopedWatch(question)}
 	}
 	if waited && w.defect == defectResumeSkips {
-		call.watch.question.Since = max(call.watch.question.Since, call.service.store.version)
+		call.watch.read.Since = max(call.watch.read.Since, call.service.store.version)
 	}
-	last = last || !call.ask.Waits() || w.random.IntN(3) == 0
+	last = last || !call.ask.IsLongPoll() || w.random.IntN(3) == 0
 	if waited && !last && len(call.news) == 0 && call.ask.Scopes != nil { // nobody wakes it
-		if q, store := call.watch.question, call.service.store; q.Since <= store.version && !store.Quiet(q) {
+		if q, store := call.watch.read, call.service.store; q.Since <= store.version && !store.NoChangesFor(q) {
 			w.failf("a watch that is at %s/%d is not woken at %s/%d", q.History, q.Since, store.history, store.version)
 		}
 		call.service.watches[call.watch] = struct{}{}
@@ -313,7 +313,7 @@
 }
 
 // take has a reader take an answer and looks what it then has.
-func (w *scopedWorld) take(r *scopedReader, ask Ask, l Listing, history string) {
+func (w *scopedWorld) take(r *scopedReader, ask ReadRequest, l Listing, history string) {
 	f := r.feed
 	if w.defect == defectScopeLate {
 		ask.revision = f.revision
@@ -338,8 +338,8 @@
 		w.failf("a reader says to be at %s/%d, which never was", f.history, f.version)
 		return
 	}
-	if want := restricted(model.instances, f.wanted); !maps.Equal(f.known, want) {
-		w.failf("at %s/%d a reader of %v has %v, the list was %v", f.history, f.version, f.wanted.Strings(), f.known, want)
+	if want := restricted(model.instances, f.wanted); !maps.Equal(f.instances, want) {
+		w.failf("at %s/%d a reader of %v has %v, the list was %v", f.history, f.version, f.wanted.Strings(), f.instances, want)
 	}
 	for _, scope := range f.wanted.Scopes() {
 		if unknown := slices.Contains(f.unknown, scope); unknown == model.services[scope.Service] {
@@ -362,8 +362,8 @@
 			delete(r.has, i.ID)
 		}
 	}
-	if !maps.Equal(r.has, r.feed.known) {
-		w.failf("the news lead to %v, the reader has %v", r.has, r.feed.known)
+	if !maps.Equal(r.has, r.feed.instances) {
+		w.failf("the news lead to %v, the reader has %v", r.has, r.feed.instances)
 	}
 }
 
@@ -371,15 +371,15 @@
 func (w *scopedWorld) rescope(r *scopedReader) {
 	f := r.feed
 	set := func(scopes []Scope) {
-		before := maps.Clone(f.known)
+		before := maps.Clone(f.instances)
 		news := f.SetScopes(scopes)
 		if w.defect == defectScopeStays {
-			f.known, news.Instances = before, nil
+			f.instances, news.Instances = before, nil
 		}
 		w.apply(r, news)
 		if f.held != nil {
-			if want := restricted(w.models[at(f.history, f.version)].instances, f.held); !maps.Equal(f.known, want) {
-				w.failf("at %s/%d a reader that holds %v has %v, the list was %v", f.history, f.version, f.held.Strings(), f.known, want)
+			if want := restricted(w.models[at(f.history, f.version)].instances, f.held); !maps.Equal(f.instances, want) {
+				w.failf("at %s/%d a reader that holds %v has %v, the list was %v", f.history, f.version, f.held.Strings(), f.instances, want)
 			}
 		}
 	}
@@ -403,12 +403,12 @@
 func (w *scopedWorld) follow(f *scopedFollower) {
 	ask := f.copying.Next()
 	question := ScopedRead{Since: ask.Since, History: ask.History}
-	if ask.Whole {
+	if ask.Full {
 		question.Since = -1
 	}
 	source := w.service(f.source)
-	source.began = time.Now().Add(-w.now)
-	found, err := source.look(&question, true)
+	source.startedAt = time.Now().Add(-w.now)
+	found, err := source.poll(&question, true)
 	if err != nil || w.random.IntN(6) == 0 {
 		f.copying.Failed(0)
 		return
@@ -425,16 +425,16 @@
 		l.Moved = nil
 	}
 	store := f.service.store
-	store.gathering = 0
-	if err := store.Copy(w.now, l, found.history); err != nil {
+	store.gatheringUntil = 0
+	if err := store.ApplyListing(w.now, l, found.history); err != nil {
 		w.t.Fatal(err)
 	}
 	w.wake(f.service)
 	if w.defect == defectResumeForgets && l.Reset {
-		store.from = 0
+		store.baseVersion = 0
 	}
-	if !maps.Equal(listOf(store), f.copying.known) {
-		w.failf("a follower has %v, its reader %v", listOf(store), f.copying.known)
+	if !maps.Equal(listOf(store), f.copying.instances) {
+		w.failf("a follower has %v, its reader %v", listOf(store), f.copying.instances)
 	}
 }
 
@@ -460,7 +460,7 @@
 	case action < 8 && e != nil:
 		store.Renew(w.now, id, e.StartedAtMs)
 	case action < 9:
-		store.credit = 0 // one at a time, so that the list at each version is known
+		store.lapseCredit = 0 // one at a time, so that the list at each version is known
 		store.Tick(w.now)
 	case w.random.IntN(12) == 0:
 		w.disturb()
@@ -495,10 +495,10 @@
 		}
 		w.services = w.models[at(store.history, store.version)].services
 		w.histories++
-		if err := store.Restore(w.now, store.Promote(w.now, fmt.Sprint("h", w.histories), int64(w.histories)*100_000)); err != nil {
+		if err := store.Restore(w.now, store.PromotionRecord(w.now, fmt.Sprint("h", w.histories), int64(w.histories)*100_000)); err != nil {
 			w.t.Fatal(err)
 		}
-		store.gathering, store.ticked = 0, w.now
+		store.gatheringUntil, store.lastTick = 0, w.now
 		store.renewAll(w.now)
 		w.writer = w.serve(store, "")
 		w.restartEmpty(first)
@@ -543,8 +543,8 @@
 	store := w.writer.store
 	for n, r := range w.readers {
 		want := restricted(listOf(store), r.feed.wanted)
-		if f := r.feed; f.history != store.history || f.version != store.version || !maps.Equal(f.known, want) {
-			w.failf("reader %d ends at %s/%d with %v; the list is at %s/%d with %v", n, f.history, f.version, f.known, store.history, store.version, want)
+		if f := r.feed; f.history != store.history || f.version != store.version || !maps.Equal(f.instances, want) {
+			w.failf("reader %d ends at %s/%d with %v; the list is at %s/%d with %v", n, f.history, f.version, f.instances, store.history, store.version, want)
 		}
 	}
 }
--- a/internal/registry/scope_test.go
+++ b/internal/registry/scope_test.go
@@ -149,7 +149,7 @@
 	if err != nil || !slices.Equal(l.EmptyServices, []string{"a", "b"}) {
 		t.Fatalf("%s, %v", a.Body, err)
 	}
-	if err := follower.Copy(0, l, "h1"); err != nil {
+	if err := follower.ApplyListing(0, l, "h1"); err != nil {
 		t.Fatal(err)
 	}
 	if l := ask(follower, "a", "b", "c", "d"); !slices.Equal(l.Unknown, []string{"c"}) {
@@ -182,16 +182,16 @@
 			t.Errorf("since %d: %s, %v; want %s", c.since, a.Body, err, c.body)
 		}
 	}
-	saved := s.Save()
+	saved := s.SnapshotRecords()
 	want := []string{`{"begin":{"history":"h1","version":1005,"from":1000,"epoch":1,"writer":true}}`, `{"entry":{"version":1005,"instance":` + movedB + `}}`}
-	if len(saved) != 2+5 || string(encodeSaved(saved[0])) != want[0] || string(encodeSaved(saved[1])) != want[1] ||
-		string(encodeSaved(saved[5])) != `{"change":{"version":1004,"instance":`+goneA+`}}` || string(encodeSaved(saved[6])) != `{"change":{"version":1005,"instance":`+movedB+`}}` {
+	if len(saved) != 2+5 || string(encodeRecord(saved[0])) != want[0] || string(encodeRecord(saved[1])) != want[1] ||
+		string(encodeRecord(saved[5])) != `{"change":{"version":1004,"instance":`+goneA+`}}` || string(encodeRecord(saved[6])) != `{"change":{"version":1005,"instance":`+movedB+`}}` {
 		for _, r := range saved {
-			t.Errorf("%s", encodeSaved(r))
+			t.Errorf("%s", encodeRecord(r))
 		}
 	}
-	copied := Saved{Copy: &SavedCopy{"h1", 1, whole(5)}}
-	if text := string(encodeSaved(copied)); text != `{"copy":{"history":"h1","epoch":1,"listing":{"generation":5,"reset":true,"instances":null}}}` {
+	copied := Record{Copy: &CopyRecord{"h1", 1, whole(5)}}
+	if text := string(encodeRecord(copied)); text != `{"copy":{"history":"h1","epoch":1,"listing":{"generation":5,"reset":true,"instances":null}}}` {
 		t.Errorf("%s", text)
 	}
 }
@@ -211,20 +211,20 @@
 		return w.Version
 	}
 	inA := move(1, "a", "r1")
-	log, copied := s.Save(), []Saved(nil)
+	log, copied := s.SnapshotRecords(), []Record(nil)
 	a, _ := s.Read(0, -1, "")
 	l, _ := ParseListing(a.Body)
 	follower := newStore(testLimits, 0)
 	keep := func(l Listing) {
-		copied = append(copied, Saved{Copy: &SavedCopy{"h1", 1, l}})
-		if err := follower.Copy(0, l, "h1"); err != nil {
+		copied = append(copied, Record{Copy: &CopyRecord{"h1", 1, l}})
+		if err := follower.ApplyListing(0, l, "h1"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	replayed := func(log []Saved) *Store {
+	replayed := func(log []Record) *Store {
 		again := newStore(testLimits, 0)
 		for _, r := range log {
-			read, err := ParseSaved(encodeSaved(r))
+			read, err := ParseRecord(encodeRecord(r))
 			if err == nil {
 				err = again.Restore(0, read)
 			}
@@ -243,7 +243,7 @@
 	}
 	keep(l)
 	for _, c := range s.changes[len(s.changes)-2:] { // as they are kept in a log
-		log = append(log, Saved{Change: &SavedInstance{Version: c.version, Instance: c.text}})
+		log = append(log, Record{Change: &InstanceRecord{Version: c.version, Instance: c.encoded}})
 	}
 	for name, store := range map[string]*Store{"the writer": s, "after a restart": restarted(t, s, 0), "a follower": follower, "a follower after a restart": restarted(t, follower, 0),
 		"from the log": replayed(log), "a follower from its log": replayed(copied)} {
@@ -278,7 +278,7 @@
 	t.Helper()
 	f := newTestFeed("a")
 	f.SetScopes(mustScopes(t, scopes...))
-	if ask := f.Next(); !ask.Whole || ask.Waits() || !ask.Scopes.same(mustSet(t, scopes...)) {
+	if ask := f.Next(); !ask.Full || ask.IsLongPoll() || !ask.Scopes.equal(mustSet(t, scopes...)) {
 		t.Fatalf("asks %+v first", ask)
 	}
 	if _, err := f.Answered(whole(10, instances...), "h", 0); err != nil {
@@ -335,11 +335,11 @@
 		if c.held == nil && !c.whole {
 			held = mustScopes(t, c.next...)
 		}
-		if ids(news.Instances) != c.dropped || ask.Whole != c.whole || ask.Scopes.ID() != newScopeSet(mustScopes(t, c.next...)).ID() || !ask.Whole && ask.Held.ID() != newScopeSet(held).ID() {
+		if ids(news.Instances) != c.dropped || ask.Full != c.whole || ask.Scopes.ID() != newScopeSet(mustScopes(t, c.next...)).ID() || !ask.Full && ask.Held.ID() != newScopeSet(held).ID() {
 			t.Errorf("%s: dropped %q, asks %+v of %v beside %v", c.name, ids(news.Instances), ask, ask.Scopes.Strings(), ask.Held.Strings())
 		}
-		if ask.Waits() != (c.held == nil && !c.whole) {
-			t.Errorf("%s: waits %t", c.name, ask.Waits())
+		if ask.IsLongPoll() != (c.held == nil && !c.whole) {
+			t.Errorf("%s: waits %t", c.name, ask.IsLongPoll())
 		}
 		if _, err := f.AnsweredTo(before, Listing{Generation: 11}, "h", 0); !errors.Is(err, errScopesChanged) || f.version != 10 {
 			t.Errorf("%s: an answer to the call before: %v", c.name, err)
@@ -359,7 +359,7 @@
 		t.Errorf("%+v", news)
 	}
 	ask := f.Next()
-	if ask.Whole || ask.Waits() || !slices.Equal(ask.Held.Strings(), []string{"b"}) || !slices.Equal(ask.Scopes.Strings(), []string{"a", "b"}) {
+	if ask.Full || ask.IsLongPoll() || !slices.Equal(ask.Held.Strings(), []string{"b"}) || !slices.Equal(ask.Scopes.Strings(), []string{"a", "b"}) {
 		t.Errorf("asks for %v beside %v", ask.Scopes.Strings(), ask.Held.Strings())
 	}
 	if news, err := f.Answered(Listing{Generation: 12, Instances: []Instance{x}, Unknown: []string{"b"}}, "h", 0); err != nil || ids(news.Instances) != "x" ||
@@ -367,7 +367,7 @@
 		t.Errorf("%+v, %v, unknown %v", news, err, f.Unknown())
 	}
 	f.SetScopes(mustScopes(t, "a@zone=z9", "b"))
-	if _, there := f.known["x"]; there {
+	if _, there := f.instances["x"]; there {
 		t.Error("what a narrower scope leaves out stays")
 	}
 	f = newScopedFeed(t, []string{"a@region=r1"}, x)
@@ -375,7 +375,7 @@
 		t.Errorf("dropped %s before its replacement came", ids(news.Instances))
 	}
 	z := of("z", "a", "r2", "z1")
-	if news, err := f.Answered(Listing{Generation: 12, Instances: []Instance{z}}, "h", 0); err != nil || ids(news.Instances) != "z x-" || len(f.known) != 1 {
+	if news, err := f.Answered(Listing{Generation: 12, Instances: []Instance{z}}, "h", 0); err != nil || ids(news.Instances) != "z x-" || len(f.instances) != 1 {
 		t.Errorf("%s, %v", ids(news.Instances), err)
 	}
 	for name, c := range map[string]struct {
@@ -384,12 +384,12 @@
 		err     error
 	}{
 		"out of scope":          {Listing{Generation: 13, Instances: []Instance{y}}, "h", errOutOfScope},
-		"a follower that lags":  {Listing{Generation: 11}, "h", errOlder},
-		"another history's":     {Listing{Generation: 13}, "other", errNoWhole},
+		"a follower that lags":  {Listing{Generation: 11}, "h", errOlderVersion},
+		"another history's":     {Listing{Generation: 13}, "other", errNoFullList},
 		"a scope that is none":  {Listing{Generation: 13, Unknown: []string{"@"}}, "h", nil},
-		"whole of one that was": {Listing{Generation: 11, Reset: true}, "h", errOlder},
+		"whole of one that was": {Listing{Generation: 11, Reset: true}, "h", errOlderVersion},
 	} {
-		if _, err := f.Answered(c.l, c.history, 0); err == nil || c.err != nil && !errors.Is(err, c.err) || f.version != 12 || len(f.known) != 1 {
+		if _, err := f.Answered(c.l, c.history, 0); err == nil || c.err != nil && !errors.Is(err, c.err) || f.version != 12 || len(f.instances) != 1 {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -406,17 +406,17 @@
 	x, y := of("x", "a", "r1", "z1"), of("y", "b", "r1", "z1")
 	f := newTestFeed("a")
 	f.Answered(whole(10, x, y), "h", 0)
-	if news := f.SetScopes(mustScopes(t, "a")); len(news.Instances) > 0 || len(f.known) != 2 || !f.Next().Whole {
+	if news := f.SetScopes(mustScopes(t, "a")); len(news.Instances) > 0 || len(f.instances) != 2 || !f.Next().Full {
 		t.Errorf("%+v, asks %+v", news, f.Next())
 	}
-	if news, err := f.Answered(whole(10, x), "h", 0); err != nil || ids(news.Instances) != "y-" || news.Reset || !f.Next().Waits() {
+	if news, err := f.Answered(whole(10, x), "h", 0); err != nil || ids(news.Instances) != "y-" || news.Reset || !f.Next().IsLongPoll() {
 		t.Errorf("%+v, %v", news, err)
 	}
-	if news := f.SetScopes(nil); len(news.Instances) > 0 || len(f.known) != 1 || !f.Next().Whole || f.Next().Scopes != nil {
+	if news := f.SetScopes(nil); len(news.Instances) > 0 || len(f.instances) != 1 || !f.Next().Full || f.Next().Scopes != nil {
 		t.Errorf("%+v, asks %+v", news, f.Next())
 	}
 	f.SetScopes(mustScopes(t, "b"))
-	if ask := f.Next(); !ask.Whole || len(f.known) != 1 {
+	if ask := f.Next(); !ask.Full || len(f.instances) != 1 {
 		t.Errorf("asks %+v", ask)
 	}
 	if news, err := f.Answered(whole(10, y), "h", 0); err != nil || ids(news.Instances) != "y x-" {
--- a/internal/registry/scoped.go
+++ b/internal/registry/scoped.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	mostScopedBytes = 8 << 20 // of the answers to scopes that are kept for others who ask the same
-	mostScopedKept  = 256     // and how many they are
-	leastListCost   = 1.0 / 64
+	maxScopedCacheBytes   = 8 << 20 // of the answers to scopes that are kept for others who ask the same
+	maxScopedCacheEntries = 256     // and how many they are
+	minListCost           = 1.0 / 64
 )
 
 // ScopedRead is a question about a part of the list.
@@ -27,28 +27,28 @@
 }
 
 // joins reports whether the reader has some scopes and wants others beside them.
-func (q ScopedRead) joins() bool { return !q.Held.same(q.Scopes) }
+func (q ScopedRead) addsScopes() bool { return !q.Held.equal(q.Scopes) }
 
 // concerns reports whether a change can alter what the reader has or wants.
-func (q ScopedRead) concerns(c *change) bool {
-	if q.touches(c.at()) {
+func (q ScopedRead) affectedBy(c *change) bool {
+	if q.covers(c.currentPlacement()) {
 		return true
 	}
-	for _, p := range c.left() {
-		if q.touches(p) {
+	for _, p := range c.previousPlacements() {
+		if q.covers(p) {
 			return true
 		}
 	}
 	return false
 }
 
-func (q ScopedRead) touches(p Placement) bool {
-	return q.Scopes.contains(p) || q.joins() && q.Held.contains(p)
+func (q ScopedRead) covers(p Placement) bool {
+	return q.Scopes.contains(p) || q.addsScopes() && q.Held.contains(p)
 }
 
 // toList returns the services of which a reader is told all instances in its scopes. A
 // reader without a list is one that holds nothing.
-func (q ScopedRead) toList(held *ScopeSet) (services []string) {
+func (q ScopedRead) servicesToList(held *ScopeSet) (services []string) {
 	for name, scopes := range q.Scopes.byService {
 		if held == nil || slices.ContainsFunc(scopes, func(scope Scope) bool { return !held.covers(scope) }) {
 			services = append(services, name)
@@ -64,36 +64,36 @@
 }
 
 // scopedAnswers keeps answers for readers that ask the same at the same version.
-type scopedAnswers struct {
-	kept  map[scopedKey]Answer
-	bytes int
+type scopedCache struct {
+	answers map[scopedKey]Answer
+	bytes   int
 }
 
-func (a *scopedAnswers) clear() {
-	clear(a.kept)
+func (a *scopedCache) clear() {
+	clear(a.answers)
 	a.bytes = 0
 }
 
-func (a *scopedAnswers) keep(key scopedKey, answer Answer) {
-	if len(a.kept) >= mostScopedKept || a.bytes+len(answer.Body) > mostScopedBytes {
+func (a *scopedCache) add(key scopedKey, answer Answer) {
+	if len(a.answers) >= maxScopedCacheEntries || a.bytes+len(answer.Body) > maxScopedCacheBytes {
 		a.clear()
 	}
-	if a.kept == nil {
-		a.kept = map[scopedKey]Answer{}
+	if a.answers == nil {
+		a.answers = map[scopedKey]Answer{}
 	}
-	a.kept[key] = answer
+	a.answers[key] = answer
 	a.bytes += len(answer.Body)
 }
 
 // Quiet reports whether a reader that is at a version of a history has nothing to hear.
 // It looks at the changes behind that version alone, and only at whom they concern. A
 // reader that is told so is as good as at the store's version.
-func (s *Store) Quiet(q ScopedRead) bool {
-	if !s.continues(q) {
+func (s *Store) NoChangesFor(q ScopedRead) bool {
+	if !s.canContinue(q) {
 		return false
 	}
-	for n := s.behind(q.Since); n < len(s.changes); n++ {
-		if q.concerns(&s.changes[n]) {
+	for n := s.firstChangeAfter(q.Since); n < len(s.changes); n++ {
+		if q.affectedBy(&s.changes[n]) {
 			return false
 		}
 	}
@@ -101,20 +101,20 @@
 }
 
 // continues reports whether a reader that waits can go on from its version by changes.
-func (s *Store) continues(q ScopedRead) bool {
-	return q.History == s.history && !q.joins() && q.Since >= s.from && q.Since <= s.version
+func (s *Store) canContinue(q ScopedRead) bool {
+	return q.History == s.history && !q.addsScopes() && q.Since >= s.baseVersion && q.Since <= s.version
 }
 
 // servicesChanged returns the services that the changes since a version concern.
 func (s *Store) servicesChanged(since int64) map[string]bool {
 	names := map[string]bool{}
-	for n := s.behind(since); n < len(s.changes); n++ {
+	for n := s.firstChangeAfter(since); n < len(s.changes); n++ {
 		c := &s.changes[n]
-		if c.places == nil {
+		if c.placements == nil {
 			continue
 		}
-		names[c.at().Service] = true
-		for _, p := range c.left() {
+		names[c.currentPlacement().Service] = true
+		for _, p := range c.previousPlacements() {
 			names[p.Service] = true
 		}
 	}
@@ -122,7 +122,7 @@
 }
 
 // behind returns the place of the first change after a version.
-func (s *Store) behind(version int64) int {
+func (s *Store) firstChangeAfter(version int64) int {
 	return sort.Search(len(s.changes), func(n int) bool { return s.changes[n].version > version })
 }
 
@@ -130,14 +130,14 @@
 // scopes, or with the last state of each instance that has changed in them. An instance
 // that has left the scopes is told as Gone.
 func (s *Store) ReadScoped(now time.Duration, q ScopedRead) (Answer, error) {
-	if err := s.readable(now); err != nil {
+	if err := s.checkReadable(now); err != nil {
 		return Answer{}, err
 	}
 	if q.Held == nil {
 		q.Held = q.Scopes
 	}
 	same := q.History == "" || q.History == s.history
-	whole := q.Since < 0 || !same || q.Since < s.from
+	whole := q.Since < 0 || !same || q.Since < s.baseVersion
 	if !whole && q.Since > s.version {
 		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is yet to come, this is %d", q.Since, s.version)
 	}
@@ -145,32 +145,32 @@
 	if whole {
 		key.since, key.held = -1, ""
 	}
-	if answer, there := s.scoped.kept[key]; there {
+	if answer, there := s.cachedScoped.answers[key]; there {
 		return answer, nil
 	}
 	var texts [][]byte
 	if whole {
-		texts = s.scopedWhole(q, nil, nil)
+		texts = s.scopedInstances(q, nil, nil)
 	} else {
 		var err error
 		if texts, err = s.scopedChanges(q); err != nil {
 			return Answer{}, err
 		}
 	}
-	s.stats.Joined++
-	s.stats.Scoped++
-	unknown := s.unknown(q.Scopes)
-	answer := Answer{Whole: whole || q.joins(), Nothing: !whole && !q.joins() && len(texts) == 0,
-		Body: encodeAnswer(s.version, whole, texts, answerPart{"unknown", len(unknown), unknown})}
-	s.scoped.keep(key, answer)
+	s.stats.AnswersEncoded++
+	s.stats.ScopedAnswersEncoded++
+	unknown := s.unknownScopes(q.Scopes)
+	answer := Answer{Full: whole || q.addsScopes(), Unchanged: !whole && !q.addsScopes() && len(texts) == 0,
+		Body: encodeAnswer(s.version, whole, texts, answerField{"unknown", len(unknown), unknown})}
+	s.cachedScoped.add(key, answer)
 	return answer, nil
 }
 
 // scopedWhole returns the instances of a reader's scopes, by id, without those of scopes
 // that it holds and those that were told.
-func (s *Store) scopedWhole(q ScopedRead, held *ScopeSet, told map[string]bool) (texts [][]byte) {
+func (s *Store) scopedInstances(q ScopedRead, held *ScopeSet, told map[string]bool) (texts [][]byte) {
 	var entries []*entry
-	for _, name := range q.toList(held) {
+	for _, name := range q.servicesToList(held) {
 		of := s.services.known[name]
 		if of == nil {
 			continue
@@ -184,7 +184,7 @@
 	}
 	slices.SortFunc(entries, func(a, b *entry) int { return strings.Compare(a.ID, b.ID) })
 	for _, e := range entries {
-		texts = append(texts, e.text)
+		texts = append(texts, e.encoded)
 	}
 	return texts
 }
@@ -195,39 +195,39 @@
 // Of an instance the last change that concerns the reader says all: had it been in a scope
 // after that, the next change would name its placement, as the one that it left.
 func (s *Store) scopedChanges(q ScopedRead) (texts [][]byte, err error) {
-	first := s.behind(q.Since)
+	first := s.firstChangeAfter(q.Since)
 	told := map[string]bool{}
 	for n := len(s.changes) - 1; n >= first; n-- {
 		c := &s.changes[n]
-		if !q.concerns(c) || told[c.id] {
+		if !q.affectedBy(c) || told[c.id] {
 			continue
 		}
 		told[c.id] = true
-		text := c.text
-		if !c.gone && !q.Scopes.contains(c.at()) || c.gone && !q.touches(c.at()) {
-			if text, err = q.leaves(c); err != nil {
+		text := c.encoded
+		if !c.gone && !q.Scopes.contains(c.currentPlacement()) || c.gone && !q.covers(c.currentPlacement()) {
+			if text, err = q.encodeGone(c); err != nil {
 				return nil, err
 			}
 		}
 		texts = append(texts, text)
 	}
 	slices.Reverse(texts)
-	if q.joins() {
-		texts = append(texts, s.scopedWhole(q, q.Held, told)...)
+	if q.addsScopes() {
+		texts = append(texts, s.scopedInstances(q, q.Held, told)...)
 	}
 	return texts, nil
 }
 
 // leaves encodes, for an instance that has moved out of the reader's scopes, that it is
 // Gone from where the reader knew it.
-func (q ScopedRead) leaves(c *change) ([]byte, error) {
+func (q ScopedRead) encodeGone(c *change) ([]byte, error) {
 	var i Instance
-	if err := json.Unmarshal(c.text, &i); err != nil {
+	if err := json.Unmarshal(c.encoded, &i); err != nil {
 		return nil, err
 	}
 	i.Lifecycle, i.Drained = Gone, false
-	for _, p := range c.left() {
-		if q.touches(p) {
+	for _, p := range c.previousPlacements() {
+		if q.covers(p) {
 			i.Service, i.Region, i.Zone = p.Service, p.Region, p.Zone
 			break
 		}
@@ -236,7 +236,7 @@
 }
 
 // unknown returns the scopes whose service is not known.
-func (s *Store) unknown(scopes *ScopeSet) (texts []string) {
+func (s *Store) unknownScopes(scopes *ScopeSet) (texts []string) {
 	for _, scope := range scopes.scopes {
 		if s.services.known[scope.Service] == nil {
 			texts = append(texts, scope.String())
@@ -252,27 +252,27 @@
 		return 1
 	}
 	var held *ScopeSet
-	if q.joins() {
+	if q.addsScopes() {
 		held = q.Held
 	}
 	looked := 0
-	for _, name := range q.toList(held) {
+	for _, name := range q.servicesToList(held) {
 		if of := s.services.known[name]; of != nil {
 			looked += len(of.instances)
 		}
 	}
-	return max(float64(looked)/float64(max(len(s.entries), 1)), leastListCost)
+	return max(float64(looked)/float64(max(len(s.entries), 1)), minListCost)
 }
 
 // answerPart is a part of an answer beside its instances. It is left out if it is empty.
-type answerPart struct {
+type answerField struct {
 	name  string
 	count int
 	value any
 }
 
 // encodeAnswer puts an answer together from the texts of its instances.
-func encodeAnswer(version int64, reset bool, texts [][]byte, more ...answerPart) []byte {
+func encodeAnswer(version int64, reset bool, texts [][]byte, more ...answerField) []byte {
 	size := len(texts) + 64
 	for _, text := range texts {
 		size += len(text)
@@ -313,10 +313,10 @@
 func (m *movedInstances) add(c *change, now Placement) {
 	left := (*m)[c.id]
 	was := len(left)
-	for _, p := range c.left() {
-		left = appendLeft(left, p, now)
+	for _, p := range c.previousPlacements() {
+		left = appendPrevious(left, p, now)
 	}
-	left = appendLeft(left, c.at(), now)
+	left = appendPrevious(left, c.currentPlacement(), now)
 	if len(left) == was {
 		return
 	}
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -17,71 +17,71 @@
 )
 
 const (
-	tickGap     = 100 * time.Millisecond
-	wakeGap     = 50 * time.Millisecond // between two answers to all watchers
-	longestWait = time.Minute           // of a watch
-	writeWait   = 5 * time.Second       // for an answer to be taken; a watcher that does not is cut
-	readWait    = 3 * time.Second       // for a call to come whole
-	idleWait    = 90 * time.Second
-	mostCall    = 4 << 10 // bytes of a write's body
-	mostHead    = 8 << 10
-	leaveWithin = 2 * time.Second // in which watchers are told to move on, each at its own moment
-	mostAfter   = 3 * time.Second // of Retry-After
-	leastAfter  = time.Second
+	tickInterval     = 100 * time.Millisecond
+	wakeInterval     = 50 * time.Millisecond // between two answers to all watchers
+	maxWatchWait     = time.Minute           // of a watch
+	writeTimeout     = 5 * time.Second       // for an answer to be taken; a watcher that does not is cut
+	readTimeout      = 3 * time.Second       // for a call to come whole
+	idleTimeout      = 90 * time.Second
+	maxRequestBytes  = 4 << 10 // bytes of a write's body
+	maxHeaderBytes   = 8 << 10
+	watchDrainPeriod = 2 * time.Second // in which watchers are told to move on, each at its own moment
+	maxRetryAfter    = 3 * time.Second // of Retry-After
+	minRetryAfter    = time.Second
 )
 
 // Server answers readers and writers of one Store.
 type Server struct {
-	limits ServerLimits
-	writer atomic.Pointer[string] // of a follower; nil: this is the writer
-	age    func() int64           // milliseconds since the writer was heard; nil for a writer
-	began  time.Time
-
-	mu         sync.Mutex // of the store and of what follows
-	store      *Store
-	news       chan struct{} // closed when there is something new
-	wokenAt    time.Time
-	waking     bool
-	toldLapsed int64
-	toldAt     time.Time
-	lists      float64 // that may be asked for now
-	listsAt    time.Time
-	random     *rand.Rand
-	subscribed *subscriptions
-	watches    map[*scopedWatch]struct{} // of scopes, that wait
-	passedOver int64                     // the version at which they were last looked at
-
-	keeper  *keeper        // makes changes last; nil: nothing does
-	agreed  *agreed        // of a list that a group agrees on; else nil
-	self    string         // this service's own address, for others
-	promote func() error   // of a follower
-	wg      sync.WaitGroup // of snapshots
-	leaving chan struct{}  // closed at the stop
-	ended   chan struct{}  // closed when no change is made any more
-	figures struct {
-		watchers, refused, turnedAway, answers, bytes, cut atomic.Int64
+	limits    ServerLimits
+	writer    atomic.Pointer[string] // of a follower; nil: this is the writer
+	age       func() int64           // milliseconds since the writer was heard; nil for a writer
+	startedAt time.Time
+
+	mu              sync.Mutex // of the store and of what follows
+	store           *Store
+	changed         chan struct{} // closed when there is something new
+	lastWake        time.Time
+	wakePending     bool
+	loggedLapses    int64
+	lapsesLoggedAt  time.Time
+	listingTokens   float64 // that may be asked for now
+	listingTokensAt time.Time
+	random          *rand.Rand
+	subscriptions   *subscriptions
+	watches         map[*scopedWatch]struct{} // of scopes, that wait
+	watchesVersion  int64                     // the version at which they were last looked at
+
+	persister     *persister     // makes changes last; nil: nothing does
+	replicated    *replicated    // of a list that a group agrees on; else nil
+	selfAddress   string         // this service's own address, for others
+	promote       func() error   // of a follower
+	snapshots     sync.WaitGroup // of snapshots
+	stopping      chan struct{}  // closed at the stop
+	persisterDone chan struct{}  // closed when no change is made any more
+	metrics       struct {
+		watchers, refused, overloaded, answers, bytes, aborted atomic.Int64
 	}
 }
 
 // NewWriter serves a store of its own at an address that others know.
 func NewWriter(self string, store *Store, limits ServerLimits, began time.Time, random *rand.Rand) *Server {
 	limits = limits.withDefaults()
-	return &Server{self: self, limits: limits, store: store, subscribed: newSubscriptions(), watches: map[*scopedWatch]struct{}{}, began: began, news: make(chan struct{}), random: random,
-		lists: limits.Lists, listsAt: began, leaving: make(chan struct{}), ended: make(chan struct{})}
+	return &Server{selfAddress: self, limits: limits, store: store, subscriptions: newSubscriptions(), watches: map[*scopedWatch]struct{}{}, startedAt: began, changed: make(chan struct{}), random: random,
+		listingTokens: limits.ListingsPerSecond, listingTokensAt: began, stopping: make(chan struct{}), persisterDone: make(chan struct{})}
 }
 
 // Retune puts other limits in force. Leases that run keep their end.
-func (s *Server) Retune(limits Limits, serves ServerLimits) {
+func (s *Server) SetLimits(limits Limits, serves ServerLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.limits, s.limits = limits, serves.withDefaults()
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.began) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
 // tick lets leases lapse until ctx ends; where changes are kept, the keeper does.
 func (s *Server) tick(ctx context.Context) {
-	t := time.NewTicker(tickGap)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -90,28 +90,28 @@
 		case <-t.C:
 		}
 		switch {
-		case s.keeper != nil:
-			s.tellLapses()
+		case s.persister != nil:
+			s.logLapses()
 			continue
 		case s.writer.Load() != nil:
 			continue // the writer's to say
 		}
-		if _, err := s.change(func(now time.Duration) (Written, error) { return Written{}, s.store.Tick(now) }); err != nil {
+		if _, err := s.change(func(now time.Duration) (WriteResult, error) { return WriteResult{}, s.store.Tick(now) }); err != nil {
 			slog.Error("lapses", "error", err)
 		}
-		s.tellLapses()
+		s.logLapses()
 	}
 }
 
 // tellLapses writes a line about leases that have run out, once a second at most.
-func (s *Server) tellLapses() {
+func (s *Server) logLapses() {
 	s.mu.Lock()
 	st := s.store.Stats()
 	now := time.Now()
-	tell := st.Lapsed != s.toldLapsed && now.Sub(s.toldAt) >= time.Second
-	lapsed := st.Lapsed - s.toldLapsed
+	tell := st.Lapsed != s.loggedLapses && now.Sub(s.lapsesLoggedAt) >= time.Second
+	lapsed := st.Lapsed - s.loggedLapses
 	if tell {
-		s.toldLapsed, s.toldAt = st.Lapsed, now
+		s.loggedLapses, s.lapsesLoggedAt = st.Lapsed, now
 	}
 	s.mu.Unlock()
 	if tell {
@@ -120,21 +120,21 @@
 }
 
 // writeChange makes a change, which lasts when it returns where changes are kept.
-func (s *Server) writeChange(f func(now time.Duration) (Written, error)) (Written, error) {
-	fenced := func(now time.Duration) (Written, error) {
-		if err := cmp.Or(s.refuseFenced(), s.refuseElsewhere()); err != nil {
-			return Written{}, err
+func (s *Server) writeChange(f func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
+	fenced := func(now time.Duration) (WriteResult, error) {
+		if err := cmp.Or(s.checkFenced(), s.checkIsWriter()); err != nil {
+			return WriteResult{}, err
 		}
 		return f(now)
 	}
-	if s.keeper != nil {
-		return s.keeper.do(fenced)
+	if s.persister != nil {
+		return s.persister.submit(fenced)
 	}
 	return s.change(fenced)
 }
 
 // change does something with the store and wakes the watchers if that made news.
-func (s *Server) change(f func(now time.Duration) (Written, error)) (Written, error) {
+func (s *Server) change(f func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before, history, pauses := s.store.version, s.store.history, s.store.stats.Pauses
@@ -150,15 +150,15 @@
 
 // wake lets the watchers look. Changes that come close together are told at once.
 func (s *Server) wake() {
-	if s.waking {
+	if s.wakePending {
 		return
 	}
-	if wait := wakeGap - time.Since(s.wokenAt); wait > 0 {
-		s.waking = true
+	if wait := wakeInterval - time.Since(s.lastWake); wait > 0 {
+		s.wakePending = true
 		time.AfterFunc(wait, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.waking = false
+			s.wakePending = false
 			s.wakeNow()
 		})
 		return
@@ -167,13 +167,13 @@
 }
 
 func (s *Server) wakeNow() {
-	s.wokenAt = time.Now()
-	close(s.news)
-	s.news = make(chan struct{})
-	s.passOver()
+	s.lastWake = time.Now()
+	close(s.changed)
+	s.changed = make(chan struct{})
+	s.advanceWatches()
 }
 
-func (s *Server) between(least, most time.Duration) time.Duration {
+func (s *Server) randomBetween(least, most time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return least + time.Duration(s.random.Int64N(int64(most-least)))
@@ -185,9 +185,9 @@
 	return s.store.limits.Lease
 }
 
-func (s *Server) left() bool {
+func (s *Server) isStopping() bool {
 	select {
-	case <-s.leaving:
+	case <-s.stopping:
 		return true
 	default:
 		return false
@@ -203,30 +203,30 @@
 	defer stop()
 	wg.Go(func() { s.tick(inner) })
 	kept := make(chan error, 1)
-	if s.keeper != nil {
+	if s.persister != nil {
 		keeping, end := context.WithCancel(context.Background())
 		defer func() { // after the last write
 			end()
-			<-s.ended
-			s.wg.Wait()
-			if err := s.keeper.closeLog(); err != nil {
+			<-s.persisterDone
+			s.snapshots.Wait()
+			if err := s.persister.closeLog(); err != nil {
 				slog.Error("data", "error", err)
 			}
 		}()
 		go func() {
-			err := s.keeper.run(keeping)
-			close(s.ended)
+			err := s.persister.run(keeping)
+			close(s.persisterDone)
 			kept <- err
 		}()
 	}
-	server := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: readWait, IdleTimeout: idleWait, MaxHeaderBytes: mostHead}
+	server := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	failed := make(chan error, 2)
 	s.mu.Lock()
 	connections := s.limits.Connections
 	s.mu.Unlock()
 	wg.Go(func() { failed <- server.Serve(netutil.LimitListener(l, connections)) })
 	if operators != nil {
-		control := &http.Server{Handler: s.control(), ReadTimeout: readWait, WriteTimeout: writeWait, MaxHeaderBytes: mostHead}
+		control := &http.Server{Handler: s.controlHandler(), ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes}
 		wg.Go(func() { failed <- control.Serve(netutil.LimitListener(operators, 16)) })
 		defer control.Close()
 	}
@@ -238,9 +238,9 @@
 	case broken = <-kept: // nobody may believe any more in what this process has
 	case <-ctx.Done():
 	}
-	slog.Info("leaving", "watchers", s.figures.watchers.Load())
-	close(s.leaving)
-	end, cancel := context.WithTimeout(context.Background(), leaveWithin+writeWait)
+	slog.Info("leaving", "watchers", s.metrics.watchers.Load())
+	close(s.stopping)
+	end, cancel := context.WithTimeout(context.Background(), watchDrainPeriod+writeTimeout)
 	defer cancel()
 	if err := server.Shutdown(end); err != nil {
 		server.Close()
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -19,7 +19,7 @@
 // patience bounds every wait of a test; none is expected to last so long.
 const patience = 20 * time.Second
 
-var testServes = ServerLimits{Connections: 700, Watchers: 600, Lists: 1000}
+var testServes = ServerLimits{Connections: 700, Watchers: 600, ListingsPerSecond: 1000}
 
 // service is one list service on loopback sockets.
 type service struct {
@@ -143,7 +143,7 @@
 	}
 	told := make(chan Listing, 1)
 	go func() { told <- s.list(t, "?since=1001&timeout_ms=60000&history=h1") }()
-	until(t, "a watcher", func() bool { return s.figures.watchers.Load() == 1 })
+	until(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
 	if code, text, _ := call(t, "POST", s.url("/s-1/lifecycle"), `{"lifecycle":"Terminating","startedAtMs":7,"ifVersion":1001}`); code != 200 || text != `{"version":1002,"lifecycle":"Terminating","leaseMs":10000}`+"\n" {
 		t.Errorf("status %d: %s", code, text)
 	}
@@ -191,7 +191,7 @@
 		{"PUT", "/s-2", registration(8) + "{}", 400},
 		{"PUT", "/s-2", registration(8)[:20], 400},
 		{"PUT", "/s-2", "", 400},
-		{"PUT", "/s-2", registration(8) + strings.Repeat(" ", mostCall), 413},
+		{"PUT", "/s-2", registration(8) + strings.Repeat(" ", maxRequestBytes), 413},
 		{"PUT", "/" + strings.Repeat("s", 65), registration(8), 400},
 		{"PUT", "/s%0a2", registration(8), 400},
 		{"PUT", "/s-1", registration(6), 409},
@@ -232,7 +232,7 @@
 
 func newWatching(addresses []string, seed uint64) *watching {
 	w := &watching{}
-	w.client = NewClient(addresses, rand.New(rand.NewPCG(seed, 3)), func(told Told) {
+	w.client = NewClient(addresses, rand.New(rand.NewPCG(seed, 3)), func(told Update) {
 		w.answers.Add(1)
 		w.version.Store(told.Generation)
 	})
@@ -262,15 +262,15 @@
 		all = append(all, w)
 		wg.Go(func() { w.client.Run(ctx, nil) })
 	}
-	until(t, "all watch", func() bool { return s.figures.watchers.Load() == watchers })
+	until(t, "all watch", func() bool { return s.metrics.watchers.Load() == watchers })
 	before := s.storeStats()
-	s.change(func(now time.Duration) (Written, error) {
+	s.change(func(now time.Duration) (WriteResult, error) {
 		for n := range int64(changes) {
 			if _, err := s.store.Register(now, inst(fmt.Sprint(n%40), n), nil); err != nil {
-				return Written{}, err
+				return WriteResult{}, err
 			}
 		}
-		return Written{}, nil
+		return WriteResult{}, nil
 	})
 	for n, w := range all {
 		until(t, "a watcher is at the last version", func() bool { return w.version.Load() == 1000+changes })
@@ -279,16 +279,16 @@
 		}
 	}
 	after := s.storeStats()
-	if after.Encoded-before.Encoded != changes || after.Joined-before.Joined > 2 {
-		t.Errorf("%d encoded and %d joined for %d changes and %d watchers", after.Encoded-before.Encoded,
-			after.Joined-before.Joined, changes, watchers)
+	if after.ChangesEncoded-before.ChangesEncoded != changes || after.AnswersEncoded-before.AnswersEncoded > 2 {
+		t.Errorf("%d encoded and %d joined for %d changes and %d watchers", after.ChangesEncoded-before.ChangesEncoded,
+			after.AnswersEncoded-before.AnswersEncoded, changes, watchers)
 	}
 }
 
 // Beyond its limits a service turns calls away, each for a time of its own.
 func TestTurnedAway(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, ServerLimits{Connections: 100, Watchers: 1, Lists: 3})
+	s := newWriterService(t, ServerLimits{Connections: 100, Watchers: 1, ListingsPerSecond: 3})
 	for range 3 {
 		s.list(t, "")
 	}
@@ -306,7 +306,7 @@
 	defer stop()
 	req, _ := http.NewRequestWithContext(ctx, "GET", s.url("?since=1000&timeout_ms=60000"), nil)
 	go http.DefaultClient.Do(req)
-	until(t, "a watcher", func() bool { return s.figures.watchers.Load() == 1 })
+	until(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
 	if code, _, _ := call(t, "GET", s.url("?since=1000&timeout_ms=60000"), ""); code != 503 {
 		t.Errorf("one watcher too many: status %d", code)
 	}
@@ -314,7 +314,7 @@
 		t.Errorf("a call that does not wait: status %d", code)
 	}
 	stop()
-	until(t, "no watcher", func() bool { return s.figures.watchers.Load() == 0 })
+	until(t, "no watcher", func() bool { return s.metrics.watchers.Load() == 0 })
 }
 
 // A watcher that takes no answer is cut, and holds up nobody.
@@ -337,7 +337,7 @@
 			}
 		}
 	}()
-	until(t, "it is cut", func() bool { return s.figures.cut.Load() > 0 })
+	until(t, "it is cut", func() bool { return s.metrics.aborted.Load() > 0 })
 	s.list(t, "")
 }
 
@@ -358,13 +358,13 @@
 			ends <- time.Now()
 		}()
 	}
-	until(t, "all watch", func() bool { return s.figures.watchers.Load() == watchers })
+	until(t, "all watch", func() bool { return s.metrics.watchers.Load() == watchers })
 	s.stop()
 	var moments []time.Time
 	for range watchers {
 		moments = append(moments, <-ends)
 	}
-	if spread := moments[watchers-1].Sub(moments[0]); spread < leaveWithin/4 {
+	if spread := moments[watchers-1].Sub(moments[0]); spread < watchDrainPeriod/4 {
 		t.Errorf("all left within %v", spread)
 	}
 	if err := <-s.ended; err != nil {
@@ -438,7 +438,7 @@
 	old, next := newWriterService(t, testServes), &service{}
 	store := newTestStore(testLimits, 0)
 	store.history, store.version = "h2", 5000
-	store.forget()
+	store.clearHistory()
 	next.Server = NewWriter("self", store, testServes, time.Now(), rand.New(rand.NewPCG(5, 5)))
 	next.run(t, next.Server.Serve, "127.0.0.1:0")
 	old.put(t, "s-1", 7)
@@ -451,7 +451,7 @@
 	defer stop()
 	wg.Go(func() { reader.client.Run(ctx, nil) })
 	until(t, "the reader has the old list", func() bool { return reader.version.Load() == 1001 })
-	f.Move(ctx, next.address)
+	f.SetSource(ctx, next.address)
 	until(t, "the reader has the new list", func() bool { return reader.version.Load() == 5001 })
 	if l := s.list(t, ""); len(l.Instances) != 1 || l.Instances[0].ID != "s-2" {
 		t.Errorf("%+v", l)
--- a/internal/registry/services.go
+++ b/internal/registry/services.go
@@ -13,15 +13,15 @@
 // instances and have none now. A service that is not in it is unknown. Instances that
 // name no service are not in it.
 type serviceIndex struct {
-	known map[string]*indexedService
-	empty int   // services without instances
-	order int64 // counts the services that became empty
+	known       map[string]*indexedService
+	empty       int   // services without instances
+	lastEmptied int64 // counts the services that became empty
 }
 
 // indexedService is one service of the index.
 type indexedService struct {
-	instances map[string]*entry
-	emptied   int64 // its place among those that became empty
+	instances    map[string]*entry
+	emptiedOrder int64 // its place among those that became empty
 }
 
 func newServiceIndex() *serviceIndex { return &serviceIndex{known: map[string]*indexedService{}} }
@@ -55,13 +55,13 @@
 }
 
 func (x *serviceIndex) markEmpty(of *indexedService) {
-	x.order++
-	of.emptied = x.order
+	x.lastEmptied++
+	of.emptiedOrder = x.lastEmptied
 	x.empty++
 }
 
 // mention makes a service known that has had instances.
-func (x *serviceIndex) mention(name string) {
+func (x *serviceIndex) addKnown(name string) {
 	if name == "" || x.known[name] != nil {
 		return
 	}
@@ -102,6 +102,6 @@
 			names = append(names, name)
 		}
 	}
-	slices.SortFunc(names, func(a, b string) int { return int(x.known[a].emptied - x.known[b].emptied) })
+	slices.SortFunc(names, func(a, b string) int { return int(x.known[a].emptiedOrder - x.known[b].emptiedOrder) })
 	return names
 }
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -16,64 +16,64 @@
 }
 
 const (
-	lapseShare = 0.05 // of the list that may lapse in a second
-	lapseBurst = 0.1  // and at once
-	pauseShare = 4    // a part of a lease; a service that stood still for longer has heard no renewals
-	mostJoined = 64   // answers kept for watchers that ask from the same version
+	lapseFractionPerSecond = 0.05 // of the list that may lapse in a second
+	lapseBurstFraction     = 0.1  // and at once
+	pauseLeaseDivisor      = 4    // a part of a lease; a service that stood still for longer has heard no renewals
+	maxCachedAnswers       = 64   // answers kept for watchers that ask from the same version
 )
 
 // Store is the list and its history. It is a state machine: all times are those
 // of the caller's monotonic clock. It is not safe for use by several goroutines.
 type Store struct {
-	limits  Limits
-	history string
-	version int64
-	epoch   int64  // of the writer; each promotion has a higher one
-	writes  bool   // the history is this service's own
-	fence   *Fence // of one in whose place another was put
-	entries map[string]*entry
-	gone    map[string]change // of the instances in changes that are Gone, the last
+	limits   Limits
+	history  string
+	version  int64
+	epoch    int64  // of the writer; each promotion has a higher one
+	isWriter bool   // the history is this service's own
+	fence    *Fence // of one in whose place another was put
+	entries  map[string]*entry
+	gone     map[string]change // of the instances in changes that are Gone, the last
 
 	services *serviceIndex // of the entries
 
-	changes []change // the oldest first
-	bytes   int      // of their texts
-	from    int64    // the version that changes follow
+	changes     []change // the oldest first
+	bytes       int      // of their texts
+	baseVersion int64    // the version that changes follow
 
-	joined map[int64][]byte // answers at this version, by the version asked from; -1: the whole list
-	scoped scopedAnswers    // the same for scopes
+	cachedAnswers map[int64][]byte // answers at this version, by the version asked from; -1: the whole list
+	cachedScoped  scopedCache      // the same for scopes
 
 	staging bool // changes wait until they last
 	staged  []stagedChange
 	pending map[string]bool // instances in staged changes
 
-	gathering time.Duration // until then the list is not whole
-	ticked    time.Duration
-	credit    float64 // lapses that may go through
-	stats     Stats
+	gatheringUntil time.Duration // until then the list is not whole
+	lastTick       time.Duration
+	lapseCredit    float64 // lapses that may go through
+	stats          Stats
 }
 
 // Stats are a Store's figures.
 type Stats struct {
-	Version        int64
-	Instances      int
-	History, Bytes int // changes kept, and their bytes
-	Registered     int64
-	Renewed        int64
-	Lapsed         int64
-	Overdue        int   // leases that have run out, whose lapse waits
-	Pauses         int64 // times that the service stood still, and all leases began anew
-	Encoded        int64 // changes
-	Joined         int64 // answers put together
-	Scoped         int64 // of them, answers to scopes
-	Services       int   // known
-	EmptyServices  int   // of them, those without instances
+	Version              int64
+	Instances            int
+	History, Bytes       int // changes kept, and their bytes
+	Registered           int64
+	Renewed              int64
+	Lapsed               int64
+	Overdue              int   // leases that have run out, whose lapse waits
+	Pauses               int64 // times that the service stood still, and all leases began anew
+	ChangesEncoded       int64 // changes
+	AnswersEncoded       int64 // answers put together
+	ScopedAnswersEncoded int64 // of them, answers to scopes
+	Services             int   // known
+	EmptyServices        int   // of them, those without instances
 }
 
 type entry struct {
 	Instance
 	version int64
-	text    []byte
+	encoded []byte
 	expires time.Duration
 }
 
@@ -82,18 +82,18 @@
 // instances can register.
 func NewStore(limits Limits, name string, first int64, now time.Duration) *Store {
 	s := newStore(limits, now)
-	s.history, s.version, s.from, s.epoch, s.writes = name, first, first, 1, true
-	s.gathering = now + limits.Lease
+	s.history, s.version, s.baseVersion, s.epoch, s.isWriter = name, first, first, 1, true
+	s.gatheringUntil = now + limits.Lease
 	return s
 }
 
 func newStore(limits Limits, now time.Duration) *Store {
-	return &Store{limits: limits, entries: map[string]*entry{}, gone: map[string]change{}, joined: map[int64][]byte{},
-		pending: map[string]bool{}, services: newServiceIndex(), ticked: now}
+	return &Store{limits: limits, entries: map[string]*entry{}, gone: map[string]change{}, cachedAnswers: map[int64][]byte{},
+		pending: map[string]bool{}, services: newServiceIndex(), lastTick: now}
 }
 
 // enter puts an entry on the list, in place of the one of this id.
-func (s *Store) enter(e *entry) {
+func (s *Store) putEntry(e *entry) {
 	before := s.entries[e.ID]
 	s.entries[e.ID] = e
 	s.services.add(e)
@@ -103,7 +103,7 @@
 }
 
 // withdraw takes an entry off the list.
-func (s *Store) withdraw(id string) {
+func (s *Store) removeEntry(id string) {
 	if e := s.entries[id]; e != nil {
 		delete(s.entries, id)
 		s.services.remove(e)
@@ -111,7 +111,7 @@
 }
 
 // forgetServices bounds the services without instances that are remembered.
-func (s *Store) forgetServices() {
+func (s *Store) trimServices() {
 	s.services.trim(cmp.Or(s.limits.EmptyServices, defaultEmptyServices))
 }
 
@@ -119,7 +119,7 @@
 // is told goes into the history, also what this follower has already. A reader may
 // come from the writer, between two versions that are one step here. A whole list
 // does not tell what has changed, so nobody may go on from before it.
-func (s *Store) Copy(now time.Duration, l Listing, history string) error {
+func (s *Store) ApplyListing(now time.Duration, l Listing, history string) error {
 	if l.Reset {
 		clear(s.entries)
 		s.services.clear()
@@ -133,18 +133,18 @@
 		meanwhile[moved.ID] = moved.From
 	}
 	for _, name := range l.EmptyServices {
-		s.services.mention(name)
+		s.services.addKnown(name)
 	}
 	for _, i := range l.Instances {
-		if err := s.put(i, l.Generation, now, meanwhile[i.ID]); err != nil {
+		if err := s.applyChange(i, l.Generation, now, meanwhile[i.ID]); err != nil {
 			return err
 		}
 	}
 	s.version = l.Generation
-	s.forgetServices()
-	s.dropAnswers()
+	s.trimServices()
+	s.clearCache()
 	if l.Reset {
-		s.forget()
+		s.clearHistory()
 	}
 	return nil
 }
