--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -17,7 +17,7 @@
 
 func newTestStore(limits Limits, now time.Duration) *Store {
 	s := NewStore(limits, "h1", 1000, now)
-	s.gathering = 0
+	s.gatheringUntil = 0
 	return s
 }
 
@@ -25,8 +25,8 @@
 func restarted(t *testing.T, s *Store, now time.Duration) *Store {
 	t.Helper()
 	again := newStore(s.limits, now)
-	for _, r := range s.Save() {
-		read, err := ParseSaved(encodeSaved(r))
+	for _, r := range s.SnapshotRecords() {
+		read, err := ParseRecord(encodeRecord(r))
 		if err == nil {
 			err = again.Restore(now, read)
 		}
@@ -59,31 +59,31 @@
 	gone := inst("z", 1)
 	gone.Lifecycle = Gone
 	for n, step := range []struct {
-		do      func() (Written, error)
+		do      func() (WriteResult, error)
 		status  int // 0: done
 		version int64
 	}{
-		{func() (Written, error) { return s.Register(0, inst("a", 5), p(7)) }, http.StatusPreconditionFailed, 1000},
-		{func() (Written, error) { return s.Register(0, inst("a", 5), p(0)) }, 0, 1001},
-		{func() (Written, error) { return s.Register(0, inst("a", 5), nil) }, 0, 1001},                   // again
-		{func() (Written, error) { return s.Register(0, moved, nil) }, http.StatusConflict, 1001},        // two processes, one start
-		{func() (Written, error) { return s.Register(0, inst("a", 4), nil) }, http.StatusConflict, 1001}, // an old one
-		{func() (Written, error) { return s.Register(0, weighty, p(1001)) }, 0, 1002},
-		{func() (Written, error) { return s.Renew(0, "a", 4) }, http.StatusConflict, 1002},
-		{func() (Written, error) { return s.Renew(0, "b", 4) }, http.StatusNotFound, 1002},
-		{func() (Written, error) { return s.Renew(0, "a", 5) }, 0, 1002},
-		{func() (Written, error) { return s.SetLifecycle(0, "a", 5, "Asleep", nil) }, http.StatusBadRequest, 1002},
-		{func() (Written, error) { return s.SetLifecycle(0, "a", 5, Terminating, p(1001)) }, http.StatusPreconditionFailed, 1002},
-		{func() (Written, error) { return s.SetLifecycle(0, "a", 5, Terminating, p(1002)) }, 0, 1003},
-		{func() (Written, error) { return s.SetLifecycle(0, "a", 5, Terminating, nil) }, 0, 1003},
-		{func() (Written, error) { return s.Register(0, inst("a", 6), nil) }, 0, 1004},
-		{func() (Written, error) { return s.Renew(0, "a", 5) }, http.StatusConflict, 1004}, // the old process
-		{func() (Written, error) { return s.Leave(0, "a", 5, nil) }, http.StatusConflict, 1004},
-		{func() (Written, error) { return s.Leave(0, "a", 6, nil) }, 0, 1005},
-		{func() (Written, error) { return s.Leave(0, "a", 6, nil) }, 0, 1005},
-		{func() (Written, error) { return s.Register(0, inst("a", 5), nil) }, http.StatusConflict, 1005}, // back from the dead
-		{func() (Written, error) { i := moved; i.StartedAtMs = 7; return s.Register(0, i, nil) }, 0, 1006},
-		{func() (Written, error) { return s.Register(0, gone, nil) }, http.StatusBadRequest, 1006},
+		{func() (WriteResult, error) { return s.Register(0, inst("a", 5), p(7)) }, http.StatusPreconditionFailed, 1000},
+		{func() (WriteResult, error) { return s.Register(0, inst("a", 5), p(0)) }, 0, 1001},
+		{func() (WriteResult, error) { return s.Register(0, inst("a", 5), nil) }, 0, 1001},                   // again
+		{func() (WriteResult, error) { return s.Register(0, moved, nil) }, http.StatusConflict, 1001},        // two processes, one start
+		{func() (WriteResult, error) { return s.Register(0, inst("a", 4), nil) }, http.StatusConflict, 1001}, // an old one
+		{func() (WriteResult, error) { return s.Register(0, weighty, p(1001)) }, 0, 1002},
+		{func() (WriteResult, error) { return s.Renew(0, "a", 4) }, http.StatusConflict, 1002},
+		{func() (WriteResult, error) { return s.Renew(0, "b", 4) }, http.StatusNotFound, 1002},
+		{func() (WriteResult, error) { return s.Renew(0, "a", 5) }, 0, 1002},
+		{func() (WriteResult, error) { return s.SetLifecycle(0, "a", 5, "Asleep", nil) }, http.StatusBadRequest, 1002},
+		{func() (WriteResult, error) { return s.SetLifecycle(0, "a", 5, Terminating, p(1001)) }, http.StatusPreconditionFailed, 1002},
+		{func() (WriteResult, error) { return s.SetLifecycle(0, "a", 5, Terminating, p(1002)) }, 0, 1003},
+		{func() (WriteResult, error) { return s.SetLifecycle(0, "a", 5, Terminating, nil) }, 0, 1003},
+		{func() (WriteResult, error) { return s.Register(0, inst("a", 6), nil) }, 0, 1004},
+		{func() (WriteResult, error) { return s.Renew(0, "a", 5) }, http.StatusConflict, 1004}, // the old process
+		{func() (WriteResult, error) { return s.Leave(0, "a", 5, nil) }, http.StatusConflict, 1004},
+		{func() (WriteResult, error) { return s.Leave(0, "a", 6, nil) }, 0, 1005},
+		{func() (WriteResult, error) { return s.Leave(0, "a", 6, nil) }, 0, 1005},
+		{func() (WriteResult, error) { return s.Register(0, inst("a", 5), nil) }, http.StatusConflict, 1005}, // back from the dead
+		{func() (WriteResult, error) { i := moved; i.StartedAtMs = 7; return s.Register(0, i, nil) }, 0, 1006},
+		{func() (WriteResult, error) { return s.Register(0, gone, nil) }, http.StatusBadRequest, 1006},
 	} {
 		written, err := step.do()
 		if status(err) != step.status || (err == nil) != (step.status == 0) || s.version != step.version ||
@@ -107,20 +107,20 @@
 func TestLifecycles(t *testing.T) {
 	absent := Lifecycle("")
 	const lapsed, drained = Lifecycle("lapsed"), Lifecycle("lapsed in a drain")
-	register := func(says Lifecycle) func(*Store) (Written, error) {
-		return func(s *Store) (Written, error) {
+	register := func(says Lifecycle) func(*Store) (WriteResult, error) {
+		return func(s *Store) (WriteResult, error) {
 			i := inst("a", 5)
 			i.Lifecycle = says
 			return s.Register(0, i, nil)
 		}
 	}
-	set := func(l Lifecycle) func(*Store) (Written, error) {
-		return func(s *Store) (Written, error) { return s.SetLifecycle(0, "a", 5, l, nil) }
+	set := func(l Lifecycle) func(*Store) (WriteResult, error) {
+		return func(s *Store) (WriteResult, error) { return s.SetLifecycle(0, "a", 5, l, nil) }
 	}
-	later := func(s *Store) (Written, error) { return s.Register(0, inst("a", 6), nil) }
+	later := func(s *Store) (WriteResult, error) { return s.Register(0, inst("a", 6), nil) }
 	calls := []struct {
 		name string
-		do   func(*Store) (Written, error)
+		do   func(*Store) (WriteResult, error)
 		asks Lifecycle // empty: whatever there is
 		then map[Lifecycle]Lifecycle
 	}{
@@ -130,8 +130,8 @@
 		{"PUT of a later start", later, Ready, map[Lifecycle]Lifecycle{absent: Ready, Ready: Ready, Terminating: Ready, lapsed: Ready, drained: Ready}},
 		{"lifecycle Ready", set(Ready), Ready, map[Lifecycle]Lifecycle{Ready: Ready, Terminating: Ready}},
 		{"lifecycle Terminating", set(Terminating), Terminating, map[Lifecycle]Lifecycle{Ready: Terminating, Terminating: Terminating}},
-		{"renew", func(s *Store) (Written, error) { return s.Renew(0, "a", 5) }, "", map[Lifecycle]Lifecycle{Ready: Ready, Terminating: Terminating}},
-		{"DELETE", func(s *Store) (Written, error) { return s.Leave(0, "a", 5, nil) }, Gone, map[Lifecycle]Lifecycle{absent: Gone, Ready: Gone, Terminating: Gone, lapsed: Gone, drained: Gone}},
+		{"renew", func(s *Store) (WriteResult, error) { return s.Renew(0, "a", 5) }, "", map[Lifecycle]Lifecycle{Ready: Ready, Terminating: Terminating}},
+		{"DELETE", func(s *Store) (WriteResult, error) { return s.Leave(0, "a", 5, nil) }, Gone, map[Lifecycle]Lifecycle{absent: Gone, Ready: Gone, Terminating: Gone, lapsed: Gone, drained: Gone}},
 	}
 	ways := []string{"as it is", "from a snapshot", "from the log", "of a follower", "after promotion", "staged, then kept"}
 	state := func(s *Store) Lifecycle {
@@ -145,9 +145,9 @@
 			for _, c := range calls {
 				s := newTestStore(testLimits, 0)
 				s.Register(0, inst("b", 1), nil)
-				log := s.Save()
+				log := s.SnapshotRecords()
 				follower := newStore(testLimits, 0)
-				step := func(written Written, err error) {
+				step := func(written WriteResult, err error) {
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -159,7 +159,7 @@
 					}
 					l, err := ParseListing(a.Body)
 					if err == nil {
-						err = follower.Copy(0, l, s.history)
+						err = follower.ApplyListing(0, l, s.history)
 					}
 					if err != nil {
 						t.Fatal(err)
@@ -176,7 +176,7 @@
 				}
 				if from == lapsed || from == drained {
 					copied()
-					s.credit, s.ticked, s.entries["a"].expires = 1, 0, 0
+					s.lapseCredit, s.lastTick, s.entries["a"].expires = 1, 0, 0
 					s.entries["b"].expires = time.Hour
 					if err := s.Tick(0); err != nil || s.entries["a"] != nil {
 						t.Fatalf("no lapse: %v", err)
@@ -188,31 +188,31 @@
 				case "from the log":
 					again := newStore(testLimits, 0)
 					for _, r := range log {
-						step(Written{}, again.Restore(0, r))
+						step(WriteResult{}, again.Restore(0, r))
 					}
 					for _, kept := range s.changes {
 						if kept.version > again.version {
-							step(Written{}, again.Restore(0, Saved{Change: &SavedInstance{Version: kept.version, Instance: kept.text}}))
+							step(WriteResult{}, again.Restore(0, Record{Change: &InstanceRecord{Version: kept.version, Instance: kept.encoded}}))
 						}
 					}
 					s = again
 				case "of a follower":
-					follower.from = 0
+					follower.baseVersion = 0
 					s = follower
 				case "after promotion":
-					step(Written{}, follower.Restore(0, follower.Promote(0, "h2", 1)))
+					step(WriteResult{}, follower.Restore(0, follower.PromotionRecord(0, "h2", 1)))
 					s = follower
 					// What has gone is not known any more: it is as if it had never been.
 					if from == drained {
 						want, done = c.then[absent]
 					}
 				case "staged, then kept":
-					s.Stage()
+					s.EnableStaging()
 				case "from a snapshot":
 					s = restarted(t, s, 0)
 				}
 				written, err := c.do(s)
-				s.Settle(0)
+				s.CommitStaged(0)
 				name := fmt.Sprintf("%s, %s, %q", way, c.name, from)
 				switch {
 				case !done:
@@ -231,40 +231,40 @@
 func TestStagedChanges(t *testing.T) {
 	s := newTestStore(testLimits, 0)
 	s.Register(0, inst("a", 1), nil)
-	s.Stage()
+	s.EnableStaging()
 	before, _ := s.Read(0, -1, "")
 	stage := func() {
 		t.Helper()
-		for n, do := range []func() (Written, error){
-			func() (Written, error) { return s.Register(0, inst("b", 1), nil) },
-			func() (Written, error) { return s.SetLifecycle(0, "a", 1, Terminating, nil) },
-			func() (Written, error) { return s.Register(0, inst("c", 1), nil) },
+		for n, do := range []func() (WriteResult, error){
+			func() (WriteResult, error) { return s.Register(0, inst("b", 1), nil) },
+			func() (WriteResult, error) { return s.SetLifecycle(0, "a", 1, Terminating, nil) },
+			func() (WriteResult, error) { return s.Register(0, inst("c", 1), nil) },
 		} {
 			if written, err := do(); err != nil || written.Version != s.version+int64(n)+1 {
 				t.Errorf("%d: %+v, %v", n, written, err)
 			}
 		}
-		for _, do := range []func() (Written, error){
-			func() (Written, error) { return s.Register(0, inst("b", 2), nil) },
-			func() (Written, error) { return s.Renew(0, "a", 1) },
-			func() (Written, error) { return s.Leave(0, "c", 1, nil) },
+		for _, do := range []func() (WriteResult, error){
+			func() (WriteResult, error) { return s.Register(0, inst("b", 2), nil) },
+			func() (WriteResult, error) { return s.Renew(0, "a", 1) },
+			func() (WriteResult, error) { return s.Leave(0, "c", 1, nil) },
 		} {
 			if _, err := do(); err != errPending {
 				t.Errorf("of one that is being changed: %v", err)
 			}
 		}
-		if after, _ := s.Read(0, -1, ""); string(after.Body) != string(before.Body) || len(s.Staged()) != 3 {
-			t.Errorf("told before it lasts: %s, %d staged", after.Body, len(s.Staged()))
+		if after, _ := s.Read(0, -1, ""); string(after.Body) != string(before.Body) || len(s.StagedRecords()) != 3 {
+			t.Errorf("told before it lasts: %s, %d staged", after.Body, len(s.StagedRecords()))
 		}
 	}
 	stage()
-	s.Drop()
-	if after, _ := s.Read(0, -1, ""); string(after.Body) != string(before.Body) || len(s.Staged()) != 0 {
+	s.DropStaged()
+	if after, _ := s.Read(0, -1, ""); string(after.Body) != string(before.Body) || len(s.StagedRecords()) != 0 {
 		t.Errorf("dropped, but %s", after.Body)
 	}
 	stage()
-	s.Settle(0)
-	if a, err := s.Read(0, 1001, "h1"); err != nil || a.Whole || strings.Count(string(a.Body), "instanceId") != 3 || s.version != 1004 {
+	s.CommitStaged(0)
+	if a, err := s.Read(0, 1001, "h1"); err != nil || a.Full || strings.Count(string(a.Body), "instanceId") != 3 || s.version != 1004 {
 		t.Errorf("settled: %s, %v, version %d", a.Body, err, s.version)
 	}
 }
@@ -276,7 +276,7 @@
 		s.Register(0, inst(fmt.Sprintf("i%02d", n), 1), nil)
 	}
 	left := len(s.entries)
-	for now := time.Duration(0); now < 30*time.Second; now += tickGap {
+	for now := time.Duration(0); now < 30*time.Second; now += tickInterval {
 		if now < 9*time.Second {
 			s.Renew(now, "i00", 1)
 		}
@@ -318,14 +318,14 @@
 	for n := range 10 {
 		s.Register(0, inst(fmt.Sprint(n), 1), nil)
 	}
-	s.Tick(tickGap)
+	s.Tick(tickInterval)
 	now := time.Hour // it stood still, past every lease
-	for end := now + testLimits.Lease; now < end; now += tickGap {
+	for end := now + testLimits.Lease; now < end; now += tickInterval {
 		if s.Tick(now); len(s.entries) < 10 {
 			t.Fatalf("%d left, %v after the pause", len(s.entries), now-time.Hour)
 		}
 	}
-	if s.Tick(now + tickGap); len(s.entries) == 10 {
+	if s.Tick(now + tickInterval); len(s.entries) == 10 {
 		t.Error("nobody goes at all")
 	}
 	if s.Stats().Pauses != 1 {
@@ -335,11 +335,11 @@
 	if again.history != "h1" || again.version != s.version || len(again.entries) != len(s.entries) {
 		t.Errorf("history %s, version %d, %d instances after a restart", again.history, again.version, len(again.entries))
 	}
-	if a, err := again.Read(0, s.version, "h1"); err != nil || !a.Nothing {
+	if a, err := again.Read(0, s.version, "h1"); err != nil || !a.Unchanged {
 		t.Errorf("at the last version: %+v, %v", a, err)
 	}
 	left := len(again.entries)
-	for now := time.Duration(0); now < testLimits.Lease; now += tickGap {
+	for now := time.Duration(0); now < testLimits.Lease; now += tickInterval {
 		if again.Tick(now); len(again.entries) < left {
 			t.Fatalf("%d left %v after the start", len(again.entries), now)
 		}
@@ -353,7 +353,7 @@
 	if _, err := s.Read(10*time.Second, -1, ""); status(err) != http.StatusServiceUnavailable {
 		t.Errorf("%v", err)
 	}
-	if a, err := s.Read(11*time.Second, -1, ""); err != nil || !a.Whole {
+	if a, err := s.Read(11*time.Second, -1, ""); err != nil || !a.Full {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
@@ -370,16 +370,16 @@
 			t.Fatalf("%+v", st)
 		}
 	}
-	if s.Stats().Encoded != 100 {
-		t.Errorf("%d encoded", s.Stats().Encoded)
+	if s.Stats().ChangesEncoded != 100 {
+		t.Errorf("%d encoded", s.Stats().ChangesEncoded)
 	}
 	for range 300 {
-		if a, err := s.Read(0, 1080, "h1"); err != nil || a.Whole || strings.Count(string(a.Body), "instanceId") != 1 {
+		if a, err := s.Read(0, 1080, "h1"); err != nil || a.Full || strings.Count(string(a.Body), "instanceId") != 1 {
 			t.Fatalf("%s %v", a.Body, err)
 		}
 	}
-	if s.Stats().Joined != 1 {
-		t.Errorf("%d joined", s.Stats().Joined)
+	if s.Stats().AnswersEncoded != 1 {
+		t.Errorf("%d joined", s.Stats().AnswersEncoded)
 	}
 	for _, c := range []struct {
 		since   int64
@@ -387,8 +387,8 @@
 		whole   bool
 		status  int
 	}{{1060, "", false, 0}, {1059, "", true, 0}, {1100, "", false, 0}, {1080, "other", true, 0}, {1101, "", false, 400}, {-1, "", true, 0}} {
-		if a, err := s.Read(0, c.since, c.history); status(err) != c.status || a.Whole != c.whole {
-			t.Errorf("since %d of %q: whole %t, %v", c.since, c.history, a.Whole, err)
+		if a, err := s.Read(0, c.since, c.history); status(err) != c.status || a.Full != c.whole {
+			t.Errorf("since %d of %q: whole %t, %v", c.since, c.history, a.Full, err)
 		}
 	}
 	limits.HistoryBytes = 2000
@@ -409,21 +409,21 @@
 	limits := testLimits
 	limits.History = 3
 	s := newStore(limits, 0)
-	if err := s.Copy(0, whole(10), "h"); err != nil {
+	if err := s.ApplyListing(0, whole(10), "h"); err != nil {
 		t.Fatal(err)
 	}
 	for n, changed := range []Listing{{Generation: 12, Instances: []Instance{inst("a", 1), inst("b", 1)}}, {Generation: 14, Instances: []Instance{inst("c", 1), inst("d", 1)}},
 		{Generation: 20, Instances: []Instance{inst("a", 2), inst("b", 2), inst("c", 2), inst("d", 2), inst("e", 2)}}} {
-		if err := s.Copy(0, changed, "h"); err != nil {
+		if err := s.ApplyListing(0, changed, "h"); err != nil {
 			t.Fatal(err)
 		}
 		for _, c := range s.changes {
-			if c.version <= s.from {
-				t.Errorf("copy %d: version %d is kept, and changes are from %d on", n, c.version, s.from)
+			if c.version <= s.baseVersion {
+				t.Errorf("copy %d: version %d is kept, and changes are from %d on", n, c.version, s.baseVersion)
 			}
 		}
 		again := restarted(t, s, 0)
-		if again.version != s.version || again.from != s.from || len(again.changes) != len(s.changes) || again.bytes != s.bytes {
+		if again.version != s.version || again.baseVersion != s.baseVersion || len(again.changes) != len(s.changes) || again.bytes != s.bytes {
 			t.Errorf("copy %d: %+v after a restart, %+v before", n, again.Stats(), s.Stats())
 		}
 	}
@@ -432,15 +432,15 @@
 		t.Fatal(err)
 	}
 	before := newStore(limits, 0)
-	for _, r := range []Saved{{Begin: &Begin{History: "h", Version: 20, From: 14}}, {Change: &SavedInstance{Version: 14, Instance: text}}, {Change: &SavedInstance{Version: 20, Instance: text}}} {
+	for _, r := range []Record{{Begin: &Begin{History: "h", Version: 20, BaseVersion: 14}}, {Change: &InstanceRecord{Version: 14, Instance: text}}, {Change: &InstanceRecord{Version: 20, Instance: text}}} {
 		if err := before.Restore(0, r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(before.changes) != 1 || before.from != 14 {
-		t.Errorf("%d changes from %d on", len(before.changes), before.from)
+	if len(before.changes) != 1 || before.baseVersion != 14 {
+		t.Errorf("%d changes from %d on", len(before.changes), before.baseVersion)
 	}
-	if err := before.Restore(0, Saved{Change: &SavedInstance{Version: 13, Instance: text}}); err == nil {
+	if err := before.Restore(0, Record{Change: &InstanceRecord{Version: 13, Instance: text}}); err == nil {
 		t.Error("a change from before the history was taken")
 	}
 }
@@ -488,7 +488,7 @@
 		from = w.follower
 	}
 	since := ask.Since
-	if ask.Whole {
+	if ask.Full {
 		since = -1
 	}
 	a, err := from.Read(w.now, since, ask.History)
@@ -506,7 +506,7 @@
 		return
 	}
 	history := from.history
-	was := maps.Clone(f.known)
+	was := maps.Clone(f.instances)
 	news, err := f.Answered(l, history, 0)
 	if err != nil {
 		f.Failed(0)
@@ -516,8 +516,8 @@
 		w.t.Fatalf("a reader goes back from %d to %d of %s", v, l.Generation, history)
 	}
 	w.seen[f][history] = l.Generation
-	if want := w.models[at(history, l.Generation)]; !maps.Equal(f.known, want) {
-		w.t.Fatalf("at %s/%d a reader has %v, the list was %v", history, l.Generation, f.known, want)
+	if want := w.models[at(history, l.Generation)]; !maps.Equal(f.instances, want) {
+		w.t.Fatalf("at %s/%d a reader has %v, the list was %v", history, l.Generation, f.instances, want)
 	}
 	// What the reader tells on leads to the same list.
 	if news.Reset {
@@ -531,16 +531,16 @@
 			delete(was, i.ID)
 		}
 	}
-	if !maps.Equal(was, f.known) {
-		w.t.Fatalf("the news lead to %v, the list is %v", was, f.known)
+	if !maps.Equal(was, f.instances) {
+		w.t.Fatalf("the news lead to %v, the list is %v", was, f.instances)
 	}
 	if f == w.copying {
-		w.follower.gathering = 0
-		if err := w.follower.Copy(w.now, l, history); err != nil {
+		w.follower.gatheringUntil = 0
+		if err := w.follower.ApplyListing(w.now, l, history); err != nil {
 			w.t.Fatal(err)
 		}
-		if !maps.Equal(w.list(w.follower), f.known) || w.follower.version != l.Generation {
-			w.t.Fatalf("the follower has %v at %d, its reader %v at %d", w.list(w.follower), w.follower.version, f.known, l.Generation)
+		if !maps.Equal(w.list(w.follower), f.instances) || w.follower.version != l.Generation {
+			w.t.Fatalf("the follower has %v at %d, its reader %v at %d", w.list(w.follower), w.follower.version, f.instances, l.Generation)
 		}
 	}
 }
@@ -553,7 +553,7 @@
 		w := &world{t: t, random: random, models: map[string]map[string]Instance{}, seen: map[*Feed]map[string]int64{}}
 		w.begin()
 		w.follower = newStore(testLimits, 0)
-		w.follower.gathering = 1 << 62
+		w.follower.gatheringUntil = 1 << 62
 		w.copying = NewFeed([]string{"writer"}, random)
 		for range 6 {
 			w.readers = append(w.readers, NewFeed([]string{"writer", "follower"}, random))
@@ -587,7 +587,7 @@
 				}
 			case 6:
 				// One at a time, so that the list at each version is known.
-				w.writer.credit = 0
+				w.writer.lapseCredit = 0
 				w.writer.Tick(w.now)
 			case 7:
 				w.read(w.copying)
@@ -614,9 +614,9 @@
 			}
 		}
 		for n, f := range all {
-			if f.history != w.writer.history || f.version != w.writer.version || !maps.Equal(f.known, w.list(w.writer)) {
+			if f.history != w.writer.history || f.version != w.writer.version || !maps.Equal(f.instances, w.list(w.writer)) {
 				t.Fatalf("seed %d: reader %d ends at %s/%d with %v; the list is at %s/%d with %v", seed, n, f.history, f.version,
-					f.known, w.writer.history, w.writer.version, w.list(w.writer))
+					f.instances, w.writer.history, w.writer.version, w.list(w.writer))
 			}
 		}
 	}
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -11,15 +11,15 @@
 
 // read answers with the whole list, or waits for what is new; both in the scopes that the
 // call names, if it does.
-func (s *Server) read(w http.ResponseWriter, r *http.Request) {
-	question, wait, err := s.question(r)
+func (s *Server) handleRead(w http.ResponseWriter, r *http.Request) {
+	question, wait, err := s.parseRead(r)
 	if err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
-	a, err := s.await(r.Context(), question, wait)
+	a, err := s.awaitAnswer(r.Context(), question, wait)
 	if err != nil {
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	w.Header().Set(HistoryHeader, a.history)
@@ -30,13 +30,13 @@
 	if s.age != nil && s.writer.Load() != nil {
 		w.Header().Set(AgeHeader, strconv.FormatInt(s.age(), 10))
 	}
-	s.write(w, a.body)
+	s.writeAnswer(w, a.body)
 }
 
 // question reads what a call asks for, and how long it may wait.
-func (s *Server) question(r *http.Request) (question ScopedRead, wait time.Duration, err error) {
-	since, err := number(r, "since", 0, mostStart)
-	waitMs, waitErr := number(r, "timeout_ms", 0, longestWait.Milliseconds())
+func (s *Server) parseRead(r *http.Request) (question ScopedRead, wait time.Duration, err error) {
+	since, err := queryInteger(r, "since", 0, maxExactInteger)
+	waitMs, waitErr := queryInteger(r, "timeout_ms", 0, maxWatchWait.Milliseconds())
 	if err = errors.Join(err, waitErr); err != nil {
 		return question, 0, err
 	}
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	if since < 0 || question.joins() {
+	if since < 0 || question.addsScopes() {
 		return question, 0, nil // it is answered at once
 	}
 	return question, time.Duration(max(waitMs, 0)) * time.Millisecond, nil
@@ -63,34 +63,34 @@
 func (s *Server) subscription(id string) (*ScopeSet, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if set := s.subscribed.get(id); set != nil {
+	if set := s.subscriptions.get(id); set != nil {
 		return set, nil
 	}
 	return nil, refuse(http.StatusNotFound, "subscription: %.80q is not known here; name its scopes at %s", id, SubscriptionsPath)
 }
 
 // subscribe takes the scopes that a reader names.
-func (s *Server) subscribe(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleSubscribe(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	limits := s.limits
 	s.mu.Unlock()
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(readWait))
+	control.SetReadDeadline(time.Now().Add(readTimeout))
 	set, err := readSubscription(r.Body, limits.SubscriptionBytes, limits.SubscriptionScopes)
 	if err != nil {
 		w.Header().Set("Connection", "close") // the rest of its body may still come
-		s.fail(w, err)
+		s.writeError(w, err)
 		return
 	}
 	control.SetReadDeadline(time.Time{})
 	s.mu.Lock()
-	s.subscribed.add(set, limits.Subscriptions, limits.SubscribedScopes)
+	s.subscriptions.add(set, limits.Subscriptions, limits.SubscribedScopes)
 	s.mu.Unlock()
-	s.write(w, fmt.Appendf(nil, `{"subscription":%q}`+"\n", set.ID()))
+	s.writeAnswer(w, fmt.Appendf(nil, `{"subscription":%q}`+"\n", set.ID()))
 }
 
 // awaited is an answer and where it comes from.
-type awaited struct {
+type watchResult struct {
 	body    []byte
 	history string
 	epoch   int64
@@ -100,8 +100,8 @@
 // long as no change concerns it, by who makes the changes: a thousand readers that each woke
 // to look took nine times as much processor time (BenchmarkScopedWatch).
 type scopedWatch struct {
-	question  ScopedRead    // the server's while the watch waits
-	concerned chan struct{} // has one when there may be something for it
+	read ScopedRead    // the server's while the watch waits
+	wake chan struct{} // has one when there may be something for it
 }
 
 func newScopedWatch(question ScopedRead) *scopedWatch {
@@ -113,22 +113,22 @@
 //
 // Most watches have no service that has changed since they were last looked at. They are not
 // compared with each change.
-func (s *Server) passOver() {
-	before := s.passedOver
-	s.passedOver = s.store.version
+func (s *Server) advanceWatches() {
+	before := s.watchesVersion
+	s.watchesVersion = s.store.version
 	if len(s.watches) == 0 {
 		return
 	}
 	changed := s.store.servicesChanged(before)
 	for watch := range s.watches {
-		q := &watch.question
-		apart := q.Since >= before && s.store.continues(*q) && !q.Scopes.meets(changed)
-		if s.store.fence == nil && (apart || s.store.Quiet(*q)) {
+		q := &watch.read
+		apart := q.Since >= before && s.store.canContinue(*q) && !q.Scopes.includesServiceOf(changed)
+		if s.store.fence == nil && (apart || s.store.NoChangesFor(*q)) {
 			q.Since = s.store.version
 			continue
 		}
 		select {
-		case watch.concerned <- struct{}{}:
+		case watch.wake <- struct{}{}:
 		default: // it has been woken
 		}
 	}
@@ -136,18 +136,18 @@
 
 // lookFor looks for a watch. If there is nothing new, the watch waits until endWatch, and
 // the channel has something, or is closed, when there may be.
-func (s *Server) lookFor(watch *scopedWatch, last bool) (found awaited, news <-chan struct{}, err error) {
+func (s *Server) pollWatch(watch *scopedWatch, last bool) (found watchResult, news <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found, err = s.look(&watch.question, last)
+	found, err = s.poll(&watch.read, last)
 	switch {
 	case err != nil || found.body != nil:
 		return found, nil, err
-	case watch.question.Scopes == nil:
-		return awaited{}, s.news, nil
+	case watch.read.Scopes == nil:
+		return watchResult{}, s.changed, nil
 	}
 	s.watches[watch] = struct{}{}
-	return awaited{}, watch.concerned, nil
+	return watchResult{}, watch.wake, nil
 }
 
 // endWatch ends a watch.
@@ -158,22 +158,22 @@
 }
 
 // await waits for an answer.
-func (s *Server) await(ctx context.Context, q ScopedRead, wait time.Duration) (awaited, error) {
+func (s *Server) awaitAnswer(ctx context.Context, q ScopedRead, wait time.Duration) (watchResult, error) {
 	if wait > 0 {
-		defer s.figures.watchers.Add(-1)
-		if most := s.mostWatchers(); s.figures.watchers.Add(1) > int64(most) {
-			return awaited{}, refuse(http.StatusServiceUnavailable, "there are %d watchers", most)
+		defer s.metrics.watchers.Add(-1)
+		if most := s.maxWatchers(); s.metrics.watchers.Add(1) > int64(most) {
+			return watchResult{}, refuse(http.StatusServiceUnavailable, "there are %d watchers", most)
 		}
 	}
 	over := time.NewTimer(wait)
 	defer over.Stop()
-	leaving := s.leaving
+	leaving := s.stopping
 	watch := newScopedWatch(q)
 	if q.Scopes != nil && wait > 0 {
 		defer s.endWatch(watch)
 	}
 	for last := wait <= 0; ; {
-		found, news, err := s.lookFor(watch, last)
+		found, news, err := s.pollWatch(watch, last)
 		if err != nil || found.body != nil {
 			return found, err
 		}
@@ -184,9 +184,9 @@
 		case <-leaving:
 			// All would ask elsewhere at once.
 			leaving = nil
-			over.Reset(s.between(0, leaveWithin))
+			over.Reset(s.randomBetween(0, watchDrainPeriod))
 		case <-ctx.Done():
-			return awaited{}, ctx.Err()
+			return watchResult{}, ctx.Err()
 		}
 	}
 }
@@ -194,12 +194,12 @@
 // look looks for an answer once. Without a body there is nothing new yet, and a question
 // about scopes is moved on to the version that was looked at, so that each change is looked
 // at once. The last look always has an answer. The caller has the lock.
-func (s *Server) look(q *ScopedRead, last bool) (found awaited, err error) {
+func (s *Server) poll(q *ScopedRead, last bool) (found watchResult, err error) {
 	now := s.now()
-	fenced := s.refuseFenced()
-	if q.Scopes != nil && !last && fenced == nil && s.store.readable(now) == nil && s.store.Quiet(*q) {
+	fenced := s.checkFenced()
+	if q.Scopes != nil && !last && fenced == nil && s.store.checkReadable(now) == nil && s.store.NoChangesFor(*q) {
 		q.Since = s.store.version
-		return awaited{}, nil
+		return watchResult{}, nil
 	}
 	var a Answer
 	if q.Scopes == nil {
@@ -213,11 +213,11 @@
 	switch ahead := s.writer.Load() != nil && q.Since > s.store.version && q.History == s.store.history; {
 	case ahead && !last: // a follower will know by and by
 	case err != nil:
-		return awaited{}, err
-	case a.Whole && !s.mayList(s.store.listCost(*q)):
-		return awaited{}, refuse(http.StatusServiceUnavailable, "too many ask for the whole list")
-	case !a.Nothing || last:
-		return awaited{a.Body, s.store.history, s.store.epoch}, nil
+		return watchResult{}, err
+	case a.Full && !s.takeListingTokens(s.store.listCost(*q)):
+		return watchResult{}, refuse(http.StatusServiceUnavailable, "too many ask for the whole list")
+	case !a.Unchanged || last:
+		return watchResult{a.Body, s.store.history, s.store.epoch}, nil
 	}
-	return awaited{}, nil
+	return watchResult{}, nil
 }
--- a/internal/scale/gateways.go
+++ b/internal/scale/gateways.go
@@ -69,7 +69,7 @@
 // start begins a life of the gateway.
 func (h *hollow) start(ctx context.Context) error {
 	l := &life{}
-	g, err := gateway.NewHollow(h.Config, h.Scopes, func(t registry.Told) { h.heard(l, t) })
+	g, err := gateway.NewHollow(h.Config, h.Scopes, func(t registry.Update) { h.heard(l, t) })
 	if err != nil {
 		return fmt.Errorf("gateway %d: %w", h.Number, err)
 	}
@@ -86,10 +86,10 @@
 }
 
 // heard takes note of an answer.
-func (h *hollow) heard(l *life, t registry.Told) {
+func (h *hollow) heard(l *life, t registry.Update) {
 	now := time.Now().UnixNano()
 	h.of.told.Add(1)
-	h.of.entries.Add(int64(len(t.News.Instances)))
+	h.of.entries.Add(int64(len(t.Changes.Instances)))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if l.ended != 0 {
