--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Wirehost runs the decision module of many gateways on the simulator's wire:
-// batches of events on standard input, one reply for each on standard output.
+// Wirehost runs the decisions of many gateways for the simulator. It reads batches of events from standard
+// input and writes one reply for each to standard output.
 package main
 
 import (
@@ -20,25 +20,25 @@
 	}
 }
 
-// instance is one gateway; gateway is nil while it is stopped.
-type instance struct {
+// gatewayInstance is one simulated gateway. The field gateway is nil while it is stopped.
+type gatewayInstance struct {
 	settings rules.Settings
 	gateway  *rules.Gateway
 	actions  []rules.Action
-	listed   bool // it is in the order of this reply
+	inReply  bool // it is in host.active
 }
 
-// host keeps the instances apart: nothing passes from one to another.
+// host holds the instances, which share no state.
 type host struct {
-	instances map[uint32]*instance
-	order     []uint32 // instances with events in this batch
+	instances map[uint32]*gatewayInstance
+	active    []uint32 // gateway numbers with events in this batch, in order of their first event
 }
 
-// serve answers each batch until the input ends.
-func serve(in io.Reader, out io.Writer) error {
-	decoder := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	w := bufio.NewWriter(out)
-	h := host{instances: map[uint32]*instance{}}
+// serve answers batches until the input ends. It returns nil if the input ends between two batches.
+func serve(input io.Reader, output io.Writer) error {
+	decoder := wire.NewDecoder(bufio.NewReaderSize(input, 1<<16))
+	writer := bufio.NewWriter(output)
+	host := host{instances: map[uint32]*gatewayInstance{}}
 	var reply wire.Reply
 	for {
 		batch, err := decoder.Next()
@@ -48,64 +48,65 @@
 		if err != nil {
 			return err
 		}
-		if err := h.run(batch, &reply); err != nil {
+		if err := host.process(batch, &reply); err != nil {
 			return fmt.Errorf("batch %d: %w", batch.Seq, err)
 		}
-		if _, err := w.Write(reply.Bytes()); err != nil {
+		if _, err := writer.Write(reply.Bytes()); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// run hands a batch to its instances and fills the reply.
-func (h *host) run(b wire.Batch, reply *wire.Reply) error {
-	reply.Reset(b.Seq)
-	h.order = h.order[:0]
-	for _, rec := range b.Records {
-		if err := h.record(b.Now, rec); err != nil {
+// process passes the records of a batch to their instances and fills the reply.
+func (h *host) process(batch wire.Batch, reply *wire.Reply) error {
+	reply.Reset(batch.Seq)
+	h.active = h.active[:0]
+	for _, record := range batch.Records {
+		if err := h.processRecord(batch.Now, record); err != nil {
 			return err
 		}
 	}
-	for _, number := range h.order {
-		i := h.instances[number]
-		i.listed = false
-		if err := reply.Add(number, i.actions); err != nil {
+	for _, number := range h.active {
+		instance := h.instances[number]
+		instance.inReply = false
+		if err := reply.Add(number, instance.actions); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *host) record(now float64, rec wire.Record) error {
-	i := h.instances[rec.Gateway]
-	if i == nil {
-		if rec.Start == nil {
-			return fmt.Errorf("instance %d has not started", rec.Gateway)
+// processRecord passes one record to its instance, which an Attach record creates.
+func (h *host) processRecord(now float64, record wire.Record) error {
+	instance := h.instances[record.Gateway]
+	if instance == nil {
+		if record.Start == nil {
+			return fmt.Errorf("gateway %d has not been started", record.Gateway)
 		}
-		i = &instance{}
-		h.instances[rec.Gateway] = i
+		instance = &gatewayInstance{}
+		h.instances[record.Gateway] = instance
 	}
-	if !i.listed {
-		i.listed, i.actions = true, i.actions[:0]
-		h.order = append(h.order, rec.Gateway)
+	if !instance.inReply {
+		instance.inReply, instance.actions = true, instance.actions[:0]
+		h.active = append(h.active, record.Gateway)
 	}
 	switch {
-	case rec.Start != nil:
-		i.settings = rec.Start.Settings
-		i.actions = i.actions[:0]
-		i.gateway, i.actions = rules.New(rec.Start.Settings, rec.Start.Seed, now, i.actions)
-	case rec.Stop:
-		i.gateway, i.actions = nil, i.actions[:0]
-	case i.gateway != nil: // events for a stopped instance are void
-		if r, ok := rec.Event.(rules.Request); ok {
-			if r.Class >= len(i.settings.Classes) || r.Plan >= len(i.settings.Plans) {
-				return fmt.Errorf("request %d: no such class or plan in the settings", r.ID)
+	case record.Start != nil:
+		instance.settings = record.Start.Settings
+		instance.actions = instance.actions[:0]
+		instance.gateway, instance.actions = rules.New(record.Start.Settings, record.Start.Seed, now, instance.actions)
+	case record.Stop:
+		instance.gateway, instance.actions = nil, instance.actions[:0]
+	case instance.gateway != nil: // events for a stopped gateway are ignored
+		if request, ok := record.Event.(rules.Request); ok {
+			if request.Class >= len(instance.settings.Classes) || request.Plan >= len(instance.settings.Plans) {
+				return fmt.Errorf("request %d: class %d or plan %d is not in the settings", request.ID, request.Class, request.Plan)
 			}
 		}
-		i.actions = i.gateway.Handle(now, rec.Event, i.actions)
+		instance.actions = instance.gateway.Handle(now, record.Event, instance.actions)
 	}
 	return nil
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's binary frames and the events
-// and actions of package rules. It changes words and units and decides nothing.
+// Package wire encodes and decodes the binary frames of the simulator: batches of events for package rules,
+// replies with its actions, and the JSON settings of a deployment.
 package wire
 
 import (
@@ -12,7 +12,7 @@
 	"dunlintray/rules"
 )
 
-// Codes of the records in a batch.
+// Codes of the records in a batch, by the names that the protocol gives them.
 const (
 	codeAttach      = 16
 	codeSync        = 17
@@ -30,22 +30,21 @@
 )
 
 const (
-	batchHeader = 20      // bytes: clock, length, records, number
-	afterLength = 8       // bytes of the header that the length counts
-	maxFrame    = 1 << 30 // a longer frame is taken for a broken one
-	entrySize   = 22      // bytes of one entry of a list
-	maxSheets   = 16      // lists that can be in use at a time
-	flagRepeat  = 2
+	batchHeaderSize   = 20      // bytes: clock 8, length 4, record count 4, sequence number 4
+	headerAfterLength = 8       // bytes of the header that the length includes
+	maxFrameSize      = 1 << 30 // bytes
+	backendSize       = 22      // bytes of one entry of a list
+	maxLists          = 16      // numbered lists
+	flagClientRetry   = 2       // bit of a request's flags
 )
 
-// Start is the Attach of an instance.
+// Start holds the fields of an Attach record, which starts a gateway.
 type Start struct {
 	Seed     uint64
 	Settings rules.Settings
 }
 
-// Record is one event for one instance. Exactly one of Start, Stop and Event
-// is set.
+// Record is one event for one gateway. Exactly one of Start, Stop and Event is set.
 type Record struct {
 	Gateway uint32
 	Start   *Start
@@ -53,138 +52,140 @@
 	Event   rules.Event
 }
 
-// Batch is all that happens at one moment.
+// Batch holds the records of one point in time.
 type Batch struct {
-	Now     float64
-	Seq     uint32
+	Now     float64 // seconds
+	Seq     uint32  // sequence number
 	Records []Record
 }
 
-// Decoder reads batches. It keeps the numbered lists that batches refer to.
+// Decoder reads batches from a stream. It keeps the numbered lists of backends that batches refer to.
 type Decoder struct {
-	r      io.Reader
-	frame  []byte
-	sheets [maxSheets][]rules.Backend
-	known  [maxSheets]bool
+	reader  io.Reader
+	buffer  []byte
+	lists   [maxLists][]rules.Backend
+	defined [maxLists]bool
 }
 
-// NewDecoder returns a decoder of the frames in r.
-func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
+// NewDecoder returns a Decoder that reads frames from reader.
+func NewDecoder(reader io.Reader) *Decoder { return &Decoder{reader: reader} }
 
-// Next reads one batch. It returns io.EOF where the input ends between frames.
+// Next reads one batch. It returns io.EOF if the input ends between two frames.
 func (d *Decoder) Next() (Batch, error) {
-	var head [batchHeader]byte
-	if _, err := io.ReadFull(d.r, head[:]); err != nil {
+	var header [batchHeaderSize]byte
+	if _, err := io.ReadFull(d.reader, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return Batch{}, errors.New("the input ends within a header")
+			return Batch{}, errors.New("unexpected end of input in a batch header")
 		}
 		return Batch{}, err
 	}
-	b := Batch{Now: math.Float64frombits(binary.BigEndian.Uint64(head[0:])),
-		Seq: binary.BigEndian.Uint32(head[16:])}
-	length := binary.BigEndian.Uint32(head[8:])
-	count := binary.BigEndian.Uint32(head[12:])
-	if length < afterLength || length > maxFrame {
-		return b, fmt.Errorf("batch %d: impossible length %d", b.Seq, length)
+	batch := Batch{Now: math.Float64frombits(binary.BigEndian.Uint64(header[0:])),
+		Seq: binary.BigEndian.Uint32(header[16:])}
+	length := binary.BigEndian.Uint32(header[8:])
+	count := binary.BigEndian.Uint32(header[12:])
+	if length < headerAfterLength || length > maxFrameSize {
+		return batch, fmt.Errorf("batch %d: length %d is not %d to %d", batch.Seq, length, headerAfterLength, maxFrameSize)
 	}
-	if math.IsNaN(b.Now) || math.IsInf(b.Now, 0) {
-		return b, fmt.Errorf("batch %d: the clock is no number", b.Seq)
+	if math.IsNaN(batch.Now) || math.IsInf(batch.Now, 0) {
+		return batch, fmt.Errorf("batch %d: clock %v is not finite", batch.Seq, batch.Now)
 	}
-	body, err := d.read(int(length) - afterLength)
+	body, err := d.read(int(length) - headerAfterLength)
 	if err != nil {
-		return b, fmt.Errorf("batch %d: the input ends within the frame", b.Seq)
+		return batch, fmt.Errorf("batch %d: unexpected end of input in the frame", batch.Seq)
 	}
-	b.Records, err = d.records(body, count)
+	batch.Records, err = d.decodeRecords(body, count)
 	if err != nil {
-		return b, fmt.Errorf("batch %d: %w", b.Seq, err)
+		return batch, fmt.Errorf("batch %d: %w", batch.Seq, err)
 	}
-	return b, nil
+	return batch, nil
 }
 
-// read takes n bytes, growing the buffer only as they arrive.
-func (d *Decoder) read(n int) ([]byte, error) {
+// read reads the given number of bytes. The buffer grows only as they arrive, so that a wrong length does
+// not allocate much memory.
+func (d *Decoder) read(length int) ([]byte, error) {
 	const step = 1 << 20
-	d.frame = d.frame[:0]
-	for len(d.frame) < n {
-		from, part := len(d.frame), min(step, n-len(d.frame))
-		d.frame = append(d.frame, make([]byte, part)...)
-		if _, err := io.ReadFull(d.r, d.frame[from:]); err != nil {
+	d.buffer = d.buffer[:0]
+	for len(d.buffer) < length {
+		offset, size := len(d.buffer), min(step, length-len(d.buffer))
+		d.buffer = append(d.buffer, make([]byte, size)...)
+		if _, err := io.ReadFull(d.reader, d.buffer[offset:]); err != nil {
 			return nil, err
 		}
 	}
-	return d.frame, nil
+	return d.buffer, nil
 }
 
-func (d *Decoder) records(body []byte, count uint32) ([]Record, error) {
-	c := &cursor{rest: body}
-	var out []Record
+func (d *Decoder) decodeRecords(body []byte, count uint32) ([]Record, error) {
+	cursor := &frameCursor{remaining: body}
+	var records []Record
 	var gateway uint32
-	named := false
-	for i := range count {
-		code := c.u8()
-		if c.short {
-			return nil, fmt.Errorf("record %d: the frame is too short", i)
+	gatewaySet := false
+	for index := range count {
+		code := cursor.u8()
+		if cursor.truncated {
+			return nil, fmt.Errorf("record %d: unexpected end of frame", index)
 		}
-		rec, err := d.record(c, code)
+		record, err := d.decodeRecord(cursor, code)
 		switch {
-		case c.short:
-			return nil, fmt.Errorf("record %d (code %d): the frame is too short", i, code)
+		case cursor.truncated:
+			return nil, fmt.Errorf("record %d (code %d): unexpected end of frame", index, code)
 		case err != nil:
-			return nil, fmt.Errorf("record %d (code %d): %w", i, code, err)
+			return nil, fmt.Errorf("record %d (code %d): %w", index, code, err)
 		case code == codeFor:
-			gateway, named = rec.Gateway, true
+			gateway, gatewaySet = record.Gateway, true
 		case code == codeManifest:
-		case !named:
-			return nil, fmt.Errorf("record %d (code %d): no instance was named", i, code)
+		case !gatewaySet:
+			return nil, fmt.Errorf("record %d (code %d): no gateway is selected", index, code)
 		default:
-			rec.Gateway = gateway
-			out = append(out, rec)
+			record.Gateway = gateway
+			records = append(records, record)
 		}
 	}
-	if len(c.rest) > 0 {
-		return nil, fmt.Errorf("%d bytes follow the last record", len(c.rest))
+	if len(cursor.remaining) > 0 {
+		return nil, fmt.Errorf("%d bytes after the last record", len(cursor.remaining))
 	}
-	return out, nil
+	return records, nil
 }
 
-func (d *Decoder) record(c *cursor, code uint8) (Record, error) {
+func (d *Decoder) decodeRecord(cursor *frameCursor, code uint8) (Record, error) {
 	switch code {
 	case codeFor:
-		return Record{Gateway: c.u32()}, nil
+		return Record{Gateway: cursor.u32()}, nil
 	case codeManifest:
-		return Record{}, d.manifest(c)
+		return Record{}, d.decodeList(cursor)
 	case codeAttach:
-		seed := c.u64()
-		text := c.bytes(int(c.u32()))
-		if c.short {
+		seed := cursor.u64()
+		text := cursor.bytes(int(cursor.u32()))
+		if cursor.truncated {
 			return Record{}, nil
 		}
-		s, err := ParseSettings(text)
-		return Record{Start: &Start{Seed: seed, Settings: s}}, err
+		settings, err := ParseSettings(text)
+		return Record{Start: &Start{Seed: seed, Settings: settings}}, err
 	case codeTeardown:
 		return Record{Stop: true}, nil
 	case codeSync:
-		ev, err := d.sync(c)
-		return Record{Event: ev}, err
+		event, err := d.decodeListUpdate(cursor)
+		return Record{Event: event}, err
 	}
-	ev, err := c.event(code)
-	return Record{Event: ev}, err
+	event, err := cursor.event(code)
+	return Record{Event: event}, err
 }
 
-func (d *Decoder) manifest(c *cursor) error {
-	sheet, n := c.u32(), c.u32()
-	if sheet >= maxSheets {
-		return fmt.Errorf("list number %d is too high", sheet)
+// decodeList reads a list of backends and stores it under its number.
+func (d *Decoder) decodeList(cursor *frameCursor) error {
+	list, count := cursor.u32(), cursor.u32()
+	if list >= maxLists {
+		return fmt.Errorf("list number %d is not below %d", list, maxLists)
 	}
-	if uint64(n)*entrySize > uint64(len(c.rest)) {
-		c.short = true
+	if uint64(count)*backendSize > uint64(len(cursor.remaining)) {
+		cursor.truncated = true
 		return nil
 	}
-	entries := make([]rules.Backend, n)
+	entries := make([]rules.Backend, count)
 	for i := range entries {
-		entries[i] = rules.Backend{ID: rules.BackendID(c.u32()), Zone: int(c.u8()), Kind: int(c.u16()),
-			Cell: int(c.u16())}
-		switch state := c.u8(); state {
+		entries[i] = rules.Backend{ID: rules.BackendID(cursor.u32()), Zone: int(cursor.u8()), Kind: int(cursor.u16()),
+			Cell: int(cursor.u16())}
+		switch state := cursor.u8(); state {
 		case 0:
 			entries[i].State = rules.Gone
 		case 1:
@@ -192,48 +193,49 @@
 		case 2:
 			entries[i].State = rules.Draining
 		default:
-			return fmt.Errorf("availability %d is not known", state)
+			return fmt.Errorf("unknown availability %d", state)
 		}
-		entries[i].Weight, entries[i].StartedAt = c.f32(), c.f64()
+		entries[i].Weight, entries[i].StartedAt = cursor.f32(), cursor.f64()
 	}
-	d.sheets[sheet], d.known[sheet] = entries, true
+	d.lists[list], d.defined[list] = entries, true
 	return nil
 }
 
-func (d *Decoder) sync(c *cursor) (rules.Event, error) {
-	form := c.u8()
-	c.u32() // revision: changes come in order and none is missing
-	sheet := c.u32()
-	if c.short {
+// decodeListUpdate reads an update from discovery, which refers to a list by its number.
+func (d *Decoder) decodeListUpdate(cursor *frameCursor) (rules.Event, error) {
+	form := cursor.u8()
+	cursor.u32() // revision; updates arrive complete and in order
+	list := cursor.u32()
+	if cursor.truncated {
 		return nil, nil
 	}
 	kind, known := map[uint8]rules.ListKind{0: rules.FullList, 1: rules.Delta, 2: rules.CachedList,
 		3: rules.ListFailed}[form]
 	if !known {
-		return nil, fmt.Errorf("form %d is not known", form)
+		return nil, fmt.Errorf("unknown list form %d", form)
 	}
 	if kind == rules.ListFailed {
 		return rules.Backends{Kind: kind}, nil
 	}
-	if sheet >= maxSheets || !d.known[sheet] {
-		return nil, fmt.Errorf("list %d was not defined", sheet)
+	if list >= maxLists || !d.defined[list] {
+		return nil, fmt.Errorf("list %d is not defined", list)
 	}
-	return rules.Backends{Kind: kind, Entries: d.sheets[sheet]}, nil
+	return rules.Backends{Kind: kind, Entries: d.lists[list]}, nil
 }
 
-// outcomes maps the codes of the wire; the missing ones are errors.
+// outcomes maps the outcome codes of the protocol.
 var outcomes = map[uint8]rules.Outcome{0: rules.Served, 255: rules.Errored, 254: rules.Full,
 	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.Broken, 250: rules.Cancelled, 249: rules.NotStarted}
 
-// event reads the fields of an event that needs nothing but the record.
-func (c *cursor) event(code uint8) (rules.Event, error) {
+// event reads a record that refers to no list or settings.
+func (c *frameCursor) event(code uint8) (rules.Event, error) {
 	switch code {
 	case codeAsk:
-		return c.ask(), nil
+		return c.request(), nil
 	case codeEstablished:
-		e := rules.Established{Request: rules.RequestID(c.u32()), Backend: rules.BackendID(c.u32())}
-		e.Took, e.Attempt = c.f64(), int(c.u8())
-		return e, nil
+		event := rules.Established{Request: rules.RequestID(c.u32()), Backend: rules.BackendID(c.u32())}
+		event.Took, event.Attempt = c.f64(), int(c.u8())
+		return event, nil
 	case codeAttemptEnd:
 		return c.attemptEnd()
 	case codeAborted:
@@ -241,93 +243,93 @@
 	case codeAlarm:
 		return rules.Timer{Token: c.u64()}, nil
 	case codeChecked:
-		e := rules.Probed{Backend: rules.BackendID(c.u32())}
+		event := rules.Probed{Backend: rules.BackendID(c.u32())}
 		var err error
-		e.Outcome, err = c.outcome()
-		e.Took, e.LoadData = c.f64(), c.report()
-		return e, err
+		event.Outcome, err = c.outcome()
+		event.Took, event.LoadData = c.f64(), c.loadReport()
+		return event, err
 	case codePeerData:
 		from := int(c.u32())
 		return rules.PeerMessage{From: from, Data: append([]byte(nil), c.bytes(int(c.u16()))...)}, nil
 	case codeCounter:
-		e := rules.CounterReply{Name: c.u64()}
+		event := rules.CounterReply{Name: c.u64()}
 		var err error
-		e.Outcome, err = c.outcome()
-		e.Total, e.Took = c.f32(), c.f64()
-		return e, err
+		event.Outcome, err = c.outcome()
+		event.Total, event.Took = c.f32(), c.f64()
+		return event, err
 	}
-	return nil, errors.New("the code is not known")
+	return nil, errors.New("unknown record code")
 }
 
-func (c *cursor) ask() rules.Event {
-	r := rules.Request{ID: rules.RequestID(c.u32()), FirstGateway: int(c.f32()), Plan: int(c.u16()),
+func (c *frameCursor) request() rules.Event {
+	request := rules.Request{ID: rules.RequestID(c.u32()), FirstGateway: int(c.f32()), Plan: int(c.u16()),
 		Customer: rules.CustomerID(c.u64()), GatewayCount: int(c.f32()), Units: c.f32()}
-	r.ClientRetry = c.u8()&flagRepeat != 0
-	r.Class, r.Deadline = int(c.u16()), c.f64()
-	return r
+	request.ClientRetry = c.u8()&flagClientRetry != 0
+	request.Class, request.Deadline = int(c.u16()), c.f64()
+	return request
 }
 
-func (c *cursor) attemptEnd() (rules.Event, error) {
-	e := rules.AttemptEnd{Request: rules.RequestID(c.u32()), Attempt: int(c.u8()),
+func (c *frameCursor) attemptEnd() (rules.Event, error) {
+	end := rules.AttemptEnd{Request: rules.RequestID(c.u32()), Attempt: int(c.u8()),
 		Backend: rules.BackendID(c.u32())}
 	var err error
-	e.Outcome, err = c.outcome()
-	e.Took, e.Done = c.f64(), c.u8() != 0
-	e.CustomerUsage, e.Units = int(c.u16()), float64(c.u16())
-	e.LoadData = c.report()
-	return e, err
+	end.Outcome, err = c.outcome()
+	end.Took, end.Done = c.f64(), c.u8() != 0
+	end.CustomerUsage, end.Units = int(c.u16()), float64(c.u16())
+	end.LoadData = c.loadReport()
+	return end, err
 }
 
-func (c *cursor) outcome() (rules.Outcome, error) {
+func (c *frameCursor) outcome() (rules.Outcome, error) {
 	code := c.u8()
-	o, known := outcomes[code]
-	if !known && !c.short {
-		return o, fmt.Errorf("outcome %d is not known", code)
+	outcome, known := outcomes[code]
+	if !known && !c.truncated {
+		return outcome, fmt.Errorf("unknown outcome %d", code)
 	}
-	return o, nil
+	return outcome, nil
 }
 
-func (c *cursor) report() []float64 {
-	n := int(c.u8())
-	if n == 0 || n*4 > len(c.rest) {
-		c.short = c.short || n > 0
+func (c *frameCursor) loadReport() []float64 {
+	count := int(c.u8())
+	if count == 0 || count*4 > len(c.remaining) {
+		c.truncated = c.truncated || count > 0
 		return nil
 	}
-	out := make([]float64, n)
-	for i := range out {
-		out[i] = c.f32()
+	values := make([]float64, count)
+	for i := range values {
+		values[i] = c.f32()
 	}
-	return out
+	return values
 }
 
-// cursor walks over the fields of a frame. Past the end it reads zeros and
-// notes that the frame was short.
-type cursor struct {
-	rest  []byte
-	short bool
+// frameCursor reads the fields of a frame. Beyond the end it returns zeros and sets truncated.
+type frameCursor struct {
+	remaining []byte
+	truncated bool
 }
 
-func (c *cursor) bytes(n int) []byte {
-	if n < 0 || n > len(c.rest) {
-		c.short, c.rest = true, nil
+func (c *frameCursor) bytes(size int) []byte {
+	if size < 0 || size > len(c.remaining) {
+		c.truncated, c.remaining = true, nil
 		return nil
 	}
-	out := c.rest[:n]
-	c.rest = c.rest[n:]
-	return out
+	field := c.remaining[:size]
+	c.remaining = c.remaining[size:]
+	return field
 }
 
-func (c *cursor) number(n int) uint64 {
-	var v uint64
-	for _, b := range c.bytes(n) {
-		v = v<<8 | uint64(b)
+// unsigned reads a big-endian integer of the given number of bytes.
+func (c *frameCursor) unsigned(size int) uint64 {
+	var value uint64
+	for _, b := range c.bytes(size) {
+		value = value<<8 | uint64(b)
 	}
-	return v
+	return value
 }
 
-func (c *cursor) u8() uint8    { return uint8(c.number(1)) }
-func (c *cursor) u16() uint16  { return uint16(c.number(2)) }
-func (c *cursor) u32() uint32  { return uint32(c.number(4)) }
-func (c *cursor) u64() uint64  { return c.number(8) }
-func (c *cursor) f64() float64 { return math.Float64frombits(c.u64()) }
-func (c *cursor) f32() float64 { return float64(math.Float32frombits(c.u32())) }
+func (c *frameCursor) u8() uint8    { return uint8(c.unsigned(1)) }
+func (c *frameCursor) u16() uint16  { return uint16(c.unsigned(2)) }
+func (c *frameCursor) u32() uint32  { return uint32(c.unsigned(4)) }
+func (c *frameCursor) u64() uint64  { return c.unsigned(8) }
+func (c *frameCursor) f64() float64 { return math.Float64frombits(c.u64()) }
+func (c *frameCursor) f32() float64 { return float64(math.Float32frombits(c.u32())) }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,7 +8,7 @@
 	"dunlintray/rules"
 )
 
-// Codes of the records in a reply.
+// Codes of the records in a reply, by the names that the protocol gives them.
 const (
 	codeAskLoad       = 80
 	codeDropAttempt   = 81
@@ -22,88 +22,88 @@
 	codeLog           = 92
 )
 
-const replyHeader = 12 // bytes: length, records, number
+const replyHeaderSize = 12 // bytes: length 4, record count 4, sequence number 4
 
-// Reply collects the actions of all instances in answer to one batch.
+// Reply collects the actions of all gateways in answer to one batch. The zero value needs a Reset.
 type Reply struct {
 	buf   []byte
 	count uint32
 }
 
-// Reset empties the reply for the batch numbered seq.
+// Reset empties the reply, for the batch with this sequence number.
 func (r *Reply) Reset(seq uint32) {
-	r.buf = append(r.buf[:0], make([]byte, replyHeader)...)
+	r.buf = append(r.buf[:0], make([]byte, replyHeaderSize)...)
 	binary.BigEndian.PutUint32(r.buf[8:], seq)
 	r.count = 0
 }
 
-// Add appends the actions of one instance.
+// Add appends the actions of one gateway. It returns an error for an action that the protocol does not have.
 func (r *Reply) Add(gateway uint32, actions []rules.Action) error {
 	if len(actions) == 0 {
 		return nil
 	}
-	r.start(codeSpeaking)
+	r.startRecord(codeSpeaking)
 	r.u32(gateway)
-	for _, a := range actions {
-		if err := r.action(a); err != nil {
+	for _, action := range actions {
+		if err := r.encode(action); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Bytes returns the finished frame; it is valid until the next Reset.
+// Bytes returns the complete frame. It is valid until the next Reset.
 func (r *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(r.buf[0:], uint32(len(r.buf)-4))
 	binary.BigEndian.PutUint32(r.buf[4:], r.count)
 	return r.buf
 }
 
-func (r *Reply) action(a rules.Action) error {
-	switch a := a.(type) {
+func (r *Reply) encode(action rules.Action) error {
+	switch action := action.(type) {
 	case rules.Send:
-		r.start(codePassOn)
-		r.u32(uint32(a.Request))
-		r.f64(a.Timeout)
-		r.u32(uint32(a.Backend))
+		r.startRecord(codePassOn)
+		r.u32(uint32(action.Request))
+		r.f64(action.Timeout)
+		r.u32(uint32(action.Backend))
 	case rules.Cancel:
-		r.start(codeDropAttempt)
-		r.u32(uint32(a.Request))
-		r.buf = append(r.buf, uint8(a.Attempt))
+		r.startRecord(codeDropAttempt)
+		r.u32(uint32(action.Request))
+		r.buf = append(r.buf, uint8(action.Attempt))
 	case rules.Refuse:
-		r.start(codeDecline)
-		r.u32(uint32(a.Request))
-		r.f64(a.RetryAfter)
+		r.startRecord(codeDecline)
+		r.u32(uint32(action.Request))
+		r.f64(action.RetryAfter)
 	case rules.Fail:
-		r.start(codeAbort)
-		r.u32(uint32(a.Request))
+		r.startRecord(codeAbort)
+		r.u32(uint32(action.Request))
 	case rules.SetTimer:
-		r.start(codeSleep)
-		r.f64(a.Delay)
-		r.u64(a.Token)
+		r.startRecord(codeSleep)
+		r.f64(action.Delay)
+		r.u64(action.Token)
 	case rules.Count:
-		r.start(codeCount)
-		r.u64(a.Name)
-		r.u32(math.Float32bits(float32(a.Amount)))
-		r.f64(a.TTL)
+		r.startRecord(codeCount)
+		r.u64(action.Name)
+		r.u32(math.Float32bits(float32(action.Amount)))
+		r.f64(action.TTL)
 	case rules.Probe:
-		r.start(codeAskLoad)
-		r.u32(uint32(a.Backend))
+		r.startRecord(codeAskLoad)
+		r.u32(uint32(action.Backend))
 	case rules.Subscribe:
-		r.start(codeStreamChanges)
+		r.startRecord(codeStreamChanges)
 		r.buf = append(r.buf, 1)
 	case rules.Log:
-		r.start(codeLog)
-		text := a.Text[:min(len(a.Text), math.MaxUint16)]
+		r.startRecord(codeLog)
+		text := action.Text[:min(len(action.Text), math.MaxUint16)]
 		r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(text)))
 		r.buf = append(r.buf, text...)
 	default:
-		return fmt.Errorf("no record for action %T", a)
+		return fmt.Errorf("no record code for action %T", action)
 	}
 	return nil
 }
 
-func (r *Reply) start(code uint8) {
+func (r *Reply) startRecord(code uint8) {
 	r.buf = append(r.buf, code)
 	r.count++
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,8 +7,8 @@
 	"dunlintray/rules"
 )
 
-// options mirrors the JSON of an Attach record; unknown keys are passed over.
-type options struct {
+// settingsDocument mirrors the JSON settings of an Attach record. Unknown keys are ignored.
+type settingsDocument struct {
 	Allowed struct {
 		Cancel          bool    `json:"cancel"`
 		ConnectTimeoutS float64 `json:"connectTimeoutS"`
@@ -88,92 +88,92 @@
 	"cpu_share": rules.LoadCPU, "svc_ms": rules.LoadServiceMillis,
 	"served_ps": rules.LoadServedPerSecond, "failed_ps": rules.LoadErrorsPerSecond}
 
-// Deployment is all that the settings state: what the decisions need, and the
-// names by which sockets speak of the same things, in the settings' order.
+// Deployment holds the settings of package rules and the names that the settings give to classes, plans,
+// zones and kinds of backends. The position of a name is the index that rules uses.
 type Deployment struct {
 	rules.Settings
 	ClassNames, PlanNames, Zones, Kinds []string
 }
 
-// ParseSettings reads the settings of an Attach record.
+// ParseSettings parses the JSON settings of an Attach record.
 func ParseSettings(text []byte) (rules.Settings, error) {
-	d, err := ParseDeployment(text)
-	return d.Settings, err
+	deployment, err := ParseDeployment(text)
+	return deployment.Settings, err
 }
 
-// ParseDeployment reads the settings with the names in them.
+// ParseDeployment parses JSON settings together with the names in them.
 func ParseDeployment(text []byte) (Deployment, error) {
-	var o options
-	if err := json.Unmarshal(text, &o); err != nil {
+	var document settingsDocument
+	if err := json.Unmarshal(text, &document); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
-	d := Deployment{Zones: o.Localities, Kinds: o.Kinds}
-	for _, c := range o.Classes {
-		d.ClassNames = append(d.ClassNames, c.Name)
+	deployment := Deployment{Zones: document.Localities, Kinds: document.Kinds}
+	for _, class := range document.Classes {
+		deployment.ClassNames = append(deployment.ClassNames, class.Name)
 	}
-	for _, p := range o.Packages {
-		d.PlanNames = append(d.PlanNames, p.Name)
+	for _, plan := range document.Packages {
+		deployment.PlanNames = append(deployment.PlanNames, plan.Name)
 	}
 	var err error
-	d.Settings, err = o.settings()
-	return d, err
+	deployment.Settings, err = document.settings()
+	return deployment, err
 }
 
-// settings translates the options into what the decisions need.
-func (o *options) settings() (rules.Settings, error) {
-	s := o.figures()
-	for _, c := range o.Classes {
-		effect, known := effects[c.Effect]
+// settings converts the document into the settings of package rules.
+func (d *settingsDocument) settings() (rules.Settings, error) {
+	settings := d.deploymentSettings()
+	for _, class := range d.Classes {
+		effect, known := effects[class.Effect]
 		if !known {
-			return s, fmt.Errorf("settings: effect %q is not known", c.Effect)
+			return settings, fmt.Errorf("settings: unknown effect %q", class.Effect)
 		}
-		scope, known := scopes[c.KeyScope]
+		scope, known := scopes[class.KeyScope]
 		if !known && effect == rules.ByKey {
-			return s, fmt.Errorf("settings: key scope %q is not known", c.KeyScope)
+			return settings, fmt.Errorf("settings: unknown key scope %q", class.KeyScope)
 		}
-		s.Classes = append(s.Classes, rules.Class{Aim: c.ObjectiveS, AimStretch: c.AimStretch,
-			Deadline: c.DeadlineS, Worth: c.Points, LateWorth: c.LateWorth, Effect: effect,
-			Scope: scope, DedupeWindow: c.WindowS, Streamed: c.Streamed})
+		settings.Classes = append(settings.Classes, rules.Class{Aim: class.ObjectiveS, AimStretch: class.AimStretch,
+			Deadline: class.DeadlineS, Worth: class.Points, LateWorth: class.LateWorth, Effect: effect,
+			Scope: scope, DedupeWindow: class.WindowS, Streamed: class.Streamed})
 	}
-	for _, p := range o.Packages {
-		s.Plans = append(s.Plans, rules.Plan{Price: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
-			MaxConcurrent: int(p.AtOnce), OverQuotaWorth: p.OverWorth, OverQuotaCost: p.BeyondCosts,
-			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CapSlack})
+	for _, plan := range d.Packages {
+		settings.Plans = append(settings.Plans, rules.Plan{Price: plan.Pays, Rate: plan.UnitsPerS, Burst: plan.Depth,
+			MaxConcurrent: int(plan.AtOnce), OverQuotaWorth: plan.OverWorth, OverQuotaCost: plan.BeyondCosts,
+			CeilingRate: plan.NeverOverRate, CeilingBurst: plan.CeilingBurst, CeilingSlack: plan.CapSlack})
 	}
-	if len(s.Classes) == 0 || len(s.Plans) == 0 {
-		return s, fmt.Errorf("settings: no classes or no packages")
+	if len(settings.Classes) == 0 || len(settings.Plans) == 0 {
+		return settings, fmt.Errorf("settings: %d classes and %d packages, want at least one of each", len(settings.Classes), len(settings.Plans))
 	}
-	return s, nil
+	return settings, nil
 }
 
-// figures translates all that is neither a class nor a plan.
-func (o *options) figures() rules.Settings {
-	s := rules.Settings{
-		Rank: o.Rank, Fleet: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
-		SubscribeToDiscovery: o.Discovery == "ask",
-		ApproximateWeights:   o.Weights == "rough" || o.Weights == "nominal",
-		LoadInline:           o.LoadReport.How == "inline",
+// deploymentSettings converts everything except classes and plans.
+func (d *settingsDocument) deploymentSettings() rules.Settings {
+	settings := rules.Settings{
+		Rank: d.Rank, Fleet: d.FleetSize, Zone: d.Locality, Tick: d.TickS,
+		SubscribeToDiscovery: d.Discovery == "ask",
+		ApproximateWeights:   d.Weights == "rough" || d.Weights == "nominal",
+		LoadInline:           d.LoadReport.How == "inline",
 
-		Counter:        o.FamilyInfo.HasCounter,
-		CounterTimeout: o.FamilyInfo.CounterTimeoutS,
-		CounterPrice:   o.FamilyInfo.CounterPrice,
-		MaxUnits:       o.FamilyInfo.MostUnits,
-		UnitsEstimated: o.FamilyInfo.TruedUp,
+		Counter:        d.FamilyInfo.HasCounter,
+		CounterTimeout: d.FamilyInfo.CounterTimeoutS,
+		CounterPrice:   d.FamilyInfo.CounterPrice,
+		MaxUnits:       d.FamilyInfo.MostUnits,
+		UnitsEstimated: d.FamilyInfo.TruedUp,
 
-		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanHedge: o.Allowed.MayDuplicate,
-		MaxRetryAfter: o.Allowed.MaxRetryAfterS,
-		MaxAttempts:   o.Allowed.MostTries, MaxInProgress: o.Allowed.MaxOpen,
-		ConnectTimeout: o.Allowed.ConnectTimeoutS, KeepAlive: o.Allowed.KeepaliveS,
+		CanCancel: d.Allowed.Cancel, CanProbe: d.Allowed.Probes, CanHedge: d.Allowed.MayDuplicate,
+		MaxRetryAfter: d.Allowed.MaxRetryAfterS,
+		MaxAttempts:   d.Allowed.MostTries, MaxInProgress: d.Allowed.MaxOpen,
+		ConnectTimeout: d.Allowed.ConnectTimeoutS, KeepAlive: d.Allowed.KeepaliveS,
 
-		AnswerSlack: o.Obligations.AnswerSlackS, DrainGrace: o.Obligations.DrainGraceS,
-		InitialColdFraction: o.Obligations.ColdFrom, ColdDuration: o.Obligations.ColdS,
-		OverloadMultiple: o.Obligations.FallMultiple, OverloadDuration: o.Obligations.OverloadForS,
+		AnswerSlack: d.Obligations.AnswerSlackS, DrainGrace: d.Obligations.DrainGraceS,
+		InitialColdFraction: d.Obligations.ColdFrom, ColdDuration: d.Obligations.ColdS,
+		OverloadMultiple: d.Obligations.FallMultiple, OverloadDuration: d.Obligations.OverloadForS,
 
-		CrossZonePrice: o.Prices.CrossZone, WastePrice: o.Prices.Waste,
-		LateFailPrice: o.Prices.LateFail, ProbePrice: o.Prices.Probe,
+		CrossZonePrice: d.Prices.CrossZone, WastePrice: d.Prices.Waste,
+		LateFailPrice: d.Prices.LateFail, ProbePrice: d.Prices.Probe,
 	}
-	for _, f := range o.LoadReport.Fields {
-		s.LoadFields = append(s.LoadFields, loadFields[f])
+	for _, field := range d.LoadReport.Fields {
+		settings.LoadFields = append(settings.LoadFields, loadFields[field])
 	}
-	return s
+	return settings
 }
