--- a/internal/subset/candidate.go
+++ b/internal/subset/candidate.go
@@ -6,142 +6,142 @@
 	"dunlintray/internal/registry"
 )
 
-// slot is the place of a candidate among all.
+// slot is the index of a candidate in Selector.candidates.
 type slot uint32
 
-// candidate is an instance of the list, in as few bytes as it takes to choose it and to
-// notify it later: the list's reader would not tell it again. Its strings are those that
-// the reader holds.
-type candidate struct {
+// candidateState is an instance of the list, with what is needed to rank it and to report it later. It is
+// kept small, since a gateway holds all instances of the list; its strings are shared with the reader of
+// the list.
+type candidateState struct {
 	id, address string
 	weight      float64
 	startedAtMs int64
 	rank        uint64
 	placement   *sharedPlacement
 	cell        int32
-	heapAt      int32 // in the ranking that it is in
-	place       place
+	heapIndex   int32 // index in the heap given by rankedIn
+	rankedIn    rankingKind
 	notified    notification
-	ready       bool // else Terminating
-	touched     bool // waits to be announced
-	changed     bool // by the list, since it was announced
+	ready       bool // Ready; otherwise Terminating
+	dirty       bool // is in Selector.dirty
+	changed     bool // updated by the list since the last notification
 }
 
-// place is which ranking a candidate is in.
-type place uint8
+// rankingKind says which heap of its service a candidate is in.
+type rankingKind uint8
 
 const (
-	unranked place = iota // it is not Ready
+	unranked rankingKind = iota // not Ready
 	inChosen
 	inWaiting
 )
 
-// notification is what the user of the subset knows of a candidate.
+// notification is the last state of a candidate that the user of the subset was notified of.
 type notification uint8
 
 const (
-	notNotified      notification = iota
-	notifiedAsListed              // as the list has it
-	notifiedLeaving               // as Terminating, though the list has it for Ready
+	notNotified         notification = iota
+	notifiedAsListed                 // with the state in the list
+	notifiedTerminating              // as Terminating, although it is Ready in the list
 )
 
-// placement is what many instances have in common.
+// placement holds the fields that many instances have in common.
 type placement struct {
 	registry.Placement
 	machineType string
 }
 
-// sharedPlacement is a placement that candidates point to.
+// sharedPlacement is a placement that several candidates refer to; users counts them.
 type sharedPlacement struct {
 	placement
 	users int
 }
 
-// instance returns a candidate as the list has it.
-func (c *candidate) instance() registry.Instance {
+// instance returns the candidate with its state in the list.
+func (c *candidateState) instance() registry.Instance {
 	lifecycle := registry.Terminating
 	if c.ready {
 		lifecycle = registry.Ready
 	}
-	p := c.placement
-	return registry.Instance{ID: c.id, HostPort: c.address, Zone: p.Zone, MachineType: p.machineType,
-		Cell: int(c.cell), Lifecycle: lifecycle, Weight: c.weight, StartedAtMs: c.startedAtMs, Service: p.Service, Region: p.Region}
+	shared := c.placement
+	return registry.Instance{ID: c.id, HostPort: c.address, Zone: shared.Zone, MachineType: shared.machineType,
+		Cell: int(c.cell), Lifecycle: lifecycle, Weight: c.weight, StartedAtMs: c.startedAtMs, Service: shared.Service, Region: shared.Region}
 }
 
+// placementOf returns the placement of an instance.
 func placementOf(instance registry.Instance) placement {
 	at := registry.Placement{Service: instance.Service, Region: instance.Region, Zone: instance.Zone}
 	return placement{Placement: at, machineType: instance.MachineType}
 }
 
-// admit makes room for an instance that is new, and ranks it.
-func (s *Selector) admit(id string) slot {
+// addCandidate allocates a slot for a new instance and computes its rank.
+func (s *Selector) addCandidate(id string) slot {
 	at := slot(len(s.candidates))
 	if n := len(s.free); n > 0 {
 		at, s.free = s.free[n-1], s.free[:n-1]
 	} else {
-		s.candidates = append(s.candidates, candidate{})
+		s.candidates = append(s.candidates, candidateState{})
 	}
-	s.candidates[at] = candidate{id: id, rank: s.hash(id)}
+	s.candidates[at] = candidateState{id: id, rank: s.hash(id)}
 	s.index[id] = at
 	return at
 }
 
-// record writes down what the list tells of a candidate.
-func (s *Selector) record(c *candidate, instance registry.Instance) {
-	c.address, c.weight, c.startedAtMs = instance.HostPort, instance.Weight, instance.StartedAtMs
-	c.cell, c.ready = int32(instance.Cell), instance.Lifecycle == registry.Ready
-	p := placementOf(instance)
-	if c.placement != nil && c.placement.placement == p {
+// record copies the state of an instance in the list to its candidate.
+func (s *Selector) record(candidate *candidateState, instance registry.Instance) {
+	candidate.address, candidate.weight, candidate.startedAtMs = instance.HostPort, instance.Weight, instance.StartedAtMs
+	candidate.cell, candidate.ready = int32(instance.Cell), instance.Lifecycle == registry.Ready
+	wanted := placementOf(instance)
+	if candidate.placement != nil && candidate.placement.placement == wanted {
 		return
 	}
-	s.unplace(c)
-	shared := s.placements[p]
+	s.releasePlacement(candidate)
+	shared := s.placements[wanted]
 	if shared == nil {
-		shared = &sharedPlacement{placement: p}
-		s.placements[p] = shared
+		shared = &sharedPlacement{placement: wanted}
+		s.placements[wanted] = shared
 	}
 	shared.users++
-	c.placement = shared
+	candidate.placement = shared
 }
 
-// unplace gives a candidate's placement back.
-func (s *Selector) unplace(c *candidate) {
-	if c.placement == nil {
+// releasePlacement drops the candidate's reference to its placement.
+func (s *Selector) releasePlacement(candidate *candidateState) {
+	if candidate.placement == nil {
 		return
 	}
-	if c.placement.users--; c.placement.users == 0 {
-		delete(s.placements, c.placement.placement)
+	if candidate.placement.users--; candidate.placement.users == 0 {
+		delete(s.placements, candidate.placement.placement)
 	}
-	c.placement = nil
+	candidate.placement = nil
 }
 
-// leave takes a candidate out of its service, as the list had it.
-func (s *Selector) leave(at slot) {
-	c := &s.candidates[at]
-	g := s.groupOf(c)
-	g.listed--
-	switch c.place {
+// removeFromService removes a candidate from the service that it was listed for.
+func (s *Selector) removeFromService(at slot) {
+	candidate := &s.candidates[at]
+	group := s.groupOf(candidate)
+	group.listed--
+	switch candidate.rankedIn {
 	case inChosen:
-		s.take(&g.chosen, at)
+		s.removeFromRanking(&group.chosen, at)
 	case inWaiting:
-		s.take(&g.waiting, at)
+		s.removeFromRanking(&group.waiting, at)
 	}
 }
 
-// release forgets a candidate.
+// release frees the slot of a candidate.
 func (s *Selector) release(at slot) {
-	s.leave(at)
-	c := &s.candidates[at]
-	s.unplace(c)
-	delete(s.index, c.id)
-	delete(s.leavingBy, at)
-	*c = candidate{}
+	s.removeFromService(at)
+	candidate := &s.candidates[at]
+	s.releasePlacement(candidate)
+	delete(s.index, candidate.id)
+	delete(s.goneAt, at)
+	*candidate = candidateState{}
 	s.free = append(s.free, at)
 }
 
-// hash returns the weight of an instance for this member. Danger: members of two
-// versions must agree with themselves across an upgrade, so what it returns for a pair
-// of names may never change.
+// hash returns the rank of an instance for this member. The result for a pair of names must never change:
+// members of different versions must keep the same subsets across an upgrade.
 func (s *Selector) hash(id string) uint64 {
 	s.work.hashes++
 	s.scratch = append(s.scratch[:0], s.member...)
--- a/internal/subset/evenness_test.go
+++ b/internal/subset/evenness_test.go
@@ -10,68 +10,68 @@
 	"dunlintray/internal/registry"
 )
 
-// Sizes of the table. The large ones run only where SUBSET_TABLE is set.
+// Sizes of the table. Those above the limits run only with SUBSET_TABLE set.
 var (
-	fleets      = []int{3, 30, 300, 1000, 3000, 8700}
-	backends    = []int{18, 200, 1000, 20000}
-	mostFleet   = 300
-	mostBackend = 1000
+	fleetSizes       = []int{3, 30, 300, 1000, 3000, 8700}
+	backendCounts    = []int{18, 200, 1000, 20000}
+	maxShortFleet    = 300
+	maxShortBackends = 1000
 )
 
 const (
-	newcomers = 40 // backends that come, one at a time
-	deviation = 6  // standard deviations that a count may be off by
+	newBackends   = 40 // backends added one at a time
+	maxDeviations = 6  // tolerance of a count, in standard deviations
 )
 
-// choice is what the members of a fleet choose under one setting.
+// choice is what the members of a fleet choose with one setting.
 type choice struct {
 	settings Settings
 	size     int
-	users    []int // by backend: members that use it
-	entered  []int // by newcomer: members that take it in
+	users    []int // by backend: number of members that use it
+	entered  []int // by new backend: number of members whose subset it enters
 }
 
-// choose fills choices in for one member. It ranks by sorting, beside the selector's way.
-func choose(member string, ids, newIDs []string, choices []*choice) {
+// addChoices adds the choices of one member. It sorts all ranks, independently of Selector.
+func addChoices(member string, ids, newIDs []string, choices []*choice) {
 	ranker := New(member, Settings{})
 	ranks := make([]uint64, len(ids))
 	order := make([]uint64, len(ids))
-	for n, id := range ids {
-		ranks[n] = ranker.hash(id)
+	for index, id := range ids {
+		ranks[index] = ranker.hash(id)
 	}
 	copy(order, ranks)
 	slices.Sort(order)
-	for _, c := range choices {
-		least := order[len(order)-c.size] // of the ranks that are used
-		for n, rank := range ranks {
-			if rank >= least {
-				c.users[n]++
+	for _, choice := range choices {
+		minRank := order[len(order)-choice.size] // lowest rank in the subset
+		for index, rank := range ranks {
+			if rank >= minRank {
+				choice.users[index]++
 			}
 		}
-		for n, id := range newIDs {
-			if ranker.hash(id) > least {
-				c.entered[n]++
+		for index, id := range newIDs {
+			if ranker.hash(id) > minRank {
+				choice.entered[index]++
 			}
 		}
 	}
 }
 
-// chooseAll returns what a fleet chooses of so many backends.
+// chooseAll returns the choices of a whole fleet among a number of backends.
 func chooseAll(fleet, count int, settings []Settings) []*choice {
-	ids, newIDs := make([]string, count), make([]string, newcomers)
-	for n := range ids {
-		ids[n] = fmt.Sprintf("backend-%06d", n)
+	ids, newIDs := make([]string, count), make([]string, newBackends)
+	for index := range ids {
+		ids[index] = fmt.Sprintf("backend-%06d", index)
 	}
-	for n := range newIDs {
-		newIDs[n] = fmt.Sprintf("newcomer-%06d", n)
+	for index := range newIDs {
+		newIDs[index] = fmt.Sprintf("newcomer-%06d", index)
 	}
 	var choices []*choice
-	for _, s := range settings {
-		s.Fleet = fleet
-		choices = append(choices, &choice{settings: s, size: s.size(count), users: make([]int, count), entered: make([]int, newcomers)})
+	for _, setting := range settings {
+		setting.Fleet = fleet
+		choices = append(choices, &choice{settings: setting, size: setting.size(count), users: make([]int, count), entered: make([]int, newBackends)})
 	}
-	for n := range fleet {
-		choose(fmt.Sprintf("gateway-%04d", n), ids, newIDs, choices)
+	for index := range fleet {
+		addChoices(fmt.Sprintf("gateway-%04d", index), ids, newIDs, choices)
 	}
 	return choices
 }
@@ -84,93 +84,91 @@
 	return float64(sum) / float64(len(counts))
 }
 
-// Backends have about as many members each, and one that comes or goes concerns about as
-// many members as use one. A member that comes or goes moves nothing for the others but
-// by the size, which rests on the fleet.
+// Backends are used by about equally many members, and an added backend concerns about as many members as
+// use one. The subset size does not grow with the fleet.
 func TestEvenness(t *testing.T) {
 	settings := []Settings{{Size: 20}, {Size: 100}, {Size: 20, Coverage: 20}, {Size: 100, Coverage: 20}}
 	t.Log("| gateways | backends | size, coverage | K | gateways by backend: least, mean, most | most / mean | backends with none | gateways that a new backend concerns: mean, most (bound of the mean) | K with one gateway more, ten in a hundred less |")
 	t.Log("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
-	for _, fleet := range fleets {
-		for _, count := range backends {
-			if os.Getenv("SUBSET_TABLE") == "" && (fleet > mostFleet || count > mostBackend) {
+	for _, fleet := range fleetSizes {
+		for _, count := range backendCounts {
+			if os.Getenv("SUBSET_TABLE") == "" && (fleet > maxShortFleet || count > maxShortBackends) {
 				continue
 			}
-			for _, c := range chooseAll(fleet, count, settings) {
-				checkEvenness(t, fleet, count, c)
+			for _, choice := range chooseAll(fleet, count, settings) {
+				checkEvenness(t, fleet, count, choice)
 			}
 		}
 	}
 }
 
-func checkEvenness(t *testing.T, fleet, count int, c *choice) {
+func checkEvenness(t *testing.T, fleet, count int, choice *choice) {
 	t.Helper()
-	least, middle, most := slices.Min(c.users), mean(c.users), slices.Max(c.users)
-	none := 0
-	for _, n := range c.users {
+	minUsers, meanUsers, maxUsers := slices.Min(choice.users), mean(choice.users), slices.Max(choice.users)
+	unused := 0
+	for _, n := range choice.users {
 		if n == 0 {
-			none++
+			unused++
 		}
 	}
-	// Of a member, a new backend is among the K best of N+1 with probability K/(N+1).
-	expected := float64(fleet*c.size) / float64(count+1)
-	bound := expected + deviation*math.Sqrt(expected/newcomers)
-	entered := mean(c.entered)
-	if c.size == count {
-		entered, bound = float64(fleet), float64(fleet) // all use all, as far as Size reaches
+	// A new backend is among the K highest of N+1 for a member with probability K/(N+1).
+	expected := float64(fleet*choice.size) / float64(count+1)
+	limit := expected + maxDeviations*math.Sqrt(expected/newBackends)
+	entered := mean(choice.entered)
+	if choice.size == count {
+		entered, limit = float64(fleet), float64(fleet) // every member uses every backend
 	}
-	more, fewer := c.settings, c.settings
-	more.Fleet, fewer.Fleet = fleet+1, max(fleet-max(fleet/10, 1), 1)
-	t.Logf("| %d | %d | %d, %d | %d | %d, %.2f, %d | %.2f | %d | %.2f, %d (%.2f) | %d, %d |", fleet, count, c.settings.Size, c.settings.Coverage, c.size,
-		least, middle, most, float64(most)/middle, none, entered, max(slices.Max(c.entered), int(entered)), bound, more.size(count), fewer.size(count))
-	off := deviation * math.Sqrt(middle)
+	larger, smaller := choice.settings, choice.settings
+	larger.Fleet, smaller.Fleet = fleet+1, max(fleet-max(fleet/10, 1), 1)
+	t.Logf("| %d | %d | %d, %d | %d | %d, %.2f, %d | %.2f | %d | %.2f, %d (%.2f) | %d, %d |", fleet, count, choice.settings.Size, choice.settings.Coverage, choice.size,
+		minUsers, meanUsers, maxUsers, float64(maxUsers)/meanUsers, unused, entered, max(slices.Max(choice.entered), int(entered)), limit, larger.size(count), smaller.size(count))
+	tolerance := maxDeviations * math.Sqrt(meanUsers)
 	switch {
-	case float64(most) > middle+off+deviation || float64(least) < middle-off:
-		t.Errorf("%d gateways, %d backends, K %d: a backend has %d to %d gateways, %.1f in the mean", fleet, count, c.size, least, most, middle)
-	case middle >= 20 && none > 0:
-		t.Errorf("%d gateways, %d backends, K %d: %d backends have no gateway", fleet, count, c.size, none)
-	case c.settings.Coverage > 0 && middle < float64(min(c.settings.Coverage, fleet)):
-		t.Errorf("%d gateways, %d backends, K %d: a backend has %.1f gateways in the mean, under %d", fleet, count, c.size, middle, c.settings.Coverage)
-	case entered > bound:
-		t.Errorf("%d gateways, %d backends, K %d: %.2f gateways for each new backend, above %.2f", fleet, count, c.size, entered, bound)
-	case more.size(count) > c.size || fewer.size(count) < c.size:
-		t.Errorf("%d gateways, %d backends: K %d rises with the fleet", fleet, count, c.size)
+	case float64(maxUsers) > meanUsers+tolerance+maxDeviations || float64(minUsers) < meanUsers-tolerance:
+		t.Errorf("%d gateways, %d backends, K %d: a backend has %d to %d gateways, mean %.1f", fleet, count, choice.size, minUsers, maxUsers, meanUsers)
+	case meanUsers >= 20 && unused > 0:
+		t.Errorf("%d gateways, %d backends, K %d: %d backends have no gateway", fleet, count, choice.size, unused)
+	case choice.settings.Coverage > 0 && meanUsers < float64(min(choice.settings.Coverage, fleet)):
+		t.Errorf("%d gateways, %d backends, K %d: the mean is %.1f gateways per backend, want at least %d", fleet, count, choice.size, meanUsers, choice.settings.Coverage)
+	case entered > limit:
+		t.Errorf("%d gateways, %d backends, K %d: %.2f gateways per new backend, want at most %.2f", fleet, count, choice.size, entered, limit)
+	case larger.size(count) > choice.size || smaller.size(count) < choice.size:
+		t.Errorf("%d gateways, %d backends: K %d grows with the fleet", fleet, count, choice.size)
 	}
 }
 
-// Through the selector too, what a backend that goes or comes moves for a member is one
-// place for one, and for most members nothing.
-func TestMovesOfTheSelector(t *testing.T) {
+// One added or removed backend moves at most one instance of a Selector, and none for most members.
+func TestOneChangeMovesAtMostOneInstance(t *testing.T) {
 	const members, count, size = 40, 300, 30
 	entered, left := 0, 0
-	for n := range members {
-		s := New(fmt.Sprint("gateway-", n), Settings{Size: size, Fleet: members})
-		l := listOf(count)
-		s.Apply(0, l)
-		for _, i := range l.Instances {
-			gone := i
+	for member := range members {
+		selector := New(fmt.Sprint("gateway-", member), Settings{Size: size, Fleet: members})
+		listing := listOf(count)
+		selector.Apply(0, listing)
+		for _, instance := range listing.Instances {
+			gone := instance
 			gone.Lifecycle = registry.Gone
-			left += places(t, s, gone)
-			entered += places(t, s, i)
+			left += applyChange(t, selector, gone)
+			entered += applyChange(t, selector, instance)
 		}
 	}
-	// Each member has each of its K once to lose and once to take back.
+	// Each member loses each of its K instances once and regains it once.
 	if want := members * size; left != want || entered != want {
-		t.Errorf("%d places lost and %d taken, want %d of %d each", left, entered, want, members*count)
+		t.Errorf("%d instances lost and %d gained, want %d of %d each", left, entered, want, members*count)
 	}
 }
 
-// places gives a change to a selector and returns how many instances enter its subset.
-func places(t *testing.T, s *Selector, i registry.Instance) (entered int) {
+// applyChange passes one change to a Selector and returns how many instances enter its subset.
+func applyChange(t *testing.T, selector *Selector, instance registry.Instance) (entered int) {
 	t.Helper()
-	news := s.Apply(0, registry.Listing{Instances: []registry.Instance{i}})
-	for _, told := range news.Instances {
-		if told.Lifecycle == registry.Ready {
+	changes := selector.Apply(0, registry.Listing{Instances: []registry.Instance{instance}})
+	for _, notified := range changes.Instances {
+		if notified.Lifecycle == registry.Ready {
 			entered++
 		}
 	}
-	if entered > 1 || len(news.Instances) > 2 {
-		t.Fatalf("%s is %s: told %+v", i.ID, i.Lifecycle, news.Instances)
+	if entered > 1 || len(changes.Instances) > 2 {
+		t.Fatalf("instance %s is %s: update %+v, want at most one entering and two instances", instance.ID, instance.Lifecycle, changes.Instances)
 	}
 	return entered
 }
--- a/internal/subset/health.go
+++ b/internal/subset/health.go
@@ -2,72 +2,69 @@
 
 import "time"
 
-// Times by which a subset is widened and narrowed.
+// Delays before a subset is widened or narrowed.
 const (
-	// sickFor is how long fewer than half have to be usable before the first step. One
-	// round of failures, as when a switch restarts, is over sooner; clients wait longer
-	// than that.
-	sickFor = 3 * time.Second
-	// lostFor is the same where none is usable, when nothing can be served meanwhile.
-	lostFor = time.Second
-	// healthyFor is how long a widened subset has to be well before one step is taken
-	// back. A zone that comes back does so within minutes, and each step moves connections.
-	healthyFor = 5 * time.Minute
-	// mostSlower bounds the doublings of sickFor and lostFor, one for each step: where all
-	// are sick, as under overload, more of them help little, and all gateways widen alike.
-	mostSlower = 6
+	// sickDelay is how long fewer than half must be usable before the first widening. It exceeds a short
+	// series of failures, as when a switch restarts.
+	sickDelay = 3 * time.Second
+	// lostDelay replaces sickDelay while no instance is usable.
+	lostDelay = time.Second
+	// healthyDelay is how long a widened subset must be healthy before it is narrowed by one step, which
+	// moves connections.
+	healthyDelay = 5 * time.Minute
+	// maxDelayDoublings limits the doublings of sickDelay and lostDelay, one for each widening. All members
+	// widen together under a common overload, where more instances help little.
+	maxDelayDoublings = 6
 )
 
 // health decides how often the size of the subset is doubled.
 //
-// A subset is sick when fewer are usable than half of the size that it has while all is
-// well. It is well when that size would have three quarters usable even if each instance
-// of the last step is: a step back never makes a subset sick, so the two rules can't
-// alternate.
+// A subset is sick when fewer instances are usable than half of its size when healthy. It is healthy when
+// three quarters of that size would be usable even if every instance of the last step is. Narrowing
+// therefore never makes a subset sick, so widening and narrowing cannot alternate.
 type health struct {
-	width int // doublings in force
+	width int // current doublings
 
-	sick, lost, well since
+	sick, lost, healthy condition
 }
 
-// since is the time from which on a condition has held.
-type since struct {
+// condition records since when a condition has held.
+type condition struct {
 	holds bool
-	from  time.Duration
+	since time.Duration
 }
 
-// lasts notes whether the condition holds now, and tells whether it has for so long.
-func (c *since) lasts(holds bool, now, long time.Duration) bool {
+// heldFor records whether the condition holds now, and reports whether it has held for the duration.
+func (c *condition) heldFor(holds bool, now, duration time.Duration) bool {
 	if !holds || !c.holds {
-		c.holds, c.from = holds, now
+		c.holds, c.since = holds, now
 	}
-	return holds && now-c.from >= long
+	return holds && now-c.since >= duration
 }
 
-// extent is how large subsets are.
-type extent struct {
-	base     int  // while all is well
-	size     int  // now
-	narrower int  // one step back
-	more     bool // there are Ready instances beyond them
+// sizeInfo describes the sizes of the subsets of all services together, in instances.
+type sizeInfo struct {
+	base      int // when healthy
+	current   int
+	narrowed  int  // after one step of narrowing
+	moreReady bool // Ready instances exist outside the subsets
 }
 
-// see takes in how many instances of subsets are usable. It returns whether the width has
-// changed.
-func (h *health) see(now time.Duration, usable int, e extent) bool {
-	slower := min(h.width, mostSlower)
-	sick := h.sick.lasts(2*usable < e.base && e.more, now, sickFor<<slower)
-	lost := h.lost.lasts(usable <= 0 && e.base > 0 && e.more, now, lostFor<<slower)
-	first := usable - (e.size - e.narrower) // usable at least one step back
-	well := h.well.lasts(4*first >= 3*e.base && h.width > 0, now, healthyFor)
+// update records the number of usable instances and reports whether the width has changed.
+func (h *health) update(now time.Duration, usable int, sizes sizeInfo) bool {
+	doublings := min(h.width, maxDelayDoublings)
+	sick := h.sick.heldFor(2*usable < sizes.base && sizes.moreReady, now, sickDelay<<doublings)
+	lost := h.lost.heldFor(usable <= 0 && sizes.base > 0 && sizes.moreReady, now, lostDelay<<doublings)
+	remaining := usable - (sizes.current - sizes.narrowed) // usable instances after narrowing, at least
+	healthy := h.healthy.heldFor(4*remaining >= 3*sizes.base && h.width > 0, now, healthyDelay)
 	switch {
 	case sick || lost:
 		h.width++
-	case well:
+	case healthy:
 		h.width--
 	default:
 		return false
 	}
-	h.sick, h.lost, h.well = since{}, since{}, since{} // the next step takes its own time
+	h.sick, h.lost, h.healthy = condition{}, condition{}, condition{} // the next step has its own delay
 	return true
 }
--- a/internal/subset/ranking.go
+++ b/internal/subset/ranking.go
@@ -1,113 +1,115 @@
 package subset
 
-// group is a service and its candidates that are Ready, in two rankings: those that are
-// used, with the one to leave first at the front, and the others, with the one to enter
-// first at the front. Any change is a few steps in each.
-type group struct {
-	listed  int // candidates, whatever they do
-	chosen  ranking
-	waiting ranking
+// serviceGroup holds the Ready candidates of a service in two heaps: the chosen ones, with the first one to
+// leave at the front, and the others, with the first one to enter at the front. Each change costs
+// logarithmic time.
+type serviceGroup struct {
+	listed  int // candidates, Ready or not
+	chosen  slotHeap
+	waiting slotHeap
 }
 
-// ranking is a heap of slots.
-type ranking struct {
-	place place
+// slotHeap is a binary heap of slots, ordered by closerToFront.
+type slotHeap struct {
+	kind  rankingKind
 	slots []slot
 }
 
-func (s *Selector) groupOf(c *candidate) *group {
-	g := s.groups[c.placement.Service]
-	if g == nil {
-		g = &group{chosen: ranking{place: inChosen}, waiting: ranking{place: inWaiting}}
-		s.groups[c.placement.Service] = g
+// groupOf returns the group of the candidate's service and creates it if necessary.
+func (s *Selector) groupOf(candidate *candidateState) *serviceGroup {
+	group := s.groups[candidate.placement.Service]
+	if group == nil {
+		group = &serviceGroup{chosen: slotHeap{kind: inChosen}, waiting: slotHeap{kind: inWaiting}}
+		s.groups[candidate.placement.Service] = group
 	}
-	return g
+	return group
 }
 
-// enter ranks a candidate that is Ready. The subset may have one more than its size
-// until it is fitted.
-func (s *Selector) enter(g *group, at slot) {
-	if len(g.chosen.slots) > 0 && !s.better(g.chosen.slots[0], at) {
-		s.put(&g.chosen, at)
+// rankReady adds a Ready candidate to a heap. The subset may have one instance too many until fit is
+// called.
+func (s *Selector) rankReady(group *serviceGroup, at slot) {
+	if len(group.chosen.slots) > 0 && !s.ranksAbove(group.chosen.slots[0], at) {
+		s.push(&group.chosen, at)
 		return
 	}
-	s.put(&g.waiting, at)
+	s.push(&group.waiting, at)
 }
 
-// better tells whether a candidate ranks above another. Names decide between equals.
-func (s *Selector) better(a, b slot) bool {
+// ranksAbove reports whether a ranks above b. Names decide between equal ranks.
+func (s *Selector) ranksAbove(a, b slot) bool {
 	s.work.comparisons++
-	x, y := &s.candidates[a], &s.candidates[b]
-	if x.rank != y.rank {
-		return x.rank > y.rank
+	first, second := &s.candidates[a], &s.candidates[b]
+	if first.rank != second.rank {
+		return first.rank > second.rank
 	}
-	return x.id < y.id
+	return first.id < second.id
 }
 
-// before tells which of two is nearer to the front of a ranking.
-func (s *Selector) before(r *ranking, a, b slot) bool {
-	if r.place == inChosen {
-		return s.better(b, a)
+// closerToFront reports whether a belongs closer to the front of the heap than b.
+func (s *Selector) closerToFront(ranking *slotHeap, a, b slot) bool {
+	if ranking.kind == inChosen {
+		return s.ranksAbove(b, a)
 	}
-	return s.better(a, b)
+	return s.ranksAbove(a, b)
 }
 
-// put adds a candidate to a ranking.
-func (s *Selector) put(r *ranking, at slot) {
-	r.slots = append(r.slots, at)
-	s.candidates[at].place = r.place
-	s.up(r, len(r.slots)-1)
+// push adds a candidate to a heap.
+func (s *Selector) push(ranking *slotHeap, at slot) {
+	ranking.slots = append(ranking.slots, at)
+	s.candidates[at].rankedIn = ranking.kind
+	s.siftUp(ranking, len(ranking.slots)-1)
 }
 
-// take removes a candidate from the ranking that it is in.
-func (s *Selector) take(r *ranking, at slot) {
-	hole, last := int(s.candidates[at].heapAt), len(r.slots)-1
-	moved := r.slots[last]
-	r.slots = r.slots[:last]
-	s.candidates[at].place = unranked
-	if hole == last {
+// removeFromRanking removes a candidate from the heap that it is in.
+func (s *Selector) removeFromRanking(ranking *slotHeap, at slot) {
+	index, last := int(s.candidates[at].heapIndex), len(ranking.slots)-1
+	moved := ranking.slots[last]
+	ranking.slots = ranking.slots[:last]
+	s.candidates[at].rankedIn = unranked
+	if index == last {
 		return
 	}
-	s.set(r, hole, moved)
-	s.down(r, hole)
-	s.up(r, int(s.candidates[moved].heapAt))
+	s.setSlot(ranking, index, moved)
+	s.siftDown(ranking, index)
+	s.siftUp(ranking, int(s.candidates[moved].heapIndex))
 }
 
-func (s *Selector) set(r *ranking, n int, at slot) {
-	r.slots[n] = at
-	s.candidates[at].heapAt = int32(n)
+// setSlot stores a slot at an index of the heap.
+func (s *Selector) setSlot(ranking *slotHeap, index int, at slot) {
+	ranking.slots[index] = at
+	s.candidates[at].heapIndex = int32(index)
 }
 
-// up moves a slot towards the front as far as it belongs.
-func (s *Selector) up(r *ranking, n int) {
-	at := r.slots[n]
-	for n > 0 {
-		parent := (n - 1) / 2
-		if !s.before(r, at, r.slots[parent]) {
+// siftUp moves the slot at an index towards the front as far as the order requires.
+func (s *Selector) siftUp(ranking *slotHeap, index int) {
+	at := ranking.slots[index]
+	for index > 0 {
+		parent := (index - 1) / 2
+		if !s.closerToFront(ranking, at, ranking.slots[parent]) {
 			break
 		}
-		s.set(r, n, r.slots[parent])
-		n = parent
+		s.setSlot(ranking, index, ranking.slots[parent])
+		index = parent
 	}
-	s.set(r, n, at)
+	s.setSlot(ranking, index, at)
 }
 
-// down moves a slot towards the back as far as it belongs.
-func (s *Selector) down(r *ranking, n int) {
-	at := r.slots[n]
+// siftDown moves the slot at an index towards the back as far as the order requires.
+func (s *Selector) siftDown(ranking *slotHeap, index int) {
+	at := ranking.slots[index]
 	for {
-		child := 2*n + 1
-		if child >= len(r.slots) {
+		child := 2*index + 1
+		if child >= len(ranking.slots) {
 			break
 		}
-		if right := child + 1; right < len(r.slots) && s.before(r, r.slots[right], r.slots[child]) {
+		if right := child + 1; right < len(ranking.slots) && s.closerToFront(ranking, ranking.slots[right], ranking.slots[child]) {
 			child = right
 		}
-		if !s.before(r, r.slots[child], at) {
+		if !s.closerToFront(ranking, ranking.slots[child], at) {
 			break
 		}
-		s.set(r, n, r.slots[child])
-		n = child
+		s.setSlot(ranking, index, ranking.slots[child])
+		index = child
 	}
-	s.set(r, n, at)
+	s.setSlot(ranking, index, at)
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,12 +1,6 @@
-// Package subset chooses which instances of a service one member of a fleet uses.
-//
-// Each member ranks the instances by rendezvous hashing (highest random weight) of its
-// own name and theirs, and uses the first K of them. The ranking of a pair never
-// changes, so a member that comes or goes moves nothing for the others, and an instance
-// that comes or goes concerns only the members that have it among their first K.
-//
-// The package is pure: news of the list and the time go in, news for the user of the
-// subset come out. It opens nothing, and its caller owns a Selector alone.
+// Package subset chooses the instances of a service that one member of a fleet uses. Each member ranks the
+// instances by rendezvous hashing (highest random weight) and uses the first K, so that a change of the fleet
+// or of the list moves few instances.
 package subset
 
 import (
@@ -15,79 +9,78 @@
 	"dunlintray/internal/registry"
 )
 
-// Linger is how long an instance that has left the subset stays known as Terminating
-// before it is announced as Gone. Its user keeps what it has learnt of it meanwhile (latency,
-// failures), so that a change that is taken back soon does not make it a new instance.
+// Linger is how long an instance that has left the subset is reported as Terminating before it is reported as
+// Gone. The user keeps its statistics meanwhile, so a change that is soon reverted loses nothing.
 const Linger = 30 * time.Second
 
-// Selector keeps the subsets of one member, one for each service. The zero Settings make
-// it pass everything through.
+// Selector maintains the subsets of one member, one for each service. It does no input or output and is not
+// safe for concurrent use. With zero Settings it passes all updates through.
 type Selector struct {
 	member   string
 	settings Settings
-	version  int64 // of the list
+	version  int64 // generation of the list
 
-	candidates []candidate
+	candidates []candidateState
 	free       []slot
 	index      map[string]slot
 	placements map[placement]*sharedPlacement
-	groups     map[string]*group
+	groups     map[string]*serviceGroup
 
-	touched   []slot                 // whose change has not been announced yet
-	leaving   []departure            // in the order of their times
-	leavingBy map[slot]time.Duration // of those that still leave
-	health    health
-	scratch   []byte // for hashing
-	work      work
+	dirty   []slot                 // changed since the last notification
+	leaving []departure            // in the order of goneAt
+	goneAt  map[slot]time.Duration // by slot, for those still leaving
+	health  health
+	scratch []byte // for hash
+	work    workCounters
 }
 
-// work counts what choosing costs.
-type work struct{ hashes, comparisons int }
+// workCounters counts operations, for tests of the cost.
+type workCounters struct{ hashes, comparisons int }
 
-// departure is the moment at which an instance that has left the subset is announced as Gone,
-// unless it has come back, or left anew for a later moment.
+// departure schedules the notification that an instance outside the subset is Gone. It is void if the
+// instance has come back, or has left again with a later time, meanwhile.
 type departure struct {
-	at slot
-	by time.Duration
+	slot   slot
+	goneAt time.Duration
 }
 
-// New returns the selector of a member. The member's name has to be the same after a
-// restart, and another for each member; the settings have passed Check.
+// New returns the Selector of a member. The member's name must be unique in the fleet and the same after a
+// restart. The settings must have passed Check.
 func New(member string, settings Settings) *Selector {
-	return &Selector{member: member, settings: settings, index: map[string]slot{}, leavingBy: map[slot]time.Duration{},
-		placements: map[placement]*sharedPlacement{}, groups: map[string]*group{}}
+	return &Selector{member: member, settings: settings, index: map[string]slot{}, goneAt: map[slot]time.Duration{},
+		placements: map[placement]*sharedPlacement{}, groups: map[string]*serviceGroup{}}
 }
 
-// Apply takes news of the list in and returns what of it concerns the subset. An
-// instance that enters the subset comes as it stands; one that leaves it while the list
-// still has it is Terminating first and Gone after Linger. What the list says of members
-// of the subset passes at once.
-func (s *Selector) Apply(now time.Duration, news registry.Listing) registry.Listing {
+// Apply processes an update of the list and returns the resulting update of the subset. An instance that
+// enters the subset is reported with its current state. One that leaves it while on the list is reported as
+// Terminating, and as Gone after Linger. Other changes of instances in the subset are passed on
+// immediately.
+func (s *Selector) Apply(now time.Duration, listing registry.Listing) registry.Listing {
 	if !s.settings.Enabled() {
-		return news
+		return listing
 	}
-	s.version = news.Generation
-	out := registry.Listing{Generation: news.Generation, Reset: news.Reset}
-	if news.Reset {
-		s.retain(news.Instances)
+	s.version = listing.Generation
+	changes := registry.Listing{Generation: listing.Generation, Reset: listing.Reset}
+	if listing.Reset {
+		s.retain(listing.Instances)
 	}
-	for _, instance := range news.Instances {
+	for _, instance := range listing.Instances {
 		if instance.Lifecycle == registry.Gone {
-			out.Instances = s.remove(instance, out.Instances)
+			changes.Instances = s.remove(instance, changes.Instances)
 			continue
 		}
 		s.update(instance)
 	}
 	s.fit()
-	out.Instances = s.notify(now, out.Instances)
-	if news.Reset {
-		out.Instances = s.all(news.Instances)
+	changes.Instances = s.notify(now, changes.Instances)
+	if listing.Reset {
+		changes.Instances = s.listedNotices(listing.Instances)
 	}
-	return out
+	return changes
 }
 
-// Resize takes other settings, and returns what changes with them. It can't switch a
-// selector on or off.
+// Resize replaces the settings and returns the resulting update of the subset. It has no effect if the old
+// or the new settings are disabled.
 func (s *Selector) Resize(now time.Duration, settings Settings) registry.Listing {
 	if !s.settings.Enabled() || !settings.Enabled() {
 		return registry.Listing{}
@@ -97,72 +90,72 @@
 	return registry.Listing{Generation: s.version, Instances: s.notify(now, nil)}
 }
 
-// Report tells how many instances are usable now: those announced as Ready less those that
-// their user avoids by its own experience. It widens subsets that are sick and narrows
-// them again, and returns what changes by that and by the passing of time. Services are
-// judged together, since their user counts them together.
+// Report receives the number of usable instances: those reported as Ready, less those that the user avoids
+// because they fail. It widens or narrows the subsets if necessary, and returns the resulting update,
+// including instances whose Linger time is over. All services are judged together, since the user counts
+// their instances together.
 func (s *Selector) Report(now time.Duration, usable int) registry.Listing {
 	if !s.settings.Enabled() {
 		return registry.Listing{}
 	}
-	if s.health.see(now, usable, s.extent()) {
+	if s.health.update(now, usable, s.subsetSizes()) {
 		s.fit()
 	}
 	return registry.Listing{Generation: s.version, Instances: s.notify(now, nil)}
 }
 
-// Listed tells whether the list has an instance, in the subset or not.
+// Listed reports whether an instance is on the list, in the subset or not.
 func (s *Selector) Listed(id string) bool {
 	_, listed := s.index[id]
 	return listed
 }
 
-// Stats describe the subsets of all services together.
+// Stats describes the subsets of all services together.
 type Stats struct {
-	Candidates int // instances that the list has
-	Size       int // instances to be used, K
-	Chosen     int // instances that are used; fewer than Size where not enough are Ready
-	Widened    int // times that Size is doubled now
+	Candidates int // instances on the list
+	Size       int // K: instances that should be used
+	Chosen     int // instances that are used; fewer than Size if not enough are Ready
+	Widened    int // current doublings of Size
 }
 
-// Stats returns what the subsets are now.
+// Stats returns the current sizes.
 func (s *Selector) Stats() Stats {
 	stats := Stats{Candidates: len(s.index), Widened: s.health.width}
-	for _, g := range s.groups {
-		stats.Size += s.size(g, s.health.width)
-		stats.Chosen += len(g.chosen.slots)
+	for _, group := range s.groups {
+		stats.Size += s.size(group, s.health.width)
+		stats.Chosen += len(group.chosen.slots)
 	}
 	return stats
 }
 
-// extent is that of the subsets of all services together.
-func (s *Selector) extent() (e extent) {
-	for _, g := range s.groups {
-		e.base += s.size(g, 0)
-		e.size += s.size(g, s.health.width)
-		e.narrower += s.size(g, max(s.health.width-1, 0))
-		e.more = e.more || len(g.waiting.slots) > 0
+// subsetSizes returns the sizes of the subsets of all services together.
+func (s *Selector) subsetSizes() (sizes sizeInfo) {
+	for _, group := range s.groups {
+		sizes.base += s.size(group, 0)
+		sizes.current += s.size(group, s.health.width)
+		sizes.narrowed += s.size(group, max(s.health.width-1, 0))
+		sizes.moreReady = sizes.moreReady || len(group.waiting.slots) > 0
 	}
-	return e
+	return sizes
 }
 
-// size is how many instances the subset of a service should have at a width.
-func (s *Selector) size(g *group, width int) int {
-	size := s.settings.size(g.listed)
+// size returns the size of the subset of a service after this many doublings.
+func (s *Selector) size(group *serviceGroup, width int) int {
+	size := s.settings.size(group.listed)
 	for range width {
-		if size >= g.listed {
+		if size >= group.listed {
 			break
 		}
 		size *= 2
 	}
-	return min(size, g.listed)
+	return min(size, group.listed)
 }
 
-// retain removes what a whole list no longer has.
+// retain removes all candidates that are not among the instances of a full list.
 func (s *Selector) retain(instances []registry.Instance) {
 	if len(s.index) == 0 {
 		s.index = make(map[string]slot, len(instances))
-		s.candidates = make([]candidate, 0, len(instances))
+		s.candidates = make([]candidateState, 0, len(instances))
 		s.free = nil
 		return
 	}
@@ -171,154 +164,154 @@
 		listed[instance.ID] = struct{}{}
 	}
 	for id, at := range s.index {
-		if _, still := listed[id]; !still {
+		if _, isListed := listed[id]; !isListed {
 			s.release(at)
 		}
 	}
 }
 
-// update takes an instance in that is listed.
+// update adds or updates the candidate of a listed instance.
 func (s *Selector) update(instance registry.Instance) {
 	at, known := s.index[instance.ID]
 	if known {
-		s.leave(at) // its service or lifecycle may be another now
+		s.removeFromService(at) // its service or lifecycle may have changed
 	} else {
-		at = s.admit(instance.ID)
+		at = s.addCandidate(instance.ID)
 	}
-	c := &s.candidates[at]
-	s.record(c, instance)
-	c.changed = true
-	g := s.groupOf(c)
-	g.listed++
+	candidate := &s.candidates[at]
+	s.record(candidate, instance)
+	candidate.changed = true
+	group := s.groupOf(candidate)
+	group.listed++
 	if instance.Lifecycle == registry.Ready {
-		s.enter(g, at)
+		s.rankReady(group, at)
 	}
-	s.touch(at)
+	s.markDirty(at)
 }
 
-// remove takes out an instance that the list tells as Gone, and adds that to the news
-// if it was announced before.
-func (s *Selector) remove(instance registry.Instance, news []registry.Instance) []registry.Instance {
+// remove removes the candidate of an instance that is Gone, and adds the instance to changes if the user
+// knows it.
+func (s *Selector) remove(instance registry.Instance, changes []registry.Instance) []registry.Instance {
 	at, known := s.index[instance.ID]
 	if !known {
-		return news
+		return changes
 	}
 	if s.candidates[at].notified != notNotified {
-		news = append(news, instance)
+		changes = append(changes, instance)
 	}
 	s.release(at)
-	return news
+	return changes
 }
 
-// fit brings the subset of each service to its size.
+// fit adjusts the subset of each service to its size.
 func (s *Selector) fit() {
-	for service, g := range s.groups {
-		if g.listed == 0 {
+	for service, group := range s.groups {
+		if group.listed == 0 {
 			delete(s.groups, service)
 			continue
 		}
-		size := s.size(g, s.health.width)
-		for len(g.chosen.slots) > size {
-			s.move(&g.chosen, &g.waiting)
+		size := s.size(group, s.health.width)
+		for len(group.chosen.slots) > size {
+			s.moveFirst(&group.chosen, &group.waiting)
 		}
-		for len(g.chosen.slots) < size && len(g.waiting.slots) > 0 {
-			s.move(&g.waiting, &g.chosen)
+		for len(group.chosen.slots) < size && len(group.waiting.slots) > 0 {
+			s.moveFirst(&group.waiting, &group.chosen)
 		}
 	}
 }
 
-// move puts the first of one ranking into the other.
-func (s *Selector) move(from, to *ranking) {
+// moveFirst moves the first candidate of one heap to another.
+func (s *Selector) moveFirst(from, to *slotHeap) {
 	at := from.slots[0]
-	s.take(from, at)
-	s.put(to, at)
-	s.touch(at)
+	s.removeFromRanking(from, at)
+	s.push(to, at)
+	s.markDirty(at)
 }
 
-func (s *Selector) touch(at slot) {
-	if c := &s.candidates[at]; !c.touched {
-		c.touched = true
-		s.touched = append(s.touched, at)
+// markDirty schedules a check of whether the user must be notified of a candidate.
+func (s *Selector) markDirty(at slot) {
+	if candidate := &s.candidates[at]; !candidate.dirty {
+		candidate.dirty = true
+		s.dirty = append(s.dirty, at)
 	}
 }
 
-// notify adds to the news what has changed for the user of the subset, and who has
-// lingered for long enough.
-func (s *Selector) notify(now time.Duration, news []registry.Instance) []registry.Instance {
-	for _, at := range s.touched {
-		c := &s.candidates[at]
-		if !c.touched {
-			continue // released meanwhile
+// notify adds to changes what the user of the subset must be notified of.
+func (s *Selector) notify(now time.Duration, changes []registry.Instance) []registry.Instance {
+	for _, at := range s.dirty {
+		candidate := &s.candidates[at]
+		if !candidate.dirty {
+			continue // its slot has been released
 		}
-		if s.settle(now, at) {
-			news = append(news, s.notice(c))
+		if s.updateNotification(now, at) {
+			changes = append(changes, s.noticeOf(candidate))
 		}
-		c.touched, c.changed = false, false
+		candidate.dirty, candidate.changed = false, false
 	}
-	s.touched = s.touched[:0]
-	return s.expire(now, news)
+	s.dirty = s.dirty[:0]
+	return s.expireLeaving(now, changes)
 }
 
-// settle brings what is announced of a candidate to what it is now. It returns whether that
-// is news.
-func (s *Selector) settle(now time.Duration, at slot) bool {
-	c := &s.candidates[at]
-	before := c.notified
+// updateNotification updates what the user knows of a candidate, and reports whether the user must be
+// notified.
+func (s *Selector) updateNotification(now time.Duration, at slot) bool {
+	candidate := &s.candidates[at]
+	previous := candidate.notified
 	switch {
-	case c.place == inChosen:
-		delete(s.leavingBy, at)
-		c.notified = notifiedAsListed
-		return c.changed || before != notifiedAsListed
-	case before == notNotified, before == notifiedLeaving:
+	case candidate.rankedIn == inChosen:
+		delete(s.goneAt, at)
+		candidate.notified = notifiedAsListed
+		return candidate.changed || previous != notifiedAsListed
+	case previous == notNotified, previous == notifiedTerminating:
 		return false
-	case !c.ready: // the list says that it ends
-		return c.changed
+	case !candidate.ready: // Terminating in the list
+		return candidate.changed
 	}
-	c.notified = notifiedLeaving
-	s.leavingBy[at] = now + Linger
-	s.leaving = append(s.leaving, departure{at: at, by: now + Linger})
+	candidate.notified = notifiedTerminating
+	s.goneAt[at] = now + Linger
+	s.leaving = append(s.leaving, departure{slot: at, goneAt: now + Linger})
 	return true
 }
 
-// all returns the notices of the listed instances.
-func (s *Selector) all(listed []registry.Instance) []registry.Instance {
-	out := []registry.Instance{}
+// listedNotices returns the instances of a full list that the user knows, with the state to report.
+func (s *Selector) listedNotices(listed []registry.Instance) []registry.Instance {
+	notices := []registry.Instance{}
 	for _, instance := range listed {
 		at, known := s.index[instance.ID]
 		if !known || s.candidates[at].notified == notNotified {
 			continue
 		}
-		out = append(out, s.notice(&s.candidates[at]))
+		notices = append(notices, s.noticeOf(&s.candidates[at]))
 	}
-	return out
+	return notices
 }
 
-// notice is a candidate in the form in which it is announced.
-func (s *Selector) notice(c *candidate) registry.Instance {
-	instance := c.instance()
-	if c.notified == notifiedLeaving {
+// noticeOf returns a candidate with the state to report.
+func (s *Selector) noticeOf(candidate *candidateState) registry.Instance {
+	instance := candidate.instance()
+	if candidate.notified == notifiedTerminating {
 		instance.Lifecycle = registry.Terminating
 	}
 	return instance
 }
 
-// expire adds to the news, as Gone, those whose time to linger is over.
-func (s *Selector) expire(now time.Duration, news []registry.Instance) []registry.Instance {
-	for len(s.leaving) > 0 && s.leaving[0].by <= now {
-		d := s.leaving[0]
+// expireLeaving adds to changes, as Gone, the instances whose Linger time is over.
+func (s *Selector) expireLeaving(now time.Duration, changes []registry.Instance) []registry.Instance {
+	for len(s.leaving) > 0 && s.leaving[0].goneAt <= now {
+		next := s.leaving[0]
 		s.leaving = s.leaving[1:]
-		if by, still := s.leavingBy[d.at]; !still || by != d.by {
+		if goneAt, isLeaving := s.goneAt[next.slot]; !isLeaving || goneAt != next.goneAt {
 			continue
 		}
-		delete(s.leavingBy, d.at)
-		c := &s.candidates[d.at]
-		c.notified = notNotified
-		instance := c.instance()
+		delete(s.goneAt, next.slot)
+		candidate := &s.candidates[next.slot]
+		candidate.notified = notNotified
+		instance := candidate.instance()
 		instance.Lifecycle = registry.Gone
-		news = append(news, instance)
+		changes = append(changes, instance)
 	}
 	if len(s.leaving) == 0 {
-		s.leaving = nil // with the room of those that have left
+		s.leaving = nil // free the memory
 	}
-	return news
+	return changes
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -17,51 +17,52 @@
 	"dunlintray/internal/registry"
 )
 
-// user is what the user of a subset knows, and finds what it should not be told.
+// user is the user of a subset: it applies updates and detects wrong ones.
 type user struct {
 	known map[string]registry.Instance
 }
 
-// take takes news in and returns what is wrong with them.
-func (u *user) take(news registry.Listing) error {
-	if news.Reset {
+// apply applies an update and returns an error if it is inconsistent.
+func (u *user) apply(changes registry.Listing) error {
+	if changes.Reset {
 		u.known = map[string]registry.Instance{}
 	}
-	for _, i := range news.Instances {
-		was, known := u.known[i.ID]
+	for _, instance := range changes.Instances {
+		previous, known := u.known[instance.ID]
 		switch {
-		case i.Lifecycle == registry.Gone && !known:
-			return fmt.Errorf("%s is told as gone and was not known", i.ID)
-		case i.Lifecycle == registry.Gone:
-			delete(u.known, i.ID)
+		case instance.Lifecycle == registry.Gone && !known:
+			return fmt.Errorf("%s is reported as Gone but was not known", instance.ID)
+		case instance.Lifecycle == registry.Gone:
+			delete(u.known, instance.ID)
 			continue
-		case i.Lifecycle == registry.Terminating && !known && !news.Reset:
-			return fmt.Errorf("%s is told as terminating and was not known", i.ID)
-		case known && was == i && i.Lifecycle == registry.Ready && !news.Reset:
-			return fmt.Errorf("%s is told twice as it stands", i.ID)
+		case instance.Lifecycle == registry.Terminating && !known && !changes.Reset:
+			return fmt.Errorf("%s is reported as Terminating but was not known", instance.ID)
+		case known && previous == instance && instance.Lifecycle == registry.Ready && !changes.Reset:
+			return fmt.Errorf("%s is reported twice without a change", instance.ID)
 		}
-		u.known[i.ID] = i
+		u.known[instance.ID] = instance
 	}
 	return nil
 }
 
-func (u *user) usable() (n int) {
-	for _, i := range u.known {
-		if i.Lifecycle == registry.Ready {
-			n++
+// usable returns the number of Ready instances that the user knows.
+func (u *user) usable() (count int) {
+	for _, instance := range u.known {
+		if instance.Lifecycle == registry.Ready {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// model is the list in the plainest form, and which of it a member should use.
+// model is a simple reference: the full list, and the subset found by sorting.
 type model struct {
 	member   string
 	settings Settings
 	listed   map[string]registry.Instance
 }
 
-// best returns the K best Ready instances, by sorting all.
+// best returns the IDs of the subset at a width.
 func (m *model) best(width int) map[string]bool {
 	size := min(m.settings.size(len(m.listed))<<width, len(m.listed))
 	ready := slices.DeleteFunc(slices.Collect(maps.Values(m.listed)), func(i registry.Instance) bool { return i.Lifecycle != registry.Ready })
@@ -76,319 +77,321 @@
 	return best
 }
 
-// compare returns how the user's knowledge differs from what it should be.
-func (m *model) compare(u *user, width int) error {
+// compare returns an error if the user's knowledge differs from the model.
+func (m *model) compare(user *user, width int) error {
 	best := m.best(width)
 	for id := range best {
-		if u.known[id] != m.listed[id] {
-			return fmt.Errorf("%s is among the best as %+v, and known as %+v", id, m.listed[id], u.known[id])
+		if user.known[id] != m.listed[id] {
+			return fmt.Errorf("%s is in the subset as %+v, but known as %+v", id, m.listed[id], user.known[id])
 		}
 	}
-	for id, i := range u.known {
-		listed, still := m.listed[id]
+	for id, instance := range user.known {
+		listed, isListed := m.listed[id]
 		switch {
-		case !still:
-			return fmt.Errorf("%s is gone and still known", id)
-		case i.Lifecycle == registry.Ready && !best[id]:
-			return fmt.Errorf("%s is known as ready and not among the best", id)
-		case listed.Lifecycle == registry.Terminating && i.Lifecycle != registry.Terminating:
-			return fmt.Errorf("%s terminates and is known as %s", id, i.Lifecycle)
+		case !isListed:
+			return fmt.Errorf("%s is Gone but still known", id)
+		case instance.Lifecycle == registry.Ready && !best[id]:
+			return fmt.Errorf("%s is known as Ready but not in the subset", id)
+		case listed.Lifecycle == registry.Terminating && instance.Lifecycle != registry.Terminating:
+			return fmt.Errorf("%s is Terminating but known as %s", id, instance.Lifecycle)
 		}
 	}
 	return nil
 }
 
-// instanceOf returns an instance in which all that the list tells depends on n.
+// instanceOf returns an instance whose fields depend on n.
 func instanceOf(id string, n int, lifecycle registry.Lifecycle) registry.Instance {
 	return registry.Instance{ID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", 1+n), Zone: fmt.Sprint("z", n%3), MachineType: fmt.Sprint("m", n%2),
 		Cell: n % 5, Lifecycle: lifecycle, Weight: float64(n), StartedAtMs: int64(n)}
 }
 
-// run draws changes, gives them to a selector, and returns the first fault found. A
-// defect spoils the news between the two.
-func run(t *rapid.T, defect func(*Selector, registry.Listing) registry.Listing) error {
+// runSelector passes random changes to a Selector and returns the first fault. The function defect, if not
+// nil, corrupts the updates for the user.
+func runSelector(t *rapid.T, defect func(*Selector, registry.Listing) registry.Listing) error {
 	settings := Settings{Size: rapid.IntRange(0, 8).Draw(t, "size"), Coverage: rapid.IntRange(0, 6).Draw(t, "coverage"),
 		Fleet: rapid.IntRange(1, 12).Draw(t, "fleet")}
 	if !settings.Enabled() {
 		settings.Size = 1
 	}
-	m := &model{member: "gw", settings: settings, listed: map[string]registry.Instance{}}
-	s, u := New("gw", settings), &user{known: map[string]registry.Instance{}}
+	model := &model{member: "gw", settings: settings, listed: map[string]registry.Instance{}}
+	selector, user := New("gw", settings), &user{known: map[string]registry.Instance{}}
 	now := time.Duration(0)
-	draw := func(n int) registry.Instance {
+	draw := func(index int) registry.Instance {
 		id := fmt.Sprint("b", rapid.IntRange(0, 24).Draw(t, "id"))
 		lifecycle := rapid.SampledFrom([]registry.Lifecycle{registry.Ready, registry.Ready, registry.Terminating, registry.Gone}).Draw(t, "lifecycle")
-		return instanceOf(id, n, lifecycle)
+		return instanceOf(id, index, lifecycle)
 	}
 	for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
-		var news registry.Listing
+		var changes registry.Listing
 		switch rapid.SampledFrom([]string{"change", "change", "change", "reset", "report", "resize", "pause"}).Draw(t, "event") {
 		case "change", "reset":
-			l := registry.Listing{Generation: int64(step), Reset: rapid.IntRange(0, 9).Draw(t, "reset") == 0 || step == 0}
-			if l.Reset {
-				m.listed = map[string]registry.Instance{}
+			listing := registry.Listing{Generation: int64(step), Reset: rapid.IntRange(0, 9).Draw(t, "reset") == 0 || step == 0}
+			if listing.Reset {
+				model.listed = map[string]registry.Instance{}
 			}
-			for n := range rapid.IntRange(0, 12).Draw(t, "changes") {
-				i := draw(step*100 + n)
-				if slices.ContainsFunc(l.Instances, func(other registry.Instance) bool { return other.ID == i.ID }) {
+			for index := range rapid.IntRange(0, 12).Draw(t, "changes") {
+				instance := draw(step*100 + index)
+				if slices.ContainsFunc(listing.Instances, func(other registry.Instance) bool { return other.ID == instance.ID }) {
 					continue
 				}
-				if i.Lifecycle == registry.Gone && l.Reset {
+				if instance.Lifecycle == registry.Gone && listing.Reset {
 					continue
 				}
-				l.Instances = append(l.Instances, i)
-				if m.listed[i.ID] = i; i.Lifecycle == registry.Gone {
-					delete(m.listed, i.ID)
+				listing.Instances = append(listing.Instances, instance)
+				if model.listed[instance.ID] = instance; instance.Lifecycle == registry.Gone {
+					delete(model.listed, instance.ID)
 				}
 			}
-			news = s.Apply(now, l)
-			if news.Generation != l.Generation || news.Reset != l.Reset {
-				return fmt.Errorf("the news have version %d, reset %t", news.Generation, news.Reset)
+			changes = selector.Apply(now, listing)
+			if changes.Generation != listing.Generation || changes.Reset != listing.Reset {
+				return fmt.Errorf("the update has generation %d, reset %t", changes.Generation, changes.Reset)
 			}
 		case "report":
-			news = s.Report(now, rapid.IntRange(0, u.usable()).Draw(t, "usable"))
+			changes = selector.Report(now, rapid.IntRange(0, user.usable()).Draw(t, "usable"))
 		case "resize":
-			m.settings.Fleet = rapid.IntRange(1, 12).Draw(t, "fleet")
-			m.settings.Size = rapid.IntRange(1, 8).Draw(t, "size")
-			news = s.Resize(now, m.settings)
+			model.settings.Fleet = rapid.IntRange(1, 12).Draw(t, "fleet")
+			model.settings.Size = rapid.IntRange(1, 8).Draw(t, "size")
+			changes = selector.Resize(now, model.settings)
 		case "pause":
 			now += time.Duration(rapid.IntRange(1, 120_000).Draw(t, "pause")) * time.Millisecond
-			news = s.Report(now, u.usable())
+			changes = selector.Report(now, user.usable())
 		}
 		if defect != nil {
-			news = defect(s, news)
+			changes = defect(selector, changes)
 		}
-		if err := u.take(news); err != nil {
+		if err := user.apply(changes); err != nil {
 			return err
 		}
-		if err := m.compare(u, s.health.width); err != nil {
+		if err := model.compare(user, selector.health.width); err != nil {
 			return fmt.Errorf("step %d: %w", step, err)
 		}
-		if err := s.sound(); err != nil {
+		if err := selector.checkInvariants(); err != nil {
 			return err
 		}
 	}
-	// Once nothing happens any more, the subset alone is known, and what the list says ends.
-	if err := u.take(s.Report(now+Linger, u.usable())); err != nil {
+	// After Linger without changes, only the subset and instances that are Terminating in the list are known.
+	if err := user.apply(selector.Report(now+Linger, user.usable())); err != nil {
 		return err
 	}
-	best := m.best(s.health.width)
-	for id := range u.known {
-		if !best[id] && m.listed[id].Lifecycle == registry.Ready {
-			return fmt.Errorf("%s lingers for ever", id)
+	best := model.best(selector.health.width)
+	for id := range user.known {
+		if !best[id] && model.listed[id].Lifecycle == registry.Ready {
+			return fmt.Errorf("%s is still known after Linger", id)
 		}
 	}
 	return nil
 }
 
-// sound finds what a selector should never be in.
-func (s *Selector) sound() error {
+// checkInvariants returns an error if the internal state is inconsistent.
+func (s *Selector) checkInvariants() error {
 	listed, users := 0, 0
-	for _, g := range s.groups {
-		listed += g.listed
-		for _, r := range []*ranking{&g.chosen, &g.waiting} {
-			for n, at := range r.slots {
-				if c := s.candidates[at]; int(c.heapAt) != n || c.place != r.place || !c.ready {
-					return fmt.Errorf("%s is at %d of a ranking, and says %d", c.id, n, c.heapAt)
+	for _, group := range s.groups {
+		listed += group.listed
+		for _, ranking := range []*slotHeap{&group.chosen, &group.waiting} {
+			for index, at := range ranking.slots {
+				if candidate := s.candidates[at]; int(candidate.heapIndex) != index || candidate.rankedIn != ranking.kind || !candidate.ready {
+					return fmt.Errorf("%s is at index %d of a heap, but has heapIndex %d", candidate.id, index, candidate.heapIndex)
 				}
-				if n > 0 && s.before(r, at, r.slots[(n-1)/2]) {
-					return fmt.Errorf("%s is behind a lesser one", s.candidates[at].id)
+				if index > 0 && s.closerToFront(ranking, at, ranking.slots[(index-1)/2]) {
+					return fmt.Errorf("%s is behind a candidate that it precedes", s.candidates[at].id)
 				}
 			}
 		}
 	}
-	for _, p := range s.placements {
-		users += p.users
+	for _, placement := range s.placements {
+		users += placement.users
 	}
 	switch {
 	case listed != len(s.index) || users != len(s.index) || len(s.index)+len(s.free) != len(s.candidates):
-		return fmt.Errorf("%d listed, %d placed, %d known, %d free, %d in all", listed, users, len(s.index), len(s.free), len(s.candidates))
-	case len(s.touched) > 0 || len(s.leavingBy) > len(s.leaving):
-		return fmt.Errorf("%d touched, %d leaving of %d", len(s.touched), len(s.leavingBy), len(s.leaving))
+		return fmt.Errorf("%d candidates in groups, %d in placements, %d in the index, %d free slots, %d slots", listed, users, len(s.index), len(s.free), len(s.candidates))
+	case len(s.dirty) > 0 || len(s.goneAt) > len(s.leaving):
+		return fmt.Errorf("%d dirty, %d leaving of %d departures", len(s.dirty), len(s.goneAt), len(s.leaving))
 	}
 	return nil
 }
 
-// Whatever the list tells and whenever it is asked, a member knows exactly the K best
-// of the instances that are Ready, as they stand, and beside them only what ends.
-func TestTheBestAreUsed(t *testing.T) {
+// After any changes a user knows exactly the K highest-ranked Ready instances with their current state, and
+// otherwise only instances that are leaving.
+func TestSelectorMatchesTheModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := run(t, nil); err != nil {
+		if err := runSelector(t, nil); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// The model finds what it is there for.
-func TestPlantedDefectsAreFound(t *testing.T) {
+// The model detects each of these defects.
+func TestModelDetectsPlantedDefects(t *testing.T) {
 	without := func(l registry.Listing, lifecycle registry.Lifecycle) registry.Listing {
 		l.Instances = slices.DeleteFunc(l.Instances, func(i registry.Instance) bool { return i.Lifecycle == lifecycle })
 		return l
 	}
 	for name, defect := range map[string]func(*Selector, registry.Listing) registry.Listing{
-		"drains are not told":    func(_ *Selector, l registry.Listing) registry.Listing { return without(l, registry.Terminating) },
-		"the gone are not told":  func(_ *Selector, l registry.Listing) registry.Listing { return without(l, registry.Gone) },
-		"entrances are not told": func(_ *Selector, l registry.Listing) registry.Listing { return without(l, registry.Ready) },
-		"weights are old": func(_ *Selector, l registry.Listing) registry.Listing {
+		"drains are not reported":     func(_ *Selector, l registry.Listing) registry.Listing { return without(l, registry.Terminating) },
+		"departures are not reported": func(_ *Selector, l registry.Listing) registry.Listing { return without(l, registry.Gone) },
+		"entries are not reported":    func(_ *Selector, l registry.Listing) registry.Listing { return without(l, registry.Ready) },
+		"weights are not updated": func(_ *Selector, l registry.Listing) registry.Listing {
 			for n := range l.Instances {
 				l.Instances[n].Weight = 1
 			}
 			return l
 		},
-		"a candidate is ranked anew": func(s *Selector, l registry.Listing) registry.Listing {
+		"ranks change": func(s *Selector, l registry.Listing) registry.Listing {
 			for at := range s.candidates {
 				s.candidates[at].rank = bits.Reverse64(s.candidates[at].rank)
 			}
 			return l
 		},
-		"changes are told twice": func(_ *Selector, l registry.Listing) registry.Listing {
+		"changes are reported twice": func(_ *Selector, l registry.Listing) registry.Listing {
 			l.Instances = append(slices.Clip(l.Instances), l.Instances...)
 			return l
 		},
-		"those that left never go": func(s *Selector, l registry.Listing) registry.Listing { clear(s.leavingBy); return l },
+		"departures never end": func(s *Selector, l registry.Listing) registry.Listing { clear(s.goneAt); return l },
 	} {
 		found := false
 		for seed := 0; seed < 300 && !found; seed++ {
 			rapid.Custom(func(t *rapid.T) bool {
-				found = found || run(t, defect) != nil
+				found = found || runSelector(t, defect) != nil
 				return found
 			}).Example(seed)
 		}
 		if !found {
-			t.Errorf("not found: %s", name)
+			t.Errorf("defect not detected: %s", name)
 		}
 	}
 }
 
-// listOf returns a whole list of n instances that are Ready.
+// listOf returns a full list of n Ready instances.
 func listOf(n int) registry.Listing {
-	l := registry.Listing{Generation: 1, Reset: true}
+	listing := registry.Listing{Generation: 1, Reset: true}
 	for k := range n {
-		l.Instances = append(l.Instances, instanceOf(fmt.Sprintf("backend-%06d", k), k%60000, registry.Ready))
+		listing.Instances = append(listing.Instances, instanceOf(fmt.Sprintf("backend-%06d", k), k%60000, registry.Ready))
 	}
-	return l
+	return listing
 }
 
-func lifecycles(l registry.Listing) map[string]registry.Lifecycle {
-	by := map[string]registry.Lifecycle{}
-	for _, i := range l.Instances {
-		by[i.ID] = i.Lifecycle
+// lifecyclesOf returns the lifecycles in an update by instance ID.
+func lifecyclesOf(listing registry.Listing) map[string]registry.Lifecycle {
+	lifecycles := map[string]registry.Lifecycle{}
+	for _, instance := range listing.Instances {
+		lifecycles[instance.ID] = instance.Lifecycle
 	}
-	return by
+	return lifecycles
 }
 
-// What a candidate is kept as loses nothing of its instance.
-func TestNothingOfAnInstanceIsLost(t *testing.T) {
-	whole := registry.Instance{}
-	v := reflect.ValueOf(&whole).Elem()
-	for n := range v.NumField() {
-		switch f := v.Field(n); f.Kind() {
+// The conversion to a candidate and back loses no field of an instance.
+func TestCandidateKeepsAllFieldsOfAnInstance(t *testing.T) {
+	full := registry.Instance{}
+	value := reflect.ValueOf(&full).Elem()
+	for index := range value.NumField() {
+		switch field := value.Field(index); field.Kind() {
 		case reflect.String:
-			f.SetString(fmt.Sprint("text ", n))
+			field.SetString(fmt.Sprint("text ", index))
 		case reflect.Float64:
-			f.SetFloat(1.5)
+			field.SetFloat(1.5)
 		case reflect.Int, reflect.Int64:
-			f.SetInt(int64(7 + n))
-		case reflect.Bool: // Drained, of one that is Gone, which is told as it came
+			field.SetInt(int64(7 + index))
+		case reflect.Bool: // Drained is set for Gone instances only, which are passed on unchanged
 		default:
-			t.Fatalf("a field of kind %v", f.Kind())
+			t.Fatalf("unexpected field of kind %v", field.Kind())
 		}
 	}
-	whole.Lifecycle = registry.Ready
-	s := New("gw", Settings{Size: 1, Fleet: 1})
-	if l := s.Apply(0, registry.Listing{Reset: true, Instances: []registry.Instance{whole}}); len(l.Instances) != 1 || l.Instances[0] != whole {
-		t.Errorf("told %+v, want %+v", l.Instances, whole)
+	full.Lifecycle = registry.Ready
+	selector := New("gw", Settings{Size: 1, Fleet: 1})
+	if changes := selector.Apply(0, registry.Listing{Reset: true, Instances: []registry.Instance{full}}); len(changes.Instances) != 1 || changes.Instances[0] != full {
+		t.Errorf("reported %+v, want %+v", changes.Instances, full)
 	}
 }
 
-// Without settings the news pass as they came, and nothing is kept.
-func TestOffPassesThrough(t *testing.T) {
-	s, l := New("gw", Settings{Fleet: 3}), listOf(50)
+// With zero Settings, updates pass through unchanged without allocations or state.
+func TestDisabledSelectorPassesListsThrough(t *testing.T) {
+	selector, listing := New("gw", Settings{Fleet: 3}), listOf(50)
 	var out registry.Listing
-	if n := testing.AllocsPerRun(100, func() { out = s.Apply(0, l); s.Report(time.Hour, 0) }); n != 0 {
-		t.Errorf("%v allocations", n)
+	if n := testing.AllocsPerRun(100, func() { out = selector.Apply(0, listing); selector.Report(time.Hour, 0) }); n != 0 {
+		t.Errorf("%v allocations, want none", n)
 	}
-	if !reflect.DeepEqual(out, l) || &out.Instances[0] != &l.Instances[0] || len(s.index) > 0 {
-		t.Errorf("another list came out")
+	if !reflect.DeepEqual(out, listing) || &out.Instances[0] != &listing.Instances[0] || len(selector.index) > 0 {
+		t.Errorf("the list was copied or changed")
 	}
 }
 
-// A member that leaves the subset ends first, goes later, and is replaced at once.
-func TestLeaving(t *testing.T) {
-	s := New("gw", Settings{Size: 3, Fleet: 9})
-	first := s.Apply(0, listOf(30))
+// An instance that leaves the subset is replaced at once, reported as Terminating and later as Gone.
+func TestInstanceThatLeavesLingersAsTerminating(t *testing.T) {
+	selector := New("gw", Settings{Size: 3, Fleet: 9})
+	first := selector.Apply(0, listOf(30))
 	if len(first.Instances) != 3 {
-		t.Fatalf("%d of 3", len(first.Instances))
+		t.Fatalf("%d instances in the subset, want 3", len(first.Instances))
 	}
 	drained := first.Instances[0]
 	drained.Lifecycle = registry.Terminating
-	news := s.Apply(time.Second, registry.Listing{Generation: 2, Instances: []registry.Instance{drained}})
-	if by := lifecycles(news); len(by) != 2 || by[drained.ID] != registry.Terminating {
-		t.Fatalf("told %v", by)
+	changes := selector.Apply(time.Second, registry.Listing{Generation: 2, Instances: []registry.Instance{drained}})
+	if lifecycles := lifecyclesOf(changes); len(lifecycles) != 2 || lifecycles[drained.ID] != registry.Terminating {
+		t.Fatalf("reported %v after a drain, want it and a replacement", lifecycles)
 	}
 	var entered string
-	for id, lifecycle := range lifecycles(news) {
+	for id, lifecycle := range lifecyclesOf(changes) {
 		if lifecycle == registry.Ready {
 			entered = id
 		}
 	}
-	// The drain ends: it is back as it stands, and the one in its place ends.
-	back := drained
-	back.Lifecycle = registry.Ready
-	if by := lifecycles(s.Apply(2*time.Second, registry.Listing{Generation: 3, Instances: []registry.Instance{back}})); len(by) != 2 ||
-		by[back.ID] != registry.Ready || by[entered] != registry.Terminating {
-		t.Fatalf("told %v", by)
+	// The drain is cancelled: the instance is Ready again and its replacement leaves.
+	ready := drained
+	ready.Lifecycle = registry.Ready
+	if lifecycles := lifecyclesOf(selector.Apply(2*time.Second, registry.Listing{Generation: 3, Instances: []registry.Instance{ready}})); len(lifecycles) != 2 ||
+		lifecycles[ready.ID] != registry.Ready || lifecycles[entered] != registry.Terminating {
+		t.Fatalf("reported %v after the end of a drain, want the return and a departure", lifecycles)
 	}
-	if l := s.Report(2*time.Second+Linger-1, 3); len(l.Instances) > 0 {
-		t.Fatalf("told %v too early", lifecycles(l))
+	if changes := selector.Report(2*time.Second+Linger-1, 3); len(changes.Instances) > 0 {
+		t.Fatalf("reported %v before the end of Linger", lifecyclesOf(changes))
 	}
-	// Another leaves within the linger: the one that lingers stands as it does.
+	// Another instance leaves within Linger: the one that is leaving is Ready again.
 	gone := first.Instances[1]
 	gone.Lifecycle = registry.Gone
-	if by := lifecycles(s.Apply(2*time.Second+Linger-1, registry.Listing{Generation: 4, Instances: []registry.Instance{gone}})); len(by) != 2 ||
-		by[gone.ID] != registry.Gone || by[entered] != registry.Ready {
-		t.Fatalf("told %v", by)
+	if lifecycles := lifecyclesOf(selector.Apply(2*time.Second+Linger-1, registry.Listing{Generation: 4, Instances: []registry.Instance{gone}})); len(lifecycles) != 2 ||
+		lifecycles[gone.ID] != registry.Gone || lifecycles[entered] != registry.Ready {
+		t.Fatalf("reported %v after a removal, want it and a return", lifecycles)
 	}
-	if l := s.Report(time.Hour, 3); len(l.Instances) > 0 {
-		t.Fatalf("told %v of one that came back", lifecycles(l))
+	if changes := selector.Report(time.Hour, 3); len(changes.Instances) > 0 {
+		t.Fatalf("reported %v of an instance that has returned", lifecyclesOf(changes))
 	}
-	// What lies outside the subset is not told, with its version all the same.
+	// A change outside the subset is not reported, but the generation is.
 	outside := instanceOf("backend-zz", 5, registry.Terminating)
-	if l := s.Apply(time.Hour, registry.Listing{Generation: 9, Instances: []registry.Instance{outside}}); l.Generation != 9 || len(l.Instances) > 0 {
-		t.Fatalf("told %+v", l)
+	if changes := selector.Apply(time.Hour, registry.Listing{Generation: 9, Instances: []registry.Instance{outside}}); changes.Generation != 9 || len(changes.Instances) > 0 {
+		t.Fatalf("reported %+v, want generation 9 and no instances", changes)
 	}
 }
 
-// Services have a subset each.
-func TestSubsetsByService(t *testing.T) {
-	s := New("gw", Settings{Size: 4, Fleet: 9})
-	a, b := listOf(20), listOf(40)
-	for n := range b.Instances {
-		a.Instances = append(a.Instances, b.Instances[n])
-		last := &a.Instances[len(a.Instances)-1]
+// Each service has its own subset, also when an instance changes its service.
+func TestEachServiceHasItsOwnSubset(t *testing.T) {
+	selector := New("gw", Settings{Size: 4, Fleet: 9})
+	both, other := listOf(20), listOf(40)
+	for index := range other.Instances {
+		both.Instances = append(both.Instances, other.Instances[index])
+		last := &both.Instances[len(both.Instances)-1]
 		last.ID, last.Service = "other-"+last.ID, "other"
 	}
-	if l := s.Apply(0, a); len(l.Instances) != 8 {
-		t.Errorf("%d instances of two services", len(l.Instances))
+	if changes := selector.Apply(0, both); len(changes.Instances) != 8 {
+		t.Errorf("%d instances of two services, want 8", len(changes.Instances))
 	}
-	if got := s.Stats(); got != (Stats{Candidates: 60, Size: 8, Chosen: 8}) {
+	if got := selector.Stats(); got != (Stats{Candidates: 60, Size: 8, Chosen: 8}) {
 		t.Errorf("%+v", got)
 	}
-	moved := a.Instances[0]
-	for _, i := range a.Instances {
-		if c := s.candidates[s.index[i.ID]]; i.Service == "" && c.place == inChosen {
-			moved = i
+	moved := both.Instances[0]
+	for _, instance := range both.Instances {
+		if candidate := selector.candidates[selector.index[instance.ID]]; instance.Service == "" && candidate.rankedIn == inChosen {
+			moved = instance
 		}
 	}
-	moved.Service = "other" // it gives its place up, and may have one there
-	s.Apply(0, registry.Listing{Instances: []registry.Instance{moved}})
-	if got := s.Stats(); got != (Stats{Candidates: 60, Size: 8, Chosen: 8}) || s.groups[""].listed != 19 {
+	moved.Service = "other" // it leaves one subset and may enter the other
+	selector.Apply(0, registry.Listing{Instances: []registry.Instance{moved}})
+	if got := selector.Stats(); got != (Stats{Candidates: 60, Size: 8, Chosen: 8}) || selector.groups[""].listed != 19 {
 		t.Errorf("%+v", got)
 	}
 }
 
-func TestSizes(t *testing.T) {
-	for _, c := range []struct {
+// The size follows Size and Coverage within the list, and invalid settings are rejected.
+func TestSubsetSize(t *testing.T) {
+	for _, test := range []struct {
 		settings    Settings
 		listed, out int
 	}{
@@ -399,14 +402,14 @@
 		{Settings{Coverage: 2, Fleet: 10}, 51, 11},
 		{Settings{Size: 20, Fleet: 1}, 0, 0},
 	} {
-		if got := c.settings.size(c.listed); got != c.out {
-			t.Errorf("%+v of %d: %d, want %d", c.settings, c.listed, got, c.out)
+		if got := test.settings.size(test.listed); got != test.out {
+			t.Errorf("%+v of %d: %d, want %d", test.settings, test.listed, got, test.out)
 		}
 	}
-	for _, bad := range []Settings{{Size: -1, Fleet: 1}, {Size: MaxSize + 1, Fleet: 1}, {Coverage: -1, Fleet: 1},
+	for _, invalid := range []Settings{{Size: -1, Fleet: 1}, {Size: MaxSize + 1, Fleet: 1}, {Coverage: -1, Fleet: 1},
 		{Coverage: MaxCoverage + 1, Fleet: 1}, {Size: 1}, {Size: 1, Fleet: MaxFleet + 1}} {
-		if bad.Check() == nil {
-			t.Errorf("%+v was taken", bad)
+		if invalid.Check() == nil {
+			t.Errorf("no error for %+v", invalid)
 		}
 	}
 	if err := (Settings{}).Check(); err != nil {
@@ -414,20 +417,20 @@
 	}
 }
 
-// A subset that is lost widens at once nearly, one that is sick some seconds later, step
-// by step until all there are, and narrows in steps once it has long been well.
-func TestWidening(t *testing.T) {
-	s := New("gw", Settings{Size: 10, Fleet: 9})
-	u := &user{known: map[string]registry.Instance{}}
-	u.take(s.Apply(0, listOf(35)))
+// A subset without usable instances widens after a short delay, a sick one after a longer delay that
+// doubles, and both narrow in steps once healthy for long.
+func TestUnhealthySubsetWidens(t *testing.T) {
+	selector := New("gw", Settings{Size: 10, Fleet: 9})
+	user := &user{known: map[string]registry.Instance{}}
+	user.apply(selector.Apply(0, listOf(35)))
 	avoided := map[string]bool{}
-	for id := range u.known {
+	for id := range user.known {
 		avoided[id] = true
 	}
 	now := time.Duration(0)
 	usable := func() (n int) {
-		for id, i := range u.known {
-			if i.Lifecycle == registry.Ready && !avoided[id] {
+		for id, instance := range user.known {
+			if instance.Lifecycle == registry.Ready && !avoided[id] {
 				n++
 			}
 		}
@@ -435,185 +438,185 @@
 	}
 	report := func(until time.Duration) (changes int) {
 		for ; now <= until; now += 50 * time.Millisecond {
-			news := s.Report(now, usable())
-			if err := u.take(news); err != nil {
+			listing := selector.Report(now, usable())
+			if err := user.apply(listing); err != nil {
 				t.Fatal(err)
 			}
-			if len(news.Instances) > 0 {
+			if len(listing.Instances) > 0 {
 				changes++
 			}
 		}
 		return changes
 	}
-	report(lostFor - 50*time.Millisecond)
-	if got := s.Stats(); got.Size != 10 {
-		t.Fatalf("%+v before its time", got)
+	report(lostDelay - 50*time.Millisecond)
+	if got := selector.Stats(); got.Size != 10 {
+		t.Fatalf("%+v before lostDelay", got)
 	}
-	report(lostFor)
-	if got := s.Stats(); got.Chosen != 20 || got.Widened != 1 || usable() != 10 {
-		t.Fatalf("%+v, %d usable", got, usable())
+	report(lostDelay)
+	if got := selector.Stats(); got.Chosen != 20 || got.Widened != 1 || usable() != 10 {
+		t.Fatalf("%+v with %d usable after lostDelay, want one widening to 20 instances with 10 usable", got, usable())
 	}
 	if n := report(time.Hour); n != 0 {
-		t.Errorf("%d changes of a subset with as many usable as it should have", n)
+		t.Errorf("%d changes of a subset with enough usable instances, want none", n)
 	}
 	first := maps.Clone(avoided)
-	for id := range u.known { // most of the others fail too
+	for id := range user.known { // some of the others fail too
 		if len(avoided) < 16 {
 			avoided[id] = true
 		}
 	}
-	from := now
-	report(from + 2*sickFor - 50*time.Millisecond)
-	if got := s.Stats(); got.Widened != 1 {
-		t.Fatalf("%+v: a second step takes no longer than the first", got)
+	start := now
+	report(start + 2*sickDelay - 50*time.Millisecond)
+	if got := selector.Stats(); got.Widened != 1 {
+		t.Fatalf("%+v: the delay of the second widening is not doubled", got)
 	}
-	report(from + 2*sickFor)
-	if got := s.Stats(); got.Chosen != 35 || got.Widened != 2 {
-		t.Fatalf("%+v", got)
+	report(start + 2*sickDelay)
+	if got := selector.Stats(); got.Chosen != 35 || got.Widened != 2 {
+		t.Fatalf("%+v after the second delay, want two widenings to all 35 instances", got)
 	}
 	if n := report(now + time.Hour); n != 0 {
-		t.Errorf("%d changes of all there are", n)
+		t.Errorf("%d changes of a subset with all instances, want none", n)
 	}
-	clear(avoided) // all are well
-	from = now
-	report(from + healthyFor - 50*time.Millisecond)
-	if got := s.Stats(); got.Widened != 2 {
-		t.Fatalf("%+v too early", got)
+	clear(avoided) // all instances are usable
+	start = now
+	report(start + healthyDelay - 50*time.Millisecond)
+	if got := selector.Stats(); got.Widened != 2 {
+		t.Fatalf("%+v before healthyDelay", got)
 	}
-	report(from + healthyFor + 50*time.Millisecond)
-	if got := s.Stats(); got.Widened != 1 || got.Chosen != 20 {
-		t.Fatalf("%+v", got)
+	report(start + healthyDelay + 50*time.Millisecond)
+	if got := selector.Stats(); got.Widened != 1 || got.Chosen != 20 {
+		t.Fatalf("%+v after healthyDelay, want one widening and 20 instances", got)
 	}
-	report(from + 2*healthyFor + 100*time.Millisecond + Linger)
-	if got := s.Stats(); got.Widened != 0 || got.Chosen != 10 || len(u.known) != 10 {
-		t.Fatalf("%+v, %d known", got, len(u.known))
+	report(start + 2*healthyDelay + 100*time.Millisecond + Linger)
+	if got := selector.Stats(); got.Widened != 0 || got.Chosen != 10 || len(user.known) != 10 {
+		t.Fatalf("%+v with %d known after the second healthyDelay, want the initial subset of 10", got, len(user.known))
 	}
-	for id := range u.known {
+	for id := range user.known {
 		if !first[id] {
-			t.Errorf("%s was not in the first subset", id)
+			t.Errorf("%s was not in the initial subset", id)
 		}
 	}
 }
 
-// A step back never makes a subset sick that is well, however the usable lie.
+// Narrowing never makes a healthy subset sick, wherever the usable instances are.
 func TestWidthDoesNotAlternate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 120).Draw(t, "n")
-		size := rapid.IntRange(1, n).Draw(t, "size")
-		tenths := rapid.IntRange(0, 10).Draw(t, "tenths") // that are usable
-		fates := rapid.SliceOfN(rapid.IntRange(0, 9), n, n).Draw(t, "fates")
-		usable := make([]bool, n) // by rank
-		for k, fate := range fates {
-			usable[k] = fate < tenths
+		count := rapid.IntRange(1, 120).Draw(t, "n")
+		size := rapid.IntRange(1, count).Draw(t, "size")
+		tenths := rapid.IntRange(0, 10).Draw(t, "tenths") // of the instances are usable
+		draws := rapid.SliceOfN(rapid.IntRange(0, 9), count, count).Draw(t, "fates")
+		usable := make([]bool, count) // by rank
+		for k, draw := range draws {
+			usable[k] = draw < tenths
 		}
-		h, now, changes, downs := health{width: rapid.IntRange(0, 4).Draw(t, "width")}, time.Duration(0), 0, 0
+		state, now, changes, narrowings := health{width: rapid.IntRange(0, 4).Draw(t, "width")}, time.Duration(0), 0, 0
 		for range 60 {
-			e := extent{base: size, size: min(size<<h.width, n), narrower: min(size<<max(h.width-1, 0), n)}
-			e.more = e.size < n
-			count := 0
-			for _, ok := range usable[:e.size] {
+			sizes := sizeInfo{base: size, current: min(size<<state.width, count), narrowed: min(size<<max(state.width-1, 0), count)}
+			sizes.moreReady = sizes.current < count
+			usableCount := 0
+			for _, ok := range usable[:sizes.current] {
 				if ok {
-					count++
+					usableCount++
 				}
 			}
-			before := h.width
-			h.see(now, count, e)
-			if h.width != before {
+			before := state.width
+			state.update(now, usableCount, sizes)
+			if state.width != before {
 				changes++
 			}
-			if h.width < before {
-				downs++
-			} else if h.width > before && downs > 0 {
-				t.Fatalf("wider again after a step back, of %d, size %d", n, size)
+			if state.width < before {
+				narrowings++
+			} else if state.width > before && narrowings > 0 {
+				t.Fatalf("widened again after narrowing: %d instances, size %d", count, size)
 			}
-			now += healthyFor
+			now += healthyDelay
 		}
-		if h.width < 0 || changes > 12 {
-			t.Fatalf("width %d after %d changes", h.width, changes)
+		if state.width < 0 || changes > 12 {
+			t.Fatalf("width %d after %d changes", state.width, changes)
 		}
 	})
 }
 
-// One change costs a hash for a new instance and comparisons by the logarithm.
+// A change costs one hash for a new instance and a logarithmic number of comparisons.
 func TestCostOfAChange(t *testing.T) {
-	const most, changes = 20000, 2000
-	s := New("gw", Settings{Size: 100, Coverage: 20, Fleet: 8700})
-	l := listOf(most)
-	s.Apply(0, l)
-	if s.work.hashes != most {
-		t.Errorf("%d hashes of %d instances", s.work.hashes, most)
-	}
-	s.work = work{}
-	for n := range changes {
-		i := l.Instances[n]
-		i.Lifecycle = []registry.Lifecycle{registry.Gone, registry.Terminating}[n%2]
-		s.Apply(0, registry.Listing{Generation: int64(n), Instances: []registry.Instance{i}})
-		i.Lifecycle = registry.Ready
-		s.Apply(0, registry.Listing{Generation: int64(n), Instances: []registry.Instance{i}})
-	}
-	if s.work.hashes != changes/2 {
-		t.Errorf("%d hashes for %d new instances", s.work.hashes, changes/2)
-	}
-	bound := 6 * math.Log2(most)
-	if each := float64(s.work.comparisons) / (2 * changes); each > bound {
-		t.Errorf("%.1f comparisons for a change, above %.1f", each, bound)
+	const candidates, changes = 20000, 2000
+	selector := New("gw", Settings{Size: 100, Coverage: 20, Fleet: 8700})
+	listing := listOf(candidates)
+	selector.Apply(0, listing)
+	if selector.work.hashes != candidates {
+		t.Errorf("%d hashes for %d instances, want one each", selector.work.hashes, candidates)
+	}
+	selector.work = workCounters{}
+	for index := range changes {
+		instance := listing.Instances[index]
+		instance.Lifecycle = []registry.Lifecycle{registry.Gone, registry.Terminating}[index%2]
+		selector.Apply(0, registry.Listing{Generation: int64(index), Instances: []registry.Instance{instance}})
+		instance.Lifecycle = registry.Ready
+		selector.Apply(0, registry.Listing{Generation: int64(index), Instances: []registry.Instance{instance}})
+	}
+	if selector.work.hashes != changes/2 {
+		t.Errorf("%d hashes for %d new instances, want one each", selector.work.hashes, changes/2)
+	}
+	limit := 6 * math.Log2(candidates)
+	if perChange := float64(selector.work.comparisons) / (2 * changes); perChange > limit {
+		t.Errorf("%.1f comparisons per change, want at most %.1f", perChange, limit)
 	} else {
-		t.Logf("%.1f comparisons for a change among %d", each, most)
+		t.Logf("%.1f comparisons per change among %d instances", perChange, candidates)
 	}
-	s.work = work{}
-	s.Report(time.Hour, 100)
-	if s.work != (work{}) {
-		t.Errorf("a report costs %+v", s.work)
+	selector.work = workCounters{}
+	selector.Report(time.Hour, 100)
+	if selector.work != (workCounters{}) {
+		t.Errorf("a report without changes costs %+v", selector.work)
 	}
 }
 
-// What a name and an id are ranked by is the same in all versions of the program.
-func TestRanksAreTheSameInAllVersions(t *testing.T) {
+// The hash of a pair of names is the same in all versions.
+func TestHashIsStable(t *testing.T) {
 	if got := New("gateway-1", Settings{Size: 1, Fleet: 1}).hash("backend-000001"); got != 0x9b33eb204ffd2fe {
-		t.Errorf("%#x", got)
+		t.Errorf("hash %#x, want 0x9b33eb204ffd2fe", got)
 	}
 }
 
-// mostBytes is what a candidate may take beside the strings of the list's reader, with
-// the room that a map and a slice have for more.
-const mostBytes = 200
+// maxCandidateBytes limits the memory of a candidate, without strings that are shared with the reader of the
+// list, but with the spare capacity of maps and slices.
+const maxCandidateBytes = 200
 
-// A candidate takes few bytes.
+// A candidate takes at most maxCandidateBytes.
 func TestMemoryOfACandidate(t *testing.T) {
 	const candidates = 20000
-	l := listOf(candidates)
+	listing := listOf(candidates)
 	heap := func() int64 {
 		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return int64(m.HeapAlloc)
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats)
+		return int64(stats.HeapAlloc)
 	}
 	before := heap()
-	s := New("gw", Settings{Size: 100, Fleet: 8700})
-	s.Apply(0, l)
-	each := float64(heap()-before) / candidates
-	runtime.KeepAlive(s)
-	runtime.KeepAlive(l)
-	if t.Logf("%.0f bytes for a candidate", each); each > mostBytes {
-		t.Errorf("above %d", mostBytes)
+	selector := New("gw", Settings{Size: 100, Fleet: 8700})
+	selector.Apply(0, listing)
+	perCandidate := float64(heap()-before) / candidates
+	runtime.KeepAlive(selector)
+	runtime.KeepAlive(listing)
+	if t.Logf("%.0f bytes per candidate", perCandidate); perCandidate > maxCandidateBytes {
+		t.Errorf("want at most %d bytes per candidate", maxCandidateBytes)
 	}
 }
 
-// BenchmarkWholeList takes in a whole list of 20,000.
+// BenchmarkWholeList applies a full list of 20,000 instances.
 func BenchmarkWholeList(b *testing.B) {
-	l := listOf(20000)
+	listing := listOf(20000)
 	for b.Loop() {
-		New("gw", Settings{Size: 100, Fleet: 8700}).Apply(0, l)
+		New("gw", Settings{Size: 100, Fleet: 8700}).Apply(0, listing)
 	}
 }
 
-// BenchmarkChange takes in one change of 20,000.
+// BenchmarkChange applies one change to a list of 20,000 instances.
 func BenchmarkChange(b *testing.B) {
-	l := listOf(20000)
-	s := New("gw", Settings{Size: 100, Fleet: 8700})
-	s.Apply(0, l)
+	listing := listOf(20000)
+	selector := New("gw", Settings{Size: 100, Fleet: 8700})
+	selector.Apply(0, listing)
 	b.ReportAllocs()
-	for n := 0; b.Loop(); n++ {
-		s.Apply(0, registry.Listing{Generation: int64(n), Instances: l.Instances[n%20000 : n%20000+1]})
+	for index := 0; b.Loop(); index++ {
+		selector.Apply(0, registry.Listing{Generation: int64(index), Instances: listing.Instances[index%20000 : index%20000+1]})
 	}
 }
