--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -12,13 +12,12 @@
 
 // A file is a header and frames. All numbers are little-endian.
 //
-//	header: magic 8 | format u16 | 0 u16 | kind 8 | number u64 | CRC32C u32 of what stands before
-//	frame:  length u32 of the body | first sequence u64 | records u32 | CRC32C u32 of what stands before and the body | body
+//	header: magic 8 | format u16 | 0 u16 | kind 8 | number u64 | CRC32C u32 of the preceding bytes
+//	frame:  length u32 of the body | first sequence u64 | records u32 | CRC32C u32 of the preceding bytes and the body | body
 //	body:   for each record, length u32 | bytes
 //
-// A frame is written in one piece and made to last before the next is begun, so of
-// a log's frames only the last can be torn, and it holds nothing that anybody was
-// told of. A frame without records ends a file that was closed.
+// Each frame is synced before the next is written, so only the last frame of a log can be torn, and
+// its records have not been acknowledged. A frame without records marks the end of a closed file.
 const (
 	format           = 1
 	headerBytes      = 32
@@ -32,7 +31,7 @@
 	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Damage is a part of a file that is not as it was written.
+// DamageError reports the part of a file that differs from what was written.
 type DamageError struct {
 	File    string
 	Offset  int64
@@ -43,7 +42,7 @@
 	return fmt.Sprintf("%s at byte %d: %s", d.File, d.Offset, d.Problem)
 }
 
-// errFormat is a file of a program that is newer than this one.
+// errNewerFormat is the error of a file with an unsupported format.
 var errNewerFormat = errors.New("of a later format than this program knows")
 
 func encodeHeader(magic [8]byte, kind string, number uint64) []byte {
@@ -58,17 +57,17 @@
 	return appendChecksum(buf)
 }
 
-// parseHeader reads a header. An error of another kind or format is final; any
-// other says that the header is not whole.
+// parseHeader decodes a header. It returns errNewerFormat or a wrongKindError for a valid header of
+// another format or kind, and another error for an incomplete or damaged one.
 func parseHeader(header []byte, magic [8]byte, kind string) (number uint64, err error) {
 	if len(header) < headerBytes {
-		return 0, errors.New("the header is cut short")
+		return 0, errors.New("header truncated")
 	}
 	if crc32.Checksum(header[:headerBytes-4], castagnoli) != binary.LittleEndian.Uint32(header[headerBytes-4:]) {
-		return 0, errors.New("the header's checksum is wrong")
+		return 0, errors.New("header checksum mismatch")
 	}
 	if !bytes.Equal(header[:8], magic[:]) {
-		return 0, errors.New("not such a file")
+		return 0, errors.New("unknown magic number in the header")
 	}
 	if binary.LittleEndian.Uint16(header[8:]) != format {
 		return 0, errNewerFormat
@@ -85,7 +84,7 @@
 	return fmt.Sprintf("the folder is of %q, not of %q", w.actual, w.expected)
 }
 
-// appendFrame writes a frame with records, or one that ends a file.
+// appendFrame encodes a frame. Without records it marks the end of a file.
 func appendFrame(buf []byte, first uint64, records [][]byte) []byte {
 	start := len(buf)
 	length := 0
@@ -106,17 +105,17 @@
 	return buf
 }
 
-// frame is one as it was read.
+// frame is a decoded frame. size includes its header.
 type frame struct {
 	first   uint64
 	records [][]byte
 	size    int64
 }
 
-var errInvalidFrame = errors.New("no whole frame")
+var errInvalidFrame = errors.New("incomplete or damaged frame")
 
-// readFrame reads the next frame. io.EOF is the end of the file, errFrame what is
-// no frame; any other error is the file system's.
+// readFrame reads the next frame. It returns io.EOF at the end of the file, errInvalidFrame for
+// bytes that are no frame, and otherwise the error of the file system.
 func readFrame(in *bufio.Reader) (frame, error) {
 	var header [frameHeaderBytes]byte
 	switch _, err := io.ReadFull(in, header[:]); {
@@ -158,8 +157,8 @@
 	return f, nil
 }
 
-// anyFrame says whether a frame that is not before sequence begins anywhere in
-// what is left of a file.
+// containsFrame reports whether a valid frame with a first sequence of at least sequence starts
+// anywhere in rest.
 func containsFrame(rest []byte, sequence uint64) bool {
 	for offset := 0; offset+frameHeaderBytes <= len(rest); offset++ {
 		length := binary.LittleEndian.Uint32(rest[offset:])
@@ -173,7 +172,7 @@
 	return false
 }
 
-// appendSum puts the checksum behind what it is of.
+// appendChecksum appends the checksum of buf.
 func appendChecksum(buf []byte) []byte {
 	return binary.LittleEndian.AppendUint32(buf, crc32.Checksum(buf, castagnoli))
 }
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -9,35 +9,34 @@
 	"syscall"
 )
 
-// FS is the one folder that a log has, and all that it does there. Names have no
-// path.
+// FS is the file system of the folder of one log. Names have no path.
 type FS interface {
 	// List returns the names of all files.
 	List() ([]string, error)
 	// Open opens a file for reading.
 	Open(name string) (io.ReadCloser, error)
-	// Create makes a new file; it is an error if it is there.
+	// Create creates a file. It fails if the file exists.
 	Create(name string) (File, error)
-	// Append opens a file for writing behind its first size bytes, and cuts the rest.
+	// Append truncates a file to size bytes and opens it for writing at its end.
 	Append(name string, size int64) (File, error)
 	Rename(old, new string) error
 	Remove(name string) error
-	// SyncDir makes the files' names last.
+	// SyncDir makes creations, renames and removals of files durable.
 	SyncDir() error
-	// Lock keeps other processes out until the closer is closed.
+	// Lock takes an exclusive lock between processes. Closing the result releases it.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is a file that is written to its end.
+// File is a file that is written sequentially.
 type File interface {
 	io.WriteCloser
-	// Sync makes all that was written last.
+	// Sync makes all written data durable.
 	Sync() error
-	// Truncate cuts the file; what is written next stands behind.
+	// Truncate truncates the file to size bytes; the next write continues from there.
 	Truncate(size int64) error
 }
 
-// Dir is the FS of a folder of the system's.
+// Dir is the FS of a folder in the operating system's file system.
 type Dir string
 
 // List returns the names of all files.
@@ -58,7 +57,7 @@
 // Open opens a file for reading.
 func (d Dir) Open(name string) (io.ReadCloser, error) { return os.Open(d.path(name)) }
 
-// Create makes a new file.
+// Create creates a file. It fails if the file exists.
 func (d Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -67,7 +66,7 @@
 	return osFile{f}, nil
 }
 
-// Append opens a file behind its first size bytes.
+// Append truncates a file to size bytes and opens it for writing at its end.
 func (d Dir) Append(name string, size int64) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_WRONLY, 0)
 	if err != nil {
@@ -80,13 +79,13 @@
 	return osFile{f}, nil
 }
 
-// Rename renames a file; one that has the new name is replaced.
+// Rename renames a file. It replaces a file that has the new name.
 func (d Dir) Rename(old, new string) error { return os.Rename(d.path(old), d.path(new)) }
 
 // Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// SyncDir makes the names last.
+// SyncDir syncs the folder.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -95,7 +94,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock locks the file called name, which holds the number of the process.
+// Lock locks the file with the name and writes the process ID to it.
 func (d Dir) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -105,7 +104,7 @@
 		defer f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			var owner [16]byte
-			n, _ := f.Read(owner[:]) // a guess for people
+			n, _ := f.Read(owner[:]) // best effort, for the message only
 			return nil, fmt.Errorf("%s: in use by process %s", d, owner[:n])
 		}
 		return nil, err
@@ -118,7 +117,7 @@
 		f.Close()
 		return nil, err
 	}
-	return f, nil // its closing unlocks it
+	return f, nil // closing it releases the lock
 }
 
 type osFile struct{ *os.File }
--- a/internal/wal/power_test.go
+++ b/internal/wal/power_test.go
@@ -10,152 +10,152 @@
 	"slices"
 )
 
-// powerFS is a file system in memory that may lose its power at any operation. What
-// was not synced is then lost, kept, or kept in part, sector by sector in any order;
-// what was done to names and not synced is undone or kept, each on its own.
+// powerFS is an FS in memory that can lose power at any operation. Unsynced data is then lost or
+// kept, sector by sector, and each unsynced change of names is undone or kept on its own.
 type powerFS struct {
-	random  *rand.Rand
-	names   map[string]*inode
-	lasting map[string]*inode
-	pending []func(map[string]*inode) // what was done to names since SyncDir
-	locked  bool
+	random         *rand.Rand
+	files          map[string]*inode
+	durableFiles   map[string]*inode
+	pendingChanges []func(map[string]*inode) // changes of names since SyncDir
+	locked         bool
 
-	left     int // operations until the power goes; below 0: it does not
-	noRoom   int // of so many writes one finds no room; 0: none
-	badSyncs int // of so many syncs one fails
-	ops      int
+	remainingOps   int // operations until the power is lost; negative: it is not lost
+	writeErrorOdds int // one of this many writes fails; 0: none
+	syncErrorOdds  int // one of this many syncs fails; 0: none
+	ops            int
 }
 
-type inode struct{ data, lasting []byte }
+// inode is the current and the durable content of a file.
+type inode struct{ data, durable []byte }
 
-const sector = 512
+const sectorBytes = 512
 
 var (
-	errPower = errors.New("the power is gone")
-	errFull  = errors.New("no space left")
-	errSync  = errors.New("input/output error")
+	errPowerLost   = errors.New("power lost")
+	errNoSpaceLeft = errors.New("no space left")
+	errSync        = errors.New("input/output error")
 )
 
 func newPowerFS(random *rand.Rand) *powerFS {
-	return &powerFS{random: random, names: map[string]*inode{}, lasting: map[string]*inode{}, left: -1}
+	return &powerFS{random: random, files: map[string]*inode{}, durableFiles: map[string]*inode{}, remainingOps: -1}
 }
 
-// op counts an operation, and says whether the power is gone.
-func (p *powerFS) op() error {
+// countOp counts an operation and fails if the power is lost.
+func (p *powerFS) countOp() error {
 	p.ops++
-	if p.left == 0 {
-		return errPower
+	if p.remainingOps == 0 {
+		return errPowerLost
 	}
-	if p.left > 0 {
-		p.left--
+	if p.remainingOps > 0 {
+		p.remainingOps--
 	}
 	return nil
 }
 
-// lose loses the power; what is left is a file system that works again.
-func (p *powerFS) lose() {
-	for _, do := range p.pending {
+// losePower simulates a power loss and a restart.
+func (p *powerFS) losePower() {
+	for _, apply := range p.pendingChanges {
 		if p.random.IntN(2) == 0 {
-			do(p.lasting)
+			apply(p.durableFiles)
 		}
 	}
 	seen := map[*inode]bool{}
-	for _, n := range p.lasting {
-		if seen[n] {
+	for _, file := range p.durableFiles {
+		if seen[file] {
 			continue
 		}
-		seen[n] = true
-		size := len(n.lasting)
+		seen[file] = true
+		size := len(file.durable)
 		if p.random.IntN(2) == 0 {
-			size = len(n.data)
-		} else if len(n.data) > size {
-			size += p.random.IntN(len(n.data) - size)
+			size = len(file.data)
+		} else if len(file.data) > size {
+			size += p.random.IntN(len(file.data) - size)
 		}
 		kept := make([]byte, size)
-		copy(kept, n.lasting)
-		for at := 0; at < size; at += sector {
-			end := min(at+sector, size, len(n.data))
+		copy(kept, file.durable)
+		for offset := 0; offset < size; offset += sectorBytes {
+			end := min(offset+sectorBytes, size, len(file.data))
 			switch p.random.IntN(3) {
-			case 0: // as it was
+			case 0: // the durable content
 			case 1:
-				if end > at {
-					copy(kept[at:end], n.data[at:end])
+				if end > offset {
+					copy(kept[offset:end], file.data[offset:end])
 				}
-			case 2: // torn within
-				if end > at {
-					copy(kept[at:at+p.random.IntN(end-at+1)], n.data[at:end])
+			case 2: // a torn sector
+				if end > offset {
+					copy(kept[offset:offset+p.random.IntN(end-offset+1)], file.data[offset:end])
 				}
 			}
 		}
-		n.data, n.lasting = kept, slices.Clone(kept)
+		file.data, file.durable = kept, slices.Clone(kept)
 	}
-	p.names = maps.Clone(p.lasting)
-	p.pending, p.locked, p.left, p.noRoom, p.badSyncs = nil, false, -1, 0, 0
+	p.files = maps.Clone(p.durableFiles)
+	p.pendingChanges, p.locked, p.remainingOps, p.writeErrorOdds, p.syncErrorOdds = nil, false, -1, 0, 0
 }
 
 func (p *powerFS) List() ([]string, error) {
-	return slices.Collect(maps.Keys(p.names)), p.op()
+	return slices.Collect(maps.Keys(p.files)), p.countOp()
 }
 
 func (p *powerFS) Open(name string) (io.ReadCloser, error) {
-	n := p.names[name]
-	if n == nil {
+	file := p.files[name]
+	if file == nil {
 		return nil, fs.ErrNotExist
 	}
-	return io.NopCloser(bytes.NewReader(n.data)), p.op()
+	return io.NopCloser(bytes.NewReader(file.data)), p.countOp()
 }
 
-func (p *powerFS) change(do func(map[string]*inode)) {
-	do(p.names)
-	p.pending = append(p.pending, do)
+func (p *powerFS) changeNames(apply func(map[string]*inode)) {
+	apply(p.files)
+	p.pendingChanges = append(p.pendingChanges, apply)
 }
 
 func (p *powerFS) Create(name string) (File, error) {
-	if err := p.op(); err != nil {
+	if err := p.countOp(); err != nil {
 		return nil, err
 	}
-	if p.names[name] != nil {
+	if p.files[name] != nil {
 		return nil, fs.ErrExist
 	}
-	n := &inode{}
-	p.change(func(names map[string]*inode) { names[name] = n })
-	return &powerFile{p, n}, nil
+	file := &inode{}
+	p.changeNames(func(names map[string]*inode) { names[name] = file })
+	return &powerFile{p, file}, nil
 }
 
 func (p *powerFS) Append(name string, size int64) (File, error) {
-	n := p.names[name]
-	if n == nil {
+	file := p.files[name]
+	if file == nil {
 		return nil, fs.ErrNotExist
 	}
-	f := &powerFile{p, n}
+	f := &powerFile{p, file}
 	return f, f.Truncate(size)
 }
 
 func (p *powerFS) Rename(old, new string) error {
-	if err := p.op(); err != nil {
+	if err := p.countOp(); err != nil {
 		return err
 	}
-	n := p.names[old]
-	p.change(func(names map[string]*inode) { delete(names, old); names[new] = n })
+	file := p.files[old]
+	p.changeNames(func(names map[string]*inode) { delete(names, old); names[new] = file })
 	return nil
 }
 
 func (p *powerFS) Remove(name string) error {
-	if err := p.op(); err != nil {
+	if err := p.countOp(); err != nil {
 		return err
 	}
-	if p.names[name] == nil {
+	if p.files[name] == nil {
 		return fs.ErrNotExist
 	}
-	p.change(func(names map[string]*inode) { delete(names, name) })
+	p.changeNames(func(names map[string]*inode) { delete(names, name) })
 	return nil
 }
 
 func (p *powerFS) SyncDir() error {
-	if err := p.op(); err != nil {
+	if err := p.countOp(); err != nil {
 		return err
 	}
-	p.lasting, p.pending = maps.Clone(p.names), nil
+	p.durableFiles, p.pendingChanges = maps.Clone(p.files), nil
 	return nil
 }
 
@@ -167,46 +167,46 @@
 	return unlocker{p}, nil
 }
 
-type unlocker struct{ p *powerFS }
+type unlocker struct{ fs *powerFS }
 
-func (u unlocker) Close() error { u.p.locked = false; return nil }
+func (u unlocker) Close() error { u.fs.locked = false; return nil }
 
 type powerFile struct {
-	p *powerFS
-	n *inode
+	fs    *powerFS
+	inode *inode
 }
 
-func (f *powerFile) Write(b []byte) (int, error) {
-	if err := f.p.op(); err != nil {
-		// Some of it was written when the power went.
-		f.n.data = append(f.n.data, b[:f.p.random.IntN(len(b)+1)]...)
+func (f *powerFile) Write(data []byte) (int, error) {
+	if err := f.fs.countOp(); err != nil {
+		// A part of the data was written before the power was lost.
+		f.inode.data = append(f.inode.data, data[:f.fs.random.IntN(len(data)+1)]...)
 		return 0, err
 	}
-	if f.p.noRoom > 0 && f.p.random.IntN(f.p.noRoom) == 0 {
-		n := f.p.random.IntN(len(b))
-		f.n.data = append(f.n.data, b[:n]...)
-		return n, errFull
+	if f.fs.writeErrorOdds > 0 && f.fs.random.IntN(f.fs.writeErrorOdds) == 0 {
+		n := f.fs.random.IntN(len(data))
+		f.inode.data = append(f.inode.data, data[:n]...)
+		return n, errNoSpaceLeft
 	}
-	f.n.data = append(f.n.data, b...)
-	return len(b), nil
+	f.inode.data = append(f.inode.data, data...)
+	return len(data), nil
 }
 
 func (f *powerFile) Sync() error {
-	if err := f.p.op(); err != nil {
+	if err := f.fs.countOp(); err != nil {
 		return err
 	}
-	if f.p.badSyncs > 0 && f.p.random.IntN(f.p.badSyncs) == 0 {
+	if f.fs.syncErrorOdds > 0 && f.fs.random.IntN(f.fs.syncErrorOdds) == 0 {
 		return errSync
 	}
-	f.n.lasting = slices.Clone(f.n.data)
+	f.inode.durable = slices.Clone(f.inode.data)
 	return nil
 }
 
 func (f *powerFile) Truncate(size int64) error {
-	if err := f.p.op(); err != nil {
+	if err := f.fs.countOp(); err != nil {
 		return err
 	}
-	f.n.data = f.n.data[:size:size]
+	f.inode.data = f.inode.data[:size:size]
 	return nil
 }
 
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Names of the files in a folder.
+// Names of the files in a folder. Numbers in names are hexadecimal.
 const (
 	lockName       = "lock"
 	logSuffix      = ".log"
@@ -22,7 +22,7 @@
 func logName(first uint64) string    { return fmt.Sprintf("%016x%s", first, logSuffix) }
 func snapshotName(seq uint64) string { return fmt.Sprintf("%016x%s", seq, snapshotSuffix) }
 
-// number reads a name that logName or snapName has made.
+// parseName returns the number in a name that logName or snapshotName returned.
 func parseName(name, suffix string) (uint64, bool) {
 	var n uint64
 	digits, ok := strings.CutSuffix(name, suffix)
@@ -35,42 +35,42 @@
 	return n, true
 }
 
-// Visitor takes what a folder holds, in order: the records of the newest snapshot,
-// then those of the log behind it.
+// Visitor receives the records of a folder in order: those of the newest snapshot, and then those of
+// the log after it. An error stops the scan.
 type Visitor struct {
 	Snapshot func(record []byte) error
 	Record   func(sequence uint64, record []byte) error
 }
 
-// Recovery is what was found in a folder.
+// Recovery describes the content of a folder.
 type Recovery struct {
-	Snapshot        uint64 // the newest one's sequence; 0: none
+	Snapshot        uint64 // sequence of the newest snapshot; 0: none
 	SnapshotRecords int
 	SnapshotBytes   int64
 	Segments        int
-	Records         int // read from the log behind the snapshot
+	Records         int // records of the log after the snapshot
 	Bytes           int64
-	Last            uint64 // sequence
-	Closed          bool   // the log was closed, not cut off
-	TruncatedFile   string // a torn end was cut here; empty: none was
+	Last            uint64 // sequence of the last record
+	Closed          bool   // the log was closed regularly
+	TruncatedFile   string // file with a torn end; empty: none
 	TruncatedAt     int64
 	TruncatedBytes  int64
-	ObsoleteFiles   []string // files that a crash had left and nobody needs
+	ObsoleteFiles   []string // files left by a crash that are not needed
 	Duration        time.Duration
 
 	segments  []segment
 	snapshots []uint64
 }
 
-// segment is one file of the log.
+// segment is a file of the log.
 type segment struct {
 	first uint64
-	last  uint64 // below first: it has no record
-	size  int64  // of what is whole
-	ended bool   // by a frame that says so
+	last  uint64 // first-1 if the segment has no records
+	size  int64  // bytes up to the end of the last valid frame
+	ended bool   // its last frame marks the end
 }
 
-// scan reads a folder without changing it.
+// scan reads a folder without modifying it.
 func scan(fs FS, kind string, visitor Visitor) (*Recovery, error) {
 	start := time.Now()
 	names, err := fs.List()
@@ -102,7 +102,7 @@
 	for i, first := range logs {
 		newest := i == len(logs)-1
 		if !newest && logs[i+1] <= recovery.Snapshot+1 {
-			// The snapshot has all of it, and a crash came before its removal.
+			// The snapshot covers the file, and a crash prevented its removal.
 			recovery.ObsoleteFiles = append(recovery.ObsoleteFiles, logName(first))
 			continue
 		}
@@ -142,14 +142,14 @@
 		next, err := readFrame(reader)
 		switch {
 		case err == io.EOF || err == errInvalidFrame || err == nil && next.first != uint64(r.SnapshotRecords):
-			return &DamageError{name, r.SnapshotBytes, "the snapshot does not go on here"}
+			return &DamageError{name, r.SnapshotBytes, "invalid or missing frame of the snapshot"}
 		case err != nil:
 			return err
 		}
 		r.SnapshotBytes += next.size
-		if len(next.records) == 0 { // its end
+		if len(next.records) == 0 { // the end of the snapshot
 			if _, err := reader.ReadByte(); err != io.EOF {
-				return &DamageError{name, r.SnapshotBytes, "something stands behind the end"}
+				return &DamageError{name, r.SnapshotBytes, "data after the end of the snapshot"}
 			}
 			return nil
 		}
@@ -162,7 +162,7 @@
 	}
 }
 
-// headerError tells a header that is not to be read from one that is damaged.
+// headerError returns a DamageError unless the header is valid and of another kind or format.
 func headerError(name string, err error) error {
 	var kindErr *wrongKindError
 	if errors.As(err, &kindErr) || errors.Is(err, errNewerFormat) {
@@ -191,27 +191,27 @@
 		if !newest || errors.As(err, &kindErr) || errors.Is(err, errNewerFormat) {
 			return headerError(name, err)
 		}
-		// The header lasts before anything is written behind it. If nothing is, the
-		// file was being made when the power went.
+		// The header is synced before the first frame is written. Without a frame, the crash came
+		// while the file was created.
 		rest, err := io.ReadAll(io.MultiReader(bytes.NewReader(header[:n]), reader))
 		if err != nil {
 			return err
 		}
 		if containsFrame(rest, first) {
-			return &DamageError{name, 0, "the header is damaged"}
+			return &DamageError{name, 0, "damaged header before valid frames"}
 		}
 		r.TruncatedFile, r.TruncatedAt, r.TruncatedBytes = name, 0, int64(len(rest))
 		r.ObsoleteFiles = append(r.ObsoleteFiles, name)
 		return nil
 	}
 	if number != first {
-		return &DamageError{name, 20, "its name is of another part of the log"}
+		return &DamageError{name, 20, "its name is of another segment"}
 	}
 	for {
 		next, err := readFrame(reader)
 		if err == io.EOF {
 			if !newest && !current.ended {
-				return &DamageError{name, current.size, "this part of the log has no end"}
+				return &DamageError{name, current.size, "segment has no end mark, but is not the newest"}
 			}
 			break
 		}
@@ -219,7 +219,7 @@
 			return err
 		}
 		if err == nil && (current.ended || next.first != current.last+1) {
-			return &DamageError{name, current.size, "a frame stands here that does not belong here"}
+			return &DamageError{name, current.size, "frame is out of sequence, or follows the end mark"}
 		}
 		if err == errInvalidFrame {
 			if err := r.checkTornEnd(fs, name, newest, &current); err != nil {
@@ -232,7 +232,7 @@
 		for _, record := range next.records {
 			current.last++
 			if current.last <= r.Last {
-				continue // the snapshot has it
+				continue // covered by the snapshot
 			}
 			r.Last = current.last
 			r.Records++
@@ -247,8 +247,8 @@
 	return nil
 }
 
-// tear decides what to think of a file that does not go on as it should: a torn
-// end of the newest is cut, everything else is damage.
+// checkTornEnd handles an invalid frame. A torn end of the newest segment is recorded for
+// truncation; anything else is damage.
 func (r *Recovery) checkTornEnd(fs FS, name string, newest bool, current *segment) error {
 	file, err := fs.Open(name)
 	if err != nil {
@@ -263,13 +263,14 @@
 		return err
 	}
 	if !newest || current.ended || containsFrame(rest, current.last+1) {
-		return &DamageError{name, current.size, fmt.Sprintf("the log does not go on here, and %d bytes stand behind", len(rest))}
+		return &DamageError{name, current.size, fmt.Sprintf("invalid frame within the log, %d bytes before the end of the file", len(rest))}
 	}
 	r.TruncatedFile, r.TruncatedAt, r.TruncatedBytes = name, current.size, int64(len(rest))
 	return nil
 }
 
-// Check reads a folder that no process has, without changing it.
+// Check reads a folder without modifying it, apart from its lock file. It fails if another process
+// uses the folder.
 func Check(fs FS, kind string, visitor Visitor) (*Recovery, error) {
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,6 +1,5 @@
-// Package wal is a log that lasts: records are appended, and are on disk when that
-// returns; a snapshot stands in place of the records before it. What is read back
-// is all that was told to be kept, or an error that names file and offset.
+// Package wal implements a write-ahead log with snapshots. Records are durable when Append returns,
+// and recovery returns all acknowledged records or an error with file and offset.
 package wal
 
 import (
@@ -12,50 +11,50 @@
 	"time"
 )
 
-// Options are what a log needs to know.
+// Options are the options of a log.
 type Options struct {
-	Kind         string // whose it is, in 8 bytes at most
-	SegmentBytes int64  // bytes of one file of the log
-	MaxBytes     int64  // bytes of all files together
+	Kind         string // identifies the application; 1 to 8 bytes
+	SegmentBytes int64  // maximum size of a file of the log
+	MaxBytes     int64  // maximum size of all files together
 }
 
-// Parts of Options.Most. An old and a new snapshot may stand beside the log.
+// Fractions of Options.MaxBytes. An old and a new snapshot may exist beside the log.
 const (
-	logDivisor      = 2 // a half
-	snapshotDivisor = 4 // a quarter, each
+	logDivisor      = 2 // the log takes a half
+	snapshotDivisor = 4 // each snapshot takes a quarter
 )
 
 var (
-	// ErrNoRoom says that nothing was kept, as the disk or the bound is full. It can
-	// be tried again.
+	// ErrNoSpace says that nothing was stored, because the disk is full or a limit is reached.
+	// The call can be retried.
 	ErrNoSpace = errors.New("no room on disk")
-	// ErrFailed says that the log can't tell any more what is on disk, and takes
-	// nothing until it is opened anew.
+	// ErrFailed says that the content on disk is unknown after a failed sync or truncation. The
+	// log rejects all calls until it is opened again.
 	ErrFailed = errors.New("the log has failed")
 	errClosed = errors.New("the log is closed")
 )
 
-// Stats are a log's figures.
+// Stats holds statistics of a log since it was opened.
 type Stats struct {
 	Appends, Records, Syncs int64
-	SyncDuration            time.Duration // in syncs, all together
+	SyncDuration            time.Duration // total time in syncs
 	MaxSyncDuration         time.Duration
-	Bytes                   int64 // of the log's files
+	Bytes                   int64 // size of the log's files
 	Segments                int
-	Snapshot                uint64 // the newest one's sequence
+	Snapshot                uint64 // sequence of the newest snapshot
 	SnapshotBytes           int64
-	SnapshotAt              time.Time // zero: before this process
+	SnapshotAt              time.Time // zero: none since the log was opened
 	NoSpace                 int64
 	Recovery                Recovery
 }
 
-// Log is an open log, for use by several goroutines. One snapshot is written at a
-// time, and appends go on beside it.
+// Log is an open log. It is safe for concurrent use, but callers must write one snapshot at a time.
+// Appends don't wait for a snapshot.
 type Log struct {
 	fs           FS
 	options      Options
 	lock         io.Closer
-	mu           sync.Mutex // of what follows
+	mu           sync.Mutex // guards the fields below
 	file         File       // the newest segment
 	segments     []segment  // the newest last
 	snapshots    []uint64
@@ -65,11 +64,11 @@
 	scratch      []byte
 }
 
-// Open reads a folder, gives what it holds to the visitor, and goes on from there.
-// A torn end is cut. Damage is an error, and nothing has been changed then.
+// Open locks a folder, passes its records to the visitor and opens the log for appending. It
+// truncates a torn end. It returns a DamageError without modifying the folder if a file is damaged.
 func Open(fs FS, options Options, visitor Visitor) (*Log, error) {
 	if len(options.Kind) == 0 || len(options.Kind) > 8 || options.SegmentBytes < headerBytes+frameHeaderBytes || options.MaxBytes < 2*options.SegmentBytes {
-		return nil, fmt.Errorf("wal: options %+v make no log", options)
+		return nil, fmt.Errorf("wal: invalid options %+v", options)
 	}
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
@@ -95,7 +94,7 @@
 			return err
 		}
 	}
-	// What was removed must not come back beside what is written next.
+	// The removals must be durable before the next write.
 	if err := l.fs.SyncDir(); err != nil {
 		return err
 	}
@@ -107,13 +106,13 @@
 	}
 	newest := &l.segments[len(l.segments)-1]
 	if newest.ended {
-		newest.size, newest.ended = newest.size-frameHeaderBytes, false // it goes on in its place
+		newest.size, newest.ended = newest.size-frameHeaderBytes, false // the next frame overwrites the end mark
 	}
 	if l.file, err = l.fs.Append(logName(newest.first), newest.size); err != nil {
 		return err
 	}
-	// What was read may not have been made to last before the crash, and what was
-	// cut must be gone before anything is written in its place.
+	// Records may have been read that were not synced before the crash, and the truncation must be
+	// durable before the next write.
 	if err := errors.Join(l.sync(l.file), l.fs.SyncDir()); err != nil {
 		return err
 	}
@@ -126,7 +125,7 @@
 	return nil
 }
 
-// sync makes a file last and measures the wait.
+// sync syncs a file and records the time that it takes.
 func (l *Log) sync(file File) error {
 	start := time.Now()
 	err := file.Sync()
@@ -137,7 +136,7 @@
 	return err
 }
 
-// begin makes the next file of the log. The caller has the lock, or is alone.
+// startSegment creates the next file of the log. The caller holds mu or has exclusive access.
 func (l *Log) startSegment() error {
 	name := logName(l.lastSequence + 1)
 	file, err := l.fs.Create(name)
@@ -157,7 +156,7 @@
 	return nil
 }
 
-// end ends the newest file of the log with a frame that says so.
+// endSegment writes the end mark to the newest file of the log and closes it.
 func (l *Log) endSegment() error {
 	newest := &l.segments[len(l.segments)-1]
 	if _, err := l.file.Write(appendFrame(nil, newest.last+1, nil)); err != nil {
@@ -171,8 +170,8 @@
 	return l.file.Close()
 }
 
-// fail stops the log for good. Danger: after a sync that failed, a later one may
-// succeed and say nothing of what the first has lost.
+// fail stops the log for good. After a failed sync a later one may succeed although data of the
+// first is lost.
 func (l *Log) fail(err error) error {
 	if l.err == nil {
 		l.err = fmt.Errorf("%w: %w", ErrFailed, err)
@@ -180,8 +179,8 @@
 	return l.err
 }
 
-// Append keeps records: all of them, or none. They last when it returns without an
-// error. It returns the sequence of the first.
+// Append appends records atomically and returns the sequence of the first. They are durable when it
+// returns without an error.
 func (l *Log) Append(records [][]byte) (first uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,12 +188,12 @@
 		return 0, l.err
 	}
 	if len(records) == 0 {
-		return 0, errors.New("wal: nothing to append")
+		return 0, errors.New("wal: no records to append")
 	}
 	l.scratch = appendFrame(l.scratch[:0], l.lastSequence+1, records)
 	size := int64(len(l.scratch))
 	if size-frameHeaderBytes > maxFrameBytes || size > l.options.SegmentBytes-headerBytes {
-		return 0, fmt.Errorf("wal: %d bytes at once are over %d", size, min(maxFrameBytes, l.options.SegmentBytes-headerBytes))
+		return 0, fmt.Errorf("wal: append of %d bytes exceeds the limit of %d", size, min(maxFrameBytes, l.options.SegmentBytes-headerBytes))
 	}
 	if l.logBytes()+size+headerBytes+frameHeaderBytes > l.options.MaxBytes/logDivisor {
 		l.stats.NoSpace++
@@ -208,7 +207,7 @@
 		newest = &l.segments[len(l.segments)-1]
 	}
 	if _, err := l.file.Write(l.scratch); err != nil {
-		// What was written in part must not stand before what comes next.
+		// A partially written frame must not precede the next one.
 		if truncateErr := l.file.Truncate(newest.size); truncateErr != nil {
 			return 0, l.fail(errors.Join(err, truncateErr))
 		}
@@ -227,7 +226,7 @@
 	return first, nil
 }
 
-// roll goes on in a new file.
+// rollSegment ends the newest file of the log and starts another.
 func (l *Log) rollSegment() error {
 	if !l.segments[len(l.segments)-1].ended {
 		if err := l.endSegment(); err != nil {
@@ -245,7 +244,7 @@
 	return nil
 }
 
-// bytes are those of the log's files.
+// logBytes returns the size of the log's files.
 func (l *Log) logBytes() (n int64) {
 	for _, s := range l.segments {
 		n += s.size
@@ -253,8 +252,8 @@
 	return n
 }
 
-// Due says whether a snapshot would be worth its writing: the log has grown beyond
-// a file and beyond twice the last snapshot, or comes near its bound.
+// SnapshotDue reports whether a snapshot should be written: the log is larger than a file and than
+// twice the last snapshot, or larger than half of its limit.
 func (l *Log) SnapshotDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -262,16 +261,15 @@
 	return l.err == nil && l.lastSequence > l.stats.Snapshot && (size > max(l.options.SegmentBytes, 2*l.stats.SnapshotBytes) || size > l.options.MaxBytes/logDivisor/2)
 }
 
-// Last is the sequence of the last record.
+// LastSequence returns the sequence of the last record.
 func (l *Log) LastSequence() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastSequence
 }
 
-// Snapshot puts a snapshot in place of the records up to a sequence, which are on
-// disk. Those and older snapshots are removed only when the new one lasts. If it
-// fails, all is as it was.
+// Snapshot writes a snapshot that replaces the records up to the sequence. Those records and older
+// snapshots are removed once the new snapshot is durable. After an error they are still there.
 func (l *Log) Snapshot(sequence uint64, records func(emit func(record []byte) error) error) error {
 	if err := l.prepareSnapshot(sequence); err != nil {
 		return err
@@ -286,8 +284,8 @@
 	return l.removeObsolete(sequence)
 }
 
-// prepare checks that there can be a snapshot up to a sequence, and lets what comes
-// behind go into another file, so that all before can be removed.
+// prepareSnapshot checks the sequence of a snapshot, and starts a new file for later records so that
+// all earlier ones can be removed.
 func (l *Log) prepareSnapshot(sequence uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -295,14 +293,14 @@
 	case l.err != nil:
 		return l.err
 	case sequence > l.lastSequence || sequence <= l.stats.Snapshot:
-		return fmt.Errorf("wal: a snapshot of record %d, where there are those from %d to %d", sequence, l.stats.Snapshot+1, l.lastSequence)
+		return fmt.Errorf("wal: snapshot at record %d is not within the records from %d to %d", sequence, l.stats.Snapshot+1, l.lastSequence)
 	case newest.last == sequence && newest.first <= newest.last:
 		return l.rollSegment()
 	}
 	return nil
 }
 
-// write makes the snapshot's file and makes it last.
+// writeSnapshot writes the file of a snapshot and makes it durable. It returns its size in bytes.
 func (l *Log) writeSnapshot(sequence uint64, records func(func([]byte) error) error) (size int64, err error) {
 	tempName := snapshotName(sequence) + tempSuffix
 	file, err := l.fs.Create(tempName)
@@ -314,12 +312,12 @@
 			err = errors.Join(err, file.Close(), l.fs.Remove(tempName))
 		}
 	}()
-	const batch = 64 << 10 // bytes of a frame
+	const batch = 64 << 10 // approximate bytes per frame
 	var pending [][]byte
 	count, pendingBytes := uint64(0), 0
 	write := func(data []byte) error {
 		if size += int64(len(data)); size > l.options.MaxBytes/snapshotDivisor {
-			return fmt.Errorf("%w: the snapshot would have over %d bytes", ErrNoSpace, l.options.MaxBytes/snapshotDivisor)
+			return fmt.Errorf("%w: snapshot exceeds the limit of %d bytes", ErrNoSpace, l.options.MaxBytes/snapshotDivisor)
 		}
 		if _, err := file.Write(data); err != nil {
 			return fmt.Errorf("%w: %w", ErrNoSpace, err)
@@ -340,7 +338,7 @@
 	}
 	err = records(func(record []byte) error {
 		if len(record) > maxFrameBytes-4 {
-			return fmt.Errorf("wal: a record of %d bytes", len(record))
+			return fmt.Errorf("wal: snapshot record of %d bytes is too large", len(record))
 		}
 		if pendingBytes+len(record)+4 > batch {
 			if err := flush(); err != nil {
@@ -370,8 +368,8 @@
 		return 0, err
 	}
 	if err := l.fs.SyncDir(); err != nil {
-		// The name may last or not; both are good, as nothing is removed yet. A later
-		// snapshot removes it.
+		// The rename may or may not be durable. Both are safe, as nothing has been removed yet. A
+		// later snapshot removes this one.
 		l.mu.Lock()
 		l.snapshots = append(l.snapshots, sequence)
 		l.mu.Unlock()
@@ -380,7 +378,7 @@
 	return size, nil
 }
 
-// trim removes what a snapshot that lasts has made needless.
+// removeObsolete removes the files that a durable snapshot has replaced.
 func (l *Log) removeObsolete(sequence uint64) error {
 	var errs []error
 	kept := l.segments[:0]
@@ -400,7 +398,7 @@
 	return errors.Join(errs...)
 }
 
-// Stats returns the figures.
+// Stats returns statistics of the log.
 func (l *Log) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -409,7 +407,7 @@
 	return stats
 }
 
-// Close ends the log, so that the next to open it knows that it has all.
+// Close writes the end mark, closes the log and releases the lock.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
