--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -10,138 +10,138 @@
 	"time"
 )
 
-// Over any schedule the budget is never overdrawn, everyone who asks has a word in
-// time, those who wait are served in the order they came, and all comes back.
+// Over random schedules the budget is never exceeded, every reservation is granted or refused
+// in time, waiting reservations are served in order, and all memory is released.
 func TestBudgetOverRandomSchedules(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			b := &budget{total: 100}
+			budget := &budget{total: 100}
 			var mu sync.Mutex
-			var served []int // of those that had to wait
-			at := map[int]time.Time{}
+			var served []int // reservations that had to wait
+			grantedAt := map[int]time.Time{}
 			done := make(chan struct{})
-			const askers = 200
-			for i := range askers {
+			const requests = 200
+			for i := range requests {
 				time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
-				n, hold := 1+random.IntN(40), time.Duration(random.IntN(3000))*time.Millisecond
-				patience := time.Duration(1+random.IntN(4000)) * time.Millisecond
-				if random.IntN(3) == 0 { // one that only tries
-					if b.tryReserve(n) {
-						time.AfterFunc(hold, func() { b.release(n) })
+				bytes, hold := 1+random.IntN(40), time.Duration(random.IntN(3000))*time.Millisecond
+				timeout := time.Duration(1+random.IntN(4000)) * time.Millisecond
+				if random.IntN(3) == 0 { // one that does not wait
+					if budget.tryReserve(bytes) {
+						time.AfterFunc(hold, func() { budget.release(bytes) })
 					}
 				}
-				if used, most := b.usage(); used > b.total || most > b.total {
-					t.Fatalf("seed %d: %d of %d, at most %d", seed, used, b.total, most)
+				if used, peak := budget.usage(); used > budget.total || peak > budget.total {
+					t.Fatalf("seed %d: %d bytes reserved of %d, peak %d", seed, used, budget.total, peak)
 				}
-				free := !b.hasWaiters() && b.used+n <= b.total
+				free := !budget.hasWaiters() && budget.used+bytes <= budget.total
 				go func() {
 					defer func() { done <- struct{}{} }()
-					ctx, cancel := context.WithTimeout(context.Background(), patience)
+					ctx, cancel := context.WithTimeout(context.Background(), timeout)
 					defer cancel()
-					began := time.Now()
-					err := b.reserve(ctx, n)
-					if took := time.Since(began); took > min(budgetTimeout, patience) || free && took > 0 {
-						t.Errorf("seed %d: a word after %v", seed, took)
+					start := time.Now()
+					err := budget.reserve(ctx, bytes)
+					if took := time.Since(start); took > min(budgetTimeout, timeout) || free && took > 0 {
+						t.Errorf("seed %d: reservation took %v, limit %v, memory free %t", seed, took, min(budgetTimeout, timeout), free)
 					}
 					if err != nil {
 						return
 					}
 					mu.Lock()
-					if at[i] = time.Now(); !free {
+					if grantedAt[i] = time.Now(); !free {
 						served = append(served, i)
 					}
 					mu.Unlock()
 					time.Sleep(hold)
-					b.release(n)
+					budget.release(bytes)
 				}()
 				synctest.Wait()
 			}
-			for range askers {
+			for range requests {
 				<-done
 			}
-			time.Sleep(time.Minute) // for those that only tried
+			time.Sleep(time.Minute) // for the reservations that did not wait
 			slices.Sort(served)
-			if len(served) == 0 || !slices.IsSortedFunc(served, func(i, j int) int { return at[i].Compare(at[j]) }) {
-				t.Errorf("seed %d: of %v one was served before one that had come first", seed, served)
+			if len(served) == 0 || !slices.IsSortedFunc(served, func(i, j int) int { return grantedAt[i].Compare(grantedAt[j]) }) {
+				t.Errorf("seed %d: waiting reservations %v were not served in order", seed, served)
 			}
-			if b.used != 0 || len(b.waiters) != 0 {
-				t.Errorf("seed %d: %d left, %d wait", seed, b.used, len(b.waiters))
+			if budget.used != 0 || len(budget.waiters) != 0 {
+				t.Errorf("seed %d: at the end %d bytes are reserved and %d reservations wait", seed, budget.used, len(budget.waiters))
 			}
 		})
 	}
 }
 
-// A window grows for a body that fills it while there is room, shrinks when
-// others wait, is never less than the small one, and gives all back.
-func TestWindow(t *testing.T) {
-	b := &budget{total: 2 * maxWindow}
-	w := window{budget: b}
-	size := func(want int) {
+// A window grows for a body that fills it while memory is free, shrinks when reservations
+// wait, is never smaller than uncountedBytes, and releases all memory.
+func TestWindowSizes(t *testing.T) {
+	shared := &budget{total: 2 * maxWindow}
+	w := window{budget: shared}
+	checkSize := func(want int) {
 		t.Helper()
 		if got := len(w.buffer()); got != want {
-			t.Errorf("a window of %d bytes, want %d; %d taken", got, want, b.used)
+			t.Errorf("window of %d bytes, want %d; %d bytes reserved", got, want, shared.used)
 		}
 	}
-	size(minWindow)
+	checkSize(minWindow)
 	w.recordUse(minWindow - 1)
-	size(minWindow)
+	checkSize(minWindow)
 	w.recordUse(minWindow)
-	size(maxWindow)
+	checkSize(maxWindow)
 	w.release()
-	size(maxWindow) // it fills what it has, as before
-	other := window{budget: b}
+	checkSize(maxWindow) // the last piece filled the buffer
+	other := window{budget: shared}
 	other.buffer()
 	other.recordUse(minWindow)
 	if len(other.buffer()) != minWindow {
-		t.Error("a window grew into what is kept for those that come")
+		t.Error("a window grew into the spare part of the budget")
 	}
-	waits := make(chan error)
-	go func() { waits <- b.reserve(t.Context(), 2*maxWindow-minWindow-minWindow) }()
-	for !b.hasWaiters() {
-		time.Sleep(time.Millisecond) // until it waits
+	reserved := make(chan error)
+	go func() { reserved <- shared.reserve(t.Context(), 2*maxWindow-minWindow-minWindow) }()
+	for !shared.hasWaiters() {
+		time.Sleep(time.Millisecond)
 	}
-	size(minWindow)
-	if err := <-waits; err != nil {
+	checkSize(minWindow)
+	if err := <-reserved; err != nil {
 		t.Error(err)
 	}
-	none := window{budget: b}
+	none := window{budget: shared}
 	if len(none.buffer()) != uncountedBytes {
-		t.Error("no window at all without a budget")
+		t.Errorf("without free memory the window is not of %d bytes", uncountedBytes)
 	}
-	own := window{budget: b, prepaid: minWindow}
-	if len(own.buffer()) != minWindow {
-		t.Error("what a transfer holds already is not its window")
+	prepaid := window{budget: shared, prepaid: minWindow}
+	if len(prepaid.buffer()) != minWindow {
+		t.Errorf("with prepaid memory the window is not of %d bytes", minWindow)
 	}
-	b.release(2*maxWindow - minWindow - minWindow)
-	for _, w := range []*window{&w, &other, &none, &own} {
+	shared.release(2*maxWindow - minWindow - minWindow)
+	for _, w := range []*window{&w, &other, &none, &prepaid} {
 		w.release()
 	}
-	if b.used != 0 {
-		t.Errorf("%d left", b.used)
+	if shared.used != 0 {
+		t.Errorf("%d bytes still reserved", shared.used)
 	}
 }
 
-// A peer is given up for a pause, or for too little over all, and not for what
-// the other side took.
-func TestPace(t *testing.T) {
-	p := pace{maxPause: 10 * time.Second, grace: 10 * time.Second, minRate: 1000}
-	if w := p.allowedWait(); w != 10*time.Second {
-		t.Errorf("at first %v", w)
+// The pace ends a transfer after a long pause or if the peer is too slow in total, and counts
+// only the time spent waiting for that peer.
+func TestPaceLimitsWaiting(t *testing.T) {
+	steady := pace{maxPause: 10 * time.Second, grace: 10 * time.Second, minRate: 1000}
+	if wait := steady.allowedWait(); wait != 10*time.Second {
+		t.Errorf("at the start: %v, want 10s", wait)
 	}
 	for range 9 { // a byte a second
-		p.record(1, time.Second)
+		steady.record(1, time.Second)
 	}
-	if w := p.allowedWait(); w < time.Second || w > 1100*time.Millisecond {
-		t.Errorf("a byte now and then: %v", w)
+	if wait := steady.allowedWait(); wait < time.Second || wait > 1100*time.Millisecond {
+		t.Errorf("after 9 bytes in 9 s: %v, want 1s to 1.1s", wait)
 	}
-	p.record(1e6, time.Second)
-	if w := p.allowedWait(); w != 10*time.Second {
-		t.Errorf("after a second's megabyte: %v", w)
+	steady.record(1e6, time.Second)
+	if wait := steady.allowedWait(); wait != 10*time.Second {
+		t.Errorf("after 1 MB in 1 s: %v, want 10s", wait)
 	}
 	events := pace{maxPause: 10 * time.Second, grace: 10 * time.Second}
 	events.record(1, time.Hour)
-	if w := events.allowedWait(); w != 10*time.Second {
-		t.Errorf("without a rate: %v", w)
+	if wait := events.allowedWait(); wait != 10*time.Second {
+		t.Errorf("without a minimum rate: %v, want 10s", wait)
 	}
 }
--- a/internal/gateway/chunked_test.go
+++ b/internal/gateway/chunked_test.go
@@ -12,8 +12,10 @@
 	"testing/iotest"
 )
 
+// Valid chunked bodies are decoded, truncated and invalid ones are errors, wherever the
+// pieces of the input end.
 func TestChunkedReader(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text, body, trailer string
 		err                 error
 	}{
@@ -33,31 +35,31 @@
 		{strings.Repeat("1;"+strings.Repeat("x", 2000)+"\r\na\r\n", 50) + "0\r\n\r\n", "aaaaaaaa", "", errInvalidChunks},
 		{"0\r\n" + strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 9) + "\r\n", "", "", errInvalidChunks},
 	} {
-		for _, in := range []io.Reader{strings.NewReader(c.text), iotest.OneByteReader(strings.NewReader(c.text))} {
-			r := &chunkedReader{r: bufio.NewReader(in)}
-			body, err := io.ReadAll(r)
-			if !errors.Is(err, c.err) || string(body) != c.body || r.trailer.Get("X-Sum") != c.trailer {
-				t.Errorf("%.40q: %q, %v, trailer %v", c.text, body, err, r.trailer)
+		for _, input := range []io.Reader{strings.NewReader(test.text), iotest.OneByteReader(strings.NewReader(test.text))} {
+			reader := &chunkedReader{r: bufio.NewReader(input)}
+			body, err := io.ReadAll(reader)
+			if !errors.Is(err, test.err) || string(body) != test.body || reader.trailer.Get("X-Sum") != test.trailer {
+				t.Errorf("%.40q: body %q, %v, trailer %v; want %q, %v, trailer %q", test.text, body, err, reader.trailer, test.body, test.err, test.trailer)
 			}
 		}
 	}
 }
 
-// Ready means that a read does not wait, wherever the pieces end.
+// When ready returns true a read does not wait, except for the data after a size line.
 func TestChunkedReaderIsReady(t *testing.T) {
 	text := "3\r\nabc\r\n5;x\r\ndefgh\r\n0\r\n\r\n"
 	for end := range len(text) {
-		in := &waits{rest: []byte(text[:end])}
-		r := &chunkedReader{r: bufio.NewReader(in)}
+		input := &partialInput{remaining: []byte(text[:end])}
+		reader := &chunkedReader{r: bufio.NewReader(input)}
 		for buf := make([]byte, 8); ; {
-			r.r.Peek(1) // what has come
-			if !r.ready() {
+			reader.r.Peek(1) // fills the buffer
+			if !reader.ready() {
 				break
 			}
-			line := r.remaining == 0 // behind which the data may be missing
-			n, err := r.Read(buf)
-			if errors.Is(err, errWaits) && !line {
-				t.Fatalf("%q: ready, and waited", text[:end])
+			atSizeLine := reader.remaining == 0 // the data after it may be missing
+			n, err := reader.Read(buf)
+			if errors.Is(err, errWouldWait) && !atSizeLine {
+				t.Fatalf("%q: a read waited though ready returned true", text[:end])
 			}
 			if n == 0 {
 				break
@@ -66,38 +68,39 @@
 	}
 }
 
-var errWaits = errors.New("would wait")
+var errWouldWait = errors.New("would wait")
 
-type waits struct{ rest []byte }
+// partialInput is a reader that fails with errWouldWait after its bytes.
+type partialInput struct{ remaining []byte }
 
-func (w *waits) Read(p []byte) (int, error) {
-	if len(w.rest) == 0 {
-		return 0, errWaits
+func (w *partialInput) Read(p []byte) (int, error) {
+	if len(w.remaining) == 0 {
+		return 0, errWouldWait
 	}
-	n := copy(p, w.rest)
-	w.rest = w.rest[n:]
+	n := copy(p, w.remaining)
+	w.remaining = w.remaining[n:]
 	return n, nil
 }
 
-// What the reader takes for a whole body, net/http does too, and for the same.
+// A body that the reader decodes completely is decoded by net/http to the same bytes.
 func FuzzChunkedReader(f *testing.F) {
 	f.Add([]byte("3;a=b\r\nabc\r\n0\r\nX: 1\r\n\r\n"), uint64(1))
 	f.Add([]byte("00A\r\n0123456789\r\n0\r\n\r\n"), uint64(2))
 	f.Add([]byte("1\r\na\r\n1\r\nb\r\n0\r\n\r\nGET"), uint64(3))
 	f.Fuzz(func(t *testing.T, text []byte, seed uint64) {
 		random := rand.New(rand.NewPCG(seed, 5))
-		in, out := io.Pipe()
+		input, output := io.Pipe()
 		go func() {
 			for rest := text; len(rest) > 0; {
-				n := 1 + random.IntN(len(rest))
-				out.Write(rest[:n])
-				rest = rest[n:]
+				size := 1 + random.IntN(len(rest))
+				output.Write(rest[:size])
+				rest = rest[size:]
 			}
-			out.Close()
+			output.Close()
 		}()
-		defer in.Close()
-		ours := &chunkedReader{r: bufio.NewReader(in)}
-		got, err := io.ReadAll(ours)
+		defer input.Close()
+		decoder := &chunkedReader{r: bufio.NewReader(input)}
+		got, err := io.ReadAll(decoder)
 		if err != nil {
 			return
 		}
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -19,181 +19,182 @@
 	"dunlintray/internal/connlimit"
 )
 
-// scarce is a listener that has no descriptor for a while.
-type scarce struct {
-	*pipes
+// scarceListener fails the first accept calls for lack of descriptors.
+type scarceListener struct {
+	*pipeListener
 	failures, accepts int
 }
 
-func (s *scarce) Accept() (net.Conn, error) {
+func (s *scarceListener) Accept() (net.Conn, error) {
 	if s.accepts++; s.accepts <= s.failures {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
-	return s.pipes.Accept()
+	return s.pipeListener.Accept()
 }
 
-// Without descriptors accepting waits, says so once, and goes on by itself.
-func TestNoDescriptors(t *testing.T) {
-	var text bytes.Buffer
-	was := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(&text, nil)))
-	t.Cleanup(func() { slog.SetDefault(was) })
+// Accepting waits while there are no descriptors, logs at most once a second, and resumes.
+func TestAcceptWaitsForDescriptors(t *testing.T) {
+	var log bytes.Buffer
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	synctest.Test(t, func(t *testing.T) {
-		s := &scarce{pipes: newPipes(), failures: 10}
-		l := newClientListener(s, 4)
-		began := time.Now()
+		scarce := &scarceListener{pipeListener: newPipeListener(), failures: 10}
+		listener := newClientListener(scarce, 4)
+		start := time.Now()
 		near, far := net.Pipe()
 		defer far.Close()
-		go func() { s.conns <- near }()
-		c, err := l.Accept()
+		go func() { scarce.conns <- near }()
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		// 5, 10, 20 ... 1000, 1000, 1000 ms: ten tries in some four seconds.
-		if took := time.Since(began); s.accepts != 11 || took < 2*time.Second || took > 10*time.Second {
-			t.Errorf("%d tries in %v", s.accepts, took)
+		// The delays are 5, 10, 20 ... 1000, 1000, 1000 ms: ten failures in about 4 s.
+		if took := time.Since(start); scarce.accepts != 11 || took < 2*time.Second || took > 10*time.Second {
+			t.Errorf("%d accept calls in %v, want 11 in 2 s to 10 s", scarce.accepts, took)
 		}
-		if n := strings.Count(text.String(), "no descriptor"); n < 1 || n > 4 || l.descriptorErrors.Load() != 10 {
-			t.Errorf("%d lines, %d counted", n, l.descriptorErrors.Load())
+		if lines := strings.Count(log.String(), "no descriptor"); lines < 1 || lines > 4 || listener.descriptorErrors.Load() != 10 {
+			t.Errorf("%d log lines, want 1 to 4; %d errors counted, want 10", lines, listener.descriptorErrors.Load())
 		}
-		c.Close()
-		l.Close()
+		conn.Close()
+		listener.Close()
 	})
 }
 
-// A connection that is given up reads no byte of a request any more, and one on
-// which a request has begun is not given up.
-func TestGivenUp(t *testing.T) {
-	l := newClientListener(newPipes(), 1)
+// An evicted connection reads no byte of a request, and a connection on which a request has
+// begun is not evicted.
+func TestEvictedConnectionReadsNoRequest(t *testing.T) {
+	listener := newClientListener(newPipeListener(), 1)
 	near, far := net.Pipe()
 	defer far.Close()
-	first := l.admit(near)
+	first := listener.admit(near)
 	go io.WriteString(far, requestText("GET", "lookup", ""))
 	first.Read(make([]byte, 4096))
-	l.connState(first, http.StateActive)
-	l.connState(first, http.StateIdle)
+	listener.connState(first, http.StateActive)
+	listener.connState(first, http.StateIdle)
 	next, other := net.Pipe()
 	defer other.Close()
-	second := l.admit(next)
+	second := listener.admit(next)
 	if second == nil {
-		t.Fatal("turned away")
+		t.Fatal("the second connection was rejected")
 	}
 	if _, err := first.Read(make([]byte, 1)); err == nil {
-		t.Error("a byte was read on a connection that was given up")
+		t.Error("a byte was read on an evicted connection")
 	}
-	first.Close() // by its reader, who alone knows whether a byte has come
+	first.Close() // as its reader does
 	first.Close()
-	if n := l.closeCounts[closedIdle].Load(); n != 1 {
-		t.Errorf("%d given up", n)
+	if closed := listener.closeCounts[closedIdle].Load(); closed != 1 {
+		t.Errorf("%d idle connections evicted, want 1", closed)
 	}
-	l.connState(first, http.StateIdle)
+	listener.connState(first, http.StateIdle)
 	go io.WriteString(other, "G")
 	if _, err := second.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if n := l.counts(); n.Open != 1 || n.ByState[connlimit.Head] != 1 {
-		t.Errorf("%+v", n)
+	if counts := listener.counts(); counts.Open != 1 || counts.ByState[connlimit.Head] != 1 {
+		t.Errorf("counts %+v, want one connection in state Head", counts)
 	}
-	l.setLimit(0)
-	if n := l.counts(); n.Open != 1 {
-		t.Errorf("one that has begun a request was given up: %+v", n)
+	listener.setLimit(0)
+	if counts := listener.counts(); counts.Open != 1 {
+		t.Errorf("a connection with a request was evicted: %+v", counts)
 	}
 	second.Close()
-	if n := l.counts(); n.Open != 0 || len(l.conns) != 0 {
-		t.Errorf("%+v, %d known", n, len(l.conns))
+	if counts := listener.counts(); counts.Open != 0 || len(listener.conns) != 0 {
+		t.Errorf("after all were closed: counts %+v, %d connections", counts, len(listener.conns))
 	}
 }
 
-// Between the byte of a next request and its handler a connection does not rest.
+// A connection is not idle between the first byte of a pipelined request and its handler.
 func TestPipelinedRequestIsNotIdle(t *testing.T) {
-	l := newClientListener(newPipes(), 1)
+	listener := newClientListener(newPipeListener(), 1)
 	near, far := net.Pipe()
 	defer far.Close()
-	c := l.admit(near)
+	conn := listener.admit(near)
 	go io.WriteString(far, requestText("GET", "lookup", "")+"GET /")
-	c.Read(make([]byte, 4096))
-	l.connState(c, http.StateActive)
-	l.connState(c, http.StateIdle)
-	if n := l.counts(); n.ByState[connlimit.Idle] != 0 || n.ByState[connlimit.Head] != 1 {
-		t.Errorf("%+v", n)
+	conn.Read(make([]byte, 4096))
+	listener.connState(conn, http.StateActive)
+	listener.connState(conn, http.StateIdle)
+	if counts := listener.counts(); counts.ByState[connlimit.Idle] != 0 || counts.ByState[connlimit.Head] != 1 {
+		t.Errorf("counts %+v, want one connection in state Head", counts)
 	}
-	c.Close()
+	conn.Close()
 }
 
-// In the real program: at the limit the connection that is idle longest goes for a
-// new one, one with a request stays, and a crossing request is safe to send again.
-func TestIdleGoesForNew(t *testing.T) {
+// At the limit, in a whole gateway, the connection that has been idle longest is evicted for
+// a new one, and the others, idle or in a request, still work.
+func TestIdleConnectionIsEvictedForNew(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	busy, held := r.request(t, requestText("POST", "booking", "held"))
-	to, br := backend.accept(t)
-	readRequest(t, br)
+	gateway := newTestGateway(t, backend)
+	busy, heldResponses := gateway.request(t, requestText("POST", "booking", "held"))
+	upstream, reader := backend.accept(t)
+	readRequest(t, reader)
 	var idle []net.Conn
 	for n := range 3 {
-		conn, answers := r.request(t, requestText("GET", "lookup", "", idHeader, ""))
-		wait(t, answers, "answer")
+		conn, responses := gateway.request(t, requestText("GET", "lookup", "", idHeader, ""))
+		wait(t, responses, "response")
 		idle = append(idle, conn)
-		// The next comes once this one rests, which may be later than its answer.
-		r.awaitMetrics(t, fmt.Sprintf("app.clients.idle:%d|g", n+1), "app.clients.busy:1|g")
+		// The connection may become idle later than its response arrives.
+		gateway.awaitMetrics(t, fmt.Sprintf("app.clients.idle:%d|g", n+1), "app.clients.busy:1|g")
 	}
-	r.figures.clients.setLimit(4)
-	_, answers := r.request(t, requestText("GET", "lookup", "", idHeader, ""))
-	wait(t, answers, "answer")
+	gateway.figures.clients.setLimit(4)
+	_, responses := gateway.request(t, requestText("GET", "lookup", "", idHeader, ""))
+	wait(t, responses, "response")
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil {
-		t.Error("the one that was idle longest is still there")
+		t.Error("the connection that was idle longest is still open")
 	}
 	io.WriteString(idle[1], requestText("GET", "lookup", "", idHeader, ""))
 	if resp, err := http.ReadResponse(bufio.NewReader(idle[1]), nil); err != nil || resp.StatusCode != 400 {
-		t.Errorf("one that was kept: %v %v", resp, err)
+		t.Errorf("request on a remaining idle connection: %v %v, want status 400", resp, err)
 	}
-	r.awaitMetrics(t, "app.clients.closed.idle_given_up:1|c")
-	io.WriteString(to, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
-		t.Errorf("the held request: status %d", resp.StatusCode)
+	gateway.awaitMetrics(t, "app.clients.closed.idle_given_up:1|c")
+	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	if resp := wait(t, heldResponses, "response"); resp.StatusCode != 200 {
+		t.Errorf("request in progress: status %d, want 200", resp.StatusCode)
 	}
 	busy.Close()
 }
 
-// A limit that shrinks, as beside a second process or at a reload, takes what rests
-// and leaves what is in a request; one that fits drops nobody.
-func TestReloadTakesNewLimits(t *testing.T) {
+// A reload with a lower limit evicts idle connections down to the limit; one with a limit that
+// suffices evicts none.
+func TestReloadAppliesConnectionLimits(t *testing.T) {
 	t.Parallel()
-	r := newTestGateway(t, newPeer(t))
+	gateway := newTestGateway(t, newPeer(t))
 	for range 80 {
-		_, answers := r.request(t, requestText("GET", "lookup", "", idHeader, ""))
-		wait(t, answers, "answer")
+		_, responses := gateway.request(t, requestText("GET", "lookup", "", idHeader, ""))
+		wait(t, responses, "response")
 	}
-	r.awaitMetrics(t, "app.clients.idle:80|g")
+	gateway.awaitMetrics(t, "app.clients.idle:80|g")
 	for _, step := range []struct {
 		sockets string
 		idle    string
 	}{{"512", "app.clients.idle:80|g"}, {"128", "app.clients.idle:35|g"}, {"1024", "app.clients.idle:35|g"}} {
-		c, err := parseConfig([]byte(strings.Replace(configText(r.registry.address(), testSettings), `"sockets": 1024`, `"sockets": `+step.sockets, 1)))
-		r.reloads <- Reload{Config: c, Err: err}
-		r.awaitMetrics(t, step.idle)
+		config, err := parseConfig([]byte(strings.Replace(configText(gateway.registry.address(), testSettings), `"sockets": 1024`, `"sockets": `+step.sockets, 1)))
+		gateway.reloads <- Reload{Config: config, Err: err}
+		gateway.awaitMetrics(t, step.idle)
 	}
-	c, err := parseConfig([]byte(strings.Replace(configText(r.registry.address(), testSettings), `"sockets": 1024`, `"sockets": 3`, 1)))
+	config, err := parseConfig([]byte(strings.Replace(configText(gateway.registry.address(), testSettings), `"sockets": 1024`, `"sockets": 3`, 1)))
 	if err == nil {
-		t.Error("3 sockets were taken")
+		t.Error("a configuration with 3 sockets was accepted")
 	}
-	r.reloads <- Reload{Config: c, Err: err}
-	r.awaitMetrics(t, "app.loads:3|c", "app.load_errors:1|c")
+	gateway.reloads <- Reload{Config: config, Err: err}
+	gateway.awaitMetrics(t, "app.loads:3|c", "app.load_errors:1|c")
 }
 
-// A stop in the middle of a rush answers what was taken, and leaves nothing.
-func TestStopInRush(t *testing.T) {
+// A stop under load answers the accepted requests and leaves no client without a response or
+// a close.
+func TestStopUnderLoadEndsEveryRequest(t *testing.T) {
 	t.Parallel()
-	b := &registeredBackend{id: "b", backend: newPeer(t)}
-	go b.serveRequests()
-	r := newTestGatewayWith(t, func(text string) string { return strings.Replace(text, `"sockets": 1024`, `"sockets": 128`, 1) }, b.backend)
+	backend := &registeredBackend{id: "b", backend: newPeer(t)}
+	go backend.serveRequests()
+	gateway := newTestGatewayWith(t, func(text string) string { return strings.Replace(text, `"sockets": 1024`, `"sockets": 128`, 1) }, backend.backend)
 	var wg sync.WaitGroup
-	begun := make(chan struct{}, 1000)
+	finished := make(chan struct{}, 1000)
 	for range 200 {
 		wg.Go(func() {
-			defer func() { begun <- struct{}{} }()
+			defer func() { finished <- struct{}{} }()
 			for range 3 {
-				conn, err := net.DialTimeout("tcp", r.address, testTimeout)
+				conn, err := net.DialTimeout("tcp", gateway.address, testTimeout)
 				if err != nil {
 					return // the listener has closed
 				}
@@ -204,57 +205,57 @@
 				case err != nil || readErr != nil:
 					var timeout net.Error
 					if errors.As(readErr, &timeout) && timeout.Timeout() {
-						t.Error("never answered nor ended")
+						t.Errorf("neither a response nor a close within %v", testTimeout)
 					}
 				case resp.StatusCode != 200 && resp.StatusCode != 429 && resp.StatusCode != 503:
-					t.Errorf("status %d", resp.StatusCode)
+					t.Errorf("status %d, want 200, 429 or 503", resp.StatusCode)
 				}
 				conn.Close()
-				begun <- struct{}{}
+				finished <- struct{}{}
 			}
 		})
 	}
 	for range 50 {
-		wait(t, begun, "request")
+		wait(t, finished, "request")
 	}
-	r.stop()
+	gateway.stop()
 	wg.Wait()
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := wait(t, gateway.ended, "end"); err != nil {
 		t.Error(err)
 	}
 }
 
-// The limit on silence holds on real sockets.
-func TestSilenceIsLimited(t *testing.T) {
+// The silence timeout can be set on a real socket.
+func TestSilenceTimeoutIsSet(t *testing.T) {
 	peer := newPeer(t)
-	c, err := net.Dial("tcp", peer.address())
+	conn, err := net.Dial("tcp", peer.address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if err := setSilenceTimeout(c); err != nil {
+	defer conn.Close()
+	if err := setSilenceTimeout(conn); err != nil {
 		t.Error(err)
 	}
-	if waited, ok := sinceLastSegment(c); !ok || waited > testTimeout {
-		t.Errorf("%v, %t", waited, ok)
+	if waited, ok := sinceLastSegment(conn); !ok || waited > testTimeout {
+		t.Errorf("last segment %v ago, known %t", waited, ok)
 	}
 }
 
-// A client that sends whole requests and never reads is ended in time.
-func TestClientThatNeverReads(t *testing.T) {
+// A client that sends a complete request and never reads is disconnected within 6 s.
+func TestClientThatNeverReadsIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, p := newPipedFrontend(t)
+		front, listener := newPipedFrontend(t)
 		client, server := net.Pipe()
 		defer client.Close()
-		p.conns <- server
+		listener.conns <- server
 		io.WriteString(client, requestText("GET", "lookup", ""))
-		x := (<-f.loop.inbox).(requestArrived).exchange
-		began := time.Now()
-		x.reply <- response{status: http.StatusOK, fromBackend: true, header: http.Header{}, body: make([]byte, 5000)}
-		for f.clients.counts().Open > 0 {
-			time.Sleep(100 * time.Millisecond) // of the bubble's time
-			if time.Since(began) > 6*time.Second {
-				t.Fatal("it is still there")
+		exch := (<-front.loop.inbox).(requestArrived).exchange
+		start := time.Now()
+		exch.reply <- response{status: http.StatusOK, fromBackend: true, header: http.Header{}, body: make([]byte, 5000)}
+		for front.clients.counts().Open > 0 {
+			time.Sleep(100 * time.Millisecond) // synctest time
+			if time.Since(start) > 6*time.Second {
+				t.Fatalf("still connected after %v", time.Since(start))
 			}
 		}
 	})
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -76,7 +76,7 @@
 // A request that arrives on an idle connection during a stop is either answered or not read at
 // all.
 func TestStopOnIdleConnection(t *testing.T) {
-	listener := newClientListener(newPipes(), 8)
+	listener := newClientListener(newPipeListener(), 8)
 	usedServer, usedClient := net.Pipe()
 	defer usedClient.Close()
 	used := listener.admit(usedServer)
@@ -143,7 +143,7 @@
 		"for a new client": func(listener *clientListener) { listener.admit(new(net.TCPConn)) },
 	} {
 		for _, served := range []bool{false, true} {
-			listener := newClientListener(newPipes(), 1)
+			listener := newClientListener(newPipeListener(), 1)
 			server, client := net.Pipe()
 			conn := &hookedConn{Conn: server}
 			tracked := listener.admit(conn)
@@ -443,7 +443,7 @@
 			backend := newPeer(t)
 			gateway := newTestGateway(t, backend)
 			method := map[string]string{"lookup": "GET", "payment": "POST"}[class]
-			_, answer := gateway.get(t, requestText(method, class, "", idempotencyHeader, ""))
+			_, answer := gateway.sendAndRead(t, requestText(method, class, "", idempotencyHeader, ""))
 			upstream, reader := backend.accept(t)
 			readRequest(t, reader)
 			io.WriteString(upstream, "HTTP/1.1 200 OK\r\n\r\n"+text)
--- a/internal/gateway/download_test.go
+++ b/internal/gateway/download_test.go
@@ -16,16 +16,16 @@
 	"dunlintray/rules"
 )
 
-// A long answer reaches the client while the backend still gives it, in any
-// framing, and unchanged.
-func TestLongAnswerGoesOnAsItComes(t *testing.T) {
+// A long response is streamed to the client while the backend sends it, unchanged and in any
+// framing.
+func TestLongDownloadIsStreamed(t *testing.T) {
 	t.Parallel()
-	whole := bytes.Repeat([]byte("0123456789abcdef"), 20*maxHeldBody/16)
-	for name, c := range map[string]struct {
+	body := bytes.Repeat([]byte("0123456789abcdef"), 20*maxHeldBody/16)
+	for name, test := range map[string]struct {
 		head, tail string
 		piece      func([]byte) string
 	}{
-		"of known length": {"Content-Length: " + strconv.Itoa(len(whole)) + "\r\n\r\n", "",
+		"of known length": {"Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n", "",
 			func(b []byte) string { return string(b) }},
 		"in chunks, with a trailer": {"Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n", "0\r\nX-Sum: 1\r\n\r\n",
 			func(b []byte) string { return fmt.Sprintf("%x;a=b\r\n%s\r\n", len(b), b) }},
@@ -34,201 +34,207 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newTestGateway(t, backend)
-			_, head := r.get(t, requestText("GET", "lookup", ""))
-			to, br := backend.accept(t)
-			readRequest(t, br)
-			io.WriteString(to, "HTTP/1.1 200 OK\r\n"+c.head+c.piece(whole[:2*maxHeldBody]))
-			resp := head()
+			gateway := newTestGateway(t, backend)
+			_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
+			upstream, reader := backend.accept(t)
+			readRequest(t, reader)
+			io.WriteString(upstream, "HTTP/1.1 200 OK\r\n"+test.head+test.piece(body[:2*maxHeldBody]))
+			resp := readHead()
 			start := make([]byte, 2*maxHeldBody)
-			if _, err := io.ReadFull(resp.Body, start); err != nil { // before the backend has given more
+			if _, err := io.ReadFull(resp.Body, start); err != nil { // before the backend sends more
 				t.Fatal(err)
 			}
-			r.awaitMetrics(t, "app.in_progress:1|g", "app.handled.lookup.passed:0|c")
+			gateway.awaitMetrics(t, "app.in_progress:1|g", "app.handled.lookup.passed:0|c")
 			go func() {
-				for rest := whole[2*maxHeldBody:]; len(rest) > 0; rest = rest[maxHeldBody:] {
-					io.WriteString(to, c.piece(rest[:maxHeldBody]))
+				for rest := body[2*maxHeldBody:]; len(rest) > 0; rest = rest[maxHeldBody:] {
+					io.WriteString(upstream, test.piece(rest[:maxHeldBody]))
 				}
-				io.WriteString(to, c.tail)
-				if strings.Contains(c.head, "close") {
-					to.Close()
+				io.WriteString(upstream, test.tail)
+				if strings.Contains(test.head, "close") {
+					upstream.Close()
 				}
 			}()
 			rest, err := io.ReadAll(resp.Body)
-			if err != nil || !bytes.Equal(append(start, rest...), whole) {
-				t.Errorf("%d bytes of %d, %v", len(start)+len(rest), len(whole), err)
+			if err != nil || !bytes.Equal(append(start, rest...), body) {
+				t.Errorf("client received %d bytes of %d, %v", len(start)+len(rest), len(body), err)
 			}
-			r.awaitMetrics(t, "app.in_progress:0|g", "app.handled.lookup.passed:1|c", "app.upstream_tries:1|c")
+			gateway.awaitMetrics(t, "app.in_progress:0|g", "app.handled.lookup.passed:1|c", "app.upstream_tries:1|c")
 		})
 	}
 }
 
-// Once an answer has begun it is not made again, and its client can tell that it
-// is not whole.
-func TestLongAnswerThatBreaks(t *testing.T) {
+// A response that breaks off after its start was sent is not retried, and the client can tell
+// that it is truncated.
+func TestTruncatedDownloadIsNotRetried(t *testing.T) {
 	t.Parallel()
 	for _, head := range []string{"Content-Length: 1000000", "Transfer-Encoding: chunked"} {
 		backend := newPeer(t)
-		r := newTestGateway(t, backend)
-		_, answer := r.get(t, requestText("GET", "lookup", ""))
-		to, br := backend.accept(t)
-		readRequest(t, br)
-		fmt.Fprintf(to, "HTTP/1.1 200 OK\r\n%s\r\n\r\n20000\r\n%s", head, strings.Repeat("x", 2*maxHeldBody))
-		resp := answer()
+		gateway := newTestGateway(t, backend)
+		_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
+		upstream, reader := backend.accept(t)
+		readRequest(t, reader)
+		fmt.Fprintf(upstream, "HTTP/1.1 200 OK\r\n%s\r\n\r\n20000\r\n%s", head, strings.Repeat("x", 2*maxHeldBody))
+		resp := readHead()
 		if _, err := io.ReadFull(resp.Body, make([]byte, maxHeldBody)); err != nil {
 			t.Fatal(err)
 		}
-		to.Close()
+		upstream.Close()
 		if rest, err := io.ReadAll(resp.Body); err == nil {
-			t.Errorf("%s: %d more bytes passed for the whole", head, len(rest))
+			t.Errorf("%s: a truncated body was taken for complete after %d more bytes", head, len(rest))
 		}
-		r.awaitMetrics(t, "app.handled.lookup.bad_gateway:1|c", "app.in_progress:0|g", "app.upstream_tries:1|c")
+		gateway.awaitMetrics(t, "app.handled.lookup.bad_gateway:1|c", "app.in_progress:0|g", "app.upstream_tries:1|c")
 		if len(backend.conns) != 0 {
-			t.Errorf("%s: sent again", head)
+			t.Errorf("%s: the request was retried", head)
 		}
 	}
 }
 
-// A client that leaves in the middle of its answer frees the backend's connection.
-func TestClientLeavesDuringLongAnswer(t *testing.T) {
+// A client that disconnects during its response frees the backend connection.
+func TestDisconnectDuringDownloadFreesBackend(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	conn, head := r.get(t, requestText("GET", "lookup", ""))
-	to, br := backend.accept(t)
-	readRequest(t, br)
-	fmt.Fprintf(to, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", maxHeldBody))
-	head()
+	gateway := newTestGateway(t, backend)
+	conn, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
+	upstream, reader := backend.accept(t)
+	readRequest(t, reader)
+	fmt.Fprintf(upstream, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 32<<20, strings.Repeat("x", maxHeldBody))
+	readHead()
 	conn.Close()
 	for {
-		if _, err := io.WriteString(to, strings.Repeat("x", maxHeldBody)); err != nil {
+		if _, err := io.WriteString(upstream, strings.Repeat("x", maxHeldBody)); err != nil {
 			break // the gateway has closed
 		}
 	}
-	r.awaitMetrics(t, "app.in_progress:0|g")
+	gateway.awaitMetrics(t, "app.in_progress:0|g")
 }
 
-// An answer that drips reaches its client as it comes: each event before the next
-// is made, and the head before the first.
-func TestDrippingAnswer(t *testing.T) {
+// A slow response is streamed piece by piece: the header before the first event, and each
+// event before the next is sent.
+func TestSlowChunkedDownloadIsStreamed(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	_, head := r.get(t, requestText("GET", "lookup", ""))
-	to, br := backend.accept(t)
-	readRequest(t, br)
-	io.WriteString(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n\r\n")
-	resp := head()
+	gateway := newTestGateway(t, backend)
+	_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
+	upstream, reader := backend.accept(t)
+	readRequest(t, reader)
+	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n\r\n")
+	resp := readHead()
 	for _, event := range []string{"data: 1\n\n", "data: two\n\n", "data: 3\n\n"} {
 		half := len(event) / 2
-		fmt.Fprintf(to, "%x\r\n%s", len(event), event[:half])
+		fmt.Fprintf(upstream, "%x\r\n%s", len(event), event[:half])
 		for _, want := range []string{event[:half], event[half:]} {
 			got := make([]byte, len(want))
 			if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != want {
 				t.Fatalf("%q, %v; want %q", got, err, want)
 			}
 			if want == event[:half] {
-				io.WriteString(to, event[half:]+"\r\n")
+				io.WriteString(upstream, event[half:]+"\r\n")
 			}
 		}
 	}
-	r.awaitMetrics(t, "app.transfers.down.open:1|g", "app.transfers.memory:0|g")
-	io.WriteString(to, "0\r\n\r\n")
+	gateway.awaitMetrics(t, "app.transfers.down.open:1|g", "app.transfers.memory:0|g")
+	io.WriteString(upstream, "0\r\n\r\n")
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) > 0 {
-		t.Errorf("%q, %v", rest, err)
+		t.Errorf("end of the body: %q, %v", rest, err)
 	}
-	r.awaitMetrics(t, "app.transfers.down.open:0|g", "app.transfers.down.ended.whole:1|c", "app.handled.lookup.passed:1|c")
+	gateway.awaitMetrics(t, "app.transfers.down.open:0|g", "app.transfers.down.ended.whole:1|c", "app.handled.lookup.passed:1|c")
 }
 
-// Until it is let go, an answer that breaks is made again.
-func TestHeldAnswerIsMadeAgain(t *testing.T) {
+// A response that breaks off while it is still held is retried.
+func TestTruncatedHeldResponseIsRetried(t *testing.T) {
 	t.Parallel()
 	for _, framing := range []string{"Content-Length: 20", "Transfer-Encoding: chunked"} {
 		backend := newPeer(t)
-		r := newTestGateway(t, backend)
-		_, answers := r.request(t, requestText("GET", "lookup", ""))
-		to, br := backend.accept(t)
-		readRequest(t, br)
-		io.WriteString(to, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n14\r\nabc")
-		to.Close()
+		gateway := newTestGateway(t, backend)
+		_, responses := gateway.request(t, requestText("GET", "lookup", ""))
+		upstream, reader := backend.accept(t)
+		readRequest(t, reader)
+		io.WriteString(upstream, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n14\r\nabc")
+		upstream.Close()
 		serveOne(t, backend, "whole")
-		if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
-			t.Errorf("%s: status %d", framing, resp.StatusCode)
+		if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
+			t.Errorf("%s: status %d, want 200", framing, resp.StatusCode)
 		}
 	}
 }
 
-// What HTTP/1.1 has besides a 200 with a body passes as it is.
-func TestFormsOfAnswers(t *testing.T) {
+// Responses without a body, and trailers, pass unchanged, and both connections are reused.
+func TestResponseFormsPassUnchanged(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]struct {
-		request, answer string
-		check           func(*http.Response, string) bool
+	for name, test := range map[string]struct {
+		request, response string
+		check             func(*http.Response, string) bool
 	}{
 		"HEAD": {requestText("HEAD", "lookup", ""), "200 OK\r\nContent-Length: 1234567\r\n\r\n",
-			func(r *http.Response, body string) bool { return r.StatusCode == 200 && r.ContentLength == 1234567 }},
+			func(resp *http.Response, body string) bool {
+				return resp.StatusCode == 200 && resp.ContentLength == 1234567
+			}},
 		"no content": {requestText("GET", "lookup", ""), "204 No Content\r\nX-A: b\r\n\r\n",
-			func(r *http.Response, body string) bool { return r.StatusCode == 204 && r.Header.Get("X-A") == "b" }},
+			func(resp *http.Response, body string) bool {
+				return resp.StatusCode == 204 && resp.Header.Get("X-A") == "b"
+			}},
 		"not modified": {requestText("GET", "lookup", "", "If-None-Match", `"1"`), "304 Not Modified\r\nETag: \"1\"\r\n\r\n",
-			func(r *http.Response, body string) bool { return r.StatusCode == 304 && r.Header.Get("ETag") == `"1"` }},
+			func(resp *http.Response, body string) bool {
+				return resp.StatusCode == 304 && resp.Header.Get("ETag") == `"1"`
+			}},
 		"a trailer": {requestText("GET", "lookup", ""), "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Sum: 3\r\n\r\n",
-			func(r *http.Response, body string) bool { return body == "abc" && r.Trailer.Get("X-Sum") == "3" }},
-		"a trailer far behind": {requestText("GET", "lookup", ""), "200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n20000\r\n" +
+			func(resp *http.Response, body string) bool { return body == "abc" && resp.Trailer.Get("X-Sum") == "3" }},
+		"a trailer after a long body": {requestText("GET", "lookup", ""), "200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n20000\r\n" +
 			strings.Repeat("x", 2*maxHeldBody) + "\r\n0\r\nX-Sum: 3\r\n\r\n",
-			func(r *http.Response, body string) bool {
-				return len(body) == 2*maxHeldBody && r.Trailer.Get("X-Sum") == "3"
+			func(resp *http.Response, body string) bool {
+				return len(body) == 2*maxHeldBody && resp.Trailer.Get("X-Sum") == "3"
 			}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newTestGateway(t, backend)
-			conn := r.send(t, c.request)
-			for range 2 { // the connections of both sides serve again
-				to, br := backend.accept(t)
-				req, _ := readRequest(t, br)
-				io.WriteString(to, "HTTP/1.1 "+c.answer)
+			gateway := newTestGateway(t, backend)
+			conn := gateway.send(t, test.request)
+			for range 2 { // twice on the same connections
+				upstream, reader := backend.accept(t)
+				req, _ := readRequest(t, reader)
+				io.WriteString(upstream, "HTTP/1.1 "+test.response)
 				resp, err := http.ReadResponse(bufio.NewReader(conn), req)
 				if err != nil {
 					t.Fatal(err)
 				}
 				body, err := io.ReadAll(resp.Body)
-				if err != nil || !c.check(resp, string(body)) {
-					t.Errorf("%v %d bytes, %v", resp, len(body), err)
+				if err != nil || !test.check(resp, string(body)) {
+					t.Errorf("unexpected response %v with a body of %d bytes, %v", resp, len(body), err)
 				}
-				r.awaitMetrics(t, "app.in_progress:0|g")
-				backend.conns <- to
-				io.WriteString(conn, c.request)
+				gateway.awaitMetrics(t, "app.in_progress:0|g")
+				backend.conns <- upstream
+				io.WriteString(conn, test.request)
 			}
 		})
 	}
 }
 
-// An answer before the answer goes on as it comes, and is not the answer.
-func TestInterimAnswers(t *testing.T) {
+// An interim response is forwarded at once and does not replace the final one.
+func TestInterimResponses(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	conn := r.send(t, requestText("GET", "lookup", ""))
-	to, br := backend.accept(t)
-	readRequest(t, br)
-	io.WriteString(to, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
-	in := bufio.NewReader(conn)
-	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 103 || resp.Header.Get("Link") != "</a>" {
-		t.Fatalf("%v %v", resp, err)
+	gateway := newTestGateway(t, backend)
+	conn := gateway.send(t, requestText("GET", "lookup", ""))
+	upstream, reader := backend.accept(t)
+	readRequest(t, reader)
+	io.WriteString(upstream, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
+	clientReader := bufio.NewReader(conn)
+	if resp, err := http.ReadResponse(clientReader, nil); err != nil || resp.StatusCode != 103 || resp.Header.Get("Link") != "</a>" {
+		t.Fatalf("interim response %v, %v; want 103 with a Link", resp, err)
 	}
-	io.WriteString(to, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Header.Get("Link") != "" {
-		t.Fatalf("%v %v", resp, err)
+	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	if resp, err := http.ReadResponse(clientReader, nil); err != nil || resp.StatusCode != 200 || resp.Header.Get("Link") != "" {
+		t.Fatalf("final response %v, %v; want 200 without a Link", resp, err)
 	}
 }
 
-// A request whose length could be read in two ways is turned down and its
-// connection closed; an answer of the kind may have run.
-func TestTwoWays(t *testing.T) {
+// A request with an ambiguous or invalid length is rejected and its connection closed. A
+// response with an ambiguous length fails and is not retried, since the request may have run.
+func TestAmbiguousLengthIsRejected(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
+	gateway := newTestGateway(t, backend)
 	for name, text := range map[string]string{
 		"a length and chunks": requestText("POST", "booking", "", "Content-Length", "5", "Transfer-Encoding", "chunked") + "0\r\n\r\n",
 		"the length twice":    strings.Replace(requestText("POST", "booking", "hello"), "Content-Length", "Content-Length: 5\r\nContent-Length", 1),
@@ -237,61 +243,61 @@
 		"endless trailers": requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "0\r\n" +
 			strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 10) + "\r\n",
 	} {
-		_, answers := r.request(t, text)
-		if resp := wait(t, answers, "answer to "+name); resp.StatusCode != 400 || !resp.Close {
-			t.Errorf("%s: status %d, closed %t", name, resp.StatusCode, resp.Close)
+		_, responses := gateway.request(t, text)
+		if resp := wait(t, responses, "response to "+name); resp.StatusCode != 400 || !resp.Close {
+			t.Errorf("%s: status %d, close %t; want 400, true", name, resp.StatusCode, resp.Close)
 		}
 	}
 	if len(backend.conns) != 0 {
-		t.Error("sent on")
+		t.Error("a rejected request reached the backend")
 	}
-	for _, answer := range []string{"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+	for _, response := range []string{"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
 		"Content-Length: 2\r\nContent-Length: 2\r\n\r\nok"} {
-		_, answers := r.request(t, requestText("POST", "payment", "x"))
-		to, br := backend.accept(t)
-		readRequest(t, br)
-		io.WriteString(to, "HTTP/1.1 200 OK\r\n"+answer)
-		if resp := wait(t, answers, "answer"); resp.StatusCode != 502 || len(backend.conns) != 0 {
-			t.Errorf("status %d for %q", resp.StatusCode, answer)
+		_, responses := gateway.request(t, requestText("POST", "payment", "x"))
+		upstream, reader := backend.accept(t)
+		readRequest(t, reader)
+		io.WriteString(upstream, "HTTP/1.1 200 OK\r\n"+response)
+		if resp := wait(t, responses, "response"); resp.StatusCode != 502 || len(backend.conns) != 0 {
+			t.Errorf("status %d for %q, want 502; retried %t", resp.StatusCode, response, len(backend.conns) != 0)
 		}
 	}
 }
 
-// A client of HTTP/1.0 knows a whole answer by the connection's end, so a cut one
-// must not end like that.
-func TestCutAnswerInHTTP10(t *testing.T) {
+// An HTTP/1.0 client takes the close of the connection for the end of the response, so a
+// truncated response must end with a reset.
+func TestTruncatedDownloadResetsHTTP10(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	_, head := r.get(t, strings.Replace(requestText("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
-	to, br := backend.accept(t)
-	readRequest(t, br)
-	io.WriteString(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
-	resp := head()
+	gateway := newTestGateway(t, backend)
+	_, readHead := gateway.sendAndRead(t, strings.Replace(requestText("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
+	upstream, reader := backend.accept(t)
+	readRequest(t, reader)
+	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
+	resp := readHead()
 	if _, err := io.ReadFull(resp.Body, make([]byte, 3)); err != nil {
 		t.Fatal(err)
 	}
-	to.Close()
+	upstream.Close()
 	if _, err := io.ReadAll(resp.Body); err == nil {
-		t.Error("a part passed for the whole")
+		t.Error("a truncated response was taken for complete")
 	}
 }
 
-// A reader that stands still keeps nobody else waiting, and is given up in time;
-// one that is slow is not.
-func TestSlowReader(t *testing.T) {
-	for name, c := range map[string]struct {
-		every time.Duration // for 1 kB
-		lost  bool
+// A client that stops reading its response, or reads too slowly, is disconnected within 30 s;
+// a slow one is not.
+func TestStalledReaderIsDisconnected(t *testing.T) {
+	for name, test := range map[string]struct {
+		interval     time.Duration // for 1 kB
+		disconnected bool
 	}{"slow": {200 * time.Millisecond, false}, "a byte now and then": {8 * time.Second, true}, "still": {time.Hour, true}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, p := newPipedFrontend(t)
+				front, listener := newPipedFrontend(t)
 				client, server := net.Pipe()
 				defer client.Close()
-				p.conns <- server
+				listener.conns <- server
 				io.WriteString(client, requestText("GET", "lookup", ""))
-				x := (<-f.loop.inbox).(requestArrived).exchange
+				exch := (<-front.loop.inbox).(requestArrived).exchange
 				near, far := net.Pipe()
 				conn := newBackendConn(near, nil)
 				conn.remaining.N = noReadLimit
@@ -303,30 +309,30 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				d := &download{body: resp.Body, length: 100000, conn: conn, prefix: newBodyPrefix(resp.Body, 100000, 0), window: window{budget: &f.metrics.bodyBudget},
-					metrics: f.metrics, done: make(chan rules.Outcome, 1)}
-				x.reply <- response{status: 200, fromBackend: true, header: resp.Header, length: 100000, download: d}
-				began, gone := time.Now(), make(chan struct{})
+				download := &download{body: resp.Body, length: 100000, conn: conn, prefix: newBodyPrefix(resp.Body, 100000, 0), window: window{budget: &front.metrics.bodyBudget},
+					metrics: front.metrics, done: make(chan rules.Outcome, 1)}
+				exch.reply <- response{status: 200, fromBackend: true, header: resp.Header, length: 100000, download: download}
+				start, readerDone := time.Now(), make(chan struct{})
 				go func() {
-					defer close(gone)
-					for buf := make([]byte, 1000); ; {
-						time.Sleep(c.every) // of the bubble's time
-						if _, err := io.ReadFull(client, buf); err != nil {
+					defer close(readerDone)
+					for buffer := make([]byte, 1000); ; {
+						time.Sleep(test.interval) // synctest time
+						if _, err := io.ReadFull(client, buffer); err != nil {
 							return
 						}
 					}
 				}()
-				outcome := <-d.done
-				if lost := outcome != rules.Served; lost != c.lost {
-					t.Errorf("outcome %d after %v", outcome, time.Since(began))
+				outcome := <-download.done
+				if disconnected := outcome != rules.Served; disconnected != test.disconnected {
+					t.Errorf("outcome %d after %v, want a disconnect: %t", outcome, time.Since(start), test.disconnected)
 				}
-				if took := time.Since(began); c.lost && took > 30*time.Second {
-					t.Errorf("given up after %v", took)
+				if took := time.Since(start); test.disconnected && took > 30*time.Second {
+					t.Errorf("disconnected after %v, want at most 30s", took)
 				}
 				near.Close()
 				far.Close()
 				client.Close()
-				<-gone
+				<-readerDone
 			})
 		})
 	}
--- a/internal/gateway/framing_test.go
+++ b/internal/gateway/framing_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-var framed = []struct {
+var framingCases = []struct {
 	name, text string
-	doubt      bool
+	ambiguous  bool
 }{
 	{"no body", "GET / HTTP/1.1\r\nHost: a\r\n\r\n", false},
 	{"a length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", false},
@@ -30,26 +30,26 @@
 	{"bare line ends", "POST / HTTP/1.1\nHost: a\nContent-Length: 3\nTransfer-Encoding: chunked\n\n", true},
 }
 
-// A head is in doubt wherever the pieces end in which it comes, and also behind
-// other requests.
-func TestFraming(t *testing.T) {
-	for _, c := range framed {
-		for _, before := range []string{"", framed[0].text, framed[1].text, framed[2].text} {
+// Ambiguous framing is found wherever the pieces of a request end, and also after other
+// requests on the connection.
+func TestAmbiguousFramingIsFound(t *testing.T) {
+	for _, test := range framingCases {
+		for _, prefix := range []string{"", framingCases[0].text, framingCases[1].text, framingCases[2].text} {
 			for size := 1; size < 50; size++ {
-				var f framingScanner
-				for rest := []byte(before + c.text); len(rest) > 0; rest = rest[min(size, len(rest)):] {
-					f.scan(rest[:min(size, len(rest))])
+				var scanner framingScanner
+				for rest := []byte(prefix + test.text); len(rest) > 0; rest = rest[min(size, len(rest)):] {
+					scanner.scan(rest[:min(size, len(rest))])
 				}
-				if f.ambiguous != c.doubt {
-					t.Fatalf("%s behind %d bytes, in pieces of %d: doubt %t", c.name, len(before), size, f.ambiguous)
+				if scanner.ambiguous != test.ambiguous {
+					t.Fatalf("%s after %d bytes, in pieces of %d: ambiguous %t, want %t", test.name, len(prefix), size, scanner.ambiguous, test.ambiguous)
 				}
 			}
 		}
 	}
 }
 
-// The framing of answers ends with the head, and passes 1xx by.
-func TestFramingOfAnswers(t *testing.T) {
+// The scan of a response skips 1xx responses and ends after the header of the final one.
+func TestAmbiguousFramingOfResponses(t *testing.T) {
 	for text, want := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n":             false,
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":                             true,
@@ -57,74 +57,74 @@
 		"HTTP/1.1 103 Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc":                   false,
 		"HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n":                                                  true,
 	} {
-		var f framingScanner
-		f.beginResponse()
+		var scanner framingScanner
+		scanner.beginResponse()
 		for i := range len(text) {
-			f.scan([]byte(text[i : i+1]))
+			scanner.scan([]byte(text[i : i+1]))
 		}
-		if f.ambiguous != want {
-			t.Errorf("%q: doubt %t", text, f.ambiguous)
+		if scanner.ambiguous != want {
+			t.Errorf("%q: ambiguous %t, want %t", text, scanner.ambiguous, want)
 		}
 	}
 }
 
-// seen is a reader that tells how far it was read.
-type seen struct {
-	r *bytes.Reader
-	n int
+// countingReader counts the bytes that have been read.
+type countingReader struct {
+	reader *bytes.Reader
+	count  int
 }
 
-func (s *seen) Read(p []byte) (int, error) {
-	n, err := s.r.Read(p[:1]) // so that nothing is read ahead
-	s.n += n
+func (r *countingReader) Read(p []byte) (int, error) {
+	n, err := r.reader.Read(p[:1]) // one at a time, so that nothing is read ahead
+	r.count += n
 	return n, err
 }
 
-// Of all that net/http takes for a request, framing knows the heads, and doubts
-// those whose length stands there twice.
+// The scanner finds the header of every request that net/http accepts, and reports each one
+// that gives its length in two ways.
 func FuzzFraming(f *testing.F) {
-	for _, a := range framed {
-		f.Add([]byte(a.text))
-		f.Add([]byte(framed[2].text + a.text))
+	for _, test := range framingCases {
+		f.Add([]byte(test.text))
+		f.Add([]byte(framingCases[2].text + test.text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var read framingScanner
-		in := &seen{r: bytes.NewReader(text)}
+		var scanner framingScanner
+		input := &countingReader{reader: bytes.NewReader(text)}
 		for range 10 {
-			br := bufio.NewReaderSize(in, 16)
-			start := in.n
-			req, err := http.ReadRequest(br)
-			if err != nil || req.ProtoMajor != 1 { // the server takes no other
+			reader := bufio.NewReaderSize(input, 16)
+			start := input.count
+			req, err := http.ReadRequest(reader)
+			if err != nil || req.ProtoMajor != 1 { // the server accepts no other version
 				return
 			}
-			head := text[start : in.n-br.Buffered()]
+			head := text[start : input.count-reader.Buffered()]
 			if len(head) > maxHeaderBytes {
 				return
 			}
 			_, rest, _ := bytes.Cut(head, []byte("\n"))
-			h, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(rest))).ReadMIMEHeader()
+			header, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(rest))).ReadMIMEHeader()
 			if err != nil {
 				return
 			}
-			codings := len(h["Transfer-Encoding"])
-			want := len(h["Content-Length"]) > 1 || codings > 0 && (len(h["Content-Length"]) > 0 || !req.ProtoAtLeast(1, 1))
-			read.scan(head)
-			if want && !read.ambiguous {
-				t.Fatalf("no doubt about %q", head)
+			transferEncodings := len(header["Transfer-Encoding"])
+			ambiguous := len(header["Content-Length"]) > 1 || transferEncodings > 0 && (len(header["Content-Length"]) > 0 || !req.ProtoAtLeast(1, 1))
+			scanner.scan(head)
+			if ambiguous && !scanner.ambiguous {
+				t.Fatalf("ambiguous framing not found in %q", head)
 			}
-			if read.ambiguous {
-				return // the connection ends
+			if scanner.ambiguous {
+				return // the server closes the connection
 			}
-			at := in.n - br.Buffered()
+			bodyStart := input.count - reader.Buffered()
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return
 			}
-			if br.Buffered() > 0 {
-				t.Fatal("read ahead")
+			if reader.Buffered() > 0 {
+				t.Fatal("the body was read too far")
 			}
-			read.scan(text[at:in.n])
-			if read.state != frameStartLine {
-				t.Fatalf("behind %q framing is at %d", text[:in.n], read.state)
+			scanner.scan(text[bodyStart:input.count])
+			if scanner.state != frameStartLine {
+				t.Fatalf("scanner in state %d after %q", scanner.state, text[:input.count])
 			}
 		}
 	})
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -13,16 +13,18 @@
 	"dunlintray/internal/wire"
 )
 
-// pipes is a listener whose connections are pipes, which know the time of a
+// pipeListener is a listener whose connections are pipes, which follow the clock of a
 // synctest bubble.
-type pipes struct {
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), done: make(chan struct{})} }
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
+}
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -31,30 +33,31 @@
 	}
 }
 
-func (p *pipes) Close() error   { close(p.done); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { close(p.done); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// newPipedFrontend serves clients on pipes. Nobody reads the loop's inbox yet.
-func newPipedFrontend(t *testing.T) (*frontend, *pipes) {
+// newPipedFrontend serves clients on pipes. The caller takes the place of the loop and reads
+// its inbox.
+func newPipedFrontend(t *testing.T) (*frontend, *pipeListener) {
 	t.Helper()
 	deploy, err := wire.ParseDeployment([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPipes()
-	f := &frontend{metrics: &metrics{bodyBudget: budget{total: bodyMemory(16)}}, clients: newClientListener(p, 100),
+	listener := newPipeListener()
+	front := &frontend{metrics: &metrics{bodyBudget: budget{total: bodyMemory(16)}}, clients: newClientListener(listener, 100),
 		loop: &Loop{clock: newClock(), inbox: make(chan any, 1), stopped: make(chan struct{})}}
-	f.service.Store(f.metrics.newService(deploy, 0))
-	server := f.server()
+	front.service.Store(front.metrics.newService(deploy, 0))
+	server := front.server()
 	ended := make(chan struct{})
-	go func() { defer close(ended); server.Serve(f.clients) }()
+	go func() { defer close(ended); server.Serve(front.clients) }()
 	t.Cleanup(func() { server.Close(); <-ended })
-	return f, p
+	return front, listener
 }
 
-// A peer that sends no whole request is owed an error or an end within 3 s of
-// its connection. Held longer, such peers take the places of clients.
-func TestPeerWithoutRequestIsEndedInTime(t *testing.T) {
+// A client that sends no complete request gets an error or a close within 3 s of connecting.
+// Otherwise such clients would take the places of others.
+func TestClientWithoutCompleteRequestIsDisconnected(t *testing.T) {
 	for name, text := range map[string]string{
 		"silent":       "",
 		"half a line":  "GET /loo",
@@ -63,45 +66,45 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				_, p := newPipedFrontend(t)
+				_, listener := newPipedFrontend(t)
 				client, server := net.Pipe()
 				defer client.Close()
-				p.conns <- server
+				listener.conns <- server
 				io.WriteString(client, text)
 				client.SetReadDeadline(time.Now().Add(3 * time.Second))
 				resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 				switch {
 				case err == nil && resp.StatusCode < 400:
-					t.Errorf("status %d", resp.StatusCode)
+					t.Errorf("status %d, want an error", resp.StatusCode)
 				case err != nil && !errors.Is(err, io.ErrUnexpectedEOF):
-					t.Errorf("neither answered nor closed: %v", err)
+					t.Errorf("neither a response nor a close within 3 s: %v", err)
 				}
 			})
 		})
 	}
 }
 
-// The limits on reading are not for clients that wait for their answer.
-func TestHeldRequestOutlastsTheLimitsOnReading(t *testing.T) {
+// The read timeouts do not apply to a client that waits for its response.
+func TestWaitingRequestOutlastsReadTimeouts(t *testing.T) {
 	for name, text := range map[string]string{"without a body": requestText("GET", "lookup", ""), "with one": requestText("POST", "booking", "x")} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, p := newPipedFrontend(t)
+				front, listener := newPipedFrontend(t)
 				client, server := net.Pipe()
 				defer client.Close()
-				p.conns <- server
+				listener.conns <- server
 				io.WriteString(client, text)
-				x := (<-f.loop.inbox).(requestArrived).exchange
-				time.Sleep(10 * time.Second) // of the bubble's time
+				exch := (<-front.loop.inbox).(requestArrived).exchange
+				time.Sleep(10 * time.Second) // synctest time
 				select {
-				case m := <-f.loop.inbox:
-					t.Fatalf("the loop was told %T", m)
+				case message := <-front.loop.inbox:
+					t.Fatalf("the loop received a %T while the client waited", message)
 				default:
 				}
-				x.reply <- response{status: http.StatusOK, fromBackend: true, body: []byte("booked")}
+				exch.reply <- response{status: http.StatusOK, fromBackend: true, body: []byte("booked")}
 				resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 				if err != nil || resp.StatusCode != http.StatusOK {
-					t.Fatalf("%v %v", resp, err)
+					t.Fatalf("response %v, %v; want status 200", resp, err)
 				}
 			})
 		})
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -11,98 +11,99 @@
 	"time"
 )
 
-// hostile peers take connections from an address of their own and keep them.
-var hostile = map[string]func(c net.Conn, over <-chan struct{}){
-	"says nothing": func(c net.Conn, over <-chan struct{}) { c.Read(make([]byte, 1)) },
-	"sends a head by bytes": func(c net.Conn, over <-chan struct{}) {
+// hostileClients open connections and keep their places, each in its own way, until stop is
+// closed.
+var hostileClients = map[string]func(conn net.Conn, stop <-chan struct{}){
+	"says nothing": func(conn net.Conn, stop <-chan struct{}) { conn.Read(make([]byte, 1)) },
+	"sends a head by bytes": func(conn net.Conn, stop <-chan struct{}) {
 		for _, b := range []byte(requestText("GET", "lookup", "")) {
-			if _, err := c.Write([]byte{b}); err != nil {
+			if _, err := conn.Write([]byte{b}); err != nil {
 				return
 			}
 			select {
-			case <-over:
+			case <-stop:
 				return
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
 	},
-	"never reads": func(c net.Conn, over <-chan struct{}) {
+	"never reads": func(conn net.Conn, stop <-chan struct{}) {
 		for {
-			if _, err := io.WriteString(c, requestText("GET", "lookup", "", idHeader, "")); err != nil {
+			if _, err := io.WriteString(conn, requestText("GET", "lookup", "", idHeader, "")); err != nil {
 				return
 			}
 			select {
-			case <-over:
+			case <-stop:
 				return
 			case <-time.After(200 * time.Millisecond):
 			}
 		}
 	},
-	"resets": func(c net.Conn, over <-chan struct{}) { c.(*net.TCPConn).SetLinger(0) },
+	"resets": func(conn net.Conn, stop <-chan struct{}) { conn.(*net.TCPConn).SetLinger(0) },
 }
 
-// A good client has its requests served, each on a connection of its own, whatever
-// other sources do with theirs.
-func TestGoodAmongHostile(t *testing.T) {
+// The requests of a good client are served, each on a new connection, whatever clients at
+// another address do with theirs.
+func TestGoodClientsAreServedBesideHostileOnes(t *testing.T) {
 	const (
-		good   = 4               // connections at once
-		inTime = 3 * time.Second // in which even a peer without a request is owed its end
+		goodClients = 4               // connections at once
+		timeout     = 3 * time.Second // in which even a client without a request is disconnected
 	)
-	for name, act := range hostile {
+	for name, act := range hostileClients {
 		for _, times := range []int{1, 10, 100} {
 			t.Run(name, func(t *testing.T) {
-				b := &registeredBackend{id: "b", backend: newPeer(t)}
-				go b.serveRequests()
-				r := newTestGatewayWith(t, func(text string) string {
-					return strings.Replace(text, `"sockets": 1024`, `"sockets": 256`, 1) // 105 for clients
-				}, b.backend)
-				over := make(chan struct{})
+				backend := &registeredBackend{id: "b", backend: newPeer(t)}
+				go backend.serveRequests()
+				gateway := newTestGatewayWith(t, func(text string) string {
+					return strings.Replace(text, `"sockets": 1024`, `"sockets": 256`, 1) // 105 of them for clients
+				}, backend.backend)
+				stop := make(chan struct{})
 				var wg sync.WaitGroup
-				from := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 2)}, Timeout: time.Second}
-				for range good * times {
+				dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 2)}, Timeout: time.Second}
+				for range goodClients * times {
 					wg.Go(func() {
 						for {
 							select {
-							case <-over:
+							case <-stop:
 								return
 							default:
 							}
-							if c, err := from.Dial("tcp", r.address); err == nil {
+							if conn, err := dialer.Dial("tcp", gateway.address); err == nil {
 								done := make(chan struct{})
 								wg.Go(func() {
 									select {
-									case <-over:
-										c.SetDeadline(time.Now())
+									case <-stop:
+										conn.SetDeadline(time.Now())
 									case <-done:
 									}
 								})
-								act(c, over)
+								act(conn, stop)
 								close(done)
-								c.Close()
+								conn.Close()
 							}
-							time.Sleep(50 * time.Millisecond) // and comes again
+							time.Sleep(50 * time.Millisecond) // before the next connection
 						}
 					})
 				}
-				served, asked := 0, 0
+				served, sent := 0, 0
 				var mu sync.Mutex
 				var clients sync.WaitGroup
-				for range good {
+				for range goodClients {
 					clients.Go(func() {
 						for range 5 {
 							ok := func() bool {
-								c, err := net.DialTimeout("tcp", r.address, inTime)
+								conn, err := net.DialTimeout("tcp", gateway.address, timeout)
 								if err != nil {
 									return false
 								}
-								defer c.Close()
-								c.SetDeadline(time.Now().Add(inTime))
-								io.WriteString(c, requestText("GET", "lookup", ""))
-								resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+								defer conn.Close()
+								conn.SetDeadline(time.Now().Add(timeout))
+								io.WriteString(conn, requestText("GET", "lookup", ""))
+								resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 								return err == nil && resp.StatusCode == 200
 							}()
 							mu.Lock()
-							if asked++; ok {
+							if sent++; ok {
 								served++
 							}
 							mu.Unlock()
@@ -110,11 +111,11 @@
 					})
 				}
 				clients.Wait()
-				close(over)
+				close(stop)
 				wg.Wait()
-				t.Logf("%s, %d to 1: %d of %d served", name, times, served, asked)
-				if served < asked {
-					t.Errorf("%s, %d to 1: %d of %d served", name, times, served, asked)
+				t.Logf("%s, %d to 1: %d of %d served", name, times, served, sent)
+				if served < sent {
+					t.Errorf("%s, %d to 1: %d of %d served", name, times, served, sent)
 				}
 			})
 		}
--- a/internal/gateway/stream_memory_test.go
+++ b/internal/gateway/stream_memory_test.go
@@ -16,174 +16,174 @@
 	"time"
 )
 
-// The memory of so many transfers does not grow with the length of the bodies.
-func TestMemoryDoesNotGrowWithLength(t *testing.T) {
+// The memory that transfers take does not grow with the length of their bodies.
+func TestMemoryIsIndependentOfBodyLength(t *testing.T) {
 	t.Parallel()
 	const transfers = 4
 	for _, size := range []int{1 << 20, 256 << 20} {
 		backend := newPeer(t)
-		r := newTestGateway(t, backend)
+		gateway := newTestGateway(t, backend)
 		piece := make([]byte, 1<<20)
 		var wg sync.WaitGroup
 		for range transfers {
-			_, head := r.get(t, requestText("GET", "lookup", ""))
-			to, br := backend.accept(t)
-			readRequest(t, br)
+			_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
+			upstream, reader := backend.accept(t)
+			readRequest(t, reader)
 			wg.Go(func() {
-				fmt.Fprintf(to, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", size)
+				fmt.Fprintf(upstream, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", size)
 				for range size / len(piece) {
-					to.Write(piece)
+					upstream.Write(piece)
 				}
 			})
 			wg.Go(func() {
-				if n, err := io.Copy(io.Discard, head().Body); err != nil || n != int64(size) {
-					t.Errorf("%d bytes of %d, %v", n, size, err)
+				if n, err := io.Copy(io.Discard, readHead().Body); err != nil || n != int64(size) {
+					t.Errorf("received %d bytes of %d, %v", n, size, err)
 				}
 			})
 		}
 		wg.Wait()
-		if _, most := r.figures.bodyBudget.usage(); most > transfers*maxWindow {
-			t.Errorf("%d transfers of %d bytes took %d", transfers, size, most)
+		if _, peak := gateway.figures.bodyBudget.usage(); peak > transfers*maxWindow {
+			t.Errorf("%d transfers of %d bytes took %d bytes of memory, limit %d", transfers, size, peak, transfers*maxWindow)
 		}
 	}
 }
 
-// With ten times as many uploads as the budget holds, those that have a part of it
-// end, and the others are told when to come again.
-func TestMoreUploadsThanMemory(t *testing.T) {
+// With ten times as many uploads as fit into the budget, those that get memory complete, and
+// the others are rejected with a Retry-After header.
+func TestUploadsBeyondMemoryAreRejected(t *testing.T) {
 	t.Parallel()
 	const fit = 8
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	r.figures.bodyBudget.setTotal(fit * minWindow)
+	gateway := newTestGateway(t, backend)
+	gateway.figures.bodyBudget.setTotal(fit * minWindow)
 	size := 64 * maxHeldBody
-	type outcome struct {
-		conn net.Conn
-		in   *bufio.Reader
-		resp *http.Response
+	type firstResponse struct {
+		conn   net.Conn
+		reader *bufio.Reader
+		resp   *http.Response
 	}
-	refused := make(chan outcome, 10*fit)
+	responses := make(chan firstResponse, 10*fit)
 	for range 10 * fit {
-		conn := r.send(t, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(size), "Expect", "100-continue"))
+		conn := gateway.send(t, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(size), "Expect", "100-continue"))
 		go func() {
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err == nil {
-				refused <- outcome{conn, nil, resp}
+				responses <- firstResponse{conn, nil, resp}
 			}
 		}()
 	}
-	told := make(chan struct{}) // all have been
+	allAnswered := make(chan struct{}) // closed when every client has a response
 	var wg sync.WaitGroup
-	going := 0
-	// send sends a body, slowly until all have been told: one that is not slow has no end,
-	// also on a machine on which that takes long.
+	admitted := 0
+	// send sends a body, slowly until every client has a response: the upload must neither
+	// end nor stall before, also on a slow machine.
 	send := func(conn net.Conn) {
-		const drip = 2 * minClientRate / 10
-		left, drips := size, time.NewTicker(100*time.Millisecond)
+		const dripBytes = 2 * minClientRate / 10
+		remaining, drips := size, time.NewTicker(100*time.Millisecond)
 		defer drips.Stop()
-		for slowly := true; slowly && left > size/2; {
+		for slow := true; slow && remaining > size/2; {
 			select {
-			case <-told:
-				slowly = false
+			case <-allAnswered:
+				slow = false
 			case <-drips.C:
-				io.WriteString(conn, strings.Repeat("x", drip))
-				left -= drip
+				io.WriteString(conn, strings.Repeat("x", dripBytes))
+				remaining -= dripBytes
 			}
 		}
-		<-told
-		io.WriteString(conn, strings.Repeat("x", left))
+		<-allAnswered
+		io.WriteString(conn, strings.Repeat("x", remaining))
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
-			t.Errorf("%v %v", resp, err)
+			t.Errorf("admitted upload: response %v, %v; want status 200", resp, err)
 		}
 	}
 	for range 10 * fit {
-		switch o := wait(t, refused, "word"); {
-		case o.resp.StatusCode == http.StatusContinue:
-			going++
-			wg.Go(func() { send(o.conn) })
-		case o.resp.StatusCode != http.StatusServiceUnavailable || o.resp.Header.Get("Retry-After") != "1":
-			t.Errorf("status %d, advice %q", o.resp.StatusCode, o.resp.Header.Get("Retry-After"))
+		switch first := wait(t, responses, "response"); {
+		case first.resp.StatusCode == http.StatusContinue:
+			admitted++
+			wg.Go(func() { send(first.conn) })
+		case first.resp.StatusCode != http.StatusServiceUnavailable || first.resp.Header.Get("Retry-After") != "1":
+			t.Errorf("status %d, Retry-After %q; want 503 and 1", first.resp.StatusCode, first.resp.Header.Get("Retry-After"))
 		}
-		if used, most := r.figures.bodyBudget.usage(); most > fit*minWindow {
-			t.Errorf("%d taken, at most %d", used, most)
+		if used, peak := gateway.figures.bodyBudget.usage(); peak > fit*minWindow {
+			t.Errorf("%d bytes reserved, peak %d, limit %d", used, peak, fit*minWindow)
 		}
 	}
-	if going != fit {
-		t.Errorf("%d go on", going)
+	if admitted != fit {
+		t.Errorf("%d uploads admitted, want %d", admitted, fit)
 	}
-	for range going {
-		to, br := backend.accept(t)
+	for range admitted {
+		upstream, reader := backend.accept(t)
 		go func() {
-			if req, err := http.ReadRequest(br); err == nil {
+			if req, err := http.ReadRequest(reader); err == nil {
 				io.Copy(io.Discard, req.Body)
-				io.WriteString(to, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+				io.WriteString(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
 		}()
 	}
-	close(told)
+	close(allAnswered)
 	wg.Wait()
-	r.awaitMetrics(t, fmt.Sprintf("app.transfers.up.ended.no_memory:%d|c", 9*fit), fmt.Sprintf("app.transfers.up.ended.whole:%d|c", fit))
+	gateway.awaitMetrics(t, fmt.Sprintf("app.transfers.up.ended.no_memory:%d|c", 9*fit), fmt.Sprintf("app.transfers.up.ended.whole:%d|c", fit))
 }
 
-// Answers have run. Ten times as many as the budget holds all come whole, at the
-// pace of their readers, within the budget.
-func TestMoreAnswersThanMemory(t *testing.T) {
+// Ten times as many downloads as fit into the budget all complete within the budget, at the
+// pace of their clients: rejecting a response would waste the work of its backend.
+func TestDownloadsBeyondMemoryComplete(t *testing.T) {
 	t.Parallel()
 	const fit = 4
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	r.figures.bodyBudget.setTotal(fit * maxHeldBody)
-	whole := noise(1, 8<<20)
-	var heads []func() *http.Response
+	gateway := newTestGateway(t, backend)
+	gateway.figures.bodyBudget.setTotal(fit * maxHeldBody)
+	body := randomBody(1, 8<<20)
+	var readHeads []func() *http.Response
 	for range 10 * fit {
-		conn, head := r.get(t, requestText("GET", "lookup", ""))
-		conn.(*net.TCPConn).SetReadBuffer(256 << 10) // so that not all of it is under way
-		heads = append(heads, head)
-		to, br := backend.accept(t)
-		readRequest(t, br)
+		conn, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
+		conn.(*net.TCPConn).SetReadBuffer(256 << 10) // so that the socket cannot hold the whole body
+		readHeads = append(readHeads, readHead)
+		upstream, reader := backend.accept(t)
+		readRequest(t, reader)
 		go func() {
-			fmt.Fprintf(to, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(whole))
-			to.Write(whole)
+			fmt.Fprintf(upstream, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
+			upstream.Write(body)
 		}()
 	}
-	r.awaitMetrics(t, fmt.Sprintf("app.transfers.down.open:%d|g", 10*fit)) // all flow, and nobody reads
+	gateway.awaitMetrics(t, fmt.Sprintf("app.transfers.down.open:%d|g", 10*fit)) // all have begun, and no client reads
 	var wg sync.WaitGroup
-	for _, head := range heads {
+	for _, readHead := range readHeads {
 		wg.Go(func() {
 			sum := sha256.New()
-			if n, err := io.Copy(sum, head().Body); err != nil || [32]byte(sum.Sum(nil)) != sha256.Sum256(whole) {
-				t.Errorf("%d bytes, %v", n, err)
+			if n, err := io.Copy(sum, readHead().Body); err != nil || [32]byte(sum.Sum(nil)) != sha256.Sum256(body) {
+				t.Errorf("received %d bytes of %d, %v", n, len(body), err)
 			}
 		})
 	}
 	wg.Wait()
-	if _, most := r.figures.bodyBudget.usage(); most > fit*maxHeldBody {
-		t.Errorf("%d taken", most)
+	if _, peak := gateway.figures.bodyBudget.usage(); peak > fit*maxHeldBody {
+		t.Errorf("peak of %d bytes, limit %d", peak, fit*maxHeldBody)
 	}
 }
 
-// Uploads that wait for memory which answers hold, and the other way round, all
-// come to an end, and each has a whole answer or is told to come again.
-func TestBothWaysInLittleMemory(t *testing.T) {
+// Uploads and downloads that wait for each other's memory do not deadlock: each request gets
+// a complete response or a rejection with a Retry-After header.
+func TestTransfersInBothDirectionsDoNotDeadlock(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	r.figures.bodyBudget.setTotal(4 * minWindow)
+	gateway := newTestGateway(t, backend)
+	gateway.figures.bodyBudget.setTotal(4 * minWindow)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
 		for {
 			select {
-			case to := <-backend.conns:
+			case upstream := <-backend.conns:
 				go func() {
-					for br := bufio.NewReader(to); ; {
-						req, err := http.ReadRequest(br)
+					for reader := bufio.NewReader(upstream); ; {
+						req, err := http.ReadRequest(reader)
 						if err != nil {
 							return
 						}
-						// The whole of what it gets, as it gets it.
-						fmt.Fprintf(to, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", req.ContentLength)
-						if n, err := io.Copy(to, req.Body); err != nil || n != req.ContentLength {
+						// The backend echoes the body while it receives it.
+						fmt.Fprintf(upstream, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", req.ContentLength)
+						if n, err := io.Copy(upstream, req.Body); err != nil || n != req.ContentLength {
 							return
 						}
 					}
@@ -194,29 +194,29 @@
 		}
 	}()
 	var wg sync.WaitGroup
-	var served, refused atomic.Int64
+	var served, rejected atomic.Int64
 	for i := range 100 {
 		wg.Go(func() {
-			body := noise(uint64(i), 20<<10+i*4096)
-			conn, head := r.get(t, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(len(body))))
+			body := randomBody(uint64(i), 20<<10+i*4096)
+			conn, readHead := gateway.sendAndRead(t, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(len(body))))
 			go conn.Write(body)
-			resp := head()
+			resp := readHead()
 			got, err := io.ReadAll(resp.Body)
 			switch {
 			case resp.StatusCode == 200 && err == nil && bytes.Equal(got, body):
 				served.Add(1)
 			case (resp.StatusCode == 503 || resp.StatusCode == 429) && resp.Header.Get("Retry-After") != "":
-				refused.Add(1)
+				rejected.Add(1)
 			default:
-				t.Errorf("%d of %d bytes, status %d, %v", len(got), len(body), resp.StatusCode, err)
+				t.Errorf("received %d of %d bytes, status %d, %v", len(got), len(body), resp.StatusCode, err)
 			}
 		})
 	}
 	wg.Wait()
 	if served.Load() == 0 {
-		t.Errorf("none served, %d refused", refused.Load())
+		t.Errorf("no request served, %d rejected", rejected.Load())
 	}
-	if _, most := r.figures.bodyBudget.usage(); most > 4*minWindow {
-		t.Errorf("%d taken", most)
+	if _, peak := gateway.figures.bodyBudget.usage(); peak > 4*minWindow {
+		t.Errorf("peak of %d bytes, limit %d", peak, 4*minWindow)
 	}
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// get sends a request and reads the head of the answer when it is asked to.
-func (g *testGateway) get(t *testing.T, text string) (net.Conn, func() *http.Response) {
+// sendAndRead sends a request. The returned function reads the header of the response.
+func (g *testGateway) sendAndRead(t *testing.T, text string) (net.Conn, func() *http.Response) {
 	t.Helper()
 	conn := g.send(t, text)
 	return conn, func() *http.Response {
@@ -28,59 +28,59 @@
 	}
 }
 
-// An answer may come before the upload has ended. A good one flows beside it;
-// another ends it, and its connection is not used again.
-func TestEarlyAnswer(t *testing.T) {
+// A backend may respond before the upload has ended. The upload then ends, the backend never
+// sees a complete body, and neither connection is reused.
+func TestResponseBeforeEndOfUpload(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]struct {
-		answer string
-		status int
+	for name, test := range map[string]struct {
+		response string
+		status   int
 	}{
 		"good":        {"200 OK\r\nContent-Length: 3\r\n\r\nyes", 200},
 		"error":       {"500 No\r\nContent-Length: 0\r\n\r\n", 502},
-		"turned away": {"503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 429},
+		"unprocessed": {"503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 429},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newTestGateway(t, backend)
-			// A class that runs once: a second attempt would hide what became of the first.
-			conn, head := r.get(t, requestText("POST", "payment", "", "Content-Length", "1000000")+strings.Repeat("x", 2*maxHeldBody))
-			to, br := backend.accept(t)
-			req, err := http.ReadRequest(br)
+			gateway := newTestGateway(t, backend)
+			// A class without retries: a second attempt would hide the outcome of the first.
+			conn, readHead := gateway.sendAndRead(t, requestText("POST", "payment", "", "Content-Length", "1000000")+strings.Repeat("x", 2*maxHeldBody))
+			upstream, reader := backend.accept(t)
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				t.Fatal(err)
 			}
 			io.ReadFull(req.Body, make([]byte, maxHeldBody))
-			io.WriteString(to, "HTTP/1.1 "+c.answer)
-			if resp := head(); resp.StatusCode != c.status || !resp.Close {
-				t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
+			io.WriteString(upstream, "HTTP/1.1 "+test.response)
+			if resp := readHead(); resp.StatusCode != test.status || !resp.Close {
+				t.Errorf("status %d, want %d; close %t, want true", resp.StatusCode, test.status, resp.Close)
 			}
 			if _, err := io.Copy(io.Discard, req.Body); err == nil {
-				t.Error("the backend took the body for whole")
+				t.Error("the backend took the truncated body for complete")
 			}
 			conn.Close()
-			r.awaitMetrics(t, "app.transfers.up.ended.called_off:1|c", "app.transfers.up.open:0|g", "app.upstream_tries:0|c")
+			gateway.awaitMetrics(t, "app.transfers.up.ended.called_off:1|c", "app.transfers.up.open:0|g", "app.upstream_tries:0|c")
 			if len(backend.conns) != 0 {
-				t.Error("sent again")
+				t.Error("the request was retried")
 			}
 		})
 	}
 }
 
-// Both ways may flow at once.
-func TestAnswerFlowsBesideUpload(t *testing.T) {
+// A response is streamed while the upload of its request continues.
+func TestResponseStreamsDuringUpload(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	conn, head := r.get(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked")+"1\r\na\r\n")
-	to, br := backend.accept(t)
-	req, err := http.ReadRequest(br)
+	gateway := newTestGateway(t, backend)
+	conn, readHead := gateway.sendAndRead(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked")+"1\r\na\r\n")
+	upstream, reader := backend.accept(t)
+	req, err := http.ReadRequest(reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	resp := head()
+	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	resp := readHead()
 	for i := range 5 {
 		if i > 0 {
 			io.WriteString(conn, "1\r\na\r\n")
@@ -89,169 +89,169 @@
 		if _, err := io.ReadFull(req.Body, got); err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(to, "1\r\nb\r\n")
+		io.WriteString(upstream, "1\r\nb\r\n")
 		if _, err := io.ReadFull(resp.Body, got); err != nil || got[0] != 'b' {
-			t.Fatalf("%q %v", got, err)
+			t.Fatalf("piece %d of the response: %q, %v; want %q", i, got, err, "b")
 		}
 	}
 	io.WriteString(conn, "0\r\n\r\n")
 	if rest, err := io.ReadAll(req.Body); err != nil || len(rest) > 0 {
-		t.Errorf("%q, %v", rest, err)
+		t.Errorf("end of the upload: %q, %v", rest, err)
 	}
-	r.awaitMetrics(t, "app.in_progress:1|g")
-	io.WriteString(to, "0\r\n\r\n")
+	gateway.awaitMetrics(t, "app.in_progress:1|g")
+	io.WriteString(upstream, "0\r\n\r\n")
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) > 0 {
-		t.Errorf("%q, %v", rest, err)
+		t.Errorf("end of the response: %q, %v", rest, err)
 	}
-	r.awaitMetrics(t, "app.handled.booking.passed:1|c", "app.in_progress:0|g", "app.upstream_tries:1|c")
+	gateway.awaitMetrics(t, "app.handled.booking.passed:1|c", "app.in_progress:0|g", "app.upstream_tries:1|c")
 }
 
-// noise gives a body of its own for each seed.
-func noise(seed uint64, size int) []byte {
+// randomBody returns a body that depends on the seed.
+func randomBody(seed uint64, size int) []byte {
 	body := make([]byte, size)
 	rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)}).Read(body)
 	return body
 }
 
-// inPieces writes a body in random pieces, in chunks or not, and stops where it is
-// told to.
-func inPieces(w io.Writer, random *rand.Rand, body []byte, chunked bool, until int) {
-	for at := 0; at < until; {
-		n := min(1+random.IntN(1<<random.IntN(18)), until-at)
+// writeInPieces writes the body up to end in pieces of random size, which are chunks if
+// chunked is set.
+func writeInPieces(w io.Writer, random *rand.Rand, body []byte, chunked bool, end int) {
+	for written := 0; written < end; {
+		n := min(1+random.IntN(1<<random.IntN(18)), end-written)
 		if chunked {
-			fmt.Fprintf(w, "%x\r\n%s\r\n", n, body[at:at+n])
-		} else if _, err := w.Write(body[at : at+n]); err != nil {
+			fmt.Fprintf(w, "%x\r\n%s\r\n", n, body[written:written+n])
+		} else if _, err := w.Write(body[written : written+n]); err != nil {
 			return
 		}
-		at += n
+		written += n
 	}
-	if chunked && until == len(body) {
+	if chunked && end == len(body) {
 		io.WriteString(w, "0\r\n\r\n")
 	}
 }
 
-// Whatever its size, its framing and the pieces in which it comes, a body passes
-// to the byte, and one that breaks never passes for whole.
-func TestRandomBodies(t *testing.T) {
+// Bodies of any size, framing and piece sizes pass unchanged in both directions, and a
+// truncated body is never taken for a complete one.
+func TestRandomBodiesPassUnchanged(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
+	gateway := newTestGateway(t, backend)
 	size := func(random *rand.Rand) int { return random.IntN(1 << (1 + random.IntN(20))) }
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
-		up, down := noise(seed, size(random)), noise(seed+1000, size(random))
+		upBody, downBody := randomBody(seed, size(random)), randomBody(seed+1000, size(random))
 		upChunked, downChunked := random.IntN(2) == 0, random.IntN(2) == 0
-		upTo, downTo := len(up), len(down)
+		upEnd, downEnd := len(upBody), len(downBody)
 		switch random.IntN(4) {
 		case 0:
-			upTo = random.IntN(len(up) + 1)
+			upEnd = random.IntN(len(upBody) + 1)
 		case 1:
-			downTo = random.IntN(len(down) + 1)
+			downEnd = random.IntN(len(downBody) + 1)
 		}
-		head := func(chunked bool, body []byte) (string, string) {
+		framing := func(chunked bool, body []byte) (string, string) {
 			if chunked {
 				return "Transfer-Encoding", "chunked"
 			}
 			return "Content-Length", strconv.Itoa(len(body))
 		}
-		name, value := head(upChunked, up)
-		conn := r.send(t, requestText("POST", "payment", "", name, value))
+		name, value := framing(upChunked, upBody)
+		conn := gateway.send(t, requestText("POST", "payment", "", name, value))
 		sent := make(chan struct{})
 		go func() {
 			defer close(sent)
-			inPieces(conn, rand.New(rand.NewPCG(seed, 3)), up, upChunked, upTo)
-			if upTo < len(up) {
+			writeInPieces(conn, rand.New(rand.NewPCG(seed, 3)), upBody, upChunked, upEnd)
+			if upEnd < len(upBody) {
 				conn.Close()
 			}
 		}()
 		served := make(chan struct{})
 		go func() {
 			defer close(served)
-			var to net.Conn
+			var upstream net.Conn
 			select {
-			case to = <-backend.conns:
-			case <-sent: // a short one that breaks reaches nobody
-				if upTo < len(up) && (len(up) <= maxHeldBody || upTo <= maxHeldBody) {
+			case upstream = <-backend.conns:
+			case <-sent: // a short truncated body reaches no backend
+				if upEnd < len(upBody) && (len(upBody) <= maxHeldBody || upEnd <= maxHeldBody) {
 					select {
-					case to = <-backend.conns:
+					case upstream = <-backend.conns:
 					case <-time.After(3 * maxHoldTime):
 						return
 					}
 				} else {
-					to = <-backend.conns
+					upstream = <-backend.conns
 				}
 			}
-			defer to.Close()
-			to.SetDeadline(time.Now().Add(testTimeout))
-			req, err := http.ReadRequest(bufio.NewReader(to))
+			defer upstream.Close()
+			upstream.SetDeadline(time.Now().Add(testTimeout))
+			req, err := http.ReadRequest(bufio.NewReader(upstream))
 			if err != nil {
-				if upTo == len(up) {
-					t.Errorf("seed %d: %v", seed, err)
+				if upEnd == len(upBody) {
+					t.Errorf("seed %d: backend reads request: %v", seed, err)
 				}
 				return
 			}
 			got, err := io.ReadAll(req.Body)
-			if whole := err == nil; whole != (upTo == len(up)) || whole && !bytes.Equal(got, up) || !bytes.HasPrefix(up, got) {
-				t.Errorf("seed %d: %d bytes of %d of %d came up, %v", seed, len(got), upTo, len(up), err)
+			if complete := err == nil; complete != (upEnd == len(upBody)) || complete && !bytes.Equal(got, upBody) || !bytes.HasPrefix(upBody, got) {
+				t.Errorf("seed %d: backend received %d bytes; client sent %d of %d; %v", seed, len(got), upEnd, len(upBody), err)
 			}
 			if err != nil {
 				return
 			}
-			name, value := head(downChunked, down)
-			fmt.Fprintf(to, "HTTP/1.1 200 OK\r\nConnection: close\r\n%s: %s\r\n\r\n", name, value)
-			inPieces(to, rand.New(rand.NewPCG(seed, 4)), down, downChunked, downTo)
+			name, value := framing(downChunked, downBody)
+			fmt.Fprintf(upstream, "HTTP/1.1 200 OK\r\nConnection: close\r\n%s: %s\r\n\r\n", name, value)
+			writeInPieces(upstream, rand.New(rand.NewPCG(seed, 4)), downBody, downChunked, downEnd)
 		}()
-		if <-sent; upTo == len(up) {
+		if <-sent; upEnd == len(upBody) {
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				t.Fatalf("seed %d: %v", seed, err)
+				t.Fatalf("seed %d: client reads response: %v", seed, err)
 			}
 			got, err := io.ReadAll(resp.Body)
-			if whole := err == nil && resp.StatusCode == 200; whole != (downTo == len(down)) || whole && !bytes.Equal(got, down) {
-				t.Errorf("seed %d: status %d, %d bytes of %d of %d came down, %v", seed, resp.StatusCode, len(got), downTo, len(down), err)
+			if complete := err == nil && resp.StatusCode == 200; complete != (downEnd == len(downBody)) || complete && !bytes.Equal(got, downBody) {
+				t.Errorf("seed %d: status %d; client received %d bytes; backend sent %d of %d; %v", seed, resp.StatusCode, len(got), downEnd, len(downBody), err)
 			}
 		}
 		<-served
 		conn.Close()
 	}
-	r.awaitMetrics(t, "app.in_progress:0|g")
+	gateway.awaitMetrics(t, "app.in_progress:0|g")
 }
 
-// A transfer that ends in the time that a stop leaves ends whole.
+// A download that ends within the time of a stop completes.
 func TestStopLetsStreamsEnd(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	_, head := r.get(t, requestText("GET", "lookup", ""))
-	to, br := backend.accept(t)
-	readRequest(t, br)
-	io.WriteString(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n")
-	resp := head()
-	r.stop()
-	r.awaitReadiness(t, http.StatusServiceUnavailable)
-	io.WriteString(to, "1\r\nb\r\n0\r\n\r\n")
+	gateway := newTestGateway(t, backend)
+	_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
+	upstream, reader := backend.accept(t)
+	readRequest(t, reader)
+	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n")
+	resp := readHead()
+	gateway.stop()
+	gateway.awaitReadiness(t, http.StatusServiceUnavailable)
+	io.WriteString(upstream, "1\r\nb\r\n0\r\n\r\n")
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != "ab" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("body %q, %v; want %q", got, err, "ab")
 	}
-	if err := wait(t, r.ended, "end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := wait(t, gateway.ended, "end"); err != nil {
+		t.Errorf("gateway ended with %v", err)
 	}
 }
 
-// A stop cuts what is still flowing at its end, so that the client can tell.
+// A download that lasts longer than a stop is aborted in a way that the client notices.
 func TestStopCutsStreams(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGatewayWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
-	_, head := r.get(t, requestText("GET", "lookup", ""))
-	to, br := backend.accept(t)
-	readRequest(t, br)
-	io.WriteString(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n")
-	resp := head()
-	r.stop()
-	io.WriteString(to, "1\r\nb\r\n")
+	gateway := newTestGatewayWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
+	_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
+	upstream, reader := backend.accept(t)
+	readRequest(t, reader)
+	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n")
+	resp := readHead()
+	gateway.stop()
+	io.WriteString(upstream, "1\r\nb\r\n")
 	if got, err := io.ReadAll(resp.Body); err == nil || string(got) != "ab" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("body %q, %v; want %q and an error", got, err, "ab")
 	}
-	wait(t, r.ended, "end")
+	wait(t, gateway.ended, "end")
 }
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -13,29 +13,29 @@
 	"time"
 )
 
-// A long body reaches the backend while it still comes. Its time counts from its
-// last byte, and only then is it taken.
-func TestLongBodyGoesOnAsItComes(t *testing.T) {
+// A long body is streamed to the backend while it arrives. Its request is accepted only with
+// the last byte.
+func TestLongUploadIsStreamed(t *testing.T) {
 	t.Parallel()
-	whole := strings.Repeat("0123456789abcdef", 4*maxHeldBody/16)
+	body := strings.Repeat("0123456789abcdef", 4*maxHeldBody/16)
 	for name, chunked := range map[string]bool{"of known length": false, "in chunks": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newTestGateway(t, backend)
-			framing, value, piece, tail := "Content-Length", strconv.Itoa(len(whole)), func(s string) string { return s }, ""
+			gateway := newTestGateway(t, backend)
+			name, value, piece, tail := "Content-Length", strconv.Itoa(len(body)), func(s string) string { return s }, ""
 			if chunked {
-				framing, value = "Transfer-Encoding", "chunked"
+				name, value = "Transfer-Encoding", "chunked"
 				piece = func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 				tail = "0\r\nX-Sum: 1\r\n\r\n"
 			}
-			conn, head := r.get(t, requestText("POST", "booking", "", framing, value, "Expect", "100-continue"))
-			if resp := head(); resp.StatusCode != http.StatusContinue {
-				t.Errorf("status %d before the body", resp.StatusCode)
+			conn, readHead := gateway.sendAndRead(t, requestText("POST", "booking", "", name, value, "Expect", "100-continue"))
+			if resp := readHead(); resp.StatusCode != http.StatusContinue {
+				t.Errorf("status %d before the body, want 100", resp.StatusCode)
 			}
-			io.WriteString(conn, piece(whole[:2*maxHeldBody]))
-			_, br := backend.accept(t)
-			req, err := http.ReadRequest(br)
+			io.WriteString(conn, piece(body[:2*maxHeldBody]))
+			_, reader := backend.accept(t)
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -43,65 +43,65 @@
 			if _, err := io.ReadFull(req.Body, start); err != nil {
 				t.Fatal(err)
 			}
-			r.awaitMetrics(t, "app.in_progress:0|g", "app.upstream_tries:0|c")
-			io.WriteString(conn, piece(whole[2*maxHeldBody:])+tail)
+			gateway.awaitMetrics(t, "app.in_progress:0|g", "app.upstream_tries:0|c")
+			io.WriteString(conn, piece(body[2*maxHeldBody:])+tail)
 			rest, err := io.ReadAll(req.Body)
-			if err != nil || string(start)+string(rest) != whole {
-				t.Errorf("%d bytes of %d, %v", len(start)+len(rest), len(whole), err)
+			if err != nil || string(start)+string(rest) != body {
+				t.Errorf("backend received %d bytes of %d, %v", len(start)+len(rest), len(body), err)
 			}
-			r.awaitMetrics(t, "app.in_progress:1|g", "app.upstream_tries:1|c")
+			gateway.awaitMetrics(t, "app.in_progress:1|g", "app.upstream_tries:1|c")
 		})
 	}
 }
 
-// A body that breaks off was never a request: no backend gets it whole, and
-// nobody is blamed or asked again.
-func TestLongBodyThatBreaks(t *testing.T) {
+// A truncated upload is no request: no backend receives it complete, it is not retried, and
+// the backend is not blamed.
+func TestTruncatedUploadIsNotRetried(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	conn, _ := r.get(t, requestText("POST", "booking", "", "Content-Length", "1000000")+strings.Repeat("x", 2*maxHeldBody))
-	_, br := backend.accept(t)
-	req, err := http.ReadRequest(br)
+	gateway := newTestGateway(t, backend)
+	conn, _ := gateway.sendAndRead(t, requestText("POST", "booking", "", "Content-Length", "1000000")+strings.Repeat("x", 2*maxHeldBody))
+	_, reader := backend.accept(t)
+	req, err := http.ReadRequest(reader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	io.ReadFull(req.Body, make([]byte, maxHeldBody))
 	conn.Close()
 	if _, err := io.ReadAll(req.Body); err == nil {
-		t.Error("the backend has a whole request")
+		t.Error("the backend received a complete request")
 	}
-	r.awaitMetrics(t, "app.in_progress:0|g", "app.upstream_tries:0|c", "app.skipped_backends:0|g")
+	gateway.awaitMetrics(t, "app.in_progress:0|g", "app.upstream_tries:0|c", "app.skipped_backends:0|g")
 	if len(backend.conns) != 0 {
-		t.Error("sent again")
+		t.Error("the request was retried")
 	}
 }
 
-// A request that is given up before the end of its body has its answer at once,
-// on a connection that is then closed.
-func TestAnswerBeforeTheEndOfLongBody(t *testing.T) {
+// A request that is rejected before the end of its body gets its response at once, and its
+// connection is closed.
+func TestRejectionBeforeEndOfUpload(t *testing.T) {
 	t.Parallel()
-	r := newTestGatewayWith(t, func(text string) string {
+	gateway := newTestGatewayWith(t, func(text string) string {
 		return strings.Replace(text, `"name": "booking", "objectiveS": 10`, `"name": "booking", "objectiveS": 0.2`, 1)
 	}) // no backend
 	for status, text := range map[int]string{
 		http.StatusTooManyRequests: requestText("POST", "booking", "", "Content-Length", "1000000"),
 		http.StatusBadRequest:      requestText("POST", "booking", "", "Content-Length", "1000000", termsHeader, ""),
 	} {
-		_, head := r.get(t, text+strings.Repeat("x", maxHeldBody)) // and no more: a wait for it would end in 408
-		if resp := head(); resp.StatusCode != status || !resp.Close {
-			t.Errorf("status %d, closed %t; want %d", resp.StatusCode, resp.Close, status)
+		_, readHead := gateway.sendAndRead(t, text+strings.Repeat("x", maxHeldBody)) // a wait for the remainder would end in 408
+		if resp := readHead(); resp.StatusCode != status || !resp.Close {
+			t.Errorf("status %d, close %t; want %d, true", resp.StatusCode, resp.Close, status)
 		}
 	}
-	r.awaitMetrics(t, "app.handled.booking.dropped:1|c", "app.in_progress:0|g")
+	gateway.awaitMetrics(t, "app.handled.booking.dropped:1|c", "app.in_progress:0|g")
 }
 
-// Slow clients are told from silent ones by whether their body goes on.
-func TestSlowBody(t *testing.T) {
-	for name, c := range map[string]struct {
-		piece int
-		every time.Duration
-		lost  bool
+// An upload that stalls or falls below the minimum rate is aborted; a slow one is not.
+func TestStalledUploadIsAborted(t *testing.T) {
+	for name, test := range map[string]struct {
+		piece    int
+		interval time.Duration
+		aborted  bool
 	}{
 		"slow but steady": {64 << 10, time.Second, false},
 		"in small pieces": {640, 10 * time.Millisecond, false},
@@ -111,43 +111,43 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, p := newPipedFrontend(t)
+				front, listener := newPipedFrontend(t)
 				client, server := net.Pipe()
 				defer client.Close()
-				p.conns <- server
+				listener.conns <- server
 				const length = 480 << 10
 				io.WriteString(client, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(length)))
-				x := (<-f.loop.inbox).(requestArrived).exchange
-				begun, broke := time.Now(), make(chan time.Time, 1)
+				exch := (<-front.loop.inbox).(requestArrived).exchange
+				start, ended := time.Now(), make(chan time.Time, 1)
 				go func() {
-					var a attempt
-					x.upload.assign(&a)
+					var attempt attempt
+					exch.upload.assign(&attempt)
 					var err error
-					for at := 0; err == nil; {
+					for offset := 0; err == nil; {
 						var piece []byte
-						piece, err = x.upload.next(&a, at)
-						at += len(piece)
+						piece, err = exch.upload.next(&attempt, offset)
+						offset += len(piece)
 					}
-					if (err != io.EOF) != c.lost {
-						t.Errorf("the body ended with %v", err)
+					if (err != io.EOF) != test.aborted {
+						t.Errorf("the body ended with %v, want an abort: %t", err, test.aborted)
 					}
-					broke <- time.Now()
-					x.reply <- response{status: http.StatusTooManyRequests}
+					ended <- time.Now()
+					exch.reply <- response{status: http.StatusTooManyRequests}
 				}()
 				go io.Copy(io.Discard, client)
-				for sent := 0; sent < length; sent += c.piece {
-					if _, err := client.Write(make([]byte, min(c.piece, length-sent))); err != nil {
-						break // given up
+				for sent := 0; sent < length; sent += test.piece {
+					if _, err := client.Write(make([]byte, min(test.piece, length-sent))); err != nil {
+						break // aborted
 					}
-					time.Sleep(c.every) // of the bubble's time
+					time.Sleep(test.interval) // synctest time
 				}
-				if took := (<-broke).Sub(begun); c.lost && took > 3*time.Second {
-					t.Errorf("given up after %v", took)
+				if took := (<-ended).Sub(start); test.aborted && took > 3*time.Second {
+					t.Errorf("aborted after %v, want at most 3s", took)
 				}
 				client.Close()
-				if !c.lost {
-					if _, whole := (<-f.loop.inbox).(bodyComplete); !whole {
-						t.Error("the loop was not told of the end")
+				if !test.aborted {
+					if _, complete := (<-front.loop.inbox).(bodyComplete); !complete {
+						t.Error("the loop did not receive bodyComplete")
 					}
 				}
 			})
@@ -155,70 +155,70 @@
 	}
 }
 
-// A head may take 2 s.
-func TestSlowHead(t *testing.T) {
+// A request whose header takes 2 s to arrive is accepted.
+func TestSlowHeaderIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, p := newPipedFrontend(t)
+		front, listener := newPipedFrontend(t)
 		client, server := net.Pipe()
 		defer client.Close()
-		p.conns <- server
+		listener.conns <- server
 		text := requestText("GET", "lookup", "")
 		for _, piece := range []string{text[:1], text[1:10], text[10 : len(text)-1]} {
 			io.WriteString(client, piece)
-			time.Sleep(700 * time.Millisecond) // of the bubble's time
+			time.Sleep(700 * time.Millisecond) // synctest time
 		}
 		io.WriteString(client, text[len(text)-1:])
-		if _, ok := (<-f.loop.inbox).(requestArrived); !ok {
+		if _, ok := (<-front.loop.inbox).(requestArrived); !ok {
 			t.Error("the request did not arrive")
 		}
 	})
 }
 
-// A target with an address in it goes on without.
+// A request target in absolute form is forwarded in origin form.
 func TestOriginForm(t *testing.T) {
 	for target, want := range map[string]string{"/a/b?c=%2F": "/a/b?c=%2F", "http://x.svc/a?b": "/a?b",
 		"http://x.svc": "/", "http://x.svc?b=/c": "/?b=/c", "/a?u=http://y/z": "/a?u=http://y/z"} {
 		if got := originForm(target); got != want {
-			t.Errorf("%s: %s, want %s", target, got, want)
+			t.Errorf("originForm(%q) = %q, want %q", target, got, want)
 		}
 	}
 }
 
-// Long bodies beyond the memory for them are refused, and counted so.
-func TestNoMemoryForLongBody(t *testing.T) {
+// A long body for which there is no memory is rejected with 503 and counted as dropped.
+func TestUploadWithoutMemoryIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, p := newPipedFrontend(t)
-		f.metrics.bodyBudget.tryReserve(f.metrics.bodyBudget.total)
+		front, listener := newPipedFrontend(t)
+		front.metrics.bodyBudget.tryReserve(front.metrics.bodyBudget.total)
 		client, server := net.Pipe()
 		defer client.Close()
-		p.conns <- server
+		listener.conns <- server
 		io.WriteString(client, requestText("POST", "booking", "", "Content-Length", "1000000"))
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-			t.Fatalf("%v %v", resp, err)
+			t.Fatalf("response %v, %v; want 503 and a close", resp, err)
 		}
-		if n := f.service.Load().counts[1].dropped.Load(); n != 1 {
-			t.Errorf("%d counted as dropped", n)
+		if dropped := front.service.Load().counts[1].dropped.Load(); dropped != 1 {
+			t.Errorf("%d requests counted as dropped, want 1", dropped)
 		}
-		io.Copy(io.Discard, client) // the server closes it
+		io.Copy(io.Discard, client) // until the server closes the connection
 	})
 }
 
-// An upload without a length goes on while it drips, and its trailer behind it.
-func TestDrippingUpload(t *testing.T) {
+// A slow upload of unknown length is streamed piece by piece, and its trailer after it.
+func TestSlowChunkedUploadIsStreamed(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
-	conn, answers := r.request(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked", "Trailer", "X-Sum")+"3\r\nabc\r\n")
-	to, br := backend.accept(t)
-	req, err := http.ReadRequest(br)
+	gateway := newTestGateway(t, backend)
+	conn, responses := gateway.request(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked", "Trailer", "X-Sum")+"3\r\nabc\r\n")
+	upstream, reader := backend.accept(t)
+	req, err := http.ReadRequest(reader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"abc", "de", "fg", "h"} {
 		switch want {
 		case "de":
-			io.WriteString(conn, "4\r\nde") // the rest of the chunk comes later
+			io.WriteString(conn, "4\r\nde") // the rest of the chunk follows later
 		case "fg":
 			io.WriteString(conn, "fg\r\n")
 		case "h":
@@ -229,36 +229,36 @@
 			t.Fatalf("%q, %v; want %q", got, err, want)
 		}
 	}
-	r.awaitMetrics(t, "app.transfers.up.open:1|g")
+	gateway.awaitMetrics(t, "app.transfers.up.open:1|g")
 	io.WriteString(conn, "0\r\nX-Sum: 8\r\n\r\n")
 	if rest, err := io.ReadAll(req.Body); err != nil || len(rest) > 0 || req.Trailer.Get("X-Sum") != "8" {
-		t.Errorf("%q, %v, trailer %v", rest, err, req.Trailer)
+		t.Errorf("end of the body: %q, %v, trailer %v", rest, err, req.Trailer)
 	}
-	io.WriteString(to, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
-		t.Errorf("status %d", resp.StatusCode)
+	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
+		t.Errorf("status %d, want 200", resp.StatusCode)
 	}
-	r.awaitMetrics(t, "app.transfers.up.open:0|g", "app.transfers.up.ended.whole:1|c", "app.upstream_tries:1|c")
+	gateway.awaitMetrics(t, "app.transfers.up.open:0|g", "app.transfers.up.ended.whole:1|c", "app.upstream_tries:1|c")
 }
 
-// A second request goes out on a connection whose upload has flowed to its end.
-func TestStreamedUploadLeavesItsConnection(t *testing.T) {
+// Both connections are reused after a streamed upload has completed.
+func TestConnectionIsReusedAfterStreamedUpload(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newTestGateway(t, backend)
+	gateway := newTestGateway(t, backend)
 	body := strings.Repeat("x", 2*maxHeldBody)
-	conn := r.send(t, requestText("POST", "booking", body))
-	to, br := backend.accept(t)
+	conn := gateway.send(t, requestText("POST", "booking", body))
+	upstream, reader := backend.accept(t)
 	for range 3 {
-		if _, got := readRequest(t, br); string(got) != body {
-			t.Fatalf("%d bytes", len(got))
+		if _, got := readRequest(t, reader); string(got) != body {
+			t.Fatalf("backend received %d bytes, want %d", len(got), len(body))
 		}
-		io.WriteString(to, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		io.WriteString(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != 200 || resp.Close {
-			t.Fatalf("%v %v", resp, err)
+			t.Fatalf("response %v, %v; want 200 without a close", resp, err)
 		}
-		r.awaitMetrics(t, "app.in_progress:0|g", "app.transfers.up.open:0|g")
+		gateway.awaitMetrics(t, "app.in_progress:0|g", "app.transfers.up.open:0|g")
 		io.WriteString(conn, requestText("POST", "booking", body))
 	}
 }
