--- a/internal/registry/agreed.go
+++ b/internal/registry/agreed.go
@@ -36,14 +36,14 @@
 
 // NewAgreed serves a list that a group agrees on, at an address that others know. It
 // writes nothing until the group says that it does.
-func NewGroupMember(self string, limits Limits, serves ServerLimits, began time.Time, random *rand.Rand) *Server {
-	s := NewWriter(self, newStore(limits, 0), serves, began, random)
-	s.replicated = &replicated{historyName: fmt.Sprintf("%016x", random.Uint64())}
-	s.store.EnableStaging()
-	nobody := ""
-	s.writer.Store(&nobody)
-	s.persister = &persister{server: s, requests: make(chan *pendingWrite), snapshotDone: make(chan error, 1)}
-	return s
+func NewGroupMember(selfAddress string, limits Limits, serverLimits ServerLimits, startedAt time.Time, random *rand.Rand) *Server {
+	server := NewWriter(selfAddress, newStore(limits, 0), serverLimits, startedAt, random)
+	server.replicated = &replicated{historyName: fmt.Sprintf("%016x", random.Uint64())}
+	server.store.EnableStaging()
+	noWriter := ""
+	server.writer.Store(&noWriter)
+	server.persister = &persister{server: server, requests: make(chan *pendingWrite), snapshotDone: make(chan error, 1)}
+	return server
 }
 
 // Agree names the group. It comes before Serve.
@@ -69,10 +69,10 @@
 // SetWriter tells who writes: this member or another, by its list service's address,
 // which is empty for nobody that is known. A member that begins to write has applied all
 // that was agreed on before.
-func (s *Server) SetWriter(here bool, address string) {
+func (s *Server) SetWriter(isSelf bool, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !here {
+	if !isSelf {
 		if s.store.isWriter {
 			s.store.isWriter = false
 			s.store.DropStaged() // what is staged comes by the group, or never
@@ -91,14 +91,14 @@
 // keeper does it, between two batches.
 func (s *Server) beginHistory() {
 	s.mu.Lock()
-	begins := s.store.isWriter && s.store.history == ""
+	due := s.store.isWriter && s.store.history == ""
 	s.mu.Unlock()
-	if !begins {
+	if !due {
 		return
 	}
-	b := Begin{History: s.replicated.historyName, Version: time.Now().UnixMilli(), Epoch: 1}
-	b.BaseVersion = b.Version
-	if err := s.replicated.group.Append([][]byte{encodeRecord(Record{Begin: &b})}); err != nil {
+	begin := Begin{History: s.replicated.historyName, Version: time.Now().UnixMilli(), Epoch: 1}
+	begin.BaseVersion = begin.Version
+	if err := s.replicated.group.Append([][]byte{encodeRecord(Record{Begin: &begin})}); err != nil {
 		slog.Warn("no history was begun", "error", err) // it is tried again, here or by who writes next
 	}
 }
@@ -108,25 +108,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	for _, text := range records {
-		r, err := ParseRecord(text)
+	for _, encoded := range records {
+		record, err := ParseRecord(encoded)
 		switch {
 		case err != nil:
-		case r.Begin != nil && s.store.history != "":
+		case record.Begin != nil && s.store.history != "":
 			continue // another has begun it
-		case r.Change != nil && r.Change.Version != s.store.version+1:
+		case record.Change != nil && record.Change.Version != s.store.version+1:
 			// All members see the same, and leave it out.
-			err = fmt.Errorf("a change to version %d where the list is at %d", r.Change.Version, s.store.version)
+			err = fmt.Errorf("a change to version %d where the list is at %d", record.Change.Version, s.store.version)
 		default:
-			writes := s.store.isWriter
-			err = s.store.Restore(now, r)
-			s.store.isWriter = writes
-			if r.Begin != nil && err == nil {
+			isWriter := s.store.isWriter
+			err = s.store.Restore(now, record)
+			s.store.isWriter = isWriter
+			if record.Begin != nil && err == nil {
 				// It may have begun long ago, and be applied again by a process that starts.
-				age := time.Duration(time.Now().UnixMilli()-r.Begin.Version) * time.Millisecond
+				age := time.Duration(time.Now().UnixMilli()-record.Begin.Version) * time.Millisecond
 				wait := min(max(s.store.limits.Lease-age, 0), s.store.limits.Lease)
 				s.store.gatheringUntil = now + wait
-				slog.Info("a history", "name", r.Begin.History, "version", r.Begin.Version, "reads_in", wait)
+				slog.Info("a history", "name", record.Begin.History, "version", record.Begin.Version, "reads_in", wait)
 			}
 		}
 		if err != nil {
@@ -137,17 +137,17 @@
 }
 
 // Sights are what records of the list say of backends.
-func (s *Server) BackendStates(records [][]byte) (all []budget.BackendState) {
-	for _, text := range records {
-		r, err := ParseRecord(text)
-		if err != nil || r.Change == nil {
+func (s *Server) BackendStates(records [][]byte) (states []budget.BackendState) {
+	for _, encoded := range records {
+		record, err := ParseRecord(encoded)
+		if err != nil || record.Change == nil {
 			continue
 		}
-		if i, err := r.Change.instance(); err == nil {
-			all = append(all, backendState(i))
+		if instance, err := record.Change.instance(); err == nil {
+			states = append(states, backendState(instance))
 		}
 	}
-	return all
+	return states
 }
 
 // SaveList returns the list for a snapshot of the group's.
@@ -157,11 +157,11 @@
 	if s.store.history == "" {
 		return nil
 	}
-	for _, r := range s.store.SnapshotRecords() {
-		if r.Begin != nil {
-			r.Begin.Writer = false // of a member, not of the list
+	for _, record := range s.store.SnapshotRecords() {
+		if record.Begin != nil {
+			record.Begin.Writer = false // of a member, not of the list
 		}
-		lines = append(lines, encodeRecord(r))
+		lines = append(lines, encodeRecord(record))
 	}
 	return lines
 }
@@ -171,18 +171,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	next := newStore(s.store.limits, now)
-	for _, text := range lines {
-		r, err := ParseRecord(text)
+	store := newStore(s.store.limits, now)
+	for _, encoded := range lines {
+		record, err := ParseRecord(encoded)
 		if err == nil {
-			err = next.Restore(now, r)
+			err = store.Restore(now, record)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	next.isWriter, next.staging, next.stats = s.store.isWriter, true, s.store.stats
-	s.store = next
+	store.isWriter, store.staging, store.stats = s.store.isWriter, true, s.store.stats
+	s.store = store
 	s.wake()
 	return nil
 }
@@ -195,42 +195,42 @@
 	if s.store.history == "" {
 		return nil // none has begun
 	}
-	b := Begin{History: s.replicated.historyName, Version: max(time.Now().UnixMilli(), s.store.version+1), Epoch: s.store.epoch + 1}
-	b.BaseVersion = b.Version
-	return s.store.Restore(s.now(), Record{Begin: &b})
+	begin := Begin{History: s.replicated.historyName, Version: max(time.Now().UnixMilli(), s.store.version+1), Epoch: s.store.epoch + 1}
+	begin.BaseVersion = begin.Version
+	return s.store.Restore(s.now(), Record{Begin: &begin})
 }
 
 // TakeOver puts a list in this one's place: a writer's with its history, a follower's copy
 // under a new one, as its writer may have told readers more than it has copied.
-func (s *Server) TakeOver(from *Store) (copied bool, err error) {
-	if from.fence != nil {
-		return false, fmt.Errorf("another, %s, has taken this writer's place", from.fence.Writer)
+func (s *Server) TakeOver(source *Store) (copied bool, err error) {
+	if source.fence != nil {
+		return false, fmt.Errorf("another, %s, has taken this writer's place", source.fence.Writer)
 	}
 	var lines [][]byte
-	for _, r := range from.SnapshotRecords() {
-		if r.Begin != nil {
-			r.Begin.Writer = false
+	for _, record := range source.SnapshotRecords() {
+		if record.Begin != nil {
+			record.Begin.Writer = false
 		}
-		lines = append(lines, encodeRecord(r))
+		lines = append(lines, encodeRecord(record))
 	}
-	if err := s.RestoreList(lines); err != nil || from.isWriter {
+	if err := s.RestoreList(lines); err != nil || source.isWriter {
 		return false, err
 	}
 	return true, s.StartHistory()
 }
 
 // AllSights are how the list has all its backends.
-func (s *Server) AllBackendStates() (all []budget.BackendState) {
+func (s *Server) AllBackendStates() (states []budget.BackendState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(s.store.entries)) {
-		all = append(all, backendState(s.store.entries[id].Instance))
+		states = append(states, backendState(s.store.entries[id].Instance))
 	}
-	return all
+	return states
 }
 
-func backendState(i Instance) budget.BackendState {
-	return budget.BackendState{ID: i.ID, Zone: i.Zone, Weight: i.Weight, Incarnation: strconv.FormatInt(i.StartedAtMs, 10), Ready: i.Lifecycle == Ready}
+func backendState(instance Instance) budget.BackendState {
+	return budget.BackendState{ID: instance.ID, Zone: instance.Zone, Weight: instance.Weight, Incarnation: strconv.FormatInt(instance.StartedAtMs, 10), Ready: instance.Lifecycle == Ready}
 }
 
 // refuseElsewhere turns away what only the writer does. The caller has the lock.
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -70,8 +70,8 @@
 }
 
 // NewClient calls heard, one at a time, with each answer that tells something new.
-func NewClient(addresses []string, random *rand.Rand, heard func(Update)) *Client {
-	return &Client{feed: NewFeed(addresses, random), onUpdate: heard, scopesSignal: make(chan struct{}, 1), watchWait: watchWait, answerLimit: DefaultAnswerLimit,
+func NewClient(addresses []string, random *rand.Rand, onUpdate func(Update)) *Client {
+	return &Client{feed: NewFeed(addresses, random), onUpdate: onUpdate, scopesSignal: make(chan struct{}, 1), watchWait: watchWait, answerLimit: DefaultAnswerLimit,
 		http: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
@@ -96,15 +96,15 @@
 // takeScopes puts the scopes that SetScopes has named in force.
 func (c *Client) applyScopes() {
 	c.mu.Lock()
-	wanted, rescoped := c.wanted, c.scopesChanged
+	wanted, scopesChanged := c.wanted, c.scopesChanged
 	c.scopesChanged = false
 	c.mu.Unlock()
-	if !rescoped {
+	if !scopesChanged {
 		return
 	}
-	news := c.feed.SetScopes(wanted)
-	if len(news.Instances) > 0 {
-		c.onUpdate(Update{Listing: Listing{Generation: news.Generation}, Changes: news, History: c.feed.history, Unknown: c.feed.Unknown()})
+	changes := c.feed.SetScopes(wanted)
+	if len(changes.Instances) > 0 {
+		c.onUpdate(Update{Listing: Listing{Generation: changes.Generation}, Changes: changes, History: c.feed.history, Unknown: c.feed.Unknown()})
 	}
 }
 
@@ -119,84 +119,84 @@
 }
 
 // Run follows the list until ctx ends, from other addresses when moves has some.
-func (c *Client) Run(ctx context.Context, moves <-chan []string) {
+func (c *Client) Run(ctx context.Context, addressChanges <-chan []string) {
 	defer c.http.CloseIdleConnections()
-	var complained, rescopedAt time.Time
+	var lastWarning, scopesChangedAt time.Time
 	for ctx.Err() == nil {
 		c.applyScopes()
-		ask := c.feed.Next()
-		calling, cancel := context.WithCancel(ctx)
-		ended := make(chan readResult, 1)
-		go func() { ended <- c.read(calling, ask) }()
-		var a readResult
-		var moved []string
-		var rescope chan struct{}
-		if ask.IsLongPoll() {
-			rescope = c.scopesSignal // other calls are answered soon, and scopes that change often must not keep them from that
+		request := c.feed.Next()
+		callContext, cancel := context.WithCancel(ctx)
+		results := make(chan readResult, 1)
+		go func() { results <- c.read(callContext, request) }()
+		var result readResult
+		var addresses []string
+		var scopesSignal chan struct{}
+		if request.IsLongPoll() {
+			scopesSignal = c.scopesSignal // other calls are answered soon, and scopes that change often must not keep them from that
 		}
 		select {
-		case a = <-ended:
-		case moved = <-moves:
+		case result = <-results:
+		case addresses = <-addressChanges:
 			cancel()
-			<-ended
-		case <-rescope:
+			<-results
+		case <-scopesSignal:
 			cancel()
-			<-ended
-			c.sleep(ctx, minScopeChangeInterval-time.Since(rescopedAt), moves)
-			rescopedAt = time.Now()
+			<-results
+			c.sleep(ctx, minScopeChangeInterval-time.Since(scopesChangedAt), addressChanges)
+			scopesChangedAt = time.Now()
 			continue
 		}
 		cancel()
 		switch {
 		case ctx.Err() != nil:
 			return
-		case moved != nil:
-			c.feed.SetAddresses(moved)
+		case addresses != nil:
+			c.feed.SetAddresses(addresses)
 			continue
-		case a.err == nil:
-			if a.err = c.handleAnswer(ask, a); a.err == nil {
+		case result.err == nil:
+			if result.err = c.handleAnswer(request, result); result.err == nil {
 				continue
 			}
 		}
-		if time.Since(complained) > warningInterval {
-			complained = time.Now()
-			slog.Warn("list service", "address", ask.Address, "error", a.err)
+		if time.Since(lastWarning) > warningInterval {
+			lastWarning = time.Now()
+			slog.Warn("list service", "address", request.Address, "error", result.err)
 		}
 		c.http.CloseIdleConnections()
-		c.sleep(ctx, c.feed.Failed(a.retryAfter), moves)
+		c.sleep(ctx, c.feed.Failed(result.retryAfter), addressChanges)
 	}
 }
 
 // pause waits for the next call, or until there are other addresses.
-func (c *Client) sleep(ctx context.Context, pause time.Duration, moves <-chan []string) {
-	wait := time.NewTimer(pause)
-	defer wait.Stop()
+func (c *Client) sleep(ctx context.Context, delay time.Duration, addressChanges <-chan []string) {
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case moved := <-moves:
-			c.feed.SetAddresses(moved)
+		case addresses := <-addressChanges:
+			c.feed.SetAddresses(addresses)
 			return
 		case <-c.scopesSignal:
 			c.applyScopes() // what is dropped is told at once; the call for what is new keeps to the pause
-		case <-wait.C:
+		case <-timer.C:
 			return
 		}
 	}
 }
 
 // take hands on what an answer tells.
-func (c *Client) handleAnswer(ask ReadRequest, a readResult) error {
-	before := c.feed.Unknown()
-	news, err := c.feed.AnsweredTo(ask, a.listing, a.history, a.age)
+func (c *Client) handleAnswer(request ReadRequest, result readResult) error {
+	unknownBefore := c.feed.Unknown()
+	changes, err := c.feed.AnsweredTo(request, result.listing, result.history, result.age)
 	if err != nil {
 		return err
 	}
-	c.currentAt.Store(time.Now().Add(-a.age).UnixNano())
+	c.currentAt.Store(time.Now().Add(-result.age).UnixNano())
 	unknown := c.feed.Unknown()
-	if news.Reset || len(news.Instances) > 0 || news.Generation != ask.Since || !ask.IsLongPoll() || !slices.Equal(before, unknown) {
-		c.onUpdate(Update{a.listing, news, a.history, a.epoch, ask.Scopes, unknown})
+	if changes.Reset || len(changes.Instances) > 0 || changes.Generation != request.Since || !request.IsLongPoll() || !slices.Equal(unknownBefore, unknown) {
+		c.onUpdate(Update{result.listing, changes, result.history, result.epoch, request.Scopes, unknown})
 	}
 	return nil
 }
@@ -204,41 +204,41 @@
 // Age is how old the list may be: how long ago the last answer came and, of a follower's
 // answer, how old that was. Below 0: none has come.
 func (c *Client) Age() time.Duration {
-	at := c.currentAt.Load()
-	if at == 0 {
+	currentAt := c.currentAt.Load()
+	if currentAt == 0 {
 		return -1
 	}
-	return time.Since(time.Unix(0, at))
+	return time.Since(time.Unix(0, currentAt))
 }
 
 // ask makes a call. A service that does not know its scopes by their id is told them.
-func (c *Client) read(ctx context.Context, a ReadRequest) readResult {
-	limit := listTimeout
-	if a.IsLongPoll() {
-		limit = c.watchWait + watchGrace
+func (c *Client) read(ctx context.Context, request ReadRequest) readResult {
+	timeout := listTimeout
+	if request.IsLongPoll() {
+		timeout = c.watchWait + watchGrace
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	got, known := c.fetch(ctx, a)
+	result, known := c.fetch(ctx, request)
 	if known {
-		return got
+		return result
 	}
-	sets := []*ScopeSet{a.Scopes}
-	if a.Held != nil && !a.Held.equal(a.Scopes) {
-		sets = append(sets, a.Held)
+	sets := []*ScopeSet{request.Scopes}
+	if request.Held != nil && !request.Held.equal(request.Scopes) {
+		sets = append(sets, request.Held)
 	}
 	for _, set := range sets {
-		if err := c.subscribe(ctx, a.Address, set); err != nil {
+		if err := c.subscribe(ctx, request.Address, set); err != nil {
 			return readResult{err: err}
 		}
 	}
-	got, _ = c.fetch(ctx, a)
-	return got
+	result, _ = c.fetch(ctx, request)
+	return result
 }
 
 // list asks for a list, and says whether the service knows the scopes.
-func (c *Client) fetch(ctx context.Context, a ReadRequest) (got readResult, known bool) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.Address+Path+a.queryString(c.watchWait), nil)
+func (c *Client) fetch(ctx context.Context, request ReadRequest) (result readResult, known bool) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+request.Address+Path+request.queryString(c.watchWait), nil)
 	if err != nil {
 		return readResult{err: err}, true
 	}
@@ -247,7 +247,7 @@
 		return readResult{err: err}, true
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode == http.StatusOK && resp.Header.Get(SubscriptionHeader) != a.Scopes.ID() {
+	if resp.StatusCode == http.StatusOK && resp.Header.Get(SubscriptionHeader) != request.Scopes.ID() {
 		return readResult{err: errScopesUnsupported}, true // its body is left, which may be all of a long list
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.answerLimit+1))
@@ -258,53 +258,53 @@
 		return readResult{err: fmt.Errorf("the list has more than %d bytes", c.answerLimit)}, true
 	case resp.StatusCode != http.StatusOK:
 		return readResult{retryAfter: parseRetryAfter(resp), err: fmt.Errorf("status %s: %.200s", resp.Status, body)},
-			a.Scopes == nil || resp.StatusCode != http.StatusNotFound
+			request.Scopes == nil || resp.StatusCode != http.StatusNotFound
 	}
-	if got.listing, got.err = ParseListing(body); got.err != nil {
-		return readResult{err: got.err}, true
+	if result.listing, result.err = ParseListing(body); result.err != nil {
+		return readResult{err: result.err}, true
 	}
-	if a.Full {
-		got.listing.Reset = true // a call without a version is answered with all there are
+	if request.Full {
+		result.listing.Reset = true // a call without a version is answered with all there are
 	}
 	if ms, err := strconv.ParseInt(resp.Header.Get(AgeHeader), 10, 64); err == nil && ms > 0 {
-		got.age = time.Duration(min(ms, maxRetryAfterHonored.Milliseconds())) * time.Millisecond
+		result.age = time.Duration(min(ms, maxRetryAfterHonored.Milliseconds())) * time.Millisecond
 	}
 	if n, err := strconv.ParseInt(resp.Header.Get(EpochHeader), 10, 64); err == nil && n > 0 {
-		got.epoch = n
+		result.epoch = n
 	}
-	got.history = resp.Header.Get(HistoryHeader)
-	return got, true
+	result.history = resp.Header.Get(HistoryHeader)
+	return result, true
 }
 
 // query is the part of a call's address that says what is asked for, and for how long the
 // service may wait for it where the call waits.
-func (a ReadRequest) queryString(wait time.Duration) string {
-	if !a.IsLongPoll() {
-		wait = 0
+func (r ReadRequest) queryString(longPoll time.Duration) string {
+	if !r.IsLongPoll() {
+		longPoll = 0
 	}
-	var parts []string
-	if a.Scopes != nil {
-		parts = append(parts, subscriptionParameter+"="+a.Scopes.ID())
+	var parameters []string
+	if r.Scopes != nil {
+		parameters = append(parameters, subscriptionParameter+"="+r.Scopes.ID())
 	}
-	if !a.Full {
-		if a.Held != nil && !a.Held.equal(a.Scopes) {
-			parts = append(parts, heldParameter+"="+a.Held.ID())
+	if !r.Full {
+		if r.Held != nil && !r.Held.equal(r.Scopes) {
+			parameters = append(parameters, heldParameter+"="+r.Held.ID())
 		}
-		parts = append(parts, fmt.Sprintf("since=%d&timeout_ms=%d&history=%s", a.Since, wait.Milliseconds(), url.QueryEscape(a.History)))
+		parameters = append(parameters, fmt.Sprintf("since=%d&timeout_ms=%d&history=%s", r.Since, longPoll.Milliseconds(), url.QueryEscape(r.History)))
 	}
-	if len(parts) == 0 {
+	if len(parameters) == 0 {
 		return ""
 	}
-	return "?" + strings.Join(parts, "&")
+	return "?" + strings.Join(parameters, "&")
 }
 
 // subscribe tells a service a set of scopes.
 func (c *Client) subscribe(ctx context.Context, address string, set *ScopeSet) error {
-	text, err := json.Marshal(subscriptionCall{Scopes: set.Strings()})
+	payload, err := json.Marshal(subscriptionRequest{Scopes: set.Strings()})
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+SubscriptionsPath, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+SubscriptionsPath, bytes.NewReader(payload))
 	if err != nil {
 		return err
 	}
@@ -329,9 +329,9 @@
 
 // advisedPause is how long a service asks a caller to wait.
 func parseRetryAfter(resp *http.Response) time.Duration {
-	after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	if !(after > 0) {
+	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+	if !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(after, maxRetryAfterHonored.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfterHonored.Seconds()) * float64(time.Second))
 }
--- a/internal/registry/control.go
+++ b/internal/registry/control.go
@@ -35,7 +35,7 @@
 	mux.HandleFunc("GET /control/counters", func(w http.ResponseWriter, _ *http.Request) { s.writeMetrics(w) })
 	mux.HandleFunc("GET /control/where", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
-		where := struct {
+		position := struct {
 			History string `json:"history"`
 			Version int64  `json:"version"`
 			Epoch   int64  `json:"epoch"`
@@ -44,17 +44,17 @@
 			AgeMs   *int64 `json:"ageMs,omitempty"`
 		}{History: s.store.history, Version: s.store.version, Epoch: s.store.epoch}
 		if s.store.fence != nil {
-			where.Fenced = s.store.fence.Writer
+			position.Fenced = s.store.fence.Writer
 		}
 		s.mu.Unlock()
 		if writer := s.writer.Load(); writer != nil {
-			where.Writer = *writer
+			position.Writer = *writer
 		}
 		if s.age != nil {
 			age := s.age()
-			where.AgeMs = &age
+			position.AgeMs = &age
 		}
-		json.NewEncoder(w).Encode(where)
+		json.NewEncoder(w).Encode(position)
 	})
 	return mux
 }
@@ -62,37 +62,37 @@
 // writeFigures puts the figures out, a line each.
 func (s *Server) writeMetrics(w io.Writer) {
 	s.mu.Lock()
-	st := s.store.Stats()
+	stats := s.store.Stats()
 	subscriptions, scopes := s.subscriptions.recent.Len(), s.subscriptions.scopes
 	s.mu.Unlock()
-	f := &s.metrics
-	type line struct {
-		name string
-		n    int64
-		kind string
+	metrics := &s.metrics
+	type metric struct {
+		name  string
+		value int64
+		kind  string
 	}
-	lines := []line{{"version", st.Version, "g"}, {"instances", int64(st.Instances), "g"}, {"history", int64(st.History), "g"},
-		{"history_bytes", int64(st.Bytes), "g"}, {"watchers", f.watchers.Load(), "g"}, {"overdue", int64(st.Overdue), "g"},
-		{"registered", st.Registered, "c"}, {"renewed", st.Renewed, "c"}, {"lapsed", st.Lapsed, "c"}, {"pauses", st.Pauses, "c"},
-		{"encoded", st.ChangesEncoded, "c"}, {"joined", st.AnswersEncoded, "c"}, {"answers", f.answers.Load(), "c"},
-		{"answer_bytes", f.bytes.Load(), "c"}, {"watchers_cut", f.aborted.Load(), "c"}, {"refused", f.refused.Load(), "c"},
-		{"turned_away", f.overloaded.Load(), "c"}, {"services", int64(st.Services), "g"}, {"empty_services", int64(st.EmptyServices), "g"},
-		{"subscriptions", int64(subscriptions), "g"}, {"subscribed_scopes", int64(scopes), "g"}, {"joined_scoped", st.ScopedAnswersEncoded, "c"}}
+	lines := []metric{{"version", stats.Version, "g"}, {"instances", int64(stats.Instances), "g"}, {"history", int64(stats.History), "g"},
+		{"history_bytes", int64(stats.Bytes), "g"}, {"watchers", metrics.watchers.Load(), "g"}, {"overdue", int64(stats.Overdue), "g"},
+		{"registered", stats.Registered, "c"}, {"renewed", stats.Renewed, "c"}, {"lapsed", stats.Lapsed, "c"}, {"pauses", stats.Pauses, "c"},
+		{"encoded", stats.ChangesEncoded, "c"}, {"joined", stats.AnswersEncoded, "c"}, {"answers", metrics.answers.Load(), "c"},
+		{"answer_bytes", metrics.bytes.Load(), "c"}, {"watchers_cut", metrics.aborted.Load(), "c"}, {"refused", metrics.refused.Load(), "c"},
+		{"turned_away", metrics.overloaded.Load(), "c"}, {"services", int64(stats.Services), "g"}, {"empty_services", int64(stats.EmptyServices), "g"},
+		{"subscriptions", int64(subscriptions), "g"}, {"subscribed_scopes", int64(scopes), "g"}, {"joined_scoped", stats.ScopedAnswersEncoded, "c"}}
 	if s.age != nil {
-		lines = append(lines, line{"age_ms", s.age(), "g"})
+		lines = append(lines, metric{"age_ms", s.age(), "g"})
 	}
 	if s.persister != nil && s.persister.log != nil {
-		k := s.persister.log.Stats()
-		since := int64(-1)
-		if !k.SnapshotAt.IsZero() {
-			since = time.Since(k.SnapshotAt).Milliseconds()
+		logStats := s.persister.log.Stats()
+		snapshotAgeMs := int64(-1)
+		if !logStats.SnapshotAt.IsZero() {
+			snapshotAgeMs = time.Since(logStats.SnapshotAt).Milliseconds()
 		}
-		lines = append(lines, line{"data.syncs", k.Syncs, "c"}, line{"data.sync_us", k.SyncDuration.Microseconds(), "c"}, line{"data.longest_sync_us", k.MaxSyncDuration.Microseconds(), "g"},
-			line{"data.records", k.Records, "c"}, line{"data.no_room", k.NoSpace, "c"}, line{"data.bytes", k.Bytes, "g"}, line{"data.segments", int64(k.Segments), "g"},
-			line{"data.snapshot_bytes", k.SnapshotBytes, "g"}, line{"data.snapshot_age_ms", since, "g"}, line{"data.recovery_us", k.Recovery.Duration.Microseconds(), "g"},
-			line{"data.cut_bytes", k.Recovery.TruncatedBytes, "g"})
+		lines = append(lines, metric{"data.syncs", logStats.Syncs, "c"}, metric{"data.sync_us", logStats.SyncDuration.Microseconds(), "c"}, metric{"data.longest_sync_us", logStats.MaxSyncDuration.Microseconds(), "g"},
+			metric{"data.records", logStats.Records, "c"}, metric{"data.no_room", logStats.NoSpace, "c"}, metric{"data.bytes", logStats.Bytes, "g"}, metric{"data.segments", int64(logStats.Segments), "g"},
+			metric{"data.snapshot_bytes", logStats.SnapshotBytes, "g"}, metric{"data.snapshot_age_ms", snapshotAgeMs, "g"}, metric{"data.recovery_us", logStats.Recovery.Duration.Microseconds(), "g"},
+			metric{"data.cut_bytes", logStats.Recovery.TruncatedBytes, "g"})
 	}
-	for _, l := range lines {
-		fmt.Fprintf(w, "registry.%s:%d|%s\n", l.name, l.n, l.kind)
+	for _, line := range lines {
+		fmt.Fprintf(w, "registry.%s:%d|%s\n", line.name, line.value, line.kind)
 	}
 }
--- a/internal/registry/feed.go
+++ b/internal/registry/feed.go
@@ -85,7 +85,7 @@
 }
 
 // Waits reports whether the call may wait for changes: it asks for no new scopes.
-func (a ReadRequest) IsLongPoll() bool { return !a.Full && a.Held.equal(a.Scopes) }
+func (r ReadRequest) IsLongPoll() bool { return !r.Full && r.Held.equal(r.Scopes) }
 
 // Next returns the call to make now.
 func (f *Feed) Next() ReadRequest {
@@ -102,25 +102,25 @@
 // Answered takes a list in that came whole in answer to the call that Next returns, and
 // returns what of it is news. An error says that the list is not for this reader; it counts
 // as a failure.
-func (f *Feed) Answered(l Listing, history string, age time.Duration) (news Listing, err error) {
-	return f.AnsweredTo(f.Next(), l, history, age)
+func (f *Feed) Answered(listing Listing, history string, age time.Duration) (changes Listing, err error) {
+	return f.AnsweredTo(f.Next(), listing, history, age)
 }
 
 // AnsweredTo takes the answer to a call that an earlier Next returned. If the scopes have
 // changed since, the answer is refused, and it is no failure of the service.
-func (f *Feed) AnsweredTo(ask ReadRequest, l Listing, history string, age time.Duration) (news Listing, err error) {
+func (f *Feed) AnsweredTo(request ReadRequest, listing Listing, history string, age time.Duration) (changes Listing, err error) {
 	switch {
-	case ask.revision != f.revision:
+	case request.revision != f.revision:
 		return Listing{}, errScopesChanged
-	case f.hasList && history == f.history && l.Generation < f.version:
+	case f.hasList && history == f.history && listing.Generation < f.version:
 		return Listing{}, errOlderVersion
-	case f.hasList && history != f.history && !f.maySwitchHistory(history, l.Generation):
+	case f.hasList && history != f.history && !f.maySwitchHistory(history, listing.Generation):
 		return Listing{}, errPastHistory
-	case (!f.hasList || history != f.history) && !l.Reset:
+	case (!f.hasList || history != f.history) && !listing.Reset:
 		return Listing{}, errNoFullList
 	}
-	news = Listing{Generation: l.Generation, Reset: !f.hasList || history != f.history}
-	unknown, err := f.checkScopes(ask, l)
+	changes = Listing{Generation: listing.Generation, Reset: !f.hasList || history != f.history}
+	unknown, err := f.checkScopes(request, listing)
 	if err != nil {
 		return Listing{}, err
 	}
@@ -129,43 +129,43 @@
 			f.pastHistories = f.pastHistories[1:]
 		}
 	}
-	next := f.instances
-	if l.Reset {
-		next = make(map[string]Instance, len(l.Instances))
+	updated := f.instances
+	if listing.Reset {
+		updated = make(map[string]Instance, len(listing.Instances))
 	}
-	var told map[string]bool // the news, where instances that are missing may be among them
-	if l.Reset && !news.Reset {
-		told = make(map[string]bool, len(l.Instances))
+	var reported map[string]bool // the news, where instances that are missing may be among them
+	if listing.Reset && !changes.Reset {
+		reported = make(map[string]bool, len(listing.Instances))
 	}
-	for _, i := range l.Instances {
+	for _, instance := range listing.Instances {
 		f.compared++
-		if was, there := f.instances[i.ID]; news.Reset || !there && i.Lifecycle != Gone || there && was != i {
-			news.Instances = append(news.Instances, i)
-			if told != nil {
-				told[i.ID] = true
+		if previous, existed := f.instances[instance.ID]; changes.Reset || !existed && instance.Lifecycle != Gone || existed && previous != instance {
+			changes.Instances = append(changes.Instances, instance)
+			if reported != nil {
+				reported[instance.ID] = true
 			}
 		}
-		if next[i.ID] = i; i.Lifecycle == Gone {
-			delete(next, i.ID)
+		if updated[instance.ID] = instance; instance.Lifecycle == Gone {
+			delete(updated, instance.ID)
 		}
 	}
-	if told != nil {
-		news.Instances = appendGone(news.Instances, f.instances, func(i Instance) bool {
+	if reported != nil {
+		changes.Instances = appendGone(changes.Instances, f.instances, func(instance Instance) bool {
 			f.compared++
-			_, still := next[i.ID]
-			return !still && !told[i.ID]
+			_, remains := updated[instance.ID]
+			return !remains && !reported[instance.ID]
 		})
 	}
-	f.instances = next
-	if ask.Scopes != nil && !l.Reset && !ask.IsLongPoll() {
-		news.Instances = append(news.Instances, f.dropOutside(ask.Scopes)...)
+	f.instances = updated
+	if request.Scopes != nil && !listing.Reset && !request.IsLongPoll() {
+		changes.Instances = append(changes.Instances, f.dropOutside(request.Scopes)...)
 	}
-	f.held, f.heldAll, f.unknown = ask.Scopes, ask.Scopes == nil, unknown
-	f.hasList, f.history, f.version, f.failures = true, history, l.Generation, 0
+	f.held, f.heldAll, f.unknown = request.Scopes, request.Scopes == nil, unknown
+	f.hasList, f.history, f.version, f.failures = true, history, listing.Generation, 0
 	if age > staleAge {
 		f.nextAddress()
 	}
-	return news, nil
+	return changes, nil
 }
 
 // mayLeaveFor reports whether another history may be taken in place of the one that is had.
@@ -183,16 +183,16 @@
 
 // admit finds the scopes that the service does not know, and refuses an answer with
 // instances that were not asked for.
-func (f *Feed) checkScopes(ask ReadRequest, l Listing) (unknown []Scope, err error) {
-	if ask.Scopes == nil {
+func (f *Feed) checkScopes(request ReadRequest, listing Listing) (unknown []Scope, err error) {
+	if request.Scopes == nil {
 		return nil, nil
 	}
-	for _, i := range l.Instances {
-		if i.Lifecycle != Gone && !ask.Scopes.Matches(i) {
+	for _, i := range listing.Instances {
+		if i.Lifecycle != Gone && !request.Scopes.Matches(i) {
 			return nil, errOutOfScope
 		}
 	}
-	return ParseScopes(l.Unknown)
+	return ParseScopes(listing.Unknown)
 }
 
 // SetScopes changes the part of the list that is wanted; without scopes it is the whole
@@ -202,18 +202,18 @@
 // scope beside it: a scope may be replaced by another of the same service, and until the
 // new one is had, the old one serves. Between the whole list and scopes, all that is known
 // stays until the answer to the other. A scope within one that is held needs no call.
-func (f *Feed) SetScopes(scopes []Scope) (news Listing) {
-	news = Listing{Generation: f.version}
+func (f *Feed) SetScopes(scopes []Scope) (changes Listing) {
+	changes = Listing{Generation: f.version}
 	wanted := newScopeSet(scopes)
 	if wanted.equal(f.wanted) {
-		return news
+		return changes
 	}
 	f.wanted = wanted
 	f.revision++
 	f.unknown = slices.DeleteFunc(f.unknown, func(scope Scope) bool { return !wanted.includes(scope) })
 	if wanted == nil || f.held == nil {
 		f.held = nil
-		return news
+		return changes
 	}
 	var held []Scope
 	missing := map[string]bool{} // services of which scopes are to come
@@ -230,8 +230,8 @@
 		}
 	}
 	f.held = newScopeSet(held)
-	news.Instances = f.dropOutside(f.held)
-	return news
+	changes.Instances = f.dropOutside(f.held)
+	return changes
 }
 
 // Compared counts the instances that were looked at to tell what of the answers is news.
@@ -250,36 +250,36 @@
 }
 
 // appendGone appends, as Gone and in the order of their ids, the instances that are chosen.
-func appendGone(to []Instance, from map[string]Instance, chosen func(Instance) bool) []Instance {
-	first := len(to)
-	for _, i := range from {
-		if chosen(i) {
+func appendGone(gone []Instance, instances map[string]Instance, selected func(Instance) bool) []Instance {
+	first := len(gone)
+	for _, i := range instances {
+		if selected(i) {
 			i.Lifecycle = Gone
-			to = append(to, i)
+			gone = append(gone, i)
 		}
 	}
-	slices.SortFunc(to[first:], func(a, b Instance) int { return strings.Compare(a.ID, b.ID) })
-	return to
+	slices.SortFunc(gone[first:], func(a, b Instance) int { return strings.Compare(a.ID, b.ID) })
+	return gone
 }
 
 // Failed takes note of a call that failed, and returns how long to wait for the
 // next. A service that turned the call away may have said for how long.
-func (f *Feed) Failed(advised time.Duration) time.Duration {
+func (f *Feed) Failed(retryAfter time.Duration) time.Duration {
 	f.failures++
 	f.nextAddress()
 	if f.failures < len(f.addresses) {
 		return f.randomBetween(0, maxNextAddressDelay)
 	}
 	round := min(f.failures/len(f.addresses)-1, 16)
-	pause := min(initialBackoff<<round, maxBackoff)
-	if advised = min(advised, maxRetryAfterHonored); advised > pause {
-		return f.randomBetween(advised, advised+advised/2)
+	backoff := min(initialBackoff<<round, maxBackoff)
+	if retryAfter = min(retryAfter, maxRetryAfterHonored); retryAfter > backoff {
+		return f.randomBetween(retryAfter, retryAfter+retryAfter/2)
 	}
-	return f.randomBetween(pause/2, pause+pause/2)
+	return f.randomBetween(backoff/2, backoff+backoff/2)
 }
 
 func (f *Feed) nextAddress() { f.current = (f.current + 1) % len(f.addresses) }
 
-func (f *Feed) randomBetween(least, most time.Duration) time.Duration {
-	return least + time.Duration(f.random.Int64N(int64(most-least)+1))
+func (f *Feed) randomBetween(low, high time.Duration) time.Duration {
+	return low + time.Duration(f.random.Int64N(int64(high-low)+1))
 }
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -28,56 +28,56 @@
 // NewFollower copies the writer at an address. Until it has heard from it, reads
 // are turned away, unless it has a copy that an earlier process kept: that is
 // told, as old.
-func NewFollower(self, writer string, kept *Store, limits Limits, serves ServerLimits, began time.Time, random *rand.Rand) *Follower {
-	store := kept
+func NewFollower(selfAddress, writer string, persisted *Store, limits Limits, serverLimits ServerLimits, startedAt time.Time, random *rand.Rand) *Follower {
+	store := persisted
 	if store == nil {
 		store = newStore(limits, 0)
 		store.gatheringUntil = math.MaxInt64
 	}
-	f := &Follower{Server: NewWriter(self, store, serves, began, random), sources: make(chan []string), source: writer, promoted: make(chan struct{})}
-	f.client = NewClient([]string{writer}, rand.New(rand.NewPCG(random.Uint64(), 1)), f.applyUpdate)
-	f.client.watchWait = followerWatchWait
-	f.age = func() int64 {
-		switch age := f.client.Age(); {
+	follower := &Follower{Server: NewWriter(selfAddress, store, serverLimits, startedAt, random), sources: make(chan []string), source: writer, promoted: make(chan struct{})}
+	follower.client = NewClient([]string{writer}, rand.New(rand.NewPCG(random.Uint64(), 1)), follower.applyUpdate)
+	follower.client.watchWait = followerWatchWait
+	follower.age = func() int64 {
+		switch age := follower.client.Age(); {
 		case age >= 0:
 			return age.Milliseconds()
-		case kept != nil:
-			return (minPersistedCopyAge + f.now()).Milliseconds()
+		case persisted != nil:
+			return (minPersistedCopyAge + follower.now()).Milliseconds()
 		}
 		return -1
 	}
-	name := fmt.Sprintf("%016x", random.Uint64())
-	f.Server.promote = func() error { return f.promote(name) }
+	historyName := fmt.Sprintf("%016x", random.Uint64())
+	follower.Server.promote = func() error { return follower.promote(historyName) }
 	if store.isWriter && store.fence == nil {
-		close(f.promoted) // in an earlier life
-		return f
+		close(follower.promoted) // in an earlier life
+		return follower
 	}
-	f.writer.Store(&writer)
+	follower.writer.Store(&writer)
 	if store.isWriter {
 		// A writer that was fenced, and copies from now on.
 		store.isWriter, store.fence = false, nil
 	}
-	return f
+	return follower
 }
 
 // heard copies what the writer tells.
-func (f *Follower) applyUpdate(told Update) {
+func (f *Follower) applyUpdate(update Update) {
 	_, err := f.change(func(now time.Duration) (WriteResult, error) {
 		if f.store.isWriter || f.isStopping() {
 			return WriteResult{}, nil // promoted meanwhile, or at the end
 		}
-		if told.History != f.store.history {
-			slog.Info("history", "name", told.History, "version", told.Generation, "before", f.store.history)
+		if update.History != f.store.history {
+			slog.Info("history", "name", update.History, "version", update.Generation, "before", f.store.history)
 		}
 		f.store.gatheringUntil = 0
-		f.store.epoch = max(f.store.epoch, told.Epoch)
+		f.store.epoch = max(f.store.epoch, update.Epoch)
 		if f.persister != nil {
 			// A copy that can't be kept is served all the same.
-			if err := f.persister.persist(Record{Copy: &CopyRecord{told.History, told.Epoch, told.Listing}}); err != nil {
+			if err := f.persister.persist(Record{Copy: &CopyRecord{update.History, update.Epoch, update.Listing}}); err != nil {
 				slog.Error("the copy is not kept", "error", err)
 			}
 		}
-		return WriteResult{}, f.store.ApplyListing(now, told.Listing, told.History)
+		return WriteResult{}, f.store.ApplyListing(now, update.Listing, update.History)
 	})
 	if err != nil {
 		slog.Error("copy", "error", err)
@@ -97,21 +97,21 @@
 }
 
 // Serve answers until ctx ends.
-func (f *Follower) Serve(ctx context.Context, l, operators net.Listener) error {
-	inner, stop := context.WithCancel(context.Background())
+func (f *Follower) Serve(ctx context.Context, listener, operatorListener net.Listener) error {
+	background, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	copying, end := context.WithCancel(inner)
+	copyContext, stopCopying := context.WithCancel(background)
 	wg.Go(func() {
 		select {
 		case <-f.promoted:
-			end()
-			f.notifyOldWriter(inner, f.source)
-		case <-inner.Done():
-			end()
+			stopCopying()
+			f.notifyOldWriter(background, f.source)
+		case <-background.Done():
+			stopCopying()
 		}
 	})
-	wg.Go(func() { f.client.Run(copying, f.sources) })
-	return f.Server.Serve(ctx, l, operators)
+	wg.Go(func() { f.client.Run(copyContext, f.sources) })
+	return f.Server.Serve(ctx, listener, operatorListener)
 }
--- a/internal/registry/handlers.go
+++ b/internal/registry/handlers.go
@@ -17,7 +17,7 @@
 	mux.HandleFunc("POST "+SubscriptionsPath, s.handleSubscribe)
 	mux.HandleFunc("GET "+FencePath, s.handleFence)
 	mux.HandleFunc("POST "+FencePath, s.handleFence)
-	for pattern, f := range map[string]func(id string, r *http.Request) (WriteResult, error){
+	for pattern, write := range map[string]func(id string, r *http.Request) (WriteResult, error){
 		"PUT " + Path + "/{id}":            s.register,
 		"POST " + Path + "/{id}/renew":     s.renew,
 		"POST " + Path + "/{id}/lifecycle": s.lifecycle,
@@ -36,7 +36,7 @@
 			// A time-out of the server's own would end watches too.
 			control := http.NewResponseController(w)
 			control.SetReadDeadline(time.Now().Add(readTimeout))
-			written, err := f(r.PathValue("id"), r)
+			written, err := write(r.PathValue("id"), r)
 			if err != nil {
 				w.Header().Set("Connection", "close") // the rest of its body may still come
 				s.writeError(w, err)
@@ -65,89 +65,93 @@
 }
 
 func readWriteRequest(r *http.Request) (writeRequest, error) {
-	var c writeRequest
-	text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxRequestBytes))
-	var long *http.MaxBytesError
+	var request writeRequest
+	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxRequestBytes))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &long):
-		return c, refuse(http.StatusRequestEntityTooLarge, "a call has %d bytes at most", maxRequestBytes)
+	case errors.As(err, &tooLarge):
+		return request, refuse(http.StatusRequestEntityTooLarge, "a call has %d bytes at most", maxRequestBytes)
 	case err != nil:
-		return c, refuse(http.StatusBadRequest, "the call did not come whole")
+		return request, refuse(http.StatusBadRequest, "the call did not come whole")
 	}
-	if err := decode(text, &c); err != nil {
-		return c, refuse(http.StatusBadRequest, "%v", err)
+	if err := decode(body, &request); err != nil {
+		return request, refuse(http.StatusBadRequest, "%v", err)
 	}
-	if c.StartedAtMs == nil {
-		return c, refuse(http.StatusBadRequest, "startedAtMs is missing")
+	if request.StartedAtMs == nil {
+		return request, refuse(http.StatusBadRequest, "startedAtMs is missing")
 	}
-	return c, nil
+	return request, nil
 }
 
 func (s *Server) register(id string, r *http.Request) (WriteResult, error) {
-	c, err := readWriteRequest(r)
+	request, err := readWriteRequest(r)
 	if err != nil {
 		return WriteResult{}, err
 	}
-	i := Instance{ID: id, HostPort: c.HostPort, Zone: c.Zone, MachineType: c.MachineType, Cell: c.Cell,
-		Service: c.Service, Region: c.Region, Lifecycle: c.Lifecycle, Weight: 1, StartedAtMs: *c.StartedAtMs}
-	if c.Weight != nil {
-		i.Weight = *c.Weight
+	instance := Instance{ID: id, HostPort: request.HostPort, Zone: request.Zone, MachineType: request.MachineType, Cell: request.Cell,
+		Service: request.Service, Region: request.Region, Lifecycle: request.Lifecycle, Weight: 1, StartedAtMs: *request.StartedAtMs}
+	if request.Weight != nil {
+		instance.Weight = *request.Weight
 	}
-	return s.writeChange(func(now time.Duration) (WriteResult, error) { return s.store.Register(now, i, c.IfVersion) })
+	return s.writeChange(func(now time.Duration) (WriteResult, error) {
+		return s.store.Register(now, instance, request.IfVersion)
+	})
 }
 
 func (s *Server) renew(id string, r *http.Request) (WriteResult, error) {
-	c, err := readWriteRequest(r)
-	if err == nil && c != (writeRequest{StartedAtMs: c.StartedAtMs}) {
+	request, err := readWriteRequest(r)
+	if err == nil && request != (writeRequest{StartedAtMs: request.StartedAtMs}) {
 		err = refuse(http.StatusBadRequest, "a renewal has startedAtMs alone")
 	}
 	if err != nil {
 		return WriteResult{}, err
 	}
-	return s.writeChange(func(now time.Duration) (WriteResult, error) { return s.store.Renew(now, id, *c.StartedAtMs) })
+	return s.writeChange(func(now time.Duration) (WriteResult, error) { return s.store.Renew(now, id, *request.StartedAtMs) })
 }
 
 func (s *Server) lifecycle(id string, r *http.Request) (WriteResult, error) {
-	c, err := readWriteRequest(r)
-	if err == nil && c != (writeRequest{StartedAtMs: c.StartedAtMs, Lifecycle: c.Lifecycle, IfVersion: c.IfVersion}) {
+	request, err := readWriteRequest(r)
+	if err == nil && request != (writeRequest{StartedAtMs: request.StartedAtMs, Lifecycle: request.Lifecycle, IfVersion: request.IfVersion}) {
 		err = refuse(http.StatusBadRequest, "a change of lifecycle has lifecycle, startedAtMs and ifVersion alone")
 	}
 	if err != nil {
 		return WriteResult{}, err
 	}
 	return s.writeChange(func(now time.Duration) (WriteResult, error) {
-		return s.store.SetLifecycle(now, id, *c.StartedAtMs, c.Lifecycle, c.IfVersion)
+		return s.store.SetLifecycle(now, id, *request.StartedAtMs, request.Lifecycle, request.IfVersion)
 	})
 }
 
 func (s *Server) leave(id string, r *http.Request) (WriteResult, error) {
-	started, err := queryInteger(r, "startedAtMs", 0, maxExactInteger)
-	if err == nil && started < 0 {
+	startedAtMs, err := queryInteger(r, "startedAtMs", 0, maxExactInteger)
+	if err == nil && startedAtMs < 0 {
 		err = refuse(http.StatusBadRequest, "startedAtMs is missing")
 	}
 	if err != nil {
 		return WriteResult{}, err
 	}
-	var expect *int64
+	var expectedVersion *int64
 	if version, err := queryInteger(r, "ifVersion", 0, maxExactInteger); err != nil {
 		return WriteResult{}, err
 	} else if version >= 0 {
-		expect = &version
+		expectedVersion = &version
 	}
-	return s.writeChange(func(now time.Duration) (WriteResult, error) { return s.store.Leave(now, id, started, expect) })
+	return s.writeChange(func(now time.Duration) (WriteResult, error) {
+		return s.store.Leave(now, id, startedAtMs, expectedVersion)
+	})
 }
 
 // number reads a number of a call's query; -1: it names none.
-func queryInteger(r *http.Request, name string, least, most int64) (int64, error) {
+func queryInteger(r *http.Request, name string, minimum, maximum int64) (int64, error) {
 	values := r.URL.Query()[name]
 	if len(values) == 0 {
 		return -1, nil
 	}
-	n, err := strconv.ParseInt(values[0], 10, 64)
-	if err != nil || len(values) > 1 || n < least || n > most {
-		return -1, refuse(http.StatusBadRequest, "%s: %.40q is not a number from %d to %d", name, values[0], least, most)
+	value, err := strconv.ParseInt(values[0], 10, 64)
+	if err != nil || len(values) > 1 || value < minimum || value > maximum {
+		return -1, refuse(http.StatusBadRequest, "%s: %.40q is not a number from %d to %d", name, values[0], minimum, maximum)
 	}
-	return n, nil
+	return value, nil
 }
 
 // write gives an answer, for which a watcher has so long.
@@ -170,16 +174,16 @@
 
 // fail says in one line why a call changed nothing.
 func (s *Server) writeError(w http.ResponseWriter, err error) {
-	var r *Refusal
-	if !errors.As(err, &r) {
-		r = &Refusal{http.StatusServiceUnavailable, err.Error()}
+	var refusal *Refusal
+	if !errors.As(err, &refusal) {
+		refusal = &Refusal{http.StatusServiceUnavailable, err.Error()}
 	}
-	if r.Status == http.StatusServiceUnavailable {
+	if refusal.Status == http.StatusServiceUnavailable {
 		s.metrics.overloaded.Add(1)
 		w.Header().Set("Retry-After", strconv.FormatFloat(s.randomBetween(minRetryAfter, maxRetryAfter).Seconds(), 'f', 3, 64))
 	} else {
 		s.metrics.refused.Add(1)
 	}
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	http.Error(w, r.Text, r.Status)
+	http.Error(w, refusal.Text, refusal.Status)
 }
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -59,54 +59,54 @@
 
 // put takes a change in under its version. Meanwhile the instance has been at some
 // other placements, or at none.
-func (s *Store) applyChange(i Instance, version int64, now time.Duration, meanwhile []Placement) error {
-	text, err := json.Marshal(i)
+func (s *Store) applyChange(instance Instance, version int64, now time.Duration, interim []Placement) error {
+	encoded, err := json.Marshal(instance)
 	if err != nil {
 		return err
 	}
 	s.stats.ChangesEncoded++
-	s.applyEncoded(i, text, version, now, meanwhile)
+	s.applyEncoded(instance, encoded, version, now, interim)
 	return nil
 }
 
 // putText takes a change in whose text there is.
-func (s *Store) applyEncoded(i Instance, text []byte, version int64, now time.Duration, meanwhile []Placement) {
-	var left []Placement
-	if e := s.entries[i.ID]; e != nil {
-		left = appendPrevious(left, e.placement(), i.placement())
+func (s *Store) applyEncoded(instance Instance, encoded []byte, version int64, now time.Duration, interim []Placement) {
+	var previous []Placement
+	if existing := s.entries[instance.ID]; existing != nil {
+		previous = appendPrevious(previous, existing.placement(), instance.placement())
 	}
-	for _, p := range meanwhile {
-		left = appendPrevious(left, p, i.placement())
+	for _, p := range interim {
+		previous = appendPrevious(previous, p, instance.placement())
 		s.services.addKnown(p.Service)
 	}
-	c := newChange(i, version, text, left)
+	c := newChange(instance, version, encoded, previous)
 	s.version = version
 	s.clearCache()
-	if i.Lifecycle == Gone {
-		s.removeEntry(i.ID)
-		s.services.addKnown(i.Service)
+	if instance.Lifecycle == Gone {
+		s.removeEntry(instance.ID)
+		s.services.addKnown(instance.Service)
 	} else {
-		s.putEntry(&entry{Instance: i, version: version, encoded: text, expires: now + s.limits.Lease})
-		delete(s.gone, i.ID)
+		s.putEntry(&entry{Instance: instance, version: version, encoded: encoded, expires: now + s.limits.Lease})
+		delete(s.gone, instance.ID)
 	}
 	s.appendChange(c, c.gone)
 }
 
-func newChange(i Instance, version int64, text []byte, left []Placement) change {
-	c := change{version: version, id: i.ID, started: i.StartedAtMs, drained: i.Drained, gone: i.Lifecycle == Gone, encoded: text}
-	if i.Service != "" || len(left) > 0 {
-		c.placements = &placements{i.placement(), left}
+func newChange(instance Instance, version int64, encoded []byte, previous []Placement) change {
+	c := change{version: version, id: instance.ID, started: instance.StartedAtMs, drained: instance.Drained, gone: instance.Lifecycle == Gone, encoded: encoded}
+	if instance.Service != "" || len(previous) > 0 {
+		c.placements = &placements{instance.placement(), previous}
 	}
 	return c
 }
 
 // appendLeft adds a placement that was left for another, once. One without a service is
 // in no scope.
-func appendPrevious(left []Placement, from, to Placement) []Placement {
-	if from.Service == "" || from == to || slices.Contains(left, from) {
-		return left
+func appendPrevious(previous []Placement, from, to Placement) []Placement {
+	if from.Service == "" || from == to || slices.Contains(previous, from) {
+		return previous
 	}
-	return append(left, from)
+	return append(previous, from)
 }
 
 // remember puts a change into the history, which forgets the oldest for it, and with one
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -142,13 +142,13 @@
 }
 
 // decode reads one JSON value, of known fields and with nothing behind it.
-func decode(text []byte, v any) error {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(v); err != nil {
+func decode(text []byte, value any) error {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(value); err != nil {
 		return fmt.Errorf("not such a call: %w", err)
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := decoder.Token(); err != io.EOF {
 		return errors.New("not such a call: something stands behind it")
 	}
 	return nil
@@ -156,28 +156,28 @@
 
 // ParseListing reads a list. One that can't be read whole is none.
 func ParseListing(text []byte) (Listing, error) {
-	var l Listing
-	if err := json.Unmarshal(text, &l); err != nil {
+	var listing Listing
+	if err := json.Unmarshal(text, &listing); err != nil {
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
-	if l.Generation < 0 || l.Generation > maxExactInteger {
-		return Listing{}, fmt.Errorf("list: generation %d is out of range", l.Generation)
+	if listing.Generation < 0 || listing.Generation > maxExactInteger {
+		return Listing{}, fmt.Errorf("list: generation %d is out of range", listing.Generation)
 	}
-	ids := make([]string, 0, len(l.Instances))
-	for _, i := range l.Instances {
-		if err := i.check(); err != nil {
+	ids := make([]string, 0, len(listing.Instances))
+	for _, instance := range listing.Instances {
+		if err := instance.check(); err != nil {
 			return Listing{}, fmt.Errorf("list: %w", err)
 		}
-		ids = append(ids, i.ID)
+		ids = append(ids, instance.ID)
 	}
 	slices.Sort(ids)
-	if len(slices.Compact(ids)) != len(l.Instances) {
+	if len(slices.Compact(ids)) != len(listing.Instances) {
 		return Listing{}, errors.New("list: an instance stands there twice")
 	}
-	if err := l.checkScoped(); err != nil {
+	if err := listing.checkScoped(); err != nil {
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
-	return l, nil
+	return listing, nil
 }
 
 // checkScoped reports what is wrong with the parts of a list that scopes need.
--- a/internal/registry/keeper.go
+++ b/internal/registry/keeper.go
@@ -45,30 +45,30 @@
 
 // Open reads a folder and takes up what it has, or begins with nothing. The store
 // is nil where the folder is new.
-func Open(fs wal.FS, most int64, limits Limits, now time.Duration) (*wal.Log, *Store, error) {
+func Open(fs wal.FS, maxBytes int64, limits Limits, now time.Duration) (*wal.Log, *Store, error) {
 	store := newStore(limits, now)
-	any := false
-	restore := func(text []byte) error {
-		r, err := ParseRecord(text)
+	found := false
+	restore := func(encoded []byte) error {
+		record, err := ParseRecord(encoded)
 		if err != nil {
 			return err
 		}
-		any = true
-		return store.Restore(now, r)
+		found = true
+		return store.Restore(now, record)
 	}
 	const segments = 16 // files that the log is in, about, when it is full
-	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(2*maxBatchBytes, most/segments), MaxBytes: most},
-		wal.Visitor{Snapshot: restore, Record: func(_ uint64, text []byte) error { return restore(text) }})
+	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(2*maxBatchBytes, maxBytes/segments), MaxBytes: maxBytes},
+		wal.Visitor{Snapshot: restore, Record: func(_ uint64, encoded []byte) error { return restore(encoded) }})
 	if err != nil {
 		return nil, nil, err
 	}
-	r := log.Stats().Recovery
-	slog.Info("data read", "took", r.Duration, "snapshot", r.Snapshot, "snapshot_records", r.SnapshotRecords, "records", r.Records, "bytes", r.Bytes+r.SnapshotBytes,
-		"history", store.history, "version", store.version, "instances", len(store.entries), "closed", r.Closed)
-	if r.TruncatedBytes > 0 {
-		slog.Warn("a torn end was cut", "file", r.TruncatedFile, "at", r.TruncatedAt, "bytes", r.TruncatedBytes)
+	recovery := log.Stats().Recovery
+	slog.Info("data read", "took", recovery.Duration, "snapshot", recovery.Snapshot, "snapshot_records", recovery.SnapshotRecords, "records", recovery.Records, "bytes", recovery.Bytes+recovery.SnapshotBytes,
+		"history", store.history, "version", store.version, "instances", len(store.entries), "closed", recovery.Closed)
+	if recovery.TruncatedBytes > 0 {
+		slog.Warn("a torn end was cut", "file", recovery.TruncatedFile, "at", recovery.TruncatedAt, "bytes", recovery.TruncatedBytes)
 	}
-	if !any {
+	if !found {
 		return log, nil, nil
 	}
 	return log, store, nil
@@ -80,8 +80,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if fresh {
-		b := Begin{History: s.store.history, Version: s.store.version, BaseVersion: s.store.baseVersion, Epoch: s.store.epoch, Writer: true}
-		if _, err := log.Append([][]byte{encodeRecord(Record{Begin: &b})}); err != nil {
+		begin := Begin{History: s.store.history, Version: s.store.version, BaseVersion: s.store.baseVersion, Epoch: s.store.epoch, Writer: true}
+		if _, err := log.Append([][]byte{encodeRecord(Record{Begin: &begin})}); err != nil {
 			return err
 		}
 	}
@@ -96,58 +96,58 @@
 }
 
 // do makes a call and waits until what it changes lasts.
-func (k *persister) submit(f func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
-	c := &pendingWrite{apply: f, done: make(chan struct{})}
-	late := time.NewTimer(persistTimeout)
-	defer late.Stop()
+func (k *persister) submit(apply func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
+	write := &pendingWrite{apply: apply, done: make(chan struct{})}
+	timer := time.NewTimer(persistTimeout)
+	defer timer.Stop()
 	select {
-	case k.requests <- c:
-	case <-late.C:
+	case k.requests <- write:
+	case <-timer.C:
 		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the disk does not keep up")
 	case <-k.server.persisterDone:
 		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the service has ended")
 	}
 	select {
-	case <-c.done:
-		return c.written, c.err
-	case <-late.C:
+	case <-write.done:
+		return write.written, write.err
+	case <-timer.C:
 		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the disk does not answer; the change may be kept")
 	}
 }
 
 // run keeps changes until ctx ends or the log fails.
 func (k *persister) run(ctx context.Context) error {
-	tick := time.NewTicker(tickInterval)
-	defer tick.Stop()
-	var waiting []*pendingWrite
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	var pending []*pendingWrite
 	for {
-		if len(waiting) == 0 {
+		if len(pending) == 0 {
 			select {
 			case <-ctx.Done():
 				return nil
 			case err := <-k.snapshotDone:
 				k.finishSnapshot(err)
 				continue
-			case <-tick.C:
+			case <-ticker.C:
 				if k.server.replicated != nil {
 					k.server.beginHistory()
 				}
-				waiting = append(waiting, k.tick())
-			case c := <-k.requests:
-				waiting = append(waiting, c)
+				pending = append(pending, k.tick())
+			case write := <-k.requests:
+				pending = append(pending, write)
 			}
 		}
 	more:
-		for len(waiting) < maxBatchWrites {
+		for len(pending) < maxBatchWrites {
 			select {
-			case c := <-k.requests:
-				waiting = append(waiting, c)
+			case write := <-k.requests:
+				pending = append(pending, write)
 			default:
 				break more
 			}
 		}
 		var err error
-		if waiting, err = k.batch(waiting); err != nil {
+		if pending, err = k.batch(pending); err != nil {
 			return err
 		}
 	}
@@ -165,28 +165,28 @@
 
 // batch makes calls, makes what they change last, and answers them. It returns
 // those that have to wait for the changes of others.
-func (k *persister) batch(calls []*pendingWrite) (later []*pendingWrite, err error) {
-	var made []*pendingWrite
+func (k *persister) batch(writes []*pendingWrite) (deferred []*pendingWrite, err error) {
+	var applied []*pendingWrite
 	k.server.mu.Lock()
 	bytes := 0
-	pauses := k.server.store.stats.Pauses
-	for i, c := range calls {
+	pausesBefore := k.server.store.stats.Pauses
+	for i, write := range writes {
 		if bytes > maxBatchBytes {
-			later = append(later, calls[i:]...)
+			deferred = append(deferred, writes[i:]...)
 			break
 		}
-		before := len(k.server.store.staged)
-		c.written, c.err = c.apply(k.server.now())
-		for _, staged := range k.server.store.staged[before:] {
+		stagedBefore := len(k.server.store.staged)
+		write.written, write.err = write.apply(k.server.now())
+		for _, staged := range k.server.store.staged[stagedBefore:] {
 			bytes += len(staged.encoded)
 		}
-		if errors.Is(c.err, errPending) {
-			later = append(later, c)
+		if errors.Is(write.err, errPending) {
+			deferred = append(deferred, write)
 			continue
 		}
-		made = append(made, c)
+		applied = append(applied, write)
 	}
-	if k.server.store.stats.Pauses != pauses {
+	if k.server.store.stats.Pauses != pausesBefore {
 		slog.Warn("the service stood still; all leases begin anew")
 	}
 	records := k.server.store.StagedRecords()
@@ -202,22 +202,22 @@
 			k.server.wake()
 		default:
 			k.server.store.DropStaged()
-			for _, c := range made {
-				if c.err == nil {
-					c.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
+			for _, write := range applied {
+				if write.err == nil {
+					write.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
 				}
 			}
 		}
 		k.server.mu.Unlock()
 	}
-	for _, c := range made {
-		close(c.done)
+	for _, write := range applied {
+		close(write.done)
 	}
 	if err != nil {
 		if !errors.Is(err, wal.ErrNoSpace) && !errors.Is(err, errOutcomeUnknown) {
-			for _, c := range later {
-				c.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
-				close(c.done)
+			for _, write := range deferred {
+				write.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
+				close(write.done)
 			}
 			return nil, fmt.Errorf("changes can't be kept any more: %w", err)
 		}
@@ -227,7 +227,7 @@
 		}
 	}
 	k.snapshot()
-	return later, nil
+	return deferred, nil
 }
 
 // snapshot begins to write one, if it is due and none is being written.
@@ -237,15 +237,15 @@
 	}
 	k.nextSnapshotAt = time.Now().Add(time.Hour) // until this one has ended
 	k.server.mu.Lock()
-	all, sequence := k.server.store.SnapshotRecords(), k.log.LastSequence()
+	records, sequence := k.server.store.SnapshotRecords(), k.log.LastSequence()
 	k.server.mu.Unlock()
-	k.server.snapshots.Go(func() { k.snapshotDone <- writeSnapshot(k.log, sequence, all) })
+	k.server.snapshots.Go(func() { k.snapshotDone <- writeSnapshot(k.log, sequence, records) })
 }
 
-func writeSnapshot(log *wal.Log, sequence uint64, all []Record) error {
+func writeSnapshot(log *wal.Log, sequence uint64, records []Record) error {
 	return log.Snapshot(sequence, func(emit func([]byte) error) error {
-		for _, r := range all {
-			if err := emit(encodeRecord(r)); err != nil {
+		for _, record := range records {
+			if err := emit(encodeRecord(record)); err != nil {
 				return err
 			}
 		}
@@ -255,28 +255,30 @@
 
 func (k *persister) finishSnapshot(err error) {
 	k.nextSnapshotAt = time.Now()
-	st := k.log.Stats()
+	stats := k.log.Stats()
 	if err != nil {
 		k.nextSnapshotAt = k.nextSnapshotAt.Add(snapshotRetryDelay)
 		slog.Error("snapshot", "error", err)
 		return
 	}
-	slog.Info("snapshot", "sequence", st.Snapshot, "bytes", st.SnapshotBytes, "log_bytes", st.Bytes, "segments", st.Segments)
+	slog.Info("snapshot", "sequence", stats.Snapshot, "bytes", stats.SnapshotBytes, "log_bytes", stats.Bytes, "segments", stats.Segments)
 }
 
 // keep keeps a record of a follower, or of what befalls the service itself. The
 // caller has the server's lock.
-func (k *persister) persist(r Record) error { return k.appendRecords([][]byte{encodeRecord(r)}) }
+func (k *persister) persist(record Record) error {
+	return k.appendRecords([][]byte{encodeRecord(record)})
+}
 
 // Compact writes a snapshot of a folder that no process has.
-func Compact(fs wal.FS, most int64) (wal.Stats, error) {
-	log, store, err := Open(fs, most, Limits{Lease: time.Second, Instances: 1 << 30, History: 1 << 30, HistoryBytes: 1 << 40, EmptyServices: 1 << 30}, 0)
+func Compact(fs wal.FS, maxBytes int64) (wal.Stats, error) {
+	log, store, err := Open(fs, maxBytes, Limits{Lease: time.Second, Instances: 1 << 30, History: 1 << 30, HistoryBytes: 1 << 40, EmptyServices: 1 << 30}, 0)
 	if err != nil {
 		return wal.Stats{}, err
 	}
 	if store != nil && log.LastSequence() > log.Stats().Snapshot {
 		err = writeSnapshot(log, log.LastSequence(), store.SnapshotRecords())
 	}
-	st := log.Stats()
-	return st, errors.Join(err, log.Close())
+	stats := log.Stats()
+	return stats, errors.Join(err, log.Close())
 }
--- a/internal/registry/promote.go
+++ b/internal/registry/promote.go
@@ -29,31 +29,31 @@
 // refuseFenced turns away what a writer must not do any more. The caller has the
 // lock.
 func (s *Server) checkFenced() error {
-	if f := s.store.fence; f != nil {
-		return refuse(http.StatusServiceUnavailable, "%s has taken this writer's place (epoch %d)", f.Writer, f.Epoch)
+	if fence := s.store.fence; fence != nil {
+		return refuse(http.StatusServiceUnavailable, "%s has taken this writer's place (epoch %d)", fence.Writer, fence.Epoch)
 	}
 	return nil
 }
 
 // fence stops this service's writing if the other has the higher epoch.
-func (s *Server) applyFence(f Fence) error {
+func (s *Server) applyFence(fence Fence) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case !s.store.isWriter:
 		return nil // it copies; whom is the operator's to say
-	case f.Epoch <= s.store.epoch:
-		return refuse(http.StatusConflict, "this writer has epoch %d, not below %d", s.store.epoch, f.Epoch)
-	case s.store.fence != nil && s.store.fence.Epoch >= f.Epoch:
+	case fence.Epoch <= s.store.epoch:
+		return refuse(http.StatusConflict, "this writer has epoch %d, not below %d", s.store.epoch, fence.Epoch)
+	case s.store.fence != nil && s.store.fence.Epoch >= fence.Epoch:
 		return nil
 	}
 	// It holds from now on, also if it can't be kept: the other says so again after
 	// the next start.
-	s.store.fence = &f
-	slog.Error("another writer was put in this one's place; writes and reads are refused from now on", "writer", f.Writer, "epoch", f.Epoch, "own", s.store.epoch)
+	s.store.fence = &fence
+	slog.Error("another writer was put in this one's place; writes and reads are refused from now on", "writer", fence.Writer, "epoch", fence.Epoch, "own", s.store.epoch)
 	s.wake()
 	if s.persister != nil {
-		return s.persister.persist(Record{Fence: &f})
+		return s.persister.persist(Record{Fence: &fence})
 	}
 	return nil
 }
@@ -61,34 +61,34 @@
 // fenceHandler answers another service's question or news.
 func (s *Server) handleFence(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
-		var f Fence
-		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxFenceBytes))
+		var fence Fence
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxFenceBytes))
 		if err == nil {
-			err = decode(text, &f)
+			err = decode(body, &fence)
 		}
-		if err != nil || f.Epoch < 1 || f.History == "" || len(f.History) > maxNameBytes || len(f.Writer) > maxNameBytes {
+		if err != nil || fence.Epoch < 1 || fence.History == "" || len(fence.History) > maxNameBytes || len(fence.Writer) > maxNameBytes {
 			s.writeError(w, refuse(http.StatusBadRequest, "no fence: %v", err))
 			return
 		}
-		if err := s.applyFence(f); err != nil {
+		if err := s.applyFence(fence); err != nil {
 			s.writeError(w, err)
 			return
 		}
 	}
 	s.mu.Lock()
-	f := Fence{Epoch: s.store.epoch, History: s.store.history}
+	fence := Fence{Epoch: s.store.epoch, History: s.store.history}
 	if s.store.fence != nil {
-		f = *s.store.fence
+		fence = *s.store.fence
 	} else if s.store.isWriter {
-		f.Writer = s.selfAddress
+		fence.Writer = s.selfAddress
 	}
 	s.mu.Unlock()
-	text, err := json.Marshal(f)
+	body, err := json.Marshal(fence)
 	if err != nil {
 		s.writeError(w, err)
 		return
 	}
-	s.writeAnswer(w, text)
+	s.writeAnswer(w, body)
 }
 
 // Fenced names the writer in whose favour this one was fenced.
@@ -104,9 +104,9 @@
 	var wg sync.WaitGroup
 	for _, peer := range peers {
 		wg.Go(func() {
-			f, err := callFence(ctx, peer, nil)
-			if err == nil && f.Writer != "" && f.Writer != s.selfAddress {
-				if err = s.applyFence(f); isConflict(err) {
+			fence, err := callFence(ctx, peer, nil)
+			if err == nil && fence.Writer != "" && fence.Writer != s.selfAddress {
+				if err = s.applyFence(fence); isConflict(err) {
 					err = nil // this one has the higher epoch
 				}
 			}
@@ -119,21 +119,21 @@
 }
 
 func isConflict(err error) bool {
-	var r *Refusal
-	return errors.As(err, &r) && r.Status == http.StatusConflict
+	var refusal *Refusal
+	return errors.As(err, &refusal) && refusal.Status == http.StatusConflict
 }
 
 // callFence asks a service which writer it knows, or tells it.
-func callFence(ctx context.Context, address string, tell *Fence) (Fence, error) {
+func callFence(ctx context.Context, address string, fence *Fence) (Fence, error) {
 	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
 	method, body := http.MethodGet, []byte(nil)
-	if tell != nil {
-		text, err := json.Marshal(tell)
+	if fence != nil {
+		data, err := json.Marshal(fence)
 		if err != nil {
 			return Fence{}, err
 		}
-		method, body = http.MethodPost, text
+		method, body = http.MethodPost, data
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+FencePath, bytes.NewReader(body))
 	if err != nil {
@@ -144,26 +144,26 @@
 		return Fence{}, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxFenceBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxFenceBytes))
 	if err != nil {
 		return Fence{}, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return Fence{}, fmt.Errorf("status %s: %.200s", resp.Status, text)
+		return Fence{}, fmt.Errorf("status %s: %.200s", resp.Status, data)
 	}
-	var f Fence
-	return f, json.Unmarshal(text, &f)
+	var reply Fence
+	return reply, json.Unmarshal(data, &reply)
 }
 
 // tellOld tells the old writer, until it has heard or ctx ends, that this service
 // has taken its place.
-func (s *Server) notifyOldWriter(ctx context.Context, old string) {
+func (s *Server) notifyOldWriter(ctx context.Context, address string) {
 	s.mu.Lock()
-	f := Fence{Epoch: s.store.epoch, History: s.store.history, Writer: s.selfAddress}
+	fence := Fence{Epoch: s.store.epoch, History: s.store.history, Writer: s.selfAddress}
 	s.mu.Unlock()
 	for {
-		if _, err := callFence(ctx, old, &f); err == nil {
-			slog.Info("the old writer knows that another is in its place", "address", old)
+		if _, err := callFence(ctx, address, &fence); err == nil {
+			slog.Info("the old writer knows that another is in its place", "address", address)
 			return
 		}
 		select {
@@ -175,7 +175,7 @@
 }
 
 // promote makes this follower the writer.
-func (f *Follower) promote(name string) error {
+func (f *Follower) promote(historyName string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -189,12 +189,12 @@
 		return refuse(http.StatusConflict, "this follower has no list yet")
 	}
 	now := f.now()
-	r := f.store.PromotionRecord(now, name, time.Now().UnixMilli())
-	if err := f.persister.persist(r); err != nil {
+	record := f.store.PromotionRecord(now, historyName, time.Now().UnixMilli())
+	if err := f.persister.persist(record); err != nil {
 		return fmt.Errorf("the promotion could not be kept: %w", err)
 	}
-	before, version := f.store.history, f.store.version
-	if err := f.store.Restore(now, r); err != nil {
+	oldHistory, oldVersion := f.store.history, f.store.version
+	if err := f.store.Restore(now, record); err != nil {
 		return err
 	}
 	f.store.EnableStaging()
@@ -202,7 +202,7 @@
 	f.store.lastTick = now
 	f.store.renewAll(now)
 	f.writer.Store(nil)
-	slog.Warn("promoted: this service is the writer now", "history", f.store.history, "version", f.store.version, "epoch", f.store.epoch, "before", before, "at", version)
+	slog.Warn("promoted: this service is the writer now", "history", f.store.history, "version", f.store.version, "epoch", f.store.epoch, "before", oldHistory, "at", oldVersion)
 	f.wake()
 	close(f.promoted)
 	return nil
--- a/internal/registry/saved.go
+++ b/internal/registry/saved.go
@@ -58,85 +58,85 @@
 	Writer  string `json:"writer"` // its address
 }
 
-func encodeRecord(s Record) []byte {
-	text, err := json.Marshal(s)
+func encodeRecord(record Record) []byte {
+	encoded, err := json.Marshal(record)
 	if err != nil {
 		panic(err) // of plain fields
 	}
-	return text
+	return encoded
 }
 
 // ParseSaved reads a record.
-func ParseRecord(text []byte) (Record, error) {
-	var s Record
-	if err := decode(text, &s); err != nil {
-		return s, err
+func ParseRecord(encoded []byte) (Record, error) {
+	var record Record
+	if err := decode(encoded, &record); err != nil {
+		return record, err
 	}
 	parts := 0
-	for _, set := range []bool{s.Begin != nil, s.Entry != nil, s.Change != nil, s.Copy != nil, s.Fence != nil, s.Empty != nil} {
+	for _, set := range []bool{record.Begin != nil, record.Entry != nil, record.Change != nil, record.Copy != nil, record.Fence != nil, record.Empty != nil} {
 		if set {
 			parts++
 		}
 	}
 	if parts != 1 {
-		return s, fmt.Errorf("a record has one part, not %d", parts)
+		return record, fmt.Errorf("a record has one part, not %d", parts)
 	}
-	return s, nil
+	return record, nil
 }
 
 // instance reads and checks the instance of a record.
-func (s *InstanceRecord) instance() (Instance, error) {
-	var i Instance
-	if err := decode(s.Instance, &i); err != nil {
-		return i, err
+func (r *InstanceRecord) instance() (Instance, error) {
+	var instance Instance
+	if err := decode(r.Instance, &instance); err != nil {
+		return instance, err
 	}
-	return i, i.check()
+	return instance, instance.check()
 }
 
 // Restore takes a record in, as it was read from a log or a snapshot. All leases
 // begin anew.
-func (s *Store) Restore(now time.Duration, r Record) error {
+func (s *Store) Restore(now time.Duration, record Record) error {
 	switch {
-	case r.Begin != nil:
-		b := r.Begin
-		if b.Version < s.version || b.BaseVersion > b.Version || b.History == "" {
-			return fmt.Errorf("a history %q from %d to %d behind version %d", b.History, b.BaseVersion, b.Version, s.version)
+	case record.Begin != nil:
+		begin := record.Begin
+		if begin.Version < s.version || begin.BaseVersion > begin.Version || begin.History == "" {
+			return fmt.Errorf("a history %q from %d to %d behind version %d", begin.History, begin.BaseVersion, begin.Version, s.version)
 		}
 		s.clearHistory()
-		s.history, s.version, s.baseVersion, s.epoch, s.isWriter = b.History, b.Version, b.BaseVersion, b.Epoch, b.Writer
+		s.history, s.version, s.baseVersion, s.epoch, s.isWriter = begin.History, begin.Version, begin.BaseVersion, begin.Epoch, begin.Writer
 		s.fence = nil
-	case r.Entry != nil:
-		i, err := r.Entry.instance()
+	case record.Entry != nil:
+		instance, err := record.Entry.instance()
 		if err != nil {
 			return err
 		}
-		s.putEntry(&entry{Instance: i, version: r.Entry.Version, encoded: r.Entry.Instance, expires: now + s.limits.Lease})
-	case r.Change != nil:
-		i, err := r.Change.instance()
+		s.putEntry(&entry{Instance: instance, version: record.Entry.Version, encoded: record.Entry.Instance, expires: now + s.limits.Lease})
+	case record.Change != nil:
+		instance, err := record.Change.instance()
 		if err != nil {
 			return err
 		}
-		if r.Change.Version <= s.version {
+		if record.Change.Version <= s.version {
 			// Of a snapshot, which has what it led to beside it.
-			if r.Change.Version == s.baseVersion {
+			if record.Change.Version == s.baseVersion {
 				return nil // a follower's; earlier builds kept some of a version that was forgotten
 			}
-			if r.Change.Version < s.baseVersion {
-				return fmt.Errorf("version %d is not behind %d", r.Change.Version, s.baseVersion)
+			if record.Change.Version < s.baseVersion {
+				return fmt.Errorf("version %d is not behind %d", record.Change.Version, s.baseVersion)
 			}
-			c := newChange(i, r.Change.Version, r.Change.Instance, r.Change.Previous)
-			s.appendChange(c, c.gone && s.entries[i.ID] == nil)
+			c := newChange(instance, record.Change.Version, record.Change.Instance, record.Change.Previous)
+			s.appendChange(c, c.gone && s.entries[instance.ID] == nil)
 			return nil
 		}
-		s.applyEncoded(i, r.Change.Instance, r.Change.Version, now, r.Change.Previous)
+		s.applyEncoded(instance, record.Change.Instance, record.Change.Version, now, record.Change.Previous)
 		s.trimServices()
-	case r.Copy != nil:
-		s.epoch, s.isWriter = max(s.epoch, r.Copy.Epoch), false
-		return s.ApplyListing(now, r.Copy.Listing, r.Copy.History)
-	case r.Fence != nil:
-		s.fence = r.Fence
-	case r.Empty != nil:
-		for _, name := range r.Empty.Names {
+	case record.Copy != nil:
+		s.epoch, s.isWriter = max(s.epoch, record.Copy.Epoch), false
+		return s.ApplyListing(now, record.Copy.Listing, record.Copy.History)
+	case record.Fence != nil:
+		s.fence = record.Fence
+	case record.Empty != nil:
+		for _, name := range record.Empty.Names {
 			s.services.addKnown(name)
 		}
 		s.trimServices()
@@ -147,21 +147,21 @@
 // Save tells all that a snapshot has to hold, as it is now. The texts may be used
 // after others have changed the store.
 func (s *Store) SnapshotRecords() []Record {
-	all := []Record{{Begin: &Begin{History: s.history, Version: s.version, BaseVersion: s.baseVersion, Epoch: s.epoch, Writer: s.isWriter}}}
+	records := []Record{{Begin: &Begin{History: s.history, Version: s.version, BaseVersion: s.baseVersion, Epoch: s.epoch, Writer: s.isWriter}}}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 		e := s.entries[id]
-		all = append(all, Record{Entry: &InstanceRecord{Version: e.version, Instance: e.encoded}})
+		records = append(records, Record{Entry: &InstanceRecord{Version: e.version, Instance: e.encoded}})
 	}
 	if names := s.services.emptyNames(); len(names) > 0 {
-		all = append(all, Record{Empty: &ServicesRecord{names}})
+		records = append(records, Record{Empty: &ServicesRecord{names}})
 	}
 	for _, c := range s.changes {
-		all = append(all, Record{Change: &InstanceRecord{c.version, c.encoded, c.previousPlacements()}})
+		records = append(records, Record{Change: &InstanceRecord{c.version, c.encoded, c.previousPlacements()}})
 	}
 	if s.fence != nil {
-		all = append(all, Record{Fence: s.fence})
+		records = append(records, Record{Fence: s.fence})
 	}
-	return all
+	return records
 }
 
 // errPending says that the instance is in a change that does not last yet. The
@@ -176,11 +176,11 @@
 
 // Staged are the changes that have to last, as records.
 func (s *Store) StagedRecords() [][]byte {
-	var all [][]byte
+	var records [][]byte
 	for _, c := range s.staged {
-		all = append(all, encodeRecord(Record{Change: &InstanceRecord{Version: c.version, Instance: c.encoded}}))
+		records = append(records, encodeRecord(Record{Change: &InstanceRecord{Version: c.version, Instance: c.encoded}}))
 	}
-	return all
+	return records
 }
 
 // Settle takes the staged changes in: they last.
@@ -202,10 +202,10 @@
 // Promote makes the copy of a follower a list that is written here, under a new
 // history with a version that is higher than all before. The record has to last
 // before it is told.
-func (s *Store) PromotionRecord(now time.Duration, name string, unixMs int64) Record {
-	b := &Begin{History: name, Version: max(unixMs, s.version+1), Epoch: s.epoch + 1, Writer: true}
-	b.BaseVersion = b.Version
-	return Record{Begin: b}
+func (s *Store) PromotionRecord(now time.Duration, historyName string, unixMs int64) Record {
+	begin := &Begin{History: historyName, Version: max(unixMs, s.version+1), Epoch: s.epoch + 1, Writer: true}
+	begin.BaseVersion = begin.Version
+	return Record{Begin: begin}
 }
 
 // renewAll begins all leases anew.
--- a/internal/registry/scope_http_test.go
+++ b/internal/registry/scope_http_test.go
@@ -32,7 +32,7 @@
 // named names scopes at a service and returns the part of a call that has their id.
 func (s *service) named(t *testing.T, scopes ...string) string {
 	t.Helper()
-	body, _ := json.Marshal(subscriptionCall{scopes})
+	body, _ := json.Marshal(subscriptionRequest{scopes})
 	code, text, _ := call(t, "POST", s.subscriptionsURL(), string(body))
 	if want := mustSet(t, scopes...).ID(); code != 200 || text != `{"subscription":"`+want+`"}`+"\n" {
 		t.Fatalf("status %d: %s", code, text)
@@ -187,7 +187,7 @@
 		for i := range n {
 			scopes = append(scopes, fmt.Sprintf("service-%d@region=eu-%d", i, i%9))
 		}
-		body, _ := json.Marshal(subscriptionCall{scopes})
+		body, _ := json.Marshal(subscriptionRequest{scopes})
 		return string(body)
 	}
 	for _, c := range []struct {
--- a/internal/registry/scoped.go
+++ b/internal/registry/scoped.go
@@ -27,29 +27,29 @@
 }
 
 // joins reports whether the reader has some scopes and wants others beside them.
-func (q ScopedRead) addsScopes() bool { return !q.Held.equal(q.Scopes) }
+func (r ScopedRead) addsScopes() bool { return !r.Held.equal(r.Scopes) }
 
 // concerns reports whether a change can alter what the reader has or wants.
-func (q ScopedRead) affectedBy(c *change) bool {
-	if q.covers(c.currentPlacement()) {
+func (r ScopedRead) affectedBy(c *change) bool {
+	if r.covers(c.currentPlacement()) {
 		return true
 	}
 	for _, p := range c.previousPlacements() {
-		if q.covers(p) {
+		if r.covers(p) {
 			return true
 		}
 	}
 	return false
 }
 
-func (q ScopedRead) covers(p Placement) bool {
-	return q.Scopes.contains(p) || q.addsScopes() && q.Held.contains(p)
+func (r ScopedRead) covers(p Placement) bool {
+	return r.Scopes.contains(p) || r.addsScopes() && r.Held.contains(p)
 }
 
 // toList returns the services of which a reader is told all instances in its scopes. A
 // reader without a list is one that holds nothing.
-func (q ScopedRead) servicesToList(held *ScopeSet) (services []string) {
-	for name, scopes := range q.Scopes.byService {
+func (r ScopedRead) servicesToList(held *ScopeSet) (services []string) {
+	for name, scopes := range r.Scopes.byService {
 		if held == nil || slices.ContainsFunc(scopes, func(scope Scope) bool { return !held.covers(scope) }) {
 			services = append(services, name)
 		}
@@ -88,12 +88,12 @@
 // Quiet reports whether a reader that is at a version of a history has nothing to hear.
 // It looks at the changes behind that version alone, and only at whom they concern. A
 // reader that is told so is as good as at the store's version.
-func (s *Store) NoChangesFor(q ScopedRead) bool {
-	if !s.canContinue(q) {
+func (s *Store) NoChangesFor(read ScopedRead) bool {
+	if !s.canContinue(read) {
 		return false
 	}
-	for n := s.firstChangeAfter(q.Since); n < len(s.changes); n++ {
-		if q.affectedBy(&s.changes[n]) {
+	for n := s.firstChangeAfter(read.Since); n < len(s.changes); n++ {
+		if read.affectedBy(&s.changes[n]) {
 			return false
 		}
 	}
@@ -101,8 +101,8 @@
 }
 
 // continues reports whether a reader that waits can go on from its version by changes.
-func (s *Store) canContinue(q ScopedRead) bool {
-	return q.History == s.history && !q.addsScopes() && q.Since >= s.baseVersion && q.Since <= s.version
+func (s *Store) canContinue(read ScopedRead) bool {
+	return read.History == s.history && !read.addsScopes() && read.Since >= s.baseVersion && read.Since <= s.version
 }
 
 // servicesChanged returns the services that the changes since a version concern.
@@ -129,64 +129,64 @@
 // ReadScoped answers as Read does, for a part of the list: with all instances of the
 // scopes, or with the last state of each instance that has changed in them. An instance
 // that has left the scopes is told as Gone.
-func (s *Store) ReadScoped(now time.Duration, q ScopedRead) (Answer, error) {
+func (s *Store) ReadScoped(now time.Duration, read ScopedRead) (Answer, error) {
 	if err := s.checkReadable(now); err != nil {
 		return Answer{}, err
 	}
-	if q.Held == nil {
-		q.Held = q.Scopes
+	if read.Held == nil {
+		read.Held = read.Scopes
 	}
-	same := q.History == "" || q.History == s.history
-	whole := q.Since < 0 || !same || q.Since < s.baseVersion
-	if !whole && q.Since > s.version {
-		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is yet to come, this is %d", q.Since, s.version)
+	sameHistory := read.History == "" || read.History == s.history
+	full := read.Since < 0 || !sameHistory || read.Since < s.baseVersion
+	if !full && read.Since > s.version {
+		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is yet to come, this is %d", read.Since, s.version)
 	}
-	key := scopedKey{q.Since, q.Scopes.ID(), q.Held.ID()}
-	if whole {
+	key := scopedKey{read.Since, read.Scopes.ID(), read.Held.ID()}
+	if full {
 		key.since, key.held = -1, ""
 	}
-	if answer, there := s.cachedScoped.answers[key]; there {
+	if answer, cached := s.cachedScoped.answers[key]; cached {
 		return answer, nil
 	}
-	var texts [][]byte
-	if whole {
-		texts = s.scopedInstances(q, nil, nil)
+	var encoded [][]byte
+	if full {
+		encoded = s.scopedInstances(read, nil, nil)
 	} else {
 		var err error
-		if texts, err = s.scopedChanges(q); err != nil {
+		if encoded, err = s.scopedChanges(read); err != nil {
 			return Answer{}, err
 		}
 	}
 	s.stats.AnswersEncoded++
 	s.stats.ScopedAnswersEncoded++
-	unknown := s.unknownScopes(q.Scopes)
-	answer := Answer{Full: whole || q.addsScopes(), Unchanged: !whole && !q.addsScopes() && len(texts) == 0,
-		Body: encodeAnswer(s.version, whole, texts, answerField{"unknown", len(unknown), unknown})}
+	unknownScopes := s.unknownScopes(read.Scopes)
+	answer := Answer{Full: full || read.addsScopes(), Unchanged: !full && !read.addsScopes() && len(encoded) == 0,
+		Body: encodeAnswer(s.version, full, encoded, answerField{"unknown", len(unknownScopes), unknownScopes})}
 	s.cachedScoped.add(key, answer)
 	return answer, nil
 }
 
 // scopedWhole returns the instances of a reader's scopes, by id, without those of scopes
 // that it holds and those that were told.
-func (s *Store) scopedInstances(q ScopedRead, held *ScopeSet, told map[string]bool) (texts [][]byte) {
+func (s *Store) scopedInstances(read ScopedRead, held *ScopeSet, reported map[string]bool) (encoded [][]byte) {
 	var entries []*entry
-	for _, name := range q.servicesToList(held) {
-		of := s.services.known[name]
-		if of == nil {
+	for _, name := range read.servicesToList(held) {
+		service := s.services.known[name]
+		if service == nil {
 			continue
 		}
-		for _, e := range of.instances {
+		for _, e := range service.instances {
 			p := e.placement()
-			if q.Scopes.contains(p) && (held == nil || !held.contains(p)) && !told[e.ID] {
+			if read.Scopes.contains(p) && (held == nil || !held.contains(p)) && !reported[e.ID] {
 				entries = append(entries, e)
 			}
 		}
 	}
 	slices.SortFunc(entries, func(a, b *entry) int { return strings.Compare(a.ID, b.ID) })
 	for _, e := range entries {
-		texts = append(texts, e.encoded)
+		encoded = append(encoded, e.encoded)
 	}
-	return texts
+	return encoded
 }
 
 // scopedChanges returns the last state of each instance that has changed in the scopes,
@@ -194,45 +194,45 @@
 //
 // Of an instance the last change that concerns the reader says all: had it been in a scope
 // after that, the next change would name its placement, as the one that it left.
-func (s *Store) scopedChanges(q ScopedRead) (texts [][]byte, err error) {
-	first := s.firstChangeAfter(q.Since)
-	told := map[string]bool{}
+func (s *Store) scopedChanges(read ScopedRead) (encoded [][]byte, err error) {
+	first := s.firstChangeAfter(read.Since)
+	reported := map[string]bool{}
 	for n := len(s.changes) - 1; n >= first; n-- {
 		c := &s.changes[n]
-		if !q.affectedBy(c) || told[c.id] {
+		if !read.affectedBy(c) || reported[c.id] {
 			continue
 		}
-		told[c.id] = true
-		text := c.encoded
-		if !c.gone && !q.Scopes.contains(c.currentPlacement()) || c.gone && !q.covers(c.currentPlacement()) {
-			if text, err = q.encodeGone(c); err != nil {
+		reported[c.id] = true
+		instance := c.encoded
+		if !c.gone && !read.Scopes.contains(c.currentPlacement()) || c.gone && !read.covers(c.currentPlacement()) {
+			if instance, err = read.encodeGone(c); err != nil {
 				return nil, err
 			}
 		}
-		texts = append(texts, text)
+		encoded = append(encoded, instance)
 	}
-	slices.Reverse(texts)
-	if q.addsScopes() {
-		texts = append(texts, s.scopedInstances(q, q.Held, told)...)
+	slices.Reverse(encoded)
+	if read.addsScopes() {
+		encoded = append(encoded, s.scopedInstances(read, read.Held, reported)...)
 	}
-	return texts, nil
+	return encoded, nil
 }
 
 // leaves encodes, for an instance that has moved out of the reader's scopes, that it is
 // Gone from where the reader knew it.
-func (q ScopedRead) encodeGone(c *change) ([]byte, error) {
-	var i Instance
-	if err := json.Unmarshal(c.encoded, &i); err != nil {
+func (r ScopedRead) encodeGone(c *change) ([]byte, error) {
+	var instance Instance
+	if err := json.Unmarshal(c.encoded, &instance); err != nil {
 		return nil, err
 	}
-	i.Lifecycle, i.Drained = Gone, false
+	instance.Lifecycle, instance.Drained = Gone, false
 	for _, p := range c.previousPlacements() {
-		if q.covers(p) {
-			i.Service, i.Region, i.Zone = p.Service, p.Region, p.Zone
+		if r.covers(p) {
+			instance.Service, instance.Region, instance.Zone = p.Service, p.Region, p.Zone
 			break
 		}
 	}
-	return json.Marshal(i)
+	return json.Marshal(instance)
 }
 
 // unknown returns the scopes whose service is not known.
@@ -247,21 +247,21 @@
 
 // listCost is the part of the list that has to be looked at to list what a question asks
 // for: 1 is all of it.
-func (s *Store) listCost(q ScopedRead) float64 {
-	if q.Scopes == nil {
+func (s *Store) listCost(read ScopedRead) float64 {
+	if read.Scopes == nil {
 		return 1
 	}
 	var held *ScopeSet
-	if q.addsScopes() {
-		held = q.Held
+	if read.addsScopes() {
+		held = read.Held
 	}
-	looked := 0
-	for _, name := range q.servicesToList(held) {
-		if of := s.services.known[name]; of != nil {
-			looked += len(of.instances)
+	examined := 0
+	for _, name := range read.servicesToList(held) {
+		if service := s.services.known[name]; service != nil {
+			examined += len(service.instances)
 		}
 	}
-	return max(float64(looked)/float64(max(len(s.entries), 1)), minListCost)
+	return max(float64(examined)/float64(max(len(s.entries), 1)), minListCost)
 }
 
 // answerPart is a part of an answer beside its instances. It is left out if it is empty.
@@ -272,10 +272,10 @@
 }
 
 // encodeAnswer puts an answer together from the texts of its instances.
-func encodeAnswer(version int64, reset bool, texts [][]byte, more ...answerField) []byte {
-	size := len(texts) + 64
-	for _, text := range texts {
-		size += len(text)
+func encodeAnswer(version int64, reset bool, encoded [][]byte, fields ...answerField) []byte {
+	size := len(encoded) + 64
+	for _, instance := range encoded {
+		size += len(instance)
 	}
 	body := make([]byte, 0, size)
 	body = append(body, `{"generation":`...)
@@ -283,23 +283,23 @@
 	body = append(body, `,"reset":`...)
 	body = strconv.AppendBool(body, reset)
 	body = append(body, `,"instances":[`...)
-	for n, text := range texts {
+	for n, instance := range encoded {
 		if n > 0 {
 			body = append(body, ',')
 		}
-		body = append(body, text...)
+		body = append(body, instance...)
 	}
 	body = append(body, ']')
-	for _, part := range more {
-		if part.count == 0 {
+	for _, field := range fields {
+		if field.count == 0 {
 			continue // and encodes nothing, which would take much of a watcher's stack
 		}
-		value, err := json.Marshal(part.value)
+		value, err := json.Marshal(field.value)
 		if err != nil {
 			panic(err) // of plain fields
 		}
 		body = append(body, ',', '"')
-		body = append(body, part.name...)
+		body = append(body, field.name...)
 		body = append(body, '"', ':')
 		body = append(body, value...)
 	}
@@ -310,28 +310,28 @@
 type movedInstances map[string][]Placement
 
 // add takes in a change of an instance that is now at another placement.
-func (m *movedInstances) add(c *change, now Placement) {
-	left := (*m)[c.id]
-	was := len(left)
+func (m *movedInstances) add(c *change, current Placement) {
+	previous := (*m)[c.id]
+	countBefore := len(previous)
 	for _, p := range c.previousPlacements() {
-		left = appendPrevious(left, p, now)
+		previous = appendPrevious(previous, p, current)
 	}
-	left = appendPrevious(left, c.currentPlacement(), now)
-	if len(left) == was {
+	previous = appendPrevious(previous, c.currentPlacement(), current)
+	if len(previous) == countBefore {
 		return
 	}
 	if *m == nil {
 		*m = movedInstances{}
 	}
-	(*m)[c.id] = left
+	(*m)[c.id] = previous
 }
 
 // sorted returns the instances in the order of their ids; nil of none.
 func (m movedInstances) sorted() []Moved {
-	var all []Moved
-	for id, from := range m {
-		all = append(all, Moved{id, from})
+	var moved []Moved
+	for id, previous := range m {
+		moved = append(moved, Moved{id, previous})
 	}
-	slices.SortFunc(all, func(a, b Moved) int { return strings.Compare(a.ID, b.ID) })
-	return all
+	slices.SortFunc(moved, func(a, b Moved) int { return strings.Compare(a.ID, b.ID) })
+	return moved
 }
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -64,30 +64,30 @@
 }
 
 // NewWriter serves a store of its own at an address that others know.
-func NewWriter(self string, store *Store, limits ServerLimits, began time.Time, random *rand.Rand) *Server {
+func NewWriter(selfAddress string, store *Store, limits ServerLimits, startedAt time.Time, random *rand.Rand) *Server {
 	limits = limits.withDefaults()
-	return &Server{selfAddress: self, limits: limits, store: store, subscriptions: newSubscriptions(), watches: map[*scopedWatch]struct{}{}, startedAt: began, changed: make(chan struct{}), random: random,
-		listingTokens: limits.ListingsPerSecond, listingTokensAt: began, stopping: make(chan struct{}), persisterDone: make(chan struct{})}
+	return &Server{selfAddress: selfAddress, limits: limits, store: store, subscriptions: newSubscriptions(), watches: map[*scopedWatch]struct{}{}, startedAt: startedAt, changed: make(chan struct{}), random: random,
+		listingTokens: limits.ListingsPerSecond, listingTokensAt: startedAt, stopping: make(chan struct{}), persisterDone: make(chan struct{})}
 }
 
 // Retune puts other limits in force. Leases that run keep their end.
-func (s *Server) SetLimits(limits Limits, serves ServerLimits) {
+func (s *Server) SetLimits(limits Limits, serverLimits ServerLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.store.limits, s.limits = limits, serves.withDefaults()
+	s.store.limits, s.limits = limits, serverLimits.withDefaults()
 }
 
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
 // tick lets leases lapse until ctx ends; where changes are kept, the keeper does.
 func (s *Server) tick(ctx context.Context) {
-	t := time.NewTicker(tickInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		switch {
 		case s.persister != nil:
@@ -106,26 +106,26 @@
 // tellLapses writes a line about leases that have run out, once a second at most.
 func (s *Server) logLapses() {
 	s.mu.Lock()
-	st := s.store.Stats()
+	stats := s.store.Stats()
 	now := time.Now()
-	tell := st.Lapsed != s.loggedLapses && now.Sub(s.lapsesLoggedAt) >= time.Second
-	lapsed := st.Lapsed - s.loggedLapses
-	if tell {
-		s.loggedLapses, s.lapsesLoggedAt = st.Lapsed, now
+	due := stats.Lapsed != s.loggedLapses && now.Sub(s.lapsesLoggedAt) >= time.Second
+	lapsed := stats.Lapsed - s.loggedLapses
+	if due {
+		s.loggedLapses, s.lapsesLoggedAt = stats.Lapsed, now
 	}
 	s.mu.Unlock()
-	if tell {
-		slog.Warn("leases have run out", "gone", lapsed, "overdue", st.Overdue, "instances", st.Instances)
+	if due {
+		slog.Warn("leases have run out", "gone", lapsed, "overdue", stats.Overdue, "instances", stats.Instances)
 	}
 }
 
 // writeChange makes a change, which lasts when it returns where changes are kept.
-func (s *Server) writeChange(f func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
+func (s *Server) writeChange(write func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
 	fenced := func(now time.Duration) (WriteResult, error) {
 		if err := cmp.Or(s.checkFenced(), s.checkIsWriter()); err != nil {
 			return WriteResult{}, err
 		}
-		return f(now)
+		return write(now)
 	}
 	if s.persister != nil {
 		return s.persister.submit(fenced)
@@ -134,18 +134,18 @@
 }
 
 // change does something with the store and wakes the watchers if that made news.
-func (s *Server) change(f func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
+func (s *Server) change(apply func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before, history, pauses := s.store.version, s.store.history, s.store.stats.Pauses
-	written, err := f(s.now())
-	if s.store.version != before || s.store.history != history {
+	versionBefore, historyBefore, pausesBefore := s.store.version, s.store.history, s.store.stats.Pauses
+	result, err := apply(s.now())
+	if s.store.version != versionBefore || s.store.history != historyBefore {
 		s.wake()
 	}
-	if s.store.stats.Pauses != pauses {
+	if s.store.stats.Pauses != pausesBefore {
 		slog.Warn("the service stood still; all leases begin anew")
 	}
-	return written, err
+	return result, err
 }
 
 // wake lets the watchers look. Changes that come close together are told at once.
@@ -153,9 +153,9 @@
 	if s.wakePending {
 		return
 	}
-	if wait := wakeInterval - time.Since(s.lastWake); wait > 0 {
+	if delay := wakeInterval - time.Since(s.lastWake); delay > 0 {
 		s.wakePending = true
-		time.AfterFunc(wait, func() {
+		time.AfterFunc(delay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.wakePending = false
@@ -173,10 +173,10 @@
 	s.advanceWatches()
 }
 
-func (s *Server) randomBetween(least, most time.Duration) time.Duration {
+func (s *Server) randomBetween(low, high time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return least + time.Duration(s.random.Int64N(int64(most-least)))
+	return low + time.Duration(s.random.Int64N(int64(high-low)))
 }
 
 func (s *Server) lease() time.Duration {
@@ -196,17 +196,17 @@
 
 // Serve answers on a listener, and operators on another, until ctx ends; then
 // it lets watchers move on, at differing moments, and returns.
-func (s *Server) Serve(ctx context.Context, l, operators net.Listener) error {
-	inner, stop := context.WithCancel(context.Background())
+func (s *Server) Serve(ctx context.Context, listener, operatorListener net.Listener) error {
+	tickContext, stopTicks := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer stop()
-	wg.Go(func() { s.tick(inner) })
-	kept := make(chan error, 1)
+	defer stopTicks()
+	wg.Go(func() { s.tick(tickContext) })
+	persisterResult := make(chan error, 1)
 	if s.persister != nil {
-		keeping, end := context.WithCancel(context.Background())
+		persisterContext, stopPersister := context.WithCancel(context.Background())
 		defer func() { // after the last write
-			end()
+			stopPersister()
 			<-s.persisterDone
 			s.snapshots.Wait()
 			if err := s.persister.closeLog(); err != nil {
@@ -214,37 +214,37 @@
 			}
 		}()
 		go func() {
-			err := s.persister.run(keeping)
+			err := s.persister.run(persisterContext)
 			close(s.persisterDone)
-			kept <- err
+			persisterResult <- err
 		}()
 	}
 	server := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
-	failed := make(chan error, 2)
+	serveErrors := make(chan error, 2)
 	s.mu.Lock()
 	connections := s.limits.Connections
 	s.mu.Unlock()
-	wg.Go(func() { failed <- server.Serve(netutil.LimitListener(l, connections)) })
-	if operators != nil {
+	wg.Go(func() { serveErrors <- server.Serve(netutil.LimitListener(listener, connections)) })
+	if operatorListener != nil {
 		control := &http.Server{Handler: s.controlHandler(), ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes}
-		wg.Go(func() { failed <- control.Serve(netutil.LimitListener(operators, 16)) })
+		wg.Go(func() { serveErrors <- control.Serve(netutil.LimitListener(operatorListener, 16)) })
 		defer control.Close()
 	}
-	var broken error
+	var persistErr error
 	select {
-	case err := <-failed:
+	case err := <-serveErrors:
 		server.Close()
 		return err
-	case broken = <-kept: // nobody may believe any more in what this process has
+	case persistErr = <-persisterResult: // nobody may believe any more in what this process has
 	case <-ctx.Done():
 	}
 	slog.Info("leaving", "watchers", s.metrics.watchers.Load())
 	close(s.stopping)
-	end, cancel := context.WithTimeout(context.Background(), watchDrainPeriod+writeTimeout)
+	shutdownContext, cancel := context.WithTimeout(context.Background(), watchDrainPeriod+writeTimeout)
 	defer cancel()
-	if err := server.Shutdown(end); err != nil {
+	if err := server.Shutdown(shutdownContext); err != nil {
 		server.Close()
-		return errors.Join(broken, fmt.Errorf("calls that were still open at the end: %w", err))
+		return errors.Join(persistErr, fmt.Errorf("calls that were still open at the end: %w", err))
 	}
-	return broken
+	return persistErr
 }
--- a/internal/registry/services.go
+++ b/internal/registry/services.go
@@ -31,32 +31,32 @@
 	if e.Service == "" {
 		return
 	}
-	of := x.known[e.Service]
+	service := x.known[e.Service]
 	switch {
-	case of == nil:
-		of = &indexedService{instances: map[string]*entry{}}
-		x.known[e.Service] = of
-	case len(of.instances) == 0:
+	case service == nil:
+		service = &indexedService{instances: map[string]*entry{}}
+		x.known[e.Service] = service
+	case len(service.instances) == 0:
 		x.empty--
 	}
-	of.instances[e.ID] = e
+	service.instances[e.ID] = e
 }
 
 // remove takes an entry out of its service, which stays known.
 func (x *serviceIndex) remove(e *entry) {
-	of := x.known[e.Service]
-	if of == nil || of.instances[e.ID] == nil {
+	service := x.known[e.Service]
+	if service == nil || service.instances[e.ID] == nil {
 		return
 	}
-	delete(of.instances, e.ID)
-	if len(of.instances) == 0 {
-		x.markEmpty(of)
+	delete(service.instances, e.ID)
+	if len(service.instances) == 0 {
+		x.markEmpty(service)
 	}
 }
 
-func (x *serviceIndex) markEmpty(of *indexedService) {
+func (x *serviceIndex) markEmpty(service *indexedService) {
 	x.lastEmptied++
-	of.emptiedOrder = x.lastEmptied
+	service.emptiedOrder = x.lastEmptied
 	x.empty++
 }
 
@@ -65,27 +65,27 @@
 	if name == "" || x.known[name] != nil {
 		return
 	}
-	of := &indexedService{instances: map[string]*entry{}}
-	x.known[name] = of
-	x.markEmpty(of)
+	service := &indexedService{instances: map[string]*entry{}}
+	x.known[name] = service
+	x.markEmpty(service)
 }
 
 // clear takes all instances out. The services stay known.
 func (x *serviceIndex) clear() {
 	for _, name := range slices.Sorted(maps.Keys(x.known)) {
-		if of := x.known[name]; len(of.instances) > 0 {
-			clear(of.instances)
-			x.markEmpty(of)
+		if service := x.known[name]; len(service.instances) > 0 {
+			clear(service.instances)
+			x.markEmpty(service)
 		}
 	}
 }
 
 // trim forgets the services that have been empty for the longest, down to a bound.
-func (x *serviceIndex) trim(most int) {
-	if x.empty <= most {
+func (x *serviceIndex) trim(limit int) {
+	if x.empty <= limit {
 		return
 	}
-	for _, name := range x.emptyNames()[:x.empty-most] {
+	for _, name := range x.emptyNames()[:x.empty-limit] {
 		delete(x.known, name)
 		x.empty--
 	}
@@ -97,8 +97,8 @@
 		return nil
 	}
 	names := make([]string, 0, x.empty)
-	for name, of := range x.known {
-		if len(of.instances) == 0 {
+	for name, service := range x.known {
+		if len(service.instances) == 0 {
 			names = append(names, name)
 		}
 	}
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -80,9 +80,9 @@
 // NewStore begins a history with the given name at a version that is higher than
 // all that there were before. Reads are answered after one lease, in which all
 // instances can register.
-func NewStore(limits Limits, name string, first int64, now time.Duration) *Store {
+func NewStore(limits Limits, name string, firstVersion int64, now time.Duration) *Store {
 	s := newStore(limits, now)
-	s.history, s.version, s.baseVersion, s.epoch, s.isWriter = name, first, first, 1, true
+	s.history, s.version, s.baseVersion, s.epoch, s.isWriter = name, firstVersion, firstVersion, 1, true
 	s.gatheringUntil = now + limits.Lease
 	return s
 }
@@ -94,11 +94,11 @@
 
 // enter puts an entry on the list, in place of the one of this id.
 func (s *Store) putEntry(e *entry) {
-	before := s.entries[e.ID]
+	previous := s.entries[e.ID]
 	s.entries[e.ID] = e
 	s.services.add(e)
-	if before != nil && before.Service != e.Service {
-		s.services.remove(before)
+	if previous != nil && previous.Service != e.Service {
+		s.services.remove(previous)
 	}
 }
 
@@ -119,8 +119,8 @@
 // is told goes into the history, also what this follower has already. A reader may
 // come from the writer, between two versions that are one step here. A whole list
 // does not tell what has changed, so nobody may go on from before it.
-func (s *Store) ApplyListing(now time.Duration, l Listing, history string) error {
-	if l.Reset {
+func (s *Store) ApplyListing(now time.Duration, listing Listing, history string) error {
+	if listing.Reset {
 		clear(s.entries)
 		s.services.clear()
 	}
@@ -128,22 +128,22 @@
 		s.services = newServiceIndex()
 	}
 	s.history = history
-	meanwhile := map[string][]Placement{}
-	for _, moved := range l.Moved {
-		meanwhile[moved.ID] = moved.From
+	interimPlacements := map[string][]Placement{}
+	for _, moved := range listing.Moved {
+		interimPlacements[moved.ID] = moved.From
 	}
-	for _, name := range l.EmptyServices {
+	for _, name := range listing.EmptyServices {
 		s.services.addKnown(name)
 	}
-	for _, i := range l.Instances {
-		if err := s.applyChange(i, l.Generation, now, meanwhile[i.ID]); err != nil {
+	for _, instance := range listing.Instances {
+		if err := s.applyChange(instance, listing.Generation, now, interimPlacements[instance.ID]); err != nil {
 			return err
 		}
 	}
-	s.version = l.Generation
+	s.version = listing.Generation
 	s.trimServices()
 	s.clearCache()
-	if l.Reset {
+	if listing.Reset {
 		s.clearHistory()
 	}
 	return nil
@@ -151,8 +151,8 @@
 
 // Stats returns the figures.
 func (s *Store) Stats() Stats {
-	st := s.stats
-	st.Version, st.Instances, st.History, st.Bytes = s.version, len(s.entries), len(s.changes), s.bytes
-	st.Services, st.EmptyServices = len(s.services.known), s.services.empty
-	return st
+	stats := s.stats
+	stats.Version, stats.Instances, stats.History, stats.Bytes = s.version, len(s.entries), len(s.changes), s.bytes
+	stats.Services, stats.EmptyServices = len(s.services.known), s.services.empty
+	return stats
 }
--- a/internal/registry/subscriptions.go
+++ b/internal/registry/subscriptions.go
@@ -29,7 +29,7 @@
 )
 
 // subscriptionCall is the body of a call that names scopes.
-type subscriptionCall struct {
+type subscriptionRequest struct {
 	Scopes []string `json:"scopes"`
 }
 
@@ -50,12 +50,12 @@
 func newSubscriptions() *subscriptions { return &subscriptions{byID: map[string]*list.Element{}} }
 
 // add keeps a set, within bounds on the sets and on all of their scopes.
-func (s *subscriptions) add(set *ScopeSet, mostSets, mostScopes int) {
+func (s *subscriptions) add(set *ScopeSet, maxSets, maxScopes int) {
 	if s.get(set.ID()) == nil {
 		s.byID[set.ID()] = s.recent.PushFront(set)
 		s.scopes += set.Len()
 	}
-	for s.recent.Len() > 1 && (s.recent.Len() > mostSets || s.scopes > mostScopes) {
+	for s.recent.Len() > 1 && (s.recent.Len() > maxSets || s.scopes > maxScopes) {
 		oldest := s.recent.Remove(s.recent.Back()).(*ScopeSet)
 		delete(s.byID, oldest.ID())
 		s.scopes -= oldest.Len()
@@ -73,23 +73,23 @@
 }
 
 // readSubscription reads the scopes of a call.
-func readSubscription(body io.Reader, mostBytes int64, mostScopes int) (*ScopeSet, error) {
-	text, err := io.ReadAll(http.MaxBytesReader(nil, io.NopCloser(body), mostBytes))
-	var long *http.MaxBytesError
+func readSubscription(body io.Reader, maxBytes int64, maxScopes int) (*ScopeSet, error) {
+	data, err := io.ReadAll(http.MaxBytesReader(nil, io.NopCloser(body), maxBytes))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &long):
-		return nil, refuse(http.StatusRequestEntityTooLarge, "a subscription has %d bytes at most", mostBytes)
+	case errors.As(err, &tooLarge):
+		return nil, refuse(http.StatusRequestEntityTooLarge, "a subscription has %d bytes at most", maxBytes)
 	case err != nil:
 		return nil, refuse(http.StatusBadRequest, "the call did not come whole")
 	}
-	var call subscriptionCall
-	if err := decode(text, &call); err != nil {
+	var request subscriptionRequest
+	if err := decode(data, &request); err != nil {
 		return nil, refuse(http.StatusBadRequest, "%v", err)
 	}
-	if len(call.Scopes) > mostScopes {
-		return nil, refuse(http.StatusRequestEntityTooLarge, "%d scopes are more than the %d of a subscription; a reader of so many reads the whole list", len(call.Scopes), mostScopes)
+	if len(request.Scopes) > maxScopes {
+		return nil, refuse(http.StatusRequestEntityTooLarge, "%d scopes are more than the %d of a subscription; a reader of so many reads the whole list", len(request.Scopes), maxScopes)
 	}
-	scopes, err := ParseScopes(call.Scopes)
+	scopes, err := ParseScopes(request.Scopes)
 	if err != nil {
 		return nil, refuse(http.StatusBadRequest, "%v", err)
 	}
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -12,51 +12,51 @@
 // read answers with the whole list, or waits for what is new; both in the scopes that the
 // call names, if it does.
 func (s *Server) handleRead(w http.ResponseWriter, r *http.Request) {
-	question, wait, err := s.parseRead(r)
+	read, wait, err := s.parseRead(r)
 	if err != nil {
 		s.writeError(w, err)
 		return
 	}
-	a, err := s.awaitAnswer(r.Context(), question, wait)
+	result, err := s.awaitAnswer(r.Context(), read, wait)
 	if err != nil {
 		s.writeError(w, err)
 		return
 	}
-	w.Header().Set(HistoryHeader, a.history)
-	w.Header().Set(EpochHeader, strconv.FormatInt(a.epoch, 10))
-	if question.Scopes != nil {
-		w.Header().Set(SubscriptionHeader, question.Scopes.ID())
+	w.Header().Set(HistoryHeader, result.history)
+	w.Header().Set(EpochHeader, strconv.FormatInt(result.epoch, 10))
+	if read.Scopes != nil {
+		w.Header().Set(SubscriptionHeader, read.Scopes.ID())
 	}
 	if s.age != nil && s.writer.Load() != nil {
 		w.Header().Set(AgeHeader, strconv.FormatInt(s.age(), 10))
 	}
-	s.writeAnswer(w, a.body)
+	s.writeAnswer(w, result.body)
 }
 
 // question reads what a call asks for, and how long it may wait.
-func (s *Server) parseRead(r *http.Request) (question ScopedRead, wait time.Duration, err error) {
+func (s *Server) parseRead(r *http.Request) (read ScopedRead, wait time.Duration, err error) {
 	since, err := queryInteger(r, "since", 0, maxExactInteger)
 	waitMs, waitErr := queryInteger(r, "timeout_ms", 0, maxWatchWait.Milliseconds())
 	if err = errors.Join(err, waitErr); err != nil {
-		return question, 0, err
+		return read, 0, err
 	}
 	query := r.URL.Query()
-	question = ScopedRead{Since: since, History: query.Get("history")}
+	read = ScopedRead{Since: since, History: query.Get("history")}
 	if query.Has(subscriptionParameter) {
-		if question.Scopes, err = s.subscription(query.Get(subscriptionParameter)); err != nil {
-			return question, 0, err
+		if read.Scopes, err = s.subscription(query.Get(subscriptionParameter)); err != nil {
+			return read, 0, err
 		}
-		question.Held = question.Scopes
+		read.Held = read.Scopes
 		if query.Has(heldParameter) {
-			if question.Held, err = s.subscription(query.Get(heldParameter)); err != nil {
-				return question, 0, err
+			if read.Held, err = s.subscription(query.Get(heldParameter)); err != nil {
+				return read, 0, err
 			}
 		}
 	}
-	if since < 0 || question.addsScopes() {
-		return question, 0, nil // it is answered at once
+	if since < 0 || read.addsScopes() {
+		return read, 0, nil // it is answered at once
 	}
-	return question, time.Duration(max(waitMs, 0)) * time.Millisecond, nil
+	return read, time.Duration(max(waitMs, 0)) * time.Millisecond, nil
 }
 
 // subscription returns the scopes that were named under an id.
@@ -104,8 +104,8 @@
 	wake chan struct{} // has one when there may be something for it
 }
 
-func newScopedWatch(question ScopedRead) *scopedWatch {
-	return &scopedWatch{question, make(chan struct{}, 1)}
+func newScopedWatch(read ScopedRead) *scopedWatch {
+	return &scopedWatch{read, make(chan struct{}, 1)}
 }
 
 // passOver moves on the watches of scopes that nothing new concerns, and wakes the others.
@@ -114,17 +114,17 @@
 // Most watches have no service that has changed since they were last looked at. They are not
 // compared with each change.
 func (s *Server) advanceWatches() {
-	before := s.watchesVersion
+	previousVersion := s.watchesVersion
 	s.watchesVersion = s.store.version
 	if len(s.watches) == 0 {
 		return
 	}
-	changed := s.store.servicesChanged(before)
+	changedServices := s.store.servicesChanged(previousVersion)
 	for watch := range s.watches {
-		q := &watch.read
-		apart := q.Since >= before && s.store.canContinue(*q) && !q.Scopes.includesServiceOf(changed)
-		if s.store.fence == nil && (apart || s.store.NoChangesFor(*q)) {
-			q.Since = s.store.version
+		read := &watch.read
+		unaffected := read.Since >= previousVersion && s.store.canContinue(*read) && !read.Scopes.includesServiceOf(changedServices)
+		if s.store.fence == nil && (unaffected || s.store.NoChangesFor(*read)) {
+			read.Since = s.store.version
 			continue
 		}
 		select {
@@ -136,13 +136,13 @@
 
 // lookFor looks for a watch. If there is nothing new, the watch waits until endWatch, and
 // the channel has something, or is closed, when there may be.
-func (s *Server) pollWatch(watch *scopedWatch, last bool) (found watchResult, news <-chan struct{}, err error) {
+func (s *Server) pollWatch(watch *scopedWatch, final bool) (result watchResult, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found, err = s.poll(&watch.read, last)
+	result, err = s.poll(&watch.read, final)
 	switch {
-	case err != nil || found.body != nil:
-		return found, nil, err
+	case err != nil || result.body != nil:
+		return result, nil, err
 	case watch.read.Scopes == nil:
 		return watchResult{}, s.changed, nil
 	}
@@ -158,33 +158,33 @@
 }
 
 // await waits for an answer.
-func (s *Server) awaitAnswer(ctx context.Context, q ScopedRead, wait time.Duration) (watchResult, error) {
+func (s *Server) awaitAnswer(ctx context.Context, read ScopedRead, wait time.Duration) (watchResult, error) {
 	if wait > 0 {
 		defer s.metrics.watchers.Add(-1)
-		if most := s.maxWatchers(); s.metrics.watchers.Add(1) > int64(most) {
-			return watchResult{}, refuse(http.StatusServiceUnavailable, "there are %d watchers", most)
+		if limit := s.maxWatchers(); s.metrics.watchers.Add(1) > int64(limit) {
+			return watchResult{}, refuse(http.StatusServiceUnavailable, "there are %d watchers", limit)
 		}
 	}
-	over := time.NewTimer(wait)
-	defer over.Stop()
-	leaving := s.stopping
-	watch := newScopedWatch(q)
-	if q.Scopes != nil && wait > 0 {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	stopping := s.stopping
+	watch := newScopedWatch(read)
+	if read.Scopes != nil && wait > 0 {
 		defer s.endWatch(watch)
 	}
-	for last := wait <= 0; ; {
-		found, news, err := s.pollWatch(watch, last)
-		if err != nil || found.body != nil {
-			return found, err
+	for final := wait <= 0; ; {
+		result, changed, err := s.pollWatch(watch, final)
+		if err != nil || result.body != nil {
+			return result, err
 		}
 		select {
-		case <-news:
-		case <-over.C:
-			last = true
-		case <-leaving:
+		case <-changed:
+		case <-timer.C:
+			final = true
+		case <-stopping:
 			// All would ask elsewhere at once.
-			leaving = nil
-			over.Reset(s.randomBetween(0, watchDrainPeriod))
+			stopping = nil
+			timer.Reset(s.randomBetween(0, watchDrainPeriod))
 		case <-ctx.Done():
 			return watchResult{}, ctx.Err()
 		}
@@ -194,30 +194,30 @@
 // look looks for an answer once. Without a body there is nothing new yet, and a question
 // about scopes is moved on to the version that was looked at, so that each change is looked
 // at once. The last look always has an answer. The caller has the lock.
-func (s *Server) poll(q *ScopedRead, last bool) (found watchResult, err error) {
+func (s *Server) poll(read *ScopedRead, final bool) (result watchResult, err error) {
 	now := s.now()
-	fenced := s.checkFenced()
-	if q.Scopes != nil && !last && fenced == nil && s.store.checkReadable(now) == nil && s.store.NoChangesFor(*q) {
-		q.Since = s.store.version
+	fencedErr := s.checkFenced()
+	if read.Scopes != nil && !final && fencedErr == nil && s.store.checkReadable(now) == nil && s.store.NoChangesFor(*read) {
+		read.Since = s.store.version
 		return watchResult{}, nil
 	}
-	var a Answer
-	if q.Scopes == nil {
-		a, err = s.store.Read(now, q.Since, q.History)
+	var answer Answer
+	if read.Scopes == nil {
+		answer, err = s.store.Read(now, read.Since, read.History)
 	} else {
-		a, err = s.store.ReadScoped(now, *q)
+		answer, err = s.store.ReadScoped(now, *read)
 	}
-	if fenced != nil {
-		err = fenced
+	if fencedErr != nil {
+		err = fencedErr
 	}
-	switch ahead := s.writer.Load() != nil && q.Since > s.store.version && q.History == s.store.history; {
-	case ahead && !last: // a follower will know by and by
+	switch ahead := s.writer.Load() != nil && read.Since > s.store.version && read.History == s.store.history; {
+	case ahead && !final: // a follower will know by and by
 	case err != nil:
 		return watchResult{}, err
-	case a.Full && !s.takeListingTokens(s.store.listCost(*q)):
+	case answer.Full && !s.takeListingTokens(s.store.listCost(*read)):
 		return watchResult{}, refuse(http.StatusServiceUnavailable, "too many ask for the whole list")
-	case !a.Unchanged || last:
-		return watchResult{a.Body, s.store.history, s.store.epoch}, nil
+	case !answer.Unchanged || final:
+		return watchResult{answer.Body, s.store.history, s.store.epoch}, nil
 	}
 	return watchResult{}, nil
 }
--- a/internal/registry/writes.go
+++ b/internal/registry/writes.go
@@ -35,35 +35,35 @@
 }
 
 // commit takes a change in, or stages it. One that goes keeps whether it drained.
-func (s *Store) commit(i Instance, now time.Duration) (WriteResult, error) {
-	if e := s.entries[i.ID]; e != nil && i.Lifecycle == Gone {
-		i.Drained = e.Lifecycle == Terminating
+func (s *Store) commit(instance Instance, now time.Duration) (WriteResult, error) {
+	if existing := s.entries[instance.ID]; existing != nil && instance.Lifecycle == Gone {
+		instance.Drained = existing.Lifecycle == Terminating
 	}
 	version := s.version + int64(len(s.staged)) + 1
-	done := WriteResult{version, i.Lifecycle}
+	result := WriteResult{version, instance.Lifecycle}
 	if !s.staging {
-		err := s.applyChange(i, version, now, nil)
+		err := s.applyChange(instance, version, now, nil)
 		s.trimServices()
-		return done, err
+		return result, err
 	}
-	text, err := json.Marshal(i)
+	encoded, err := json.Marshal(instance)
 	if err != nil {
 		return WriteResult{}, err
 	}
 	s.stats.ChangesEncoded++
-	s.staged = append(s.staged, stagedChange{i, version, text})
-	s.pending[i.ID] = true
-	return done, nil
+	s.staged = append(s.staged, stagedChange{instance, version, encoded})
+	s.pending[instance.ID] = true
+	return result, nil
 }
 
 // expected holds a write to the version that it names, if it does.
-func (s *Store) checkVersion(id string, version *int64) error {
-	have := int64(0)
+func (s *Store) checkVersion(id string, expected *int64) error {
+	current := int64(0)
 	if e := s.entries[id]; e != nil {
-		have = e.version
+		current = e.version
 	}
-	if version != nil && *version != have {
-		return refuse(http.StatusPreconditionFailed, "%s is at version %d, not %d", id, have, *version)
+	if expected != nil && *expected != current {
+		return refuse(http.StatusPreconditionFailed, "%s is at version %d, not %d", id, current, *expected)
 	}
 	return nil
 }
@@ -74,51 +74,51 @@
 // Danger: a registration that is made again, or comes late, must not undo a drain,
 // nor may a lapse in between. So one that says Ready of a process that drains is
 // refused; SetLifecycle alone ends a drain.
-func (s *Store) Register(now time.Duration, i Instance, expect *int64) (WriteResult, error) {
-	says := i.Lifecycle
-	if says == "" {
-		i.Lifecycle = Ready
+func (s *Store) Register(now time.Duration, instance Instance, expectedVersion *int64) (WriteResult, error) {
+	requested := instance.Lifecycle
+	if requested == "" {
+		instance.Lifecycle = Ready
 	}
-	if err := i.check(); err != nil {
+	if err := instance.check(); err != nil {
 		return WriteResult{}, refuse(http.StatusBadRequest, "%v", err)
 	}
-	if i.Lifecycle == Gone {
+	if instance.Lifecycle == Gone {
 		return WriteResult{}, refuse(http.StatusBadRequest, "lifecycle: an instance that is Gone leaves")
 	}
-	if s.pending[i.ID] {
+	if s.pending[instance.ID] {
 		return WriteResult{}, errPending
 	}
-	if err := s.checkVersion(i.ID, expect); err != nil {
+	if err := s.checkVersion(instance.ID, expectedVersion); err != nil {
 		return WriteResult{}, err
 	}
-	e, last := s.entries[i.ID], s.gone[i.ID]
-	drains := false
+	existing, lastGone := s.entries[instance.ID], s.gone[instance.ID]
+	draining := false
 	switch {
-	case e == nil && last.started > i.StartedAtMs:
-		return WriteResult{}, refuse(http.StatusConflict, "%s has been on the list with a later start, %d", i.ID, last.started)
-	case e == nil && len(s.entries)+len(s.staged) >= s.limits.Instances:
+	case existing == nil && lastGone.started > instance.StartedAtMs:
+		return WriteResult{}, refuse(http.StatusConflict, "%s has been on the list with a later start, %d", instance.ID, lastGone.started)
+	case existing == nil && len(s.entries)+len(s.staged) >= s.limits.Instances:
 		return WriteResult{}, refuse(http.StatusConflict, "the list is full with %d instances", len(s.entries))
-	case e == nil:
-		drains = last.drained && last.started == i.StartedAtMs
-	case e.StartedAtMs > i.StartedAtMs:
-		return WriteResult{}, refuse(http.StatusConflict, "%s is on the list with a later start, %d", i.ID, e.StartedAtMs)
-	case e.StartedAtMs == i.StartedAtMs && e.HostPort != i.HostPort:
-		return WriteResult{}, refuse(http.StatusConflict, "%s is on the list with the same start at %s", i.ID, e.HostPort)
-	case e.StartedAtMs == i.StartedAtMs:
-		drains = e.Lifecycle == Terminating
+	case existing == nil:
+		draining = lastGone.drained && lastGone.started == instance.StartedAtMs
+	case existing.StartedAtMs > instance.StartedAtMs:
+		return WriteResult{}, refuse(http.StatusConflict, "%s is on the list with a later start, %d", instance.ID, existing.StartedAtMs)
+	case existing.StartedAtMs == instance.StartedAtMs && existing.HostPort != instance.HostPort:
+		return WriteResult{}, refuse(http.StatusConflict, "%s is on the list with the same start at %s", instance.ID, existing.HostPort)
+	case existing.StartedAtMs == instance.StartedAtMs:
+		draining = existing.Lifecycle == Terminating
 	}
 	switch {
-	case drains && says == Ready:
-		return WriteResult{}, refuse(http.StatusConflict, "%s drains; a change of its lifecycle to Ready ends that, no registration does", i.ID)
-	case drains:
-		i.Lifecycle = Terminating
+	case draining && requested == Ready:
+		return WriteResult{}, refuse(http.StatusConflict, "%s drains; a change of its lifecycle to Ready ends that, no registration does", instance.ID)
+	case draining:
+		instance.Lifecycle = Terminating
 	}
-	if e != nil && i == e.Instance {
-		s.renew(now, e)
-		return e.result(), nil
+	if existing != nil && instance == existing.Instance {
+		s.renew(now, existing)
+		return existing.result(), nil
 	}
 	s.stats.Registered++
-	return s.commit(i, now)
+	return s.commit(instance, now)
 }
 
 // own returns the entry of the process with this id and start.
@@ -154,73 +154,73 @@
 }
 
 // SetLifecycle changes what an instance does, and renews it.
-func (s *Store) SetLifecycle(now time.Duration, id string, started int64, l Lifecycle, expect *int64) (WriteResult, error) {
-	if l != Ready && l != Terminating {
-		return WriteResult{}, refuse(http.StatusBadRequest, "lifecycle: %.80q is not Ready or Terminating", l)
+func (s *Store) SetLifecycle(now time.Duration, id string, started int64, lifecycle Lifecycle, expectedVersion *int64) (WriteResult, error) {
+	if lifecycle != Ready && lifecycle != Terminating {
+		return WriteResult{}, refuse(http.StatusBadRequest, "lifecycle: %.80q is not Ready or Terminating", lifecycle)
 	}
-	e, err := s.entryOf(id, started)
+	existing, err := s.entryOf(id, started)
 	if err == nil {
-		err = s.checkVersion(id, expect)
+		err = s.checkVersion(id, expectedVersion)
 	}
 	if err != nil {
 		return WriteResult{}, err
 	}
-	if e.Lifecycle == l {
-		s.renew(now, e)
-		return e.result(), nil
+	if existing.Lifecycle == lifecycle {
+		s.renew(now, existing)
+		return existing.result(), nil
 	}
-	i := e.Instance
-	i.Lifecycle = l
-	return s.commit(i, now)
+	instance := existing.Instance
+	instance.Lifecycle = lifecycle
+	return s.commit(instance, now)
 }
 
 // Leave takes an instance off the list. One that is not there has left.
-func (s *Store) Leave(now time.Duration, id string, started int64, expect *int64) (WriteResult, error) {
+func (s *Store) Leave(now time.Duration, id string, started int64, expectedVersion *int64) (WriteResult, error) {
 	if s.entries[id] == nil && !s.pending[id] {
 		return WriteResult{s.version, Gone}, nil
 	}
-	e, err := s.entryOf(id, started)
+	existing, err := s.entryOf(id, started)
 	if err == nil {
-		err = s.checkVersion(id, expect)
+		err = s.checkVersion(id, expectedVersion)
 	}
 	if err != nil {
 		return WriteResult{}, err
 	}
-	i := e.Instance
-	i.Lifecycle = Gone
-	return s.commit(i, now)
+	instance := existing.Instance
+	instance.Lifecycle = Gone
+	return s.commit(instance, now)
 }
 
 // Tick lets leases lapse. It wants to be called often; a long time between two
 // calls was a pause of the service, in which nobody could renew.
 func (s *Store) Tick(now time.Duration) error {
-	since := now - s.lastTick
+	elapsed := now - s.lastTick
 	s.lastTick = now
-	if since > s.limits.Lease/pauseLeaseDivisor {
+	if elapsed > s.limits.Lease/pauseLeaseDivisor {
 		s.stats.Pauses++
 		s.renewAll(now)
 	}
-	list := float64(len(s.entries))
-	s.lapseCredit = min(s.lapseCredit+since.Seconds()*max(lapseFractionPerSecond*list, 1), max(lapseBurstFraction*list, 1))
-	var over []*entry
+	listSize := float64(len(s.entries))
+	s.lapseCredit = min(s.lapseCredit+elapsed.Seconds()*max(lapseFractionPerSecond*listSize, 1), max(lapseBurstFraction*listSize, 1))
+	var expired []*entry
 	for _, e := range s.entries {
 		if e.expires <= now && !s.pending[e.ID] {
-			over = append(over, e)
+			expired = append(expired, e)
 		}
 	}
-	slices.SortFunc(over, func(a, b *entry) int {
+	slices.SortFunc(expired, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.expires, b.expires), cmp.Compare(a.ID, b.ID))
 	})
-	for len(over) > 0 && s.lapseCredit >= 1 {
-		i := over[0].Instance
-		i.Lifecycle = Gone
-		if _, err := s.commit(i, now); err != nil {
+	for len(expired) > 0 && s.lapseCredit >= 1 {
+		instance := expired[0].Instance
+		instance.Lifecycle = Gone
+		if _, err := s.commit(instance, now); err != nil {
 			return err
 		}
 		s.lapseCredit--
 		s.stats.Lapsed++
-		over = over[1:]
+		expired = expired[1:]
 	}
-	s.stats.Overdue = len(over)
+	s.stats.Overdue = len(expired)
 	return nil
 }
