--- a/cmd/gateway/client_test.go
+++ b/cmd/gateway/client_test.go
@@ -15,20 +15,21 @@
 	"time"
 )
 
-// client is one client that keeps its connection as long as the gateway leaves it open.
+// client sends requests one after the other, and keeps its connection while the gateway leaves it
+// open.
 type client struct {
-	name     string
-	address  string
-	judge    *judge
-	random   *rand.Rand
-	patience func() time.Duration
-	pause    func() time.Duration // between two requests
-	classes  []string
+	name    string
+	address string
+	checker *requestChecker
+	random  *rand.Rand
+	timeout func() time.Duration
+	pause   func() time.Duration // between two requests
+	classes []string             // one is drawn for each request
 
-	rests  bool // until the gateway ends the connection; it sends in that moment
-	pieces bool // it writes its requests in pieces
-	leaves bool // it often goes before its answer
-	long   bool // its bodies are long
+	sendsAtIdleClose bool // waits until the gateway closes the connection, and sends at that moment
+	writesInPieces   bool
+	oftenDisconnects bool // before the answer
+	largeBodies      bool
 
 	conn   net.Conn
 	reader *bufio.Reader
@@ -36,7 +37,7 @@
 	count  int
 }
 
-// connect opens a connection. It returns false if ctx ends first.
+// connect opens a connection, with retries. It returns false if ctx ends first.
 func (c *client) connect(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", c.address)
@@ -63,9 +64,9 @@
 		if c.conn == nil && !c.connect(ctx) {
 			return
 		}
-		if c.rests && c.served > 0 {
+		if c.sendsAtIdleClose && c.served > 0 {
 			c.conn.SetReadDeadline(time.Now().Add(3 * time.Second))
-			c.reader.Peek(1) // its end, or the deadline
+			c.reader.Peek(1) // returns at the end of the connection, or at the deadline
 		} else {
 			sleep(ctx, c.pause())
 		}
@@ -75,42 +76,42 @@
 	}
 }
 
-// request sends a new request, once more where its connection had rested and was reset.
+// request sends a new request, and repeats it if its connection had been idle and was reset.
 func (c *client) request(ctx context.Context) {
 	c.count++
 	id := fmt.Sprintf("%s-%d", c.name, c.count)
-	class, patience := c.classes[c.random.IntN(len(c.classes))], c.patience()
-	c.judge.sent(id, class, patience)
-	due := time.Now().Add(patience)
+	class, timeout := c.classes[c.random.IntN(len(c.classes))], c.timeout()
+	c.checker.requestSent(id, class, timeout)
+	due := time.Now().Add(timeout)
 	rested := c.served > 0
-	if c.try(ctx, id, class, patience) != endUnread {
+	if c.send(ctx, id, class, timeout) != endUnread {
 		return
 	}
-	c.judge.unread(id)
+	c.checker.requestUnread(id)
 	if !rested || !c.connect(ctx) {
 		return
 	}
-	if left := time.Until(due).Truncate(time.Millisecond); left > 0 && c.try(ctx, id, class, left) == endUnread {
-		c.judge.unread(id)
+	if remaining := time.Until(due).Truncate(time.Millisecond); remaining > 0 && c.send(ctx, id, class, remaining) == endUnread {
+		c.checker.requestUnread(id)
 	}
 }
 
-// end is how a request ended for its client.
-type end int
+// requestEnd is how a request ended for its client.
+type requestEnd int
 
 const (
-	endAnswered end = iota
-	endLeft
-	endUnread // the gateway has not read it
+	endAnswered requestEnd = iota
+	endDisconnected
+	endUnread // the connection was reset before the gateway read the request
 	endLost
-	endUntaken // it was never written whole
+	endUnwritten // the request was not completely written
 )
 
-func (c *client) try(ctx context.Context, id, class string, patience time.Duration) end {
+func (c *client) send(ctx context.Context, id, class string, timeout time.Duration) requestEnd {
 	method, body := "GET", ""
 	if class == "keyed" || class == "unsafe" {
 		content := "body"
-		if c.long {
+		if c.largeBodies {
 			content = strings.Repeat(content, 25<<10)
 		}
 		method, body = "POST", fmt.Sprintf("Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(content), content)
@@ -119,88 +120,88 @@
 	}
 	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Tier: p\r\n"+
 		"X-Api-Key: 0000000000000007\r\nX-Time-Left-Ms: %d\r\nX-Call-Terms: units=1,spread=1,first=0\r\n%s",
-		method, class, id, class, patience.Milliseconds(), body)
+		method, class, id, class, timeout.Milliseconds(), body)
 	c.conn.SetDeadline(time.Now().Add(10 * time.Second))
-	if c.pieces {
+	if c.writesInPieces {
 		for n := 2 + c.random.IntN(3); n > 0; n-- {
-			at := 1 + c.random.IntN(len(text)-1)
-			if _, err := io.WriteString(c.conn, text[:at]); err != nil {
+			split := 1 + c.random.IntN(len(text)-1)
+			if _, err := io.WriteString(c.conn, text[:split]); err != nil {
 				c.close()
-				return endUntaken
+				return endUnwritten
 			}
-			text = text[at:]
+			text = text[split:]
 			sleep(ctx, time.Duration(c.random.IntN(500))*time.Millisecond)
 			if len(text) < 2 {
 				break
 			}
 		}
 	}
-	if c.pieces {
-		c.judge.whole(id, patience) // before a server can have it
+	if c.writesInPieces {
+		c.checker.requestWritten(id, timeout) // before a server can receive it
 	}
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		c.close()
 		return endUnread
 	}
-	if c.leaves && c.random.IntN(2) == 0 {
-		return c.leave(id)
+	if c.oftenDisconnects && c.random.IntN(2) == 0 {
+		return c.disconnect(id)
 	}
-	return c.receive(id, patience)
+	return c.receive(id, timeout)
 }
 
-// leave waits for an answer for a moment, and goes.
-func (c *client) leave(id string) end {
+// disconnect waits for the answer for a short time, and then closes the connection.
+func (c *client) disconnect(id string) requestEnd {
 	c.conn.SetReadDeadline(time.Now().Add(time.Duration(c.random.IntN(300)) * time.Millisecond))
 	if _, err := c.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-		c.judge.left(id)
+		c.checker.clientDisconnected(id)
 		c.close()
-		return endLeft
+		return endDisconnected
 	}
 	return c.receive(id, time.Minute)
 }
 
-// receive reads the answer, or finds out why there is none.
-func (c *client) receive(id string, patience time.Duration) end {
-	c.conn.SetReadDeadline(time.Now().Add(patience + 2*time.Second))
+// receive reads the answer, or classifies why there is none.
+func (c *client) receive(id string, timeout time.Duration) requestEnd {
+	c.conn.SetReadDeadline(time.Now().Add(timeout + 2*time.Second))
 	if _, err := c.reader.Peek(1); err != nil {
 		defer c.close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.judge.lost(id, "silence")
+			c.checker.answerLost(id, "no answer in time")
 			return endLost
-		case c.reset(err):
+		case c.wasReset(err):
 			return endUnread
 		}
-		c.judge.lost(id, "it was read, and its connection closed")
+		c.checker.answerLost(id, "connection closed after the request was read")
 		return endLost
 	}
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		c.judge.lost(id, err.Error())
+		c.checker.answerLost(id, err.Error())
 		c.close()
 		return endLost
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.judge.lost(id, "its answer is not whole: "+err.Error())
+		c.checker.answerLost(id, "incomplete answer: "+err.Error())
 		c.close()
 		return endLost
 	}
-	c.judge.answered(id, resp.StatusCode, string(body))
+	c.checker.answerReceived(id, resp.StatusCode, string(body))
 	if c.served++; resp.Close {
 		c.close()
 	}
 	return endAnswered
 }
 
-// reset tells a request that was never read from one that was. What meets a closed socket,
-// or is still unread when its socket is closed, is answered with a reset, which the end of
-// the stream may hide: then a write fails at once.
-func (c *client) reset(err error) bool {
+// wasReset reports whether the gateway closed the connection without reading the request. The kernel
+// answers data on a closed socket, or unread data in a socket that closes, with a reset. The end of
+// the stream may hide the reset; then another write fails.
+func (c *client) wasReset(err error) bool {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
 	}
-	time.Sleep(5 * time.Millisecond) // for the reset behind the end
+	time.Sleep(5 * time.Millisecond) // for a reset that follows the end of the stream
 	_, err = io.WriteString(c.conn, "\r\n")
 	return err != nil && (errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) || strings.Contains(err.Error(), "reset"))
 }
--- a/cmd/gateway/judge_test.go
+++ b/cmd/gateway/judge_test.go
@@ -9,146 +9,149 @@
 )
 
 const (
-	timeSlack  = 150 * time.Millisecond // of the time that an attempt tells its server
-	goneSlack  = 100 * time.Millisecond // after a client has gone, for an attempt that was about to begin
-	writeSlack = 50 * time.Millisecond  // for the way between the test's own processes
-	lostAfter  = 500 * time.Millisecond // behind a request's time its answer is lost
+	timeLeftTolerance   = 150 * time.Millisecond // of the time left that an attempt reports to its server
+	disconnectTolerance = 100 * time.Millisecond // for an attempt that was about to start when its client disconnected
+	transferTolerance   = 50 * time.Millisecond  // between the processes of the test
+	lateAnswerTolerance = 500 * time.Millisecond // of an answer after the request's deadline
 )
 
-// judge keeps the rules on requests from outside the gateway. It is safe for concurrent use.
-type judge struct {
-	mu       sync.Mutex
-	requests map[string]*request
-	broken   []string
-	statuses map[int]int
-	resent   int
-	killed   time.Time // a process that served was killed outright
-	excused  int       // requests that ended with it
+// requestChecker checks the rules on requests, as clients and servers see them. It is safe for
+// concurrent use.
+type requestChecker struct {
+	mu           sync.Mutex
+	requests     map[string]*checkedRequest
+	violations   []string
+	statuses     map[int]int
+	unreadCount  int
+	killedAt     time.Time // when a serving process was last killed without SIGTERM
+	excusedCount int       // requests lost by such a kill
 }
 
-// request is what the clients and the servers saw of one request.
-type request struct {
-	id, class string
-	due       time.Time
-	gone      time.Time // when its client closed; zero: it did not
-	attempts  int       // that came whole
-	ran       bool      // one of them may have had an effect
-	history   []string
+// checkedRequest is what the client and the servers saw of one request.
+type checkedRequest struct {
+	id, class      string
+	due            time.Time // the client's deadline
+	disconnectedAt time.Time // zero: the client did not disconnect
+	attempts       int       // complete ones
+	mayHaveRun     bool      // one of them may have taken effect
+	history        []string  // for the report of a violation
 }
 
-func newJudge() *judge { return &judge{requests: map[string]*request{}, statuses: map[int]int{}} }
+func newRequestChecker() *requestChecker {
+	return &requestChecker{requests: map[string]*checkedRequest{}, statuses: map[int]int{}}
+}
 
-func (r *request) note(format string, args ...any) {
+func (r *checkedRequest) addEvent(format string, args ...any) {
 	r.history = append(r.history, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-func (j *judge) violate(r *request, format string, args ...any) {
-	r.note("BROKEN: "+format, args...)
-	j.broken = append(j.broken, r.id+" "+r.class+"\n\t"+strings.Join(r.history, "\n\t"))
+func (c *requestChecker) addViolation(request *checkedRequest, format string, args ...any) {
+	request.addEvent("VIOLATION: "+format, args...)
+	c.violations = append(c.violations, request.id+" "+request.class+"\n\t"+strings.Join(request.history, "\n\t"))
 }
 
-// sent registers a request before its first byte is written.
-func (j *judge) sent(id, class string, patience time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := &request{id: id, class: class, due: time.Now().Add(patience)}
-	r.note("sent, waits %v", patience)
-	j.requests[id] = r
+// requestSent registers a request, before its first byte is written.
+func (c *requestChecker) requestSent(id, class string, timeout time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request := &checkedRequest{id: id, class: class, due: time.Now().Add(timeout)}
+	request.addEvent("sent, client timeout %v", timeout)
+	c.requests[id] = request
 }
 
-// whole moves the time of a request that took its own to be written.
-func (j *judge) whole(id string, patience time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.requests[id]
-	r.due = time.Now().Add(patience)
-	r.note("written whole")
+// requestWritten restarts the timeout of a request that was written slowly.
+func (c *requestChecker) requestWritten(id string, timeout time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request := c.requests[id]
+	request.due = time.Now().Add(timeout)
+	request.addEvent("completely written")
 }
 
-// attempt judges a request that a server has read whole.
-func (j *judge) attempt(id, server string, left time.Duration, ran bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.requests[id]
-	if r == nil {
-		j.broken = append(j.broken, "server "+server+" got "+id+", which no client sent")
+// attemptReceived checks an attempt that a server has read completely.
+func (c *requestChecker) attemptReceived(id, server string, left time.Duration, mayHaveRun bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request := c.requests[id]
+	if request == nil {
+		c.violations = append(c.violations, "server "+server+" received "+id+", which no client sent")
 		return
 	}
 	now := time.Now()
-	r.note("attempt at %s, %v left", server, left)
-	if r.attempts++; r.class == "unsafe" && r.ran {
-		j.violate(r, "an unsafe request was sent again though it may have run")
+	request.addEvent("attempt at %s, %v left", server, left)
+	if request.attempts++; request.class == "unsafe" && request.mayHaveRun {
+		c.addViolation(request, "an unsafe request was retried although it may have run")
 	}
-	r.ran = r.ran || ran
-	if !r.gone.IsZero() && now.Sub(r.gone) > goneSlack+writeSlack {
-		j.violate(r, "an attempt began %v after its client had gone", now.Sub(r.gone))
+	request.mayHaveRun = request.mayHaveRun || mayHaveRun
+	if !request.disconnectedAt.IsZero() && now.Sub(request.disconnectedAt) > disconnectTolerance+transferTolerance {
+		c.addViolation(request, "an attempt started %v after its client disconnected", now.Sub(request.disconnectedAt))
 	}
-	if most := r.due.Sub(now) + timeSlack + writeSlack; left > most {
-		j.violate(r, "the server was told %v, the client has %v left", left, r.due.Sub(now))
+	if maxLeft := request.due.Sub(now) + timeLeftTolerance + transferTolerance; left > maxLeft {
+		c.addViolation(request, "the server received a time left of %v, the client has %v", left, request.due.Sub(now))
 	}
 }
 
-// left notes that the client of a request has closed its connection.
-func (j *judge) left(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.requests[id]
-	r.gone = time.Now()
-	r.note("client gone")
+// clientDisconnected records that the client of a request has closed its connection.
+func (c *requestChecker) clientDisconnected(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request := c.requests[id]
+	request.disconnectedAt = time.Now()
+	request.addEvent("client disconnected")
 }
 
-// answered judges an answer that came whole.
-func (j *judge) answered(id string, status int, body string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.requests[id]
-	r.note("answered %d", status)
-	j.statuses[status]++
+// answerReceived checks a complete answer.
+func (c *requestChecker) answerReceived(id string, status int, body string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request := c.requests[id]
+	request.addEvent("answered %d", status)
+	c.statuses[status]++
 	switch {
 	case status == http.StatusOK && body != "answer to "+id && body != "answer to "+id+longAnswer:
-		j.violate(r, "served with %d bytes, %.40q", len(body), body)
-	case status == http.StatusOK && r.attempts == 0:
-		j.violate(r, "served though no server had it")
-	case (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) && r.class == "unsafe" && r.ran:
-		j.violate(r, "refused though it may have run")
+		c.addViolation(request, "served with %d bytes, %.40q", len(body), body)
+	case status == http.StatusOK && request.attempts == 0:
+		c.addViolation(request, "served although no server received it")
+	case (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) && request.class == "unsafe" && request.mayHaveRun:
+		c.addViolation(request, "refused although it may have run")
 	}
-	if late := time.Since(r.due); late > lostAfter+writeSlack {
-		j.violate(r, "answered %v behind its time", late)
+	if late := time.Since(request.due); late > lateAnswerTolerance+transferTolerance {
+		c.addViolation(request, "answered %v after its deadline", late)
 	}
 }
 
-// unread notes a request whose connection was reset before the gateway read it. Its client
-// sends it once more where the connection had rested.
-func (j *judge) unread(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.requests[id].note("its connection was reset, unread")
-	j.resent++
+// requestUnread records a request whose connection was reset before the gateway read it. Its client
+// repeats it if the connection had been idle.
+func (c *requestChecker) requestUnread(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests[id].addEvent("connection reset before the request was read")
+	c.unreadCount++
 }
 
-// kills notes that a process which may have taken requests is killed with no stop before. What
-// it had is excused.
-func (j *judge) kills() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.killed = time.Now()
+// processKilled records that a serving process is killed without SIGTERM. The requests that it loses
+// are no violations.
+func (c *requestChecker) processKilled() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.killedAt = time.Now()
 }
 
-// lost judges a request that was taken and got no whole answer.
-func (j *judge) lost(id, how string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if time.Since(j.killed) < writeSlack {
-		j.requests[id].note("ended by a kill: %s", how)
-		j.excused++
+// answerLost checks a request that the gateway accepted and did not answer completely.
+func (c *requestChecker) answerLost(id, how string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if time.Since(c.killedAt) < transferTolerance {
+		c.requests[id].addEvent("lost by a kill: %s", how)
+		c.excusedCount++
 		return
 	}
-	j.violate(j.requests[id], "no whole answer: %s", how)
+	c.addViolation(c.requests[id], "no complete answer: %s", how)
 }
 
-// verdict returns what was broken, and a line about what was played.
-func (j *judge) verdict() (broken []string, summary string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.broken, fmt.Sprintf("%d requests, answers %v, %d unread, %d ended by a kill", len(j.requests), j.statuses, j.resent, j.excused)
+// result returns the violations, and a line about all requests.
+func (c *requestChecker) result() (violations []string, summary string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.violations, fmt.Sprintf("%d requests, answers %v, %d unread, %d lost by a kill", len(c.requests), c.statuses, c.unreadCount, c.excusedCount)
 }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,6 +1,6 @@
-// Gateway is one gateway on real sockets. EDGE_CONFIG or --config names its
-// configuration, EDGE_CONTROL the address where operators call. SIGHUP makes it
-// read the configuration again, SIGTERM answer what it holds and end.
+// Command gateway runs one gateway. EDGE_CONFIG or --config names its configuration file, and
+// EDGE_CONTROL overrides its control address. SIGHUP reloads the configuration; SIGTERM and SIGINT
+// shut the gateway down once it has answered the requests in progress.
 package main
 
 import (
@@ -22,8 +22,8 @@
 )
 
 const (
-	heapShare = 0.7 // of the memory limit; stacks, sockets and the binary have the rest
-	heapGrow  = 400 // percent between collections: the heap is small beside the limit
+	heapLimitFraction = 0.7 // of the memory limit; the rest is for stacks, sockets and the binary
+	gcPercent         = 400 // of heap growth between collections; the heap is small compared to its limit
 )
 
 func main() {
@@ -35,15 +35,16 @@
 	}
 }
 
+// run reads the configuration and runs the gateway until ctx ends and the shutdown is complete.
 func run(ctx context.Context) error {
-	hangups := make(chan os.Signal, 1) // one that waits stands for all that come meanwhile
+	hangups := make(chan os.Signal, 1) // one pending signal is enough for any number of them
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
 	options, err := command.Parse("gateway", "EDGE_CONFIG", os.Args[1:], os.Stderr)
 	if err != nil {
 		return err
 	}
-	c, err := gateway.ReadConfig(options.Config)
+	config, err := gateway.ReadConfig(options.Config)
 	if err != nil {
 		return err
 	}
@@ -52,28 +53,28 @@
 		return nil
 	}
 	if address := os.Getenv("EDGE_CONTROL"); address != "" {
-		c.Control = address // of this process; two may run side by side
+		config.Control = address // two processes of a gateway may run side by side
 	}
-	if c.Inherited = os.Getenv("EDGE_FD"); c.Inherited != "" {
-		c.HandoverDir = os.Getenv("TMPDIR")
+	if config.Inherited = os.Getenv("EDGE_FD"); config.Inherited != "" {
+		config.HandoverDir = os.Getenv("TMPDIR")
 	}
-	runtime.GOMAXPROCS(int(math.Ceil(c.Cores)))
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * heapShare))
-	debug.SetGCPercent(heapGrow)
-	log.SetPrefix(c.Name + " ")
-	options.Log(os.Stderr, "gateway", c.Name)
-	slog.Info("starting", "listen", c.Listen, "cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets,
-		"deployment", fmt.Sprintf("%+v", c.Deployment))
-	// A stop goes on under the configuration in force: one that comes just before SIGTERM, or
-	// behind it, may bring a nearer end, or classes that clients name on open connections.
-	running, ended := context.WithCancel(context.Background())
-	defer ended()
+	runtime.GOMAXPROCS(int(math.Ceil(config.Cores)))
+	debug.SetMemoryLimit(int64(float64(config.MemoryMB<<20) * heapLimitFraction))
+	debug.SetGCPercent(gcPercent)
+	log.SetPrefix(config.Name + " ")
+	options.Log(os.Stderr, "gateway", config.Name)
+	slog.Info("starting", "listen", config.Listen, "cores", config.Cores, "memory_mb", config.MemoryMB, "sockets", config.Sockets,
+		"deployment", fmt.Sprintf("%+v", config.Deployment))
+	// Reloads go on during the shutdown: a new configuration may have a shorter deadline, or classes
+	// that clients use on open connections.
+	reloadCtx, stopReloads := context.WithCancel(context.Background())
+	defer stopReloads()
 	reloads := make(chan gateway.Reload)
-	go reload(running, options.Config, hangups, reloads)
-	return gateway.Run(ctx, &c, reloads)
+	go reload(reloadCtx, options.Config, hangups, reloads)
+	return gateway.Run(ctx, &config, reloads)
 }
 
-// reload reads the configuration again at each hangup until ctx ends.
+// reload reads the configuration file at each hangup and sends the result to reloads, until ctx ends.
 func reload(ctx context.Context, path string, hangups <-chan os.Signal, reloads chan<- gateway.Reload) {
 	for {
 		select {
@@ -81,11 +82,11 @@
 			return
 		case <-hangups:
 		}
-		c, err := gateway.ReadConfig(path)
+		config, err := gateway.ReadConfig(path)
 		select {
 		case <-ctx.Done():
 			return
-		case reloads <- gateway.Reload{Config: c, Err: err}:
+		case reloads <- gateway.Reload{Config: config, Err: err}:
 		}
 	}
 }
--- a/cmd/gateway/platform_test.go
+++ b/cmd/gateway/platform_test.go
@@ -24,17 +24,16 @@
 )
 
 const (
-	countedDeadline = 3 * time.Second        // a longest deadline above it counts as this
-	killGrace       = 700 * time.Millisecond // from that deadline to SIGKILL
+	maxCountedDeadline = 3 * time.Second        // cap of the longest deadline
+	killGrace          = 700 * time.Millisecond // from that deadline to SIGKILL
 )
 
-// platform runs the processes of one gateway as the deployment page says: it holds the
-// clients' socket, tells discovery's list, sends signals, and kills at the earliest moment
-// that the page allows.
+// platform runs the processes of one gateway as the deployment platform does: it holds the client
+// socket, serves discovery's list, sends signals, and sends SIGKILL at the earliest allowed moment.
 type platform struct {
 	t         *testing.T
 	address   string
-	listener  *os.File // inherited by each process; nil: each opens the address by itself
+	listener  *os.File // inherited by each process; nil: each process listens by itself
 	dir       string
 	config    string // path
 	discovery *httptest.Server
@@ -44,18 +43,19 @@
 	settings platformSettings
 }
 
-// platformSettings are what a new configuration may change.
+// platformSettings are the settings that a new configuration may change.
 type platformSettings struct {
-	Deadline time.Duration // the longest of a class
+	Deadline time.Duration // the longest of all classes
 	Sockets  int
-	Extra    bool // a class more
+	Extra    bool // with one more class
 }
 
 // killAfter is the time from SIGTERM to the earliest SIGKILL.
 func (s platformSettings) killAfter() time.Duration {
-	return min(s.Deadline, countedDeadline) + killGrace
+	return min(s.Deadline, maxCountedDeadline) + killGrace
 }
 
+// document returns the configuration file.
 func (s platformSettings) document(listen, discovery string) string {
 	class := func(name, effect string, deadline time.Duration) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "keyScope": "all", "windowS": 10, "points": 1,
@@ -75,54 +75,54 @@
 			"classes":     classes, "packages": []any{map[string]any{"name": "p", "pays": 1}}}}
 	text, err := json.Marshal(document)
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // cannot happen for these types
 	}
 	return string(text)
 }
 
-// newPlatform starts discovery and so many backends. An inherited socket outlives the
-// processes; without one, a restart leaves a gap in which nobody listens.
-func newPlatform(t *testing.T, inherited bool, s platformSettings, backends int, j *judge) *platform {
+// newPlatform starts discovery and backends. An inherited socket stays open between processes;
+// without one, nobody listens for a while during a restart.
+func newPlatform(t *testing.T, inherited bool, settings platformSettings, backends int, checker *requestChecker) *platform {
 	t.Helper()
-	p := &platform{t: t, address: testnet.TCP(t), dir: t.TempDir(), settings: s}
-	for n := range backends {
-		b := newServer(fmt.Sprintf("s-%d", n), j)
-		t.Cleanup(b.http.Close)
-		p.backends = append(p.backends, b)
+	platform := &platform{t: t, address: testnet.TCP(t), dir: t.TempDir(), settings: settings}
+	for index := range backends {
+		backend := newServer(fmt.Sprintf("s-%d", index), checker)
+		t.Cleanup(backend.http.Close)
+		platform.backends = append(platform.backends, backend)
 	}
 	if inherited {
-		l, err := net.Listen("tcp", p.address)
+		listener, err := net.Listen("tcp", platform.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close() // the file keeps the socket
-		if p.listener, err = l.(*net.TCPListener).File(); err != nil {
+		defer listener.Close() // the file keeps the socket open
+		if platform.listener, err = listener.(*net.TCPListener).File(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { p.listener.Close() })
+		t.Cleanup(func() { platform.listener.Close() })
 	}
-	p.discovery = httptest.NewServer(http.HandlerFunc(p.list))
-	t.Cleanup(p.discovery.Close)
-	p.config = filepath.Join(p.dir, "config.json")
-	p.configure(s)
-	return p
+	platform.discovery = httptest.NewServer(http.HandlerFunc(platform.serveList))
+	t.Cleanup(platform.discovery.Close)
+	platform.config = filepath.Join(platform.dir, "config.json")
+	platform.configure(settings)
+	return platform
 }
 
-// list answers as discovery does. Nothing ever changes.
-func (p *platform) list(w http.ResponseWriter, r *http.Request) {
+// serveList answers like discovery, with a list that never changes.
+func (p *platform) serveList(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Has("since") {
 		<-r.Context().Done()
 		return
 	}
-	var all []any
-	for _, b := range p.backends {
-		all = append(all, map[string]any{"instanceId": b.name, "hostPort": strings.TrimPrefix(b.http.URL, "http://"), "zone": "a",
+	var instances []any
+	for _, backend := range p.backends {
+		instances = append(instances, map[string]any{"instanceId": backend.name, "hostPort": strings.TrimPrefix(backend.http.URL, "http://"), "zone": "a",
 			"machineType": "m", "lifecycle": "Ready", "weight": 1})
 	}
-	json.NewEncoder(w).Encode(map[string]any{"generation": 1, "reset": true, "instances": all})
+	json.NewEncoder(w).Encode(map[string]any{"generation": 1, "reset": true, "instances": instances})
 }
 
-// configure replaces the configuration file in one step.
+// configure replaces the configuration file atomically.
 func (p *platform) configure(s platformSettings) {
 	p.t.Helper()
 	p.mu.Lock()
@@ -144,77 +144,77 @@
 	return p.settings
 }
 
-// instance is one process of the gateway.
-type instance struct {
+// gatewayProcess is one process of the gateway.
+type gatewayProcess struct {
 	t       *testing.T
 	cmd     *exec.Cmd
 	log     lockedBuffer
 	control string
-	ended   chan struct{} // closed once the process has
+	ended   chan struct{} // closed once the process has ended
 }
 
-// start starts a process and waits until it takes clients.
-func (p *platform) start() *instance {
+// start starts a process and waits until it is ready.
+func (p *platform) start() *gatewayProcess {
 	p.t.Helper()
-	in := p.launch()
-	until(p.t, "http://"+in.control+"/control/ready", "200 OK")
-	return in
+	process := p.launch()
+	awaitAnswer(p.t, "http://"+process.control+"/control/ready", "200 OK")
+	return process
 }
 
 // launch starts a process.
-func (p *platform) launch() *instance {
+func (p *platform) launch() *gatewayProcess {
 	p.t.Helper()
-	in := &instance{t: p.t, control: testnet.TCP(p.t), ended: make(chan struct{})}
-	in.cmd = exec.Command(os.Args[0])
-	in.cmd.Env = append(os.Environ(), "GATEWAY_AS_COMMAND=1", "EDGE_CONFIG="+p.config, "EDGE_CONTROL="+in.control,
-		"GORACE=atexit_sleep_ms=0") // else the race detector keeps a process that has ended for a second
+	process := &gatewayProcess{t: p.t, control: testnet.TCP(p.t), ended: make(chan struct{})}
+	process.cmd = exec.Command(os.Args[0])
+	process.cmd.Env = append(os.Environ(), "GATEWAY_AS_COMMAND=1", "EDGE_CONFIG="+p.config, "EDGE_CONTROL="+process.control,
+		"GORACE=atexit_sleep_ms=0") // otherwise the race detector delays the end of a process by a second
 	if p.listener != nil {
-		in.cmd.ExtraFiles = []*os.File{p.listener}
-		in.cmd.Env = append(in.cmd.Env, "EDGE_FD=3", "TMPDIR="+p.dir)
+		process.cmd.ExtraFiles = []*os.File{p.listener}
+		process.cmd.Env = append(process.cmd.Env, "EDGE_FD=3", "TMPDIR="+p.dir)
 	}
-	in.cmd.Stderr = &in.log
-	if err := in.cmd.Start(); err != nil {
+	process.cmd.Stderr = &process.log
+	if err := process.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
 	go func() {
-		defer close(in.ended)
-		in.cmd.Wait()
+		defer close(process.ended)
+		process.cmd.Wait()
 	}()
-	p.t.Cleanup(func() { in.cmd.Process.Kill(); <-in.ended })
-	return in
+	p.t.Cleanup(func() { process.cmd.Process.Kill(); <-process.ended })
+	return process
 }
 
-func (in *instance) signal(s syscall.Signal) { in.cmd.Process.Signal(s) }
+func (g *gatewayProcess) signal(s syscall.Signal) { g.cmd.Process.Signal(s) }
 
-// freeze holds the process up.
-func (in *instance) freeze(d time.Duration) {
-	in.signal(syscall.SIGSTOP)
+// freeze suspends the process for a while.
+func (g *gatewayProcess) freeze(d time.Duration) {
+	g.signal(syscall.SIGSTOP)
 	time.Sleep(d)
-	in.signal(syscall.SIGCONT)
+	g.signal(syscall.SIGCONT)
 }
 
-// kill ends the process with no word.
-func (in *instance) kill() {
-	in.signal(syscall.SIGKILL)
-	<-in.ended
+// kill sends SIGKILL and waits for the end of the process.
+func (g *gatewayProcess) kill() {
+	g.signal(syscall.SIGKILL)
+	<-g.ended
 }
 
-// terminate sends SIGTERM and, if the process is still there at the given time after it,
-// SIGKILL. It returns how long the process lived on.
-func (in *instance) terminate(killAfter time.Duration) (lived time.Duration, killed bool) {
+// terminate sends SIGTERM, and SIGKILL if the process still runs after killAfter. It returns the time
+// from SIGTERM to the end of the process.
+func (g *gatewayProcess) terminate(killAfter time.Duration) (lived time.Duration, killed bool) {
 	began := time.Now()
-	in.signal(syscall.SIGTERM)
+	g.signal(syscall.SIGTERM)
 	select {
-	case <-in.ended:
+	case <-g.ended:
 	case <-time.After(killAfter):
-		in.signal(syscall.SIGKILL)
-		<-in.ended
+		g.signal(syscall.SIGKILL)
+		<-g.ended
 		killed = true
 	}
 	return time.Since(began), killed
 }
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer is a buffer that may be read and written concurrently.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -232,40 +232,40 @@
 	return b.text.String()
 }
 
-// behaviour is what a server does with a request.
-type behaviour int
+// serverBehaviour is how a server answers a request.
+type serverBehaviour int
 
 const (
-	answers behaviour = iota
+	answers serverBehaviour = iota
 	answersLate
 	hangs
 	resets
 	fails
-	answersWithoutLength // which ends with its connection
-	answersLong          // in pieces
+	answersWithoutLength // the body ends with the connection
+	answersLong          // in chunks
 )
 
-// longAnswer is what stands behind the start of a long answer.
+// longAnswer is the text after the start of a long answer.
 var longAnswer = strings.Repeat("x", 300<<10)
 
-// server is a backend whose behaviour is drawn for each request.
+// server is a backend whose behaviour is drawn anew for each request.
 type server struct {
-	name  string
-	http  *httptest.Server
-	judge *judge
+	name    string
+	http    *httptest.Server
+	checker *requestChecker
 
 	mu   sync.Mutex
-	draw func() (behaviour, time.Duration)
+	draw func() (serverBehaviour, time.Duration)
 }
 
-func newServer(name string, j *judge) *server {
-	s := &server{name: name, judge: j, draw: func() (behaviour, time.Duration) { return answers, 0 }}
+func newServer(name string, checker *requestChecker) *server {
+	s := &server{name: name, checker: checker, draw: func() (serverBehaviour, time.Duration) { return answers, 0 }}
 	s.http = httptest.NewServer(s)
 	return s
 }
 
-// behave sets what is drawn from now on.
-func (s *server) behave(draw func() (behaviour, time.Duration)) {
+// behave sets the function that draws the behaviour, and a delay for it.
+func (s *server) behave(draw func() (serverBehaviour, time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draw = draw
@@ -276,11 +276,11 @@
 	how, after := s.draw()
 	s.mu.Unlock()
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // it never came whole
+		return // the request is incomplete
 	}
 	id := r.Header.Get("X-Correlation-Id")
 	left, _ := strconv.Atoi(r.Header.Get("X-Time-Left-Ms"))
-	s.judge.attempt(id, s.name, time.Duration(left)*time.Millisecond, how != fails)
+	s.checker.attemptReceived(id, s.name, time.Duration(left)*time.Millisecond, how != fails)
 	wait := func(d time.Duration) {
 		select {
 		case <-time.After(d):
@@ -318,20 +318,20 @@
 	}
 }
 
-// mixture draws behaviours by weights, with times up to the given one for late answers.
-func mixture(seed uint64, late time.Duration, weights map[behaviour]float64) func() (behaviour, time.Duration) {
+// mixture returns a function that draws behaviours by weights, with delays of late answers up to late.
+func mixture(seed uint64, late time.Duration, weights map[serverBehaviour]float64) func() (serverBehaviour, time.Duration) {
 	random := rand.New(rand.NewPCG(seed, 7))
-	return func() (behaviour, time.Duration) {
-		at := random.Float64()
-		for how := answers; how <= answersLong; how++ {
-			if at -= weights[how]; at < 0 {
-				if how == answersLate {
-					return how, time.Duration(random.Float64() * float64(late))
+	return func() (serverBehaviour, time.Duration) {
+		remaining := random.Float64()
+		for behaviour := answers; behaviour <= answersLong; behaviour++ {
+			if remaining -= weights[behaviour]; remaining < 0 {
+				if behaviour == answersLate {
+					return behaviour, time.Duration(random.Float64() * float64(late))
 				}
-				if how == answersLong {
-					return how, time.Duration(random.Float64() * float64(100*time.Millisecond))
+				if behaviour == answersLong {
+					return behaviour, time.Duration(random.Float64() * float64(100*time.Millisecond))
 				}
-				return how, time.Duration(random.Float64() * float64(20*time.Millisecond))
+				return behaviour, time.Duration(random.Float64() * float64(20*time.Millisecond))
 			}
 		}
 		return answers, 0
