--- a/cmd/dunlintray/members.go
+++ b/cmd/dunlintray/members.go
@@ -100,7 +100,7 @@
 	if v.State == "" {
 		return "does not say how it stands" // an earlier program
 	}
-	return fmt.Sprintf("%s for %v: %s", v.State, (time.Duration(v.StateForMs) * time.Millisecond).Round(100*time.Millisecond), v.Why)
+	return fmt.Sprintf("%s for %v: %s", v.State, (time.Duration(v.StateForMs) * time.Millisecond).Round(100*time.Millisecond), v.Reason)
 }
 
 // askMembers asks one gateway.
@@ -137,9 +137,9 @@
 		if m.StartedAtMs > 0 {
 			started = time.UnixMilli(m.StartedAtMs).UTC().Format(time.RFC3339)
 		}
-		fmt.Fprintf(tab, "%d\t%s\t%v\t%d\t%s\n", m.Number, m.State, (time.Duration(m.ForMs) * time.Millisecond).Round(100*time.Millisecond), m.Incarnation, started)
+		fmt.Fprintf(tab, "%d\t%s\t%v\t%d\t%s\n", m.Number, m.State, (time.Duration(m.StateForMs) * time.Millisecond).Round(100*time.Millisecond), m.Incarnation, started)
 	}
 	tab.Flush()
-	_, err := fmt.Fprintf(out, "%d of %d members that were heard agree with gateway %d\n", v.Same, v.Heard, v.Self)
+	_, err := fmt.Fprintf(out, "%d of %d members that were heard agree with gateway %d\n", v.AgreeingViews, v.ReceivedViews, v.Self)
 	return err
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -73,25 +73,25 @@
 
 // Member is one gateway of a MembersView.
 type Member struct {
-	Number      int    `json:"number"`
+	Number      int    `json:"number"` // rank in the fleet
 	State       string `json:"state"`
 	Incarnation uint32 `json:"incarnation"`
-	StartedAtMs int64  `json:"startedAtMs"`
-	ForMs       int64  `json:"forMs"` // milliseconds in this state
+	StartedAtMs int64  `json:"startedAtMs"` // start of its process, in milliseconds of Unix time
+	StateForMs  int64  `json:"forMs"`       // milliseconds in this state
 }
 
 // MembersView is the answer to GET /control/members: the gateways as this one sees them.
 type MembersView struct {
-	Self       int      `json:"self"`
-	On         bool     `json:"on"`
-	Superseded bool     `json:"superseded"`
-	Digest     string   `json:"digest"`
-	Same       int      `json:"same"`  // present members with the same view as this one
-	Heard      int      `json:"heard"` // present members that have sent their view
-	State      string   `json:"state"` // partition state: whole, divided or alone
-	StateForMs int64    `json:"stateForMs"`
-	Why        string   `json:"why"`
-	Members    []Member `json:"members"`
+	Self          int      `json:"self"`       // number of this gateway
+	On            bool     `json:"on"`         // this process takes part in the membership
+	Superseded    bool     `json:"superseded"` // a later process has this gateway's number
+	Digest        string   `json:"digest"`     // hash of the view, in hexadecimal
+	AgreeingViews int      `json:"same"`       // received views that equal this one
+	ReceivedViews int      `json:"heard"`      // views received from present members
+	State         string   `json:"state"`      // partition state: whole, divided or alone
+	StateForMs    int64    `json:"stateForMs"` // milliseconds in this state
+	Reason        string   `json:"why"`        // of the state
+	Members       []Member `json:"members"`
 }
 
 // membersHandler answers with a MembersView, or with status 404 if c is nil.
@@ -103,8 +103,8 @@
 		}
 		view := c.agent.View()
 		state, since, reason := c.state(time.Now())
-		answer := MembersView{Self: view.Self, On: view.On, Superseded: view.Superseded, Digest: fmt.Sprintf("%016x", view.Digest), Same: view.Same, Heard: view.Of,
-			State: state.String(), StateForMs: since.Milliseconds(), Why: reason}
+		answer := MembersView{Self: view.Self, On: view.On, Superseded: view.Superseded, Digest: fmt.Sprintf("%016x", view.Digest), AgreeingViews: view.Same, ReceivedViews: view.Of,
+			State: state.String(), StateForMs: since.Milliseconds(), Reason: reason}
 		for _, member := range view.Members {
 			answer.Members = append(answer.Members, Member{member.Number, member.State.String(), member.Incarnation, member.Start, (view.Now - member.Since).Milliseconds()})
 		}
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -162,7 +162,7 @@
 	connectivity := newConnectivity(agent, nil, &counterContact{}, time.Now())
 	membersHandler(connectivity)(recorder, nil)
 	var view MembersView
-	if err := json.Unmarshal(recorder.Body.Bytes(), &view); err != nil || len(view.Members) != 1 || view.Members[0].State != "alive" || !view.On || view.State != "whole" || view.Why == "" {
+	if err := json.Unmarshal(recorder.Body.Bytes(), &view); err != nil || len(view.Members) != 1 || view.Members[0].State != "alive" || !view.On || view.State != "whole" || view.Reason == "" {
 		t.Errorf("%s, %v", recorder.Body, err)
 	}
 	var metrics strings.Builder
--- a/internal/play/connectivity.go
+++ b/internal/play/connectivity.go
@@ -35,7 +35,7 @@
 			for i, m := range v.Members {
 				present[i] = m.State == membership.Alive.String() || m.State == membership.Suspect.String()
 			}
-			e.post(world.Connectivity{Gateway: g, State: v.State, Why: v.Why, Present: present})
+			e.post(world.Connectivity{Gateway: g, State: v.State, Why: v.Reason, Present: present})
 		}
 	}
 }
