--- a/internal/registry/admission.go
+++ b/internal/registry/admission.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// ServerLimits bound a Server.
+// ServerLimits bounds the load on a Server.
 type ServerLimits struct {
 	Connections       int
 	Watchers          int
-	ListingsPerSecond float64 // whole lists in a second; one of scopes counts by its share
+	ListingsPerSecond float64 // full listings; a scoped listing counts as the fraction of the list that it examines
 
-	// Of the scopes that readers name; 0: the defaults above.
-	Subscriptions      int   // sets of scopes that are kept
-	SubscriptionScopes int   // scopes of one set
+	// Limits on the scopes that readers register; 0 means the default.
+	Subscriptions      int   // sets of scopes
+	SubscriptionScopes int   // scopes per set, at most MaxScopes
 	SubscribedScopes   int   // scopes of all sets
-	SubscriptionBytes  int64 // of a call that names a set
+	SubscriptionBytes  int64 // body of a request that registers a set
 }
 
-// withDefaults puts the defaults in the place of what is not said.
+// withDefaults replaces zero limits on scopes by their defaults.
 func (l ServerLimits) withDefaults() ServerLimits {
 	l.Subscriptions = cmp.Or(l.Subscriptions, defaultSubscriptions)
 	l.SubscriptionScopes = min(cmp.Or(l.SubscriptionScopes, defaultSubscriptionScopes), MaxScopes)
@@ -33,9 +33,8 @@
 	return s.limits.Watchers
 }
 
-// mayList bounds the whole lists, of which each costs as much as many changes. The list of
-// scopes counts as the part of the instances that has to be looked at for it, so that a
-// thousand readers of small services are let in where a hundred of everything are.
+// takeListingTokens reports whether the rate limit admits a listing, and charges it if so.
+// cost is the fraction of the list that the listing examines. The caller holds s.mu.
 func (s *Server) takeListingTokens(cost float64) bool {
 	now := time.Now()
 	s.listingTokens = min(s.listingTokens+now.Sub(s.listingTokensAt).Seconds()*s.limits.ListingsPerSecond, s.limits.ListingsPerSecond)
--- a/internal/registry/agreed.go
+++ b/internal/registry/agreed.go
@@ -14,28 +14,29 @@
 	"dunlintray/internal/budget"
 )
 
-// Agreement is a group of list services that agree on one list.
+// Group replicates the records of one list among the members of a consensus group.
 type Group interface {
-	// Append has the group agree on records, in one piece. Without an error this member
-	// has applied them. With one it is not known whether they will be, and this member
-	// writes no more until it is told anew that it does.
+	// Append commits records atomically. If it returns nil, this member has applied them. If
+	// it returns an error, the outcome is unknown, and this member must not write until the
+	// next SetWriter call makes it the writer.
 	Append(records [][]byte) error
-	// Age is how long ago this member last heard from who writes; below 0: never.
+	// Age returns the time since this member last received a message from the writer; it is
+	// negative before the first one.
 	Age() time.Duration
 }
 
-var errOutcomeUnknown = errors.New("it is not known whether the group takes it")
+var errOutcomeUnknown = errors.New("it is not known whether the group will commit the change")
 
-// agreed is the part of a Server whose list a group agrees on. Changes are made by the
-// member that writes: it stages them as for a log, the group agrees on the records, and
-// each member applies them.
+// replicated is the state of a Server whose list a group replicates. The writing member
+// stages changes as for a log, the group commits the records, and each member applies them.
 type replicated struct {
 	group       Group
-	historyName string // of the history, if this member begins it
+	historyName string // name of the history if this member begins it
 }
 
-// NewAgreed serves a list that a group agrees on, at an address that others know. It
-// writes nothing until the group says that it does.
+// NewGroupMember returns a Server for a list that a group replicates. Call SetGroup before
+// Serve. The server rejects writes until SetWriter makes it the writer. selfAddress is the
+// address at which other processes reach it.
 func NewGroupMember(selfAddress string, limits Limits, serverLimits ServerLimits, startedAt time.Time, random *rand.Rand) *Server {
 	server := NewWriter(selfAddress, newStore(limits, 0), serverLimits, startedAt, random)
 	server.replicated = &replicated{historyName: fmt.Sprintf("%016x", random.Uint64())}
@@ -46,10 +47,10 @@
 	return server
 }
 
-// Agree names the group. It comes before Serve.
+// SetGroup sets the group that replicates the list. Call it before Serve.
 func (s *Server) SetGroup(group Group) {
 	s.replicated.group = group
-	s.age = func() int64 {
+	s.ageMs = func() int64 {
 		if s.writer.Load() == nil {
 			return 0
 		}
@@ -66,29 +67,29 @@
 	}
 }
 
-// SetWriter tells who writes: this member or another, by its list service's address,
-// which is empty for nobody that is known. A member that begins to write has applied all
-// that was agreed on before.
+// SetWriter sets the writer: this member, or the member at an address, which is empty if the
+// writer is unknown. A member must have applied all committed records before it becomes the
+// writer.
 func (s *Server) SetWriter(isSelf bool, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !isSelf {
 		if s.store.isWriter {
 			s.store.isWriter = false
-			s.store.DropStaged() // what is staged comes by the group, or never
+			s.store.DropStaged() // the group may still commit them
 		}
 		s.writer.Store(&address)
 		return
 	}
 	now := s.now()
 	s.store.isWriter, s.store.lastTick = true, now
-	s.store.renewAll(now) // they were renewed elsewhere
+	s.store.renewAll(now) // the previous writer received the renewals
 	s.writer.Store(nil)
 	slog.Info("this list service writes", "history", s.store.history, "version", s.store.version)
 }
 
-// begin has the group agree on a history, if it has none and this member writes. The
-// keeper does it, between two batches.
+// beginHistory begins a history if there is none and this member is the writer. The
+// persister calls it between two batches.
 func (s *Server) beginHistory() {
 	s.mu.Lock()
 	due := s.store.isWriter && s.store.history == ""
@@ -99,11 +100,11 @@
 	begin := Begin{History: s.replicated.historyName, Version: time.Now().UnixMilli(), Epoch: 1}
 	begin.BaseVersion = begin.Version
 	if err := s.replicated.group.Append([][]byte{encodeRecord(Record{Begin: &begin})}); err != nil {
-		slog.Warn("no history was begun", "error", err) // it is tried again, here or by who writes next
+		slog.Warn("history could not be begun", "error", err) // the writer retries at its next tick
 	}
 }
 
-// ApplyList applies records that the group has agreed on.
+// ApplyList applies committed records.
 func (s *Server) ApplyList(records [][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,16 +114,16 @@
 		switch {
 		case err != nil:
 		case record.Begin != nil && s.store.history != "":
-			continue // another has begun it
+			continue // another member has begun the history
 		case record.Change != nil && record.Change.Version != s.store.version+1:
-			// All members see the same, and leave it out.
-			err = fmt.Errorf("a change to version %d where the list is at %d", record.Change.Version, s.store.version)
+			// All members skip the record alike.
+			err = fmt.Errorf("change to version %d cannot follow version %d", record.Change.Version, s.store.version)
 		default:
 			isWriter := s.store.isWriter
 			err = s.store.Restore(now, record)
 			s.store.isWriter = isWriter
 			if record.Begin != nil && err == nil {
-				// It may have begun long ago, and be applied again by a process that starts.
+				// A restarted process applies the record again, long after the history began.
 				age := time.Duration(time.Now().UnixMilli()-record.Begin.Version) * time.Millisecond
 				wait := min(max(s.store.limits.Lease-age, 0), s.store.limits.Lease)
 				s.store.gatheringUntil = now + wait
@@ -130,13 +131,13 @@
 			}
 		}
 		if err != nil {
-			slog.Error("a record that the group agreed on", "error", err)
+			slog.Error("committed record skipped", "error", err)
 		}
 	}
 	s.wake()
 }
 
-// Sights are what records of the list say of backends.
+// BackendStates returns the backend states that encoded records contain.
 func (s *Server) BackendStates(records [][]byte) (states []budget.BackendState) {
 	for _, encoded := range records {
 		record, err := ParseRecord(encoded)
@@ -150,7 +151,8 @@
 	return states
 }
 
-// SaveList returns the list for a snapshot of the group's.
+// SaveList returns the encoded records of a snapshot of the list, or nil if no history has
+// begun.
 func (s *Server) SaveList() (lines [][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,14 +161,14 @@
 	}
 	for _, record := range s.store.SnapshotRecords() {
 		if record.Begin != nil {
-			record.Begin.Writer = false // of a member, not of the list
+			record.Begin.Writer = false // a property of the member, not of the list
 		}
 		lines = append(lines, encodeRecord(record))
 	}
 	return lines
 }
 
-// RestoreList puts a snapshot's list in this one's place.
+// RestoreList replaces the list by that of a snapshot. On error the list stays as it was.
 func (s *Server) RestoreList(lines [][]byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,8 +189,8 @@
 	return nil
 }
 
-// Renew begins a history in place of the one that the list is in. Readers take its whole
-// list anew: of the one before, they may have seen what is lost.
+// StartHistory replaces the history of the list by a new one, so that readers fetch the full
+// list: they may have seen changes that were lost. It does nothing if no history has begun.
 func (s *Server) StartHistory() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,11 +202,12 @@
 	return s.store.Restore(s.now(), Record{Begin: &begin})
 }
 
-// TakeOver puts a list in this one's place: a writer's with its history, a follower's copy
-// under a new one, as its writer may have told readers more than it has copied.
+// TakeOver replaces the list by that of source: a writer's with its history, or a follower's
+// copy under a new history, as readers may have seen changes that the follower has not. It
+// reports whether source was a follower's copy.
 func (s *Server) TakeOver(source *Store) (copied bool, err error) {
 	if source.fence != nil {
-		return false, fmt.Errorf("another, %s, has taken this writer's place", source.fence.Writer)
+		return false, fmt.Errorf("another writer, %s, has replaced the writer of this list", source.fence.Writer)
 	}
 	var lines [][]byte
 	for _, record := range source.SnapshotRecords() {
@@ -219,7 +222,7 @@
 	return true, s.StartHistory()
 }
 
-// AllSights are how the list has all its backends.
+// AllBackendStates returns the states of all backends in the list.
 func (s *Server) AllBackendStates() (states []budget.BackendState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,18 +236,19 @@
 	return budget.BackendState{ID: instance.ID, Zone: instance.Zone, Weight: instance.Weight, Incarnation: strconv.FormatInt(instance.StartedAtMs, 10), Ready: instance.Lifecycle == Ready}
 }
 
-// refuseElsewhere turns away what only the writer does. The caller has the lock.
+// checkIsWriter returns an error if this member of a group cannot write. The caller holds
+// s.mu.
 func (s *Server) checkIsWriter() error {
 	switch {
 	case s.replicated == nil || s.store.isWriter && s.store.history != "":
 		return nil
 	case s.store.isWriter:
-		return refuse(http.StatusServiceUnavailable, "the history has not begun")
+		return refuse(http.StatusServiceUnavailable, "the history of the list has not begun")
 	}
 	return refuse(http.StatusServiceUnavailable, "this list service does not write now")
 }
 
-// closeLog ends a log, where the keeper has one of its own.
+// closeLog closes the persister's log, if it has one.
 func (k *persister) closeLog() error {
 	if k.log == nil {
 		return nil
--- a/internal/registry/agreed_test.go
+++ b/internal/registry/agreed_test.go
@@ -166,7 +166,7 @@
 		t.Errorf("the defect is found in %d of 4", found)
 	}
 	nobody := NewGroupMember("a", Limits{Lease: time.Second, Instances: 1, History: 1, HistoryBytes: 1}, ServerLimits{Connections: 1, Watchers: 1, ListingsPerSecond: 1}, time.Now(), rand.New(rand.NewPCG(1, 1)))
-	if _, err := nobody.store.Read(time.Hour, -1, ""); err == nil || !strings.Contains(err.Error(), "not whole") || nobody.ready() {
+	if _, err := nobody.store.Read(time.Hour, -1, ""); err == nil || !strings.Contains(err.Error(), "not complete yet") || nobody.ready() {
 		t.Errorf("a list that has not begun is read: %v", err)
 	}
 }
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -20,80 +20,77 @@
 )
 
 const (
-	// watchWait is how long a reader's watch may stay open, and followerWatchWait how long
-	// that of a follower may. Both are part of the sum of docs/design.md that keeps a reader
-	// from missing a change for 6 s: a follower answers at least so often, or its age tells
-	// its readers that it hears nothing from its writer.
+	// watchWait and followerWatchWait bound the duration of a watch by a reader and by a
+	// follower. Together with staleAge they keep a reader from missing a change for 6 s.
 	watchWait         = 1500 * time.Millisecond
 	followerWatchWait = time.Second
 
-	watchGrace             = 500 * time.Millisecond // how much longer than that the answer may take
-	minScopeChangeInterval = 100 * time.Millisecond // between two watches that are ended for other scopes, each with its connection
+	watchGrace             = 500 * time.Millisecond // time for the answer beyond the duration of a watch
+	minScopeChangeInterval = 100 * time.Millisecond // between watches ended by scope changes, each of which costs a connection
 	listTimeout            = 3 * time.Second
-	maxReplyBytes          = 4 << 10          // bytes of an answer that is no list
-	warningInterval        = 10 * time.Second // between lines about services that stay down
+	maxReplyBytes          = 4 << 10          // of a reply to a subscription
+	warningInterval        = 10 * time.Second // between log lines about failed requests
 )
 
-// DefaultAnswerLimit is how many bytes an answer may have, unless SetAnswerLimit says
-// otherwise. A list of 200,000 instances has 33 MB.
+// DefaultAnswerLimit is the maximum size of an answer in bytes unless SetAnswerLimit changes
+// it. A list of 200,000 instances has 33 MB.
 const DefaultAnswerLimit = 64 << 20
 
-// errNoScopes says that a list service is of a build that does not know scopes: it has
-// answered with the whole list where a part of it was asked for.
+// errScopesUnsupported is returned if a server of a build without scopes answers a scoped
+// read with the full list.
 var errScopesUnsupported = errors.New("the list service does not know scopes: upgrade it, or take the scopes out of this reader's configuration")
 
-// Client keeps a list, or the part of it that scopes select, up to date from several
-// services. It has one connection, over which all of its scopes come.
+// Client watches the list, or the part of it that scopes select, at one of several registry
+// addresses. It uses one connection for all of its scopes.
 type Client struct {
-	feed     *Feed // of Run
+	feed     *Feed // used only by Run
 	onUpdate func(Update)
 	http     *http.Client
 
 	watchWait   time.Duration
 	answerLimit int64        // bytes
-	currentAt   atomic.Int64 // Unix nanoseconds at which the last answer was current; 0: none
+	currentAt   atomic.Int64 // Unix time in nanoseconds at which the last answer was current; 0: none
 
-	mu            sync.Mutex // of what follows
+	mu            sync.Mutex // guards the fields below
 	wanted        []Scope
-	scopesChanged bool          // wanted has changed, and the feed does not know
-	scopesSignal  chan struct{} // says so to a Run that waits
+	scopesChanged bool          // wanted has not been passed to the feed yet
+	scopesSignal  chan struct{} // wakes Run after a change of wanted
 }
 
-// Told is an answer that tells something new, or the first one to other scopes.
+// Update is an answer with changes, or the first answer for new scopes.
 type Update struct {
-	Listing         // as it came
-	Changes Listing // what of it is news for this reader; the instances of dropped scopes are Gone
+	Listing         // the answer as received
+	Changes Listing // the changes for this reader; instances of dropped scopes are Gone
 	History string
-	Epoch   int64 // of the writer; 0: not told
+	Epoch   int64 // of the writer; 0 if unknown
 	Scopes  *ScopeSet
-	Unknown []Scope // of Scopes, those whose service the list service does not know
+	Unknown []Scope // the elements of Scopes whose service is unknown
 }
 
-// NewClient calls heard, one at a time, with each answer that tells something new.
+// NewClient returns a Client that calls onUpdate from Run with each Update.
 func NewClient(addresses []string, random *rand.Rand, onUpdate func(Update)) *Client {
 	return &Client{feed: NewFeed(addresses, random), onUpdate: onUpdate, scopesSignal: make(chan struct{}, 1), watchWait: watchWait, answerLimit: DefaultAnswerLimit,
 		http: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// SetAnswerLimit bounds the bytes of an answer. A longer one is refused, and the last good
-// list stays. It is called before Run.
+// SetAnswerLimit sets the maximum size of an answer in bytes. The client rejects a longer
+// answer and keeps its list. Call it before Run.
 func (c *Client) SetAnswerLimit(bytes int64) { c.answerLimit = bytes }
 
-// SetScopes changes the part of the list that is read; without scopes it is the whole
-// list. It may be called before Run and during it, from any goroutine. Of several calls in
-// a row the last counts.
+// SetScopes changes the part of the list that is read; no scopes means the full list. It may
+// be called before and during Run from any goroutine. The last call wins.
 func (c *Client) SetScopes(scopes []Scope) {
 	c.mu.Lock()
 	c.wanted, c.scopesChanged = slices.Clone(scopes), true
 	c.mu.Unlock()
 	select {
 	case c.scopesSignal <- struct{}{}:
-	default: // it has been said
+	default: // already signalled
 	}
 }
 
-// takeScopes puts the scopes that SetScopes has named in force.
+// applyScopes passes the scopes of SetScopes to the feed.
 func (c *Client) applyScopes() {
 	c.mu.Lock()
 	wanted, scopesChanged := c.wanted, c.scopesChanged
@@ -108,17 +105,18 @@
 	}
 }
 
-// answer is what a call came to.
+// readResult is the outcome of a request.
 type readResult struct {
 	listing    Listing
 	history    string
 	epoch      int64
 	age        time.Duration
-	retryAfter time.Duration // a pause that the service asks for
+	retryAfter time.Duration // delay requested by the server
 	err        error
 }
 
-// Run follows the list until ctx ends, from other addresses when moves has some.
+// Run watches the list until ctx ends. It switches to the addresses that it receives from
+// addressChanges.
 func (c *Client) Run(ctx context.Context, addressChanges <-chan []string) {
 	defer c.http.CloseIdleConnections()
 	var lastWarning, scopesChangedAt time.Time
@@ -132,7 +130,7 @@
 		var addresses []string
 		var scopesSignal chan struct{}
 		if request.IsLongPoll() {
-			scopesSignal = c.scopesSignal // other calls are answered soon, and scopes that change often must not keep them from that
+			scopesSignal = c.scopesSignal // frequent scope changes must not interrupt other requests
 		}
 		select {
 		case result = <-results:
@@ -167,7 +165,7 @@
 	}
 }
 
-// pause waits for the next call, or until there are other addresses.
+// sleep waits before the next request. It returns early if the addresses change.
 func (c *Client) sleep(ctx context.Context, delay time.Duration, addressChanges <-chan []string) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -179,14 +177,14 @@
 			c.feed.SetAddresses(addresses)
 			return
 		case <-c.scopesSignal:
-			c.applyScopes() // what is dropped is told at once; the call for what is new keeps to the pause
+			c.applyScopes() // dropped instances are reported immediately; the request for new scopes waits
 		case <-timer.C:
 			return
 		}
 	}
 }
 
-// take hands on what an answer tells.
+// handleAnswer applies an answer to the feed and passes on the update.
 func (c *Client) handleAnswer(request ReadRequest, result readResult) error {
 	unknownBefore := c.feed.Unknown()
 	changes, err := c.feed.AnsweredTo(request, result.listing, result.history, result.age)
@@ -201,8 +199,8 @@
 	return nil
 }
 
-// Age is how old the list may be: how long ago the last answer came and, of a follower's
-// answer, how old that was. Below 0: none has come.
+// Age returns the maximum age of the list: the time since the last answer plus the age that
+// a follower reported with it. It is negative before the first answer.
 func (c *Client) Age() time.Duration {
 	currentAt := c.currentAt.Load()
 	if currentAt == 0 {
@@ -211,7 +209,8 @@
 	return time.Since(time.Unix(0, currentAt))
 }
 
-// ask makes a call. A service that does not know its scopes by their id is told them.
+// read makes a request. If the server does not know the ids of the scopes, read registers
+// them and repeats the request.
 func (c *Client) read(ctx context.Context, request ReadRequest) readResult {
 	timeout := listTimeout
 	if request.IsLongPoll() {
@@ -236,7 +235,7 @@
 	return result
 }
 
-// list asks for a list, and says whether the service knows the scopes.
+// fetch makes one request and reports whether the server knows the ids of the scopes.
 func (c *Client) fetch(ctx context.Context, request ReadRequest) (result readResult, known bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+request.Address+Path+request.queryString(c.watchWait), nil)
 	if err != nil {
@@ -248,14 +247,14 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusOK && resp.Header.Get(SubscriptionHeader) != request.Scopes.ID() {
-		return readResult{err: errScopesUnsupported}, true // its body is left, which may be all of a long list
+		return readResult{err: errScopesUnsupported}, true // skip the body, which may be a long full list
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.answerLimit+1))
 	switch {
 	case err != nil:
 		return readResult{err: err}, true
 	case int64(len(body)) > c.answerLimit:
-		return readResult{err: fmt.Errorf("the list has more than %d bytes", c.answerLimit)}, true
+		return readResult{err: fmt.Errorf("the answer has more than %d bytes", c.answerLimit)}, true
 	case resp.StatusCode != http.StatusOK:
 		return readResult{retryAfter: parseRetryAfter(resp), err: fmt.Errorf("status %s: %.200s", resp.Status, body)},
 			request.Scopes == nil || resp.StatusCode != http.StatusNotFound
@@ -264,7 +263,7 @@
 		return readResult{err: result.err}, true
 	}
 	if request.Full {
-		result.listing.Reset = true // a call without a version is answered with all there are
+		result.listing.Reset = true // an answer to a request without a version is a full list
 	}
 	if ms, err := strconv.ParseInt(resp.Header.Get(AgeHeader), 10, 64); err == nil && ms > 0 {
 		result.age = time.Duration(min(ms, maxRetryAfterHonored.Milliseconds())) * time.Millisecond
@@ -276,8 +275,8 @@
 	return result, true
 }
 
-// query is the part of a call's address that says what is asked for, and for how long the
-// service may wait for it where the call waits.
+// queryString encodes the request as a URL query, including "?". longPoll is how long the
+// server may wait for changes.
 func (r ReadRequest) queryString(longPoll time.Duration) string {
 	if !r.IsLongPoll() {
 		longPoll = 0
@@ -298,7 +297,7 @@
 	return "?" + strings.Join(parameters, "&")
 }
 
-// subscribe tells a service a set of scopes.
+// subscribe registers a set of scopes with a server.
 func (c *Client) subscribe(ctx context.Context, address string, set *ScopeSet) error {
 	payload, err := json.Marshal(subscriptionRequest{Scopes: set.Strings()})
 	if err != nil {
@@ -322,12 +321,13 @@
 	}
 	var reply subscriptionReply
 	if err := json.Unmarshal(body, &reply); err != nil || reply.Subscription != set.ID() {
-		return fmt.Errorf("%d scopes: the service calls them %.80q, which are %s", set.Len(), reply.Subscription, set.ID())
+		return fmt.Errorf("%d scopes: the server returned the id %.80q, expected %s", set.Len(), reply.Subscription, set.ID())
 	}
 	return nil
 }
 
-// advisedPause is how long a service asks a caller to wait.
+// parseRetryAfter returns the delay in the Retry-After header, at most
+// maxRetryAfterHonored; 0 if there is none.
 func parseRetryAfter(resp *http.Response) time.Duration {
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if !(seconds > 0) {
--- a/internal/registry/control.go
+++ b/internal/registry/control.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// ready tells whether reads are answered.
+// ready reports whether the server answers reads.
 func (s *Server) ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.now() >= s.store.gatheringUntil && !s.isStopping() && s.store.fence == nil && (s.replicated == nil || s.store.history != "")
 }
 
-// control answers operators.
+// controlHandler returns the HTTP handler for operators.
 func (s *Server) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -50,8 +50,8 @@
 		if writer := s.writer.Load(); writer != nil {
 			position.Writer = *writer
 		}
-		if s.age != nil {
-			age := s.age()
+		if s.ageMs != nil {
+			age := s.ageMs()
 			position.AgeMs = &age
 		}
 		json.NewEncoder(w).Encode(position)
@@ -59,7 +59,7 @@
 	return mux
 }
 
-// writeFigures puts the figures out, a line each.
+// writeMetrics writes the metrics, one per line.
 func (s *Server) writeMetrics(w io.Writer) {
 	s.mu.Lock()
 	stats := s.store.Stats()
@@ -78,8 +78,8 @@
 		{"answer_bytes", metrics.bytes.Load(), "c"}, {"watchers_cut", metrics.aborted.Load(), "c"}, {"refused", metrics.refused.Load(), "c"},
 		{"turned_away", metrics.overloaded.Load(), "c"}, {"services", int64(stats.Services), "g"}, {"empty_services", int64(stats.EmptyServices), "g"},
 		{"subscriptions", int64(subscriptions), "g"}, {"subscribed_scopes", int64(scopes), "g"}, {"joined_scoped", stats.ScopedAnswersEncoded, "c"}}
-	if s.age != nil {
-		lines = append(lines, metric{"age_ms", s.age(), "g"})
+	if s.ageMs != nil {
+		lines = append(lines, metric{"age_ms", s.ageMs(), "g"})
 	}
 	if s.persister != nil && s.persister.log != nil {
 		logStats := s.persister.log.Stats()
--- a/internal/registry/feed.go
+++ b/internal/registry/feed.go
@@ -9,34 +9,33 @@
 )
 
 const (
-	initialBackoff       = 500 * time.Millisecond // after a round of failures; it doubles
+	initialBackoff       = 500 * time.Millisecond // after all addresses have failed once; doubles with each round
 	maxBackoff           = 15 * time.Second
-	maxNextAddressDelay  = 200 * time.Millisecond // at most, before the next address of a round
-	maxPastHistories     = 8                      // histories that were left, which are not taken again
-	staleAge             = 3 * time.Second        // of a list, from which on another address is tried; two followers in a row stay below
-	maxRetryAfterHonored = time.Minute            // of a pause that a service asks for
+	maxNextAddressDelay  = 200 * time.Millisecond // before the next address of a round
+	maxPastHistories     = 8                      // abandoned histories that are remembered
+	staleAge             = 3 * time.Second        // list age above which the feed changes its address; a chain of two followers stays below
+	maxRetryAfterHonored = time.Minute
 )
 
 var (
 	errOlderVersion = errors.New("the list is older than the one that is had")
 	errPastHistory  = errors.New("the list is of a history that was left, or is older")
-	errNoFullList   = errors.New("changes of a history that is not known")
+	errNoFullList   = errors.New("changes to another history than the reader's, without a full list")
 
-	// errScopesChanged says that an answer is to a call made before the reader's scopes
-	// changed.
-	errScopesChanged = errors.New("the scopes have changed since the call")
-	// errOutOfScope says that an answer has an instance that was not asked for.
-	errOutOfScope = errors.New("the list has an instance outside of the scopes")
+	// errScopesChanged is returned for an answer to a request with earlier scopes.
+	errScopesChanged = errors.New("the scopes have changed since the request")
+	// errOutOfScope is returned for an answer with an instance outside the requested scopes.
+	errOutOfScope = errors.New("the list has an instance outside the requested scopes")
 )
 
-// Feed is the state of one that reads the list from several services. It is a
-// state machine: it says whom to ask for what, is told how that went, and says what
-// is news and how long to wait.
+// Feed is the state machine of a reader of the list from several registry addresses. It
+// returns the next request to make, takes the answer or failure, and returns the changes and
+// the backoff. It makes no calls itself and is not safe for concurrent use.
 //
-// It reads the whole list or, after SetScopes, the part that some scopes select. What it
-// knows is the list at its version, restricted to the scopes that it holds. Those are the
-// scopes that it wants, except between SetScopes and the next answer: that answer has the
-// instances of the new scopes and the changes to the others, at one version.
+// It reads the full list or, after SetScopes, the part that some scopes select. Its
+// instances are the list at its version, restricted to the scopes that it holds. These are
+// the wanted scopes except between SetScopes and the next answer, which has the instances of
+// the new scopes and the changes to the others, at one version.
 type Feed struct {
 	addresses []string
 	current   int
@@ -49,65 +48,66 @@
 	pastHistories []string
 	instances     map[string]Instance
 
-	wanted   *ScopeSet // nil: the whole list
-	held     *ScopeSet // the scopes that known has the list of; nil: none, or it is the whole list
-	heldAll  bool      // known is the whole list
-	revision int       // counts the changes of wanted
-	unknown  []Scope   // of the wanted scopes, those that the service does not know
+	wanted   *ScopeSet // nil: the full list
+	held     *ScopeSet // the scopes that instances is the list of; nil: none, or the full list
+	heldAll  bool      // instances is the full list
+	revision int       // incremented with each change of wanted
+	unknown  []Scope   // wanted scopes whose service was unknown at the last answer
 
-	compared int64 // instances that answers were compared by
+	compared int64 // instance comparisons
 }
 
-// NewFeed reads from the given addresses, in an order of its own.
+// NewFeed returns a Feed that reads from the given addresses in random order.
 func NewFeed(addresses []string, random *rand.Rand) *Feed {
 	f := &Feed{random: random, instances: map[string]Instance{}}
 	f.SetAddresses(addresses)
 	return f
 }
 
-// Move changes the addresses. What is known stays.
+// SetAddresses replaces the addresses. The list and its version stay.
 func (f *Feed) SetAddresses(addresses []string) {
 	f.addresses, f.current, f.failures = slices.Clone(addresses), 0, 0
 	f.random.Shuffle(len(f.addresses), func(i, j int) { f.addresses[i], f.addresses[j] = f.addresses[j], f.addresses[i] })
 }
 
-// Ask is a call to make.
+// ReadRequest is a request for the list.
 type ReadRequest struct {
 	Address string
-	Full    bool // else what has changed since
+	Full    bool // request all instances; otherwise the changes since version Since of History
 	Since   int64
 	History string
 
-	Scopes *ScopeSet // nil: of the whole list
-	Held   *ScopeSet // of the scopes, those that Since is about; others beside them are dropped
+	Scopes *ScopeSet // nil: the full list
+	Held   *ScopeSet // scopes whose list the reader has at Since
 
 	revision int
 }
 
-// Waits reports whether the call may wait for changes: it asks for no new scopes.
+// IsLongPoll reports whether the server may delay its answer until there are changes. It may
+// not if the request is for the full list or for new scopes.
 func (r ReadRequest) IsLongPoll() bool { return !r.Full && r.Held.equal(r.Scopes) }
 
-// Next returns the call to make now.
+// Next returns the request to make now.
 func (f *Feed) Next() ReadRequest {
 	return ReadRequest{Address: f.addresses[f.current], Full: !f.hasList || !f.canUseChanges(), Since: f.version, History: f.history,
 		Scopes: f.wanted, Held: f.held, revision: f.revision}
 }
 
-// holds reports whether changes behind the version are of use: the feed has the list of
-// some scopes that it wants or, where it wants the whole list, has that.
+// canUseChanges reports whether changes since the version suffice: the feed has the list of
+// some wanted scopes or, if it wants the full list, has that.
 func (f *Feed) canUseChanges() bool {
 	return f.heldAll == (f.wanted == nil) && (f.heldAll || f.held != nil)
 }
 
-// Answered takes a list in that came whole in answer to the call that Next returns, and
-// returns what of it is news. An error says that the list is not for this reader; it counts
-// as a failure.
+// Answered applies the answer to the request that Next returns, with the history and age
+// of the answer, and returns the changes to the list. On error it rejects the answer; the
+// caller then calls Failed.
 func (f *Feed) Answered(listing Listing, history string, age time.Duration) (changes Listing, err error) {
 	return f.AnsweredTo(f.Next(), listing, history, age)
 }
 
-// AnsweredTo takes the answer to a call that an earlier Next returned. If the scopes have
-// changed since, the answer is refused, and it is no failure of the service.
+// AnsweredTo is Answered for a request that an earlier Next returned. If the scopes have
+// changed since, it returns an error, which is not a failure of the server.
 func (f *Feed) AnsweredTo(request ReadRequest, listing Listing, history string, age time.Duration) (changes Listing, err error) {
 	switch {
 	case request.revision != f.revision:
@@ -133,7 +133,7 @@
 	if listing.Reset {
 		updated = make(map[string]Instance, len(listing.Instances))
 	}
-	var reported map[string]bool // the news, where instances that are missing may be among them
+	var reported map[string]bool // instances in changes; nil if the answer cannot omit instances
 	if listing.Reset && !changes.Reset {
 		reported = make(map[string]bool, len(listing.Instances))
 	}
@@ -168,12 +168,12 @@
 	return changes, nil
 }
 
-// mayLeaveFor reports whether another history may be taken in place of the one that is had.
-// Each begins at a higher version than those before it, unless a writer's clock was wrong.
-// So one at a lower version is most likely the older, of a follower that lags, and is taken
-// only if no other address has an answer. A history that was left is taken again only if it
-// is at a higher version and no address has had an answer in a whole round: then it was left
-// for an older one.
+// maySwitchHistory reports whether another history may replace the current one. Each history
+// begins at a higher version than the one before, unless a writer's clock was wrong. A
+// history at a lower version is therefore probably an older one on a lagging follower, and
+// is accepted only if all other addresses have failed. An abandoned history is accepted
+// again only at a higher version and after a full round of failures: the feed had then
+// switched to an older history.
 func (f *Feed) maySwitchHistory(history string, version int64) bool {
 	if slices.Contains(f.pastHistories, history) {
 		return version > f.version && f.failures >= len(f.addresses)
@@ -181,8 +181,8 @@
 	return version > f.version || f.failures+1 >= len(f.addresses)
 }
 
-// admit finds the scopes that the service does not know, and refuses an answer with
-// instances that were not asked for.
+// checkScopes returns the scopes whose service is unknown, or an error if the answer has
+// instances outside the requested scopes.
 func (f *Feed) checkScopes(request ReadRequest, listing Listing) (unknown []Scope, err error) {
 	if request.Scopes == nil {
 		return nil, nil
@@ -195,13 +195,13 @@
 	return ParseScopes(listing.Unknown)
 }
 
-// SetScopes changes the part of the list that is wanted; without scopes it is the whole
-// list. It returns, as Gone, the instances that are not in it any more.
+// SetScopes changes the wanted part of the list; no scopes means the full list. It returns
+// the instances that are no longer in it as Gone.
 //
-// The instances of a dropped scope stay until the next answer where its service has a new
-// scope beside it: a scope may be replaced by another of the same service, and until the
-// new one is had, the old one serves. Between the whole list and scopes, all that is known
-// stays until the answer to the other. A scope within one that is held needs no call.
+// If a service has a new scope, the instances of its dropped scopes stay until the next
+// answer, so that they serve until the list of the new scope arrives. A switch between the
+// full list and scopes keeps all instances until the next answer. A scope that a held one
+// covers needs no request.
 func (f *Feed) SetScopes(scopes []Scope) (changes Listing) {
 	changes = Listing{Generation: f.version}
 	wanted := newScopeSet(scopes)
@@ -216,7 +216,7 @@
 		return changes
 	}
 	var held []Scope
-	missing := map[string]bool{} // services of which scopes are to come
+	missing := map[string]bool{} // services with scopes that are not held
 	for _, scope := range wanted.scopes {
 		if f.held.covers(scope) {
 			held = append(held, scope)
@@ -234,13 +234,13 @@
 	return changes
 }
 
-// Compared counts the instances that were looked at to tell what of the answers is news.
+// Compared returns the number of instance comparisons made to find the changes in answers.
 func (f *Feed) Compared() int64 { return f.compared }
 
-// Unknown returns the wanted scopes that the service did not know at the last answer.
+// Unknown returns the wanted scopes whose service was unknown at the last answer.
 func (f *Feed) Unknown() []Scope { return slices.Clone(f.unknown) }
 
-// drop forgets all instances but those of scopes, and returns them as Gone.
+// dropOutside removes all instances outside the scopes and returns them as Gone.
 func (f *Feed) dropOutside(scopes *ScopeSet) []Instance {
 	dropped := appendGone(nil, f.instances, func(i Instance) bool { return scopes == nil || !scopes.Matches(i) })
 	for _, i := range dropped {
@@ -249,7 +249,7 @@
 	return dropped
 }
 
-// appendGone appends, as Gone and in the order of their ids, the instances that are chosen.
+// appendGone appends the selected instances as Gone, sorted by id.
 func appendGone(gone []Instance, instances map[string]Instance, selected func(Instance) bool) []Instance {
 	first := len(gone)
 	for _, i := range instances {
@@ -262,8 +262,8 @@
 	return gone
 }
 
-// Failed takes note of a call that failed, and returns how long to wait for the
-// next. A service that turned the call away may have said for how long.
+// Failed records a failed request and returns the delay before the next one, which is at
+// another address. retryAfter is the delay that the server asked for; 0 for none.
 func (f *Feed) Failed(retryAfter time.Duration) time.Duration {
 	f.failures++
 	f.nextAddress()
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -11,23 +11,24 @@
 	"time"
 )
 
-// keptCopyAge is the least age that a follower tells of the copy that an earlier process
-// kept, as it does not know how long ago that was. It is above staleAge.
+// minPersistedCopyAge is the minimum age that a follower reports for a copy persisted by an
+// earlier process, whose age is unknown. It is above staleAge.
 const minPersistedCopyAge = 10 * time.Second
 
-// Follower copies a writer by its watch and serves reads. It never writes, until
-// an operator promotes it.
+// Follower is a Server that replicates a writer through a watch and serves reads. It accepts
+// no writes until an operator promotes it.
 type Follower struct {
 	*Server
 	client   *Client
 	sources  chan []string
-	source   string        // the writer that it copies, or whose place it has taken
-	promoted chan struct{} // closed then
+	source   string        // address of the writer that it was started to replicate
+	promoted chan struct{} // closed at the promotion
 }
 
-// NewFollower copies the writer at an address. Until it has heard from it, reads
-// are turned away, unless it has a copy that an earlier process kept: that is
-// told, as old.
+// NewFollower returns a Follower of the writer at an address. persisted is the copy of an
+// earlier process, or nil. Until the first update from the writer, the follower serves that
+// copy with a high age, or rejects reads if there is none. selfAddress is the address at
+// which other processes reach the follower.
 func NewFollower(selfAddress, writer string, persisted *Store, limits Limits, serverLimits ServerLimits, startedAt time.Time, random *rand.Rand) *Follower {
 	store := persisted
 	if store == nil {
@@ -37,7 +38,7 @@
 	follower := &Follower{Server: NewWriter(selfAddress, store, serverLimits, startedAt, random), sources: make(chan []string), source: writer, promoted: make(chan struct{})}
 	follower.client = NewClient([]string{writer}, rand.New(rand.NewPCG(random.Uint64(), 1)), follower.applyUpdate)
 	follower.client.watchWait = followerWatchWait
-	follower.age = func() int64 {
+	follower.ageMs = func() int64 {
 		switch age := follower.client.Age(); {
 		case age >= 0:
 			return age.Milliseconds()
@@ -49,45 +50,46 @@
 	historyName := fmt.Sprintf("%016x", random.Uint64())
 	follower.Server.promote = func() error { return follower.promote(historyName) }
 	if store.isWriter && store.fence == nil {
-		close(follower.promoted) // in an earlier life
+		close(follower.promoted) // by an earlier process
 		return follower
 	}
 	follower.writer.Store(&writer)
 	if store.isWriter {
-		// A writer that was fenced, and copies from now on.
+		// A fenced writer becomes a follower.
 		store.isWriter, store.fence = false, nil
 	}
 	return follower
 }
 
-// heard copies what the writer tells.
+// applyUpdate applies and persists an update from the writer.
 func (f *Follower) applyUpdate(update Update) {
 	_, err := f.change(func(now time.Duration) (WriteResult, error) {
 		if f.store.isWriter || f.isStopping() {
-			return WriteResult{}, nil // promoted meanwhile, or at the end
+			return WriteResult{}, nil // promoted or shutting down
 		}
 		if update.History != f.store.history {
-			slog.Info("history", "name", update.History, "version", update.Generation, "before", f.store.history)
+			slog.Info("history changed", "name", update.History, "version", update.Generation, "before", f.store.history)
 		}
 		f.store.gatheringUntil = 0
 		f.store.epoch = max(f.store.epoch, update.Epoch)
 		if f.persister != nil {
-			// A copy that can't be kept is served all the same.
+			// Serve the copy even if it cannot be persisted.
 			if err := f.persister.persist(Record{Copy: &CopyRecord{update.History, update.Epoch, update.Listing}}); err != nil {
-				slog.Error("the copy is not kept", "error", err)
+				slog.Error("update could not be persisted", "error", err)
 			}
 		}
 		return WriteResult{}, f.store.ApplyListing(now, update.Listing, update.History)
 	})
 	if err != nil {
-		slog.Error("copy", "error", err)
+		slog.Error("update could not be applied", "error", err)
 	}
 }
 
-// Move copies another writer from now on. What is had stays until it answers.
+// SetSource makes the follower replicate another writer. The current list stays until the
+// first update from that writer. It does nothing after a promotion.
 func (f *Follower) SetSource(ctx context.Context, writer string) {
 	if f.writer.Load() == nil {
-		return // it is the writer
+		return // promoted
 	}
 	f.writer.Store(&writer)
 	select {
@@ -96,7 +98,8 @@
 	}
 }
 
-// Serve answers until ctx ends.
+// Serve is Server.Serve for a follower: it also replicates the writer and, after a promotion,
+// notifies the old writer.
 func (f *Follower) Serve(ctx context.Context, listener, operatorListener net.Listener) error {
 	background, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/registry/handlers.go
+++ b/internal/registry/handlers.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Handler answers the calls of readers and writers.
+// Handler returns the HTTP handler for readers, writers and other registry processes.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, s.handleRead)
@@ -26,19 +26,19 @@
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			if writer := s.writer.Load(); writer != nil {
 				if *writer == "" {
-					s.writeError(w, refuse(http.StatusServiceUnavailable, "nobody writes now"))
+					s.writeError(w, refuse(http.StatusServiceUnavailable, "the writer is not known at present"))
 					return
 				}
 				w.Header().Set("Location", "http://"+*writer+r.URL.RequestURI())
-				s.writeError(w, refuse(http.StatusTemporaryRedirect, "writes go to %s", *writer))
+				s.writeError(w, refuse(http.StatusTemporaryRedirect, "this is not the writer; writes go to %s", *writer))
 				return
 			}
-			// A time-out of the server's own would end watches too.
+			// A timeout of http.Server would end watches too.
 			control := http.NewResponseController(w)
 			control.SetReadDeadline(time.Now().Add(readTimeout))
 			written, err := write(r.PathValue("id"), r)
 			if err != nil {
-				w.Header().Set("Connection", "close") // the rest of its body may still come
+				w.Header().Set("Connection", "close") // part of the body may be unread
 				s.writeError(w, err)
 				return
 			}
@@ -49,8 +49,8 @@
 	return mux
 }
 
-// writeCall is the body of a write. All calls name the process by its start, and may
-// name the version that its instance is at; 0: that it is not on the list.
+// writeRequest is the body of a write. StartedAtMs identifies the process. IfVersion is the
+// expected version of the instance; 0 if it must not be registered.
 type writeRequest struct {
 	HostPort    string    `json:"hostPort"`
 	Zone        string    `json:"zone"`
@@ -70,9 +70,9 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return request, refuse(http.StatusRequestEntityTooLarge, "a call has %d bytes at most", maxRequestBytes)
+		return request, refuse(http.StatusRequestEntityTooLarge, "the request body exceeds the maximum of %d bytes", maxRequestBytes)
 	case err != nil:
-		return request, refuse(http.StatusBadRequest, "the call did not come whole")
+		return request, refuse(http.StatusBadRequest, "the request body could not be read completely")
 	}
 	if err := decode(body, &request); err != nil {
 		return request, refuse(http.StatusBadRequest, "%v", err)
@@ -141,7 +141,8 @@
 	})
 }
 
-// number reads a number of a call's query; -1: it names none.
+// queryInteger returns an integer query parameter within the given bounds, or -1 if it is
+// absent.
 func queryInteger(r *http.Request, name string, minimum, maximum int64) (int64, error) {
 	values := r.URL.Query()[name]
 	if len(values) == 0 {
@@ -154,7 +155,8 @@
 	return value, nil
 }
 
-// write gives an answer, for which a watcher has so long.
+// writeAnswer sends a response. A client that does not accept it within writeTimeout is
+// disconnected.
 func (s *Server) writeAnswer(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -165,14 +167,15 @@
 	control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	s.metrics.answers.Add(1)
 	_, err := w.Write(body)
-	if err = cmp.Or(err, control.Flush()); err != nil { // a short answer fails only when it is sent
+	if err = cmp.Or(err, control.Flush()); err != nil { // errors of a short answer appear only in Flush
 		s.metrics.aborted.Add(1)
 		return
 	}
 	s.metrics.bytes.Add(int64(len(body)))
 }
 
-// fail says in one line why a call changed nothing.
+// writeError sends an error as one line of text, with Retry-After if the service is
+// overloaded or unavailable.
 func (s *Server) writeError(w http.ResponseWriter, err error) {
 	var refusal *Refusal
 	if !errors.As(err, &refusal) {
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -13,18 +13,19 @@
 	drained    bool
 	gone       bool
 	encoded    []byte
-	placements *placements // nil: the instance is in no service, and was in none
+	placements *placements // nil if the instance neither is nor was in a service
 }
 
-// places are where an instance is after a change, and where it was before.
+// placements records where an instance is after a change and where it was before.
 type placements struct {
 	current Placement
-	// left are the other placements that the instance had since the version before, which
-	// is several changes ago where a follower was told of them at once.
+	// previous holds the other placements since the preceding version of this history. A
+	// follower that received several changes at once has several.
 	previous []Placement
 }
 
-// at is where the instance is; nowhere that a scope knows if it is in no service.
+// currentPlacement returns the placement after the change; empty if the instance is in no
+// service.
 func (c *change) currentPlacement() Placement {
 	if c.placements == nil {
 		return Placement{}
@@ -32,7 +33,7 @@
 	return c.placements.current
 }
 
-// left are the placements that the instance left with the change.
+// previousPlacements returns the placements that the instance left with the change.
 func (c *change) previousPlacements() []Placement {
 	if c.placements == nil {
 		return nil
@@ -40,7 +41,7 @@
 	return c.placements.previous
 }
 
-// size is what a change counts for in the bytes of the history.
+// size returns the bytes that a change counts toward the history limit.
 func (c *change) size() int {
 	bytes := len(c.encoded)
 	for _, p := range c.previousPlacements() {
@@ -49,16 +50,15 @@
 	return bytes
 }
 
-// forget drops the history: what there was before is no list that anybody may
-// go on from.
+// clearHistory drops all changes, so that readers at earlier versions receive the full list.
 func (s *Store) clearHistory() {
 	s.changes, s.bytes, s.baseVersion = nil, 0, s.version
 	clear(s.gone)
 	s.clearCache()
 }
 
-// put takes a change in under its version. Meanwhile the instance has been at some
-// other placements, or at none.
+// applyChange applies a change under its version. interim holds placements that the
+// instance had between its previous state and this one.
 func (s *Store) applyChange(instance Instance, version int64, now time.Duration, interim []Placement) error {
 	encoded, err := json.Marshal(instance)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// putText takes a change in whose text there is.
+// applyEncoded is applyChange for an instance that is already encoded.
 func (s *Store) applyEncoded(instance Instance, encoded []byte, version int64, now time.Duration, interim []Placement) {
 	var previous []Placement
 	if existing := s.entries[instance.ID]; existing != nil {
@@ -100,8 +100,7 @@
 	return c
 }
 
-// appendLeft adds a placement that was left for another, once. One without a service is
-// in no scope.
+// appendPrevious appends from unless it has no service, equals to, or is already present.
 func appendPrevious(previous []Placement, from, to Placement) []Placement {
 	if from.Service == "" || from == to || slices.Contains(previous, from) {
 		return previous
@@ -109,8 +108,8 @@
 	return append(previous, from)
 }
 
-// remember puts a change into the history, which forgets the oldest for it, and with one
-// all of its version: a follower has several, and nobody goes on from between them.
+// appendChange appends a change to the history and trims the oldest ones to the limits.
+// It trims all changes of a version together, as a follower may have several.
 func (s *Store) appendChange(c change, gone bool) {
 	if gone {
 		s.gone[c.id] = c
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -1,6 +1,6 @@
-// Package registry is a list service for backends: one writer with a log of
-// versions, followers that copy it by its own watch, and the client by which
-// gateways and followers read it.
+// Package registry is a service registry for backends. One writer keeps a versioned list
+// of instances with leases; followers replicate it over its watch protocol, and gateways
+// read it through Client.
 package registry
 
 import (
@@ -15,32 +15,33 @@
 	"unicode"
 )
 
-// Path is where the list is read and instances are written.
+// Path is the HTTP path for reading the list and, below it, for writing instances.
 const Path = "/registry/instances"
 
-// Headers of answers that tell more than the list itself.
+// Response headers of a read.
 const (
-	HistoryHeader = "X-Registry-History" // the name of the history that the versions belong to
-	AgeHeader     = "X-Registry-Age-Ms"  // how long ago a follower last heard from its writer
+	HistoryHeader = "X-Registry-History" // name of the history that the versions belong to
+	AgeHeader     = "X-Registry-Age-Ms"  // milliseconds since a follower last received an update from its writer
 )
 
-// Listing is a list of instances, or the changes to one.
+// Listing is a full list of instances or, if Reset is false, the changes since a version.
 type Listing struct {
 	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // all there are, not changes alone
+	Reset      bool       `json:"reset"` // Instances is the full list, not only changes
 	Instances  []Instance `json:"instances"`
 
-	// Unknown are, of an answer to scopes, those whose service is not known.
+	// Unknown holds the requested scopes whose service is unknown. Only in answers to
+	// scoped reads.
 	Unknown []string `json:"unknown,omitempty"`
-	// Moved are, of changes to the whole list, where instances were meanwhile.
+	// Moved holds the intermediate placements of instances. Only in changes to the full list.
 	Moved []Moved `json:"moved,omitempty"`
-	// EmptyServices are, of the whole list, services that have had instances.
+	// EmptyServices names the known services without instances. Only in full lists.
 	EmptyServices []string `json:"emptyServices,omitempty"`
 }
 
-// Moved tells the placements that an instance left within the changes of one answer.
-// A follower keeps them, so that its readers of a scope hear that the instance has left
-// it, also those that come from a version between two of the follower's.
+// Moved lists the placements that an instance left within the changes of one answer.
+// A follower keeps them to tell scoped readers at an intermediate version that the
+// instance has left their scope.
 type Moved struct {
 	ID   string      `json:"instanceId"`
 	From []Placement `json:"from"`
@@ -48,10 +49,10 @@
 
 // Instance is one backend.
 //
-// Danger: services of the build before Service and Region refuse records and
-// registrations that have them, and followers of that build drop them from their copies.
-// All list services, the members of a group above all, must be upgraded before the first
-// instance registers with a service. Readers of the older build pass the fields over.
+// Upgrade all registry processes, above all the members of a group, before the first
+// instance registers with a Service or Region: builds without these fields reject records
+// and registrations that have them, and their followers drop them. Readers of such builds
+// ignore the fields.
 type Instance struct {
 	ID          string    `json:"instanceId"`
 	HostPort    string    `json:"hostPort"`
@@ -61,15 +62,15 @@
 	Lifecycle   Lifecycle `json:"lifecycle"`
 	Weight      float64   `json:"weight"`
 	StartedAtMs int64     `json:"startedAtMs"`
-	Drained     bool      `json:"drained,omitempty"` // of one that is Gone: it was draining, and so is its process if it returns
+	Drained     bool      `json:"drained,omitempty"` // only if Gone: it was draining; its process still drains if it registers again
 	Service     string    `json:"service,omitempty"`
 	Region      string    `json:"region,omitempty"`
 }
 
-// Lifecycle is what an instance does.
+// Lifecycle is the state of an instance.
 type Lifecycle string
 
-// The lifecycles. Gone appears only among changes.
+// The lifecycles. Gone appears only in changes.
 const (
 	Ready       Lifecycle = "Ready"
 	Terminating Lifecycle = "Terminating"
@@ -79,14 +80,14 @@
 func (l Lifecycle) known() bool { return l == Ready || l == Terminating || l == Gone }
 
 const (
-	maxIDBytes      = 64      // bytes
-	maxNameBytes    = 64      // of a zone or machine type
-	maxCells        = 1 << 20 // cells are numbered below it
+	maxIDBytes      = 64
+	maxNameBytes    = 64 // of a zone, region, service or machine type
+	maxCells        = 1 << 20
 	maxWeight       = 1e6
-	maxExactInteger = 1 << 53 // milliseconds that JSON readers keep exact
+	maxExactInteger = 1 << 53 // JSON readers represent integers up to this exactly
 )
 
-// check finds what an instance in a list can't be.
+// check returns an error naming the first invalid field.
 func (i Instance) check() error {
 	if err := checkID(i.ID); err != nil {
 		return err
@@ -119,11 +120,11 @@
 
 func checkID(id string) error {
 	if id == "" || len(id) > maxIDBytes {
-		return fmt.Errorf("instanceId: %d bytes are none or too many", len(id))
+		return fmt.Errorf("instanceId: length %d is not between 1 and %d bytes", len(id), maxIDBytes)
 	}
 	for _, c := range []byte(id) {
 		if !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || c == '-' || c == '_' || c == '.' || c == ':') {
-			return fmt.Errorf("instanceId: %q is not of letters, digits and any of '-_.:'", id)
+			return fmt.Errorf("instanceId: %q has a character other than letters, digits and any of '-_.:'", id)
 		}
 	}
 	return nil
@@ -141,20 +142,20 @@
 	return true
 }
 
-// decode reads one JSON value, of known fields and with nothing behind it.
+// decode decodes a single JSON value. It rejects unknown fields and trailing data.
 func decode(text []byte, value any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(value); err != nil {
-		return fmt.Errorf("not such a call: %w", err)
+		return fmt.Errorf("invalid JSON: %w", err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return errors.New("not such a call: something stands behind it")
+		return errors.New("invalid JSON: trailing data after the value")
 	}
 	return nil
 }
 
-// ParseListing reads a list. One that can't be read whole is none.
+// ParseListing decodes and validates a listing. On error it returns an empty Listing.
 func ParseListing(text []byte) (Listing, error) {
 	var listing Listing
 	if err := json.Unmarshal(text, &listing); err != nil {
@@ -172,7 +173,7 @@
 	}
 	slices.Sort(ids)
 	if len(slices.Compact(ids)) != len(listing.Instances) {
-		return Listing{}, errors.New("list: an instance stands there twice")
+		return Listing{}, errors.New("list: duplicate instance id")
 	}
 	if err := listing.checkScoped(); err != nil {
 		return Listing{}, fmt.Errorf("list: %w", err)
@@ -180,7 +181,7 @@
 	return listing, nil
 }
 
-// checkScoped reports what is wrong with the parts of a list that scopes need.
+// checkScoped validates Unknown, Moved and EmptyServices.
 func (l Listing) checkScoped() error {
 	if _, err := ParseScopes(l.Unknown); err != nil {
 		return err
@@ -197,7 +198,7 @@
 	}
 	for _, name := range l.EmptyServices {
 		if !isServiceName(name) {
-			return fmt.Errorf("emptyServices: %.80q is not the name of a service", name)
+			return fmt.Errorf("emptyServices: %.80q is not a valid service name", name)
 		}
 	}
 	return nil
--- a/internal/registry/keeper.go
+++ b/internal/registry/keeper.go
@@ -11,40 +11,40 @@
 	"dunlintray/internal/wal"
 )
 
-// WALKind names a list service's folder.
+// WALKind is the kind of write-ahead log in a registry's data directory.
 const WALKind = "registry"
 
 const (
-	maxBatchWrites       = 1024             // calls that one sync is for
-	maxBatchBytes        = 1 << 20          // of their records, about
-	persistTimeout       = 5 * time.Second  // that a call waits
-	diskErrorLogInterval = 10 * time.Second // between two lines about a full disk
-	snapshotRetryDelay   = 5 * time.Second  // after a snapshot that failed
+	maxBatchWrites       = 1024    // writes that share one sync
+	maxBatchBytes        = 1 << 20 // approximate size of the records that share one sync
+	persistTimeout       = 5 * time.Second
+	diskErrorLogInterval = 10 * time.Second
+	snapshotRetryDelay   = 5 * time.Second
 )
 
-// keeper makes changes last before anybody is told of them. One goroutine applies
-// the calls that have come, makes what they change last with one sync, and answers
-// them all; what comes meanwhile is the next batch.
+// persister makes changes durable before readers and writers see them. One goroutine applies
+// a batch of pending writes, persists their changes with one sync, and completes them all;
+// writes that arrive meanwhile form the next batch.
 type persister struct {
 	server            *Server
-	log               *wal.Log                     // nil where a group keeps what is changed
-	appendRecords     func(records [][]byte) error // makes records last
+	log               *wal.Log                     // nil if a group replicates the changes
+	appendRecords     func(records [][]byte) error // makes records durable
 	requests          chan *pendingWrite
-	snapshotDone      chan error // the end of a snapshot under way
+	snapshotDone      chan error // result of a snapshot in progress
 	diskErrorLoggedAt time.Time
-	nextSnapshotAt    time.Time // no snapshot before
+	nextSnapshotAt    time.Time // earliest start of the next snapshot
 }
 
-// job is a call that somebody waits for.
+// pendingWrite is a write whose caller is waiting.
 type pendingWrite struct {
-	apply   func(now time.Duration) (WriteResult, error)
-	written WriteResult
-	err     error
-	done    chan struct{}
+	apply  func(now time.Duration) (WriteResult, error)
+	result WriteResult
+	err    error
+	done   chan struct{}
 }
 
-// Open reads a folder and takes up what it has, or begins with nothing. The store
-// is nil where the folder is new.
+// Open opens the log in a data directory and restores the store from it. The store is nil
+// if the log is empty. maxBytes bounds the size of the log. The caller closes the log.
 func Open(fs wal.FS, maxBytes int64, limits Limits, now time.Duration) (*wal.Log, *Store, error) {
 	store := newStore(limits, now)
 	found := false
@@ -56,7 +56,7 @@
 		found = true
 		return store.Restore(now, record)
 	}
-	const segments = 16 // files that the log is in, about, when it is full
+	const segments = 16 // approximate number of segment files of a full log
 	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(2*maxBatchBytes, maxBytes/segments), MaxBytes: maxBytes},
 		wal.Visitor{Snapshot: restore, Record: func(_ uint64, encoded []byte) error { return restore(encoded) }})
 	if err != nil {
@@ -74,8 +74,8 @@
 	return log, store, nil
 }
 
-// Keep makes the server's changes last in a log. A history that begins is kept at
-// once.
+// Persist makes the server persist its changes in log, which it closes at the end of Serve.
+// If fresh is true, Persist records the beginning of the history. Call it before Serve.
 func (s *Server) Persist(log *wal.Log, fresh bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// do makes a call and waits until what it changes lasts.
+// submit queues a write and waits until its changes are durable, for at most persistTimeout.
 func (k *persister) submit(apply func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
 	write := &pendingWrite{apply: apply, done: make(chan struct{})}
 	timer := time.NewTimer(persistTimeout)
@@ -103,19 +103,19 @@
 	select {
 	case k.requests <- write:
 	case <-timer.C:
-		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the disk does not keep up")
+		return WriteResult{}, refuse(http.StatusServiceUnavailable, "overloaded: the write was not accepted within %v", persistTimeout)
 	case <-k.server.persisterDone:
-		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the service has ended")
+		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the server has stopped")
 	}
 	select {
 	case <-write.done:
-		return write.written, write.err
+		return write.result, write.err
 	case <-timer.C:
-		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the disk does not answer; the change may be kept")
+		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the write was not persisted within %v; it may still take effect", persistTimeout)
 	}
 }
 
-// run keeps changes until ctx ends or the log fails.
+// run persists changes until ctx ends or the log fails.
 func (k *persister) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -153,7 +153,7 @@
 	}
 }
 
-// tick is the call that lets leases lapse.
+// tick returns the write that expires leases.
 func (k *persister) tick() *pendingWrite {
 	return &pendingWrite{done: make(chan struct{}), apply: func(now time.Duration) (WriteResult, error) {
 		if !k.server.store.isWriter || k.server.store.fence != nil {
@@ -163,8 +163,9 @@
 	}}
 }
 
-// batch makes calls, makes what they change last, and answers them. It returns
-// those that have to wait for the changes of others.
+// batch applies writes, persists their changes and completes them. It returns the writes
+// that depend on staged changes of others or exceed the batch size. An error means that
+// changes cannot be persisted any more.
 func (k *persister) batch(writes []*pendingWrite) (deferred []*pendingWrite, err error) {
 	var applied []*pendingWrite
 	k.server.mu.Lock()
@@ -176,7 +177,7 @@
 			break
 		}
 		stagedBefore := len(k.server.store.staged)
-		write.written, write.err = write.apply(k.server.now())
+		write.result, write.err = write.apply(k.server.now())
 		for _, staged := range k.server.store.staged[stagedBefore:] {
 			bytes += len(staged.encoded)
 		}
@@ -187,16 +188,16 @@
 		applied = append(applied, write)
 	}
 	if k.server.store.stats.Pauses != pausesBefore {
-		slog.Warn("the service stood still; all leases begin anew")
+		slog.Warn("process pause detected; all leases renewed")
 	}
 	records := k.server.store.StagedRecords()
 	k.server.mu.Unlock()
 	if len(records) > 0 {
-		err = k.appendRecords(records) // while readers and renewals that wait are let be
+		err = k.appendRecords(records) // without the lock, so that reads continue
 		k.server.mu.Lock()
 		switch {
 		case err == nil && k.server.replicated != nil:
-			k.server.store.DropStaged() // they have come by the group
+			k.server.store.DropStaged() // the group has applied them through ApplyList
 		case err == nil:
 			k.server.store.CommitStaged(k.server.now())
 			k.server.wake()
@@ -204,7 +205,7 @@
 			k.server.store.DropStaged()
 			for _, write := range applied {
 				if write.err == nil {
-					write.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
+					write.err = refuse(http.StatusServiceUnavailable, "the change could not be persisted: %v", err)
 				}
 			}
 		}
@@ -216,26 +217,26 @@
 	if err != nil {
 		if !errors.Is(err, wal.ErrNoSpace) && !errors.Is(err, errOutcomeUnknown) {
 			for _, write := range deferred {
-				write.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
+				write.err = refuse(http.StatusServiceUnavailable, "the change could not be persisted: %v", err)
 				close(write.done)
 			}
 			return nil, fmt.Errorf("changes can't be kept any more: %w", err)
 		}
 		if time.Since(k.diskErrorLoggedAt) > diskErrorLogInterval {
 			k.diskErrorLoggedAt = time.Now()
-			slog.Error("writes are turned away, reads go on", "error", err)
+			slog.Error("writes rejected; reads continue", "error", err)
 		}
 	}
 	k.snapshot()
 	return deferred, nil
 }
 
-// snapshot begins to write one, if it is due and none is being written.
+// snapshot starts writing a snapshot if one is due and none is in progress.
 func (k *persister) snapshot() {
 	if k.log == nil || !k.log.SnapshotDue() || time.Now().Before(k.nextSnapshotAt) {
 		return
 	}
-	k.nextSnapshotAt = time.Now().Add(time.Hour) // until this one has ended
+	k.nextSnapshotAt = time.Now().Add(time.Hour) // finishSnapshot sets the actual time
 	k.server.mu.Lock()
 	records, sequence := k.server.store.SnapshotRecords(), k.log.LastSequence()
 	k.server.mu.Unlock()
@@ -258,19 +259,19 @@
 	stats := k.log.Stats()
 	if err != nil {
 		k.nextSnapshotAt = k.nextSnapshotAt.Add(snapshotRetryDelay)
-		slog.Error("snapshot", "error", err)
+		slog.Error("snapshot failed", "error", err, "retry_in", snapshotRetryDelay)
 		return
 	}
 	slog.Info("snapshot", "sequence", stats.Snapshot, "bytes", stats.SnapshotBytes, "log_bytes", stats.Bytes, "segments", stats.Segments)
 }
 
-// keep keeps a record of a follower, or of what befalls the service itself. The
-// caller has the server's lock.
+// persist appends one record outside of a batch. The caller holds the server's lock.
 func (k *persister) persist(record Record) error {
 	return k.appendRecords([][]byte{encodeRecord(record)})
 }
 
-// Compact writes a snapshot of a folder that no process has.
+// Compact writes a snapshot of a data directory that no process uses, and returns the
+// statistics of its log. maxBytes bounds the size of the log.
 func Compact(fs wal.FS, maxBytes int64) (wal.Stats, error) {
 	log, store, err := Open(fs, maxBytes, Limits{Lease: time.Second, Instances: 1 << 30, History: 1 << 30, HistoryBytes: 1 << 40, EmptyServices: 1 << 30}, 0)
 	if err != nil {
--- a/internal/registry/keeper_test.go
+++ b/internal/registry/keeper_test.go
@@ -257,7 +257,7 @@
 	w, _ = startKeeping(t, old, w.address, "")
 	until(t, "the old writer refuses", func() bool {
 		code, text, _ := call(t, "PUT", w.url("/s-4"), registration(5))
-		return code == 503 && strings.Contains(text, "has taken this writer's place")
+		return code == 503 && strings.Contains(text, "has replaced this writer")
 	})
 	if code, _, _ := call(t, "GET", w.url(""), ""); code != 503 {
 		t.Errorf("it still tells its list: %d", code)
--- a/internal/registry/promote.go
+++ b/internal/registry/promote.go
@@ -13,44 +13,44 @@
 	"time"
 )
 
-// FencePath is where a list service is told of the writer that was put in its
-// place, and asked which it knows.
+// FencePath is the HTTP path to get the writer that a registry process knows, and to notify
+// a writer of its replacement.
 const FencePath = "/registry/fence"
 
 const (
-	fenceRetryInterval = time.Second // between two tries to tell the old writer
-	fenceTimeout       = time.Second // for its answer
-	maxFenceBytes      = 1 << 10     // bytes
+	fenceRetryInterval = time.Second // between attempts to notify the replaced writer
+	fenceTimeout       = time.Second
+	maxFenceBytes      = 1 << 10
 )
 
-// EpochHeader has the epoch of the writer that a list comes from.
+// EpochHeader is the response header with the epoch of the writer that a list comes from.
 const EpochHeader = "X-Registry-Epoch"
 
-// refuseFenced turns away what a writer must not do any more. The caller has the
-// lock.
+// checkFenced returns an error if another writer has replaced this one. The caller holds
+// s.mu.
 func (s *Server) checkFenced() error {
 	if fence := s.store.fence; fence != nil {
-		return refuse(http.StatusServiceUnavailable, "%s has taken this writer's place (epoch %d)", fence.Writer, fence.Epoch)
+		return refuse(http.StatusServiceUnavailable, "%s has replaced this writer (epoch %d)", fence.Writer, fence.Epoch)
 	}
 	return nil
 }
 
-// fence stops this service's writing if the other has the higher epoch.
+// applyFence fences this writer if the other has the higher epoch.
 func (s *Server) applyFence(fence Fence) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case !s.store.isWriter:
-		return nil // it copies; whom is the operator's to say
+		return nil // a follower; its configuration names its writer
 	case fence.Epoch <= s.store.epoch:
 		return refuse(http.StatusConflict, "this writer has epoch %d, not below %d", s.store.epoch, fence.Epoch)
 	case s.store.fence != nil && s.store.fence.Epoch >= fence.Epoch:
 		return nil
 	}
-	// It holds from now on, also if it can't be kept: the other says so again after
-	// the next start.
+	// The fence applies even if it cannot be persisted: the other writer repeats it after
+	// a restart.
 	s.store.fence = &fence
-	slog.Error("another writer was put in this one's place; writes and reads are refused from now on", "writer", fence.Writer, "epoch", fence.Epoch, "own", s.store.epoch)
+	slog.Error("fenced: another writer has replaced this one; rejecting reads and writes", "writer", fence.Writer, "epoch", fence.Epoch, "own", s.store.epoch)
 	s.wake()
 	if s.persister != nil {
 		return s.persister.persist(Record{Fence: &fence})
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// fenceHandler answers another service's question or news.
+// handleFence returns the writer that this process knows, after applying a fence that the
+// request may have.
 func (s *Server) handleFence(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var fence Fence
@@ -67,7 +68,7 @@
 			err = decode(body, &fence)
 		}
 		if err != nil || fence.Epoch < 1 || fence.History == "" || len(fence.History) > maxNameBytes || len(fence.Writer) > maxNameBytes {
-			s.writeError(w, refuse(http.StatusBadRequest, "no fence: %v", err))
+			s.writeError(w, refuse(http.StatusBadRequest, "invalid fence: %v", err))
 			return
 		}
 		if err := s.applyFence(fence); err != nil {
@@ -91,15 +92,16 @@
 	s.writeAnswer(w, body)
 }
 
-// Fenced names the writer in whose favour this one was fenced.
+// Fenced returns the fence with the writer that has replaced this one, or nil.
 func (s *Server) Fenced() *Fence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.store.fence
 }
 
-// AskPeers asks other list services, before this writer takes any write, whether
-// another was put in its place. Those that do not answer in time know nothing.
+// QueryPeers queries other registry processes whether another writer has replaced this one,
+// and applies the fence if so. Call it before Serve. It ignores peers that do not answer in
+// time.
 func (s *Server) QueryPeers(ctx context.Context, peers []string) {
 	var wg sync.WaitGroup
 	for _, peer := range peers {
@@ -107,11 +109,11 @@
 			fence, err := callFence(ctx, peer, nil)
 			if err == nil && fence.Writer != "" && fence.Writer != s.selfAddress {
 				if err = s.applyFence(fence); isConflict(err) {
-					err = nil // this one has the higher epoch
+					err = nil // this writer has the higher epoch
 				}
 			}
 			if err != nil {
-				slog.Warn("peer", "address", peer, "error", err)
+				slog.Warn("peer could not be queried for the writer", "address", peer, "error", err)
 			}
 		})
 	}
@@ -123,7 +125,8 @@
 	return errors.As(err, &refusal) && refusal.Status == http.StatusConflict
 }
 
-// callFence asks a service which writer it knows, or tells it.
+// callFence gets the writer that a registry process knows. If tell is not nil, it notifies
+// the process of that writer first.
 func callFence(ctx context.Context, address string, fence *Fence) (Fence, error) {
 	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
@@ -155,15 +158,15 @@
 	return reply, json.Unmarshal(data, &reply)
 }
 
-// tellOld tells the old writer, until it has heard or ctx ends, that this service
-// has taken its place.
+// notifyOldWriter notifies the old writer that this server has replaced it. It retries until
+// it succeeds or ctx ends.
 func (s *Server) notifyOldWriter(ctx context.Context, address string) {
 	s.mu.Lock()
 	fence := Fence{Epoch: s.store.epoch, History: s.store.history, Writer: s.selfAddress}
 	s.mu.Unlock()
 	for {
 		if _, err := callFence(ctx, address, &fence); err == nil {
-			slog.Info("the old writer knows that another is in its place", "address", address)
+			slog.Info("old writer notified of its replacement", "address", address)
 			return
 		}
 		select {
@@ -174,24 +177,24 @@
 	}
 }
 
-// promote makes this follower the writer.
+// promote makes this follower the writer, under a history with the given name.
 func (f *Follower) promote(historyName string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case f.store.fence != nil && f.store.isWriter:
-		return refuse(http.StatusConflict, "%s has taken this writer's place (epoch %d)", f.store.fence.Writer, f.store.fence.Epoch)
+		return refuse(http.StatusConflict, "%s has replaced this writer (epoch %d)", f.store.fence.Writer, f.store.fence.Epoch)
 	case f.store.isWriter:
-		return nil // it is
+		return nil // already promoted
 	case f.persister == nil:
-		return refuse(http.StatusConflict, "a follower without data_dir would forget that it is the writer")
+		return refuse(http.StatusConflict, "this follower has no data_dir; a promotion would be lost at a restart")
 	case f.store.history == "":
 		return refuse(http.StatusConflict, "this follower has no list yet")
 	}
 	now := f.now()
 	record := f.store.PromotionRecord(now, historyName, time.Now().UnixMilli())
 	if err := f.persister.persist(record); err != nil {
-		return fmt.Errorf("the promotion could not be kept: %w", err)
+		return fmt.Errorf("the promotion could not be persisted: %w", err)
 	}
 	oldHistory, oldVersion := f.store.history, f.store.version
 	if err := f.store.Restore(now, record); err != nil {
@@ -202,7 +205,7 @@
 	f.store.lastTick = now
 	f.store.renewAll(now)
 	f.writer.Store(nil)
-	slog.Warn("promoted: this service is the writer now", "history", f.store.history, "version", f.store.version, "epoch", f.store.epoch, "before", oldHistory, "at", oldVersion)
+	slog.Warn("promoted: this server is the writer now", "history", f.store.history, "version", f.store.version, "epoch", f.store.epoch, "before", oldHistory, "at", oldVersion)
 	f.wake()
 	close(f.promoted)
 	return nil
--- a/internal/registry/reads.go
+++ b/internal/registry/reads.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// dropAnswers forgets the answers of an earlier version.
+// clearCache drops the cached answers, which are for an earlier version.
 func (s *Store) clearCache() {
 	clear(s.cachedAnswers)
 	s.cachedScoped.clear()
 }
 
-// Answer is what a reader is told.
+// Answer is the encoded answer to a read.
 type Answer struct {
-	Body      []byte // not to be changed
-	Full      bool
-	Unchanged bool // there is nothing new
+	Body      []byte // shared; must not be modified
+	Full      bool   // the answer required a listing, not only changes
+	Unchanged bool   // the answer has no changes
 }
 
-// Read answers one who asks for the whole list (since below 0), or for what has
-// changed since a version of a history. An empty name stands for any history.
+// Read returns the full list (since below 0) or the changes since a version of a history; an
+// empty name stands for any history. If the version is not in the current history or its
+// changes have been trimmed, Read returns the full list. The errors are of type *Refusal.
 func (s *Store) Read(now time.Duration, since int64, history string) (Answer, error) {
 	if err := s.checkReadable(now); err != nil {
 		return Answer{}, err
@@ -31,22 +32,21 @@
 	case since < 0, !same, since < s.baseVersion:
 		return Answer{Body: s.cachedAnswer(-1), Full: true}, nil
 	case since > s.version:
-		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is yet to come, this is %d", since, s.version)
+		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is above the current version %d", since, s.version)
 	}
 	return Answer{Body: s.cachedAnswer(since), Unchanged: since == s.version}, nil
 }
 
-// readable refuses readers as long as the list is not whole.
+// checkReadable returns an error while the list is incomplete.
 func (s *Store) checkReadable(now time.Duration) error {
 	if now < s.gatheringUntil || s.history == "" {
-		return refuse(http.StatusServiceUnavailable, "the list is not whole yet")
+		return refuse(http.StatusServiceUnavailable, "the list is not complete yet")
 	}
 	return nil
 }
 
-// join puts an answer together, once for all that ask from the same version. Most find it
-// there, so that encoding it is left to functions of their own: a watcher's stack is as
-// large as its deepest call.
+// cachedAnswer returns the encoded answer to readers at a version, from the cache if
+// possible. Encoding is in functions of its own to keep the stacks of watchers small.
 func (s *Store) cachedAnswer(since int64) []byte {
 	if body, there := s.cachedAnswers[since]; there {
 		return body
@@ -65,7 +65,7 @@
 	return body
 }
 
-// encodeWhole encodes the whole list.
+// encodeList encodes the full list.
 func (s *Store) encodeList() []byte {
 	texts := make([][]byte, 0, len(s.entries))
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
@@ -78,7 +78,7 @@
 // encodeChanges encodes the last state of each instance that has changed since a version.
 func (s *Store) encodeChanges(since int64) []byte {
 	var texts [][]byte
-	seen := map[string]int{} // where the last change of an instance is
+	seen := map[string]int{} // index of the last change by instance id
 	var moved movedInstances
 	for n := len(s.changes) - 1; n >= 0 && s.changes[n].version > since; n-- {
 		c := &s.changes[n]
--- a/internal/registry/saved.go
+++ b/internal/registry/saved.go
@@ -9,49 +9,49 @@
 	"time"
 )
 
-// Saved is a record of a list service's log or of a snapshot. One of its parts is
-// set.
+// Record is a record of a registry's log or snapshot. Exactly one field is set.
 type Record struct {
 	Begin  *Begin          `json:"begin,omitempty"`
-	Entry  *InstanceRecord `json:"entry,omitempty"`  // of a snapshot: an instance on the list
+	Entry  *InstanceRecord `json:"entry,omitempty"`  // in a snapshot: an instance of the list
 	Change *InstanceRecord `json:"change,omitempty"` // a change of the history
-	Copy   *CopyRecord     `json:"copy,omitempty"`   // what a follower's writer has told
-	Fence  *Fence          `json:"fence,omitempty"`  // another has taken this writer's place
-	Empty  *ServicesRecord `json:"empty,omitempty"`  // of a snapshot: services without instances
+	Copy   *CopyRecord     `json:"copy,omitempty"`   // an update that a follower received
+	Fence  *Fence          `json:"fence,omitempty"`  // another writer has replaced this one
+	Empty  *ServicesRecord `json:"empty,omitempty"`  // in a snapshot: known services without instances
 }
 
-// Begin is where a history begins or, in a snapshot, where it is.
+// Begin is the beginning of a history or, in a snapshot, its current position.
 type Begin struct {
 	History     string `json:"history"`
 	Version     int64  `json:"version"`
-	BaseVersion int64  `json:"from"` // the version that the changes follow
+	BaseVersion int64  `json:"from"` // version before the first change
 	Epoch       int64  `json:"epoch"`
-	Writer      bool   `json:"writer"` // of this service's own
+	Writer      bool   `json:"writer"` // this process writes the history
 }
 
 // SavedInstance is an instance at a version.
 type InstanceRecord struct {
 	Version  int64           `json:"version"`
 	Instance json.RawMessage `json:"instance"`
-	// Left are, of a change in a snapshot, the placements that the instance left with it.
+	// Previous holds the placements that the instance left with the change. Only for changes
+	// in a snapshot.
 	Previous []Placement `json:"left,omitempty"`
 }
 
-// SavedServices are the services that have had instances and have none, the first to
-// become empty first.
+// ServicesRecord names the known services without instances, in the order in which they
+// became empty.
 type ServicesRecord struct {
 	Names []string `json:"names"`
 }
 
-// SavedCopy is a list that a follower has copied.
+// CopyRecord is an update that a follower received from its writer.
 type CopyRecord struct {
 	History string  `json:"history"`
 	Epoch   int64   `json:"epoch"`
 	Listing Listing `json:"listing"`
 }
 
-// Fence names the writer that an operator has put in another's place. Of two
-// writers the one with the higher epoch is.
+// Fence identifies the writer that replaces another by promotion. Of two writers the one
+// with the higher epoch is valid.
 type Fence struct {
 	Epoch   int64  `json:"epoch"`
 	History string `json:"history"`
@@ -61,12 +61,12 @@
 func encodeRecord(record Record) []byte {
 	encoded, err := json.Marshal(record)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // only plain fields, which always encode
 	}
 	return encoded
 }
 
-// ParseSaved reads a record.
+// ParseRecord decodes a record. It returns an error unless exactly one field is set.
 func ParseRecord(encoded []byte) (Record, error) {
 	var record Record
 	if err := decode(encoded, &record); err != nil {
@@ -79,12 +79,12 @@
 		}
 	}
 	if parts != 1 {
-		return record, fmt.Errorf("a record has one part, not %d", parts)
+		return record, fmt.Errorf("record: %d fields are set, expected 1", parts)
 	}
 	return record, nil
 }
 
-// instance reads and checks the instance of a record.
+// instance decodes and validates the instance of a record.
 func (r *InstanceRecord) instance() (Instance, error) {
 	var instance Instance
 	if err := decode(r.Instance, &instance); err != nil {
@@ -93,14 +93,13 @@
 	return instance, instance.check()
 }
 
-// Restore takes a record in, as it was read from a log or a snapshot. All leases
-// begin anew.
+// Restore applies a record from a log or snapshot. Restored instances get a new lease.
 func (s *Store) Restore(now time.Duration, record Record) error {
 	switch {
 	case record.Begin != nil:
 		begin := record.Begin
 		if begin.Version < s.version || begin.BaseVersion > begin.Version || begin.History == "" {
-			return fmt.Errorf("a history %q from %d to %d behind version %d", begin.History, begin.BaseVersion, begin.Version, s.version)
+			return fmt.Errorf("record: history %q with base %d and version %d cannot follow version %d", begin.History, begin.BaseVersion, begin.Version, s.version)
 		}
 		s.clearHistory()
 		s.history, s.version, s.baseVersion, s.epoch, s.isWriter = begin.History, begin.Version, begin.BaseVersion, begin.Epoch, begin.Writer
@@ -117,12 +116,12 @@
 			return err
 		}
 		if record.Change.Version <= s.version {
-			// Of a snapshot, which has what it led to beside it.
+			// The record is from a snapshot, whose entries already reflect the change.
 			if record.Change.Version == s.baseVersion {
-				return nil // a follower's; earlier builds kept some of a version that was forgotten
+				return nil // followers of earlier builds kept part of a trimmed version
 			}
 			if record.Change.Version < s.baseVersion {
-				return fmt.Errorf("version %d is not behind %d", record.Change.Version, s.baseVersion)
+				return fmt.Errorf("record: change to version %d is below the base version %d of the history", record.Change.Version, s.baseVersion)
 			}
 			c := newChange(instance, record.Change.Version, record.Change.Instance, record.Change.Previous)
 			s.appendChange(c, c.gone && s.entries[instance.ID] == nil)
@@ -144,8 +143,8 @@
 	return nil
 }
 
-// Save tells all that a snapshot has to hold, as it is now. The texts may be used
-// after others have changed the store.
+// SnapshotRecords returns the records of a snapshot of the store. They stay valid when the
+// store changes.
 func (s *Store) SnapshotRecords() []Record {
 	records := []Record{{Begin: &Begin{History: s.history, Version: s.version, BaseVersion: s.baseVersion, Epoch: s.epoch, Writer: s.isWriter}}}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
@@ -164,17 +163,17 @@
 	return records
 }
 
-// errPending says that the instance is in a change that does not last yet. The
-// call can be made again when it does.
-var errPending = errors.New("a change of the instance is being kept")
+// errPending is returned for a write to an instance with a staged change. The write can be
+// repeated when the change is durable.
+var errPending = errors.New("a change of the instance is being persisted")
 
-// Writes says whether the history is this service's own.
+// IsWriter reports whether this process writes the history.
 func (s *Store) IsWriter() bool { return s.isWriter }
 
-// Stage makes changes wait: from now on they are not told before Settle.
+// EnableStaging makes writes stage their changes: readers see them only after CommitStaged.
 func (s *Store) EnableStaging() { s.staging = true }
 
-// Staged are the changes that have to last, as records.
+// StagedRecords returns the staged changes as encoded records.
 func (s *Store) StagedRecords() [][]byte {
 	var records [][]byte
 	for _, c := range s.staged {
@@ -183,7 +182,7 @@
 	return records
 }
 
-// Settle takes the staged changes in: they last.
+// CommitStaged applies the staged changes. Call it when they are durable.
 func (s *Store) CommitStaged(now time.Duration) {
 	staged := s.staged
 	s.DropStaged()
@@ -193,22 +192,22 @@
 	s.trimServices()
 }
 
-// Drop forgets the staged changes: they have not happened.
+// DropStaged discards the staged changes.
 func (s *Store) DropStaged() {
 	s.staged = nil
 	clear(s.pending)
 }
 
-// Promote makes the copy of a follower a list that is written here, under a new
-// history with a version that is higher than all before. The record has to last
-// before it is told.
+// PromotionRecord returns the record that makes a follower's copy a list written by this
+// process, under a new history whose version is above all earlier ones. unixMs is the
+// current time. The caller persists the record and then passes it to Restore.
 func (s *Store) PromotionRecord(now time.Duration, historyName string, unixMs int64) Record {
 	begin := &Begin{History: historyName, Version: max(unixMs, s.version+1), Epoch: s.epoch + 1, Writer: true}
 	begin.BaseVersion = begin.Version
 	return Record{Begin: begin}
 }
 
-// renewAll begins all leases anew.
+// renewAll renews all leases.
 func (s *Store) renewAll(now time.Duration) {
 	for _, e := range s.entries {
 		e.expires = max(e.expires, now+s.limits.Lease)
--- a/internal/registry/scope.go
+++ b/internal/registry/scope.go
@@ -10,25 +10,24 @@
 	"strings"
 )
 
-// MostScopes bounds the scopes of one set, whatever a service is configured to take.
+// MaxScopes is the maximum number of scopes in a set, regardless of configured limits.
 const MaxScopes = 1 << 16
 
 const (
 	regionQualifier = "region="
 	zoneQualifier   = "zone="
-	scopeIDBytes    = 16 // of the hash that identifies a set
+	scopeIDBytes    = 16 // length of the hash that identifies a set
 )
 
-// Scope selects a part of the list: the instances of a service, all of them or those
-// of one region or of one zone. Its text form is "checkout", "checkout@region=eu-1" or
-// "checkout@zone=eu-1a".
+// Scope selects the instances of a service: all of them, or those of one region or zone.
+// Its text form is "checkout", "checkout@region=eu-1" or "checkout@zone=eu-1a".
 type Scope struct {
 	Service string
 	Region  string // empty: any
-	Zone    string // empty: any; set only where Region is not
+	Zone    string // empty: any; must be empty if Region is set
 }
 
-// ParseScope reads the text form of a scope.
+// ParseScope parses the text form of a scope and validates it.
 func ParseScope(text string) (Scope, error) {
 	service, qualifier, qualified := strings.Cut(text, "@")
 	scope := Scope{Service: service}
@@ -50,7 +49,7 @@
 	return scope, nil
 }
 
-// ParseScopes reads the text forms of scopes.
+// ParseScopes parses the text forms of scopes and validates them.
 func ParseScopes(texts []string) ([]Scope, error) {
 	scopes := make([]Scope, 0, len(texts))
 	for _, text := range texts {
@@ -63,7 +62,7 @@
 	return scopes, nil
 }
 
-// check reports what makes a scope invalid.
+// check returns an error if the scope is invalid.
 func (s Scope) check() error {
 	switch {
 	case !isServiceName(s.Service):
@@ -78,7 +77,7 @@
 	return nil
 }
 
-// String returns the text form.
+// String returns the text form of the scope.
 func (s Scope) String() string {
 	switch {
 	case s.Region != "":
@@ -96,8 +95,7 @@
 	return s.Service != "" && s.Service == p.Service && (s.Region == "" || s.Region == p.Region) && (s.Zone == "" || s.Zone == p.Zone)
 }
 
-// covers reports whether all that is in the other scope is in this one, wherever
-// instances are.
+// covers reports whether this scope includes every possible instance of the other.
 func (s Scope) covers(other Scope) bool {
 	return s == other || s.Service == other.Service && s.Region == "" && s.Zone == ""
 }
@@ -106,7 +104,7 @@
 	return cmp.Or(strings.Compare(a.Service, b.Service), strings.Compare(a.Region, b.Region), strings.Compare(a.Zone, b.Zone))
 }
 
-// Placement is what scopes select an instance by.
+// Placement holds the fields by which scopes select an instance.
 type Placement struct {
 	Service string `json:"service,omitempty"`
 	Region  string `json:"region,omitempty"`
@@ -115,7 +113,7 @@
 
 func (i Instance) placement() Placement { return Placement{i.Service, i.Region, i.Zone} }
 
-// check reports what makes a placement invalid.
+// check returns an error if the placement is invalid.
 func (p Placement) check() error {
 	switch {
 	case !isServiceName(p.Service):
@@ -128,22 +126,22 @@
 	return nil
 }
 
-// ScopeSet is a set of scopes in canonical form: sorted and without duplicates. It is
-// not changed after it was made, so that several goroutines may use it. A nil set
-// stands for the whole list.
+// ScopeSet is an immutable set of scopes in canonical form: sorted and without duplicates.
+// It is safe for concurrent use. A nil set stands for the full list.
 type ScopeSet struct {
 	scopes    []Scope
-	byService map[string][]Scope // parts of scopes
+	byService map[string][]Scope // subslices of scopes
 	id        string
 }
 
-// NewScopeSet makes a set. An empty one is refused: it would be a reader of nothing.
+// NewScopeSet returns the set of some scopes. It returns an error if there are none, more
+// than MaxScopes, or an invalid one.
 func NewScopeSet(scopes []Scope) (*ScopeSet, error) {
 	if len(scopes) == 0 {
-		return nil, fmt.Errorf("scopes: there are none")
+		return nil, fmt.Errorf("scopes: the set is empty")
 	}
 	if len(scopes) > MaxScopes {
-		return nil, fmt.Errorf("scopes: %d are more than %d", len(scopes), MaxScopes)
+		return nil, fmt.Errorf("scopes: %d exceed the maximum of %d", len(scopes), MaxScopes)
 	}
 	for _, scope := range scopes {
 		if err := scope.check(); err != nil {
@@ -153,7 +151,7 @@
 	return newScopeSet(scopes), nil
 }
 
-// newScopeSet makes a set of valid scopes; nil of none.
+// newScopeSet returns the set of some valid scopes, or nil if there are none.
 func newScopeSet(scopes []Scope) *ScopeSet {
 	if len(scopes) == 0 {
 		return nil
@@ -174,7 +172,8 @@
 	return set
 }
 
-// ID identifies the set by its content: equal sets have equal ids.
+// ID returns an identifier derived from the content: equal sets have equal ids. The id of a
+// nil set is empty.
 func (s *ScopeSet) ID() string {
 	if s == nil {
 		return ""
@@ -202,7 +201,7 @@
 	return texts
 }
 
-// Len is how many scopes there are.
+// Len returns the number of scopes.
 func (s *ScopeSet) Len() int {
 	if s == nil {
 		return 0
@@ -210,7 +209,7 @@
 	return len(s.scopes)
 }
 
-// Matches reports whether an instance is in one of the scopes.
+// Matches reports whether an instance is in one of the scopes. A nil set matches all.
 func (s *ScopeSet) Matches(i Instance) bool { return s.contains(i.placement()) }
 
 func (s *ScopeSet) contains(p Placement) bool {
@@ -233,7 +232,7 @@
 	return slices.ContainsFunc(s.byService[other.Service], func(scope Scope) bool { return scope.covers(other) })
 }
 
-// meets reports whether one of the scopes is of one of the services.
+// includesServiceOf reports whether a scope of the set belongs to one of the services.
 func (s *ScopeSet) includesServiceOf(services map[string]bool) bool {
 	if len(services) < len(s.byService) {
 		for name := range services {
@@ -251,15 +250,15 @@
 	return false
 }
 
-// has reports whether a scope is one of the set.
+// includes reports whether a scope is an element of the set.
 func (s *ScopeSet) includes(scope Scope) bool {
 	return s != nil && slices.Contains(s.byService[scope.Service], scope)
 }
 
-// same reports whether two sets have the same scopes.
+// equal reports whether two sets have the same scopes.
 func (s *ScopeSet) equal(other *ScopeSet) bool { return s.ID() == other.ID() }
 
-// isServiceName reports whether a text can name a service.
+// isServiceName reports whether s is a valid service name.
 func isServiceName(s string) bool {
 	if s == "" || len(s) > maxNameBytes {
 		return false
--- a/internal/registry/scope_http_test.go
+++ b/internal/registry/scope_http_test.go
@@ -196,16 +196,16 @@
 		says   string
 	}{
 		{many(4096), 200, "subscription"},
-		{many(10_000), 413, "10000 scopes are more than the 4096"},
-		{`{"scopes":["` + strings.Repeat("a", 1<<20) + `"]}`, 413, "1048576 bytes"},
-		{`{"scopes":[]}`, 400, "none"},
-		{`{}`, 400, "none"},
+		{many(10_000), 413, "10000 scopes exceed the maximum of 4096"},
+		{`{"scopes":["` + strings.Repeat("a", 1<<20) + `"]}`, 413, "exceeds the maximum of 1048576 bytes"},
+		{`{"scopes":[]}`, 400, "scopes: the set is empty"},
+		{`{}`, 400, "scopes: the set is empty"},
 		{`{"scopes":["a@cell=1"]}`, 400, "neither region=NAME nor zone=NAME"},
 		{`{"scopes":["a","a b"]}`, 400, "service"},
 		{`{"scopes":["a"],"region":"r"}`, 400, "unknown field"},
-		{`{"scopes":["a"]}{}`, 400, "behind it"},
-		{`{"scopes":["a"`, 400, "not such a call"},
-		{``, 400, "not such a call"},
+		{`{"scopes":["a"]}{}`, 400, "trailing data"},
+		{`{"scopes":["a"`, 400, "invalid JSON"},
+		{``, 400, "invalid JSON"},
 	} {
 		code, text, _ := call(t, "POST", s.subscriptionsURL(), c.body)
 		if code != c.status || !strings.Contains(text, c.says) || len(text) > 600 || strings.Count(strings.TrimSpace(text), "\n") > 0 {
--- a/internal/registry/scoped.go
+++ b/internal/registry/scoped.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	maxScopedCacheBytes   = 8 << 20 // of the answers to scopes that are kept for others who ask the same
-	maxScopedCacheEntries = 256     // and how many they are
-	minListCost           = 1.0 / 64
+	maxScopedCacheBytes   = 8 << 20
+	maxScopedCacheEntries = 256
+	minListCost           = 1.0 / 64 // cost of a scoped listing without instances, as a fraction of a full listing
 )
 
-// ScopedRead is a question about a part of the list.
+// ScopedRead is a read of a part of the list.
 type ScopedRead struct {
-	Since   int64  // the version that the reader is at; below 0: it has nothing
-	History string // that the version belongs to; empty: any
+	Since   int64  // the reader's version; below 0 if it has no list
+	History string // history of the version; empty: any
 	Scopes  *ScopeSet
-	// Held are the scopes of which the reader has the list at the version. It is told all
-	// instances of its other scopes, and what has changed in these.
+	// Held contains the scopes whose list the reader has at version Since. The answer has
+	// their changes, and all instances of the other scopes. Nil means Scopes.
 	Held *ScopeSet
 }
 
-// joins reports whether the reader has some scopes and wants others beside them.
+// addsScopes reports whether the reader requests other scopes than those that it holds.
 func (r ScopedRead) addsScopes() bool { return !r.Held.equal(r.Scopes) }
 
-// concerns reports whether a change can alter what the reader has or wants.
+// affectedBy reports whether a change can alter what the reader holds or requests.
 func (r ScopedRead) affectedBy(c *change) bool {
 	if r.covers(c.currentPlacement()) {
 		return true
@@ -46,8 +46,8 @@
 	return r.Scopes.contains(p) || r.addsScopes() && r.Held.contains(p)
 }
 
-// toList returns the services of which a reader is told all instances in its scopes. A
-// reader without a list is one that holds nothing.
+// servicesToList returns the services of which the answer has all instances in the scopes.
+// held is nil for a reader without a list.
 func (r ScopedRead) servicesToList(held *ScopeSet) (services []string) {
 	for name, scopes := range r.Scopes.byService {
 		if held == nil || slices.ContainsFunc(scopes, func(scope Scope) bool { return !held.covers(scope) }) {
@@ -63,7 +63,7 @@
 	scopes, held string
 }
 
-// scopedAnswers keeps answers for readers that ask the same at the same version.
+// scopedCache caches the answers at the store's version for readers with equal requests.
 type scopedCache struct {
 	answers map[scopedKey]Answer
 	bytes   int
@@ -85,9 +85,8 @@
 	a.bytes += len(answer.Body)
 }
 
-// Quiet reports whether a reader that is at a version of a history has nothing to hear.
-// It looks at the changes behind that version alone, and only at whom they concern. A
-// reader that is told so is as good as at the store's version.
+// NoChangesFor reports whether no change after the reader's version affects it. The reader
+// may then be treated as if it were at the store's version.
 func (s *Store) NoChangesFor(read ScopedRead) bool {
 	if !s.canContinue(read) {
 		return false
@@ -100,12 +99,12 @@
 	return true
 }
 
-// continues reports whether a reader that waits can go on from its version by changes.
+// canContinue reports whether a waiting reader can be brought up to date by changes alone.
 func (s *Store) canContinue(read ScopedRead) bool {
 	return read.History == s.history && !read.addsScopes() && read.Since >= s.baseVersion && read.Since <= s.version
 }
 
-// servicesChanged returns the services that the changes since a version concern.
+// servicesChanged returns the services affected by the changes after a version.
 func (s *Store) servicesChanged(since int64) map[string]bool {
 	names := map[string]bool{}
 	for n := s.firstChangeAfter(since); n < len(s.changes); n++ {
@@ -121,14 +120,14 @@
 	return names
 }
 
-// behind returns the place of the first change after a version.
+// firstChangeAfter returns the index of the first change after a version.
 func (s *Store) firstChangeAfter(version int64) int {
 	return sort.Search(len(s.changes), func(n int) bool { return s.changes[n].version > version })
 }
 
-// ReadScoped answers as Read does, for a part of the list: with all instances of the
-// scopes, or with the last state of each instance that has changed in them. An instance
-// that has left the scopes is told as Gone.
+// ReadScoped answers like Read for a part of the list: with all instances of the scopes, or
+// with the last state of each instance that has changed in them. An instance that has left
+// the scopes appears as Gone. The errors are of type *Refusal.
 func (s *Store) ReadScoped(now time.Duration, read ScopedRead) (Answer, error) {
 	if err := s.checkReadable(now); err != nil {
 		return Answer{}, err
@@ -139,7 +138,7 @@
 	sameHistory := read.History == "" || read.History == s.history
 	full := read.Since < 0 || !sameHistory || read.Since < s.baseVersion
 	if !full && read.Since > s.version {
-		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is yet to come, this is %d", read.Since, s.version)
+		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is above the current version %d", read.Since, s.version)
 	}
 	key := scopedKey{read.Since, read.Scopes.ID(), read.Held.ID()}
 	if full {
@@ -166,8 +165,8 @@
 	return answer, nil
 }
 
-// scopedWhole returns the instances of a reader's scopes, by id, without those of scopes
-// that it holds and those that were told.
+// scopedInstances returns the encoded instances of a reader's scopes, sorted by id, except
+// those in held and reported.
 func (s *Store) scopedInstances(read ScopedRead, held *ScopeSet, reported map[string]bool) (encoded [][]byte) {
 	var entries []*entry
 	for _, name := range read.servicesToList(held) {
@@ -189,11 +188,11 @@
 	return encoded
 }
 
-// scopedChanges returns the last state of each instance that has changed in the scopes,
-// and all instances of the scopes that the reader does not hold.
+// scopedChanges returns the encoded last state of each instance that has changed in the
+// scopes, and all instances of the scopes that the reader does not hold.
 //
-// Of an instance the last change that concerns the reader says all: had it been in a scope
-// after that, the next change would name its placement, as the one that it left.
+// The last change of an instance that affects the reader is sufficient: if the instance had
+// been in a scope after it, the next change would name that as a previous placement.
 func (s *Store) scopedChanges(read ScopedRead) (encoded [][]byte, err error) {
 	first := s.firstChangeAfter(read.Since)
 	reported := map[string]bool{}
@@ -218,8 +217,8 @@
 	return encoded, nil
 }
 
-// leaves encodes, for an instance that has moved out of the reader's scopes, that it is
-// Gone from where the reader knew it.
+// encodeGone encodes an instance that has moved out of the reader's scopes as Gone from the
+// placement that the reader knew.
 func (r ScopedRead) encodeGone(c *change) ([]byte, error) {
 	var instance Instance
 	if err := json.Unmarshal(c.encoded, &instance); err != nil {
@@ -235,7 +234,7 @@
 	return json.Marshal(instance)
 }
 
-// unknown returns the scopes whose service is not known.
+// unknownScopes returns the scopes whose service is unknown.
 func (s *Store) unknownScopes(scopes *ScopeSet) (texts []string) {
 	for _, scope := range scopes.scopes {
 		if s.services.known[scope.Service] == nil {
@@ -245,8 +244,7 @@
 	return texts
 }
 
-// listCost is the part of the list that has to be looked at to list what a question asks
-// for: 1 is all of it.
+// listCost returns the fraction of the list that has to be examined to answer a read.
 func (s *Store) listCost(read ScopedRead) float64 {
 	if read.Scopes == nil {
 		return 1
@@ -264,14 +262,14 @@
 	return max(float64(examined)/float64(max(len(s.entries), 1)), minListCost)
 }
 
-// answerPart is a part of an answer beside its instances. It is left out if it is empty.
+// answerField is an optional JSON field of an answer. It is omitted if count is 0.
 type answerField struct {
 	name  string
 	count int
 	value any
 }
 
-// encodeAnswer puts an answer together from the texts of its instances.
+// encodeAnswer encodes an answer from its encoded instances.
 func encodeAnswer(version int64, reset bool, encoded [][]byte, fields ...answerField) []byte {
 	size := len(encoded) + 64
 	for _, instance := range encoded {
@@ -292,11 +290,11 @@
 	body = append(body, ']')
 	for _, field := range fields {
 		if field.count == 0 {
-			continue // and encodes nothing, which would take much of a watcher's stack
+			continue // json.Marshal would grow the watcher's stack
 		}
 		value, err := json.Marshal(field.value)
 		if err != nil {
-			panic(err) // of plain fields
+			panic(err) // only plain fields, which always encode
 		}
 		body = append(body, ',', '"')
 		body = append(body, field.name...)
@@ -306,10 +304,10 @@
 	return append(body, "}\n"...)
 }
 
-// movedInstances collects where instances were before the last change of an answer.
+// movedInstances collects the intermediate placements of the instances of an answer, by id.
 type movedInstances map[string][]Placement
 
-// add takes in a change of an instance that is now at another placement.
+// add adds the placements of a change to an instance whose last placement is current.
 func (m *movedInstances) add(c *change, current Placement) {
 	previous := (*m)[c.id]
 	countBefore := len(previous)
@@ -326,7 +324,7 @@
 	(*m)[c.id] = previous
 }
 
-// sorted returns the instances in the order of their ids; nil of none.
+// sorted returns the instances sorted by id, or nil if there are none.
 func (m movedInstances) sorted() []Moved {
 	var moved []Moved
 	for id, previous := range m {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -18,59 +18,61 @@
 
 const (
 	tickInterval     = 100 * time.Millisecond
-	wakeInterval     = 50 * time.Millisecond // between two answers to all watchers
-	maxWatchWait     = time.Minute           // of a watch
-	writeTimeout     = 5 * time.Second       // for an answer to be taken; a watcher that does not is cut
-	readTimeout      = 3 * time.Second       // for a call to come whole
+	wakeInterval     = 50 * time.Millisecond // minimum between two wake-ups of all watchers
+	maxWatchWait     = time.Minute
+	writeTimeout     = 5 * time.Second // for sending an answer
+	readTimeout      = 3 * time.Second // for receiving a request
 	idleTimeout      = 90 * time.Second
-	maxRequestBytes  = 4 << 10 // bytes of a write's body
+	maxRequestBytes  = 4 << 10 // of the body of a write
 	maxHeaderBytes   = 8 << 10
-	watchDrainPeriod = 2 * time.Second // in which watchers are told to move on, each at its own moment
-	maxRetryAfter    = 3 * time.Second // of Retry-After
+	watchDrainPeriod = 2 * time.Second // over which watches end at shutdown
+	maxRetryAfter    = 3 * time.Second
 	minRetryAfter    = time.Second
 )
 
-// Server answers readers and writers of one Store.
+// Server serves one Store to readers and writers.
 type Server struct {
 	limits    ServerLimits
-	writer    atomic.Pointer[string] // of a follower; nil: this is the writer
-	age       func() int64           // milliseconds since the writer was heard; nil for a writer
+	writer    atomic.Pointer[string] // the writer's address, empty if unknown; nil if this is the writer
+	ageMs     func() int64           // milliseconds since the last update from the writer, -1 for none; nil for a writer
 	startedAt time.Time
 
-	mu              sync.Mutex // of the store and of what follows
+	mu              sync.Mutex // guards limits, store and the fields down to watchesVersion
 	store           *Store
-	changed         chan struct{} // closed when there is something new
+	changed         chan struct{} // closed and replaced when watchers are woken
 	lastWake        time.Time
 	wakePending     bool
 	loggedLapses    int64
 	lapsesLoggedAt  time.Time
-	listingTokens   float64 // that may be asked for now
+	listingTokens   float64 // full listings that the rate limit admits now
 	listingTokensAt time.Time
 	random          *rand.Rand
 	subscriptions   *subscriptions
-	watches         map[*scopedWatch]struct{} // of scopes, that wait
-	watchesVersion  int64                     // the version at which they were last looked at
-
-	persister     *persister     // makes changes last; nil: nothing does
-	replicated    *replicated    // of a list that a group agrees on; else nil
-	selfAddress   string         // this service's own address, for others
-	promote       func() error   // of a follower
-	snapshots     sync.WaitGroup // of snapshots
-	stopping      chan struct{}  // closed at the stop
-	persisterDone chan struct{}  // closed when no change is made any more
+	watches         map[*scopedWatch]struct{} // scoped watches that are waiting
+	watchesVersion  int64                     // version at which watches were last checked
+
+	persister     *persister   // nil if changes are not persisted
+	replicated    *replicated  // nil if no group replicates the list
+	selfAddress   string       // this server's address as other processes reach it
+	promote       func() error // nil unless this is a follower
+	snapshots     sync.WaitGroup
+	stopping      chan struct{} // closed at the beginning of shutdown
+	persisterDone chan struct{} // closed when the persister has stopped
 	metrics       struct {
 		watchers, refused, overloaded, answers, bytes, aborted atomic.Int64
 	}
 }
 
-// NewWriter serves a store of its own at an address that others know.
+// NewWriter returns a Server that writes to store, which it owns from now on. selfAddress
+// is the address at which other processes reach it, and startedAt the origin of the store's
+// clock.
 func NewWriter(selfAddress string, store *Store, limits ServerLimits, startedAt time.Time, random *rand.Rand) *Server {
 	limits = limits.withDefaults()
 	return &Server{selfAddress: selfAddress, limits: limits, store: store, subscriptions: newSubscriptions(), watches: map[*scopedWatch]struct{}{}, startedAt: startedAt, changed: make(chan struct{}), random: random,
 		listingTokens: limits.ListingsPerSecond, listingTokensAt: startedAt, stopping: make(chan struct{}), persisterDone: make(chan struct{})}
 }
 
-// Retune puts other limits in force. Leases that run keep their end.
+// SetLimits replaces the limits. Current leases keep their expiry.
 func (s *Server) SetLimits(limits Limits, serverLimits ServerLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +81,7 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// tick lets leases lapse until ctx ends; where changes are kept, the keeper does.
+// tick expires leases until ctx ends. If there is a persister, it expires them instead.
 func (s *Server) tick(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -94,16 +96,16 @@
 			s.logLapses()
 			continue
 		case s.writer.Load() != nil:
-			continue // the writer's to say
+			continue // only the writer expires leases
 		}
 		if _, err := s.change(func(now time.Duration) (WriteResult, error) { return WriteResult{}, s.store.Tick(now) }); err != nil {
-			slog.Error("lapses", "error", err)
+			slog.Error("expired leases could not be removed", "error", err)
 		}
 		s.logLapses()
 	}
 }
 
-// tellLapses writes a line about leases that have run out, once a second at most.
+// logLapses logs the number of lapsed leases at most once a second.
 func (s *Server) logLapses() {
 	s.mu.Lock()
 	stats := s.store.Stats()
@@ -115,11 +117,12 @@
 	}
 	s.mu.Unlock()
 	if due {
-		slog.Warn("leases have run out", "gone", lapsed, "overdue", stats.Overdue, "instances", stats.Instances)
+		slog.Warn("leases expired", "gone", lapsed, "overdue", stats.Overdue, "instances", stats.Instances)
 	}
 }
 
-// writeChange makes a change, which lasts when it returns where changes are kept.
+// writeChange makes a change unless this server is fenced or not the writer. If there is a
+// persister, the change is durable when writeChange returns.
 func (s *Server) writeChange(write func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
 	fenced := func(now time.Duration) (WriteResult, error) {
 		if err := cmp.Or(s.checkFenced(), s.checkIsWriter()); err != nil {
@@ -133,7 +136,8 @@
 	return s.change(fenced)
 }
 
-// change does something with the store and wakes the watchers if that made news.
+// change applies a function to the store and wakes the watchers if the version or history
+// has changed.
 func (s *Server) change(apply func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,12 +147,13 @@
 		s.wake()
 	}
 	if s.store.stats.Pauses != pausesBefore {
-		slog.Warn("the service stood still; all leases begin anew")
+		slog.Warn("process pause detected; all leases renewed")
 	}
 	return result, err
 }
 
-// wake lets the watchers look. Changes that come close together are told at once.
+// wake wakes the watchers, at most once per wakeInterval, so that changes in quick
+// succession share an answer. The caller holds s.mu.
 func (s *Server) wake() {
 	if s.wakePending {
 		return
@@ -194,8 +199,10 @@
 	}
 }
 
-// Serve answers on a listener, and operators on another, until ctx ends; then
-// it lets watchers move on, at differing moments, and returns.
+// Serve serves readers and writers on listener, and the control endpoints on
+// operatorListener unless that is nil, until ctx ends. Then it ends the watches spread over
+// watchDrainPeriod, so that the readers do not reconnect elsewhere all at once. It returns
+// an error if a listener or the persister fails, or if shutdown times out.
 func (s *Server) Serve(ctx context.Context, listener, operatorListener net.Listener) error {
 	tickContext, stopTicks := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -210,7 +217,7 @@
 			<-s.persisterDone
 			s.snapshots.Wait()
 			if err := s.persister.closeLog(); err != nil {
-				slog.Error("data", "error", err)
+				slog.Error("log could not be closed", "error", err)
 			}
 		}()
 		go func() {
@@ -235,16 +242,16 @@
 	case err := <-serveErrors:
 		server.Close()
 		return err
-	case persistErr = <-persisterResult: // nobody may believe any more in what this process has
+	case persistErr = <-persisterResult: // changes can no longer be persisted, so stop serving
 	case <-ctx.Done():
 	}
-	slog.Info("leaving", "watchers", s.metrics.watchers.Load())
+	slog.Info("shutting down", "watchers", s.metrics.watchers.Load())
 	close(s.stopping)
 	shutdownContext, cancel := context.WithTimeout(context.Background(), watchDrainPeriod+writeTimeout)
 	defer cancel()
 	if err := server.Shutdown(shutdownContext); err != nil {
 		server.Close()
-		return errors.Join(persistErr, fmt.Errorf("calls that were still open at the end: %w", err))
+		return errors.Join(persistErr, fmt.Errorf("requests still in progress at shutdown: %w", err))
 	}
 	return persistErr
 }
--- a/internal/registry/services.go
+++ b/internal/registry/services.go
@@ -5,28 +5,27 @@
 	"slices"
 )
 
-// defaultEmptyServices is how many services without instances are remembered where
-// Limits do not say.
+// defaultEmptyServices is the default of Limits.EmptyServices.
 const defaultEmptyServices = 4096
 
-// serviceIndex finds the instances of a service, and knows the services that have had
-// instances and have none now. A service that is not in it is unknown. Instances that
-// name no service are not in it.
+// serviceIndex maps services to their instances and retains services whose instances have
+// all gone. A service that is not in it is unknown. It does not contain instances without a
+// service.
 type serviceIndex struct {
 	known       map[string]*indexedService
-	empty       int   // services without instances
-	lastEmptied int64 // counts the services that became empty
+	empty       int   // number of services without instances
+	lastEmptied int64 // emptiedOrder of the service that became empty last
 }
 
 // indexedService is one service of the index.
 type indexedService struct {
 	instances    map[string]*entry
-	emptiedOrder int64 // its place among those that became empty
+	emptiedOrder int64 // position in the order in which services became empty
 }
 
 func newServiceIndex() *serviceIndex { return &serviceIndex{known: map[string]*indexedService{}} }
 
-// add puts an entry into its service.
+// add adds an entry to its service.
 func (x *serviceIndex) add(e *entry) {
 	if e.Service == "" {
 		return
@@ -42,7 +41,7 @@
 	service.instances[e.ID] = e
 }
 
-// remove takes an entry out of its service, which stays known.
+// remove removes an entry from its service, which stays known.
 func (x *serviceIndex) remove(e *entry) {
 	service := x.known[e.Service]
 	if service == nil || service.instances[e.ID] == nil {
@@ -60,7 +59,7 @@
 	x.empty++
 }
 
-// mention makes a service known that has had instances.
+// addKnown adds a service without instances if it is unknown.
 func (x *serviceIndex) addKnown(name string) {
 	if name == "" || x.known[name] != nil {
 		return
@@ -70,7 +69,7 @@
 	x.markEmpty(service)
 }
 
-// clear takes all instances out. The services stay known.
+// clear removes all instances. The services stay known.
 func (x *serviceIndex) clear() {
 	for _, name := range slices.Sorted(maps.Keys(x.known)) {
 		if service := x.known[name]; len(service.instances) > 0 {
@@ -80,7 +79,8 @@
 	}
 }
 
-// trim forgets the services that have been empty for the longest, down to a bound.
+// trim removes the services that have been empty for longest until at most limit empty ones
+// are left.
 func (x *serviceIndex) trim(limit int) {
 	if x.empty <= limit {
 		return
@@ -91,7 +91,7 @@
 	}
 }
 
-// emptyNames returns the services without instances, the first to become empty first.
+// emptyNames returns the services without instances in the order in which they became empty.
 func (x *serviceIndex) emptyNames() []string {
 	if x.empty == 0 {
 		return nil
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -5,69 +5,69 @@
 	"time"
 )
 
-// Limits bound a Store.
+// Limits bounds a Store.
 type Limits struct {
 	Lease        time.Duration
-	Instances    int // on the list
-	History      int // changes
-	HistoryBytes int // of their encoding
+	Instances    int // instances in the list
+	History      int // changes kept
+	HistoryBytes int // encoded bytes of the changes kept
 
-	EmptyServices int // services without instances that are remembered; 0: defaultEmptyServices
+	EmptyServices int // known services without instances; 0 means defaultEmptyServices
 }
 
 const (
-	lapseFractionPerSecond = 0.05 // of the list that may lapse in a second
-	lapseBurstFraction     = 0.1  // and at once
-	pauseLeaseDivisor      = 4    // a part of a lease; a service that stood still for longer has heard no renewals
-	maxCachedAnswers       = 64   // answers kept for watchers that ask from the same version
+	lapseFractionPerSecond = 0.05 // share of the list that may lapse per second
+	lapseBurstFraction     = 0.1  // share of the list that may lapse at once
+	pauseLeaseDivisor      = 4    // a gap between ticks above lease/pauseLeaseDivisor counts as a pause of the process
+	maxCachedAnswers       = 64
 )
 
-// Store is the list and its history. It is a state machine: all times are those
-// of the caller's monotonic clock. It is not safe for use by several goroutines.
+// Store is the state machine of the list and its history. All times are readings of the
+// caller's monotonic clock. It is not safe for concurrent use.
 type Store struct {
 	limits   Limits
 	history  string
 	version  int64
-	epoch    int64  // of the writer; each promotion has a higher one
-	isWriter bool   // the history is this service's own
-	fence    *Fence // of one in whose place another was put
+	epoch    int64  // of the writer; each promotion increments it
+	isWriter bool   // this process writes the history
+	fence    *Fence // set when another writer has replaced this one
 	entries  map[string]*entry
-	gone     map[string]change // of the instances in changes that are Gone, the last
+	gone     map[string]change // last change of each Gone instance that the history still holds
 
-	services *serviceIndex // of the entries
+	services *serviceIndex
 
-	changes     []change // the oldest first
-	bytes       int      // of their texts
-	baseVersion int64    // the version that changes follow
+	changes     []change // oldest first
+	bytes       int      // total size of changes
+	baseVersion int64    // version before the first of changes
 
-	cachedAnswers map[int64][]byte // answers at this version, by the version asked from; -1: the whole list
-	cachedScoped  scopedCache      // the same for scopes
+	cachedAnswers map[int64][]byte // encoded answers at the current version, by the reader's version; -1: full list
+	cachedScoped  scopedCache      // the same for scoped reads
 
-	staging bool // changes wait until they last
+	staging bool // changes are staged until they are durable
 	staged  []stagedChange
-	pending map[string]bool // instances in staged changes
+	pending map[string]bool // ids of instances with staged changes
 
-	gatheringUntil time.Duration // until then the list is not whole
+	gatheringUntil time.Duration // the list is incomplete before this time
 	lastTick       time.Duration
-	lapseCredit    float64 // lapses that may go through
+	lapseCredit    float64 // leases that may lapse now
 	stats          Stats
 }
 
-// Stats are a Store's figures.
+// Stats holds statistics of a Store.
 type Stats struct {
 	Version              int64
 	Instances            int
-	History, Bytes       int // changes kept, and their bytes
+	History, Bytes       int // changes kept, and their size in bytes
 	Registered           int64
 	Renewed              int64
 	Lapsed               int64
-	Overdue              int   // leases that have run out, whose lapse waits
-	Pauses               int64 // times that the service stood still, and all leases began anew
-	ChangesEncoded       int64 // changes
-	AnswersEncoded       int64 // answers put together
-	ScopedAnswersEncoded int64 // of them, answers to scopes
-	Services             int   // known
-	EmptyServices        int   // of them, those without instances
+	Overdue              int   // expired leases that have not lapsed yet because of the rate limit
+	Pauses               int64 // detected pauses of the process, after each of which all leases were renewed
+	ChangesEncoded       int64
+	AnswersEncoded       int64
+	ScopedAnswersEncoded int64 // included in AnswersEncoded
+	Services             int   // known services
+	EmptyServices        int   // known services without instances
 }
 
 type entry struct {
@@ -77,9 +77,9 @@
 	expires time.Duration
 }
 
-// NewStore begins a history with the given name at a version that is higher than
-// all that there were before. Reads are answered after one lease, in which all
-// instances can register.
+// NewStore returns a Store that begins a history. firstVersion must be above all versions
+// of earlier histories. The store rejects reads for one lease, in which all instances can
+// register.
 func NewStore(limits Limits, name string, firstVersion int64, now time.Duration) *Store {
 	s := newStore(limits, now)
 	s.history, s.version, s.baseVersion, s.epoch, s.isWriter = name, firstVersion, firstVersion, 1, true
@@ -92,7 +92,7 @@
 		pending: map[string]bool{}, services: newServiceIndex(), lastTick: now}
 }
 
-// enter puts an entry on the list, in place of the one of this id.
+// putEntry adds an entry to the list or replaces the one with the same id.
 func (s *Store) putEntry(e *entry) {
 	previous := s.entries[e.ID]
 	s.entries[e.ID] = e
@@ -102,7 +102,7 @@
 	}
 }
 
-// withdraw takes an entry off the list.
+// removeEntry removes an entry from the list, if present.
 func (s *Store) removeEntry(id string) {
 	if e := s.entries[id]; e != nil {
 		delete(s.entries, id)
@@ -110,15 +110,15 @@
 	}
 }
 
-// forgetServices bounds the services without instances that are remembered.
+// trimServices bounds the number of known services without instances.
 func (s *Store) trimServices() {
 	s.services.trim(cmp.Or(s.limits.EmptyServices, defaultEmptyServices))
 }
 
-// Copy takes in what a writer has told, under its own versions. Danger: all that
-// is told goes into the history, also what this follower has already. A reader may
-// come from the writer, between two versions that are one step here. A whole list
-// does not tell what has changed, so nobody may go on from before it.
+// ApplyListing applies an update from the writer under the writer's versions. It appends
+// every instance of the update to the history, even one that this follower already has:
+// a reader coming from the writer may be at an intermediate version. A full list clears the
+// history because it does not say what has changed.
 func (s *Store) ApplyListing(now time.Duration, listing Listing, history string) error {
 	if listing.Reset {
 		clear(s.entries)
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// Stats returns the figures.
+// Stats returns a snapshot of the statistics.
 func (s *Store) Stats() Stats {
 	stats := s.stats
 	stats.Version, stats.Instances, stats.History, stats.Bytes = s.version, len(s.entries), len(s.changes), s.bytes
--- a/internal/registry/subscriptions.go
+++ b/internal/registry/subscriptions.go
@@ -7,20 +7,20 @@
 	"net/http"
 )
 
-// SubscriptionsPath is where a reader names its scopes. The answer has the id under which
-// it then asks for their list.
+// SubscriptionsPath is the HTTP path where a reader registers its scopes. The answer has the
+// id that it uses in later reads.
 const SubscriptionsPath = "/registry/subscriptions"
 
-// SubscriptionHeader has, in an answer to scopes, the id of the set. A list service of a
-// build before scopes answers without it, and with the whole list.
+// SubscriptionHeader is the response header of a scoped read with the id of the scopes.
+// Builds without scopes answer without it, and with the full list.
 const SubscriptionHeader = "X-Registry-Subscription"
 
 const (
-	subscriptionParameter = "subscription" // of a read: the id of the scopes
-	heldParameter         = "held"         // the id of the scopes that "since" is about, if they are others
+	subscriptionParameter = "subscription" // query parameter: id of the requested scopes
+	heldParameter         = "held"         // query parameter: id of the held scopes, if different
 )
 
-// Bounds of subscriptions where ServerLimits do not say.
+// Defaults of ServerLimits.
 const (
 	defaultSubscriptions      = 2000
 	defaultSubscriptionScopes = 4096
@@ -28,28 +28,28 @@
 	defaultSubscriptionBytes  = 1 << 20
 )
 
-// subscriptionCall is the body of a call that names scopes.
+// subscriptionRequest is the body of a request that registers scopes.
 type subscriptionRequest struct {
 	Scopes []string `json:"scopes"`
 }
 
-// subscriptionReply is its answer.
+// subscriptionReply is the answer to a subscriptionRequest.
 type subscriptionReply struct {
 	Subscription string `json:"subscription"`
 }
 
-// subscriptions keeps the sets of scopes that readers have named, by their ids. Beyond its
-// bounds it forgets those that nobody has asked for the longest; their readers name them
-// again.
+// subscriptions is an LRU cache of the sets of scopes that readers have registered, by id.
+// Readers of an evicted set register it again.
 type subscriptions struct {
 	byID   map[string]*list.Element // of *ScopeSet
-	recent list.List                // the one used last in front
-	scopes int                      // of all sets
+	recent list.List                // most recently used first
+	scopes int                      // total number of scopes
 }
 
 func newSubscriptions() *subscriptions { return &subscriptions{byID: map[string]*list.Element{}} }
 
-// add keeps a set, within bounds on the sets and on all of their scopes.
+// add adds a set and evicts others beyond maxSets sets or maxScopes scopes in total. It never
+// evicts the added set.
 func (s *subscriptions) add(set *ScopeSet, maxSets, maxScopes int) {
 	if s.get(set.ID()) == nil {
 		s.byID[set.ID()] = s.recent.PushFront(set)
@@ -62,7 +62,7 @@
 	}
 }
 
-// get returns the set of an id; nil: it is not kept.
+// get returns the set with an id, or nil.
 func (s *subscriptions) get(id string) *ScopeSet {
 	element := s.byID[id]
 	if element == nil {
@@ -72,22 +72,22 @@
 	return element.Value.(*ScopeSet)
 }
 
-// readSubscription reads the scopes of a call.
+// readSubscription decodes and validates the scopes in a request body.
 func readSubscription(body io.Reader, maxBytes int64, maxScopes int) (*ScopeSet, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(nil, io.NopCloser(body), maxBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, refuse(http.StatusRequestEntityTooLarge, "a subscription has %d bytes at most", maxBytes)
+		return nil, refuse(http.StatusRequestEntityTooLarge, "the subscription exceeds the maximum of %d bytes", maxBytes)
 	case err != nil:
-		return nil, refuse(http.StatusBadRequest, "the call did not come whole")
+		return nil, refuse(http.StatusBadRequest, "the request body could not be read completely")
 	}
 	var request subscriptionRequest
 	if err := decode(data, &request); err != nil {
 		return nil, refuse(http.StatusBadRequest, "%v", err)
 	}
 	if len(request.Scopes) > maxScopes {
-		return nil, refuse(http.StatusRequestEntityTooLarge, "%d scopes are more than the %d of a subscription; a reader of so many reads the whole list", len(request.Scopes), maxScopes)
+		return nil, refuse(http.StatusRequestEntityTooLarge, "%d scopes exceed the maximum of %d per subscription; read the full list instead", len(request.Scopes), maxScopes)
 	}
 	scopes, err := ParseScopes(request.Scopes)
 	if err != nil {
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// read answers with the whole list, or waits for what is new; both in the scopes that the
-// call names, if it does.
+// handleRead answers with the list or waits for changes to it, restricted to the scopes of
+// the request, if any.
 func (s *Server) handleRead(w http.ResponseWriter, r *http.Request) {
 	read, wait, err := s.parseRead(r)
 	if err != nil {
@@ -27,13 +27,13 @@
 	if read.Scopes != nil {
 		w.Header().Set(SubscriptionHeader, read.Scopes.ID())
 	}
-	if s.age != nil && s.writer.Load() != nil {
-		w.Header().Set(AgeHeader, strconv.FormatInt(s.age(), 10))
+	if s.ageMs != nil && s.writer.Load() != nil {
+		w.Header().Set(AgeHeader, strconv.FormatInt(s.ageMs(), 10))
 	}
 	s.writeAnswer(w, result.body)
 }
 
-// question reads what a call asks for, and how long it may wait.
+// parseRead returns what a request reads and how long it may wait for changes.
 func (s *Server) parseRead(r *http.Request) (read ScopedRead, wait time.Duration, err error) {
 	since, err := queryInteger(r, "since", 0, maxExactInteger)
 	waitMs, waitErr := queryInteger(r, "timeout_ms", 0, maxWatchWait.Milliseconds())
@@ -54,22 +54,22 @@
 		}
 	}
 	if since < 0 || read.addsScopes() {
-		return read, 0, nil // it is answered at once
+		return read, 0, nil // answered immediately
 	}
 	return read, time.Duration(max(waitMs, 0)) * time.Millisecond, nil
 }
 
-// subscription returns the scopes that were named under an id.
+// subscription returns the scopes registered under an id.
 func (s *Server) subscription(id string) (*ScopeSet, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if set := s.subscriptions.get(id); set != nil {
 		return set, nil
 	}
-	return nil, refuse(http.StatusNotFound, "subscription: %.80q is not known here; name its scopes at %s", id, SubscriptionsPath)
+	return nil, refuse(http.StatusNotFound, "subscription: unknown id %.80q; post its scopes to %s", id, SubscriptionsPath)
 }
 
-// subscribe takes the scopes that a reader names.
+// handleSubscribe registers the scopes of a reader.
 func (s *Server) handleSubscribe(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	limits := s.limits
@@ -78,7 +78,7 @@
 	control.SetReadDeadline(time.Now().Add(readTimeout))
 	set, err := readSubscription(r.Body, limits.SubscriptionBytes, limits.SubscriptionScopes)
 	if err != nil {
-		w.Header().Set("Connection", "close") // the rest of its body may still come
+		w.Header().Set("Connection", "close") // part of the body may be unread
 		s.writeError(w, err)
 		return
 	}
@@ -89,30 +89,30 @@
 	s.writeAnswer(w, fmt.Appendf(nil, `{"subscription":%q}`+"\n", set.ID()))
 }
 
-// awaited is an answer and where it comes from.
+// watchResult is an encoded answer with its history and epoch. The body is nil if there is
+// no answer yet.
 type watchResult struct {
 	body    []byte
 	history string
 	epoch   int64
 }
 
-// scopedWatch is a reader of scopes that waits. What it asks is moved on with the list as
-// long as no change concerns it, by who makes the changes: a thousand readers that each woke
-// to look took nine times as much processor time (BenchmarkScopedWatch).
+// scopedWatch is a waiting scoped read. The goroutine that changes the list advances its
+// version while no change affects it, rather than waking every watcher to check
+// (BenchmarkScopedWatch).
 type scopedWatch struct {
-	read ScopedRead    // the server's while the watch waits
-	wake chan struct{} // has one when there may be something for it
+	read ScopedRead    // guarded by Server.mu while the watch is registered
+	wake chan struct{} // buffered signal that there may be an answer
 }
 
 func newScopedWatch(read ScopedRead) *scopedWatch {
 	return &scopedWatch{read, make(chan struct{}, 1)}
 }
 
-// passOver moves on the watches of scopes that nothing new concerns, and wakes the others.
-// The caller has the lock.
+// advanceWatches advances the scoped watches that no change affects to the store's version
+// and wakes the others. The caller holds s.mu.
 //
-// Most watches have no service that has changed since they were last looked at. They are not
-// compared with each change.
+// Watches without a scope of a changed service skip the comparison with each change.
 func (s *Server) advanceWatches() {
 	previousVersion := s.watchesVersion
 	s.watchesVersion = s.store.version
@@ -129,13 +129,13 @@
 		}
 		select {
 		case watch.wake <- struct{}{}:
-		default: // it has been woken
+		default: // already signalled
 		}
 	}
 }
 
-// lookFor looks for a watch. If there is nothing new, the watch waits until endWatch, and
-// the channel has something, or is closed, when there may be.
+// pollWatch checks once whether a watch has an answer. If not, it registers the watch until
+// endWatch and returns a channel that receives or is closed when there may be one.
 func (s *Server) pollWatch(watch *scopedWatch, final bool) (result watchResult, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,19 +150,19 @@
 	return watchResult{}, watch.wake, nil
 }
 
-// endWatch ends a watch.
+// endWatch unregisters a watch.
 func (s *Server) endWatch(watch *scopedWatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.watches, watch)
 }
 
-// await waits for an answer.
+// awaitAnswer waits up to the given time for an answer.
 func (s *Server) awaitAnswer(ctx context.Context, read ScopedRead, wait time.Duration) (watchResult, error) {
 	if wait > 0 {
 		defer s.metrics.watchers.Add(-1)
 		if limit := s.maxWatchers(); s.metrics.watchers.Add(1) > int64(limit) {
-			return watchResult{}, refuse(http.StatusServiceUnavailable, "there are %d watchers", limit)
+			return watchResult{}, refuse(http.StatusServiceUnavailable, "the maximum of %d watchers is reached", limit)
 		}
 	}
 	timer := time.NewTimer(wait)
@@ -182,7 +182,7 @@
 		case <-timer.C:
 			final = true
 		case <-stopping:
-			// All would ask elsewhere at once.
+			// Spread the answers so that the readers do not reconnect elsewhere all at once.
 			stopping = nil
 			timer.Reset(s.randomBetween(0, watchDrainPeriod))
 		case <-ctx.Done():
@@ -191,9 +191,9 @@
 	}
 }
 
-// look looks for an answer once. Without a body there is nothing new yet, and a question
-// about scopes is moved on to the version that was looked at, so that each change is looked
-// at once. The last look always has an answer. The caller has the lock.
+// poll checks once whether there is an answer. A result without a body means that there is
+// none yet; a scoped read is then advanced to the store's version, so that each change is
+// checked only once. The final poll always has an answer or an error. The caller holds s.mu.
 func (s *Server) poll(read *ScopedRead, final bool) (result watchResult, err error) {
 	now := s.now()
 	fencedErr := s.checkFenced()
@@ -211,11 +211,11 @@
 		err = fencedErr
 	}
 	switch ahead := s.writer.Load() != nil && read.Since > s.store.version && read.History == s.store.history; {
-	case ahead && !final: // a follower will know by and by
+	case ahead && !final: // wait for the follower to catch up
 	case err != nil:
 		return watchResult{}, err
 	case answer.Full && !s.takeListingTokens(s.store.listCost(*read)):
-		return watchResult{}, refuse(http.StatusServiceUnavailable, "too many ask for the whole list")
+		return watchResult{}, refuse(http.StatusServiceUnavailable, "overloaded: the rate of full listings is at its limit of %g per second", s.limits.ListingsPerSecond)
 	case !answer.Unchanged || final:
 		return watchResult{answer.Body, s.store.history, s.store.epoch}, nil
 	}
--- a/internal/registry/writes.go
+++ b/internal/registry/writes.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Refusal is why a call changed nothing.
+// Refusal is the error of a request that changed nothing.
 type Refusal struct {
-	Status int
+	Status int // HTTP status code
 	Text   string
 }
 
@@ -21,20 +21,21 @@
 	return &Refusal{status, fmt.Sprintf(format, args...)}
 }
 
-// Written is what a call came to, and how the instance stands then.
+// WriteResult is the version and lifecycle of an instance after a write.
 type WriteResult struct {
 	Version   int64
 	Lifecycle Lifecycle
 }
 
-// stagedChange is one that does not last yet.
+// stagedChange is a change that is not durable yet.
 type stagedChange struct {
 	instance Instance
 	version  int64
 	encoded  []byte
 }
 
-// commit takes a change in, or stages it. One that goes keeps whether it drained.
+// commit applies a change or, if staging is enabled, stages it. For an instance that
+// becomes Gone it records whether it was draining.
 func (s *Store) commit(instance Instance, now time.Duration) (WriteResult, error) {
 	if existing := s.entries[instance.ID]; existing != nil && instance.Lifecycle == Gone {
 		instance.Drained = existing.Lifecycle == Terminating
@@ -56,7 +57,8 @@
 	return result, nil
 }
 
-// expected holds a write to the version that it names, if it does.
+// checkVersion rejects a write that expects another version than the instance's; nil
+// expects none, and 0 that it is not in the list.
 func (s *Store) checkVersion(id string, expected *int64) error {
 	current := int64(0)
 	if e := s.entries[id]; e != nil {
@@ -68,12 +70,12 @@
 	return nil
 }
 
-// Register puts an instance on the list, or renews it if it is there as it is. A
-// registration without a lifecycle leaves that as it is, Ready at first.
+// Register adds or changes an instance, or renews its lease if nothing has changed. A
+// registration without a lifecycle keeps the current one; a new instance becomes Ready.
 //
-// Danger: a registration that is made again, or comes late, must not undo a drain,
-// nor may a lapse in between. So one that says Ready of a process that drains is
-// refused; SetLifecycle alone ends a drain.
+// A repeated or delayed registration must not end a drain, not even after the lease has
+// lapsed in between. Register therefore rejects Ready for a draining process; only
+// SetLifecycle ends a drain.
 func (s *Store) Register(now time.Duration, instance Instance, expectedVersion *int64) (WriteResult, error) {
 	requested := instance.Lifecycle
 	if requested == "" {
@@ -95,15 +97,15 @@
 	draining := false
 	switch {
 	case existing == nil && lastGone.started > instance.StartedAtMs:
-		return WriteResult{}, refuse(http.StatusConflict, "%s has been on the list with a later start, %d", instance.ID, lastGone.started)
+		return WriteResult{}, refuse(http.StatusConflict, "%s was registered with a later start: %d, not %d", instance.ID, lastGone.started, instance.StartedAtMs)
 	case existing == nil && len(s.entries)+len(s.staged) >= s.limits.Instances:
 		return WriteResult{}, refuse(http.StatusConflict, "the list is full with %d instances", len(s.entries))
 	case existing == nil:
 		draining = lastGone.drained && lastGone.started == instance.StartedAtMs
 	case existing.StartedAtMs > instance.StartedAtMs:
-		return WriteResult{}, refuse(http.StatusConflict, "%s is on the list with a later start, %d", instance.ID, existing.StartedAtMs)
+		return WriteResult{}, refuse(http.StatusConflict, "%s is registered with a later start: %d, not %d", instance.ID, existing.StartedAtMs, instance.StartedAtMs)
 	case existing.StartedAtMs == instance.StartedAtMs && existing.HostPort != instance.HostPort:
-		return WriteResult{}, refuse(http.StatusConflict, "%s is on the list with the same start at %s", instance.ID, existing.HostPort)
+		return WriteResult{}, refuse(http.StatusConflict, "%s is registered with the same start at %s, not %s", instance.ID, existing.HostPort, instance.HostPort)
 	case existing.StartedAtMs == instance.StartedAtMs:
 		draining = existing.Lifecycle == Terminating
 	}
@@ -121,7 +123,7 @@
 	return s.commit(instance, now)
 }
 
-// own returns the entry of the process with this id and start.
+// entryOf returns the entry of the process with this id and start.
 func (s *Store) entryOf(id string, started int64) (*entry, error) {
 	if s.pending[id] {
 		return nil, errPending
@@ -129,14 +131,14 @@
 	e := s.entries[id]
 	switch {
 	case e == nil:
-		return nil, refuse(http.StatusNotFound, "%s is not on the list", id)
+		return nil, refuse(http.StatusNotFound, "%s is not registered", id)
 	case e.StartedAtMs != started:
-		return nil, refuse(http.StatusConflict, "%s is on the list with the start %d, not %d", id, e.StartedAtMs, started)
+		return nil, refuse(http.StatusConflict, "%s is registered with start %d, not %d", id, e.StartedAtMs, started)
 	}
 	return e, nil
 }
 
-// Renew begins an instance's lease anew.
+// Renew extends the lease of an instance.
 func (s *Store) Renew(now time.Duration, id string, started int64) (WriteResult, error) {
 	e, err := s.entryOf(id, started)
 	if err != nil {
@@ -153,7 +155,8 @@
 	s.stats.Renewed++
 }
 
-// SetLifecycle changes what an instance does, and renews it.
+// SetLifecycle sets the lifecycle of an instance to Ready or Terminating and renews its
+// lease.
 func (s *Store) SetLifecycle(now time.Duration, id string, started int64, lifecycle Lifecycle, expectedVersion *int64) (WriteResult, error) {
 	if lifecycle != Ready && lifecycle != Terminating {
 		return WriteResult{}, refuse(http.StatusBadRequest, "lifecycle: %.80q is not Ready or Terminating", lifecycle)
@@ -174,7 +177,7 @@
 	return s.commit(instance, now)
 }
 
-// Leave takes an instance off the list. One that is not there has left.
+// Leave removes an instance from the list. It succeeds if the instance is not there.
 func (s *Store) Leave(now time.Duration, id string, started int64, expectedVersion *int64) (WriteResult, error) {
 	if s.entries[id] == nil && !s.pending[id] {
 		return WriteResult{s.version, Gone}, nil
@@ -191,8 +194,8 @@
 	return s.commit(instance, now)
 }
 
-// Tick lets leases lapse. It wants to be called often; a long time between two
-// calls was a pause of the service, in which nobody could renew.
+// Tick removes instances whose lease has expired, at a limited rate. Call it often: after a
+// long gap between two calls it renews all leases, as nobody could renew during the pause.
 func (s *Store) Tick(now time.Duration) error {
 	elapsed := now - s.lastTick
 	s.lastTick = now
