--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -12,21 +12,21 @@
 	"dunlintray/rules"
 )
 
-// Codes of the records in a batch, by the names that the protocol gives them.
+// Codes of the records in a batch.
 const (
-	codeAttach      = 16
-	codeSync        = 17
-	codeAsk         = 18
-	codeEstablished = 19
-	codeAttemptEnd  = 20
-	codeAborted     = 21
-	codeAlarm       = 22
-	codeChecked     = 23
-	codePeerData    = 24
-	codeTeardown    = 25
-	codeCounter     = 26
-	codeManifest    = 27
-	codeFor         = 28
+	codeAttach      = 16 // starts a gateway
+	codeSync        = 17 // rules.Backends
+	codeAsk         = 18 // rules.Request
+	codeEstablished = 19 // rules.Established
+	codeAttemptEnd  = 20 // rules.AttemptEnd
+	codeAborted     = 21 // rules.ClientGone
+	codeAlarm       = 22 // rules.Timer
+	codeChecked     = 23 // rules.Probed
+	codePeerData    = 24 // rules.PeerMessage
+	codeTeardown    = 25 // stops a gateway
+	codeCounter     = 26 // rules.CounterReply
+	codeManifest    = 27 // defines a numbered list of backends
+	codeFor         = 28 // selects the gateway of the records after it
 )
 
 const (
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,18 +8,18 @@
 	"dunlintray/rules"
 )
 
-// Codes of the records in a reply, by the names that the protocol gives them.
+// Codes of the records in a reply.
 const (
-	codeAskLoad       = 80
-	codeDropAttempt   = 81
-	codeSleep         = 82
-	codeCount         = 85
-	codeDecline       = 86
-	codeSpeaking      = 87
-	codeStreamChanges = 88
-	codeAbort         = 89
-	codePassOn        = 91
-	codeLog           = 92
+	codeAskLoad       = 80 // rules.Probe
+	codeDropAttempt   = 81 // rules.Cancel
+	codeSleep         = 82 // rules.SetTimer
+	codeCount         = 85 // rules.Count
+	codeDecline       = 86 // rules.Refuse
+	codeSpeaking      = 87 // selects the gateway of the records after it
+	codeStreamChanges = 88 // rules.Subscribe
+	codeAbort         = 89 // rules.Fail
+	codePassOn        = 91 // rules.Send
+	codeLog           = 92 // rules.Log
 )
 
 const replyHeaderSize = 12 // bytes: length 4, record count 4, sequence number 4
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -15,7 +15,7 @@
 		"no fleet":    {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, Rate: 1, Burst: 1}}, Counter: true},
 		"no burst": {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, Rate: 5, CeilingRate: 1}},
 			Fleet: 1, Counter: true, Tick: 0.002},
-		"places alone": {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, MaxConcurrent: 1}},
+		"slots only": {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, MaxConcurrent: 1}},
 			Fleet: 3, Counter: true, Tick: 0.002},
 	} {
 		harness := newHarness(t, settings, readyBackends(2)...)
--- a/rules/types.go
+++ b/rules/types.go
@@ -29,9 +29,9 @@
 
 // The values of DedupeScope, widest first.
 const (
-	ScopeAll DedupeScope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  DedupeScope = iota // all backends
+	ScopeZone                    // backends of one zone
+	ScopeCell                    // backends of one cell
 )
 
 // Class describes one class of requests.
@@ -86,7 +86,7 @@
 	// a subset of the backends; 0 means all gateways.
 	GatewaysPerBackend int
 
-	Zone int
+	Zone int     // number of this gateway's zone
 	Tick float64 // shortest interval between two events
 
 	SubscribeToDiscovery bool // discovery sends updates only after a Subscribe action
@@ -94,8 +94,8 @@
 	LoadFields           []LoadField
 	LoadInline           bool // load reports come with attempt outcomes, not only with probes
 
-	Counter        bool // a shared counter is available
-	CounterTimeout float64
+	Counter        bool    // a shared counter is available
+	CounterTimeout float64 // of one call
 	CounterPrice   float64
 	MaxUnits       float64 // units of the largest request
 	UnitsEstimated bool    // a request's units are an estimate until it is answered
@@ -135,11 +135,11 @@
 // Backend is one entry of the list of backends.
 type Backend struct {
 	ID        BackendID
-	Zone      int
-	Kind      int
-	Cell      int
+	Zone      int // number of its zone
+	Kind      int // number of its machine type
+	Cell      int // number of its cell, a group of backends that share the keys they have seen
 	State     BackendState
-	Weight    float64
+	Weight    float64 // relative capacity, as configured in discovery
 	StartedAt float64 `json:"Born"` // time of its last start; 0 if that is unknown or long ago
 }
 
