--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -79,11 +79,11 @@
 func (l Lifecycle) known() bool { return l == Ready || l == Terminating || l == Gone }
 
 const (
-	mostID     = 64      // bytes
-	mostName   = 64      // of a zone or machine type
-	mostCell   = 1 << 20 // cells are numbered below it
-	mostWeight = 1e6
-	mostStart  = 1 << 53 // milliseconds that JSON readers keep exact
+	maxIDBytes      = 64      // bytes
+	maxNameBytes    = 64      // of a zone or machine type
+	maxCells        = 1 << 20 // cells are numbered below it
+	maxWeight       = 1e6
+	maxExactInteger = 1 << 53 // milliseconds that JSON readers keep exact
 )
 
 // check finds what an instance in a list can't be.
@@ -96,29 +96,29 @@
 	case err != nil || address.Port() == 0:
 		return fmt.Errorf("hostPort: %.80q is not a numeric address with a port", i.HostPort)
 	case !isName(i.Zone):
-		return fmt.Errorf("zone: %.80q is not a name of 1 to %d letters", i.Zone, mostName)
+		return fmt.Errorf("zone: %.80q is not a name of 1 to %d letters", i.Zone, maxNameBytes)
 	case !isName(i.MachineType):
-		return fmt.Errorf("machineType: %.80q is not a name of 1 to %d letters", i.MachineType, mostName)
-	case i.Cell < 0 || i.Cell >= mostCell:
+		return fmt.Errorf("machineType: %.80q is not a name of 1 to %d letters", i.MachineType, maxNameBytes)
+	case i.Cell < 0 || i.Cell >= maxCells:
 		return fmt.Errorf("cell: %d is out of range", i.Cell)
 	case !i.Lifecycle.known():
 		return fmt.Errorf("lifecycle: %.80q is not known", i.Lifecycle)
-	case !(i.Weight >= 0 && i.Weight <= mostWeight) || math.IsNaN(i.Weight):
+	case !(i.Weight >= 0 && i.Weight <= maxWeight) || math.IsNaN(i.Weight):
 		return fmt.Errorf("weight: %g is out of range", i.Weight)
-	case i.StartedAtMs < 0 || i.StartedAtMs > mostStart:
+	case i.StartedAtMs < 0 || i.StartedAtMs > maxExactInteger:
 		return fmt.Errorf("startedAtMs: %d is out of range", i.StartedAtMs)
 	case i.Drained && i.Lifecycle != Gone:
 		return fmt.Errorf("drained: %s is %s, not Gone", i.ID, i.Lifecycle)
 	case i.Service != "" && !isServiceName(i.Service):
-		return fmt.Errorf("service: %.80q is not 1 to %d characters of a-z, A-Z, 0-9, dot, dash and underscore", i.Service, mostName)
+		return fmt.Errorf("service: %.80q is not 1 to %d characters of a-z, A-Z, 0-9, dot, dash and underscore", i.Service, maxNameBytes)
 	case i.Region != "" && !isName(i.Region):
-		return fmt.Errorf("region: %.80q is not a name of 1 to %d letters", i.Region, mostName)
+		return fmt.Errorf("region: %.80q is not a name of 1 to %d letters", i.Region, maxNameBytes)
 	}
 	return nil
 }
 
 func checkID(id string) error {
-	if id == "" || len(id) > mostID {
+	if id == "" || len(id) > maxIDBytes {
 		return fmt.Errorf("instanceId: %d bytes are none or too many", len(id))
 	}
 	for _, c := range []byte(id) {
@@ -130,7 +130,7 @@
 }
 
 func isName(s string) bool {
-	if s == "" || len(s) > mostName {
+	if s == "" || len(s) > maxNameBytes {
 		return false
 	}
 	for _, r := range s {
@@ -142,13 +142,13 @@
 }
 
 // decode reads one JSON value, of known fields and with nothing behind it.
-func decode(text []byte, v any) error {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(v); err != nil {
+func decode(text []byte, value any) error {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(value); err != nil {
 		return fmt.Errorf("not such a call: %w", err)
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := decoder.Token(); err != io.EOF {
 		return errors.New("not such a call: something stands behind it")
 	}
 	return nil
@@ -156,28 +156,28 @@
 
 // ParseListing reads a list. One that can't be read whole is none.
 func ParseListing(text []byte) (Listing, error) {
-	var l Listing
-	if err := json.Unmarshal(text, &l); err != nil {
+	var listing Listing
+	if err := json.Unmarshal(text, &listing); err != nil {
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
-	if l.Generation < 0 || l.Generation > mostStart {
-		return Listing{}, fmt.Errorf("list: generation %d is out of range", l.Generation)
+	if listing.Generation < 0 || listing.Generation > maxExactInteger {
+		return Listing{}, fmt.Errorf("list: generation %d is out of range", listing.Generation)
 	}
-	ids := make([]string, 0, len(l.Instances))
-	for _, i := range l.Instances {
-		if err := i.check(); err != nil {
+	ids := make([]string, 0, len(listing.Instances))
+	for _, instance := range listing.Instances {
+		if err := instance.check(); err != nil {
 			return Listing{}, fmt.Errorf("list: %w", err)
 		}
-		ids = append(ids, i.ID)
+		ids = append(ids, instance.ID)
 	}
 	slices.Sort(ids)
-	if len(slices.Compact(ids)) != len(l.Instances) {
+	if len(slices.Compact(ids)) != len(listing.Instances) {
 		return Listing{}, errors.New("list: an instance stands there twice")
 	}
-	if err := l.checkScoped(); err != nil {
+	if err := listing.checkScoped(); err != nil {
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
-	return l, nil
+	return listing, nil
 }
 
 // checkScoped reports what is wrong with the parts of a list that scopes need.
