--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -130,7 +130,7 @@
 // Open admits a new connection from an address, in state New. If another connection had to be
 // evicted for it, Open removes that one from the table and returns it as victim, for the
 // caller to close. If there is no place, conn is nil, and atShare reports whether the source
-// has its share of the places already.
+// has its share of the places, or of those for New and Head connections, already.
 //
 // The source with the most connections loses one first. If all sources want more than there
 // are places, their numbers of connections differ by at most one.
--- a/internal/connlimit/table_test.go
+++ b/internal/connlimit/table_test.go
@@ -156,50 +156,50 @@
 		total := 20 + random.IntN(100)
 		table := NewTable(Limits{Total: total})
 		wants := make([]int, 2+random.IntN(12)) // connections wanted, by source
-		has := make([]map[*Conn]bool, len(wants))
-		for n := range wants {
-			wants[n], has[n] = 1+random.IntN(2*total/len(wants)), map[*Conn]bool{}
+		opened := make([]map[*Conn]bool, len(wants))
+		for source := range wants {
+			wants[source], opened[source] = 1+random.IntN(2*total/len(wants)), map[*Conn]bool{}
 			if random.IntN(3) == 0 {
-				wants[n] = 10 * total
+				wants[source] = 10 * total
 			}
 		}
 		now := time.Duration(0)
 		for range 200 * total {
 			now += time.Millisecond
-			n := random.IntN(len(wants))
-			if len(has[n]) >= wants[n] {
+			source := random.IntN(len(wants))
+			if len(opened[source]) >= wants[source] {
 				continue
 			}
-			conn, _, victim := table.Open(now, address(n))
+			conn, _, victim := table.Open(now, address(source))
 			if victim != nil {
-				for _, conns := range has {
+				for _, conns := range opened {
 					delete(conns, victim)
 				}
 			}
 			if conn != nil {
-				has[n][conn] = true
+				opened[source][conn] = true
 				table.Set(now, conn, Idle)
 			}
 		}
 		// Serve the sources in the order of what they want: what remains is split evenly.
 		order := make([]int, len(wants))
-		for n := range order {
-			order[n] = n
+		for source := range order {
+			order[source] = source
 		}
 		slices.SortFunc(order, func(a, b int) int { return wants[a] - wants[b] })
 		remaining := total
-		for i, n := range order {
+		for i, source := range order {
 			fair := remaining / (len(order) - i)
-			if got := len(has[n]); got < min(fair, wants[n])-1 {
-				t.Fatalf("seed %d: a source has %d connections, wants %d, fair share %d; all want %v and have %v", seed, got, wants[n], fair, wants,
-					func() (n []int) {
-						for _, conns := range has {
-							n = append(n, len(conns))
+			if got := len(opened[source]); got < min(fair, wants[source])-1 {
+				t.Fatalf("seed %d: a source has %d connections, wants %d, fair share %d; all want %v and have %v", seed, got, wants[source], fair, wants,
+					func() (counts []int) {
+						for _, conns := range opened {
+							counts = append(counts, len(conns))
 						}
-						return n
+						return counts
 					}())
 			}
-			remaining -= min(fair, wants[n])
+			remaining -= min(fair, wants[source])
 		}
 	}
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -86,7 +86,7 @@
 	}
 	download.reservedMemory, maxStart = p.metrics.bodyBudget.reserveUpTo(maxStart)
 	if len(resp.TransferEncoding) > 0 {
-		download.chunked = &chunkedReader{r: conn.reader}
+		download.chunked = &chunkedReader{reader: conn.reader}
 		download.body = download.chunked
 	}
 	download.prefix = newBodyPrefix(download.body, resp.ContentLength, maxStart)
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -105,20 +105,20 @@
 		b.mu.Unlock()
 		return nil
 	}
-	w := &waiter{bytes, make(chan struct{})}
-	b.waiters = append(b.waiters, w)
+	own := &waiter{bytes, make(chan struct{})}
+	b.waiters = append(b.waiters, own)
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, budgetTimeout)
 	defer cancel()
 	select {
-	case <-w.granted:
+	case <-own.granted:
 		return nil
 	case <-ctx.Done():
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, waiting := range b.waiters {
-		if waiting == w {
+	for i, other := range b.waiters {
+		if other == own {
 			b.waiters = append(b.waiters[:i], b.waiters[i+1:]...)
 			b.grantWaiters() // a smaller reservation may come next
 			return errNoBodyMemory
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -76,19 +76,19 @@
 // wait, is never smaller than uncountedBytes, and releases all memory.
 func TestWindowSizes(t *testing.T) {
 	shared := &budget{total: 2 * maxWindow}
-	w := window{budget: shared}
+	main := window{budget: shared}
 	checkSize := func(want int) {
 		t.Helper()
-		if got := len(w.buffer()); got != want {
+		if got := len(main.buffer()); got != want {
 			t.Errorf("window of %d bytes, want %d; %d bytes reserved", got, want, shared.used)
 		}
 	}
 	checkSize(minWindow)
-	w.recordUse(minWindow - 1)
+	main.recordUse(minWindow - 1)
 	checkSize(minWindow)
-	w.recordUse(minWindow)
+	main.recordUse(minWindow)
 	checkSize(maxWindow)
-	w.release()
+	main.release()
 	checkSize(maxWindow) // the last piece filled the buffer
 	other := window{budget: shared}
 	other.buffer()
@@ -114,8 +114,8 @@
 		t.Errorf("with prepaid memory the window is not of %d bytes", minWindow)
 	}
 	shared.release(2*maxWindow - minWindow - minWindow)
-	for _, w := range []*window{&w, &other, &none, &prepaid} {
-		w.release()
+	for _, used := range []*window{&main, &other, &none, &prepaid} {
+		used.release()
 	}
 	if shared.used != 0 {
 		t.Errorf("%d bytes still reserved", shared.used)
--- a/internal/gateway/chunked.go
+++ b/internal/gateway/chunked.go
@@ -19,7 +19,7 @@
 // chunkedReader decodes a chunked response body. Unlike the reader of net/http, it does not
 // wait for the end of a chunk, which the backend may send slowly.
 type chunkedReader struct {
-	r          *bufio.Reader
+	reader     *bufio.Reader
 	trailer    http.Header // set at the end of the body
 	remaining  uint64      // bytes of the current chunk
 	overhead   int64       // bytes of size lines that count towards maxChunkOverhead
@@ -38,7 +38,7 @@
 	if uint64(len(p)) > c.remaining {
 		p = p[:c.remaining]
 	}
-	n, err := c.r.Read(p)
+	n, err := c.reader.Read(p)
 	c.remaining -= uint64(n)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -50,7 +50,7 @@
 // ready reports whether the next chunk data, or at least its size line, is buffered. A read
 // may then wait only for the data after that line.
 func (c *chunkedReader) ready() bool {
-	buffered, _ := c.r.Peek(c.r.Buffered())
+	buffered, _ := c.reader.Peek(c.reader.Buffered())
 	switch {
 	case c.remaining > 0:
 		return len(buffered) > 0
@@ -94,7 +94,7 @@
 
 // readLine reads a line, which must end in CRLF, and returns it without the line end.
 func (c *chunkedReader) readLine() ([]byte, error) {
-	line, err := c.r.ReadSlice('\n')
+	line, err := c.reader.ReadSlice('\n')
 	switch {
 	case err == io.EOF:
 		return nil, io.ErrUnexpectedEOF
--- a/internal/gateway/chunked_test.go
+++ b/internal/gateway/chunked_test.go
@@ -36,7 +36,7 @@
 		{"0\r\n" + strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 9) + "\r\n", "", "", errInvalidChunks},
 	} {
 		for _, input := range []io.Reader{strings.NewReader(test.text), iotest.OneByteReader(strings.NewReader(test.text))} {
-			reader := &chunkedReader{r: bufio.NewReader(input)}
+			reader := &chunkedReader{reader: bufio.NewReader(input)}
 			body, err := io.ReadAll(reader)
 			if !errors.Is(err, test.err) || string(body) != test.body || reader.trailer.Get("X-Sum") != test.trailer {
 				t.Errorf("%.40q: body %q, %v, trailer %v; want %q, %v, trailer %q", test.text, body, err, reader.trailer, test.body, test.err, test.trailer)
@@ -50,9 +50,9 @@
 	text := "3\r\nabc\r\n5;x\r\ndefgh\r\n0\r\n\r\n"
 	for end := range len(text) {
 		input := &partialInput{remaining: []byte(text[:end])}
-		reader := &chunkedReader{r: bufio.NewReader(input)}
+		reader := &chunkedReader{reader: bufio.NewReader(input)}
 		for buf := make([]byte, 8); ; {
-			reader.r.Peek(1) // fills the buffer
+			reader.reader.Peek(1) // fills the buffer
 			if !reader.ready() {
 				break
 			}
@@ -99,7 +99,7 @@
 			output.Close()
 		}()
 		defer input.Close()
-		decoder := &chunkedReader{r: bufio.NewReader(input)}
+		decoder := &chunkedReader{reader: bufio.NewReader(input)}
 		got, err := io.ReadAll(decoder)
 		if err != nil {
 			return
--- a/internal/gateway/client_connection.go
+++ b/internal/gateway/client_connection.go
@@ -323,15 +323,15 @@
 func (c *clientConn) closeNow() error {
 	err := c.Conn.Close()
 	c.closeOnce.Do(func() {
-		l := c.listener
-		l.mu.Lock()
-		defer l.mu.Unlock()
+		listener := c.listener
+		listener.mu.Lock()
+		defer listener.mu.Unlock()
 		if c.entry != nil {
-			l.table.Close(c.entry)
-			delete(l.conns, c.entry)
+			listener.table.Close(c.entry)
+			delete(listener.conns, c.entry)
 		}
-		l.closeCounts[c.closeCause].Add(1)
-		l.placeFreed.Broadcast()
+		listener.closeCounts[c.closeCause].Add(1)
+		listener.placeFreed.Broadcast()
 	})
 	return err
 }
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -302,12 +302,12 @@
 	return ended
 }
 
-// sleep waits for d or until the listener is closed.
-func (l *clientListener) sleep(d time.Duration) {
+// sleep waits for the duration or until the listener is closed.
+func (l *clientListener) sleep(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	elapsed := false
-	defer time.AfterFunc(d, func() {
+	defer time.AfterFunc(duration, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		elapsed = true
--- a/internal/gateway/download_test.go
+++ b/internal/gateway/download_test.go
@@ -289,7 +289,7 @@
 	for name, test := range map[string]struct {
 		interval     time.Duration // for 1 kB
 		disconnected bool
-	}{"slow": {200 * time.Millisecond, false}, "a byte now and then": {8 * time.Second, true}, "still": {time.Hour, true}} {
+	}{"slow": {200 * time.Millisecond, false}, "below the minimum rate": {8 * time.Second, true}, "stalled": {time.Hour, true}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				front, listener := newPipedFrontend(t)
--- a/internal/gateway/framing.go
+++ b/internal/gateway/framing.go
@@ -48,17 +48,17 @@
 func (f *framingScanner) betweenMessages() bool { return f.state == frameStartLine && f.lineBytes == 0 }
 
 // scan scans the next bytes of the connection.
-func (f *framingScanner) scan(p []byte) {
-	for len(p) > 0 && f.state != frameIgnored {
+func (f *framingScanner) scan(data []byte) {
+	for len(data) > 0 && f.state != frameIgnored {
 		if f.state == frameBody || f.state == frameChunkData {
-			n := min(f.remaining, uint64(len(p)))
-			p = p[n:]
+			skipped := min(f.remaining, uint64(len(data)))
+			data = data[skipped:]
 			lineEnd := uint64(0) // the line end is not part of the data
 			if f.state == frameChunkData {
 				lineEnd = 2
 			}
-			f.bodyBytes += max(f.remaining, lineEnd) - max(f.remaining-n, lineEnd)
-			if f.remaining -= n; f.remaining == 0 {
+			f.bodyBytes += max(f.remaining, lineEnd) - max(f.remaining-skipped, lineEnd)
+			if f.remaining -= skipped; f.remaining == 0 {
 				if f.state == frameBody {
 					f.state = frameStartLine
 				} else {
@@ -67,26 +67,26 @@
 			}
 			continue
 		}
-		newline := bytes.IndexByte(p, '\n')
+		newline := bytes.IndexByte(data, '\n')
 		if newline < 0 {
-			f.appendLine(p)
+			f.appendLine(data)
 			return
 		}
-		f.appendLine(p[:newline])
-		p = p[newline+1:]
+		f.appendLine(data[:newline])
+		data = data[newline+1:]
 		f.endLine()
 	}
 }
 
 // appendLine adds bytes to the current line, of which only the start is kept.
-func (f *framingScanner) appendLine(p []byte) {
+func (f *framingScanner) appendLine(data []byte) {
 	if f.lineBytes < len(f.line) {
-		copy(f.line[f.lineBytes:], p)
+		copy(f.line[f.lineBytes:], data)
 	}
-	if f.lineBytes += len(p); len(p) >= 2 {
-		copy(f.lastTwo[:], p[len(p)-2:])
-	} else if len(p) == 1 {
-		f.lastTwo = [2]byte{f.lastTwo[1], p[0]}
+	if f.lineBytes += len(data); len(data) >= 2 {
+		copy(f.lastTwo[:], data[len(data)-2:])
+	} else if len(data) == 1 {
+		f.lastTwo = [2]byte{f.lastTwo[1], data[0]}
 	}
 }
 
--- a/internal/gateway/framing_test.go
+++ b/internal/gateway/framing_test.go
@@ -22,10 +22,10 @@
 	{"a length twice", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", true},
 	{"two lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", true},
 	{"chunks in HTTP/1.0", "POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", true},
-	{"a length on its own line", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length:\r\n 3\r\n\r\nabc", true},
-	{"a length far behind", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length:" + strings.Repeat(" ", 60) + "3\r\n\r\nabc", true},
-	{"heads in a body", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 41\r\n\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n\r\n", false},
-	{"heads in a chunk", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" +
+	{"a folded length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length:\r\n 3\r\n\r\nabc", true},
+	{"a length after long padding", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length:" + strings.Repeat(" ", 60) + "3\r\n\r\nabc", true},
+	{"header lines in a body", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 41\r\n\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n\r\n", false},
+	{"header lines in a chunk", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		"15\r\nContent-Length: 1\r\n\r\n\r\n0\r\n\r\n", false},
 	{"bare line ends", "POST / HTTP/1.1\nHost: a\nContent-Length: 3\nTransfer-Encoding: chunked\n\n", true},
 }
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -59,7 +59,7 @@
 // Otherwise such clients would take the places of others.
 func TestClientWithoutCompleteRequestIsDisconnected(t *testing.T) {
 	for name, text := range map[string]string{
-		"silent":       "",
+		"nothing":      "",
 		"half a line":  "GET /loo",
 		"half headers": "GET /lookup HTTP/1.1\r\nHost: origin.svc\r\n",
 		"half a body":  requestText("POST", "booking", "pickup")[:len(requestText("POST", "booking", "pickup"))-1],
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -14,8 +14,8 @@
 // hostileClients open connections and keep their places, each in its own way, until stop is
 // closed.
 var hostileClients = map[string]func(conn net.Conn, stop <-chan struct{}){
-	"says nothing": func(conn net.Conn, stop <-chan struct{}) { conn.Read(make([]byte, 1)) },
-	"sends a head by bytes": func(conn net.Conn, stop <-chan struct{}) {
+	"sends nothing": func(conn net.Conn, stop <-chan struct{}) { conn.Read(make([]byte, 1)) },
+	"sends a header byte by byte": func(conn net.Conn, stop <-chan struct{}) {
 		for _, b := range []byte(requestText("GET", "lookup", "")) {
 			if _, err := conn.Write([]byte{b}); err != nil {
 				return
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -107,7 +107,7 @@
 		"in small pieces": {640, 10 * time.Millisecond, false},
 		"in large pieces": {160 << 10, 2500 * time.Millisecond, false},
 		"a byte a second": {1, time.Second, true},
-		"silent":          {1 << 10, time.Minute, true},
+		"stalled":         {1 << 10, time.Minute, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
