--- a/internal/gateway/scopes.go
+++ b/internal/gateway/scopes.go
@@ -209,7 +209,7 @@
 	s.metrics.chosen.Store(int64(stats.Chosen))
 	s.metrics.widened.Store(int64(stats.Widened))
 	if stats.Widened != s.widened {
-		slog.Warn("subset widening changed", "widened", stats.Widened, "before", s.widened, "size", stats.Size, "chosen", stats.Chosen, "candidates", stats.Candidates)
+		slog.Warn("subset", "widened", stats.Widened, "before", s.widened, "size", stats.Size, "chosen", stats.Chosen, "candidates", stats.Candidates)
 		s.widened = stats.Widened
 	}
 	if stats.Candidates == 0 {
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -793,7 +793,7 @@
 		return
 	}
 	line := fmt.Sprintf(
-		"rejected: limit=%.1f in_flight=%d abandoned=%d latency=%.3f pressure=%.2f counter_failures=%.2f",
+		"rejected: bound=%.1f in_flight=%d ghosts=%d latency=%.3f pressure=%.2f crowd=%.2f",
 		g.concurrencyLimit, g.inFlight, g.abandonedCount(), g.latency, g.pressure, g.counterFailureRate)
 	for reason, count := range g.rejectionCounts {
 		if count > 0 {
