--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -28,7 +28,7 @@
 // agentConfig returns the configuration of the membership agent, or an error for an invalid
 // address, a wrong number of peers or a datagram rate that is too low.
 func (c *Config) agentConfig() (membership.AgentConfig, error) {
-	agent := membership.AgentConfig{Self: c.Rank, InPerS: c.Members.InboxPerSecond * membershipInboxFraction}
+	agent := membership.AgentConfig{Self: c.Rank, MaxReceiveRate: c.Members.InboxPerSecond * membershipInboxFraction}
 	var err error
 	if agent.Listen, err = netip.ParseAddrPort(c.Members.PeerListen); err != nil {
 		return agent, fmt.Errorf("peer_listen: %w", err)
@@ -43,8 +43,8 @@
 	switch {
 	case len(agent.Peers) != c.Fleet:
 		return agent, fmt.Errorf("peers: %d addresses for a fleet of %d gateways", len(agent.Peers), c.Fleet)
-	case agent.InPerS < minMembershipRate:
-		return agent, fmt.Errorf("settings: inboxPerS of %g leaves %g datagrams a second for membership, under %d", c.Members.InboxPerSecond, agent.InPerS, minMembershipRate)
+	case agent.MaxReceiveRate < minMembershipRate:
+		return agent, fmt.Errorf("settings: inboxPerS of %g leaves %g datagrams a second for membership, under %d", c.Members.InboxPerSecond, agent.MaxReceiveRate, minMembershipRate)
 	}
 	return agent, nil
 }
@@ -103,7 +103,7 @@
 		}
 		view := c.agent.View()
 		state, since, reason := c.state(time.Now())
-		answer := MembersView{Self: view.Self, On: view.On, Superseded: view.Superseded, Digest: fmt.Sprintf("%016x", view.Digest), AgreeingViews: view.Same, ReceivedViews: view.Of,
+		answer := MembersView{Self: view.Self, On: view.Active, Superseded: view.Superseded, Digest: fmt.Sprintf("%016x", view.Digest), AgreeingViews: view.Agreeing, ReceivedViews: view.Reporting,
 			State: state.String(), StateForMs: since.Milliseconds(), Reason: reason}
 		for _, member := range view.Members {
 			answer.Members = append(answer.Members, Member{member.Number, member.State.String(), member.Incarnation, member.Start, (view.Now - member.Since).Milliseconds()})
@@ -135,8 +135,8 @@
 		kind  string
 	}{{"alive", states[membership.Alive], "g"}, {"suspect", states[membership.Suspect], "g"}, {"dead", states[membership.Dead], "g"}, {"left", states[membership.Left], "g"},
 		{"unknown", states[membership.Unknown], "g"}, {"differing", int64(stats.Differing), "g"}, {"health", int64(stats.Health), "g"}, {"sent", stats.Sent, "c"}, {"sent_bytes", stats.SentBytes, "c"},
-		{"received", stats.Received, "c"}, {"dropped", stats.Dropped, "c"}, {"garbled", stats.Garbled, "c"}, {"stale", stats.Stale, "c"}, {"refuted", stats.Refuted, "c"},
-		{"suspected", stats.Suspected, "c"}, {"declared", stats.Declared, "c"}, {"superseded", superseded, "g"}, {"standing", int64(state), "g"}, {"standing_ms", since.Milliseconds(), "g"}} {
+		{"received", stats.Received, "c"}, {"dropped", stats.Dropped, "c"}, {"garbled", stats.Malformed, "c"}, {"stale", stats.Stale, "c"}, {"refuted", stats.Refuted, "c"},
+		{"suspected", stats.Suspected, "c"}, {"declared", stats.DeclaredDead, "c"}, {"superseded", superseded, "g"}, {"standing", int64(state), "g"}, {"standing_ms", since.Milliseconds(), "g"}} {
 		fmt.Fprintf(w, "app.members.%s:%d|%s\n", metric.name, metric.value, metric.kind)
 	}
 }
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -68,14 +68,14 @@
 	for number := range 3 {
 		members = append(members, netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 7000+number)))
 	}
-	agent, err := membership.NewAgent(membership.AgentConfig{Self: 0, Listen: members[0], Peers: members, InPerS: 50, Start: start}, rand.New(rand.NewPCG(1, 1)), func([]bool) {})
+	agent, err := membership.NewAgent(membership.AgentConfig{Self: 0, Listen: members[0], Peers: members, MaxReceiveRate: 50, Start: start}, rand.New(rand.NewPCG(1, 1)), func([]bool) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	age, counter := time.Second, &counterContact{}
 	connectivity := newConnectivity(agent, func() time.Duration { return age }, counter, start)
 	connectivity.view = func() membership.View {
-		view := membership.View{Self: 0, On: true, Members: make([]membership.Member, 3)}
+		view := membership.View{Self: 0, Active: true, Members: make([]membership.Member, 3)}
 		for number := range view.Members {
 			view.Members[number] = membership.Member{Number: number, State: membership.Dead}
 		}
@@ -105,12 +105,12 @@
 		{func() {
 			age = 0
 			connectivity.view = func() membership.View {
-				return membership.View{Self: 0, On: true, Members: []membership.Member{{Number: 0, State: membership.Alive}, {Number: 1, State: membership.Alive}, {Number: 2, State: membership.Left}}}
+				return membership.View{Self: 0, Active: true, Members: []membership.Member{{Number: 0, State: membership.Alive}, {Number: 1, State: membership.Alive}, {Number: 2, State: membership.Left}}}
 			}
 		}, "whole: reaches 1 of 1"},
 		{func() {
 			connectivity.view = func() membership.View {
-				return membership.View{Self: 0, On: true, Members: []membership.Member{{Number: 0, State: membership.Alive}, {Number: 1, State: membership.Suspect}, {Number: 2, State: membership.Left}}}
+				return membership.View{Self: 0, Active: true, Members: []membership.Member{{Number: 0, State: membership.Alive}, {Number: 1, State: membership.Suspect}, {Number: 2, State: membership.Left}}}
 			}
 		}, "divided: reaches none of 2"},
 		{func() {
--- a/internal/gateway/standing.go
+++ b/internal/gateway/standing.go
@@ -55,11 +55,11 @@
 	lastCall, lastAnswer := time.Unix(0, c.lastCall.Load()), time.Unix(0, c.lastAnswer.Load())
 	switch {
 	case now.Sub(lastCall) > counterCallWindow:
-		return reach.None
+		return reach.Unknown
 	case now.Sub(lastAnswer) > counterSilenceLimit:
 		return reach.Silent
 	}
-	return reach.Heard
+	return reach.Answering
 }
 
 func newConnectivity(agent *membership.Agent, registryAge func() time.Duration, counter *counterContact, now time.Time) *connectivity {
@@ -84,10 +84,10 @@
 // answers, and logs a change of state.
 func (c *connectivity) observe(now time.Time) {
 	view := c.view()
-	if !view.On || view.Superseded {
+	if !view.Active || view.Superseded {
 		return // a sibling process takes part in its place
 	}
-	observation := reach.Sight{Fleet: len(view.Members) - 1, Counter: c.counter.state(now)}
+	observation := reach.Observation{OtherGateways: len(view.Members) - 1, Counter: c.counter.state(now)}
 	switch {
 	case view.Stats.Differing == 0:
 		c.differingSince = time.Time{}
@@ -100,19 +100,19 @@
 		if member.Number == view.Self || member.State == membership.Unknown || member.State == membership.Left {
 			continue
 		}
-		observation.Heard++
+		observation.Known++
 		if member.State == membership.Alive { // a suspect does not answer
 			observation.Present++
 		}
 	}
 	if c.registryAge != nil {
-		if observation.Lists = reach.Heard; c.registryAge() < 0 || c.registryAge() > registrySilenceLimit {
-			observation.Lists = reach.Silent
+		if observation.Registries = reach.Answering; c.registryAge() < 0 || c.registryAge() > registrySilenceLimit {
+			observation.Registries = reach.Silent
 		}
 	}
 	c.mu.Lock()
 	previous, _, _ := c.machine.State()
-	changed := c.machine.See(now.Sub(c.startedAt), observation)
+	changed := c.machine.Observe(now.Sub(c.startedAt), observation)
 	state, _, reason := c.machine.State()
 	c.mu.Unlock()
 	if changed {
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -15,11 +15,11 @@
 
 // AgentConfig is what an agent is told.
 type AgentConfig struct {
-	Self   int
-	Listen netip.AddrPort   // where datagrams come in
-	Peers  []netip.AddrPort // each member's address, its own too, by number
-	Start  time.Time        // of this process
-	InPerS float64          // datagrams that are taken in
+	Self           int
+	Listen         netip.AddrPort   // where datagrams come in
+	Peers          []netip.AddrPort // each member's address, its own too, by number
+	Start          time.Time        // of this process
+	MaxReceiveRate float64          // datagrams that are taken in
 }
 
 const (
@@ -31,14 +31,14 @@
 
 // View is what an agent holds, at one moment.
 type View struct {
-	Self       int
-	On         bool // it takes part: its address is its own
-	Superseded bool // a later process has its place
-	Digest     uint64
-	Same, Of   int // members with the same view, of those heard
-	Members    []Member
-	Now        time.Duration // by the clock of Member.Since
-	Stats      Stats
+	Self                int
+	Active              bool // it takes part: its address is its own
+	Superseded          bool // a later process has its place
+	Digest              uint64
+	Agreeing, Reporting int // members with the same view, of those heard
+	Members             []Member
+	Now                 time.Duration // by the clock of Member.Since
+	Stats               Stats
 }
 
 // Agent runs a node on datagrams. One goroutine has the node, another reads.
@@ -54,8 +54,8 @@
 
 // NewAgent returns an agent that tells changed, one at a time, who is present.
 func NewAgent(c AgentConfig, random *rand.Rand, changed func(present []bool)) (*Agent, error) {
-	if c.Self < 0 || c.Self >= len(c.Peers) || len(c.Peers) > 1<<16 || c.InPerS < 1 {
-		return nil, fmt.Errorf("membership: member %d of %d with %g datagrams a second", c.Self, len(c.Peers), c.InPerS)
+	if c.Self < 0 || c.Self >= len(c.Peers) || len(c.Peers) > 1<<16 || c.MaxReceiveRate < 1 {
+		return nil, fmt.Errorf("membership: member %d of %d with %g datagrams a second", c.Self, len(c.Peers), c.MaxReceiveRate)
 	}
 	a := &Agent{c: c, numbers: map[netip.AddrPort]int{}, random: random, changed: changed, view: View{Self: c.Self}}
 	for n, p := range c.Peers {
@@ -93,7 +93,7 @@
 
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	node := New(Config{Self: a.c.Self, Start: a.c.Start.UnixMilli(), Members: len(a.c.Peers), InPerS: a.c.InPerS}, now(), a.random)
+	node := New(Config{Self: a.c.Self, Start: a.c.Start.UnixMilli(), Members: len(a.c.Peers), MaxReceiveRate: a.c.MaxReceiveRate}, now(), a.random)
 	lines, told := changesPerS, false
 	var second, complained time.Time
 	carry := func(out Actions) {
@@ -160,7 +160,7 @@
 
 // read hands on what comes from the addresses of members.
 func (a *Agent) read(conn *net.UDPConn, in chan<- received) {
-	buf := make([]byte, MostBytes+1) // one that is longer is seen to be
+	buf := make([]byte, MaxDatagramBytes+1) // one that is longer is seen to be
 	for {
 		n, source, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -179,13 +179,13 @@
 
 // look takes note of what the node holds, and tells of changes.
 func (a *Agent) look(n *Node, now time.Duration, changed bool) {
-	same, of := n.Agree()
+	same, of := n.CountAgreeing()
 	a.mu.Lock()
 	members := a.view.Members
 	if changed {
 		members = n.Members()
 	}
-	a.view = View{Self: a.c.Self, On: true, Superseded: n.Superseded(), Digest: n.Digest(), Same: same, Of: of, Members: members, Now: now, Stats: n.Stats()}
+	a.view = View{Self: a.c.Self, Active: true, Superseded: n.Superseded(), Digest: n.Digest(), Agreeing: same, Reporting: of, Members: members, Now: now, Stats: n.Stats()}
 	a.mu.Unlock()
 	if changed {
 		present := make([]bool, len(members))
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -39,7 +39,7 @@
 
 func (x *team) start(i int) *Agent {
 	x.t.Helper()
-	a, err := NewAgent(AgentConfig{Self: i, Listen: x.peers[i], Peers: x.peers, Start: time.Now(), InPerS: 50}, rand.New(rand.NewPCG(uint64(i), 1)), func(present []bool) {
+	a, err := NewAgent(AgentConfig{Self: i, Listen: x.peers[i], Peers: x.peers, Start: time.Now(), MaxReceiveRate: 50}, rand.New(rand.NewPCG(uint64(i), 1)), func(present []bool) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		x.told[i] = present
@@ -89,13 +89,13 @@
 	old := x.all[2]
 	stop, ended := x.stop[2], x.ended[2]
 	next := x.start(2) // beside it, as in an upgrade
-	if v := next.View(); v.On {
+	if v := next.View(); v.Active {
 		t.Error("two processes have one address")
 	}
 	stop()
 	<-ended
 	x.until([]int{0, 1}, 2, Alive)
-	for end := time.Now().Add(patience); !next.View().On || x.all[0].View().Members[2].Start == old.c.Start.UnixMilli(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); !next.View().Active || x.all[0].View().Members[2].Start == old.c.Start.UnixMilli(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the next process never takes part")
 		}
@@ -108,14 +108,14 @@
 	if told := x.told[0]; len(told) != 3 || told[2] || !told[1] {
 		t.Errorf("told %v", told)
 	}
-	if st := x.all[0].View().Stats; st.Sent == 0 || st.Received == 0 || st.Garbled > 0 {
+	if st := x.all[0].View().Stats; st.Sent == 0 || st.Received == 0 || st.Malformed > 0 {
 		t.Errorf("%+v", st)
 	}
 }
 
 func TestBadAgents(t *testing.T) {
 	a := netip.MustParseAddrPort("127.0.0.1:1")
-	for _, c := range []AgentConfig{{Self: 1, Peers: []netip.AddrPort{a}, InPerS: 9}, {Peers: []netip.AddrPort{a, a}, InPerS: 9}, {Peers: []netip.AddrPort{a}}} {
+	for _, c := range []AgentConfig{{Self: 1, Peers: []netip.AddrPort{a}, MaxReceiveRate: 9}, {Peers: []netip.AddrPort{a, a}, MaxReceiveRate: 9}, {Peers: []netip.AddrPort{a}}} {
 		if _, err := NewAgent(c, nil, nil); err == nil {
 			t.Errorf("%+v", c)
 		}
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -23,7 +23,7 @@
 // gossip sends updates to a random member that is alive, at a rate within 1/floodPart of
 // InPerS.
 func (n *Node) gossip() {
-	n.flood = n.now + time.Duration(floodPart/n.c.InPerS*float64(time.Second))
+	n.flood = n.now + time.Duration(floodPart/n.c.MaxReceiveRate*float64(time.Second))
 	if to := n.some(func(m *member) bool { return m.State == Alive }); to >= 0 {
 		n.send(to, datagram{kind: gossip}, nil)
 	}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -12,10 +12,10 @@
 
 // Config is the configuration of a node.
 type Config struct {
-	Self    int     // this member's number
-	Start   int64   // when its process began, in Unix milliseconds; a later process replaces an earlier one
-	Members int     // size of the fleet; members are numbered from 0
-	InPerS  float64 // datagrams a second that this node processes; more are dropped
+	Self           int     // this member's number
+	Start          int64   // when its process began, in Unix milliseconds; a later process replaces an earlier one
+	Members        int     // size of the fleet; members are numbered from 0
+	MaxReceiveRate float64 // datagrams a second that this node processes; more are dropped
 }
 
 // Parameters of the protocol. A node whose health is h stretches its intervals by the
@@ -65,11 +65,11 @@
 
 // Stats are the counters of a node.
 type Stats struct {
-	Sent, Received, Dropped, Garbled, Stale int64 // datagrams
-	SentBytes, ReceivedBytes                int64
-	Refuted, Suspected, Declared            int64
-	Health                                  int // 0: best; see mostHealth
-	Differing                               int // present members whose last view differs from this node's
+	Sent, Received, Dropped, Malformed, Stale int64 // datagrams
+	SentBytes, ReceivedBytes                  int64
+	Refuted, Suspected, DeclaredDead          int64
+	Health                                    int // 0: best; see mostHealth
+	Differing                                 int // present members whose last view differs from this node's
 }
 
 // member is the state of one member.
@@ -121,9 +121,9 @@
 
 // New returns a node that knows no other member yet.
 func New(c Config, now time.Duration, random *rand.Rand) *Node {
-	n := &Node{c: c, random: random, members: make([]member, c.Members), now: now, began: now, creditAt: now, credit: c.InPerS}
+	n := &Node{c: c, random: random, members: make([]member, c.Members), now: now, began: now, creditAt: now, credit: c.MaxReceiveRate}
 	for i := range n.members {
-		n.members[i].Number, n.members[i].creditAt, n.members[i].credit = i, now, max(2, c.InPerS/partOfOne)
+		n.members[i].Number, n.members[i].creditAt, n.members[i].credit = i, now, max(2, c.MaxReceiveRate/partOfOne)
 	}
 	me := &n.members[c.Self]
 	me.State, me.Start, me.Since = Alive, c.Start, now
@@ -149,9 +149,9 @@
 // Digest returns a hash of the members that this node holds to be present.
 func (n *Node) Digest() uint64 { return n.digest }
 
-// Agree counts the present members whose digest is known, and those among them whose
+// CountAgreeing counts the present members whose digest is known, and those among them whose
 // digest equals this node's.
-func (n *Node) Agree() (same, of int) {
+func (n *Node) CountAgreeing() (same, of int) {
 	for i := range n.members {
 		if m := &n.members[i]; i != n.c.Self && m.Present() && m.heard {
 			of++
@@ -167,7 +167,7 @@
 func (n *Node) Stats() Stats {
 	st := n.stats
 	st.Health = n.health
-	same, of := n.Agree()
+	same, of := n.CountAgreeing()
 	st.Differing = of - same
 	return st
 }
@@ -242,7 +242,7 @@
 		switch m := &n.members[i]; {
 		case m.State != Suspect:
 		case now >= m.until:
-			n.stats.Declared++
+			n.stats.DeclaredDead++
 			n.become(i, Dead, m.Incarnation, m.Start)
 		case n.warned < warnings && m.warned < warnings && now >= m.suspected+(m.until-m.suspected)*time.Duration(m.warned+1)/(warnings+1):
 			// The suspect may have refuted the suspicion and reached all but this node.
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -65,7 +65,7 @@
 
 func (f *fleet) start(i int) {
 	f.starts++
-	f.nodes[i] = New(Config{Self: i, Start: f.starts, Members: len(f.nodes), InPerS: f.inPerS}, f.now, rand.New(rand.NewPCG(f.random.Uint64(), 2)))
+	f.nodes[i] = New(Config{Self: i, Start: f.starts, Members: len(f.nodes), MaxReceiveRate: f.inPerS}, f.now, rand.New(rand.NewPCG(f.random.Uint64(), 2)))
 	f.push(delivery{at: f.nodes[i].Next(), from: -1, to: i})
 }
 
@@ -78,7 +78,7 @@
 // carry sends what a node says, and looks at what it believes.
 func (f *fleet) carry(i int, a Actions) {
 	for _, out := range a.Send {
-		if len(out.Data) > MostBytes {
+		if len(out.Data) > MaxDatagramBytes {
 			f.t.Fatalf("a datagram of %d bytes", len(out.Data))
 		}
 		if f.defect == "no refutation" {
@@ -376,7 +376,7 @@
 	if after := fmt.Sprint(n.Members()); after != before {
 		t.Errorf("%s\nbefore\n%s", after, before)
 	}
-	if st := n.Stats(); int(st.Garbled) < len(text) || st.Stale != 1 {
+	if st := n.Stats(); int(st.Malformed) < len(text) || st.Stale != 1 {
 		t.Errorf("%+v", st)
 	}
 	a := n.Receive(f.now+2*time.Minute, 2, (&datagram{kind: gossip, from: 2, start: f.nodes[2].c.Start, entries: []entry{{0, Alive, 0, n.c.Start + 1000, 0}}}).encode())
@@ -430,7 +430,7 @@
 	}
 	// One that is suspected anew, after a refutation that came through to few, has its
 	// whole time again.
-	n := New(Config{Self: 0, Start: 1, Members: 10, InPerS: 100}, 0, rand.New(rand.NewPCG(1, 1)))
+	n := New(Config{Self: 0, Start: 1, Members: 10, MaxReceiveRate: 100}, 0, rand.New(rand.NewPCG(1, 1)))
 	n.Receive(0, 1, (&datagram{kind: gossip, from: 1, start: 1, entries: []entry{{2, Suspect, 0, 1, 1}}}).encode())
 	late := n.Next() + 6*time.Second
 	n.Receive(late, 1, (&datagram{kind: gossip, from: 1, start: 1, entries: []entry{{2, Suspect, 1, 1, 1}}}).encode())
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -8,7 +8,7 @@
 // Receive processes a datagram that came from a member's address.
 func (n *Node) Receive(now time.Duration, from int, data []byte) Actions {
 	n.now = now
-	n.credit = min(n.c.InPerS, n.credit+n.c.InPerS*(now-n.creditAt).Seconds())
+	n.credit = min(n.c.MaxReceiveRate, n.credit+n.c.MaxReceiveRate*(now-n.creditAt).Seconds())
 	n.creditAt = now
 	if from < 0 || from >= len(n.members) || n.credit < 1 {
 		n.stats.Dropped++
@@ -16,7 +16,7 @@
 	}
 	// A sender has a bucket of its own, so that a flood by one member hides no other.
 	s := &n.members[from]
-	most := max(2, n.c.InPerS/partOfOne)
+	most := max(2, n.c.MaxReceiveRate/partOfOne)
 	s.credit = min(most, s.credit+most*(now-s.creditAt).Seconds())
 	if s.creditAt = now; s.credit < 1 {
 		n.stats.Dropped++
@@ -28,7 +28,7 @@
 	n.stats.ReceivedBytes += int64(len(data))
 	d, err := decode(data, n.c.Members)
 	if err != nil || d.from != from || from == n.c.Self || !n.plausible(d) {
-		n.stats.Garbled++
+		n.stats.Malformed++
 		return n.take()
 	}
 	if n.left || n.superseded {
--- a/internal/membership/slopes_test.go
+++ b/internal/membership/slopes_test.go
@@ -68,7 +68,7 @@
 
 // acquainted is a node that holds all members for alive and has nothing to pass on.
 func acquainted(self, members int) *Node {
-	n := New(Config{Self: self, Start: 1, Members: members, InPerS: 100}, 0, rand.New(rand.NewPCG(uint64(self), 1)))
+	n := New(Config{Self: self, Start: 1, Members: members, MaxReceiveRate: 100}, 0, rand.New(rand.NewPCG(uint64(self), 1)))
 	for i := range n.members {
 		if m := &n.members[i]; i != self {
 			m.State, m.Start = Alive, 1
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -14,14 +14,14 @@
 //	sum:   u32 of mostCarry members in a row, the first of which is the one it is about
 //	end:   CRC32C u32 of what stands before
 const (
-	MostBytes  = 256
-	magic      = 0xd7
-	headBytes  = 25
-	entryBytes = 15
-	sumBytes   = 4 // of the checksum, and of one of several members
-	mostSums   = (MostBytes - headBytes - sumBytes) / sumBytes
-	mostCarry  = (MostBytes - headBytes - sumBytes) / entryBytes
-	mostStart  = 1<<48 - 1
+	MaxDatagramBytes = 256
+	magic            = 0xd7
+	headBytes        = 25
+	entryBytes       = 15
+	sumBytes         = 4 // of the checksum, and of one of several members
+	mostSums         = (MaxDatagramBytes - headBytes - sumBytes) / sumBytes
+	mostCarry        = (MaxDatagramBytes - headBytes - sumBytes) / entryBytes
+	mostStart        = 1<<48 - 1
 )
 
 // kind is what a datagram wants.
@@ -111,7 +111,7 @@
 // decode reads a datagram of a fleet with so many members.
 func decode(b []byte, members int) (datagram, error) {
 	var d datagram
-	if len(b) < headBytes+sumBytes || len(b) > MostBytes || b[0] != magic {
+	if len(b) < headBytes+sumBytes || len(b) > MaxDatagramBytes || b[0] != magic {
 		return d, errGarbled
 	}
 	body := b[:len(b)-sumBytes]
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -11,31 +11,31 @@
 func TestSights(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		s    Sight
+		s    Observation
 		want State
 		why  string
 	}{
-		{"all there", Sight{Fleet: 9, Heard: 9, Present: 9, Lists: Heard, Counter: Heard}, Whole, "reaches 9 of 9"},
-		{"a fleet of one", Sight{Lists: Heard}, Whole, "0 of 0"},
-		{"a third has died", Sight{Fleet: 9, Heard: 9, Present: 6, Lists: Heard, Counter: Heard}, Whole, "6 of 9"},
-		{"the lesser side", Sight{Fleet: 9, Heard: 9, Present: 4, Lists: Heard, Counter: Heard}, Divided, "4 of 9"},
-		{"begun after most left", Sight{Fleet: 9, Heard: 2, Present: 2, Lists: Heard}, Whole, "2 of 2"},
-		{"members, and no list", Sight{Fleet: 9, Heard: 9, Present: 9, Lists: Silent, Counter: Heard}, Divided, "no list service"},
-		{"views differ", Sight{Fleet: 9, Heard: 9, Present: 9, Differing: 2, Lists: Heard}, Divided, "2 of 9 gateways present hold another"},
-		{"lists, and no member", Sight{Fleet: 9, Heard: 9, Lists: Heard, Counter: Silent}, Divided, "none of 9"},
-		{"the counter alone", Sight{Fleet: 9, Heard: 9, Counter: Heard, Lists: Silent}, Divided, "none of 9"},
-		{"nothing", Sight{Fleet: 9, Heard: 9, Lists: Silent, Counter: Silent}, Alone, "reaches no other"},
-		{"a silent counter is everybody's", Sight{Fleet: 9, Heard: 9, Present: 9, Lists: Heard, Counter: Silent}, Whole, "9 of 9"},
+		{"all there", Observation{OtherGateways: 9, Known: 9, Present: 9, Registries: Answering, Counter: Answering}, Connected, "reaches 9 of 9"},
+		{"a fleet of one", Observation{Registries: Answering}, Connected, "0 of 0"},
+		{"a third has died", Observation{OtherGateways: 9, Known: 9, Present: 6, Registries: Answering, Counter: Answering}, Connected, "6 of 9"},
+		{"the lesser side", Observation{OtherGateways: 9, Known: 9, Present: 4, Registries: Answering, Counter: Answering}, Partitioned, "4 of 9"},
+		{"begun after most left", Observation{OtherGateways: 9, Known: 2, Present: 2, Registries: Answering}, Connected, "2 of 2"},
+		{"members, and no list", Observation{OtherGateways: 9, Known: 9, Present: 9, Registries: Silent, Counter: Answering}, Partitioned, "no list service"},
+		{"views differ", Observation{OtherGateways: 9, Known: 9, Present: 9, Differing: 2, Registries: Answering}, Partitioned, "2 of 9 gateways present hold another"},
+		{"lists, and no member", Observation{OtherGateways: 9, Known: 9, Registries: Answering, Counter: Silent}, Partitioned, "none of 9"},
+		{"the counter alone", Observation{OtherGateways: 9, Known: 9, Counter: Answering, Registries: Silent}, Partitioned, "none of 9"},
+		{"nothing", Observation{OtherGateways: 9, Known: 9, Registries: Silent, Counter: Silent}, Isolated, "reaches no other"},
+		{"a silent counter is everybody's", Observation{OtherGateways: 9, Known: 9, Present: 9, Registries: Answering, Counter: Silent}, Connected, "9 of 9"},
 	} {
-		if got, why := c.s.judge(); got != c.want || !strings.Contains(why, c.why) {
+		if got, why := c.s.classify(); got != c.want || !strings.Contains(why, c.why) {
 			t.Errorf("%s: %v, %s; want %v", c.name, got, why, c.want)
 		}
 	}
 }
 
 // sightOf is one that is judged so.
-func sightOf(s State) Sight {
-	return [...]Sight{{Fleet: 3, Heard: 3, Present: 3, Lists: Heard}, {Fleet: 3, Heard: 3, Present: 1, Lists: Heard}, {Fleet: 3, Heard: 3, Lists: Silent}}[s]
+func sightOf(s State) Observation {
+	return [...]Observation{{OtherGateways: 3, Known: 3, Present: 3, Registries: Answering}, {OtherGateways: 3, Known: 3, Present: 1, Registries: Answering}, {OtherGateways: 3, Known: 3, Registries: Silent}}[s]
 }
 
 // Whatever comes in whatever order, the state moves only after all sights of the time
@@ -58,7 +58,7 @@
 			}
 			all = append(all, seen{now, s})
 			before, _, _ := m.State()
-			changed := m.See(now, sightOf(s))
+			changed := m.Observe(now, sightOf(s))
 			state, since, why := m.State()
 			// The run of sights on one side of the state before, since it last changed.
 			want, from := before, now
@@ -70,9 +70,9 @@
 					want = all[i].state
 				}
 			}
-			after := WorseAfter
+			after := DegradeDelay
 			if s < before {
-				after = BetterAfter
+				after = RecoverDelay
 			}
 			due := s != before && now-from >= after
 			if changed != due || due && state != want || !due && state != before || changed && since != now || why == "" {
@@ -89,7 +89,7 @@
 func TestFlapsSwingNothing(t *testing.T) {
 	m := New(0)
 	for n := range 1000 {
-		if m.See(time.Duration(n)*400*time.Millisecond, sightOf(State(n/3%2))) {
+		if m.Observe(time.Duration(n)*400*time.Millisecond, sightOf(State(n/3%2))) {
 			t.Fatalf("it swings after %d sights", n)
 		}
 	}
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -15,22 +15,22 @@
 	Present []bool
 }
 
-func (v View) holds(n int) bool { return n == v.Self || n < len(v.Present) && v.Present[n] }
+func (v View) holdsPresent(n int) bool { return n == v.Self || n < len(v.Present) && v.Present[n] }
 
-// Dispute is a member on which gateways differ.
-type Dispute struct {
+// Disagreement is a member on which gateways differ.
+type Disagreement struct {
 	Member          int
 	Present, Absent []int // who hold it so
 }
 
 // Report is what views come to.
 type Report struct {
-	Asked    []int
-	Groups   [][]int   // of those asked, who hold each other for present, some by way of others; the largest first
-	Disputes []Dispute // of members on whom those asked differ
-	OneWay   [][2]int  // the first holds the second for present, which does not hold the first
-	Bridges  []int     // members that gateways of more than one group hold for present
-	Gone     []int     // members that none of those asked holds for present
+	Compared      []int
+	Groups        [][]int        // of those asked, who hold each other for present, some by way of others; the largest first
+	Disagreements []Disagreement // of members on whom those asked differ
+	OneWay        [][2]int       // the first holds the second for present, which does not hold the first
+	Bridges       []int          // members that gateways of more than one group hold for present
+	Missing       []int          // members that none of those asked holds for present
 }
 
 // Compare compares the views of gateways, of which each is asked once.
@@ -40,7 +40,7 @@
 	var r Report
 	members := 0
 	for _, v := range all {
-		r.Asked = append(r.Asked, v.Self)
+		r.Compared = append(r.Compared, v.Self)
 		members = max(members, v.Self+1, len(v.Present))
 	}
 	group := make([]int, len(all)) // of each view; found by passing the least on
@@ -52,7 +52,7 @@
 		for i, a := range all {
 			for j, b := range all[i+1:] {
 				j += i + 1
-				if a.holds(b.Self) && b.holds(a.Self) && group[i] != group[j] {
+				if a.holdsPresent(b.Self) && b.holdsPresent(a.Self) && group[i] != group[j] {
 					least := min(group[i], group[j])
 					group[i], group[j], changed = least, least, true
 				}
@@ -69,17 +69,17 @@
 			}
 		}
 		for _, other := range all {
-			if v.holds(other.Self) && !other.holds(v.Self) {
+			if v.holdsPresent(other.Self) && !other.holdsPresent(v.Self) {
 				r.OneWay = append(r.OneWay, [2]int{v.Self, other.Self})
 			}
 		}
 	}
 	slices.SortStableFunc(r.Groups, func(a, b []int) int { return len(b) - len(a) })
 	for n := range members {
-		d := Dispute{Member: n}
+		d := Disagreement{Member: n}
 		held := map[int]bool{} // by groups
 		for i, v := range all {
-			if v.holds(n) {
+			if v.holdsPresent(n) {
 				d.Present = append(d.Present, v.Self)
 				held[group[i]] = true
 			} else {
@@ -88,9 +88,9 @@
 		}
 		switch {
 		case len(d.Present) == 0:
-			r.Gone = append(r.Gone, n)
+			r.Missing = append(r.Missing, n)
 		case len(d.Absent) > 0:
-			r.Disputes = append(r.Disputes, d)
+			r.Disagreements = append(r.Disagreements, d)
 		}
 		if len(held) > 1 {
 			r.Bridges = append(r.Bridges, n)
@@ -99,10 +99,10 @@
 	return r
 }
 
-// Agree says whether all that were asked hold the same.
-func (r Report) Agree() bool { return len(r.Disputes) == 0 }
+// Consistent says whether all that were asked hold the same.
+func (r Report) Consistent() bool { return len(r.Disagreements) == 0 }
 
-func names(all []int) string {
+func formatMembers(all []int) string {
 	text := make([]string, len(all))
 	for i, n := range all {
 		text[i] = fmt.Sprintf("n%d", n)
@@ -112,15 +112,15 @@
 
 // Write tells people who differs on whom, and where the cut is likely to be.
 func (r Report) Write(w io.Writer) {
-	if len(r.Gone) > 0 {
-		fmt.Fprintf(w, "present to none: %s\n", names(r.Gone))
+	if len(r.Missing) > 0 {
+		fmt.Fprintf(w, "present to none: %s\n", formatMembers(r.Missing))
 	}
-	if r.Agree() {
-		fmt.Fprintf(w, "all %d agree\n", len(r.Asked))
+	if r.Consistent() {
+		fmt.Fprintf(w, "all %d agree\n", len(r.Compared))
 		return
 	}
-	for _, d := range r.Disputes {
-		fmt.Fprintf(w, "n%d: present to %s; absent to %s\n", d.Member, names(d.Present), names(d.Absent))
+	for _, d := range r.Disagreements {
+		fmt.Fprintf(w, "n%d: present to %s; absent to %s\n", d.Member, formatMembers(d.Present), formatMembers(d.Absent))
 	}
 	for _, pair := range r.OneWay {
 		fmt.Fprintf(w, "n%d holds n%d for present, but n%d does not hold n%d\n", pair[0], pair[1], pair[1], pair[0])
@@ -128,11 +128,11 @@
 	if len(r.Groups) > 1 {
 		var sides []string
 		for _, g := range r.Groups {
-			sides = append(sides, names(g))
+			sides = append(sides, formatMembers(g))
 		}
 		fmt.Fprintf(w, "likely cut: %s\n", strings.Join(sides, " | "))
 		if len(r.Bridges) > 0 {
-			fmt.Fprintf(w, "on both sides: %s\n", names(r.Bridges))
+			fmt.Fprintf(w, "on both sides: %s\n", formatMembers(r.Bridges))
 		}
 		return
 	}
--- a/internal/views/views_test.go
+++ b/internal/views/views_test.go
@@ -71,13 +71,13 @@
 			return
 		}
 		for n := range members {
-			if !slices.ContainsFunc(all, func(v View) bool { return v.holds(n) }) {
+			if !slices.ContainsFunc(all, func(v View) bool { return v.holdsPresent(n) }) {
 				gone = append(gone, n)
 			}
 		}
 		order := rapid.Permutation(all).Draw(t, "order")
 		r := Compare(order)
-		if len(r.Groups) != len(want) || len(r.OneWay) > 0 || len(r.Bridges) > 0 || !slices.Equal(r.Gone, gone) || r.Agree() != (len(want) == 1) {
+		if len(r.Groups) != len(want) || len(r.OneWay) > 0 || len(r.Bridges) > 0 || !slices.Equal(r.Missing, gone) || r.Consistent() != (len(want) == 1) {
 			t.Fatalf("%+v; want %v, gone %v", r, want, gone)
 		}
 		for i, g := range r.Groups {
