--- a/internal/gateway/scopes_test.go
+++ b/internal/gateway/scopes_test.go
@@ -443,9 +443,9 @@
 		{services + `, "scopes": ["checkout@rack=7"]`, "rack=7"},
 		{services + `, "scopes": ["checkout", "search"]`, "no routes by service"},
 		{services + `, "scopes": "checkout"`, ".Scopes"},
-		{services + `, "subset": {"size": -1}`, "size of -1"},
-		{services + `, "subset": {"size": 1000000}`, "size of 1000000"},
-		{services + `, "subset": {"coverage": -3}`, "coverage of -3"},
+		{services + `, "subset": {"size": -1}`, "size -1 is not"},
+		{services + `, "subset": {"size": 1000000}`, "size 1000000 is not"},
+		{services + `, "subset": {"coverage": -3}`, "coverage -3 is not"},
 	} {
 		_, err := parseConfig(text(invalid.keys))
 		if err == nil || !strings.Contains(err.Error(), invalid.message) || strings.Contains(err.Error(), "\n") {
