--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -72,30 +72,30 @@
 // the listener later. With a successor, new connections go to that process, and connections of
 // this one are closed after their next response, or after idlePeriod.
 func shutdown(front *frontend, server *http.Server, sibling *handover) error {
-	s := &shutdownSequence{frontend: front, startedAt: time.Now()}
-	s.notifyModule()
+	sequence := &shutdownSequence{frontend: front, startedAt: time.Now()}
+	sequence.notifyModule()
 	front.shuttingDown.Store(true)
 	hasSuccessor := sibling.notifyLeaving()
-	s.log("stopping", "successor", hasSuccessor, "answers_due", s.schedule().answersDue, "exit_due", s.schedule().exit)
+	sequence.log("stopping", "successor", hasSuccessor, "answers_due", sequence.schedule().answersDue, "exit_due", sequence.schedule().exit)
 	if hasSuccessor {
 		front.clients.Close()
-		s.waitUntil(func(t stopSchedule) time.Duration { return t.closeIdle })
+		sequence.waitUntil(func(t stopSchedule) time.Duration { return t.closeIdle })
 	} else {
 		front.clients.setPhase(phaseClosingIdle)
-		s.waitUntil(func(t stopSchedule) time.Duration { return t.closeListener })
+		sequence.waitUntil(func(t stopSchedule) time.Duration { return t.closeListener })
 		front.clients.drainQueue()
 	}
-	s.log("stop: idle connections are closed")
+	sequence.log("stop: idle connections are closed")
 	front.clients.setPhase(phaseClosingNew)
-	err := s.drain(func(t stopSchedule) time.Duration { return t.finish })
+	err := sequence.drain(func(t stopSchedule) time.Duration { return t.finish })
 	if err != nil {
-		s.log("stop: requests without an answer are ended", "requests", front.clients.failUnanswered())
-		err = s.drain(func(t stopSchedule) time.Duration { return t.exit })
+		sequence.log("stop: requests without an answer are ended", "requests", front.clients.failUnanswered())
+		err = sequence.drain(func(t stopSchedule) time.Duration { return t.exit })
 	}
 	if err != nil {
-		s.log("stop: connections are cut", "connections", front.clients.closeAll())
+		sequence.log("stop: connections are cut", "connections", front.clients.closeAll())
 	}
-	s.log("stopped", "error", err)
+	sequence.log("stopped", "error", err)
 	server.Close()
 	return err
 }
