--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -27,9 +27,9 @@
 			limits.Instances, limits.History = 200, 1000
 			store := NewStore(limits, "h", 1000, -limits.Lease)
 			for n := range 200 {
-				store.Register(0, inst(fmt.Sprint("instance-", n), 1), nil)
+				store.Register(0, testInstance(fmt.Sprint("instance-", n), 1), nil)
 			}
-			s := NewWriter("self", store, testServes, time.Now(), rand.New(rand.NewPCG(1, 1)))
+			s := NewWriter("self", store, testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
@@ -37,8 +37,8 @@
 			server := &http.Server{Handler: s.Handler()}
 			go server.Serve(l)
 			defer server.Close()
-			before := heap()
-			told := make(chan int64, watchers)
+			before := heapBytes()
+			versions := make(chan int64, watchers)
 			var conns []net.Conn
 			for range watchers {
 				conn, err := net.Dial("tcp", l.Addr().String())
@@ -47,12 +47,12 @@
 				}
 				defer conn.Close()
 				conns = append(conns, conn)
-				ask(conn, store.version)
+				sendWatch(conn, store.version)
 			}
 			for s.metrics.watchers.Load() < int64(watchers) {
 				runtime.Gosched()
 			}
-			perWatcher := float64(heap()-before) / float64(watchers)
+			perWatcher := float64(heapBytes()-before) / float64(watchers)
 			for _, conn := range conns {
 				go func() {
 					for r := bufio.NewReader(conn); ; {
@@ -65,24 +65,24 @@
 							return
 						}
 						l, _ := ParseListing(body)
-						ask(conn, l.Generation)
-						told <- l.Generation
+						sendWatch(conn, l.Generation)
+						versions <- l.Generation
 					}
 				}()
 			}
-			was, bytes := store.Stats(), s.metrics.bytes.Load()
+			statsBefore, bytes := store.Stats(), s.metrics.bytes.Load()
 			b.ResetTimer()
 			for n := range b.N {
-				written, err := s.change(func(now time.Duration) (WriteResult, error) {
+				result, err := s.change(func(stats time.Duration) (WriteResult, error) {
 					s.lastWake = time.Time{} // no waiting for further changes
-					return store.Register(now, inst(fmt.Sprint("instance-", n%200), int64(n+2)), nil)
+					return store.Register(stats, testInstance(fmt.Sprint("instance-", n%200), int64(n+2)), nil)
 				})
 				if err != nil {
 					b.Fatal(err)
 				}
 				for range watchers {
-					if v := <-told; v != written.Version {
-						b.Fatalf("told of %d, not %d", v, written.Version)
+					if v := <-versions; v != result.Version {
+						b.Fatalf("told of %d, not %d", v, result.Version)
 					}
 				}
 				for s.metrics.watchers.Load() < int64(watchers) {
@@ -90,22 +90,22 @@
 				}
 			}
 			b.StopTimer()
-			now := store.Stats()
-			b.ReportMetric(float64(now.ChangesEncoded-was.ChangesEncoded)/float64(b.N), "encoded/op")
-			b.ReportMetric(float64(now.AnswersEncoded-was.AnswersEncoded)/float64(b.N), "joined/op")
+			stats := store.Stats()
+			b.ReportMetric(float64(stats.ChangesEncoded-statsBefore.ChangesEncoded)/float64(b.N), "encoded/op")
+			b.ReportMetric(float64(stats.AnswersEncoded-statsBefore.AnswersEncoded)/float64(b.N), "joined/op")
 			b.ReportMetric(float64(s.metrics.bytes.Load()-bytes)/float64(b.N)/float64(watchers), "B/watcher/op")
 			b.ReportMetric(perWatcher, "B/watcher")
-			b.ReportMetric(float64(now.Bytes)/float64(now.History), "B/change")
+			b.ReportMetric(float64(stats.Bytes)/float64(stats.History), "B/change")
 		})
 	}
 }
 
-func ask(w io.Writer, since int64) {
+func sendWatch(w io.Writer, since int64) {
 	fmt.Fprintf(w, "GET %s?since=%d&timeout_ms=60000 HTTP/1.1\r\nHost: a\r\n\r\n", Path, since)
 }
 
 // heap is what is in use of it and of stacks.
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -116,7 +116,7 @@
 // BenchmarkRecovery opens a folder with so many instances, from the log alone, from
 // a log ten times as long, and from a snapshot.
 func BenchmarkRecovery(b *testing.B) {
-	const most = 4 << 30
+	const maxBytes = 4 << 30
 	limits := Limits{Lease: time.Minute, Instances: 1 << 20, History: 20_000, HistoryBytes: 8 << 20}
 	for _, instances := range []int{1000, 10_000, 100_000} {
 		for _, c := range []struct {
@@ -127,7 +127,7 @@
 			b.Run(fmt.Sprintf("%d/%s", instances, c.name), func(b *testing.B) {
 				slog.SetDefault(slog.New(slog.DiscardHandler))
 				dir := wal.Dir(b.TempDir())
-				log, _, err := Open(dir, most, limits, 0)
+				log, _, err := Open(dir, maxBytes, limits, 0)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -136,7 +136,7 @@
 				store.EnableStaging()
 				for round := range c.rounds {
 					for n := range instances {
-						store.Register(0, inst(fmt.Sprint("instance-", n), int64(round)), nil)
+						store.Register(0, testInstance(fmt.Sprint("instance-", n), int64(round)), nil)
 						if len(store.staged) == 1000 || n == instances-1 {
 							if _, err := log.Append(store.StagedRecords()); err != nil {
 								b.Fatal(err)
@@ -154,7 +154,7 @@
 					b.Fatal(err)
 				}
 				for b.Loop() {
-					log, store, err := Open(dir, most, limits, 0)
+					log, store, err := Open(dir, maxBytes, limits, 0)
 					if err != nil || len(store.entries) != instances {
 						b.Fatal(err)
 					}
@@ -172,13 +172,13 @@
 // disk and in memory.
 func BenchmarkWrites(b *testing.B) {
 	limits := Limits{Lease: time.Hour, Instances: 1000, History: 20_000, HistoryBytes: 8 << 20}
-	for _, kept := range []bool{true, false} {
+	for _, persisted := range []bool{true, false} {
 		for _, writers := range []int{1, 10, 100} {
-			b.Run(fmt.Sprintf("kept=%t/%d", kept, writers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("kept=%t/%d", persisted, writers), func(b *testing.B) {
 				slog.SetDefault(slog.New(slog.DiscardHandler))
-				s := NewWriter("self", NewStore(limits, "h", 1000, 0), testServes, time.Now(), rand.New(rand.NewPCG(1, 1)))
+				s := NewWriter("self", NewStore(limits, "h", 1000, 0), testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
 				var log *wal.Log
-				if kept {
+				if persisted {
 					var err error
 					if log, _, err = Open(wal.Dir(b.TempDir()), 512<<20, limits, 0); err != nil {
 						b.Fatal(err)
@@ -198,7 +198,7 @@
 					wg.Go(func() {
 						for started := next.Add(1); started <= int64(b.N); started = next.Add(1) {
 							_, err := s.writeChange(func(now time.Duration) (WriteResult, error) {
-								return s.store.Register(now, inst(fmt.Sprint("s-", n), started), nil)
+								return s.store.Register(now, testInstance(fmt.Sprint("s-", n), started), nil)
 							})
 							if err != nil {
 								b.Error(err)
@@ -209,7 +209,7 @@
 				wg.Wait()
 				b.StopTimer()
 				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "writes/s")
-				if kept {
+				if persisted {
 					b.ReportMetric(float64(log.Stats().Syncs)/float64(b.N), "syncs/write")
 				}
 			})
--- a/internal/registry/feed_test.go
+++ b/internal/registry/feed_test.go
@@ -10,43 +10,43 @@
 
 func newTestFeed(addresses ...string) *Feed { return NewFeed(addresses, rand.New(rand.NewPCG(1, 1))) }
 
-func whole(version int64, instances ...Instance) Listing {
+func fullList(version int64, instances ...Instance) Listing {
 	return Listing{Generation: version, Reset: true, Instances: instances}
 }
 
 // A reader keeps to the last good list, goes on with changes from any service,
 // and knows another history from an older version of its own.
-func TestFeed(t *testing.T) {
+func TestFeedAcceptsOnlyCurrentAnswers(t *testing.T) {
 	f := newTestFeed("a")
-	drained := inst("x", 1)
+	drained := testInstance("x", 1)
 	drained.Lifecycle = Terminating
-	left := inst("y", 1)
-	left.Lifecycle = Gone
+	gone := testInstance("y", 1)
+	gone.Lifecycle = Gone
 	for n, step := range []struct {
-		l       Listing
+		listing Listing
 		history string
 		err     error
-		news    Listing
+		changes Listing
 	}{
 		{Listing{Generation: 5}, "h1", errNoFullList, Listing{}},
-		{whole(5, inst("x", 1), inst("y", 1)), "h1", nil, whole(5, inst("x", 1), inst("y", 1))},
-		{whole(5, inst("x", 1), inst("y", 1)), "h1", nil, Listing{Generation: 5}}, // nothing new
-		{Listing{Generation: 6, Instances: []Instance{drained, left}}, "h1", nil, Listing{Generation: 6, Instances: []Instance{drained, left}}},
-		{whole(5, inst("x", 1), inst("y", 1)), "h1", errOlderVersion, Listing{}},                          // from one that lags
-		{Listing{Generation: 6, Instances: []Instance{drained, left}}, "h1", nil, Listing{Generation: 6}}, // told again
-		{whole(9, inst("z", 1)), "h1", nil, Listing{Generation: 9, Instances: []Instance{inst("z", 1), func() Instance { i := drained; i.Lifecycle = Gone; return i }()}}},
+		{fullList(5, testInstance("x", 1), testInstance("y", 1)), "h1", nil, fullList(5, testInstance("x", 1), testInstance("y", 1))},
+		{fullList(5, testInstance("x", 1), testInstance("y", 1)), "h1", nil, Listing{Generation: 5}}, // nothing new
+		{Listing{Generation: 6, Instances: []Instance{drained, gone}}, "h1", nil, Listing{Generation: 6, Instances: []Instance{drained, gone}}},
+		{fullList(5, testInstance("x", 1), testInstance("y", 1)), "h1", errOlderVersion, Listing{}},       // from one that lags
+		{Listing{Generation: 6, Instances: []Instance{drained, gone}}, "h1", nil, Listing{Generation: 6}}, // told again
+		{fullList(9, testInstance("z", 1)), "h1", nil, Listing{Generation: 9, Instances: []Instance{testInstance("z", 1), func() Instance { i := drained; i.Lifecycle = Gone; return i }()}}},
 		{Listing{Generation: 20}, "h2", errNoFullList, Listing{}},
-		{whole(3, inst("z", 1)), "h2", nil, whole(3, inst("z", 1))}, // a service that was replaced
-		{whole(99, inst("x", 1)), "h1", errPastHistory, Listing{}},  // and one that has not heard of it
+		{fullList(3, testInstance("z", 1)), "h2", nil, fullList(3, testInstance("z", 1))}, // a service that was replaced
+		{fullList(99, testInstance("x", 1)), "h1", errPastHistory, Listing{}},             // and one that has not heard of it
 	} {
-		news, err := f.Answered(step.l, step.history, 0)
-		if !errors.Is(err, step.err) || news.Generation != step.news.Generation || news.Reset != step.news.Reset ||
-			!slices.Equal(news.Instances, step.news.Instances) {
-			t.Fatalf("step %d: %+v, %v; want %+v, %v", n, news, err, step.news, step.err)
+		changes, err := f.Answered(step.listing, step.history, 0)
+		if !errors.Is(err, step.err) || changes.Generation != step.changes.Generation || changes.Reset != step.changes.Reset ||
+			!slices.Equal(changes.Instances, step.changes.Instances) {
+			t.Fatalf("step %d: %+v, %v; want %+v, %v", n, changes, err, step.changes, step.err)
 		}
 	}
 	for range 3 * maxPastHistories {
-		if f.Answered(whole(1), "h"+string(rune('a'+len(f.pastHistories))), 0); len(f.pastHistories) > maxPastHistories {
+		if f.Answered(fullList(1), "h"+string(rune('a'+len(f.pastHistories))), 0); len(f.pastHistories) > maxPastHistories {
 			t.Fatalf("%d histories are remembered", len(f.pastHistories))
 		}
 	}
@@ -54,11 +54,11 @@
 
 // A follower that lags in a history that the reader never had does not lead it back, and a
 // reader that was led back comes to the later history again, as long as one has it.
-func TestFeedIsNotLedBack(t *testing.T) {
+func TestFeedRejectsLaggingHistories(t *testing.T) {
 	f := newTestFeed("a", "b", "c")
 	step := func(version int64, history string, want error) {
 		t.Helper()
-		if _, err := f.Answered(whole(version, inst("x", version)), history, 0); !errors.Is(err, want) {
+		if _, err := f.Answered(fullList(version, testInstance("x", version)), history, 0); !errors.Is(err, want) {
 			t.Fatalf("%s/%d: %v, want %v", history, version, err, want)
 		}
 	}
@@ -88,63 +88,63 @@
 // with jitter, to a bound, and not below what a service asks for.
 func TestFeedBacksOff(t *testing.T) {
 	f := newTestFeed("a", "b", "c")
-	first := f.Next().Address
-	seen := map[string]bool{first: true}
+	firstAddress := f.Next().Address
+	seen := map[string]bool{firstAddress: true}
 	for range 2 {
-		if wait := f.Failed(0); wait > maxNextAddressDelay {
-			t.Errorf("%v to the next address", wait)
+		if delay := f.Failed(0); delay > maxNextAddressDelay {
+			t.Errorf("%v to the next address", delay)
 		}
 		seen[f.Next().Address] = true
 	}
 	if len(seen) != 3 {
 		t.Errorf("asked %v", seen)
 	}
-	most := time.Duration(0)
+	longest := time.Duration(0)
 	for round := range 20 {
-		wait := f.Failed(0)
-		pause := min(initialBackoff<<min(round/3, 10), maxBackoff)
-		if wait < pause/2 || wait > pause+pause/2 {
-			t.Errorf("%v after %d failures, about %v", wait, f.failures, pause)
+		delay := f.Failed(0)
+		backoff := min(initialBackoff<<min(round/3, 10), maxBackoff)
+		if delay < backoff/2 || delay > backoff+backoff/2 {
+			t.Errorf("%v after %d failures, about %v", delay, f.failures, backoff)
 		}
-		most = max(most, wait)
+		longest = max(longest, delay)
 	}
-	if f.Next().Address == "" || most < maxBackoff/2 {
-		t.Errorf("never more than %v", most)
+	if f.Next().Address == "" || longest < maxBackoff/2 {
+		t.Errorf("never more than %v", longest)
 	}
-	if wait := f.Failed(40 * time.Second); wait < 40*time.Second || wait > time.Minute {
-		t.Errorf("%v where 40 s were asked for", wait)
+	if delay := f.Failed(40 * time.Second); delay < 40*time.Second || delay > time.Minute {
+		t.Errorf("%v where 40 s were asked for", delay)
 	}
-	if wait := f.Failed(time.Hour); wait > 90*time.Second {
-		t.Errorf("%v where an hour was asked for", wait)
+	if delay := f.Failed(time.Hour); delay > 90*time.Second {
+		t.Errorf("%v where an hour was asked for", delay)
 	}
-	if f.Answered(whole(1), "h", 0); f.failures != 0 {
+	if f.Answered(fullList(1), "h", 0); f.failures != 0 {
 		t.Error("a success is not one")
 	}
-	at := f.Next().Address
-	if f.Answered(whole(2), "h", 2*staleAge); f.Next().Address == at {
+	address := f.Next().Address
+	if f.Answered(fullList(2), "h", 2*staleAge); f.Next().Address == address {
 		t.Error("stays with a follower that lags")
 	}
 }
 
 // 300 readers that lose their services make calls in every second, but few.
-func TestCallsDuringOutage(t *testing.T) {
+func TestRequestRateDuringOutage(t *testing.T) {
 	const readers, seconds = 300, 60
 	for _, services := range []int{1, 3} {
-		var calls [seconds]int
+		var requests [seconds]int
 		for n := range uint64(readers) {
 			f := NewFeed([]string{"a", "b", "c"}[:services], rand.New(rand.NewPCG(n, 9)))
 			for at := time.Duration(0); at < seconds*time.Second; at += f.Failed(0) {
-				calls[at/time.Second]++
+				requests[at/time.Second]++
 			}
 		}
 		// One round and the first pause in the first second, then ever fewer; about
 		// one round for each reader in each longest pause.
-		t.Logf("%d services: %v", services, calls)
-		if late := slices.Max(calls[20:]); late > readers*services/5 {
+		t.Logf("%d services: %v", services, requests)
+		if late := slices.Max(requests[20:]); late > readers*services/5 {
 			t.Errorf("%d services: up to %d calls a second", services, late)
 		}
-		if slices.Min(calls[:]) == 0 {
-			t.Errorf("%d services: nobody calls: %v", services, calls)
+		if slices.Min(requests[:]) == 0 {
+			t.Errorf("%d services: nobody calls: %v", services, requests)
 		}
 	}
 }
@@ -155,15 +155,15 @@
 	f.Add([]byte(`{"generation":43,"reset":false,"instances":[]}`))
 	f.Add([]byte(`{"generation":1e400}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l, err := ParseListing(text)
+		listing, err := ParseListing(text)
 		if err != nil {
-			if len(l.Instances) > 0 {
+			if len(listing.Instances) > 0 {
 				t.Error("a part of a list")
 			}
 			return
 		}
 		ids := map[string]bool{}
-		for _, i := range l.Instances {
+		for _, i := range listing.Instances {
 			if i.check() != nil || ids[i.ID] {
 				t.Errorf("took %+v", i)
 			}
--- a/internal/registry/keeper_test.go
+++ b/internal/registry/keeper_test.go
@@ -18,7 +18,7 @@
 // faultyFS is a folder whose disk can be full or fail.
 type faultyFS struct {
 	wal.FS
-	noRoom, badSync atomic.Bool
+	diskFull, failSync atomic.Bool
 }
 
 type faultyFile struct {
@@ -35,7 +35,7 @@
 }
 
 func (f *faultyFile) Write(b []byte) (int, error) {
-	if f.fs.noRoom.Load() {
+	if f.fs.diskFull.Load() {
 		n, _ := f.File.Write(b[:len(b)/2])
 		return n, errors.New("no space left on device")
 	}
@@ -43,42 +43,42 @@
 }
 
 func (f *faultyFile) Sync() error {
-	if f.fs.badSync.Load() {
+	if f.fs.failSync.Load() {
 		return errors.New("input/output error")
 	}
 	return f.File.Sync()
 }
 
 // startKeeping runs a writer, or a follower of one, on a folder.
-func startKeeping(t *testing.T, fs wal.FS, address, writer string) (*service, *Follower) {
+func startPersistent(t *testing.T, dir wal.FS, address, writer string) (*testServer, *Follower) {
 	t.Helper()
-	log, store, err := Open(fs, 64<<20, testLimits, 0)
+	log, store, err := Open(dir, 64<<20, testLimits, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1))
 	if writer != "" {
-		f := NewFollower(address, writer, store, testLimits, testServes, time.Now(), random)
-		if err := f.Persist(log, false); err != nil {
+		follower := NewFollower(address, writer, store, testLimits, testServerLimits, time.Now(), random)
+		if err := follower.Persist(log, false); err != nil {
 			t.Fatal(err)
 		}
-		s := &service{Server: f.Server}
-		s.run(t, f.Serve, address)
-		return s, f
+		server := &testServer{Server: follower.Server}
+		server.run(t, follower.Serve, address)
+		return server, follower
 	}
 	fresh := store == nil
 	if fresh {
 		store = newTestStore(testLimits, 0)
 	}
-	s := &service{Server: NewWriter(address, store, testServes, time.Now(), random)}
-	if err := s.Persist(log, fresh); err != nil {
+	server := &testServer{Server: NewWriter(address, store, testServerLimits, time.Now(), random)}
+	if err := server.Persist(log, fresh); err != nil {
 		t.Fatal(err)
 	}
-	s.run(t, s.Server.Serve, address)
-	return s, nil
+	server.run(t, server.Server.Serve, address)
+	return server, nil
 }
 
-func (s *service) end(t *testing.T) {
+func (s *testServer) stopAndWait(t *testing.T) {
 	t.Helper()
 	s.stop()
 	if err := <-s.ended; err != nil {
@@ -86,27 +86,27 @@
 	}
 }
 
-func (s *service) where(t *testing.T) string {
+func (s *testServer) position(t *testing.T) string {
 	_, text, _ := call(t, "GET", "http://"+s.control+"/control/where", "")
 	return text
 }
 
 // After a restart the same history goes on: readers continue from their version,
 // a thousand at once get no whole list, and nobody has gone.
-func TestRestartGoesOn(t *testing.T) {
+func TestRestartContinuesHistory(t *testing.T) {
 	dir := wal.Dir(t.TempDir())
-	s, _ := startKeeping(t, dir, "127.0.0.1:0", "")
+	s, _ := startPersistent(t, dir, "127.0.0.1:0", "")
 	for n := range 20 {
-		s.put(t, fmt.Sprint("s-", n), 5)
+		s.register(t, fmt.Sprint("s-", n), 5)
 	}
 	call(t, "DELETE", s.url("/s-0?startedAtMs=5"), "")
 	before := s.list(t, "")
-	where := s.where(t)
-	s.end(t)
+	positionBefore := s.position(t)
+	s.stopAndWait(t)
 
-	s, _ = startKeeping(t, dir, "127.0.0.1:0", "")
-	if now := s.where(t); now != where {
-		t.Errorf("%s, before %s", now, where)
+	s, _ = startPersistent(t, dir, "127.0.0.1:0", "")
+	if position := s.position(t); position != positionBefore {
+		t.Errorf("%s, before %s", position, positionBefore)
 	}
 	if l := s.list(t, ""); l.Generation != before.Generation || len(l.Instances) != 19 {
 		t.Errorf("%+v", l)
@@ -117,26 +117,26 @@
 	if code, text, _ := call(t, "PUT", s.url("/s-0"), registration(4)); code != 409 {
 		t.Errorf("an earlier process than the one that left: %d %s", code, text)
 	}
-	joined := s.storeStats().AnswersEncoded
+	encodedBefore := s.storeStats().AnswersEncoded
 	var wg sync.WaitGroup
-	var whole atomic.Int64
+	var unexpected atomic.Int64
 	for range 1000 {
 		wg.Go(func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if a, err := s.store.Read(s.now(), before.Generation, "h1"); err != nil || a.Full || !a.Unchanged {
-				whole.Add(1)
+				unexpected.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	if whole.Load() > 0 || s.storeStats().AnswersEncoded > joined+1 {
-		t.Errorf("%d of 1000 got more than nothing, %d answers put together", whole.Load(), s.storeStats().AnswersEncoded-joined)
+	if unexpected.Load() > 0 || s.storeStats().AnswersEncoded > encodedBefore+1 {
+		t.Errorf("%d of 1000 got more than nothing, %d answers put together", unexpected.Load(), s.storeStats().AnswersEncoded-encodedBefore)
 	}
-	_, figures, _ := call(t, "GET", "http://"+s.control+"/control/counters", "")
+	_, metrics, _ := call(t, "GET", "http://"+s.control+"/control/counters", "")
 	for _, want := range []string{"registry.data.syncs:", "registry.data.segments:", "registry.data.recovery_us:", "registry.data.cut_bytes:0|g"} {
-		if !strings.Contains(figures, want) {
-			t.Errorf("%s is missing:\n%s", want, figures)
+		if !strings.Contains(metrics, want) {
+			t.Errorf("%s is missing:\n%s", want, metrics)
 		}
 	}
 }
@@ -144,8 +144,8 @@
 // Many writers share syncs, and each is told once its change lasts.
 func TestWritersShareSyncs(t *testing.T) {
 	dir := wal.Dir(t.TempDir())
-	s, _ := startKeeping(t, dir, "127.0.0.1:0", "")
-	s.SetLimits(Limits{Lease: time.Minute, Instances: 1000, History: 10_000, HistoryBytes: 1 << 24}, testServes)
+	s, _ := startPersistent(t, dir, "127.0.0.1:0", "")
+	s.SetLimits(Limits{Lease: time.Minute, Instances: 1000, History: 10_000, HistoryBytes: 1 << 24}, testServerLimits)
 	var wg sync.WaitGroup
 	var failed atomic.Int64
 	for n := range 50 {
@@ -153,7 +153,7 @@
 			for started := range int64(10) {
 				id := fmt.Sprint("s-", n)
 				_, err := s.writeChange(func(now time.Duration) (WriteResult, error) {
-					return s.store.Register(now, inst(id, started+1), nil)
+					return s.store.Register(now, testInstance(id, started+1), nil)
 				})
 				if err != nil {
 					failed.Add(1)
@@ -167,7 +167,7 @@
 	if failed.Load() > 0 || st.Records != 501 || st.Syncs >= 500 {
 		t.Errorf("%d failed, %+v", failed.Load(), st)
 	}
-	s.end(t)
+	s.stopAndWait(t)
 	version := s.storeStats().Version
 	_, store, err := Open(dir, 64<<20, testLimits, 0)
 	if err != nil || store.version != version || len(store.entries) != 50 {
@@ -179,10 +179,10 @@
 // When a sync fails, nothing more is told to be kept, and the service ends.
 func TestFullAndFailingDisk(t *testing.T) {
 	fs := &faultyFS{FS: wal.Dir(t.TempDir())}
-	s, _ := startKeeping(t, fs, "127.0.0.1:0", "")
-	s.put(t, "s-1", 5)
+	s, _ := startPersistent(t, fs, "127.0.0.1:0", "")
+	s.register(t, "s-1", 5)
 	before := s.list(t, "")
-	fs.noRoom.Store(true)
+	fs.diskFull.Store(true)
 	for range 3 {
 		if code, text, header := call(t, "PUT", s.url("/s-2"), registration(5)); code != 503 || header.Get("Retry-After") == "" || !strings.Contains(text, "no room") {
 			t.Errorf("status %d: %s", code, text)
@@ -194,19 +194,19 @@
 	if code, _, _ := call(t, "POST", s.url("/s-1/renew"), `{"startedAtMs":5}`); code != 200 {
 		t.Errorf("a renewal needs no room: %d", code)
 	}
-	fs.noRoom.Store(false)
-	s.put(t, "s-2", 5)
+	fs.diskFull.Store(false)
+	s.register(t, "s-2", 5)
 	if l := s.list(t, ""); l.Generation != before.Generation+1 || len(l.Instances) != 2 {
 		t.Errorf("with room again: %+v", l)
 	}
-	fs.badSync.Store(true)
+	fs.failSync.Store(true)
 	if code, text, _ := call(t, "PUT", s.url("/s-3"), registration(5)); code != 503 {
 		t.Errorf("status %d: %s", code, text)
 	}
 	if err := <-s.ended; !errors.Is(err, wal.ErrFailed) {
 		t.Errorf("ended with %v", err)
 	}
-	fs.badSync.Store(false)
+	fs.failSync.Store(false)
 	_, store, err := Open(fs, 64<<20, testLimits, 0)
 	if err != nil || store.entries["s-1"] == nil || store.entries["s-2"] == nil {
 		t.Errorf("%v, %v", err, store)
@@ -215,84 +215,84 @@
 
 // A follower that starts again tells the list that it had, as old. Promoted, it
 // writes, and the old writer finds out that it must not, also after a restart.
-func TestPromote(t *testing.T) {
-	old, copied := wal.Dir(t.TempDir()), wal.Dir(t.TempDir())
-	w, _ := startKeeping(t, old, "127.0.0.1:0", "")
-	w.put(t, "s-1", 5)
-	f, _ := startKeeping(t, copied, "127.0.0.1:0", w.address)
-	has := func(s *service, id string) func() bool {
+func TestPromotionFencesOldWriter(t *testing.T) {
+	oldDir, followerDir := wal.Dir(t.TempDir()), wal.Dir(t.TempDir())
+	writer, _ := startPersistent(t, oldDir, "127.0.0.1:0", "")
+	writer.register(t, "s-1", 5)
+	follower, _ := startPersistent(t, followerDir, "127.0.0.1:0", writer.address)
+	hasInstance := func(s *testServer, id string) func() bool {
 		return func() bool {
 			code, text, _ := call(t, "GET", s.url(""), "")
 			return code == 200 && strings.Contains(text, id)
 		}
 	}
-	until(t, "the follower has the list", has(f, "s-1"))
-	w.put(t, "s-2", 5)
-	until(t, "and what is new", has(f, "s-2"))
-	if code, _, _ := call(t, "POST", "http://"+w.control+"/control/promote", ""); code != 409 {
+	waitUntil(t, "the follower has the list", hasInstance(follower, "s-1"))
+	writer.register(t, "s-2", 5)
+	waitUntil(t, "and what is new", hasInstance(follower, "s-2"))
+	if code, _, _ := call(t, "POST", "http://"+writer.control+"/control/promote", ""); code != 409 {
 		t.Errorf("a writer is promoted: %d", code)
 	}
-	w.end(t)
-	f.end(t)
+	writer.stopAndWait(t)
+	follower.stopAndWait(t)
 
-	f, _ = startKeeping(t, copied, "127.0.0.1:0", w.address)
-	code, text, header := call(t, "GET", f.url(""), "")
+	follower, _ = startPersistent(t, followerDir, "127.0.0.1:0", writer.address)
+	code, text, header := call(t, "GET", follower.url(""), "")
 	if code != 200 || !strings.Contains(text, "s-2") || !(len(header.Get(AgeHeader)) >= 5) {
 		t.Fatalf("at once after a restart: %d %s, age %s", code, text, header.Get(AgeHeader))
 	}
-	version := f.list(t, "").Generation
-	if code, text, _ := call(t, "POST", "http://"+f.control+"/control/promote", ""); code != 200 {
+	version := follower.list(t, "").Generation
+	if code, text, _ := call(t, "POST", "http://"+follower.control+"/control/promote", ""); code != 200 {
 		t.Fatalf("promote: %d %s", code, text)
 	}
-	f.put(t, "s-3", 5)
-	l := f.list(t, "")
-	if len(l.Instances) != 3 || l.Generation <= version {
-		t.Errorf("%+v, before at %d", l, version)
+	follower.register(t, "s-3", 5)
+	listing := follower.list(t, "")
+	if len(listing.Instances) != 3 || listing.Generation <= version {
+		t.Errorf("%+v, before at %d", listing, version)
 	}
-	if where := f.where(t); !strings.Contains(where, `"epoch":2`) || strings.Contains(where, "writer") {
+	if where := follower.position(t); !strings.Contains(where, `"epoch":2`) || strings.Contains(where, "writer") {
 		t.Errorf("%s", where)
 	}
 
 	// The old writer comes back at its address, with its list.
-	w, _ = startKeeping(t, old, w.address, "")
-	until(t, "the old writer refuses", func() bool {
-		code, text, _ := call(t, "PUT", w.url("/s-4"), registration(5))
+	writer, _ = startPersistent(t, oldDir, writer.address, "")
+	waitUntil(t, "the old writer refuses", func() bool {
+		code, text, _ := call(t, "PUT", writer.url("/s-4"), registration(5))
 		return code == 503 && strings.Contains(text, "has replaced this writer")
 	})
-	if code, _, _ := call(t, "GET", w.url(""), ""); code != 503 {
+	if code, _, _ := call(t, "GET", writer.url(""), ""); code != 503 {
 		t.Errorf("it still tells its list: %d", code)
 	}
-	w.end(t)
-	w, _ = startKeeping(t, old, "127.0.0.1:0", "")
-	if code, _, _ := call(t, "GET", w.url(""), ""); code != 503 || !strings.Contains(w.where(t), "fencedBy") {
+	writer.stopAndWait(t)
+	writer, _ = startPersistent(t, oldDir, "127.0.0.1:0", "")
+	if code, _, _ := call(t, "GET", writer.url(""), ""); code != 503 || !strings.Contains(writer.position(t), "fencedBy") {
 		t.Errorf("after a restart it tells its list: %d", code)
 	}
-	w.end(t)
+	writer.stopAndWait(t)
 
 	// Before it takes any write it asks; and it can copy the new one.
-	f.end(t)
-	f, _ = startKeeping(t, copied, "127.0.0.1:0", "127.0.0.1:1")
-	if l := f.list(t, ""); len(l.Instances) != 3 {
-		t.Errorf("the promoted one after a restart: %+v", l)
-	}
-	f.put(t, "s-5", 5)
-	fresh := NewWriter("w", newTestStore(testLimits, 0), testServes, time.Now(), rand.New(rand.NewPCG(1, 1)))
-	fresh.QueryPeers(t.Context(), []string{"127.0.0.1:1", f.address})
+	follower.stopAndWait(t)
+	follower, _ = startPersistent(t, followerDir, "127.0.0.1:0", "127.0.0.1:1")
+	if listing := follower.list(t, ""); len(listing.Instances) != 3 {
+		t.Errorf("the promoted one after a restart: %+v", listing)
+	}
+	follower.register(t, "s-5", 5)
+	fresh := NewWriter("w", newTestStore(testLimits, 0), testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
+	fresh.QueryPeers(t.Context(), []string{"127.0.0.1:1", follower.address})
 	if fenced := fresh.Fenced(); fenced == nil || fenced.Epoch != 2 {
 		t.Errorf("%+v", fenced)
 	}
-	w, _ = startKeeping(t, old, "127.0.0.1:0", f.address)
-	until(t, "the old writer copies the new one", has(w, "s-5"))
+	writer, _ = startPersistent(t, oldDir, "127.0.0.1:0", follower.address)
+	waitUntil(t, "the old writer copies the new one", hasInstance(writer, "s-5"))
 
 	// One that was promoted is the writer when it is asked again, but not once another is.
 	promote := func() int {
-		code, _, _ := call(t, "POST", "http://"+f.control+"/control/promote", "")
+		code, _, _ := call(t, "POST", "http://"+follower.control+"/control/promote", "")
 		return code
 	}
 	if code := promote(); code != 200 {
 		t.Errorf("promoted again: %d", code)
 	}
-	if code, text, _ := call(t, "POST", "http://"+f.address+FencePath, `{"epoch":9,"history":"other","writer":"127.0.0.1:9"}`); code != 200 {
+	if code, text, _ := call(t, "POST", "http://"+follower.address+FencePath, `{"epoch":9,"history":"other","writer":"127.0.0.1:9"}`); code != 200 {
 		t.Errorf("fenced: %d %s", code, text)
 	}
 	if code := promote(); code != 409 {
@@ -304,7 +304,7 @@
 func TestVersionsNeverGoBack(t *testing.T) {
 	for _, clock := range []int64{-1 << 40, 0, 1000, 1 << 41} {
 		s := newTestStore(testLimits, 0)
-		s.Register(0, inst("a", 1), nil)
+		s.Register(0, testInstance("a", 1), nil)
 		before := s.version
 		if err := s.Restore(0, s.PromotionRecord(0, "h2", clock)); err != nil {
 			t.Fatal(err)
@@ -319,28 +319,28 @@
 }
 
 // Readers of two services go over to the promoted one, and never back.
-func TestReadersFollowAPromotion(t *testing.T) {
-	w, _ := startKeeping(t, wal.Dir(t.TempDir()), "127.0.0.1:0", "")
-	f, _ := startKeeping(t, wal.Dir(t.TempDir()), "127.0.0.1:0", w.address)
-	w.put(t, "s-1", 5)
-	reader := newWatching([]string{w.address, f.address}, 4)
+func TestReadersSwitchToPromotedWriter(t *testing.T) {
+	writer, _ := startPersistent(t, wal.Dir(t.TempDir()), "127.0.0.1:0", "")
+	follower, _ := startPersistent(t, wal.Dir(t.TempDir()), "127.0.0.1:0", writer.address)
+	writer.register(t, "s-1", 5)
+	reader := newWatcher([]string{writer.address, follower.address}, 4)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
 	wg.Go(func() { reader.client.Run(ctx, nil) })
-	until(t, "the reader has the list", func() bool { return reader.version.Load() == 1001 })
-	until(t, "the follower too", func() bool { code, _, _ := call(t, "GET", f.url(""), ""); return code == 200 })
-	if code, text, _ := call(t, "POST", "http://"+f.control+"/control/promote", ""); code != http.StatusOK {
+	waitUntil(t, "the reader has the list", func() bool { return reader.version.Load() == 1001 })
+	waitUntil(t, "the follower too", func() bool { code, _, _ := call(t, "GET", follower.url(""), ""); return code == 200 })
+	if code, text, _ := call(t, "POST", "http://"+follower.control+"/control/promote", ""); code != http.StatusOK {
 		t.Fatalf("%d %s", code, text)
 	}
-	f.put(t, "s-2", 5)
-	until(t, "the reader has what the new writer says", func() bool { return reader.version.Load() > 1_000_000 })
+	follower.register(t, "s-2", 5)
+	waitUntil(t, "the reader has what the new writer says", func() bool { return reader.version.Load() > 1_000_000 })
 }
 
 // What a folder holds is what the store had, whatever was done to it and whenever
 // it was opened again, with a snapshot or without.
-func TestKeptAgainstModel(t *testing.T) {
+func TestRecoveryMatchesModel(t *testing.T) {
 	for seed := range uint64(10) {
 		random := rand.New(rand.NewPCG(seed, 11))
 		dir := wal.Dir(t.TempDir())
@@ -357,7 +357,7 @@
 				store = newTestStore(limits, now)
 				log.Append([][]byte{encodeRecord(store.SnapshotRecords()[0])})
 			}
-			if got := fmt.Sprint(texts(store)); model != "" && got != model {
+			if got := fmt.Sprint(encodedRecords(store)); model != "" && got != model {
 				t.Fatalf("seed %d:\n%s\nbefore\n%s", seed, got, model)
 			}
 			store.EnableStaging()
@@ -366,7 +366,7 @@
 				id := fmt.Sprint("i", random.IntN(14))
 				switch random.IntN(5) {
 				case 0, 1:
-					store.Register(now, inst(id, int64(random.IntN(100))), nil)
+					store.Register(now, testInstance(id, int64(random.IntN(100))), nil)
 				case 2:
 					if e := store.entries[id]; e != nil {
 						store.Leave(now, id, e.StartedAtMs, nil)
@@ -392,7 +392,7 @@
 				}
 			}
 			store.DropStaged()
-			model = fmt.Sprint(texts(store))
+			model = fmt.Sprint(encodedRecords(store))
 			if err := log.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -400,7 +400,7 @@
 	}
 }
 
-func texts(s *Store) (all []string) {
+func encodedRecords(s *Store) (all []string) {
 	for _, r := range s.SnapshotRecords() {
 		all = append(all, string(encodeRecord(r)))
 	}
--- a/internal/registry/scope_http_test.go
+++ b/internal/registry/scope_http_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-func (s *service) putPlaced(t *testing.T, i Instance) {
+func (s *testServer) registerInstance(t *testing.T, i Instance) {
 	t.Helper()
 	body := fmt.Sprintf(`{"hostPort":"127.0.0.1:80","zone":%q,"machineType":"m","startedAtMs":%d,"service":%q,"region":%q}`, i.Zone, i.StartedAtMs, i.Service, i.Region)
 	if code, text, _ := call(t, "PUT", s.url("/"+i.ID), body); code != 200 {
@@ -27,10 +27,10 @@
 	}
 }
 
-func (s *service) subscriptionsURL() string { return "http://" + s.address + SubscriptionsPath }
+func (s *testServer) subscriptionsURL() string { return "http://" + s.address + SubscriptionsPath }
 
 // named names scopes at a service and returns the part of a call that has their id.
-func (s *service) named(t *testing.T, scopes ...string) string {
+func (s *testServer) registerScopes(t *testing.T, scopes ...string) string {
 	t.Helper()
 	body, _ := json.Marshal(subscriptionRequest{scopes})
 	code, text, _ := call(t, "POST", s.subscriptionsURL(), string(body))
@@ -41,19 +41,19 @@
 }
 
 // scopedWatching is a client and what whoever uses its news has.
-type scopedWatching struct {
-	client *Client
-	mu     sync.Mutex
-	has    map[string]Instance
-	last   Update
-	told   int
-	resets int
+type scopedWatcher struct {
+	client     *Client
+	mu         sync.Mutex
+	instances  map[string]Instance
+	lastUpdate Update
+	updates    int
+	resets     int
 }
 
-func watchScopes(t *testing.T, addresses []string, scopes ...string) *scopedWatching {
+func watchScopes(t *testing.T, addresses []string, scopes ...string) *scopedWatcher {
 	t.Helper()
-	w := &scopedWatching{has: map[string]Instance{}}
-	w.client = NewClient(addresses, rand.New(rand.NewPCG(1, 3)), w.heard)
+	w := &scopedWatcher{instances: map[string]Instance{}}
+	w.client = NewClient(addresses, rand.New(rand.NewPCG(1, 3)), w.onUpdate)
 	w.client.SetScopes(mustScopes(t, scopes...))
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -62,82 +62,82 @@
 	return w
 }
 
-func (w *scopedWatching) heard(told Update) {
+func (w *scopedWatcher) onUpdate(update Update) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.last, w.told = told, w.told+1
-	if told.Changes.Reset {
+	w.lastUpdate, w.updates = update, w.updates+1
+	if update.Changes.Reset {
 		w.resets++
-		clear(w.has)
+		clear(w.instances)
 	}
-	for _, i := range told.Changes.Instances {
-		if w.has[i.ID] = i; i.Lifecycle == Gone {
-			delete(w.has, i.ID)
+	for _, i := range update.Changes.Instances {
+		if w.instances[i.ID] = i; i.Lifecycle == Gone {
+			delete(w.instances, i.ID)
 		}
 	}
 }
 
-func (w *scopedWatching) ids() string {
+func (w *scopedWatcher) ids() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var ids []string
-	for id, i := range w.has {
+	for id, i := range w.instances {
 		ids = append(ids, id+":"+string(i.Lifecycle[0]))
 	}
 	slices.Sort(ids)
 	return strings.Join(ids, " ")
 }
 
-func (w *scopedWatching) state() (told Update, tolds, resets int) {
+func (w *scopedWatcher) state() (lastUpdate Update, updates, resets int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.last, w.told, w.resets
+	return w.lastUpdate, w.updates, w.resets
 }
 
 // A client has the part of the list that its scopes select, through changes of these and
 // of the list, hears which scopes are not known, and uses one connection.
-func TestClientOfScopes(t *testing.T) {
+func TestClientFollowsScopeChanges(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, testServes)
-	s.putPlaced(t, of("x1", "a", "r1", "z1"))
-	s.putPlaced(t, of("x2", "a", "r2", "z2"))
-	s.putPlaced(t, of("y", "b", "r1", "z1"))
-	s.putPlaced(t, of("n", "", "", "z1"))
+	s := newTestWriter(t, testServerLimits)
+	s.registerInstance(t, instanceOf("x1", "a", "r1", "z1"))
+	s.registerInstance(t, instanceOf("x2", "a", "r2", "z2"))
+	s.registerInstance(t, instanceOf("y", "b", "r1", "z1"))
+	s.registerInstance(t, instanceOf("n", "", "", "z1"))
 	w := watchScopes(t, []string{s.address}, "a@region=r1", "later")
-	until(t, "the scope is there", func() bool { return w.ids() == "x1:R" })
-	if told, _, _ := w.state(); !slices.Equal(told.Unknown, mustScopes(t, "later")) || len(told.Instances) != 1 {
-		t.Errorf("%+v", told)
+	waitUntil(t, "the scope is there", func() bool { return w.ids() == "x1:R" })
+	if update, _, _ := w.state(); !slices.Equal(update.Unknown, mustScopes(t, "later")) || len(update.Instances) != 1 {
+		t.Errorf("%+v", update)
 	}
 	w.client.SetScopes(mustScopes(t, "a@region=r1", "b", "later"))
-	until(t, "the new scope is there", func() bool { return w.ids() == "x1:R y:R" })
+	waitUntil(t, "the new scope is there", func() bool { return w.ids() == "x1:R y:R" })
 	w.client.SetScopes(mustScopes(t, "a", "later"))
-	until(t, "one is dropped and one is wider", func() bool { return w.ids() == "x1:R x2:R" })
-	s.putPlaced(t, of("l", "later", "r1", "z1"))
-	until(t, "a service comes to be", func() bool { return w.ids() == "l:R x1:R x2:R" })
-	if told, _, _ := w.state(); len(told.Unknown) > 0 {
-		t.Errorf("unknown %v", told.Unknown)
+	waitUntil(t, "one is dropped and one is wider", func() bool { return w.ids() == "x1:R x2:R" })
+	s.registerInstance(t, instanceOf("l", "later", "r1", "z1"))
+	waitUntil(t, "a service comes to be", func() bool { return w.ids() == "l:R x1:R x2:R" })
+	if update, _, _ := w.state(); len(update.Unknown) > 0 {
+		t.Errorf("unknown %v", update.Unknown)
 	}
-	moved := of("x1", "b", "r1", "z1")
+	moved := instanceOf("x1", "b", "r1", "z1")
 	moved.StartedAtMs = 2
-	s.putPlaced(t, moved)
-	until(t, "one moves away", func() bool { return w.ids() == "l:R x2:R" })
+	s.registerInstance(t, moved)
+	waitUntil(t, "one moves away", func() bool { return w.ids() == "l:R x2:R" })
 	call(t, "POST", s.url("/x2/lifecycle"), `{"lifecycle":"Terminating","startedAtMs":1}`)
-	until(t, "the last of a service drains", func() bool { return w.ids() == "l:R x2:T" })
+	waitUntil(t, "the last of a service drains", func() bool { return w.ids() == "l:R x2:T" })
 	call(t, "DELETE", s.url("/x2?startedAtMs=1"), "")
-	until(t, "and leaves", func() bool { return w.ids() == "l:R" })
-	if told, _, resets := w.state(); len(told.Unknown) > 0 || resets != 1 {
-		t.Errorf("unknown %v, %d lists anew", told.Unknown, resets)
+	waitUntil(t, "and leaves", func() bool { return w.ids() == "l:R" })
+	if update, _, resets := w.state(); len(update.Unknown) > 0 || resets != 1 {
+		t.Errorf("unknown %v, %d lists anew", update.Unknown, resets)
 	}
 	w.client.SetScopes(nil)
-	until(t, "the whole list", func() bool { return w.ids() == "l:R n:R x1:R y:R" })
+	waitUntil(t, "the whole list", func() bool { return w.ids() == "l:R n:R x1:R y:R" })
 }
 
 // Scopes that change all the time don't keep the reader from those that it gets.
-func TestScopesThatKeepChanging(t *testing.T) {
+func TestFrequentScopeChangesDoNotStarveReads(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, testServes)
+	s := newTestWriter(t, testServerLimits)
 	for n := range 20 {
-		s.putPlaced(t, of(fmt.Sprintf("x%02d", n), fmt.Sprintf("s%d", n), "r1", "z1"))
+		s.registerInstance(t, instanceOf(fmt.Sprintf("x%02d", n), fmt.Sprintf("s%d", n), "r1", "z1"))
 	}
 	w := watchScopes(t, []string{s.address}, "s0")
 	ctx, stop := context.WithCancel(t.Context())
@@ -150,11 +150,11 @@
 			time.Sleep(100 * time.Microsecond)
 		}
 	})
-	until(t, "it hears while its scopes change", func() bool { _, told, _ := w.state(); return told > 10 })
+	waitUntil(t, "it hears while its scopes change", func() bool { _, updates, _ := w.state(); return updates > 10 })
 	stop()
 	wg.Wait()
 	w.client.SetScopes(mustScopes(t, "s1", "s2"))
-	until(t, "the last scopes", func() bool { return w.ids() == "x01:R x02:R" })
+	waitUntil(t, "the last scopes", func() bool { return w.ids() == "x01:R x02:R" })
 }
 
 func FuzzSubscription(f *testing.F) {
@@ -164,7 +164,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		set, err := readSubscription(strings.NewReader(text), 1<<12, 10)
 		if err != nil {
-			if code := status(err); code != 400 && code != 413 {
+			if code := statusOf(err); code != 400 && code != 413 {
 				t.Errorf("%v", err)
 			}
 			return
@@ -177,11 +177,11 @@
 }
 
 // Scopes that make no sense, or are too many, are refused with one clear line.
-func TestBadSubscriptions(t *testing.T) {
+func TestInvalidSubscriptionsAreRejected(t *testing.T) {
 	t.Parallel()
-	limits := testServes
+	limits := testServerLimits
 	limits.SubscriptionBytes = 1 << 20
-	s := newWriterService(t, limits)
+	s := newTestWriter(t, limits)
 	many := func(n int) string {
 		var scopes []string
 		for i := range n {
@@ -190,10 +190,10 @@
 		body, _ := json.Marshal(subscriptionRequest{scopes})
 		return string(body)
 	}
-	for _, c := range []struct {
-		body   string
-		status int
-		says   string
+	for _, test := range []struct {
+		body    string
+		status  int
+		message string
 	}{
 		{many(4096), 200, "subscription"},
 		{many(10_000), 413, "10000 scopes exceed the maximum of 4096"},
@@ -207,12 +207,12 @@
 		{`{"scopes":["a"`, 400, "invalid JSON"},
 		{``, 400, "invalid JSON"},
 	} {
-		code, text, _ := call(t, "POST", s.subscriptionsURL(), c.body)
-		if code != c.status || !strings.Contains(text, c.says) || len(text) > 600 || strings.Count(strings.TrimSpace(text), "\n") > 0 {
-			t.Errorf("%.60s: status %d, %q; want %d, %q", c.body, code, text, c.status, c.says)
+		code, text, _ := call(t, "POST", s.subscriptionsURL(), test.body)
+		if code != test.status || !strings.Contains(text, test.message) || len(text) > 600 || strings.Count(strings.TrimSpace(text), "\n") > 0 {
+			t.Errorf("%.60s: status %d, %q; want %d, %q", test.body, code, text, test.status, test.message)
 		}
 	}
-	known := s.named(t, "a")
+	known := s.registerScopes(t, "a")
 	for query, status := range map[string]int{"?subscription=": 404, "?subscription=abc": 404, known: 200, known + "&held=abc": 404, known + "&since=9999": 400, known + "&since=x": 400} {
 		if code, text, _ := call(t, "GET", s.url(query), ""); code != status || text == "" {
 			t.Errorf("%s: status %d, %q", query, code, text)
@@ -220,54 +220,54 @@
 	}
 	// A client that is refused says so, and has nothing.
 	w := watchScopes(t, []string{s.address}, "a")
-	until(t, "a good set", func() bool { told, _, _ := w.state(); return told.Generation > 0 })
+	waitUntil(t, "a good set", func() bool { update, _, _ := w.state(); return update.Generation > 0 })
 	var scopes []Scope
 	for n := range 10_000 {
 		scopes = append(scopes, Scope{Service: fmt.Sprint("s", n)})
 	}
 	before := s.metrics.refused.Load()
 	w.client.SetScopes(append(scopes, mustScopes(t, "a")...))
-	until(t, "it is refused", func() bool { return s.metrics.refused.Load() > before })
+	waitUntil(t, "it is refused", func() bool { return s.metrics.refused.Load() > before })
 	w.client.SetScopes(mustScopes(t, "a"))
-	s.putPlaced(t, of("x", "a", "r", "z"))
-	until(t, "it goes on with fewer", func() bool { return w.ids() == "x:R" })
+	s.registerInstance(t, instanceOf("x", "a", "r", "z"))
+	waitUntil(t, "it goes on with fewer", func() bool { return w.ids() == "x:R" })
 }
 
 // A reader of scopes that waits is not answered for changes elsewhere, and comes on to the
 // last version all the same.
-func TestScopedWatchWaits(t *testing.T) {
+func TestScopedWatchIgnoresOtherScopes(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, testServes)
-	s.putPlaced(t, of("x", "a", "r1", "z1"))
-	query := s.named(t, "a@region=r1", "c")
-	told := make(chan Listing, 1)
-	go func() { told <- s.list(t, query+"&since=1001&timeout_ms=60000&history=h1") }()
-	until(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
+	s := newTestWriter(t, testServerLimits)
+	s.registerInstance(t, instanceOf("x", "a", "r1", "z1"))
+	query := s.registerScopes(t, "a@region=r1", "c")
+	answered := make(chan Listing, 1)
+	go func() { answered <- s.list(t, query+"&since=1001&timeout_ms=60000&history=h1") }()
+	waitUntil(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
 	for n := range int64(30) {
-		i := of("y", []string{"a", "b"}[n%2], "r2", "z1")
+		i := instanceOf("y", []string{"a", "b"}[n%2], "r2", "z1")
 		i.StartedAtMs = n
-		s.putPlaced(t, i)
+		s.registerInstance(t, i)
 	}
 	select {
-	case l := <-told:
+	case l := <-answered:
 		t.Errorf("answered %+v", l)
 	case <-time.After(3 * wakeInterval):
 	}
-	s.putPlaced(t, of("z", "a", "r1", "z1"))
-	if l := <-told; l.Generation != 1032 || l.Reset || ids(l.Instances) != "z" {
+	s.registerInstance(t, instanceOf("z", "a", "r1", "z1"))
+	if l := <-answered; l.Generation != 1032 || l.Reset || idList(l.Instances) != "z" {
 		t.Errorf("%+v", l)
 	}
-	i := of("y", "b", "r2", "z1")
+	i := instanceOf("y", "b", "r2", "z1")
 	i.StartedAtMs = 100
-	s.putPlaced(t, i)
+	s.registerInstance(t, i)
 	if l := s.list(t, query+"&since=1032&timeout_ms=20&history=h1"); l.Generation != 1033 || l.Reset || len(l.Instances) > 0 || !slices.Equal(l.Unknown, []string{"c"}) {
 		t.Errorf("at the end of a wait: %+v", l)
 	}
 	// New scopes beside those that are held are answered at once, with all of them.
-	s.named(t, "a@region=r1")
-	wider := s.named(t, "a", "b")
-	held := strings.Replace(s.named(t, "a@region=r1"), "?subscription", "&held", 1)
-	if l := s.list(t, wider+held+"&since=1033&timeout_ms=60000&history=h1"); l.Generation != 1033 || l.Reset || ids(l.Instances) != "y" {
+	s.registerScopes(t, "a@region=r1")
+	wider := s.registerScopes(t, "a", "b")
+	held := strings.Replace(s.registerScopes(t, "a@region=r1"), "?subscription", "&held", 1)
+	if l := s.list(t, wider+held+"&since=1033&timeout_ms=60000&history=h1"); l.Generation != 1033 || l.Reset || idList(l.Instances) != "y" {
 		t.Errorf("%+v", l)
 	}
 	if _, _, header := call(t, "GET", s.url(wider), ""); header.Get(SubscriptionHeader) != mustSet(t, "a", "b").ID() {
@@ -277,52 +277,52 @@
 
 // A follower knows scopes of its own; one that has forgotten them, by a restart or for
 // others, is named them again, and the reader goes on from where it was.
-func TestSubscriptionsAreNamedAgain(t *testing.T) {
+func TestClientRegistersEvictedSubscriptionsAgain(t *testing.T) {
 	t.Parallel()
-	writer := newWriterService(t, testServes)
-	writer.putPlaced(t, of("x", "a", "r1", "z1"))
-	writer.putPlaced(t, of("y", "b", "r1", "z1"))
-	limits := testServes
+	writer := newTestWriter(t, testServerLimits)
+	writer.registerInstance(t, instanceOf("x", "a", "r1", "z1"))
+	writer.registerInstance(t, instanceOf("y", "b", "r1", "z1"))
+	limits := testServerLimits
 	limits.Subscriptions = 2
 	store := newStore(testLimits, 0)
-	f := NewFollower("self", writer.address, store, testLimits, limits, time.Now(), rand.New(rand.NewPCG(2, 2)))
-	s := &service{Server: f.Server}
-	s.run(t, f.Serve, "127.0.0.1:0")
-	w := watchScopes(t, []string{s.address}, "a")
-	until(t, "the scope is there", func() bool { return w.ids() == "x:R" })
+	follower := NewFollower("self", writer.address, store, testLimits, limits, time.Now(), rand.New(rand.NewPCG(2, 2)))
+	server := &testServer{Server: follower.Server}
+	server.run(t, follower.Serve, "127.0.0.1:0")
+	watcher := watchScopes(t, []string{server.address}, "a")
+	waitUntil(t, "the scope is there", func() bool { return watcher.ids() == "x:R" })
 	for n := range 5 {
-		s.named(t, fmt.Sprint("other", n))
+		server.registerScopes(t, fmt.Sprint("other", n))
 	}
-	if code, _, _ := call(t, "GET", s.url("?subscription="+mustSet(t, "a").ID()), ""); code != 404 {
+	if code, _, _ := call(t, "GET", server.url("?subscription="+mustSet(t, "a").ID()), ""); code != 404 {
 		t.Errorf("status %d of a subscription that was to be forgotten", code)
 	}
-	s.stop()
-	<-s.ended
-	f = NewFollower("self", writer.address, nil, testLimits, limits, time.Now(), rand.New(rand.NewPCG(2, 4)))
-	again := &service{Server: f.Server}
-	again.run(t, f.Serve, s.address)
-	writer.putPlaced(t, of("x2", "a", "r1", "z1"))
-	until(t, "it goes on", func() bool { return w.ids() == "x2:R x:R" })
-	if _, _, resets := w.state(); resets != 1 {
+	server.stop()
+	<-server.ended
+	follower = NewFollower("self", writer.address, nil, testLimits, limits, time.Now(), rand.New(rand.NewPCG(2, 4)))
+	restarted := &testServer{Server: follower.Server}
+	restarted.run(t, follower.Serve, server.address)
+	writer.registerInstance(t, instanceOf("x2", "a", "r1", "z1"))
+	waitUntil(t, "it goes on", func() bool { return watcher.ids() == "x2:R x:R" })
+	if _, _, resets := watcher.state(); resets != 1 {
 		t.Errorf("%d lists anew", resets)
 	}
-	again.mu.Lock()
-	defer again.mu.Unlock()
-	if n := len(again.subscriptions.byID); n != 1 {
+	restarted.mu.Lock()
+	defer restarted.mu.Unlock()
+	if n := len(restarted.subscriptions.byID); n != 1 {
 		t.Errorf("%d subscriptions", n)
 	}
 }
 
 // A list service of a build before scopes answers with everything. The reader does not
 // take that for its part, says so, keeps what it has, and goes on to the next address.
-func TestServiceThatKnowsNoScopes(t *testing.T) {
+func TestClientSkipsServersWithoutScopes(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, testServes)
-	s.putPlaced(t, of("x", "a", "r1", "z1"))
-	s.putPlaced(t, of("y", "b", "r1", "z1"))
-	var asked atomic.Int64
-	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
+	s := newTestWriter(t, testServerLimits)
+	s.registerInstance(t, instanceOf("x", "a", "r1", "z1"))
+	s.registerInstance(t, instanceOf("y", "b", "r1", "z1"))
+	var requests atomic.Int64
+	oldServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		requests.Add(1)
 		if r.Method != http.MethodGet || r.URL.Path != Path {
 			http.NotFound(w, r)
 			return
@@ -331,50 +331,50 @@
 		_, text, _ := call(t, "GET", s.url(""), "")
 		io.WriteString(w, text)
 	}))
-	defer old.Close()
-	oldAddress := strings.TrimPrefix(old.URL, "http://")
-	alone := NewClient([]string{oldAddress}, rand.New(rand.NewPCG(1, 1)), nil)
-	if got := alone.read(t.Context(), ReadRequest{Address: oldAddress, Full: true, Scopes: mustSet(t, "a")}); got.err != errScopesUnsupported {
-		t.Errorf("%v", got.err)
+	defer oldServer.Close()
+	oldAddress := strings.TrimPrefix(oldServer.URL, "http://")
+	client := NewClient([]string{oldAddress}, rand.New(rand.NewPCG(1, 1)), nil)
+	if result := client.read(t.Context(), ReadRequest{Address: oldAddress, Full: true, Scopes: mustSet(t, "a")}); result.err != errScopesUnsupported {
+		t.Errorf("%v", result.err)
 	}
-	if got := alone.read(t.Context(), ReadRequest{Address: oldAddress, Full: true}); got.err != nil || len(got.listing.Instances) != 2 {
-		t.Errorf("a reader of everything: %+v", got)
+	if result := client.read(t.Context(), ReadRequest{Address: oldAddress, Full: true}); result.err != nil || len(result.listing.Instances) != 2 {
+		t.Errorf("a reader of everything: %+v", result)
 	}
 	for n := range uint64(4) { // in whichever order the addresses come
 		w := watchScopes(t, []string{oldAddress, s.address}, "a", fmt.Sprint("never", n))
-		until(t, "the next address is asked", func() bool { return w.ids() == "x:R" })
+		waitUntil(t, "the next address is asked", func() bool { return w.ids() == "x:R" })
 	}
-	if asked.Load() == 0 {
+	if requests.Load() == 0 {
 		t.Error("the old service was never asked")
 	}
 }
 
 // A thousand readers that lose their follower all at once go on from where they are at another, and
 // hear of what has changed meanwhile, without their lists anew.
-func TestScopedReadersLoseTheirFollower(t *testing.T) {
+func TestScopedReadersFailOverWithoutFullLists(t *testing.T) {
 	t.Parallel()
 	const readers = 1000
-	limits := testServes
+	limits := testServerLimits
 	limits.Connections, limits.Watchers = 2*readers, readers+1
-	writer := newWriterService(t, testServes)
+	writer := newTestWriter(t, testServerLimits)
 	for n := range 20 {
-		writer.putPlaced(t, of(fmt.Sprint("x", n), fmt.Sprint("s", n), "r1", "z1"))
+		writer.registerInstance(t, instanceOf(fmt.Sprint("x", n), fmt.Sprint("s", n), "r1", "z1"))
 	}
-	var followers []*service
+	var followers []*testServer
 	for range 2 {
-		s, _ := newFollowerServiceWith(t, writer.address, limits)
-		until(t, "the follower has the list", func() bool {
+		s, _ := newTestFollowerWith(t, writer.address, limits)
+		waitUntil(t, "the follower has the list", func() bool {
 			code, text, _ := call(t, "GET", s.url(""), "")
 			return code == 200 && strings.Count(text, "instanceId") == 20
 		})
 		followers = append(followers, s)
 	}
-	var all []*scopedWatching
+	var all []*scopedWatcher
 	for n := range readers {
 		all = append(all, watchScopes(t, []string{followers[0].address, followers[1].address}, fmt.Sprint("s", n%20), fmt.Sprint("own", n)))
 	}
 	for n, w := range all {
-		until(t, "a reader has its scopes", func() bool { return w.ids() == fmt.Sprintf("x%d:R", n%20) })
+		waitUntil(t, "a reader has its scopes", func() bool { return w.ids() == fmt.Sprintf("x%d:R", n%20) })
 	}
 	followers[0].stop()
 	for n := range 20 {
@@ -384,7 +384,7 @@
 	}
 	resets := 0
 	for n, w := range all {
-		until(t, "a reader hears of the drain", func() bool { return w.ids() == fmt.Sprintf("x%d:T", n%20) })
+		waitUntil(t, "a reader hears of the drain", func() bool { return w.ids() == fmt.Sprintf("x%d:T", n%20) })
 		_, _, r := w.state()
 		resets += r
 	}
@@ -400,9 +400,9 @@
 func TestScopesUseOneConnection(t *testing.T) {
 	t.Parallel()
 	store := newTestStore(testLimits, 0)
-	s := NewWriter("self", store, testServes, time.Now(), rand.New(rand.NewPCG(1, 1)))
+	s := NewWriter("self", store, testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	for n := range 10 {
-		store.Register(0, of(fmt.Sprint("x", n), fmt.Sprint("s", n), "r", "z"), nil)
+		store.Register(0, instanceOf(fmt.Sprint("x", n), fmt.Sprint("s", n), "r", "z"), nil)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -422,13 +422,13 @@
 	for n := range 10 {
 		scopes = append(scopes, fmt.Sprint("s", n))
 		c.feed.SetScopes(mustScopes(t, scopes...))
-		ask := c.feed.Next()
-		got := c.read(t.Context(), ask)
-		if got.err != nil {
-			t.Fatal(got.err)
+		request := c.feed.Next()
+		result := c.read(t.Context(), request)
+		if result.err != nil {
+			t.Fatal(result.err)
 		}
-		if _, err := c.feed.AnsweredTo(ask, got.listing, got.history, 0); err != nil || len(c.feed.instances) != n+1 || len(got.listing.Instances) != 1 {
-			t.Fatalf("%d known, %d told, %v", len(c.feed.instances), len(got.listing.Instances), err)
+		if _, err := c.feed.AnsweredTo(request, result.listing, result.history, 0); err != nil || len(c.feed.instances) != n+1 || len(result.listing.Instances) != 1 {
+			t.Fatalf("%d known, %d told, %v", len(c.feed.instances), len(result.listing.Instances), err)
 		}
 	}
 	if opened.Load() != 1 {
@@ -449,9 +449,9 @@
 	s.add(sets[1], 3, 100)
 	s.get(sets[0].ID())
 	s.add(sets[3], 3, 100) // for the third
-	for n, kept := range []bool{true, true, false, true} {
-		if (s.get(sets[n].ID()) != nil) != kept {
-			t.Errorf("set %d is kept: %t", n, !kept)
+	for n, retained := range []bool{true, true, false, true} {
+		if (s.get(sets[n].ID()) != nil) != retained {
+			t.Errorf("set %d is kept: %t", n, !retained)
 		}
 	}
 	s.add(sets[4], 3, 4) // for one more
@@ -464,19 +464,19 @@
 }
 
 // Whole lists of scopes count by their share of the list.
-func TestScopedListsAreBounded(t *testing.T) {
+func TestScopedListingsAreRateLimited(t *testing.T) {
 	store := newTestStore(testLimits, 0)
 	for n := range 40 {
-		store.Register(0, of(fmt.Sprint("x", n), fmt.Sprint("s", n%20), "r", "z"), nil)
+		store.Register(0, instanceOf(fmt.Sprint("x", n), fmt.Sprint("s", n%20), "r", "z"), nil)
 	}
 	for n := range 2 {
-		store.Register(0, of(fmt.Sprint("other", n), "other", "r", "z"), nil)
+		store.Register(0, instanceOf(fmt.Sprint("other", n), "other", "r", "z"), nil)
 		store.Leave(0, fmt.Sprint("other", n), 1, nil)
 	}
 	part := ScopedRead{Since: -1, Scopes: mustSet(t, "s1", "s1@region=r"), Held: mustSet(t, "s1", "s1@region=r")}
 	for _, c := range []struct {
-		question    ScopedRead
-		least, most int
+		read             ScopedRead
+		minimum, maximum int
 	}{
 		{ScopedRead{Since: -1}, 2, 2},
 		{part, 39, 40}, // 2 of 40 instances each
@@ -487,11 +487,11 @@
 		s.limits.ListingsPerSecond = 2
 		s.listingTokens, s.listingTokensAt = 2, time.Now()
 		answered := 0
-		for s.takeListingTokens(store.listCost(c.question)) {
+		for s.takeListingTokens(store.listCost(c.read)) {
 			answered++
 		}
-		if answered < c.least || answered > c.most {
-			t.Errorf("%v: %d lists", c.question.Scopes.Strings(), answered)
+		if answered < c.minimum || answered > c.maximum {
+			t.Errorf("%v: %d lists", c.read.Scopes.Strings(), answered)
 		}
 	}
 }
@@ -501,11 +501,11 @@
 func BenchmarkScopedWake(b *testing.B) {
 	for _, watchers := range []int{100, 1000} {
 		b.Run(fmt.Sprint(watchers, "watchers"), func(b *testing.B) {
-			s, questions := scopedWatchers(b, watchers)
+			s, reads := scopedWatchers(b, watchers)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
-				wakeScoped(b, s, questions, n)
+				wakeScoped(b, s, reads, n)
 			}
 		})
 	}
@@ -516,22 +516,22 @@
 func BenchmarkScopedWatch(b *testing.B) {
 	for _, watchers := range []int{100, 1000, 3000} {
 		b.Run(fmt.Sprint(watchers, "watchers"), func(b *testing.B) {
-			s, questions := scopedWatchers(b, watchers)
+			s, reads := scopedWatchers(b, watchers)
 			ctx, stop := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
 			defer wg.Wait()
 			defer stop()
 			answered := make(chan int64, watchers)
-			for _, q := range questions {
+			for _, read := range reads {
 				wg.Go(func() {
-					for q := *q; ; {
-						found, err := s.awaitAnswer(ctx, q, time.Hour)
+					for read := *read; ; {
+						result, err := s.awaitAnswer(ctx, read, time.Hour)
 						if err != nil {
 							return
 						}
 						var l Listing
-						json.Unmarshal(found.body, &l)
-						q.Since = l.Generation
+						json.Unmarshal(result.body, &l)
+						read.Since = l.Generation
 						answered <- l.Generation
 					}
 				})
@@ -544,7 +544,7 @@
 			for n := range b.N {
 				_, err := s.change(func(now time.Duration) (WriteResult, error) {
 					s.lastWake = time.Time{} // no waiting for further changes
-					i := of(fmt.Sprint("x", n%100), fmt.Sprint("common", n%100), "r", "z")
+					i := instanceOf(fmt.Sprint("x", n%100), fmt.Sprint("common", n%100), "r", "z")
 					i.StartedAtMs = int64(n + 2)
 					return s.store.Register(now, i, nil)
 				})
@@ -563,16 +563,16 @@
 
 // BenchmarkPassOver counts what it takes to look for so many watches whether a burst of a
 // thousand changes, none of which does, concerns them.
-func BenchmarkPassOver(b *testing.B) {
+func BenchmarkAdvanceWatches(b *testing.B) {
 	for _, watchers := range []int{100, 1000} {
 		b.Run(fmt.Sprint(watchers, "watchers"), func(b *testing.B) {
-			s, questions := scopedWatchers(b, watchers)
+			s, reads := scopedWatchers(b, watchers)
 			since := s.store.version
 			for n := range 1000 {
-				s.store.Register(0, of(fmt.Sprint("burst", n), fmt.Sprint("elsewhere", n%200), "r", "z"), nil)
+				s.store.Register(0, instanceOf(fmt.Sprint("burst", n), fmt.Sprint("elsewhere", n%200), "r", "z"), nil)
 			}
-			for _, q := range questions {
-				s.watches[newScopedWatch(*q)] = struct{}{}
+			for _, read := range reads {
+				s.watches[newScopedWatch(*read)] = struct{}{}
 			}
 			b.ResetTimer()
 			for range b.N {
@@ -610,11 +610,11 @@
 				scopes = append(scopes, Scope{Service: fmt.Sprint("service-", m), Region: fmt.Sprint("eu-", m%9)})
 			}
 			sets := make([]*ScopeSet, 64)
-			before := heap()
+			before := heapBytes()
 			for m := range sets {
 				sets[m], _ = NewScopeSet(scopes)
 			}
-			perSet := float64(heap()-before) / float64(len(sets))
+			perSet := float64(heapBytes()-before) / float64(len(sets))
 			for b.Loop() {
 				NewScopeSet(scopes)
 			}
@@ -630,58 +630,58 @@
 	limits := Limits{Lease: time.Hour, Instances: 100_000, History: 1000, HistoryBytes: 1 << 20}
 	store := NewStore(limits, "h1", 1000, -limits.Lease)
 	for n := range 2000 {
-		store.Register(0, of(fmt.Sprint("x", n), fmt.Sprint("common", n%100), "r", "z"), nil)
+		store.Register(0, instanceOf(fmt.Sprint("x", n), fmt.Sprint("common", n%100), "r", "z"), nil)
 	}
 	s := NewWriter("self", store, ServerLimits{Connections: watchers, Watchers: watchers, ListingsPerSecond: 1e9}, time.Now(), rand.New(rand.NewPCG(1, 1)))
-	var questions []*ScopedRead
+	var reads []*ScopedRead
 	for n := range watchers {
 		scopes := []string{fmt.Sprintf("common%d@region=r", n%100)}
 		for m := range 10 {
 			scopes = append(scopes, fmt.Sprintf("own%d-%d", n, m))
 		}
 		set := mustSet(t, scopes...)
-		questions = append(questions, &ScopedRead{Since: store.version, History: "h1", Scopes: set, Held: set})
+		reads = append(reads, &ScopedRead{Since: store.version, History: "h1", Scopes: set, Held: set})
 	}
-	return s, questions
+	return s, reads
 }
 
 // wakeScoped changes an instance and has each watcher look once; those whose it is are
 // answered.
-func wakeScoped(t testing.TB, s *Server, questions []*ScopedRead, n int) {
-	i := of(fmt.Sprint("x", n%100), fmt.Sprint("common", n%100), "r", "z")
-	i.StartedAtMs = int64(n + 2)
-	if _, err := s.store.Register(0, i, nil); err != nil {
+func wakeScoped(t testing.TB, s *Server, reads []*ScopedRead, change int) {
+	instance := instanceOf(fmt.Sprint("x", change%100), fmt.Sprint("common", change%100), "r", "z")
+	instance.StartedAtMs = int64(change + 2)
+	if _, err := s.store.Register(0, instance, nil); err != nil {
 		t.Fatal(err)
 	}
 	answered := 0
-	for _, q := range questions {
-		found, err := s.poll(q, false)
+	for _, read := range reads {
+		result, err := s.poll(read, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found.body != nil {
+		if result.body != nil {
 			answered++
-			q.Since = s.store.version
+			read.Since = s.store.version
 		}
-		if q.Since != s.store.version {
-			t.Fatalf("a watcher looks again at what it has looked at, from %d on", q.Since)
+		if read.Since != s.store.version {
+			t.Fatalf("a watcher looks again at what it has looked at, from %d on", read.Since)
 		}
 	}
-	if answered != len(questions)/100 {
-		t.Fatalf("%d of %d were answered", answered, len(questions))
+	if answered != len(reads)/100 {
+		t.Fatalf("%d of %d were answered", answered, len(reads))
 	}
 }
 
 // A watcher that a change does not concern costs no memory, and looks at each change once.
-func TestScopedWakeAllocates(t *testing.T) {
-	s, questions := scopedWatchers(t, 1000)
+func TestScopedWakeAllocations(t *testing.T) {
+	s, reads := scopedWatchers(t, 1000)
 	n := 0
 	for range 5 {
-		wakeScoped(t, s, questions, n)
+		wakeScoped(t, s, reads, n)
 		n++
 	}
 	allocations := testing.AllocsPerRun(50, func() {
-		wakeScoped(t, s, questions, n)
+		wakeScoped(t, s, reads, n)
 		n++
 	})
 	t.Logf("%.0f allocations for a change, 1000 watchers looking and 10 answered", allocations)
@@ -691,26 +691,26 @@
 }
 
 // The part of a list costs what it has: its bytes are those of its instances.
-func TestBytesOfScopedAnswer(t *testing.T) {
+func TestScopedAnswerSizeIsProportional(t *testing.T) {
 	limits := Limits{Lease: time.Hour, Instances: 100_000, History: 1000, HistoryBytes: 1 << 20}
 	store := NewStore(limits, "h1", 1000, -limits.Lease)
 	for n := range 4000 {
-		store.Register(0, of(fmt.Sprintf("x%05d", n), fmt.Sprint("service", n%200), fmt.Sprint("region", n%3), "zone-a"), nil)
+		store.Register(0, instanceOf(fmt.Sprintf("x%05d", n), fmt.Sprint("service", n%200), fmt.Sprint("region", n%3), "zone-a"), nil)
 	}
-	length := func(q ScopedRead) int {
-		a, err := store.ReadScoped(0, q)
+	length := func(read ScopedRead) int {
+		a, err := store.ReadScoped(0, read)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return len(a.Body)
 	}
-	everything, err := store.Read(0, -1, "")
+	full, err := store.Read(0, -1, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	perInstance := float64(len(everything.Body)) / 4000
+	perInstance := float64(len(full.Body)) / 4000
 	part := length(ScopedRead{Since: -1, Scopes: mustSet(t, "service7")})
-	t.Logf("%d bytes whole, %.0f an instance; %d bytes for a service of 20", len(everything.Body), perInstance, part)
+	t.Logf("%d bytes whole, %.0f an instance; %d bytes for a service of 20", len(full.Body), perInstance, part)
 	if float64(part) > 20*perInstance*1.05+100 {
 		t.Errorf("%d bytes for 20 instances of %.0f", part, perInstance)
 	}
@@ -718,20 +718,20 @@
 	if change := length(ScopedRead{Since: store.version - 1, History: "h1", Scopes: mustSet(t, "service7")}); float64(change) > perInstance+100 {
 		t.Errorf("%d bytes for a change", change)
 	}
-	if nothing := length(ScopedRead{Since: store.version - 1, History: "h1", Scopes: mustSet(t, "service8")}); nothing > 64 {
-		t.Errorf("%d bytes for no change", nothing)
+	if unchanged := length(ScopedRead{Since: store.version - 1, History: "h1", Scopes: mustSet(t, "service8")}); unchanged > 64 {
+		t.Errorf("%d bytes for no change", unchanged)
 	}
 }
 
 // A reader takes no answer that is longer than its limit, and keeps the list that it has.
-func TestAnswerLimit(t *testing.T) {
-	big := false
+func TestClientRejectsAnswersAboveLimit(t *testing.T) {
+	aboveLimit := false
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(HistoryHeader, "h")
-		list := Listing{Generation: 1, Reset: true, Instances: []Instance{inst("a", 1)}}
-		if big {
+		list := Listing{Generation: 1, Reset: true, Instances: []Instance{testInstance("a", 1)}}
+		if aboveLimit {
 			for n := range 100 {
-				list.Instances = append(list.Instances, inst(fmt.Sprint("b-", n), 1))
+				list.Instances = append(list.Instances, testInstance(fmt.Sprint("b-", n), 1))
 			}
 		}
 		json.NewEncoder(w).Encode(list)
@@ -740,12 +740,12 @@
 	c := NewClient([]string{server.Listener.Addr().String()}, rand.New(rand.NewPCG(1, 1)), func(Update) {})
 	const limit = 1000
 	c.SetAnswerLimit(limit)
-	ask := c.feed.Next()
-	if got := c.read(t.Context(), ask); got.err != nil || len(got.listing.Instances) != 1 {
-		t.Fatalf("a short list: %+v", got)
+	request := c.feed.Next()
+	if result := c.read(t.Context(), request); result.err != nil || len(result.listing.Instances) != 1 {
+		t.Fatalf("a short list: %+v", result)
 	}
-	big = true
-	if got := c.read(t.Context(), ask); got.err == nil || !strings.Contains(got.err.Error(), "more than 1000 bytes") {
-		t.Errorf("a list beyond the limit: %+v", got)
+	aboveLimit = true
+	if result := c.read(t.Context(), request); result.err == nil || !strings.Contains(result.err.Error(), "more than 1000 bytes") {
+		t.Errorf("a list beyond the limit: %+v", result)
 	}
 }
--- a/internal/registry/scope_model_test.go
+++ b/internal/registry/scope_model_test.go
@@ -30,17 +30,17 @@
 
 // scopedReader is a reader in the model, with what whoever uses its news has.
 type scopedReader struct {
-	feed    *Feed
-	has     map[string]Instance
-	pending *pendingCall
+	feed      *Feed
+	instances map[string]Instance
+	pending   *pendingRead
 }
 
 // pendingCall is a watch that a service has not answered.
-type pendingCall struct {
-	service *Server
-	ask     ReadRequest
+type pendingRead struct {
+	server  *Server
+	request ReadRequest
 	watch   *scopedWatch
-	news    <-chan struct{}
+	changed <-chan struct{}
 }
 
 // modelList is the list at a version, and the services that are known then.
@@ -51,54 +51,54 @@
 
 // scopedFollower is a follower that copies another service.
 type scopedFollower struct {
-	service *Server
-	source  string
-	copying *Feed
+	server *Server
+	source string
+	feed   *Feed
 }
 
 // scopedWorld is a writer, two followers, of which the second copies the first, and
 // readers of all three.
-type scopedWorld struct {
-	t         *testing.T
-	random    *rand.Rand
-	defect    string
-	now       time.Duration
-	writer    *Server
-	followers map[string]*scopedFollower
-	readers   []*scopedReader
-	models    map[string]modelList
-	services  map[string]bool // known now
-	histories int
-	err       error // the first that was found
-	moves     int
-	joins     int
-	refused   int
+type scopedModel struct {
+	t              *testing.T
+	random         *rand.Rand
+	defect         string
+	now            time.Duration
+	writer         *Server
+	followers      map[string]*scopedFollower
+	readers        []*scopedReader
+	listsByVersion map[string]modelList
+	services       map[string]bool // known now
+	histories      int
+	err            error // the first that was found
+	moves          int
+	scopeAdditions int
+	refused        int
 }
 
 var scopedLimits = Limits{Lease: 10 * time.Second, Instances: 50, History: 40, HistoryBytes: 1 << 20}
 
-func newScopedWorld(t *testing.T, seed uint64, defect string) *scopedWorld {
+func newScopedModel(t *testing.T, seed uint64, defect string) *scopedModel {
 	random := rand.New(rand.NewPCG(seed, 11))
-	w := &scopedWorld{t: t, random: random, defect: defect, models: map[string]modelList{}, followers: map[string]*scopedFollower{}}
-	w.begin()
+	w := &scopedModel{t: t, random: random, defect: defect, listsByVersion: map[string]modelList{}, followers: map[string]*scopedFollower{}}
+	w.beginHistory()
 	for name, source := range map[string]string{"first": "writer", "second": "first"} {
 		w.followers[name] = &scopedFollower{source: source}
 		w.restartEmpty(w.followers[name])
 	}
 	for range 8 {
-		w.readers = append(w.readers, &scopedReader{feed: NewFeed([]string{"writer", "first", "second"}, random), has: map[string]Instance{}})
+		w.readers = append(w.readers, &scopedReader{feed: NewFeed([]string{"writer", "first", "second"}, random), instances: map[string]Instance{}})
 	}
 	return w
 }
 
-func (w *scopedWorld) failf(format string, args ...any) {
+func (w *scopedModel) failf(format string, args ...any) {
 	if w.err == nil {
 		w.err = fmt.Errorf(format, args...)
 	}
 }
 
 // serve puts a store behind a server, whose looks answer readers.
-func (w *scopedWorld) serve(store *Store, source string) *Server {
+func (w *scopedModel) newServer(store *Store, source string) *Server {
 	s := NewWriter("self", store, ServerLimits{Connections: 1, Watchers: 1, ListingsPerSecond: 1e9}, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	if source != "" {
 		s.writer.Store(&source)
@@ -106,27 +106,27 @@
 	return s
 }
 
-func (w *scopedWorld) begin() {
+func (w *scopedModel) beginHistory() {
 	w.histories++
-	w.writer = w.serve(NewStore(scopedLimits, fmt.Sprint("h", w.histories), int64(w.histories)*100_000, w.now), "")
+	w.writer = w.newServer(NewStore(scopedLimits, fmt.Sprint("h", w.histories), int64(w.histories)*100_000, w.now), "")
 	w.services = map[string]bool{}
-	w.remember()
+	w.recordList()
 }
 
-func (w *scopedWorld) restartEmpty(f *scopedFollower) {
+func (w *scopedModel) restartEmpty(follower *scopedFollower) {
 	store := newStore(scopedLimits, w.now)
 	store.gatheringUntil = math.MaxInt64
-	f.service, f.copying = w.serve(store, f.source), NewFeed([]string{f.source}, w.random)
+	follower.server, follower.feed = w.newServer(store, follower.source), NewFeed([]string{follower.source}, w.random)
 }
 
-func (w *scopedWorld) service(address string) *Server {
+func (w *scopedModel) serverAt(address string) *Server {
 	if address == "writer" {
 		return w.writer
 	}
-	return w.followers[address].service
+	return w.followers[address].server
 }
 
-func listOf(s *Store) map[string]Instance {
+func instancesOf(s *Store) map[string]Instance {
 	list := map[string]Instance{}
 	for id, e := range s.entries {
 		list[id] = e.Instance
@@ -135,9 +135,9 @@
 }
 
 // remember notes the writer's list at its version.
-func (w *scopedWorld) remember() {
+func (w *scopedModel) recordList() {
 	store := w.writer.store
-	list := modelList{instances: listOf(store), services: w.services}
+	list := modelList{instances: instancesOf(store), services: w.services}
 	for _, i := range list.instances {
 		if i.Service != "" && !w.services[i.Service] {
 			list.services = maps.Clone(w.services)
@@ -145,7 +145,7 @@
 			w.services = list.services
 		}
 	}
-	w.models[at(store.history, store.version)] = list
+	w.listsByVersion[versionKey(store.history, store.version)] = list
 	w.wake(w.writer)
 	if w.defect == defectFoldMoves {
 		for n := range store.changes {
@@ -157,7 +157,7 @@
 }
 
 // wake lets a service wake the watches that its news concern.
-func (w *scopedWorld) wake(s *Server) {
+func (w *scopedModel) wake(s *Server) {
 	switch w.defect {
 	case defectResumeAsleep:
 		return
@@ -180,15 +180,15 @@
 }
 
 // randomInstance is one anywhere.
-func (w *scopedWorld) randomInstance(id string, started int64) Instance {
-	i := inst(id, started)
+func (w *scopedModel) randomInstance(id string, started int64) Instance {
+	i := testInstance(id, started)
 	i.Service = []string{"", "a", "a", "b", "b", "c", "d"}[w.random.IntN(7)]
 	i.Region = []string{"", "r1", "r2"}[w.random.IntN(3)]
 	i.Zone = []string{"z1", "z2", "z3"}[w.random.IntN(3)]
 	return i
 }
 
-func (w *scopedWorld) randomScopes() (scopes []Scope) {
+func (w *scopedModel) randomScopes() (scopes []Scope) {
 	if w.random.IntN(12) == 0 {
 		return nil
 	}
@@ -206,29 +206,29 @@
 }
 
 // look has a service look at a question once, through the planted defect.
-func (w *scopedWorld) look(call *pendingCall, last bool) (watchResult, error) {
-	s, question := call.service, &call.watch.read
-	s.startedAt = time.Now().Add(-w.now)
-	asked := *question
+func (w *scopedModel) pollRead(pending *pendingRead, final bool) (watchResult, error) {
+	server, read := pending.server, &pending.watch.read
+	server.startedAt = time.Now().Add(-w.now)
+	original := *read
 	switch w.defect {
 	case defectScopeHeld:
-		question.Held = question.Scopes
+		read.Held = read.Scopes
 	case defectResumeHistory:
-		if question.Since >= 0 && question.History != s.store.history && s.store.history != "" {
-			question.History, question.Since = s.store.history, s.store.version
+		if read.Since >= 0 && read.History != server.store.history && server.store.history != "" {
+			read.History, read.Since = server.store.history, server.store.version
 		}
 	case defectFoldFirst:
-		kept := s.store.changes
-		defer func() { s.store.changes = kept; s.store.clearCache() }()
-		s.store.clearCache()
-		s.store.changes = foldedToFirst(kept, question.Since)
+		kept := server.store.changes
+		defer func() { server.store.changes = kept; server.store.clearCache() }()
+		server.store.clearCache()
+		server.store.changes = foldedToFirst(kept, read.Since)
 	}
-	found, news, err := s.pollWatch(call.watch, last)
-	call.news = news
-	if w.defect == defectResumeHistory && asked.Since >= 0 && asked.History != "" {
-		found.history = asked.History
+	result, changed, err := server.pollWatch(pending.watch, final)
+	pending.changed = changed
+	if w.defect == defectResumeHistory && original.Since >= 0 && original.History != "" {
+		result.history = original.History
 	}
-	return found, err
+	return result, err
 }
 
 // foldedToFirst are changes of which each instance's are all as the first behind a version.
@@ -250,299 +250,299 @@
 }
 
 // read takes a reader's next step: it asks, or its watch goes on or ends.
-func (w *scopedWorld) read(r *scopedReader, last bool) {
-	call := r.pending
-	r.pending = nil
-	if call != nil {
-		call.service.endWatch(call.watch)
-	}
-	if call != nil && call.service != w.service(call.ask.Address) {
-		r.feed.Failed(0) // the service has been replaced under the call
+func (w *scopedModel) step(reader *scopedReader, final bool) {
+	pending := reader.pending
+	reader.pending = nil
+	if pending != nil {
+		pending.server.endWatch(pending.watch)
+	}
+	if pending != nil && pending.server != w.serverAt(pending.request.Address) {
+		reader.feed.Failed(0) // the service has been replaced under the call
 		return
 	}
-	waited := call != nil
+	waited := pending != nil
 	if !waited {
-		ask := r.feed.Next()
-		question := ScopedRead{Since: ask.Since, History: ask.History, Scopes: ask.Scopes, Held: ask.Held}
-		if ask.Full {
-			question.Since, question.Held = -1, ask.Scopes
+		request := reader.feed.Next()
+		read := ScopedRead{Since: request.Since, History: request.History, Scopes: request.Scopes, Held: request.Held}
+		if request.Full {
+			read.Since, read.Held = -1, request.Scopes
 		}
-		if question.addsScopes() {
-			w.joins++
+		if read.addsScopes() {
+			w.scopeAdditions++
 		}
-		call = &pendingCall{service: w.service(ask.Address), ask: ask, watch: newScopedWatch(question)}
+		pending = &pendingRead{server: w.serverAt(request.Address), request: request, watch: newScopedWatch(read)}
 	}
 	if waited && w.defect == defectResumeSkips {
-		call.watch.read.Since = max(call.watch.read.Since, call.service.store.version)
+		pending.watch.read.Since = max(pending.watch.read.Since, pending.server.store.version)
 	}
-	last = last || !call.ask.IsLongPoll() || w.random.IntN(3) == 0
-	if waited && !last && len(call.news) == 0 && call.ask.Scopes != nil { // nobody wakes it
-		if q, store := call.watch.read, call.service.store; q.Since <= store.version && !store.NoChangesFor(q) {
-			w.failf("a watch that is at %s/%d is not woken at %s/%d", q.History, q.Since, store.history, store.version)
+	final = final || !pending.request.IsLongPoll() || w.random.IntN(3) == 0
+	if waited && !final && len(pending.changed) == 0 && pending.request.Scopes != nil { // nobody wakes it
+		if read, store := pending.watch.read, pending.server.store; read.Since <= store.version && !store.NoChangesFor(read) {
+			w.failf("a watch that is at %s/%d is not woken at %s/%d", read.History, read.Since, store.history, store.version)
 		}
-		call.service.watches[call.watch] = struct{}{}
-		r.pending = call
+		pending.server.watches[pending.watch] = struct{}{}
+		reader.pending = pending
 		return
 	}
-	found, err := w.look(call, last)
+	result, err := w.pollRead(pending, final)
 	switch {
 	case err != nil:
-		r.feed.Failed(0)
+		reader.feed.Failed(0)
 		return
-	case found.body == nil:
-		r.pending = call
+	case result.body == nil:
+		reader.pending = pending
 		return
 	case w.random.IntN(6) == 0: // the answer is lost
-		r.feed.Failed(0)
+		reader.feed.Failed(0)
 		return
 	case w.random.IntN(12) == 0: // or cut short
-		found.body = found.body[:w.random.IntN(len(found.body))]
+		result.body = result.body[:w.random.IntN(len(result.body))]
 	}
-	l, err := ParseListing(found.body)
+	listing, err := ParseListing(result.body)
 	if err != nil {
-		r.feed.Failed(0)
+		reader.feed.Failed(0)
 		return
 	}
 	if w.defect == defectResumeAhead {
-		l.Generation++
+		listing.Generation++
 	}
-	if !last && w.random.IntN(10) == 0 {
-		w.rescope(r) // meanwhile
+	if !final && w.random.IntN(10) == 0 {
+		w.changeScopes(reader) // meanwhile
 	}
-	w.take(r, call.ask, l, found.history)
+	w.handleAnswer(reader, pending.request, listing, result.history)
 }
 
 // take has a reader take an answer and looks what it then has.
-func (w *scopedWorld) take(r *scopedReader, ask ReadRequest, l Listing, history string) {
-	f := r.feed
+func (w *scopedModel) handleAnswer(reader *scopedReader, request ReadRequest, listing Listing, history string) {
+	feed := reader.feed
 	if w.defect == defectScopeLate {
-		ask.revision = f.revision
+		request.revision = feed.revision
 	}
-	before, was := f.version, f.history
-	revision := f.revision
-	news, err := f.AnsweredTo(ask, l, history, 0)
+	versionBefore, historyBefore := feed.version, feed.history
+	revision := feed.revision
+	changes, err := feed.AnsweredTo(request, listing, history, 0)
 	if err != nil {
 		w.refused++
-		f.Failed(0)
+		feed.Failed(0)
 		return
 	}
-	if ask.revision != revision {
+	if request.revision != revision {
 		w.failf("an answer to scopes of before was taken")
 	}
-	if was == f.history && f.version < before {
-		w.failf("a reader goes back from %d to %d of %s", before, f.version, f.history)
+	if historyBefore == feed.history && feed.version < versionBefore {
+		w.failf("a reader goes back from %d to %d of %s", versionBefore, feed.version, feed.history)
 	}
-	w.apply(r, news)
-	model, there := w.models[at(f.history, f.version)]
-	if !there {
-		w.failf("a reader says to be at %s/%d, which never was", f.history, f.version)
+	w.apply(reader, changes)
+	model, recorded := w.listsByVersion[versionKey(feed.history, feed.version)]
+	if !recorded {
+		w.failf("a reader says to be at %s/%d, which never was", feed.history, feed.version)
 		return
 	}
-	if want := restricted(model.instances, f.wanted); !maps.Equal(f.instances, want) {
-		w.failf("at %s/%d a reader of %v has %v, the list was %v", f.history, f.version, f.wanted.Strings(), f.instances, want)
+	if want := restricted(model.instances, feed.wanted); !maps.Equal(feed.instances, want) {
+		w.failf("at %s/%d a reader of %v has %v, the list was %v", feed.history, feed.version, feed.wanted.Strings(), feed.instances, want)
 	}
-	for _, scope := range f.wanted.Scopes() {
-		if unknown := slices.Contains(f.unknown, scope); unknown == model.services[scope.Service] {
-			w.failf("at %s/%d %v is told as unknown: %t, the services were %v", f.history, f.version, scope, unknown, model.services)
+	for _, scope := range feed.wanted.Scopes() {
+		if unknown := slices.Contains(feed.unknown, scope); unknown == model.services[scope.Service] {
+			w.failf("at %s/%d %v is told as unknown: %t, the services were %v", feed.history, feed.version, scope, unknown, model.services)
 		}
 	}
 }
 
 // apply hands news to whoever uses them.
-func (w *scopedWorld) apply(r *scopedReader, news Listing) {
-	if news.Reset {
-		clear(r.has)
-	}
-	for _, i := range news.Instances {
-		was, there := r.has[i.ID]
-		if i.Lifecycle == Gone && !there || there && was == i {
-			w.failf("told twice: %v", i)
+func (w *scopedModel) apply(reader *scopedReader, changes Listing) {
+	if changes.Reset {
+		clear(reader.instances)
+	}
+	for _, instance := range changes.Instances {
+		previous, existed := reader.instances[instance.ID]
+		if instance.Lifecycle == Gone && !existed || existed && previous == instance {
+			w.failf("told twice: %v", instance)
 		}
-		if r.has[i.ID] = i; i.Lifecycle == Gone {
-			delete(r.has, i.ID)
+		if reader.instances[instance.ID] = instance; instance.Lifecycle == Gone {
+			delete(reader.instances, instance.ID)
 		}
 	}
-	if !maps.Equal(r.has, r.feed.instances) {
-		w.failf("the news lead to %v, the reader has %v", r.has, r.feed.instances)
+	if !maps.Equal(reader.instances, reader.feed.instances) {
+		w.failf("the news lead to %v, the reader has %v", reader.instances, reader.feed.instances)
 	}
 }
 
 // rescope changes a reader's scopes, or drops one and adds it again at once.
-func (w *scopedWorld) rescope(r *scopedReader) {
-	f := r.feed
+func (w *scopedModel) changeScopes(reader *scopedReader) {
+	feed := reader.feed
 	set := func(scopes []Scope) {
-		before := maps.Clone(f.instances)
-		news := f.SetScopes(scopes)
+		before := maps.Clone(feed.instances)
+		changes := feed.SetScopes(scopes)
 		if w.defect == defectScopeStays {
-			f.instances, news.Instances = before, nil
+			feed.instances, changes.Instances = before, nil
 		}
-		w.apply(r, news)
-		if f.held != nil {
-			if want := restricted(w.models[at(f.history, f.version)].instances, f.held); !maps.Equal(f.instances, want) {
-				w.failf("at %s/%d a reader that holds %v has %v, the list was %v", f.history, f.version, f.held.Strings(), f.instances, want)
+		w.apply(reader, changes)
+		if feed.held != nil {
+			if want := restricted(w.listsByVersion[versionKey(feed.history, feed.version)].instances, feed.held); !maps.Equal(feed.instances, want) {
+				w.failf("at %s/%d a reader that holds %v has %v, the list was %v", feed.history, feed.version, feed.held.Strings(), feed.instances, want)
 			}
 		}
 	}
-	now := f.wanted.Scopes()
+	wanted := feed.wanted.Scopes()
 	switch {
-	case len(now) > 1 && w.random.IntN(3) == 0:
-		set(now[1:])
-		set(now)
-	case len(now) > 0 && w.random.IntN(2) == 0:
-		set(append(now[w.random.IntN(2):], w.randomScopes()...))
+	case len(wanted) > 1 && w.random.IntN(3) == 0:
+		set(wanted[1:])
+		set(wanted)
+	case len(wanted) > 0 && w.random.IntN(2) == 0:
+		set(append(wanted[w.random.IntN(2):], w.randomScopes()...))
 	default:
 		set(w.randomScopes())
 	}
-	if r.pending != nil { // its call is ended
-		r.pending.service.endWatch(r.pending.watch)
-		r.pending = nil
+	if reader.pending != nil { // its call is ended
+		reader.pending.server.endWatch(reader.pending.watch)
+		reader.pending = nil
 	}
 }
 
 // follow takes a follower's next step.
-func (w *scopedWorld) follow(f *scopedFollower) {
-	ask := f.copying.Next()
-	question := ScopedRead{Since: ask.Since, History: ask.History}
-	if ask.Full {
-		question.Since = -1
+func (w *scopedModel) replicate(follower *scopedFollower) {
+	request := follower.feed.Next()
+	read := ScopedRead{Since: request.Since, History: request.History}
+	if request.Full {
+		read.Since = -1
 	}
-	source := w.service(f.source)
+	source := w.serverAt(follower.source)
 	source.startedAt = time.Now().Add(-w.now)
-	found, err := source.poll(&question, true)
+	result, err := source.poll(&read, true)
 	if err != nil || w.random.IntN(6) == 0 {
-		f.copying.Failed(0)
+		follower.feed.Failed(0)
 		return
 	}
-	l, err := ParseListing(found.body)
+	listing, err := ParseListing(result.body)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if _, err := f.copying.Answered(l, found.history, 0); err != nil {
-		f.copying.Failed(0)
+	if _, err := follower.feed.Answered(listing, result.history, 0); err != nil {
+		follower.feed.Failed(0)
 		return
 	}
 	if w.defect == defectFoldFollower {
-		l.Moved = nil
+		listing.Moved = nil
 	}
-	store := f.service.store
+	store := follower.server.store
 	store.gatheringUntil = 0
-	if err := store.ApplyListing(w.now, l, found.history); err != nil {
+	if err := store.ApplyListing(w.now, listing, result.history); err != nil {
 		w.t.Fatal(err)
 	}
-	w.wake(f.service)
-	if w.defect == defectResumeForgets && l.Reset {
+	w.wake(follower.server)
+	if w.defect == defectResumeForgets && listing.Reset {
 		store.baseVersion = 0
 	}
-	if !maps.Equal(listOf(store), f.copying.instances) {
-		w.failf("a follower has %v, its reader %v", listOf(store), f.copying.instances)
+	if !maps.Equal(instancesOf(store), follower.feed.instances) {
+		w.failf("a follower has %v, its reader %v", instancesOf(store), follower.feed.instances)
 	}
 }
 
 // change does something to the list or to a service.
-func (w *scopedWorld) change(starts int64) {
+func (w *scopedModel) change(startedAtMs int64) {
 	store := w.writer.store
 	id := fmt.Sprint("i", w.random.IntN(12))
-	e := store.entries[id]
+	existing := store.entries[id]
 	switch action := w.random.IntN(10); {
 	case action < 4:
-		i := w.randomInstance(id, starts)
-		if e != nil && w.random.IntN(3) == 0 {
-			i.Service, i.Region, i.Zone = e.Service, e.Region, e.Zone
+		instance := w.randomInstance(id, startedAtMs)
+		if existing != nil && w.random.IntN(3) == 0 {
+			instance.Service, instance.Region, instance.Zone = existing.Service, existing.Region, existing.Zone
 		}
-		if e != nil && e.Service != "" && e.placement() != i.placement() {
+		if existing != nil && existing.Service != "" && existing.placement() != instance.placement() {
 			w.moves++
 		}
-		store.Register(w.now, i, nil)
-	case action < 5 && e != nil:
-		store.SetLifecycle(w.now, id, e.StartedAtMs, []Lifecycle{Ready, Terminating}[w.random.IntN(2)], nil)
-	case action < 6 && e != nil:
-		store.Leave(w.now, id, e.StartedAtMs, nil)
-	case action < 8 && e != nil:
-		store.Renew(w.now, id, e.StartedAtMs)
+		store.Register(w.now, instance, nil)
+	case action < 5 && existing != nil:
+		store.SetLifecycle(w.now, id, existing.StartedAtMs, []Lifecycle{Ready, Terminating}[w.random.IntN(2)], nil)
+	case action < 6 && existing != nil:
+		store.Leave(w.now, id, existing.StartedAtMs, nil)
+	case action < 8 && existing != nil:
+		store.Renew(w.now, id, existing.StartedAtMs)
 	case action < 9:
 		store.lapseCredit = 0 // one at a time, so that the list at each version is known
 		store.Tick(w.now)
 	case w.random.IntN(12) == 0:
-		w.disturb()
+		w.injectFault()
 	}
-	w.remember()
+	w.recordList()
 }
 
 // disturb restarts, replaces or empties a service.
-func (w *scopedWorld) disturb() {
+func (w *scopedModel) injectFault() {
 	first := w.followers["first"]
 	switch w.random.IntN(7) {
 	case 0: // the writer starts again with what lasts
-		w.writer = w.serve(restarted(w.t, w.writer.store, w.now), "")
+		w.writer = w.newServer(restoredStore(w.t, w.writer.store, w.now), "")
 	case 1: // or from nothing
 		if w.random.IntN(2) == 0 {
-			w.begin()
+			w.beginHistory()
 		}
 	case 2:
 		w.now += time.Minute
 	case 3, 4: // a follower starts empty
 		w.restartEmpty(w.followers[[]string{"first", "second"}[w.random.IntN(2)]])
 	case 5: // or with its copy, which is older than what its readers have by now
-		if first.service.store.history == "" {
+		if first.server.store.history == "" {
 			return
 		}
-		store := restarted(w.t, first.service.store, w.now)
-		first.service, first.copying = w.serve(store, first.source), NewFeed([]string{first.source}, w.random)
+		store := restoredStore(w.t, first.server.store, w.now)
+		first.server, first.feed = w.newServer(store, first.source), NewFeed([]string{first.source}, w.random)
 	case 6: // a follower is put in the writer's place
-		store := first.service.store
+		store := first.server.store
 		if store.history == "" {
 			return
 		}
-		w.services = w.models[at(store.history, store.version)].services
+		w.services = w.listsByVersion[versionKey(store.history, store.version)].services
 		w.histories++
 		if err := store.Restore(w.now, store.PromotionRecord(w.now, fmt.Sprint("h", w.histories), int64(w.histories)*100_000)); err != nil {
 			w.t.Fatal(err)
 		}
 		store.gatheringUntil, store.lastTick = 0, w.now
 		store.renewAll(w.now)
-		w.writer = w.serve(store, "")
+		w.writer = w.newServer(store, "")
 		w.restartEmpty(first)
 	}
 }
 
 // runScopedModel plays a seed and returns what is wrong.
-func runScopedModel(t *testing.T, seed uint64, defect string) (*scopedWorld, error) {
-	w := newScopedWorld(t, seed, defect)
+func runScopedModel(t *testing.T, seed uint64, defect string) (*scopedModel, error) {
+	model := newScopedModel(t, seed, defect)
 	for step := range int64(2500) {
-		w.now += time.Duration(w.random.IntN(200)) * time.Millisecond
-		switch action := w.random.IntN(20); {
+		model.now += time.Duration(model.random.IntN(200)) * time.Millisecond
+		switch action := model.random.IntN(20); {
 		case action < 7:
-			w.change(step)
+			model.change(step)
 		case action < 9:
-			w.follow(w.followers["first"])
+			model.replicate(model.followers["first"])
 		case action < 11:
-			w.follow(w.followers["second"])
+			model.replicate(model.followers["second"])
 		case action < 12:
-			w.rescope(w.readers[w.random.IntN(len(w.readers))])
+			model.changeScopes(model.readers[model.random.IntN(len(model.readers))])
 		default:
-			w.read(w.readers[w.random.IntN(len(w.readers))], false)
+			model.step(model.readers[model.random.IntN(len(model.readers))], false)
 		}
-		if w.err != nil {
-			return w, fmt.Errorf("seed %d, step %d: %w", seed, step, w.err)
+		if model.err != nil {
+			return model, fmt.Errorf("seed %d, step %d: %w", seed, step, model.err)
 		}
 	}
-	w.settle()
-	return w, cmp.Or(w.err)
+	model.settle()
+	return model, cmp.Or(model.err)
 }
 
 // settle lets all come to the last version.
-func (w *scopedWorld) settle() {
+func (w *scopedModel) settle() {
 	w.now += time.Minute
 	for range 60 {
-		w.follow(w.followers["first"])
-		w.follow(w.followers["second"])
+		w.replicate(w.followers["first"])
+		w.replicate(w.followers["second"])
 		for _, r := range w.readers {
-			w.read(r, true)
+			w.step(r, true)
 		}
 	}
 	store := w.writer.store
 	for n, r := range w.readers {
-		want := restricted(listOf(store), r.feed.wanted)
+		want := restricted(instancesOf(store), r.feed.wanted)
 		if f := r.feed; f.history != store.history || f.version != store.version || !maps.Equal(f.instances, want) {
 			w.failf("reader %d ends at %s/%d with %v; the list is at %s/%d with %v", n, f.history, f.version, f.instances, store.history, store.version, want)
 		}
@@ -552,24 +552,24 @@
 // Whatever happens, and whatever gets lost, every reader has at each version that it says
 // to be at the list restricted to its scopes, told without gaps and not twice, and comes to
 // the last version in the end.
-func TestScopesAgainstModel(t *testing.T) {
-	moves, joins, refused := 0, 0, 0
+func TestScopedReadersMatchModel(t *testing.T) {
+	moves, scopeAdditions, refused := 0, 0, 0
 	for seed := range uint64(8) {
-		w, err := runScopedModel(t, seed, defectNone)
+		model, err := runScopedModel(t, seed, defectNone)
 		if err != nil {
 			t.Fatal(err)
 		}
-		moves, joins, refused = moves+w.moves, joins+w.joins, refused+w.refused
+		moves, scopeAdditions, refused = moves+model.moves, scopeAdditions+model.scopeAdditions, refused+model.refused
 	}
-	t.Logf("%d moves, %d calls that add scopes, %d answers refused", moves, joins, refused)
-	if moves < 500 || joins < 400 || refused < 80 {
+	t.Logf("%d moves, %d calls that add scopes, %d answers refused", moves, scopeAdditions, refused)
+	if moves < 500 || scopeAdditions < 400 || refused < 80 {
 		t.Error("the model meets too little")
 	}
 }
 
 // The model finds each defect that is planted into a change of scopes, the folding of
 // changes or the resumption of a watch.
-func TestScopesModelFindsDefects(t *testing.T) {
+func TestScopedModelFindsPlantedDefects(t *testing.T) {
 	for _, defect := range []string{defectScopeHeld, defectScopeStays, defectScopeLate, defectFoldMoves, defectFoldFollower,
 		defectFoldFirst, defectResumeSkips, defectResumeAsleep, defectResumePassed, defectResumeForgets, defectResumeHistory, defectResumeAhead} {
 		const seeds = 5
--- a/internal/registry/scope_test.go
+++ b/internal/registry/scope_test.go
@@ -27,8 +27,8 @@
 }
 
 // of is an instance of a service.
-func of(id, service, region, zone string) Instance {
-	i := inst(id, 1)
+func instanceOf(id, service, region, zone string) Instance {
+	i := testInstance(id, 1)
 	i.Service, i.Region, i.Zone = service, region, zone
 	return i
 }
@@ -70,7 +70,7 @@
 }
 
 func TestScopeMatches(t *testing.T) {
-	instances := []Instance{of("1", "a", "r1", "z1"), of("2", "a", "r1", "z2"), of("3", "a", "r2", "z1"), of("4", "b", "r1", "z1"), of("5", "", "r1", "z1"), of("6", "a", "", "z3")}
+	instances := []Instance{instanceOf("1", "a", "r1", "z1"), instanceOf("2", "a", "r1", "z2"), instanceOf("3", "a", "r2", "z1"), instanceOf("4", "b", "r1", "z1"), instanceOf("5", "", "r1", "z1"), instanceOf("6", "a", "", "z3")}
 	for _, c := range []struct {
 		scopes []string
 		ids    string
@@ -110,34 +110,34 @@
 
 // Scopes are known as long as the list or its history has their services; services without
 // instances are remembered within a bound, the oldest forgotten first, and in snapshots.
-func TestUnknownIsNotEmpty(t *testing.T) {
+func TestUnknownAndEmptyServicesDiffer(t *testing.T) {
 	limits := testLimits
 	limits.EmptyServices = 2
 	s := newTestStore(limits, 0)
-	ask := func(s *Store, texts ...string) Listing {
+	readScopes := func(s *Store, texts ...string) Listing {
 		t.Helper()
 		a, err := s.ReadScoped(0, ScopedRead{Since: -1, Scopes: mustSet(t, texts...)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, err := ParseListing(a.Body)
+		listing, err := ParseListing(a.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return l
+		return listing
 	}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		s.Register(0, of("i-"+name, name, "r", "z"), nil)
+		s.Register(0, instanceOf("i-"+name, name, "r", "z"), nil)
 	}
-	if l := ask(s, "a", "b@region=other", "never@zone=z"); len(l.Instances) != 1 || !slices.Equal(l.Unknown, []string{"never@zone=z"}) {
-		t.Errorf("%+v", l)
+	if listing := readScopes(s, "a", "b@region=other", "never@zone=z"); len(listing.Instances) != 1 || !slices.Equal(listing.Unknown, []string{"never@zone=z"}) {
+		t.Errorf("%+v", listing)
 	}
 	for _, name := range []string{"c", "a", "b"} {
 		s.Leave(0, "i-"+name, 1, nil)
 	}
-	for n, store := range []*Store{s, restarted(t, s, 0)} {
-		if l := ask(store, "a", "b", "c", "d"); len(l.Instances) != 1 || !slices.Equal(l.Unknown, []string{"c"}) {
-			t.Errorf("%d: %+v", n, l)
+	for n, store := range []*Store{s, restoredStore(t, s, 0)} {
+		if listing := readScopes(store, "a", "b", "c", "d"); len(listing.Instances) != 1 || !slices.Equal(listing.Unknown, []string{"c"}) {
+			t.Errorf("%d: %+v", n, listing)
 		}
 		if st := store.Stats(); st.Services != 3 || st.EmptyServices != 2 {
 			t.Errorf("%d: %+v", n, st)
@@ -145,27 +145,27 @@
 	}
 	follower := newStore(limits, 0)
 	a, _ := s.Read(0, -1, "")
-	l, err := ParseListing(a.Body)
-	if err != nil || !slices.Equal(l.EmptyServices, []string{"a", "b"}) {
+	listing, err := ParseListing(a.Body)
+	if err != nil || !slices.Equal(listing.EmptyServices, []string{"a", "b"}) {
 		t.Fatalf("%s, %v", a.Body, err)
 	}
-	if err := follower.ApplyListing(0, l, "h1"); err != nil {
+	if err := follower.ApplyListing(0, listing, "h1"); err != nil {
 		t.Fatal(err)
 	}
-	if l := ask(follower, "a", "b", "c", "d"); !slices.Equal(l.Unknown, []string{"c"}) {
-		t.Errorf("a follower: %+v", l)
+	if listing := readScopes(follower, "a", "b", "c", "d"); !slices.Equal(listing.Unknown, []string{"c"}) {
+		t.Errorf("a follower: %+v", listing)
 	}
 }
 
 // What a list without services has always been, to the byte: whole, in changes, and in the
 // records of a snapshot.
-func TestBytesWithoutServices(t *testing.T) {
+func TestEncodingWithoutServicesIsUnchanged(t *testing.T) {
 	s := newTestStore(testLimits, 0)
-	s.Register(0, inst("a", 5), nil)
-	s.Register(0, inst("b", 6), nil)
+	s.Register(0, testInstance("a", 5), nil)
+	s.Register(0, testInstance("b", 6), nil)
 	s.SetLifecycle(0, "a", 5, Terminating, nil)
 	s.Leave(0, "a", 5, nil)
-	moved := inst("b", 7)
+	moved := testInstance("b", 7)
 	moved.Zone = "other"
 	s.Register(0, moved, nil)
 	const (
@@ -190,7 +190,7 @@
 			t.Errorf("%s", encodeRecord(r))
 		}
 	}
-	copied := Record{Copy: &CopyRecord{"h1", 1, whole(5)}}
+	copied := Record{Copy: &CopyRecord{"h1", 1, fullList(5)}}
 	if text := string(encodeRecord(copied)); text != `{"copy":{"history":"h1","epoch":1,"listing":{"generation":5,"reset":true,"instances":null}}}` {
 		t.Errorf("%s", text)
 	}
@@ -199,34 +199,34 @@
 // An instance that moves to another service is Gone for the readers of the one and new for
 // those of the other, also after a restart, and from a follower for readers from between
 // its versions.
-func TestInstanceMoves(t *testing.T) {
+func TestMovedInstanceIsGoneFromItsOldScope(t *testing.T) {
 	s := newTestStore(testLimits, 0)
 	move := func(started int64, service, region string) int64 {
-		i := of("x", service, region, "z")
+		i := instanceOf("x", service, region, "z")
 		i.StartedAtMs = started
-		w, err := s.Register(0, i, nil)
+		result, err := s.Register(0, i, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return w.Version
+		return result.Version
 	}
 	inA := move(1, "a", "r1")
-	log, copied := s.SnapshotRecords(), []Record(nil)
-	a, _ := s.Read(0, -1, "")
-	l, _ := ParseListing(a.Body)
+	log, followerLog := s.SnapshotRecords(), []Record(nil)
+	answer, _ := s.Read(0, -1, "")
+	listing, _ := ParseListing(answer.Body)
 	follower := newStore(testLimits, 0)
-	keep := func(l Listing) {
-		copied = append(copied, Record{Copy: &CopyRecord{"h1", 1, l}})
-		if err := follower.ApplyListing(0, l, "h1"); err != nil {
+	replicate := func(listing Listing) {
+		followerLog = append(followerLog, Record{Copy: &CopyRecord{"h1", 1, listing}})
+		if err := follower.ApplyListing(0, listing, "h1"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	replayed := func(log []Record) *Store {
 		again := newStore(testLimits, 0)
 		for _, r := range log {
-			read, err := ParseRecord(encodeRecord(r))
+			record, err := ParseRecord(encodeRecord(r))
 			if err == nil {
-				err = again.Restore(0, read)
+				err = again.Restore(0, record)
 			}
 			if err != nil {
 				t.Fatal(err)
@@ -234,40 +234,40 @@
 		}
 		return again
 	}
-	keep(l)
+	replicate(listing)
 	inB := move(2, "b", "r1")
 	inC := move(3, "c", "r2")
-	a, _ = s.Read(0, inA, "h1")
-	if l, _ = ParseListing(a.Body); len(l.Moved) != 1 || len(l.Moved[0].From) != 2 {
-		t.Fatalf("%s", a.Body)
+	answer, _ = s.Read(0, inA, "h1")
+	if listing, _ = ParseListing(answer.Body); len(listing.Moved) != 1 || len(listing.Moved[0].From) != 2 {
+		t.Fatalf("%s", answer.Body)
 	}
-	keep(l)
+	replicate(listing)
 	for _, c := range s.changes[len(s.changes)-2:] { // as they are kept in a log
 		log = append(log, Record{Change: &InstanceRecord{Version: c.version, Instance: c.encoded}})
 	}
-	for name, store := range map[string]*Store{"the writer": s, "after a restart": restarted(t, s, 0), "a follower": follower, "a follower after a restart": restarted(t, follower, 0),
-		"from the log": replayed(log), "a follower from its log": replayed(copied)} {
+	for name, store := range map[string]*Store{"the writer": s, "after a restart": restoredStore(t, s, 0), "a follower": follower, "a follower after a restart": restoredStore(t, follower, 0),
+		"from the log": replayed(log), "a follower from its log": replayed(followerLog)} {
 		for _, c := range []struct {
 			since int64
 			scope string
 			want  Lifecycle
 		}{{inA, "a", Gone}, {inA, "a@region=r1", Gone}, {inA, "a@region=r2", ""}, {inB, "b", Gone}, {inB, "b@zone=z", Gone}, {inA, "c", Ready}, {inB, "c@region=r2", Ready},
 			{inC, "c", ""}, {inC, "b", ""}, {inB, "d", ""}} {
-			a, err := store.ReadScoped(0, ScopedRead{Since: c.since, History: "h1", Scopes: mustSet(t, c.scope)})
+			answer, err := store.ReadScoped(0, ScopedRead{Since: c.since, History: "h1", Scopes: mustSet(t, c.scope)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			l, err := ParseListing(a.Body)
-			if err != nil || l.Reset || l.Generation != inC {
-				t.Fatalf("%s: %s, %v", name, a.Body, err)
+			listing, err := ParseListing(answer.Body)
+			if err != nil || listing.Reset || listing.Generation != inC {
+				t.Fatalf("%s: %s, %v", name, answer.Body, err)
 			}
 			got := Lifecycle("")
-			if len(l.Instances) > 0 {
-				got = l.Instances[0].Lifecycle
+			if len(listing.Instances) > 0 {
+				got = listing.Instances[0].Lifecycle
 			}
 			scope, _ := ParseScope(c.scope)
-			if got != c.want || got != "" && !scope.Matches(l.Instances[0]) {
-				t.Errorf("%s, since %d in %s: %s", name, c.since, c.scope, a.Body)
+			if got != c.want || got != "" && !scope.Matches(listing.Instances[0]) {
+				t.Errorf("%s, since %d in %s: %s", name, c.since, c.scope, answer.Body)
 			}
 		}
 	}
@@ -281,13 +281,13 @@
 	if ask := f.Next(); !ask.Full || ask.IsLongPoll() || !ask.Scopes.equal(mustSet(t, scopes...)) {
 		t.Fatalf("asks %+v first", ask)
 	}
-	if _, err := f.Answered(whole(10, instances...), "h", 0); err != nil {
+	if _, err := f.Answered(fullList(10, instances...), "h", 0); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-func ids(instances []Instance) string {
+func idList(instances []Instance) string {
 	text := ""
 	for _, i := range instances {
 		text += i.ID
@@ -301,15 +301,15 @@
 
 // A change of scopes asks for what is new alone, drops at once what is in no scope any
 // more, and keeps what serves until its replacement is there.
-func TestFeedChangesScopes(t *testing.T) {
-	x, y := of("x", "a", "r1", "z1"), of("y", "a", "r2", "z2")
-	b := of("b", "b", "r1", "z1")
-	for _, c := range []struct {
-		name      string
-		has, next []string
-		dropped   string
-		whole     bool
-		held      []string // that the next call names; nil: all that it asks for
+func TestFeedRequestsOnlyNewScopes(t *testing.T) {
+	x, y := instanceOf("x", "a", "r1", "z1"), instanceOf("y", "a", "r2", "z2")
+	b := instanceOf("b", "b", "r1", "z1")
+	for _, test := range []struct {
+		name            string
+		initial, wanted []string
+		dropped         string
+		whole           bool
+		held            []string // that the next call names; nil: all that it asks for
 	}{
 		{"add", []string{"a", "b"}, []string{"a", "b", "c"}, "", false, []string{"a", "b"}},
 		{"drop", []string{"a", "b"}, []string{"a"}, "b-", false, nil},
@@ -321,62 +321,62 @@
 		{"covered by another", []string{"a", "a@region=r1"}, []string{"a"}, "", false, nil},
 		{"to the whole list", []string{"a", "b"}, nil, "", true, nil},
 	} {
-		var has []Instance
+		var initial []Instance
 		for _, i := range []Instance{x, y, b} {
-			if mustSet(t, c.has...).Matches(i) {
-				has = append(has, i)
+			if mustSet(t, test.initial...).Matches(i) {
+				initial = append(initial, i)
 			}
 		}
-		f := newScopedFeed(t, c.has, has...)
-		before := f.Next()
-		news := f.SetScopes(mustScopes(t, c.next...))
-		ask := f.Next()
-		held := mustScopes(t, c.held...)
-		if c.held == nil && !c.whole {
-			held = mustScopes(t, c.next...)
+		feed := newScopedFeed(t, test.initial, initial...)
+		before := feed.Next()
+		changes := feed.SetScopes(mustScopes(t, test.wanted...))
+		request := feed.Next()
+		held := mustScopes(t, test.held...)
+		if test.held == nil && !test.whole {
+			held = mustScopes(t, test.wanted...)
 		}
-		if ids(news.Instances) != c.dropped || ask.Full != c.whole || ask.Scopes.ID() != newScopeSet(mustScopes(t, c.next...)).ID() || !ask.Full && ask.Held.ID() != newScopeSet(held).ID() {
-			t.Errorf("%s: dropped %q, asks %+v of %v beside %v", c.name, ids(news.Instances), ask, ask.Scopes.Strings(), ask.Held.Strings())
+		if idList(changes.Instances) != test.dropped || request.Full != test.whole || request.Scopes.ID() != newScopeSet(mustScopes(t, test.wanted...)).ID() || !request.Full && request.Held.ID() != newScopeSet(held).ID() {
+			t.Errorf("%s: dropped %q, asks %+v of %v beside %v", test.name, idList(changes.Instances), request, request.Scopes.Strings(), request.Held.Strings())
 		}
-		if ask.IsLongPoll() != (c.held == nil && !c.whole) {
-			t.Errorf("%s: waits %t", c.name, ask.IsLongPoll())
+		if request.IsLongPoll() != (test.held == nil && !test.whole) {
+			t.Errorf("%s: waits %t", test.name, request.IsLongPoll())
 		}
-		if _, err := f.AnsweredTo(before, Listing{Generation: 11}, "h", 0); !errors.Is(err, errScopesChanged) || f.version != 10 {
-			t.Errorf("%s: an answer to the call before: %v", c.name, err)
+		if _, err := feed.AnsweredTo(before, Listing{Generation: 11}, "h", 0); !errors.Is(err, errScopesChanged) || feed.version != 10 {
+			t.Errorf("%s: an answer to the call before: %v", test.name, err)
 		}
 	}
 }
 
 // A scope that is dropped and added again at once is asked for anew, and the instances of
 // one that was only there until its replacement came go with that.
-func TestFeedScopesComeAndGo(t *testing.T) {
-	x, y := of("x", "a", "r1", "z1"), of("y", "b", "r1", "z1")
-	f := newScopedFeed(t, []string{"a", "b"}, x, y)
-	if news := f.SetScopes(mustScopes(t, "b")); ids(news.Instances) != "x-" {
-		t.Errorf("%+v", news)
+func TestFeedDropsReplacedScopes(t *testing.T) {
+	x, y := instanceOf("x", "a", "r1", "z1"), instanceOf("y", "b", "r1", "z1")
+	feed := newScopedFeed(t, []string{"a", "b"}, x, y)
+	if changes := feed.SetScopes(mustScopes(t, "b")); idList(changes.Instances) != "x-" {
+		t.Errorf("%+v", changes)
 	}
-	if news := f.SetScopes(mustScopes(t, "a", "b")); len(news.Instances) > 0 {
-		t.Errorf("%+v", news)
+	if changes := feed.SetScopes(mustScopes(t, "a", "b")); len(changes.Instances) > 0 {
+		t.Errorf("%+v", changes)
 	}
-	ask := f.Next()
-	if ask.Full || ask.IsLongPoll() || !slices.Equal(ask.Held.Strings(), []string{"b"}) || !slices.Equal(ask.Scopes.Strings(), []string{"a", "b"}) {
-		t.Errorf("asks for %v beside %v", ask.Scopes.Strings(), ask.Held.Strings())
+	request := feed.Next()
+	if request.Full || request.IsLongPoll() || !slices.Equal(request.Held.Strings(), []string{"b"}) || !slices.Equal(request.Scopes.Strings(), []string{"a", "b"}) {
+		t.Errorf("asks for %v beside %v", request.Scopes.Strings(), request.Held.Strings())
 	}
-	if news, err := f.Answered(Listing{Generation: 12, Instances: []Instance{x}, Unknown: []string{"b"}}, "h", 0); err != nil || ids(news.Instances) != "x" ||
-		!slices.Equal(f.Unknown(), mustScopes(t, "b")) {
-		t.Errorf("%+v, %v, unknown %v", news, err, f.Unknown())
+	if changes, err := feed.Answered(Listing{Generation: 12, Instances: []Instance{x}, Unknown: []string{"b"}}, "h", 0); err != nil || idList(changes.Instances) != "x" ||
+		!slices.Equal(feed.Unknown(), mustScopes(t, "b")) {
+		t.Errorf("%+v, %v, unknown %v", changes, err, feed.Unknown())
 	}
-	f.SetScopes(mustScopes(t, "a@zone=z9", "b"))
-	if _, there := f.instances["x"]; there {
+	feed.SetScopes(mustScopes(t, "a@zone=z9", "b"))
+	if _, there := feed.instances["x"]; there {
 		t.Error("what a narrower scope leaves out stays")
 	}
-	f = newScopedFeed(t, []string{"a@region=r1"}, x)
-	if news := f.SetScopes(mustScopes(t, "a@region=r2")); len(news.Instances) > 0 {
-		t.Errorf("dropped %s before its replacement came", ids(news.Instances))
+	feed = newScopedFeed(t, []string{"a@region=r1"}, x)
+	if changes := feed.SetScopes(mustScopes(t, "a@region=r2")); len(changes.Instances) > 0 {
+		t.Errorf("dropped %s before its replacement came", idList(changes.Instances))
 	}
-	z := of("z", "a", "r2", "z1")
-	if news, err := f.Answered(Listing{Generation: 12, Instances: []Instance{z}}, "h", 0); err != nil || ids(news.Instances) != "z x-" || len(f.instances) != 1 {
-		t.Errorf("%s, %v", ids(news.Instances), err)
+	z := instanceOf("z", "a", "r2", "z1")
+	if changes, err := feed.Answered(Listing{Generation: 12, Instances: []Instance{z}}, "h", 0); err != nil || idList(changes.Instances) != "z x-" || len(feed.instances) != 1 {
+		t.Errorf("%s, %v", idList(changes.Instances), err)
 	}
 	for name, c := range map[string]struct {
 		l       Listing
@@ -389,60 +389,60 @@
 		"a scope that is none":  {Listing{Generation: 13, Unknown: []string{"@"}}, "h", nil},
 		"whole of one that was": {Listing{Generation: 11, Reset: true}, "h", errOlderVersion},
 	} {
-		if _, err := f.Answered(c.l, c.history, 0); err == nil || c.err != nil && !errors.Is(err, c.err) || f.version != 12 || len(f.instances) != 1 {
+		if _, err := feed.Answered(c.l, c.history, 0); err == nil || c.err != nil && !errors.Is(err, c.err) || feed.version != 12 || len(feed.instances) != 1 {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if news, err := f.Answered(whole(3, x), "h2", 0); !errors.Is(err, errOutOfScope) || f.history != "h" {
-		t.Errorf("%+v, %v", news, err)
+	if changes, err := feed.Answered(fullList(3, x), "h2", 0); !errors.Is(err, errOutOfScope) || feed.history != "h" {
+		t.Errorf("%+v, %v", changes, err)
 	}
-	if news, err := f.Answered(whole(3, z), "h2", 0); err != nil || !news.Reset || f.history != "h2" {
-		t.Errorf("%+v, %v", news, err)
+	if changes, err := feed.Answered(fullList(3, z), "h2", 0); err != nil || !changes.Reset || feed.history != "h2" {
+		t.Errorf("%+v, %v", changes, err)
 	}
 }
 
 // From the whole list to scopes and back, all that is known stays until the answer.
-func TestFeedBetweenWholeListAndScopes(t *testing.T) {
-	x, y := of("x", "a", "r1", "z1"), of("y", "b", "r1", "z1")
-	f := newTestFeed("a")
-	f.Answered(whole(10, x, y), "h", 0)
-	if news := f.SetScopes(mustScopes(t, "a")); len(news.Instances) > 0 || len(f.instances) != 2 || !f.Next().Full {
-		t.Errorf("%+v, asks %+v", news, f.Next())
+func TestFeedSwitchesBetweenFullListAndScopes(t *testing.T) {
+	x, y := instanceOf("x", "a", "r1", "z1"), instanceOf("y", "b", "r1", "z1")
+	feed := newTestFeed("a")
+	feed.Answered(fullList(10, x, y), "h", 0)
+	if changes := feed.SetScopes(mustScopes(t, "a")); len(changes.Instances) > 0 || len(feed.instances) != 2 || !feed.Next().Full {
+		t.Errorf("%+v, asks %+v", changes, feed.Next())
 	}
-	if news, err := f.Answered(whole(10, x), "h", 0); err != nil || ids(news.Instances) != "y-" || news.Reset || !f.Next().IsLongPoll() {
-		t.Errorf("%+v, %v", news, err)
+	if changes, err := feed.Answered(fullList(10, x), "h", 0); err != nil || idList(changes.Instances) != "y-" || changes.Reset || !feed.Next().IsLongPoll() {
+		t.Errorf("%+v, %v", changes, err)
 	}
-	if news := f.SetScopes(nil); len(news.Instances) > 0 || len(f.instances) != 1 || !f.Next().Full || f.Next().Scopes != nil {
-		t.Errorf("%+v, asks %+v", news, f.Next())
+	if changes := feed.SetScopes(nil); len(changes.Instances) > 0 || len(feed.instances) != 1 || !feed.Next().Full || feed.Next().Scopes != nil {
+		t.Errorf("%+v, asks %+v", changes, feed.Next())
 	}
-	f.SetScopes(mustScopes(t, "b"))
-	if ask := f.Next(); !ask.Full || len(f.instances) != 1 {
-		t.Errorf("asks %+v", ask)
+	feed.SetScopes(mustScopes(t, "b"))
+	if request := feed.Next(); !request.Full || len(feed.instances) != 1 {
+		t.Errorf("asks %+v", request)
 	}
-	if news, err := f.Answered(whole(10, y), "h", 0); err != nil || ids(news.Instances) != "y x-" {
-		t.Errorf("%+v, %v", news, err)
+	if changes, err := feed.Answered(fullList(10, y), "h", 0); err != nil || idList(changes.Instances) != "y x-" {
+		t.Errorf("%+v, %v", changes, err)
 	}
 }
 
 // What an answer costs grows with the list and the answer, not with their product: when a
 // whole list drops half of it and has changed the other half.
-func TestFeedComparesOnce(t *testing.T) {
+func TestFeedComparesEachInstanceOnce(t *testing.T) {
 	for _, n := range []int{100, 1000, 10_000} {
 		var before, after []Instance
 		for i := range n {
-			before = append(before, inst(fmt.Sprintf("i%06d", i), 1))
+			before = append(before, testInstance(fmt.Sprintf("i%06d", i), 1))
 			if i%2 == 0 {
-				after = append(after, inst(fmt.Sprintf("i%06d", i), 2))
+				after = append(after, testInstance(fmt.Sprintf("i%06d", i), 2))
 			}
 		}
-		f := newTestFeed("a")
-		f.Answered(whole(1, before...), "h", 0)
-		was := f.Compared()
-		news, err := f.Answered(whole(2, after...), "h", 0)
-		if err != nil || len(news.Instances) != n {
-			t.Fatalf("%d news, %v", len(news.Instances), err)
+		feed := newTestFeed("a")
+		feed.Answered(fullList(1, before...), "h", 0)
+		comparedBefore := feed.Compared()
+		changes, err := feed.Answered(fullList(2, after...), "h", 0)
+		if err != nil || len(changes.Instances) != n {
+			t.Fatalf("%d news, %v", len(changes.Instances), err)
 		}
-		if compared := f.Compared() - was; compared > int64(2*n) {
+		if compared := feed.Compared() - comparedBefore; compared > int64(2*n) {
 			t.Errorf("%d comparisons for %d instances", compared, n)
 		}
 	}
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -17,19 +17,19 @@
 )
 
 // patience bounds every wait of a test; none is expected to last so long.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-var testServes = ServerLimits{Connections: 700, Watchers: 600, ListingsPerSecond: 1000}
+var testServerLimits = ServerLimits{Connections: 700, Watchers: 600, ListingsPerSecond: 1000}
 
 // service is one list service on loopback sockets.
-type service struct {
+type testServer struct {
 	*Server
 	address, control string
 	stop             context.CancelFunc
 	ended            chan error
 }
 
-func (s *service) run(t *testing.T, serve func(context.Context, net.Listener, net.Listener) error, address string) {
+func (s *testServer) run(t *testing.T, serve func(context.Context, net.Listener, net.Listener) error, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -47,23 +47,23 @@
 	t.Cleanup(func() { stop(); <-done })
 }
 
-func newWriterService(t *testing.T, limits ServerLimits) *service {
+func newTestWriter(t *testing.T, limits ServerLimits) *testServer {
 	t.Helper()
 	store := newTestStore(testLimits, 0)
-	s := &service{Server: NewWriter("self", store, limits, time.Now(), rand.New(rand.NewPCG(1, 1)))}
+	s := &testServer{Server: NewWriter("self", store, limits, time.Now(), rand.New(rand.NewPCG(1, 1)))}
 	s.run(t, s.Server.Serve, "127.0.0.1:0")
 	return s
 }
 
-func newFollowerService(t *testing.T, writer string) (*service, *Follower) {
+func newTestFollower(t *testing.T, writer string) (*testServer, *Follower) {
 	t.Helper()
-	return newFollowerServiceWith(t, writer, testServes)
+	return newTestFollowerWith(t, writer, testServerLimits)
 }
 
-func newFollowerServiceWith(t *testing.T, writer string, limits ServerLimits) (*service, *Follower) {
+func newTestFollowerWith(t *testing.T, writer string, limits ServerLimits) (*testServer, *Follower) {
 	t.Helper()
 	f := NewFollower("self", writer, nil, testLimits, limits, time.Now(), rand.New(rand.NewPCG(2, 2)))
-	s := &service{Server: f.Server}
+	s := &testServer{Server: f.Server}
 	s.run(t, f.Serve, "127.0.0.1:0")
 	return s, f
 }
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := &http.Client{Timeout: patience, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	client := &http.Client{Timeout: testTimeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	defer client.CloseIdleConnections()
 	resp, err := client.Do(req)
 	if err != nil {
@@ -89,9 +89,9 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-func (s *service) url(path string) string { return "http://" + s.address + Path + path }
+func (s *testServer) url(path string) string { return "http://" + s.address + Path + path }
 
-func (s *service) list(t *testing.T, query string) Listing {
+func (s *testServer) list(t *testing.T, query string) Listing {
 	t.Helper()
 	code, text, _ := call(t, "GET", s.url(query), "")
 	if code != 200 {
@@ -104,7 +104,7 @@
 	return l
 }
 
-func (s *service) put(t *testing.T, id string, started int64) {
+func (s *testServer) register(t *testing.T, id string, started int64) {
 	t.Helper()
 	if code, text, _ := call(t, "PUT", s.url("/"+id), registration(started)); code != 200 {
 		t.Fatalf("status %d: %s", code, text)
@@ -115,9 +115,9 @@
 	return fmt.Sprintf(`{"hostPort":"127.0.0.1:80","zone":"a","machineType":"m","startedAtMs":%d}`, started)
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -127,8 +127,8 @@
 // The list has the form of the protocol, and a watch waits for what is new.
 func TestReadAndWatch(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, testServes)
-	s.put(t, "s-1", 7)
+	s := newTestWriter(t, testServerLimits)
+	s.register(t, "s-1", 7)
 	var raw map[string]any
 	_, text, header := call(t, "GET", s.url(""), "")
 	if err := json.Unmarshal([]byte(text), &raw); err != nil {
@@ -138,17 +138,17 @@
 	if fmt.Sprint(raw) != want || header.Get(HistoryHeader) != "h1" {
 		t.Errorf("%v, history %q", raw, header.Get(HistoryHeader))
 	}
-	if l := s.list(t, "?since=1001&timeout_ms=20"); l.Generation != 1001 || l.Reset || len(l.Instances) > 0 {
-		t.Errorf("at the end of a wait: %+v", l)
+	if listing := s.list(t, "?since=1001&timeout_ms=20"); listing.Generation != 1001 || listing.Reset || len(listing.Instances) > 0 {
+		t.Errorf("at the end of a wait: %+v", listing)
 	}
-	told := make(chan Listing, 1)
-	go func() { told <- s.list(t, "?since=1001&timeout_ms=60000&history=h1") }()
-	until(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
+	answered := make(chan Listing, 1)
+	go func() { answered <- s.list(t, "?since=1001&timeout_ms=60000&history=h1") }()
+	waitUntil(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
 	if code, text, _ := call(t, "POST", s.url("/s-1/lifecycle"), `{"lifecycle":"Terminating","startedAtMs":7,"ifVersion":1001}`); code != 200 || text != `{"version":1002,"lifecycle":"Terminating","leaseMs":10000}`+"\n" {
 		t.Errorf("status %d: %s", code, text)
 	}
-	if l := <-told; l.Generation != 1002 || l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != Terminating {
-		t.Errorf("%+v", l)
+	if listing := <-answered; listing.Generation != 1002 || listing.Reset || len(listing.Instances) != 1 || listing.Instances[0].Lifecycle != Terminating {
+		t.Errorf("%+v", listing)
 	}
 	if code, _, _ := call(t, "POST", s.url("/s-1/renew"), `{"startedAtMs":7}`); code != 200 {
 		t.Errorf("renewal: status %d", code)
@@ -156,38 +156,38 @@
 	if code, _, _ := call(t, "DELETE", s.url("/s-1?startedAtMs=7"), ""); code != 200 {
 		t.Errorf("leaving: status %d", code)
 	}
-	if l := s.list(t, "?since=1002"); len(l.Instances) != 1 || l.Instances[0].Lifecycle != Gone {
-		t.Errorf("%+v", l)
+	if listing := s.list(t, "?since=1002"); len(listing.Instances) != 1 || listing.Instances[0].Lifecycle != Gone {
+		t.Errorf("%+v", listing)
 	}
 }
 
 // What is not understood changes nothing, and is answered with one line.
-func TestBadCalls(t *testing.T) {
+func TestInvalidRequestsChangeNothing(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, testServes)
-	s.put(t, "s-1", 7)
-	reg := func(old, new string) string { return strings.Replace(registration(8), old, new, 1) }
-	for _, c := range []struct {
+	s := newTestWriter(t, testServerLimits)
+	s.register(t, "s-1", 7)
+	modified := func(old, new string) string { return strings.Replace(registration(8), old, new, 1) }
+	for _, test := range []struct {
 		method, path, body string
 		status             int
 	}{
-		{"PUT", "/s-2", reg(`"zone"`, `"lifecycle":"Asleep","zone"`), 400},
-		{"PUT", "/s-2", reg(`"zone"`, `"lifecycle":"Gone","zone"`), 400},
-		{"PUT", "/s-2", reg("127.0.0.1:80", "localhost:80"), 400},
-		{"PUT", "/s-2", reg("127.0.0.1:80", "127.0.0.1"), 400},
-		{"PUT", "/s-2", reg("127.0.0.1:80", "127.0.0.1:99999"), 400},
-		{"PUT", "/s-2", reg("127.0.0.1:80", "127.0.0.1:0"), 400},
-		{"PUT", "/s-2", reg(`"a"`, `""`), 400},
-		{"PUT", "/s-2", reg(`"a"`, `"`+strings.Repeat("a", 65)+`"`), 400},
-		{"PUT", "/s-2", reg(`"a"`, `"a\n"`), 400},
-		{"PUT", "/s-2", reg(`"zone"`, `"weight":-1,"zone"`), 400},
-		{"PUT", "/s-2", reg(`"zone"`, `"weight":1e999,"zone"`), 400},
-		{"PUT", "/s-2", reg(`"zone"`, `"weight":NaN,"zone"`), 400},
-		{"PUT", "/s-2", reg(`"zone"`, `"cell":-1,"zone"`), 400},
-		{"PUT", "/s-2", reg(`"zone"`, `"cell":1.5,"zone"`), 400},
-		{"PUT", "/s-2", reg(`"zone"`, `"colour":"red","zone"`), 400},
-		{"PUT", "/s-2", reg(`:8}`, `:-8}`), 400},
-		{"PUT", "/s-2", reg(`,"startedAtMs":8`, ``), 400},
+		{"PUT", "/s-2", modified(`"zone"`, `"lifecycle":"Asleep","zone"`), 400},
+		{"PUT", "/s-2", modified(`"zone"`, `"lifecycle":"Gone","zone"`), 400},
+		{"PUT", "/s-2", modified("127.0.0.1:80", "localhost:80"), 400},
+		{"PUT", "/s-2", modified("127.0.0.1:80", "127.0.0.1"), 400},
+		{"PUT", "/s-2", modified("127.0.0.1:80", "127.0.0.1:99999"), 400},
+		{"PUT", "/s-2", modified("127.0.0.1:80", "127.0.0.1:0"), 400},
+		{"PUT", "/s-2", modified(`"a"`, `""`), 400},
+		{"PUT", "/s-2", modified(`"a"`, `"`+strings.Repeat("a", 65)+`"`), 400},
+		{"PUT", "/s-2", modified(`"a"`, `"a\n"`), 400},
+		{"PUT", "/s-2", modified(`"zone"`, `"weight":-1,"zone"`), 400},
+		{"PUT", "/s-2", modified(`"zone"`, `"weight":1e999,"zone"`), 400},
+		{"PUT", "/s-2", modified(`"zone"`, `"weight":NaN,"zone"`), 400},
+		{"PUT", "/s-2", modified(`"zone"`, `"cell":-1,"zone"`), 400},
+		{"PUT", "/s-2", modified(`"zone"`, `"cell":1.5,"zone"`), 400},
+		{"PUT", "/s-2", modified(`"zone"`, `"colour":"red","zone"`), 400},
+		{"PUT", "/s-2", modified(`:8}`, `:-8}`), 400},
+		{"PUT", "/s-2", modified(`,"startedAtMs":8`, ``), 400},
 		{"PUT", "/s-2", registration(8) + "{}", 400},
 		{"PUT", "/s-2", registration(8)[:20], 400},
 		{"PUT", "/s-2", "", 400},
@@ -195,8 +195,8 @@
 		{"PUT", "/" + strings.Repeat("s", 65), registration(8), 400},
 		{"PUT", "/s%0a2", registration(8), 400},
 		{"PUT", "/s-1", registration(6), 409},
-		{"PUT", "/s-1", reg(`"zone"`, `"ifVersion":5,"zone"`), 412},
-		{"PUT", "/s-2", reg(`"zone"`, `"drained":true,"zone"`), 400},
+		{"PUT", "/s-1", modified(`"zone"`, `"ifVersion":5,"zone"`), 412},
+		{"PUT", "/s-2", modified(`"zone"`, `"drained":true,"zone"`), 400},
 		{"POST", "/s-1/renew", `{"startedAtMs":6}`, 409},
 		{"POST", "/s-1/renew", `{"startedAtMs":7,"zone":"b"}`, 400},
 		{"POST", "/s-2/renew", `{"startedAtMs":7}`, 404},
@@ -213,28 +213,28 @@
 		{"GET", "?since=x", "", 400},
 		{"GET", "/s-1", "", 405},
 	} {
-		code, text, _ := call(t, c.method, s.url(c.path), c.body)
-		if code != c.status || strings.Count(strings.TrimSpace(text), "\n") > 0 || text == "" {
-			t.Errorf("%s %s %.60s: status %d, %q; want %d", c.method, c.path, c.body, code, text, c.status)
+		code, text, _ := call(t, test.method, s.url(test.path), test.body)
+		if code != test.status || strings.Count(strings.TrimSpace(text), "\n") > 0 || text == "" {
+			t.Errorf("%s %s %.60s: status %d, %q; want %d", test.method, test.path, test.body, code, text, test.status)
 		}
 	}
-	if l := s.list(t, ""); l.Generation != 1001 || len(l.Instances) != 1 || l.Instances[0] != inst("s-1", 7) {
-		t.Errorf("%+v", l)
+	if listing := s.list(t, ""); listing.Generation != 1001 || len(listing.Instances) != 1 || listing.Instances[0] != testInstance("s-1", 7) {
+		t.Errorf("%+v", listing)
 	}
 }
 
 // watch follows a service until it is told to stop, and counts.
-type watching struct {
+type watcher struct {
 	client  *Client
-	answers atomic.Int64
+	updates atomic.Int64
 	version atomic.Int64
 }
 
-func newWatching(addresses []string, seed uint64) *watching {
-	w := &watching{}
-	w.client = NewClient(addresses, rand.New(rand.NewPCG(seed, 3)), func(told Update) {
-		w.answers.Add(1)
-		w.version.Store(told.Generation)
+func newWatcher(addresses []string, seed uint64) *watcher {
+	w := &watcher{}
+	w.client = NewClient(addresses, rand.New(rand.NewPCG(seed, 3)), func(update Update) {
+		w.updates.Add(1)
+		w.version.Store(update.Generation)
 	})
 	return w
 }
@@ -248,33 +248,33 @@
 
 // A change is encoded once for all watchers, and changes that come in a burst are
 // joined for each.
-func TestManyWatchers(t *testing.T) {
+func TestWatchersShareEncodedChanges(t *testing.T) {
 	t.Parallel()
 	const watchers, changes = 300, 200
-	s := newWriterService(t, testServes)
+	s := newTestWriter(t, testServerLimits)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	var all []*watching
+	var all []*watcher
 	for n := range uint64(watchers) {
-		w := newWatching([]string{s.address}, n)
+		w := newWatcher([]string{s.address}, n)
 		all = append(all, w)
 		wg.Go(func() { w.client.Run(ctx, nil) })
 	}
-	until(t, "all watch", func() bool { return s.metrics.watchers.Load() == watchers })
+	waitUntil(t, "all watch", func() bool { return s.metrics.watchers.Load() == watchers })
 	before := s.storeStats()
 	s.change(func(now time.Duration) (WriteResult, error) {
 		for n := range int64(changes) {
-			if _, err := s.store.Register(now, inst(fmt.Sprint(n%40), n), nil); err != nil {
+			if _, err := s.store.Register(now, testInstance(fmt.Sprint(n%40), n), nil); err != nil {
 				return WriteResult{}, err
 			}
 		}
 		return WriteResult{}, nil
 	})
 	for n, w := range all {
-		until(t, "a watcher is at the last version", func() bool { return w.version.Load() == 1000+changes })
-		if answers := w.answers.Load(); answers != 2 {
+		waitUntil(t, "a watcher is at the last version", func() bool { return w.version.Load() == 1000+changes })
+		if answers := w.updates.Load(); answers != 2 {
 			t.Errorf("watcher %d had %d answers for one burst", n, answers-1)
 		}
 	}
@@ -286,27 +286,27 @@
 }
 
 // Beyond its limits a service turns calls away, each for a time of its own.
-func TestTurnedAway(t *testing.T) {
+func TestOverloadedServerRejects(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, ServerLimits{Connections: 100, Watchers: 1, ListingsPerSecond: 3})
+	s := newTestWriter(t, ServerLimits{Connections: 100, Watchers: 1, ListingsPerSecond: 3})
 	for range 3 {
 		s.list(t, "")
 	}
-	advice := map[string]bool{}
-	for n := 0; n < 300 && len(advice) < 2; n++ { // on a slow machine some are let through meanwhile
+	retryAfter := map[string]bool{}
+	for n := 0; n < 300 && len(retryAfter) < 2; n++ { // on a slow machine some are let through meanwhile
 		code, _, header := call(t, "GET", s.url(""), "")
 		if code == 503 {
-			advice[header.Get("Retry-After")] = true
+			retryAfter[header.Get("Retry-After")] = true
 		}
 	}
-	if len(advice) < 2 || advice[""] {
-		t.Errorf("advice %v", advice)
+	if len(retryAfter) < 2 || retryAfter[""] {
+		t.Errorf("advice %v", retryAfter)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	req, _ := http.NewRequestWithContext(ctx, "GET", s.url("?since=1000&timeout_ms=60000"), nil)
 	go http.DefaultClient.Do(req)
-	until(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
+	waitUntil(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
 	if code, _, _ := call(t, "GET", s.url("?since=1000&timeout_ms=60000"), ""); code != 503 {
 		t.Errorf("one watcher too many: status %d", code)
 	}
@@ -314,15 +314,15 @@
 		t.Errorf("a call that does not wait: status %d", code)
 	}
 	stop()
-	until(t, "no watcher", func() bool { return s.metrics.watchers.Load() == 0 })
+	waitUntil(t, "no watcher", func() bool { return s.metrics.watchers.Load() == 0 })
 }
 
 // A watcher that takes no answer is cut, and holds up nobody.
-func TestDeadWatcher(t *testing.T) {
+func TestStalledWatcherIsDisconnected(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, testServes)
+	s := newTestWriter(t, testServerLimits)
 	for n := range int64(40) {
-		s.put(t, fmt.Sprint("s-", n), 1)
+		s.register(t, fmt.Sprint("s-", n), 1)
 	}
 	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -337,15 +337,15 @@
 			}
 		}
 	}()
-	until(t, "it is cut", func() bool { return s.metrics.aborted.Load() > 0 })
+	waitUntil(t, "it is cut", func() bool { return s.metrics.aborted.Load() > 0 })
 	s.list(t, "")
 }
 
 // At a stop watchers move on at differing moments.
-func TestStop(t *testing.T) {
+func TestShutdownSpreadsWatchers(t *testing.T) {
 	t.Parallel()
 	const watchers = 40
-	s := newWriterService(t, testServes)
+	s := newTestWriter(t, testServerLimits)
 	ends := make(chan time.Time, watchers)
 	for range watchers {
 		go func() {
@@ -358,7 +358,7 @@
 			ends <- time.Now()
 		}()
 	}
-	until(t, "all watch", func() bool { return s.metrics.watchers.Load() == watchers })
+	waitUntil(t, "all watch", func() bool { return s.metrics.watchers.Load() == watchers })
 	s.stop()
 	var moments []time.Time
 	for range watchers {
@@ -374,94 +374,94 @@
 
 // A follower has the writer's versions, sends writes there, and without it serves
 // what it has and says how old that is.
-func TestFollower(t *testing.T) {
+func TestFollowerServesWritersVersions(t *testing.T) {
 	t.Parallel()
-	w := newWriterService(t, testServes)
-	f, _ := newFollowerService(t, w.address)
-	until(t, "ready", func() bool {
-		code, _, _ := call(t, "GET", "http://"+f.control+"/control/ready", "")
+	writer := newTestWriter(t, testServerLimits)
+	follower, _ := newTestFollower(t, writer.address)
+	waitUntil(t, "ready", func() bool {
+		code, _, _ := call(t, "GET", "http://"+follower.control+"/control/ready", "")
 		return code == 200
 	})
-	code, _, header := call(t, "PUT", f.url("/s-1"), registration(7))
-	if code != http.StatusTemporaryRedirect || header.Get("Location") != w.url("/s-1") {
+	code, _, header := call(t, "PUT", follower.url("/s-1"), registration(7))
+	if code != http.StatusTemporaryRedirect || header.Get("Location") != writer.url("/s-1") {
 		t.Errorf("status %d to %q", code, header.Get("Location"))
 	}
 	// One that is ahead of the follower waits for it.
-	told := make(chan Listing, 1)
-	go func() { told <- f.list(t, "?since=1001&timeout_ms=60000&history=h1") }()
-	w.put(t, "s-1", 7)
-	w.put(t, "s-2", 7)
+	answered := make(chan Listing, 1)
+	go func() { answered <- follower.list(t, "?since=1001&timeout_ms=60000&history=h1") }()
+	writer.register(t, "s-1", 7)
+	writer.register(t, "s-2", 7)
 	// If the follower has heard of both at once, both are new to one who comes from a
 	// version in between.
-	if l := <-told; l.Generation != 1002 || l.Reset || len(l.Instances) == 0 || l.Instances[len(l.Instances)-1].ID != "s-2" {
-		t.Errorf("%+v", l)
+	if listing := <-answered; listing.Generation != 1002 || listing.Reset || len(listing.Instances) == 0 || listing.Instances[len(listing.Instances)-1].ID != "s-2" {
+		t.Errorf("%+v", listing)
 	}
-	until(t, "the same list", func() bool { return f.list(t, "").Generation == 1002 })
-	if code, _, _ := call(t, "GET", f.url("?since=5000"), ""); code != 400 {
+	waitUntil(t, "the same list", func() bool { return follower.list(t, "").Generation == 1002 })
+	if code, _, _ := call(t, "GET", follower.url("?since=5000"), ""); code != 400 {
 		t.Errorf("a version to come: status %d", code)
 	}
-	w.stop()
-	<-w.ended
-	until(t, "it says how old its list is", func() bool {
-		_, _, header := call(t, "GET", f.url(""), "")
+	writer.stop()
+	<-writer.ended
+	waitUntil(t, "it says how old its list is", func() bool {
+		_, _, header := call(t, "GET", follower.url(""), "")
 		return len(header.Get(AgeHeader)) > 3
 	})
-	if l := f.list(t, ""); len(l.Instances) != 2 {
-		t.Errorf("%+v", l)
+	if listing := follower.list(t, ""); len(listing.Instances) != 2 {
+		t.Errorf("%+v", listing)
 	}
-	_, figures, _ := call(t, "GET", "http://"+f.control+"/control/counters", "")
+	_, metrics, _ := call(t, "GET", "http://"+follower.control+"/control/counters", "")
 	for _, line := range []string{"registry.version:1002|g", "registry.instances:2|g", "registry.lapsed:0|c", "registry.age_ms:"} {
-		if !strings.Contains(figures, line) {
-			t.Errorf("no %s in\n%s", line, figures)
+		if !strings.Contains(metrics, line) {
+			t.Errorf("no %s in\n%s", line, metrics)
 		}
 	}
 }
 
 // A follower that has never heard from its writer tells no list, and says so.
-func TestFollowerWithoutWriter(t *testing.T) {
+func TestFollowerWithoutWriterRejectsReads(t *testing.T) {
 	t.Parallel()
-	w := newWriterService(t, testServes)
-	w.stop()
-	<-w.ended
-	f, _ := newFollowerService(t, w.address)
-	if code, _, header := call(t, "GET", f.url(""), ""); code != 503 || header.Get("Retry-After") == "" {
+	writer := newTestWriter(t, testServerLimits)
+	writer.stop()
+	<-writer.ended
+	follower, _ := newTestFollower(t, writer.address)
+	if code, _, header := call(t, "GET", follower.url(""), ""); code != 503 || header.Get("Retry-After") == "" {
 		t.Errorf("status %d, advice %q", code, header.Get("Retry-After"))
 	}
-	if _, where, _ := call(t, "GET", "http://"+f.control+"/control/where", ""); !strings.Contains(where, `"ageMs":-1`) {
-		t.Errorf("%s", where)
+	if _, position, _ := call(t, "GET", "http://"+follower.control+"/control/where", ""); !strings.Contains(position, `"ageMs":-1`) {
+		t.Errorf("%s", position)
 	}
 }
 
 // An operator points a follower at a new writer, and its readers go along.
-func TestFollowerMoves(t *testing.T) {
+func TestFollowerSwitchesWriter(t *testing.T) {
 	t.Parallel()
-	old, next := newWriterService(t, testServes), &service{}
+	oldWriter, newWriter := newTestWriter(t, testServerLimits), &testServer{}
 	store := newTestStore(testLimits, 0)
 	store.history, store.version = "h2", 5000
 	store.clearHistory()
-	next.Server = NewWriter("self", store, testServes, time.Now(), rand.New(rand.NewPCG(5, 5)))
-	next.run(t, next.Server.Serve, "127.0.0.1:0")
-	old.put(t, "s-1", 7)
-	next.put(t, "s-2", 9)
-	s, f := newFollowerService(t, old.address)
-	reader := newWatching([]string{s.address}, 4)
+	newWriter.Server = NewWriter("self", store, testServerLimits, time.Now(), rand.New(rand.NewPCG(5, 5)))
+	newWriter.run(t, newWriter.Server.Serve, "127.0.0.1:0")
+	oldWriter.register(t, "s-1", 7)
+	newWriter.register(t, "s-2", 9)
+	server, follower := newTestFollower(t, oldWriter.address)
+	reader := newWatcher([]string{server.address}, 4)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
 	wg.Go(func() { reader.client.Run(ctx, nil) })
-	until(t, "the reader has the old list", func() bool { return reader.version.Load() == 1001 })
-	f.SetSource(ctx, next.address)
-	until(t, "the reader has the new list", func() bool { return reader.version.Load() == 5001 })
-	if l := s.list(t, ""); len(l.Instances) != 1 || l.Instances[0].ID != "s-2" {
-		t.Errorf("%+v", l)
+	waitUntil(t, "the reader has the old list", func() bool { return reader.version.Load() == 1001 })
+	follower.SetSource(ctx, newWriter.address)
+	waitUntil(t, "the reader has the new list", func() bool { return reader.version.Load() == 5001 })
+	if listing := server.list(t, ""); len(listing.Instances) != 1 || listing.Instances[0].ID != "s-2" {
+		t.Errorf("%+v", listing)
 	}
 }
 
 // A head that does not come, and a body that does not, end in time.
-func TestSilentCallers(t *testing.T) {
+func TestStalledRequestsTimeOut(t *testing.T) {
 	t.Parallel()
-	s := newWriterService(t, testServes)
+	s := newTestWriter(t, testServerLimits)
 	for _, text := range []string{"GET /", "PUT " + Path + "/s HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n{"} {
 		conn, err := net.Dial("tcp", s.address)
 		if err != nil {
@@ -469,7 +469,7 @@
 		}
 		defer conn.Close()
 		io.WriteString(conn, text)
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && resp.StatusCode/100 != 4 {
 			t.Errorf("%q: status %d", text, resp.StatusCode)
 		} else if err, ok := err.(net.Error); ok && err.Timeout() {
