--- a/internal/gateway/arrival.go
+++ b/internal/gateway/arrival.go
@@ -29,7 +29,8 @@
 	a.conn, a.lastIncomplete = conn, time.Now()
 }
 
-// checkMissing reports whether a part of the body has still to be sent.
+// checkMissing reports whether a part of the body has still to be sent, or may have. If so, it
+// records that the body is incomplete now.
 func (a *bodyArrival) checkMissing() (missing bool) {
 	if a.conn != nil && (a.conn.betweenRequests() || a.conn.unread.unread(a.conn.Conn) > 0) {
 		return false
