--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,8 +1,6 @@
-// Package budget decides which units of a fleet may be out at once: gateways, backends
-// and list services. It is a state machine and part of what list services agree on:
-// commands go in, in one order, and all members come to the same grants. No clock is in
-// it. A unit is out from the grant of a permit until it has been seen ready after the
-// permit was given back; what failed by itself is out too.
+// Package budget is a deterministic state machine that decides which units of a fleet may be
+// unavailable at the same time. A unit counts as unavailable from the grant of a permit until it
+// has been observed ready after the permit's return, and whenever it is not ready.
 package budget
 
 import (
@@ -19,17 +17,17 @@
 // Kind is a kind of unit.
 type Kind string
 
-// The kinds.
+// Kinds of units.
 const (
 	Backend Kind = "backend"
 	Gateway Kind = "gateway"
 	Service Kind = "service"
 )
 
-// Kinds are all of them.
+// Kinds holds all kinds.
 var Kinds = []Kind{Backend, Gateway, Service}
 
-// Name is one unit's.
+// Name identifies a unit.
 type Name struct {
 	Kind Kind   `json:"kind"`
 	ID   string `json:"id"`
@@ -37,48 +35,48 @@
 
 func (n Name) String() string { return string(n.Kind) + " " + n.ID }
 
-// Unit is one that can be out.
+// Unit is a unit of the fleet.
 type Unit struct {
 	Name
-	Zone   string  `json:"zone,omitempty"`
-	Weight float64 `json:"weight,omitempty"` // its capacity
-	Canary bool    `json:"canary,omitempty"`
-	Life   string  `json:"life,omitempty"` // of its process, by whoever sees it
-	Ready  bool    `json:"ready"`
-	// Session is of who tells how the unit is; 0: the list does. Once it ends, nobody
-	// knows, and the unit counts as out.
+	Zone        string  `json:"zone,omitempty"`
+	Weight      float64 `json:"weight,omitempty"` // capacity, relative to other units
+	Canary      bool    `json:"canary,omitempty"`
+	Incarnation string  `json:"life,omitempty"` // of its process, as its observer names it
+	Ready       bool    `json:"ready"`
+	// Session is the session of the unit's observer; 0: the list of backends. Once the session
+	// ends, the unit counts as unavailable.
 	Session uint64  `json:"session,omitempty"`
-	Since   uint64  `json:"since"` // the place in the order at which it became as it is
+	Since   uint64  `json:"since"` // index at which Ready or Incarnation changed last
 	Permit  *Permit `json:"permit,omitempty"`
 }
 
-func (u *Unit) millionths() int64 { return int64(math.Round(u.Weight * 1e6)) }
+func (u *Unit) weightMillionths() int64 { return int64(math.Round(u.Weight * 1e6)) }
 
-// Out says whether the unit counts as out.
-func (u *Unit) Out() bool { return !u.Ready || u.Permit != nil }
+// Unavailable reports whether the unit counts as unavailable.
+func (u *Unit) Unavailable() bool { return !u.Ready || u.Permit != nil }
 
-// Permit lets its holder take a unit out.
+// Permit allows its holder to make a unit unavailable.
 type Permit struct {
-	Number  uint64 `json:"number"` // the place of its grant in the order: the later fences the earlier
-	Holder  string `json:"holder"`
-	Session uint64 `json:"session,omitempty"` // of the holder; 0: it has none
-	Reason  string `json:"reason"`
-	TermMs  int64  `json:"termMs"`         // by the holder's clock, from before it asked: then it takes nothing out any more
-	Lost    bool   `json:"lost,omitempty"` // its session has ended; the unit may still be down
-	Back    uint64 `json:"back,omitempty"` // where it was given back: it ends when the unit is seen ready by who had heard of that
+	Number     uint64 `json:"number"` // index of its grant, a fencing token: a later permit has a higher number
+	Holder     string `json:"holder"`
+	Session    uint64 `json:"session,omitempty"` // of the holder; 0: none
+	Reason     string `json:"reason"`
+	TermMs     int64  `json:"termMs"`         // validity by the holder's clock, counted from before it sent the request
+	Lost       bool   `json:"lost,omitempty"` // the holder's session has ended; the unit may still be down
+	ReturnedAt uint64 `json:"back,omitempty"` // index of its return; 0: not returned. It ends once the unit is observed ready after that
 }
 
-// Rule bounds what may be out, of the units that it is for. What it does not name is
-// not bounded.
+// Rule limits how many of the units that it covers may be unavailable. An absent limit does not
+// apply.
 type Rule struct {
 	Kind   Kind   `json:"kind"`
-	Zone   string `json:"zone,omitempty"`   // one zone; "*": each by itself; empty: all together
-	Canary bool   `json:"canary,omitempty"` // canaries alone
+	Zone   string `json:"zone,omitempty"`   // one zone; "*": each zone by itself; empty: all zones together
+	Canary bool   `json:"canary,omitempty"` // canaries only
 
-	MostOut    *int     `json:"mostOut,omitempty"`
-	MostShare  *float64 `json:"mostShare,omitempty"`
-	ByWeight   bool     `json:"byWeight,omitempty"` // the share is of capacity, not of units
-	LeastReady *int     `json:"leastReady,omitempty"`
+	MaxUnavailable         *int     `json:"mostOut,omitempty"`
+	MaxUnavailableFraction *float64 `json:"mostShare,omitempty"`
+	ByWeight               bool     `json:"byWeight,omitempty"` // MaxUnavailableFraction is of the capacity, not of the number of units
+	MinReady               *int     `json:"leastReady,omitempty"`
 }
 
 func (r *Rule) String() string {
@@ -94,90 +92,91 @@
 	default:
 		b.WriteString(" of " + r.Zone)
 	}
-	if r.MostOut != nil {
-		fmt.Fprintf(&b, ", %d out at most", *r.MostOut)
+	if r.MaxUnavailable != nil {
+		fmt.Fprintf(&b, ", %d out at most", *r.MaxUnavailable)
 	}
-	if r.MostShare != nil {
+	if r.MaxUnavailableFraction != nil {
 		of := ""
 		if r.ByWeight {
 			of = " of the capacity"
 		}
-		fmt.Fprintf(&b, ", a share of %g%s out at most", *r.MostShare, of)
+		fmt.Fprintf(&b, ", a share of %g%s out at most", *r.MaxUnavailableFraction, of)
 	}
-	if r.LeastReady != nil {
-		fmt.Fprintf(&b, ", %d ready at least", *r.LeastReady)
+	if r.MinReady != nil {
+		fmt.Fprintf(&b, ", %d ready at least", *r.MinReady)
 	}
 	return b.String()
 }
 
-// check finds what no rule can be.
+// check validates the rule.
 func (r *Rule) check() error {
 	switch {
 	case !slices.Contains(Kinds, r.Kind):
 		return fmt.Errorf("kind: %.40q is not one of %v", r.Kind, Kinds)
-	case r.MostOut == nil && r.MostShare == nil && r.LeastReady == nil:
+	case r.MaxUnavailable == nil && r.MaxUnavailableFraction == nil && r.MinReady == nil:
 		return fmt.Errorf("%s: it bounds nothing", r)
-	case r.MostOut != nil && *r.MostOut < 0 || r.LeastReady != nil && *r.LeastReady < 0:
-		return fmt.Errorf("%s: less than none", r)
-	case r.MostShare != nil && !(*r.MostShare >= 0 && *r.MostShare <= 1):
-		return fmt.Errorf("%s: a share is from 0 to 1", r)
-	case r.ByWeight && r.MostShare == nil:
-		return fmt.Errorf("%s: byWeight is of mostShare", r)
+	case r.MaxUnavailable != nil && *r.MaxUnavailable < 0 || r.MinReady != nil && *r.MinReady < 0:
+		return fmt.Errorf("%s: mostOut and leastReady must not be negative", r)
+	case r.MaxUnavailableFraction != nil && !(*r.MaxUnavailableFraction >= 0 && *r.MaxUnavailableFraction <= 1):
+		return fmt.Errorf("%s: mostShare must be between 0 and 1", r)
+	case r.ByWeight && r.MaxUnavailableFraction == nil:
+		return fmt.Errorf("%s: byWeight requires mostShare", r)
 	}
 	return nil
 }
 
-// Op is what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The operations.
+// Operations of commands.
 const (
-	SetRules Op = "rules"  // put rules in the place of those that there are
-	See      Op = "see"    // say how a unit is
-	Ask      Op = "ask"    // for a permit
-	Back     Op = "back"   // give one back
-	Forget   Op = "forget" // a unit that is gone for good
+	SetRules Op = "rules"  // replaces all rules
+	Observe  Op = "see"    // reports the state of a unit
+	Acquire  Op = "ask"    // requests a permit
+	Return   Op = "back"   // returns a permit
+	Forget   Op = "forget" // removes a unit that is gone for good
 )
 
-// Command is one change.
+// Command is a change of the state.
 type Command struct {
 	Op    Op     `json:"op"`
 	Rules []Rule `json:"rules,omitempty"`
 	Unit  Unit   `json:"unit,omitzero"`
-	// Of Ask: the permit that is asked for. Of Back: its number, and who has it.
+	// Permit is the requested permit of Acquire, or the number and holder of Return.
 	Permit Permit `json:"permit,omitzero"`
-	// At is, of See, a place in the order that whoever looked had heard of before it looked.
-	At uint64 `json:"at,omitempty"`
-	// Untouched says of Back that the unit was never taken out.
+	// ObservedIndex is an index that the observer had received before its observation. For Observe.
+	ObservedIndex uint64 `json:"at,omitempty"`
+	// Untouched reports that the holder never made the unit unavailable. For Return.
 	Untouched bool `json:"untouched,omitempty"`
 }
 
-// Bounds.
+// Limits of a command and of the state.
 const (
-	mostText   = 200
-	mostRules  = 64
-	mostUnits  = 20_000
-	mostWeight = 1e6
-	mostTerm   = 7 * 24 * 60 * 60 * 1000 // ms
+	maxTextBytes = 200
+	maxRules     = 64
+	maxUnits     = 20_000
+	maxWeight    = 1e6
+	maxTermMs    = 7 * 24 * 60 * 60 * 1000 // ms
 )
 
-// Refused is why a command changed nothing.
-type Refused struct{ Text string }
+// RefusedError explains why a command changed nothing. Its text becomes part of the replicated
+// state and must not differ between members.
+type RefusedError struct{ Text string }
 
-func (e *Refused) Error() string { return e.Text }
+func (e *RefusedError) Error() string { return e.Text }
 
-func refuse(format string, args ...any) error { return &Refused{fmt.Sprintf(format, args...)} }
+func refusedf(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
-// Check finds what no state would take.
+// Check validates the command without a state.
 func (c *Command) Check() error {
-	for _, text := range []string{c.Unit.ID, c.Unit.Zone, c.Unit.Life, c.Permit.Holder, c.Permit.Reason} {
-		if len(text) > mostText {
-			return fmt.Errorf("%.40q... has over %d bytes", text, mostText)
+	for _, text := range []string{c.Unit.ID, c.Unit.Zone, c.Unit.Incarnation, c.Permit.Holder, c.Permit.Reason} {
+		if len(text) > maxTextBytes {
+			return fmt.Errorf("text %.40q... has more than %d bytes", text, maxTextBytes)
 		}
 	}
 	if c.Op == SetRules {
-		if len(c.Rules) > mostRules {
-			return fmt.Errorf("%d rules are over %d", len(c.Rules), mostRules)
+		if len(c.Rules) > maxRules {
+			return fmt.Errorf("rules: got %d, limit %d", len(c.Rules), maxRules)
 		}
 		for i := range c.Rules {
 			if err := c.Rules[i].check(); err != nil {
@@ -187,25 +186,25 @@
 		return nil
 	}
 	switch {
-	case !slices.Contains([]Op{See, Ask, Back, Forget}, c.Op):
+	case !slices.Contains([]Op{Observe, Acquire, Return, Forget}, c.Op):
 		return fmt.Errorf("op: %.40q is not rules, see, ask, back or forget", c.Op)
 	case !slices.Contains(Kinds, c.Unit.Kind) || c.Unit.ID == "":
-		return fmt.Errorf("unit: %.40q is no kind of %v, or it has no id", c.Unit.Kind, Kinds)
-	case c.Op == See && (c.Unit.Session == 0 || c.Unit.Kind == Backend):
-		return errors.New("unit: the list tells of backends, and who tells of others has a session")
-	case !(c.Unit.Weight >= 0 && c.Unit.Weight <= mostWeight):
-		return fmt.Errorf("unit: a weight of %g", c.Unit.Weight)
-	case c.Op == Ask && (c.Permit.Holder == "" || c.Permit.Reason == ""):
-		return errors.New("permit: it names who asks, and why")
-	case c.Op == Ask && (c.Permit.TermMs < 1 || c.Permit.TermMs > mostTerm):
-		return fmt.Errorf("permit: a term of %d ms is not from 1 to %d", c.Permit.TermMs, mostTerm)
-	case c.Op == Back && c.Permit.Number == 0:
-		return errors.New("permit: it has no number")
+		return fmt.Errorf("unit: kind %.40q is not one of %v, or the id is missing", c.Unit.Kind, Kinds)
+	case c.Op == Observe && (c.Unit.Session == 0 || c.Unit.Kind == Backend):
+		return errors.New("unit: only the list reports backends, and observers of other units need a session")
+	case !(c.Unit.Weight >= 0 && c.Unit.Weight <= maxWeight):
+		return fmt.Errorf("unit: weight %g is out of range", c.Unit.Weight)
+	case c.Op == Acquire && (c.Permit.Holder == "" || c.Permit.Reason == ""):
+		return errors.New("permit: holder and reason are required")
+	case c.Op == Acquire && (c.Permit.TermMs < 1 || c.Permit.TermMs > maxTermMs):
+		return fmt.Errorf("permit: a term of %d ms is not between 1 and %d", c.Permit.TermMs, maxTermMs)
+	case c.Op == Return && c.Permit.Number == 0:
+		return errors.New("permit: number is missing")
 	}
 	return nil
 }
 
-// State is who is out, and who may be. It is not safe for use by several goroutines.
+// State holds the rules and the units with their permits. It is not safe for concurrent use.
 type State struct {
 	rules []Rule
 	units map[Name]*Unit
@@ -214,76 +213,79 @@
 // New returns a state without units and rules.
 func New() *State { return &State{units: map[Name]*Unit{}} }
 
-// Do carries a command out at its place in the order. Open says of a session whether it
-// is. What is returned for Ask is the permit.
-func (s *State) Do(index uint64, c Command, open func(session uint64) bool) (*Permit, error) {
-	if err := c.Check(); err != nil {
+// Apply applies the command at the index. sessionOpen reports whether a session is open. The
+// permit is that of Acquire and nil for other operations. The error is a RefusedError or that of
+// Check, and the state is unchanged then.
+func (s *State) Apply(index uint64, command Command, sessionOpen func(session uint64) bool) (*Permit, error) {
+	if err := command.Check(); err != nil {
 		return nil, err
 	}
-	switch c.Op {
+	switch command.Op {
 	case SetRules:
-		s.rules = c.Rules
+		s.rules = command.Rules
 		return nil, nil
-	case See:
-		if !open(c.Unit.Session) {
-			return nil, refuse("session %d has ended", c.Unit.Session)
+	case Observe:
+		if !sessionOpen(command.Unit.Session) {
+			return nil, refusedf("session %d has ended", command.Unit.Session)
 		}
-		return nil, s.see(index, c.Unit, c.At)
-	case Ask:
-		return s.ask(index, c, open)
+		return nil, s.observe(index, command.Unit, command.ObservedIndex)
+	case Acquire:
+		return s.acquire(index, command, sessionOpen)
 	}
-	u := s.units[c.Unit.Name]
-	if u == nil {
-		return nil, refuse("there is no %s", c.Unit.Name)
+	unit := s.units[command.Unit.Name]
+	if unit == nil {
+		return nil, refusedf("there is no %s", command.Unit.Name)
 	}
-	if c.Op == Forget {
-		if u.Ready {
-			return nil, refuse("%s is ready", u.Name)
+	if command.Op == Forget {
+		if unit.Ready {
+			return nil, refusedf("%s is ready", unit.Name)
 		}
-		delete(s.units, u.Name)
+		delete(s.units, unit.Name)
 		return nil, nil
 	}
-	switch p := u.Permit; {
-	case p == nil || p.Number > c.Permit.Number:
-		return nil, nil // it has ended
-	case p.Number != c.Permit.Number || p.Holder != c.Permit.Holder:
-		return nil, refuse("permit %d of %s is held by %s", p.Number, u.Name, p.Holder)
-	case u.Ready && u.Session == 0, c.Untouched && u.Ready && u.Since < p.Number:
-		// The list is in the same order, so it has it ready now; or it has been all the time.
-		u.Permit = nil
-	case p.Back == 0:
-		next := *p
-		next.Back = index
-		u.Permit = &next
+	switch permit := unit.Permit; {
+	case permit == nil || permit.Number > command.Permit.Number:
+		return nil, nil // the permit has ended already
+	case permit.Number != command.Permit.Number || permit.Holder != command.Permit.Holder:
+		return nil, refusedf("permit %d of %s is held by %s", permit.Number, unit.Name, permit.Holder)
+	case unit.Ready && unit.Session == 0, command.Untouched && unit.Ready && unit.Since < permit.Number:
+		// The list is replicated in the same order, so it shows the backend as ready now; or the
+		// unit has been ready all the time.
+		unit.Permit = nil
+	case permit.ReturnedAt == 0:
+		next := *permit
+		next.ReturnedAt = index
+		unit.Permit = &next
 	}
 	return nil, nil
 }
 
-// see takes in how a unit is.
-func (s *State) see(index uint64, sight Unit, at uint64) error {
-	u := s.units[sight.Name]
-	if u == nil {
-		if len(s.units) >= mostUnits && !s.evict() {
-			return refuse("there are %d units", len(s.units))
+// observe updates a unit from an observation.
+func (s *State) observe(index uint64, observed Unit, observedIndex uint64) error {
+	unit := s.units[observed.Name]
+	if unit == nil {
+		if len(s.units) >= maxUnits && !s.evictOldest() {
+			return refusedf("there are %d units", len(s.units))
 		}
-		u = &Unit{Name: sight.Name, Since: index}
-		s.units[u.Name] = u
+		unit = &Unit{Name: observed.Name, Since: index}
+		s.units[unit.Name] = unit
 	}
-	if sight.Session < u.Session {
-		return refuse("%s is told of by session %d now", u.Name, u.Session)
+	if observed.Session < unit.Session {
+		return refusedf("%s is told of by session %d now", unit.Name, unit.Session)
 	}
-	if u.Ready != sight.Ready || u.Life != sight.Life {
-		u.Since = index
+	if unit.Ready != observed.Ready || unit.Incarnation != observed.Incarnation {
+		unit.Since = index
 	}
-	u.Zone, u.Weight, u.Canary, u.Life, u.Ready, u.Session = sight.Zone, sight.Weight, sight.Canary, sight.Life, sight.Ready, sight.Session
-	if u.Ready && u.Permit != nil && u.Permit.Back != 0 && at >= u.Permit.Back {
-		u.Permit, u.Since = nil, index
+	unit.Zone, unit.Weight, unit.Canary, unit.Incarnation, unit.Ready, unit.Session = observed.Zone, observed.Weight, observed.Canary, observed.Incarnation, observed.Ready, observed.Session
+	if unit.Ready && unit.Permit != nil && unit.Permit.ReturnedAt != 0 && observedIndex >= unit.Permit.ReturnedAt {
+		unit.Permit, unit.Since = nil, index
 	}
 	return nil
 }
 
-// evict forgets the backend that has been gone longest, if one is that nobody holds.
-func (s *State) evict() bool {
+// evictOldest removes the backend that has been unavailable longest and has no permit. It returns
+// false if there is none.
+func (s *State) evictOldest() bool {
 	var oldest *Unit
 	for _, u := range s.units {
 		if u.Kind == Backend && !u.Ready && u.Permit == nil && (oldest == nil || u.Since < oldest.Since || u.Since == oldest.Since && u.ID < oldest.ID) {
@@ -296,23 +298,23 @@
 	return oldest != nil
 }
 
-// Sight is how the list has a backend.
-type Sight struct {
-	ID, Zone string
-	Weight   float64
-	Life     string
-	Ready    bool
+// BackendState is the state of a backend in the list.
+type BackendState struct {
+	ID, Zone    string
+	Weight      float64
+	Incarnation string
+	Ready       bool
 }
 
-// SeeBackend takes in how the list has a backend. One that the bound has no room for is
-// not known here, and gets no permit.
-func (s *State) SeeBackend(index uint64, b Sight) {
-	s.see(index, Unit{Name: Name{Backend, b.ID}, Zone: b.Zone, Weight: b.Weight, Life: b.Life, Ready: b.Ready}, index)
+// ObserveBackend updates a backend from the list. A new backend beyond the limit of units is
+// ignored and gets no permits.
+func (s *State) ObserveBackend(index uint64, backend BackendState) {
+	s.observe(index, Unit{Name: Name{Backend, backend.ID}, Zone: backend.Zone, Weight: backend.Weight, Incarnation: backend.Incarnation, Ready: backend.Ready}, index)
 }
 
-// SessionOver says that a session has ended: nobody knows how the units are that it
-// told of, and its permits are nobody's. The units may still be down.
-func (s *State) SessionOver(index, session uint64) {
+// SessionEnded marks the units that the session observed as not ready, and its permits as lost.
+// The units of those permits may still be down.
+func (s *State) SessionEnded(index, session uint64) {
 	for _, u := range s.units {
 		if u.Session == session && u.Ready {
 			u.Ready, u.Since = false, index
@@ -325,131 +327,131 @@
 	}
 }
 
-// ask grants a permit, or says why not.
-func (s *State) ask(index uint64, c Command, open func(uint64) bool) (*Permit, error) {
-	u := s.units[c.Unit.Name]
+// acquire grants a permit, or returns a RefusedError.
+func (s *State) acquire(index uint64, command Command, sessionOpen func(uint64) bool) (*Permit, error) {
+	unit := s.units[command.Unit.Name]
 	switch {
-	case u == nil:
-		return nil, refuse("there is no %s that anybody has seen", c.Unit.Name)
-	case c.Permit.Session != 0 && !open(c.Permit.Session):
-		return nil, refuse("session %d has ended", c.Permit.Session)
+	case unit == nil:
+		return nil, refusedf("there is no %s that anybody has seen", command.Unit.Name)
+	case command.Permit.Session != 0 && !sessionOpen(command.Permit.Session):
+		return nil, refusedf("session %d has ended", command.Permit.Session)
 	}
-	if p := u.Permit; p != nil {
+	if permit := unit.Permit; permit != nil {
 		switch {
-		case p.Holder == c.Permit.Holder && p.Session == c.Permit.Session && p.Back == 0:
-			return p, nil
-		case p.Holder != c.Permit.Holder && !p.Lost:
-			return nil, refuse("%s is out by permit %d of %s (%s)", u.Name, p.Number, p.Holder, p.Reason)
+		case permit.Holder == command.Permit.Holder && permit.Session == command.Permit.Session && permit.ReturnedAt == 0:
+			return permit, nil
+		case permit.Holder != command.Permit.Holder && !permit.Lost:
+			return nil, refusedf("%s is out by permit %d of %s (%s)", unit.Name, permit.Number, permit.Holder, permit.Reason)
 		}
-		// It is taken over: the unit is out already.
-	} else if !u.Out() {
-		if err := s.fits(u); err != nil {
+		// The permit is taken over: the unit is unavailable already.
+	} else if !unit.Unavailable() {
+		if err := s.checkRules(unit); err != nil {
 			return nil, err
 		}
 	}
-	u.Permit = &Permit{Number: index, Holder: c.Permit.Holder, Session: c.Permit.Session, Reason: c.Permit.Reason, TermMs: c.Permit.TermMs}
-	return u.Permit, nil
+	unit.Permit = &Permit{Number: index, Holder: command.Permit.Holder, Session: command.Permit.Session, Reason: command.Permit.Reason, TermMs: command.Permit.TermMs}
+	return unit.Permit, nil
 }
 
-// fits says whether a unit that is ready may go out beside all that are.
-func (s *State) fits(u *Unit) error {
+// checkRules returns an error if a rule does not allow a ready unit to become unavailable.
+func (s *State) checkRules(unit *Unit) error {
 	for i := range s.rules {
-		r := &s.rules[i]
-		if !r.covers(u) {
+		rule := &s.rules[i]
+		if !rule.covers(unit) {
 			continue
 		}
-		n := s.count(r, u)
-		n.out, n.ready, n.outWeight = n.out+1, n.ready-1, n.outWeight+u.millionths()
-		if err := n.within(r); err != nil {
-			return refuse("%s may not go out: %v", u.Name, err)
+		counts := s.countUnits(rule, unit)
+		counts.unavailable, counts.ready, counts.unavailableWeight = counts.unavailable+1, counts.ready-1, counts.unavailableWeight+unit.weightMillionths()
+		if err := counts.satisfies(rule); err != nil {
+			return refusedf("%s may not go out: %v", unit.Name, err)
 		}
 	}
 	return nil
 }
 
-func (r *Rule) covers(u *Unit) bool {
-	return r.Kind == u.Kind && (!r.Canary || u.Canary) && (r.Zone == "" || r.Zone == "*" || r.Zone == u.Zone)
+func (r *Rule) covers(unit *Unit) bool {
+	return r.Kind == unit.Kind && (!r.Canary || unit.Canary) && (r.Zone == "" || r.Zone == "*" || r.Zone == unit.Zone)
 }
 
-// counted are the units of a rule.
-type counted struct {
-	all, out, ready   int
-	weight, outWeight int64 // in millionths, so that sums don't depend on their order
+// unitCounts counts the units that a rule covers.
+type unitCounts struct {
+	total, unavailable, ready      int
+	totalWeight, unavailableWeight int64 // in millionths: integer sums don't depend on their order
 }
 
-// count counts those that a rule takes together with a unit.
-func (s *State) count(r *Rule, with *Unit) (n counted) {
-	for _, u := range s.units {
-		if !r.covers(u) || r.Zone == "*" && u.Zone != with.Zone {
+// countUnits counts the units that the rule covers together with the given one.
+func (s *State) countUnits(rule *Rule, unit *Unit) (counts unitCounts) {
+	for _, other := range s.units {
+		if !rule.covers(other) || rule.Zone == "*" && other.Zone != unit.Zone {
 			continue
 		}
-		n.all++
-		n.weight += u.millionths()
-		if u.Out() {
-			n.out++
-			n.outWeight += u.millionths()
+		counts.total++
+		counts.totalWeight += other.weightMillionths()
+		if other.Unavailable() {
+			counts.unavailable++
+			counts.unavailableWeight += other.weightMillionths()
 		} else {
-			n.ready++
+			counts.ready++
 		}
 	}
-	return n
+	return counts
 }
 
-// shareSlack is for what floating-point numbers lose of a share.
-const shareSlack = 1e-9
+// fractionTolerance allows for rounding errors of fractions.
+const fractionTolerance = 1e-9
 
-func (n counted) within(r *Rule) error {
+func (c unitCounts) satisfies(rule *Rule) error {
 	switch {
-	case r.MostOut != nil && n.out > *r.MostOut:
-		return fmt.Errorf("%s, and %d would be", r, n.out)
-	case r.MostShare != nil && !r.ByWeight && float64(n.out) > *r.MostShare*float64(n.all)+shareSlack:
-		return fmt.Errorf("%s, and %d of %d would be", r, n.out, n.all)
-	case r.MostShare != nil && r.ByWeight && float64(n.outWeight) > *r.MostShare*float64(n.weight)+0.5:
-		return fmt.Errorf("%s, and %g of %g would be", r, float64(n.outWeight)/1e6, float64(n.weight)/1e6)
-	case r.LeastReady != nil && n.ready < *r.LeastReady:
-		return fmt.Errorf("%s, and %d would be", r, n.ready)
+	case rule.MaxUnavailable != nil && c.unavailable > *rule.MaxUnavailable:
+		return fmt.Errorf("%s, and %d would be", rule, c.unavailable)
+	case rule.MaxUnavailableFraction != nil && !rule.ByWeight && float64(c.unavailable) > *rule.MaxUnavailableFraction*float64(c.total)+fractionTolerance:
+		return fmt.Errorf("%s, and %d of %d would be", rule, c.unavailable, c.total)
+	case rule.MaxUnavailableFraction != nil && rule.ByWeight && float64(c.unavailableWeight) > *rule.MaxUnavailableFraction*float64(c.totalWeight)+0.5:
+		return fmt.Errorf("%s, and %g of %g would be", rule, float64(c.unavailableWeight)/1e6, float64(c.totalWeight)/1e6)
+	case rule.MinReady != nil && c.ready < *rule.MinReady:
+		return fmt.Errorf("%s, and %d would be", rule, c.ready)
 	}
 	return nil
 }
 
-// Never are the rules by which no unit of theirs could ever go out, though all were
-// ready.
-func (s *State) Never() (all []string) {
+// UnsatisfiableRules describes the rules that never allow a unit to become unavailable, even with
+// all units ready.
+func (s *State) UnsatisfiableRules() (problems []string) {
 	for i := range s.rules {
-		r := &s.rules[i]
-		zones := map[string]counted{}
-		least := map[string]int64{}
-		for _, u := range s.units {
-			if !r.covers(u) {
+		rule := &s.rules[i]
+		countsByZone := map[string]unitCounts{}
+		minWeight := map[string]int64{}
+		for _, unit := range s.units {
+			if !rule.covers(unit) {
 				continue
 			}
 			zone := ""
-			if r.Zone == "*" {
-				zone = u.Zone
+			if rule.Zone == "*" {
+				zone = unit.Zone
 			}
-			n, known := zones[zone]
-			n.all++
-			n.weight += u.millionths()
-			zones[zone] = n
-			if !known || u.millionths() < least[zone] {
-				least[zone] = u.millionths()
+			counts, known := countsByZone[zone]
+			counts.total++
+			counts.totalWeight += unit.weightMillionths()
+			countsByZone[zone] = counts
+			if !known || unit.weightMillionths() < minWeight[zone] {
+				minWeight[zone] = unit.weightMillionths()
 			}
 		}
-		for _, zone := range slices.Sorted(maps.Keys(zones)) {
-			n := zones[zone]
-			n.out, n.ready, n.outWeight = 1, n.all-1, least[zone]
-			if err := n.within(r); err != nil {
-				all = append(all, err.Error())
+		for _, zone := range slices.Sorted(maps.Keys(countsByZone)) {
+			counts := countsByZone[zone]
+			counts.unavailable, counts.ready, counts.unavailableWeight = 1, counts.total-1, minWeight[zone]
+			if err := counts.satisfies(rule); err != nil {
+				problems = append(problems, err.Error())
 			}
 		}
 	}
-	return all
+	return problems
 }
 
-// Rules are those in force.
+// Rules returns the active rules. The caller must not modify them.
 func (s *State) Rules() []Rule { return s.rules }
 
-// Unit returns one.
+// Unit returns a unit and whether it is known.
 func (s *State) Unit(n Name) (Unit, bool) {
 	u := s.units[n]
 	if u == nil {
@@ -458,51 +460,51 @@
 	return *u, true
 }
 
-// Units returns all, by kind and id.
+// Units returns all units, sorted by kind and id.
 func (s *State) Units() []Unit {
-	all := make([]Unit, 0, len(s.units))
+	units := make([]Unit, 0, len(s.units))
 	for _, u := range s.units {
-		all = append(all, *u)
+		units = append(units, *u)
 	}
-	slices.SortFunc(all, func(a, b Unit) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.ID, b.ID)) })
-	return all
+	slices.SortFunc(units, func(a, b Unit) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.ID, b.ID)) })
+	return units
 }
 
-// saved is one line of a snapshot.
-type saved struct {
+// snapshotLine is the encoding of one line of a snapshot.
+type snapshotLine struct {
 	Rules []Rule `json:"rules,omitempty"`
 	Unit  *Unit  `json:"unit,omitempty"`
 }
 
-// Save returns the state as lines.
+// Save returns a snapshot as lines.
 func (s *State) Save() (lines [][]byte) {
-	add := func(l saved) {
-		text, err := json.Marshal(l)
+	add := func(line snapshotLine) {
+		text, err := json.Marshal(line)
 		if err != nil {
-			panic(err) // of plain fields
+			panic(err) // unreachable: all fields can be encoded
 		}
 		lines = append(lines, text)
 	}
 	if len(s.rules) > 0 {
-		add(saved{Rules: s.rules})
+		add(snapshotLine{Rules: s.rules})
 	}
-	for _, u := range s.Units() {
-		add(saved{Unit: &u})
+	for _, unit := range s.Units() {
+		add(snapshotLine{Unit: &unit})
 	}
 	return lines
 }
 
-// Restore takes in a line of Save's.
+// Restore adds one line of a snapshot to the state.
 func (s *State) Restore(line []byte) error {
-	var l saved
-	if err := json.Unmarshal(line, &l); err != nil {
-		return fmt.Errorf("budget: %w", err)
+	var parsed snapshotLine
+	if err := json.Unmarshal(line, &parsed); err != nil {
+		return fmt.Errorf("budget: decode line of a snapshot: %w", err)
 	}
-	if l.Rules != nil {
-		s.rules = l.Rules
+	if parsed.Rules != nil {
+		s.rules = parsed.Rules
 	}
-	if l.Unit != nil {
-		s.units[l.Unit.Name] = l.Unit
+	if parsed.Unit != nil {
+		s.units[parsed.Unit.Name] = parsed.Unit
 	}
 	return nil
 }
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -9,63 +9,66 @@
 	"time"
 )
 
-// lastingAcceptErrors say that a listener will never accept anything.
-var lastingAcceptErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT}
+// permanentAcceptErrors mean that a listener will never accept a connection again.
+var permanentAcceptErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT}
 
-// acceptPasses reports whether accepting may succeed again after an error. accept returns
-// errors of the connection that was to be accepted, of the network and of filters as well:
-// none of them says anything about the listener.
-func acceptPasses(err error) bool {
-	for _, lasting := range lastingAcceptErrors {
-		if errors.Is(err, lasting) {
+// isTemporaryAcceptError reports whether accepting may succeed again after an error. accept
+// also returns errors of the pending connection, the network and packet filters, which say
+// nothing about the listener.
+func isTemporaryAcceptError(err error) bool {
+	for _, permanent := range permanentAcceptErrors {
+		if errors.Is(err, permanent) {
 			return false
 		}
 	}
 	return true
 }
 
-// retryPause is the pause before a call is made again that failed. It doubles from error to error,
-// from leastPause to mostPause.
-type retryPause struct{ next time.Duration }
+// backoff is the delay before a failed call is retried. It doubles with each error, from
+// minRetryDelay to maxRetryDelay. The zero value is ready to use.
+type backoff struct{ delay time.Duration }
 
-func (p *retryPause) reset() { p.next = 0 }
+// reset starts again from minRetryDelay, after a success.
+func (p *backoff) reset() { p.delay = 0 }
 
-func (p *retryPause) after() time.Duration {
-	p.next = min(max(2*p.next, leastPause), mostPause)
-	return p.next
+// nextDelay returns the delay before the next retry.
+func (p *backoff) nextDelay() time.Duration {
+	p.delay = min(max(2*p.delay, minRetryDelay), maxRetryDelay)
+	return p.delay
 }
 
-// steadyListener tries again when accepting fails with an error that passes, so that it does
-// not end a server. One goroutine accepts.
-type steadyListener struct {
+// retryingListener retries after temporary accept errors, which would otherwise end an
+// http.Server. Only one goroutine may call Accept.
+type retryingListener struct {
 	net.Listener
-	name   string // for the log
-	pause  retryPause
-	lines  lineLimit
-	closed chan struct{}
-	close  sync.Once
+	name      string // for the log
+	backoff   backoff
+	logLimit  logLimiter
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func newSteadyListener(l net.Listener, name string) *steadyListener {
-	return &steadyListener{Listener: l, name: name, lines: lineLimit{most: 1}, closed: make(chan struct{})}
+// newRetryingListener wraps a listener. The name appears in the log.
+func newRetryingListener(listener net.Listener, name string) *retryingListener {
+	return &retryingListener{Listener: listener, name: name, logLimit: logLimiter{max: 1}, closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
-func (l *steadyListener) Accept() (net.Conn, error) {
+func (l *retryingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err == nil {
-			l.pause.reset()
+			l.backoff.reset()
 			return conn, nil
 		}
-		if !acceptPasses(err) {
+		if !isTemporaryAcceptError(err) {
 			return nil, err
 		}
-		if l.lines.allow() {
+		if l.logLimit.allow() {
 			slog.Error("accepting failed", "listener", l.name, "error", err)
 		}
 		select {
-		case <-time.After(l.pause.after()):
+		case <-time.After(l.backoff.nextDelay()):
 		case <-l.closed:
 			return nil, net.ErrClosed
 		}
@@ -73,7 +76,7 @@
 }
 
 // Close implements net.Listener.
-func (l *steadyListener) Close() error {
-	l.close.Do(func() { close(l.closed) })
+func (l *retryingListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -13,141 +13,141 @@
 
 // Headers that gateways and backends exchange.
 const (
-	notRunHeader = "X-Unprocessed"
-	leftHeader   = "X-Time-Left-Ms"
-	loadHeader   = "X-Backend-Load"
-	costHeader   = "X-Cost-Units"
+	unprocessedHeader = "X-Unprocessed"
+	timeLeftHeader    = "X-Time-Left-Ms"
+	loadHeader        = "X-Backend-Load"
+	costHeader        = "X-Cost-Units"
 )
 
 // result is how an attempt ended.
 type result struct {
-	outcome rules.Outcome
-	err     error   // why no whole response came
-	answer  answer  // if the outcome is rules.Served
-	units   float64 // of the quota that the request really took; 0: the backend did not say
-	cut     error   // why the client's body was incomplete; the backend has run nothing then
-	spent   bool    // the client's body can't be sent to another backend
+	outcome      rules.Outcome
+	err          error    // why there is no complete response
+	response     response // if the outcome is rules.Served
+	units        float64  // of the quota, as the backend reports them; 0: not reported
+	bodyErr      error    // why the client's body is incomplete; the backend has run nothing then
+	bodyConsumed bool     // the client's body can't be sent to another backend
 }
 
-// attempt is one try of a request at one backend. The loop owns all fields but those that
-// mu guards.
+// attempt sends a request to one backend, once. The loop owns all fields but those that mu
+// guards.
 type attempt struct {
-	x        *exchange
-	number   int
-	backend  rules.BackendID
-	sent     float64
-	deadline float64
-	until    time.Time // the deadline as a time of the wall clock
-	before   time.Time // the request's last byte must be written before; zero: no such bound
-	ended    bool
-	outcome  rules.Outcome // valid once ended
-	took     float64
-	err      error
-	rest     *download // a response that is being passed on to the client
+	exchange     *exchange
+	number       int
+	backend      rules.BackendID
+	sent         float64   // seconds on the loop's clock
+	deadline     float64   // seconds on the loop's clock
+	wallDeadline time.Time // deadline as a wall-clock time; zero: no deadline yet
+	writeBefore  time.Time // limit for writing the request's last byte; zero: no limit
+	ended        bool
+	outcome      rules.Outcome // valid once ended
+	took         float64       // seconds
+	err          error
+	download     *download // a response that is being passed on to the client
 
-	// begun tells the loop that the head of a response may go to the client. It returns
+	// onStart notifies the loop that the head of a response may go to the client. It returns
 	// false if the client no longer waits.
-	begun func(answer) bool
-	// interim tells the loop of a 1xx response.
-	interim func(answer)
+	onStart func(response) bool
+	// onInterim notifies the loop of a 1xx response.
+	onInterim func(response)
 
-	last atomic.Bool // the end of a streamed body is about to be written, or has been
+	lastPiece atomic.Bool // the end of a streamed body is about to be written, or has been
 
-	ctx    context.Context // cancelled when the attempt is called off; bounds the dial
+	ctx    context.Context // cancelled when the attempt is aborted; bounds the dial
 	cancel context.CancelFunc
 
-	mu     sync.Mutex
-	conn   *backendConn
-	called bool // callOff or callOffDial has been called
+	mu      sync.Mutex
+	conn    *backendConn
+	aborted bool // abort has been called, or abortDial before there was a connection
 }
 
-// callOff cancels the attempt. Once it has returned, no further byte of the request leaves
+// abort cancels the attempt. Once it has returned, no further byte of the request leaves
 // the gateway: a dial that succeeds later is not used, and a connection in use is closed.
-func (a *attempt) callOff() {
+func (a *attempt) abort() {
 	a.cancel()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.called = true
+	a.aborted = true
 	if a.conn != nil {
 		a.conn.Close()
 	}
 }
 
-// callOffDial cancels the attempt if it has no connection yet.
-func (a *attempt) callOffDial() {
+// abortDial cancels the attempt if it has no connection yet.
+func (a *attempt) abortDial() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn == nil && a.cancel != nil {
-		a.called = true
+		a.aborted = true
 		a.cancel()
 	}
 }
 
-// writeBy returns the earlier of end and the time by which the request must be written.
-func (a *attempt) writeBy(end time.Time) time.Time {
-	if !a.before.IsZero() && (end.IsZero() || a.before.Before(end)) {
-		return a.before
+// writeDeadline returns the earlier of end and the time by which the request must be written.
+func (a *attempt) writeDeadline(end time.Time) time.Time {
+	if !a.writeBefore.IsZero() && (end.IsZero() || a.writeBefore.Before(end)) {
+		return a.writeBefore
 	}
 	return end
 }
 
-// hold gives the attempt a connection. It returns false if the attempt has been called off.
-func (a *attempt) hold(c *backendConn) bool {
+// attach gives the attempt a connection. It returns false if the attempt has been aborted.
+func (a *attempt) attach(conn *backendConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.called {
-		a.conn = c
+	if !a.aborted {
+		a.conn = conn
 	}
-	return !a.called
+	return !a.aborted
 }
 
-// release takes the connection from the attempt. It returns false if the attempt has been
-// called off, which has closed the connection.
-func (a *attempt) release() bool {
+// detach takes the connection from the attempt. It returns false if the attempt has been
+// aborted, which has closed the connection.
+func (a *attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = nil
-	return !a.called
+	return !a.aborted
 }
 
-// attempt sends a request and waits for the response. An error before the last byte is
+// runAttempt sends a request and waits for the response. An error before the last byte is
 // written proves that the backend has run nothing; a later one proves nothing.
-func (p *pools) attempt(a *attempt) result {
-	c, err := p.conn(a.ctx, a.backend)
+func (p *pools) runAttempt(attempt *attempt) result {
+	conn, err := p.acquire(attempt.ctx, attempt.backend)
 	switch {
 	case localFailure(err), errors.Is(err, errConnLimit):
-		return result{outcome: rules.Moot, err: err} // the backend had no part in it
+		return result{outcome: rules.NotStarted, err: err} // says nothing about the backend
 	case err != nil:
 		return result{outcome: rules.ConnectFailed, err: err}
 	}
-	if !a.hold(c) {
-		p.discard(c)
+	if !attempt.attach(conn) {
+		p.discard(conn)
 		return result{outcome: rules.ConnectFailed}
 	}
 	var res result
 	var reuse bool
-	c.uses++
-	c.read.begin()
-	if a.x.upload != nil {
-		res, reuse = p.stream(a, c)
+	conn.requests++
+	conn.framing.beginResponse()
+	if attempt.exchange.upload != nil {
+		res, reuse = p.streamBody(attempt, conn)
 	} else {
-		c.SetReadDeadline(a.until)
-		c.SetWriteDeadline(a.writeBy(a.until))
-		if err := a.write(c); err != nil {
-			a.release()
-			p.discard(c)
+		conn.SetReadDeadline(attempt.wallDeadline)
+		conn.SetWriteDeadline(attempt.writeDeadline(attempt.wallDeadline))
+		if err := attempt.writeRequest(conn); err != nil {
+			attempt.detach()
+			p.discard(conn)
 			return result{outcome: rules.ConnectFailed, err: err}
 		}
-		p.figures.tries.Add(1)
-		res, reuse = p.answer(a, c)
+		p.metrics.attempts.Add(1)
+		res, reuse = p.readResponse(attempt, conn)
 	}
 	if res.err != nil {
-		res.err = fmt.Errorf("request %d after %v idle: %w", c.uses, c.rest, res.err)
+		res.err = fmt.Errorf("request %d on its connection, after %v idle: %w", conn.requests, conn.idleFor, res.err)
 	}
-	if a.release() && reuse {
-		p.put(c)
+	if attempt.detach() && reuse {
+		p.put(conn)
 	} else {
-		p.discard(c)
+		p.discard(conn)
 	}
 	return res
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -7,226 +7,231 @@
 	"time"
 )
 
-// A body's start is held in full, its rest goes through a window.
+// The start of a body is buffered in full; its remainder passes through a window.
 const (
-	budgetShare  = 4               // a part of the memory, for all bodies
-	uncounted    = 4 << 10         // bytes; there are no more bodies than connections, which hold as much themselves
-	leastWindow  = 16 << 10        // what every transfer is sure of
-	mostWindow   = 64 << 10        // of one that uses it, while there is room
-	spareShare   = 4               // a part of the budget that larger windows leave to those that come
-	budgetWait   = 2 * time.Second // for memory
-	budgetAdvice = 1               // seconds after which one that was refused may come again
+	bodyMemoryDivisor = 4               // bodies may take 1/4 of the memory
+	uncountedBytes    = 4 << 10         // buffers up to this size are not counted: each connection holds as much anyway
+	minWindow         = 16 << 10        // bytes
+	maxWindow         = 64 << 10        // bytes, for a transfer that fills its window, while memory is free
+	spareDivisor      = 4               // windows above minWindow leave 1/4 of the budget free
+	budgetTimeout     = 2 * time.Second // for a reservation
+	budgetRetryAfter  = 1               // seconds, for the Retry-After header of a rejected request
 )
 
-var errCrowded = errors.New("no memory for a body")
+var errNoBodyMemory = errors.New("no memory for a body")
 
-// budget bounds the memory that bodies take, both ways. Those that wait stand in
-// one line and hold nothing, so that none waits for one that waits for it.
+// budget limits the memory that the bodies of requests and responses take. Reservations that
+// have to wait are served in order. Who waits holds no memory, so that waiters cannot
+// deadlock. It is safe for concurrent use.
 type budget struct {
-	mu    sync.Mutex
-	total int // bytes
-	used  int
-	most  int // used at once since the start
-	line  []*claim
+	mu      sync.Mutex
+	total   int // bytes
+	used    int // bytes
+	peak    int // maximum of used since the start
+	waiters []*waiter
 }
 
-// claim is one that waits.
-type claim struct {
+// waiter is a reservation that waits for memory.
+type waiter struct {
 	bytes   int
 	granted chan struct{}
 }
 
-func bodyMemory(memoryMB int) int { return memoryMB << 20 / budgetShare }
+// bodyMemory returns the bytes for bodies of a gateway with the given memory.
+func bodyMemory(memoryMB int) int { return memoryMB << 20 / bodyMemoryDivisor }
 
-// limit changes the total. What is taken stays taken.
-func (b *budget) limit(total int) {
+// setTotal changes the total. Existing reservations stay.
+func (b *budget) setTotal(total int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.total = total
-	b.serve()
+	b.grantWaiters()
 }
 
-// try takes n bytes if they are free and nobody waits.
-func (b *budget) try(n int) bool {
+// tryReserve reserves bytes if they are free and no reservation waits.
+func (b *budget) tryReserve(bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.line) > 0 || b.used+n > b.total {
+	if len(b.waiters) > 0 || b.used+bytes > b.total {
 		return false
 	}
-	b.hold(n)
+	b.add(bytes)
 	return true
 }
 
-// room takes what holding the start of an answer needs, or less if there is
-// less. What is not counted is always to be had.
-func (b *budget) room(most int) (taken, room int) {
-	for _, n := range [...]int{most, leastWindow} {
-		if n <= uncounted {
-			return 0, n
+// reserveUpTo reserves memory for a buffer of at most maxBytes, or a smaller one if that is
+// not free, and returns the bytes reserved and the size of the buffer. A buffer of
+// uncountedBytes is always available.
+func (b *budget) reserveUpTo(maxBytes int) (reserved, room int) {
+	for _, size := range [...]int{maxBytes, minWindow} {
+		if size <= uncountedBytes {
+			return 0, size
 		}
-		if n <= most && b.try(n) {
-			return n, n
+		if size <= maxBytes && b.tryReserve(size) {
+			return size, size
 		}
 	}
-	return 0, uncounted
+	return 0, uncountedBytes
 }
 
-// shrink gives back what a body of so many bytes does not need of what was taken
-// for it, and returns the rest.
-func (b *budget) shrink(taken, bytes int) int {
-	if bytes <= uncounted {
+// shrink releases what a body of the given length does not need of its reservation, and
+// returns the bytes that stay reserved.
+func (b *budget) shrink(reserved, bytes int) int {
+	if bytes <= uncountedBytes {
 		bytes = 0
 	}
-	left := min(taken, bytes)
-	b.give(taken - left)
-	return left
+	kept := min(reserved, bytes)
+	b.release(reserved - kept)
+	return kept
 }
 
-// tryMore takes n bytes that are not needed, only wanted.
-func (b *budget) tryMore(n int) bool {
+// tryReserveSpare reserves bytes that are optional: it leaves a part of the budget free.
+func (b *budget) tryReserveSpare(bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.line) > 0 || b.used+n > b.total-b.total/spareShare {
+	if len(b.waiters) > 0 || b.used+bytes > b.total-b.total/spareDivisor {
 		return false
 	}
-	b.hold(n)
+	b.add(bytes)
 	return true
 }
 
-// take waits for n bytes for a while.
-func (b *budget) take(ctx context.Context, n int) error {
+// reserve reserves bytes, and waits up to budgetTimeout for them. It returns
+// errNoBodyMemory if they do not become free in time or ctx ends.
+func (b *budget) reserve(ctx context.Context, bytes int) error {
 	b.mu.Lock()
-	if len(b.line) == 0 && b.used+n <= b.total {
-		b.hold(n)
+	if len(b.waiters) == 0 && b.used+bytes <= b.total {
+		b.add(bytes)
 		b.mu.Unlock()
 		return nil
 	}
-	c := &claim{n, make(chan struct{})}
-	b.line = append(b.line, c)
+	own := &waiter{bytes, make(chan struct{})}
+	b.waiters = append(b.waiters, own)
 	b.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, budgetWait)
+	ctx, cancel := context.WithTimeout(ctx, budgetTimeout)
 	defer cancel()
 	select {
-	case <-c.granted:
+	case <-own.granted:
 		return nil
 	case <-ctx.Done():
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, waiting := range b.line {
-		if waiting == c {
-			b.line = append(b.line[:i], b.line[i+1:]...)
-			b.serve() // one that wanted less may stand behind it
-			return errCrowded
+	for i, other := range b.waiters {
+		if other == own {
+			b.waiters = append(b.waiters[:i], b.waiters[i+1:]...)
+			b.grantWaiters() // a smaller reservation may come next
+			return errNoBodyMemory
 		}
 	}
-	return nil // granted just now
+	return nil // granted meanwhile
 }
 
-func (b *budget) give(n int) {
-	if n == 0 {
+// release returns reserved bytes.
+func (b *budget) release(bytes int) {
+	if bytes == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.used -= n
-	b.serve()
+	b.used -= bytes
+	b.grantWaiters()
 }
 
-// crowded tells whether some wait.
-func (b *budget) crowded() bool {
+// hasWaiters reports whether reservations wait.
+func (b *budget) hasWaiters() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.line) > 0
+	return len(b.waiters) > 0
 }
 
-// usage returns the bytes taken, and the most that were.
-func (b *budget) usage() (used, most int) {
+// usage returns the bytes reserved now and at the peak.
+func (b *budget) usage() (used, peak int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.used, b.most
+	return b.used, b.peak
 }
 
-func (b *budget) hold(n int) {
-	b.used += n
-	b.most = max(b.most, b.used)
+// add counts a granted reservation. The caller holds mu.
+func (b *budget) add(bytes int) {
+	b.used += bytes
+	b.peak = max(b.peak, b.used)
 }
 
-// serve grants what there is room for, first come first served. Danger: one that
-// wants much would starve if those that want little went past it.
-func (b *budget) serve() {
-	for len(b.line) > 0 && b.used+b.line[0].bytes <= b.total {
-		b.hold(b.line[0].bytes)
-		close(b.line[0].granted)
-		b.line[0] = nil
-		b.line = b.line[1:]
+// grantWaiters grants waiting reservations in order while memory is free. Smaller ones do not
+// overtake a large one, which would starve. The caller holds mu.
+func (b *budget) grantWaiters() {
+	for len(b.waiters) > 0 && b.used+b.waiters[0].bytes <= b.total {
+		b.add(b.waiters[0].bytes)
+		close(b.waiters[0].granted)
+		b.waiters[0] = nil
+		b.waiters = b.waiters[1:]
 	}
 }
 
-// window is the buffer through which the rest of a body passes. One goroutine
-// owns it. It has none while there is nothing to pass.
+// window is the buffer through which the remainder of a body passes. One goroutine owns it.
+// Between pieces it may be empty.
 type window struct {
-	budget *budget
-	own    int // bytes of the budget that its transfer holds already: 0 or leastWindow
-	buf    []byte
-	full   bool // the last piece filled it: there is more where that came from
+	budget  *budget
+	prepaid int // bytes that the transfer has reserved already: 0 or minWindow
+	buf     []byte
+	full    bool // the last piece filled the buffer, so more is likely to follow
 }
 
 var (
-	mostWindows  = sync.Pool{New: func() any { return new([mostWindow]byte) }}
-	leastWindows = sync.Pool{New: func() any { return new([leastWindow]byte) }}
-	smallBuffers = sync.Pool{New: func() any { return new([uncounted]byte) }}
+	maxWindowPool = sync.Pool{New: func() any { return new([maxWindow]byte) }}
+	minWindowPool = sync.Pool{New: func() any { return new([minWindow]byte) }}
+	uncountedPool = sync.Pool{New: func() any { return new([uncountedBytes]byte) }}
 )
 
-// open returns a buffer: a large one for a body that fills it, while there is
-// room, else the least one. Where even that is not to be had, there is the
-// small one that is not counted.
-func (w *window) open() []byte {
+// buffer returns a buffer for the next piece: of maxWindow for a body that fills it while
+// memory is free, else of minWindow, and if not even that is free, of uncountedBytes.
+func (w *window) buffer() []byte {
 	switch size := len(w.buf); {
-	case size == mostWindow && w.budget.crowded():
-		w.resize(leastWindow)
-	case size < mostWindow && w.full && w.budget.tryMore(w.counted(mostWindow)-w.counted(size)):
-		w.resize(mostWindow)
-	case size < leastWindow && (w.own > 0 || w.budget.try(leastWindow)):
-		w.resize(leastWindow)
+	case size == maxWindow && w.budget.hasWaiters():
+		w.resize(minWindow)
+	case size < maxWindow && w.full && w.budget.tryReserveSpare(w.cost(maxWindow)-w.cost(size)):
+		w.resize(maxWindow)
+	case size < minWindow && (w.prepaid > 0 || w.budget.tryReserve(minWindow)):
+		w.resize(minWindow)
 	case size == 0:
-		w.resize(uncounted)
+		w.resize(uncountedBytes)
 	}
 	return w.buf
 }
 
-// passed notes how much of the buffer was used.
-func (w *window) passed(n int) { w.full = n == len(w.buf) }
+// recordUse records how many bytes of the buffer the last piece used.
+func (w *window) recordUse(bytes int) { w.full = bytes == len(w.buf) }
 
-// close gives the buffer back.
-func (w *window) close() { w.resize(0) }
+// release returns the buffer.
+func (w *window) release() { w.resize(0) }
 
-// resize swaps the buffer, and gives back what it takes less of the budget. What
-// it takes more has been taken.
+// resize replaces the buffer and releases the difference if the new one is smaller. The
+// caller has reserved the difference if it is larger.
 func (w *window) resize(size int) {
-	w.budget.give(max(w.counted(len(w.buf))-w.counted(size), 0))
+	w.budget.release(max(w.cost(len(w.buf))-w.cost(size), 0))
 	switch len(w.buf) {
-	case mostWindow:
-		mostWindows.Put((*[mostWindow]byte)(w.buf))
-	case leastWindow:
-		leastWindows.Put((*[leastWindow]byte)(w.buf))
-	case uncounted:
-		smallBuffers.Put((*[uncounted]byte)(w.buf))
+	case maxWindow:
+		maxWindowPool.Put((*[maxWindow]byte)(w.buf))
+	case minWindow:
+		minWindowPool.Put((*[minWindow]byte)(w.buf))
+	case uncountedBytes:
+		uncountedPool.Put((*[uncountedBytes]byte)(w.buf))
 	}
 	switch w.buf = nil; size {
-	case mostWindow:
-		w.buf = mostWindows.Get().(*[mostWindow]byte)[:]
-	case leastWindow:
-		w.buf = leastWindows.Get().(*[leastWindow]byte)[:]
-	case uncounted:
-		w.buf = smallBuffers.Get().(*[uncounted]byte)[:]
+	case maxWindow:
+		w.buf = maxWindowPool.Get().(*[maxWindow]byte)[:]
+	case minWindow:
+		w.buf = minWindowPool.Get().(*[minWindow]byte)[:]
+	case uncountedBytes:
+		w.buf = uncountedPool.Get().(*[uncountedBytes]byte)[:]
 	}
 }
 
-// counted is what a buffer takes of the budget.
-func (w *window) counted(size int) int {
-	if size < leastWindow {
+// cost returns the bytes that a buffer of the given size takes from the budget.
+func (w *window) cost(size int) int {
+	if size < minWindow {
 		return 0
 	}
-	return size - w.own
+	return size - w.prepaid
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	controlConns = 16 // callers at once, part of the reserved descriptors
-	// Callers wait 1 s. One that has said nothing by then waits no longer, and
-	// its place is needed.
-	controlRead  = 900 * time.Millisecond
-	controlWrite = 2 * time.Second
+	maxControlConns = 16 // part of reservedDescriptors
+	// Operators' tools wait 1 s for an answer; a connection without a request by then is closed,
+	// so that it does not count against maxControlConns.
+	controlReadTimeout  = 900 * time.Millisecond
+	controlWriteTimeout = 2 * time.Second
 )
 
-// control answers the operators, one call to a connection.
-type control struct {
-	figures *figures
-	ready   func() bool
-	byHand  func(id string, offline bool) (known bool, err error)
-	members *standing // nil: membership is off
-	loop    *Loop
-	beside  func() bool // another process of this gateway runs
+// controlServer serves the HTTP interface for operators, with one request per connection.
+type controlServer struct {
+	metrics       *metrics
+	ready         func() bool
+	applyOverride func(id string, offline bool) (known bool, err error)
+	connectivity  *connectivity // nil: membership is off
+	loop          *Loop
+	hasPeer       func() bool // a sibling process is connected
 }
 
-func (c *control) server() *http.Server {
+// server returns the HTTP server, which serves GET /control/ready, /control/counters,
+// /control/backends and /control/members and POST /control/backends/{id}/offline and /online.
+func (c *controlServer) server() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !c.ready() {
@@ -35,14 +37,14 @@
 	})
 	mux.HandleFunc("GET /control/counters", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		c.figures.write(w)
-		writeMembers(w, c.members)
+		c.metrics.write(w)
+		writeMembershipMetrics(w, c.connectivity)
 	})
-	mux.HandleFunc("GET /control/backends", backendsHandler(c.loop, c.beside))
-	mux.HandleFunc("GET /control/members", membersHandler(c.members))
-	for word, offline := range map[string]bool{"offline": true, "online": false} {
-		mux.HandleFunc("POST /control/backends/{id}/"+word, func(w http.ResponseWriter, r *http.Request) {
-			switch known, err := c.byHand(r.PathValue("id"), offline); {
+	mux.HandleFunc("GET /control/backends", backendsHandler(c.loop, c.hasPeer))
+	mux.HandleFunc("GET /control/members", membersHandler(c.connectivity))
+	for action, offline := range map[string]bool{"offline": true, "online": false} {
+		mux.HandleFunc("POST /control/backends/{id}/"+action, func(w http.ResponseWriter, r *http.Request) {
+			switch known, err := c.applyOverride(r.PathValue("id"), offline); {
 			case err != nil:
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			case !known:
@@ -50,17 +52,17 @@
 			}
 		})
 	}
-	s := &http.Server{Handler: mux, MaxHeaderBytes: mostHeader, ReadHeaderTimeout: controlRead,
-		ReadTimeout: controlRead, WriteTimeout: controlWrite}
-	s.SetKeepAlivesEnabled(false)
-	return s
+	server := &http.Server{Handler: mux, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: controlReadTimeout,
+		ReadTimeout: controlReadTimeout, WriteTimeout: controlWriteTimeout}
+	server.SetKeepAlivesEnabled(false)
+	return server
 }
 
-// listenControl opens the operators' address.
+// listenControl listens on the address for operators, with at most maxControlConns connections.
 func listenControl(address string) (net.Listener, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return netutil.LimitListener(l, controlConns), nil
+	return netutil.LimitListener(listener, maxControlConns), nil
 }
--- a/internal/gateway/framing.go
+++ b/internal/gateway/framing.go
@@ -5,160 +5,161 @@
 	"strconv"
 )
 
-// framing reads along on a connection and finds heads that tell the length of
-// their body in more than one way. net/http takes the one that counts and forgets
-// the other; whoever stands before or behind may take the other, and then see a
-// message where there was a body. What net/http refuses by itself is not looked at.
-type framing struct {
-	answers bool // it reads those of a backend; else requests
-	doubt   bool // such a head has come
+// framingScanner scans the bytes of an HTTP/1 connection for messages whose header gives the
+// length of the body in more than one way. net/http applies one of them silently; another
+// proxy may apply the other and take part of a body for a message (request smuggling).
+// Messages that net/http rejects itself are not checked.
+type framingScanner struct {
+	responses bool // scans the responses of a backend; otherwise requests
+	ambiguous bool // such a header was found
 
-	data   uint64 // bytes of bodies that have come, without their framing
-	passed uint64 // of these, those of the bodies before the last head
-	heads  int    // that have come whole
+	bodyBytes        uint64 // body bytes so far, without their framing
+	earlierBodyBytes uint64 // body bytes before the last header
+	heads            int    // complete headers so far
 
-	part    framePart
-	line    [40]byte // the start of the line that is being read
-	n       int      // its bytes so far
-	last    [2]byte  // those before the next
-	lengths int      // of the head that is being read
-	codings int
-	left    uint64 // bytes of the body or chunk to come
-	interim bool   // the head is that of a 1xx
-	old     bool   // or of HTTP/1.0, which has no codings
+	state             framingState
+	line              [40]byte // start of the current line
+	lineBytes         int      // length of the current line so far
+	lastTwo           [2]byte  // last two bytes scanned
+	contentLengths    int      // Content-Length lines in the current header
+	transferEncodings int      // Transfer-Encoding lines in the current header
+	remaining         uint64   // bytes to come of the body, or of the chunk and its line end
+	interim           bool     // the current header is of a 1xx response
+	http10            bool     // the current message is HTTP/1.0, which has no transfer encodings
 }
 
-type framePart int
+// framingState is the part of a message that is being scanned.
+type framingState int
 
 const (
-	frameFirst framePart = iota // the first line of a head
-	frameHead                   // its other lines
+	frameStartLine framingState = iota
+	frameHeaders
 	frameBody
-	frameChunk    // the line of a chunk's size
-	frameData     // and what belongs to it, with the line's end behind
-	frameTrailers // what stands behind the last chunk
-	frameRest     // nothing more is looked at
+	frameChunkSize
+	frameChunkData // with the line end after it
+	frameTrailers
+	frameIgnored // nothing more is scanned
 )
 
-// begin looks out for the answer to the next request.
-func (f *framing) begin() { *f = framing{answers: true} }
+// beginResponse starts the scan of the response to the next request.
+func (f *framingScanner) beginResponse() { *f = framingScanner{responses: true} }
 
-// between tells whether nothing has come behind the last message.
-func (f *framing) between() bool { return f.part == frameFirst && f.n == 0 }
+// betweenMessages reports whether nothing has been scanned after the last message.
+func (f *framingScanner) betweenMessages() bool { return f.state == frameStartLine && f.lineBytes == 0 }
 
-// read takes in what has come on the connection.
-func (f *framing) read(p []byte) {
-	for len(p) > 0 && f.part != frameRest {
-		if f.part == frameBody || f.part == frameData {
-			n := min(f.left, uint64(len(p)))
-			p = p[n:]
-			over := uint64(0) // a chunk's line end is none of its data
-			if f.part == frameData {
-				over = 2
+// scan scans the next bytes of the connection.
+func (f *framingScanner) scan(data []byte) {
+	for len(data) > 0 && f.state != frameIgnored {
+		if f.state == frameBody || f.state == frameChunkData {
+			skipped := min(f.remaining, uint64(len(data)))
+			data = data[skipped:]
+			lineEnd := uint64(0) // the line end is not part of the data
+			if f.state == frameChunkData {
+				lineEnd = 2
 			}
-			f.data += max(f.left, over) - max(f.left-n, over)
-			if f.left -= n; f.left == 0 {
-				if f.part == frameBody {
-					f.part = frameFirst
+			f.bodyBytes += max(f.remaining, lineEnd) - max(f.remaining-skipped, lineEnd)
+			if f.remaining -= skipped; f.remaining == 0 {
+				if f.state == frameBody {
+					f.state = frameStartLine
 				} else {
-					f.part = frameChunk
+					f.state = frameChunkSize
 				}
 			}
 			continue
 		}
-		end := bytes.IndexByte(p, '\n')
-		if end < 0 {
-			f.take(p)
+		newline := bytes.IndexByte(data, '\n')
+		if newline < 0 {
+			f.appendLine(data)
 			return
 		}
-		f.take(p[:end])
-		p = p[end+1:]
+		f.appendLine(data[:newline])
+		data = data[newline+1:]
 		f.endLine()
 	}
 }
 
-// take keeps the start of a line.
-func (f *framing) take(p []byte) {
-	if f.n < len(f.line) {
-		copy(f.line[f.n:], p)
+// appendLine adds bytes to the current line, of which only the start is kept.
+func (f *framingScanner) appendLine(data []byte) {
+	if f.lineBytes < len(f.line) {
+		copy(f.line[f.lineBytes:], data)
 	}
-	if f.n += len(p); len(p) >= 2 {
-		copy(f.last[:], p[len(p)-2:])
-	} else if len(p) == 1 {
-		f.last = [2]byte{f.last[1], p[0]}
+	if f.lineBytes += len(data); len(data) >= 2 {
+		copy(f.lastTwo[:], data[len(data)-2:])
+	} else if len(data) == 1 {
+		f.lastTwo = [2]byte{f.lastTwo[1], data[0]}
 	}
 }
 
-// endLine reads a line whose end has come.
-func (f *framing) endLine() {
-	if f.n > 0 && f.last[1] == '\r' {
-		f.n--
-		f.last[1] = f.last[0]
+// endLine parses the current line, which is complete.
+func (f *framingScanner) endLine() {
+	if f.lineBytes > 0 && f.lastTwo[1] == '\r' {
+		f.lineBytes--
+		f.lastTwo[1] = f.lastTwo[0]
 	}
-	line, empty := f.line[:min(f.n, len(f.line))], f.n == 0
-	switch f.part {
-	case frameFirst:
+	line, empty := f.line[:min(f.lineBytes, len(f.line))], f.lineBytes == 0
+	switch f.state {
+	case frameStartLine:
 		if empty {
-			break // before a request
+			break // empty lines may precede a request
 		}
-		f.lengths, f.codings, f.left = 0, 0, 0
-		if f.answers {
+		f.contentLengths, f.transferEncodings, f.remaining = 0, 0, 0
+		if f.responses {
 			f.interim = len(line) > 9 && line[9] == '1'
-			f.old = bytes.HasPrefix(line, []byte("HTTP/1.0"))
+			f.http10 = bytes.HasPrefix(line, []byte("HTTP/1.0"))
 		} else {
-			f.old = f.last[1] == '0'
+			f.http10 = f.lastTwo[1] == '0'
 		}
-		f.part = frameHead
-	case frameHead:
+		f.state = frameHeaders
+	case frameHeaders:
 		if !empty {
-			f.header(line)
+			f.scanHeader(line)
 			break
 		}
-		f.passed = f.data
+		f.earlierBodyBytes = f.bodyBytes
 		f.heads++
-		f.doubt = f.doubt || f.lengths > 1 || f.codings > 0 && (f.lengths > 0 || f.old)
+		f.ambiguous = f.ambiguous || f.contentLengths > 1 || f.transferEncodings > 0 && (f.contentLengths > 0 || f.http10)
 		switch {
-		case f.answers && f.interim:
-			f.part = frameFirst
-		case f.answers:
-			f.part = frameRest
-		case f.codings > 0:
-			f.part = frameChunk
-		case f.left > 0:
-			f.part = frameBody
+		case f.responses && f.interim:
+			f.state = frameStartLine
+		case f.responses:
+			f.state = frameIgnored
+		case f.transferEncodings > 0:
+			f.state = frameChunkSize
+		case f.remaining > 0:
+			f.state = frameBody
 		default:
-			f.part = frameFirst
+			f.state = frameStartLine
 		}
-	case frameChunk:
+	case frameChunkSize:
 		size, _, _ := bytes.Cut(line, []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 62)
 		switch {
 		case err != nil:
-			f.part = frameRest // and the end of the connection
+			f.state = frameIgnored // net/http closes the connection
 		case n == 0:
-			f.part = frameTrailers
+			f.state = frameTrailers
 		default:
-			f.part, f.left = frameData, n+2
+			f.state, f.remaining = frameChunkData, n+2
 		}
 	case frameTrailers:
 		if empty {
-			f.part = frameFirst
+			f.state = frameStartLine
 		}
 	}
-	f.n = 0
+	f.lineBytes = 0
 }
 
-// header notes what a line of a head says of the length.
-func (f *framing) header(line []byte) {
+// scanHeader parses a header line that gives the length of the body.
+func (f *framingScanner) scanHeader(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
-	name = bytes.TrimRight(name, " \t") // as some read it
+	name = bytes.TrimRight(name, " \t") // some parsers accept this
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		var err error
-		f.lengths++
-		f.left, err = strconv.ParseUint(string(bytes.Trim(value, " \t")), 10, 63)
-		f.doubt = f.doubt || err != nil || f.n > len(f.line) // on a line of its own, or far behind
+		f.contentLengths++
+		f.remaining, err = strconv.ParseUint(string(bytes.Trim(value, " \t")), 10, 63)
+		f.ambiguous = f.ambiguous || err != nil || f.lineBytes > len(f.line) // folded, or too long to be kept
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		f.codings++
+		f.transferEncodings++
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -10,154 +10,156 @@
 	"dunlintray/rules"
 )
 
-// What the platform says of a planned restart: SIGKILL comes no sooner than the longest
-// deadline, counted as countedDeadline where it is longer, plus killGrace after SIGTERM.
+// In a planned restart the platform sends SIGKILL no sooner than killGrace after the longest
+// deadline of a class, which it caps at maxCountedDeadline, counted from SIGTERM.
 const (
-	countedDeadline = 3 * time.Second
-	killGrace       = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	killGrace          = 700 * time.Millisecond
 )
 
-// Spans before the earliest SIGKILL. A process may stand still for 150 ms between its clock
-// and a write.
+// Margins before the earliest SIGKILL. The scheduler may suspend the process for 150 ms
+// between reading the clock and writing to a socket.
 const (
-	answersBefore = 350 * time.Millisecond // every request has its answer from the module
-	finishBefore  = 200 * time.Millisecond // what has none still gets an error, and is closed
-	exitBefore    = 50 * time.Millisecond  // answers that are under way are cut, and nothing is waited for
+	answersMargin = 350 * time.Millisecond // the module has answered every request
+	finishMargin  = 200 * time.Millisecond // requests without an answer get an error and their connections are closed
+	exitMargin    = 50 * time.Millisecond  // responses still in progress are cut off
 )
 
 const (
-	newConnectionsFor  = 600 * time.Millisecond  // new connections still come so long after SIGTERM
-	idleConnectionsFor = 2200 * time.Millisecond // clients that keep a connection use it within this time
-	scheduleCheck      = 50 * time.Millisecond   // a reload during the stop may change the times
+	acceptPeriod          = 600 * time.Millisecond  // new connections may still arrive after SIGTERM
+	idlePeriod            = 2200 * time.Millisecond // clients reuse a kept-alive connection within this time
+	scheduleCheckInterval = 50 * time.Millisecond   // a reload during the shutdown may change the schedule
 )
 
-// stopSchedule holds the times of a stop, as spans of real time since SIGTERM.
+// stopSchedule holds the times of the shutdown steps, as durations since SIGTERM.
 type stopSchedule struct {
-	closeListener time.Duration // where no other process serves
-	closeIdle     time.Duration // where one does
-	answers       time.Duration
+	closeListener time.Duration // without a successor process
+	closeIdle     time.Duration // with a successor process
+	answersDue    time.Duration
 	finish        time.Duration
 	exit          time.Duration
 }
 
-// newStopSchedule returns the times of a stop for the longest deadline of a class.
+// newStopSchedule returns the schedule for the longest deadline of a class.
 //
-// A request may wait for longer than the platform lets the process live, so all times count
-// back from the kill and none from a deadline. A third of the time until the answers are due
-// is left to what comes on a connection just before it is closed.
+// A request may wait longer than the platform lets the process live, so every step counts back
+// from SIGKILL and none from a deadline. Idle connections are closed after two thirds of the
+// time until answers are due, so that a request arriving just before can still be answered.
 func newStopSchedule(longestDeadline time.Duration) stopSchedule {
-	kill := min(longestDeadline, countedDeadline) + killGrace
-	answers := kill - answersBefore
+	kill := min(longestDeadline, maxCountedDeadline) + killGrace
+	answers := kill - answersMargin
 	return stopSchedule{
-		closeListener: min(newConnectionsFor, answers),
-		closeIdle:     min(idleConnectionsFor, answers*2/3),
-		answers:       answers,
-		finish:        kill - finishBefore,
-		exit:          kill - exitBefore,
+		closeListener: min(acceptPeriod, answers),
+		closeIdle:     min(idlePeriod, answers*2/3),
+		answersDue:    answers,
+		finish:        kill - finishMargin,
+		exit:          kill - exitMargin,
 	}
 }
 
-// stop is a shutdown under way.
-type stop struct {
-	front *frontend
-	began time.Time
-	told  time.Duration // the time for answers that the module has been told
+// shutdownSequence is a shutdown in progress.
+type shutdownSequence struct {
+	frontend           *frontend
+	startedAt          time.Time
+	notifiedAnswersDue time.Duration // as the module was last notified
 }
 
-// shutdown takes what still comes for a while, answers what is held, and ends before the
-// platform kills the process.
+// shutdown serves new requests for a while, answers those in progress, and returns before the
+// platform kills the process. It returns an error if connections were cut off.
 //
-// A request may cross the closing of its idle connection. Without a process to take over,
-// its client sends it again on a new connection, so idle connections are closed at once,
-// while new ones are still taken, and the listener is closed later. With one, new connections
-// go to it, and those that stand here are closed behind their next answer, or once nothing
-// has come on them for longer than clients keep still.
-func shutdown(front *frontend, server *http.Server, pair *handover) error {
-	s := &stop{front: front, began: time.Now()}
-	s.tellModule()
-	front.leaving.Store(true)
-	succeeded := pair.leave()
-	s.log("stopping", "successor", succeeded, "answers_due", s.schedule().answers, "exit_due", s.schedule().exit)
-	if succeeded {
+// A client may send a request while its idle connection is being closed. Without a successor
+// process the client repeats it on a new connection, so idle connections are closed at once and
+// the listener later. With a successor, new connections go to that process, and connections of
+// this one are closed after their next response, or after idlePeriod.
+func shutdown(front *frontend, server *http.Server, sibling *handover) error {
+	sequence := &shutdownSequence{frontend: front, startedAt: time.Now()}
+	sequence.notifyModule()
+	front.shuttingDown.Store(true)
+	hasSuccessor := sibling.notifyLeaving()
+	sequence.log("stopping", "successor", hasSuccessor, "answers_due", sequence.schedule().answersDue, "exit_due", sequence.schedule().exit)
+	if hasSuccessor {
 		front.clients.Close()
-		s.until(func(t stopSchedule) time.Duration { return t.closeIdle })
+		sequence.waitUntil(func(t stopSchedule) time.Duration { return t.closeIdle })
 	} else {
-		front.clients.leave(leavesIdle)
-		s.until(func(t stopSchedule) time.Duration { return t.closeListener })
-		front.clients.endQueue()
+		front.clients.setPhase(phaseClosingIdle)
+		sequence.waitUntil(func(t stopSchedule) time.Duration { return t.closeListener })
+		front.clients.drainQueue()
 	}
-	s.log("stop: idle connections are closed")
-	front.clients.leave(leavesNew)
-	err := s.drain(func(t stopSchedule) time.Duration { return t.finish })
+	sequence.log("stop: idle connections are closed")
+	front.clients.setPhase(phaseClosingNew)
+	err := sequence.drain(func(t stopSchedule) time.Duration { return t.finish })
 	if err != nil {
-		s.log("stop: requests without an answer are ended", "requests", front.clients.finish())
-		err = s.drain(func(t stopSchedule) time.Duration { return t.exit })
+		sequence.log("stop: requests without an answer are ended", "requests", front.clients.failUnanswered())
+		err = sequence.drain(func(t stopSchedule) time.Duration { return t.exit })
 	}
 	if err != nil {
-		s.log("stop: connections are cut", "connections", front.clients.cut())
+		sequence.log("stop: connections are cut", "connections", front.clients.closeAll())
 	}
-	s.log("stopped", "error", err)
+	sequence.log("stopped", "error", err)
 	server.Close()
 	return err
 }
 
-// schedule returns the times by the settings that the process has served under.
-func (s *stop) schedule() stopSchedule {
-	return newStopSchedule(time.Duration(s.front.longestDeadline.Load()))
+// schedule returns the current schedule; applyService may shorten it.
+func (s *shutdownSequence) schedule() stopSchedule {
+	return newStopSchedule(time.Duration(s.frontend.longestDeadline.Load()))
 }
 
-// use puts settings in force. Of all that the process has had, those with the nearest end
-// count for a stop: the platform may have counted before it changed them, or behind that.
-func (f *frontend) use(s *service) {
+// applyService makes service the active settings. The shutdown schedule follows the shortest of
+// all the longest deadlines that were ever active: the platform may have scheduled SIGKILL by
+// the settings before a change or by those after it.
+func (f *frontend) applyService(service *serviceConfig) {
 	longest := 0.0
-	for _, class := range s.Classes {
+	for _, class := range service.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	if before := f.longestDeadline.Load(); f.service.Swap(s) == nil || int64(seconds(longest)) < before {
+	if previous := f.longestDeadline.Load(); f.service.Swap(service) == nil || int64(seconds(longest)) < previous {
 		f.longestDeadline.Store(int64(seconds(longest)))
 	}
 }
 
-// tellModule tells the module by when it has to answer, if that is new.
-func (s *stop) tellModule() {
-	answers := s.schedule().answers
-	if answers == s.told {
+// notifyModule tells the module when its answers are due, if that time has changed.
+func (s *shutdownSequence) notifyModule() {
+	answers := s.schedule().answersDue
+	if answers == s.notifiedAnswersDue {
 		return
 	}
-	s.told = answers
-	clock := s.front.loop.clock
-	s.front.loop.post(told{rules.Leave{Until: clock.now() + (answers - time.Since(s.began)).Seconds()}})
+	s.notifiedAnswersDue = answers
+	clock := s.frontend.loop.clock
+	s.frontend.loop.post(moduleEvent{rules.Shutdown{Deadline: clock.now() + (answers - time.Since(s.startedAt)).Seconds()}})
 }
 
-// left returns the time until a step of the schedule, and at most scheduleCheck.
-func (s *stop) left(step func(stopSchedule) time.Duration) time.Duration {
-	s.tellModule()
-	return min(step(s.schedule())-time.Since(s.began), scheduleCheck)
+// remaining returns the time until a step of the schedule, or scheduleCheckInterval if that is
+// shorter. It is negative once the step is due.
+func (s *shutdownSequence) remaining(step func(stopSchedule) time.Duration) time.Duration {
+	s.notifyModule()
+	return min(step(s.schedule())-time.Since(s.startedAt), scheduleCheckInterval)
 }
 
-// until waits for a step of the schedule.
-func (s *stop) until(step func(stopSchedule) time.Duration) {
-	for left := s.left(step); left > 0; left = s.left(step) {
-		time.Sleep(left)
+// waitUntil sleeps until a step of the schedule is due.
+func (s *shutdownSequence) waitUntil(step func(stopSchedule) time.Duration) {
+	for remaining := s.remaining(step); remaining > 0; remaining = s.remaining(step) {
+		time.Sleep(remaining)
 	}
 }
 
-// drain waits until no connection of a client is left, or for a step of the schedule.
-func (s *stop) drain(step func(stopSchedule) time.Duration) error {
+// drain waits until all client connections are closed, and returns an error if a step of the
+// schedule is due before that.
+func (s *shutdownSequence) drain(step func(stopSchedule) time.Duration) error {
 	for {
-		left := s.left(step)
-		ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
-		err := s.front.clients.drained(ctx)
+		remaining := s.remaining(step)
+		ctx, cancel := context.WithTimeout(context.Background(), max(remaining, 0))
+		err := s.frontend.clients.waitDrained(ctx)
 		cancel()
-		if err == nil || left <= 0 {
+		if err == nil || remaining <= 0 {
 			return err
 		}
 	}
 }
 
-// log logs a step with what is still open.
-func (s *stop) log(step string, attributes ...any) {
-	open := s.front.clients.counts()
-	slog.Info(step, append(attributes, "after", time.Since(s.began), "new", open.In[connlimit.New], "head", open.In[connlimit.Head],
-		"busy", open.In[connlimit.Busy], "idle", open.In[connlimit.Idle], "in_progress", s.front.figures.inProgress.Load())...)
+// log writes a line for a step, with the client connections by phase and the requests in progress.
+func (s *shutdownSequence) log(step string, attributes ...any) {
+	counts := s.frontend.clients.counts()
+	slog.Info(step, append(attributes, "after", time.Since(s.startedAt), "new", counts.ByState[connlimit.New], "head", counts.ByState[connlimit.Head],
+		"busy", counts.ByState[connlimit.Busy], "idle", counts.ByState[connlimit.Idle], "in_progress", s.frontend.metrics.inProgress.Load())...)
 }
--- a/internal/group/book.go
+++ b/internal/group/book.go
@@ -11,121 +11,123 @@
 	"dunlintray/internal/ledger"
 )
 
-// MostVoters bounds a group.
-const MostVoters = 5
+// MaxVoters is the maximum number of voters in a group.
+const MaxVoters = 5
 
-// Member is where one of the group is reached.
+// Member holds the addresses of one member of a group.
 type Member struct {
-	Address string `json:"address"`        // by members and callers
-	List    string `json:"list,omitempty"` // its list service, where the group has the list
+	Address         string `json:"address"`        // for members and clients
+	RegistryAddress string `json:"list,omitempty"` // of its registry; empty if the group does not replicate the list
 }
 
-// Generation counts how often a group went on from less than a majority. Members of an
-// earlier one refuse for good; two of one number are of different groups.
+// Generation identifies the history of a group. Each recovery from less than a majority
+// starts a new generation, and members of earlier ones terminate for good. Two generations
+// with the same number and different names belong to different groups.
 type Generation struct {
 	Number int    `json:"number"`
-	Name   string `json:"name,omitempty"` // drawn, but for the first
+	Name   string `json:"name,omitempty"` // random; empty for the first generation
 }
 
 func (g Generation) String() string { return fmt.Sprintf("%d%s", g.Number, g.Name) }
 
-// book is who the members are. It is part of what they agree on.
-type book struct {
+// memberTable is the replicated configuration of the group: its members and its generation.
+type memberTable struct {
 	Members map[uint64]Member `json:"members"`
-	// Highest is the highest number that was ever given. One up to it that is no member's
-	// was taken out, and is never given again: its folder may come back.
+	// Highest is the highest member number ever assigned. A number up to Highest without a
+	// member was removed and is never reused, since its folder may reappear.
 	Highest    uint64     `json:"highest"`
 	Generation Generation `json:"generation,omitzero"`
-	// Former are the members that a new generation has left behind, and has to tell.
+	// Former holds the members excluded by the current generation, which have to be notified.
 	Former map[uint64]Member `json:"former,omitempty"`
 
-	founding bool // it is as the configuration has it
+	fromConfig bool // unchanged since it was read from the configuration
 }
 
-func newBook(members map[uint64]Member) *book {
-	b := &book{Members: maps.Clone(members), founding: true}
+func newMemberTable(members map[uint64]Member) *memberTable {
+	table := &memberTable{Members: maps.Clone(members), fromConfig: true}
 	for n := range members {
-		b.Highest = max(b.Highest, n)
+		table.Highest = max(table.Highest, n)
 	}
-	return b
+	return table
 }
 
-// removed says whether a number was a member's and is none's any more.
-//
-// Danger: members of the build before do not say who they are, which reads as 0.
-func (b *book) removed(n uint64) bool { return n > 0 && n <= b.Highest && b.Members[n].Address == "" }
+// wasRemoved reports whether the number belonged to a member that has been removed. The
+// number 0 stands for a sender of an earlier build, which does not send its number.
+func (t *memberTable) wasRemoved(number uint64) bool {
+	return number > 0 && number <= t.Highest && t.Members[number].Address == ""
+}
 
-// add says why a member can't be added, or that it has been.
-func (b *book) add(n uint64, m Member) (there bool, err error) {
-	if b.Members[n] == m {
+// checkAdd reports whether the member already exists, or why it can't be added.
+func (t *memberTable) checkAdd(number uint64, member Member) (exists bool, err error) {
+	if t.Members[number] == member {
 		return true, nil
 	}
-	if n <= b.Highest {
-		return false, fmt.Errorf("the number %d was given before; numbers from %d on are free", n, b.Highest+1)
+	if number <= t.Highest {
+		return false, fmt.Errorf("the number %d was given before; numbers from %d on are free", number, t.Highest+1)
 	}
-	for other, at := range b.Members {
-		if at.Address == m.Address || m.List != "" && at.List == m.List {
+	for other, existing := range t.Members {
+		if existing.Address == member.Address || member.RegistryAddress != "" && existing.RegistryAddress == member.RegistryAddress {
 			return false, fmt.Errorf("member %d is at that address", other)
 		}
 	}
 	return false, nil
 }
 
-// change is what an entry that changes the members says beside the algorithm's part.
-type change struct {
+// memberChange is the context of a raft configuration change.
+type memberChange struct {
 	Key    uint64 `json:"key"`
 	Member Member `json:"member,omitzero"`
 }
 
-func (b *book) save() []byte {
-	text, err := json.Marshal(b)
+func (t *memberTable) encode() []byte {
+	text, err := json.Marshal(t)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // unreachable: all fields can be encoded
 	}
 	return text
 }
 
-func (b *book) restore(text []byte) error {
-	var next book
+func (t *memberTable) decode(text []byte) error {
+	var next memberTable
 	if err := json.Unmarshal(text, &next); err != nil {
-		return fmt.Errorf("group: members: %w", err)
+		return fmt.Errorf("group: decode member table: %w", err)
 	}
 	if len(next.Members) == 0 {
-		return errors.New("group: members: there are none")
+		return errors.New("group: member table is empty")
 	}
-	*b = next
+	*t = next
 	return nil
 }
 
-// machine is the members, the ledger and the list as core has them: an entry is a key,
-// what it is for, and a command or records.
-type machine struct {
-	state *ledger.State
-	list  List
-	book  *book
+// replicatedState implements StateMachine: the member table, the ledger and the list. An
+// entry is a key, a payload kind, and a ledger command or records of the list.
+type replicatedState struct {
+	state   *ledger.State
+	list    List
+	members *memberTable
 }
 
-// Of an entry, and of a snapshot's line.
+// Layout of an entry and of a line of a snapshot.
 const (
 	keyBytes = 8
 
-	forLedger  = 'c'
-	forList    = 'l'
-	forMembers = 'b' // of a snapshot alone
+	payloadLedger  = 'c'
+	payloadList    = 'l'
+	payloadMembers = 'b' // in snapshots only
 )
 
-func (m machine) Apply(index uint64, data []byte) any {
+func (m replicatedState) Apply(index uint64, data []byte) any {
 	if len(data) <= keyBytes {
-		return ledger.Result{Code: ledger.Invalid, Text: "an entry is cut short"}
+		return ledger.Result{Code: ledger.Invalid, Text: "entry truncated: no payload after its key"}
 	}
 	body := data[keyBytes+1:]
-	if data[keyBytes] == forList {
-		records, err := split(body)
+	if data[keyBytes] == payloadList {
+		records, err := splitLines(body)
 		if err != nil || m.list == nil {
-			return ledger.Result{Code: ledger.Invalid, Text: "an entry of a list that there is not"}
+			return ledger.Result{Code: ledger.Invalid, Text: "list entry is malformed, or this member replicates no list"}
 		}
 		m.list.ApplyList(records)
-		m.see(index, m.list.Sights(records))
+		m.observeBackends(index, m.list.BackendStates(records))
 		return ledger.Result{}
 	}
 	var c ledger.Command
@@ -135,66 +137,66 @@
 	return m.state.Apply(index, c)
 }
 
-// see tells the budgets how the list has backends now.
-func (m machine) see(index uint64, all []budget.Sight) {
-	for _, s := range all {
-		m.state.Units().SeeBackend(index, s)
+// observeBackends updates the budget state from the list's backends.
+func (m replicatedState) observeBackends(index uint64, states []budget.BackendState) {
+	for _, s := range states {
+		m.state.Units().ObserveBackend(index, s)
 	}
 }
 
-func (m machine) Add(n uint64, at Member) {
-	m.book.founding = false
-	m.book.Members[n] = at
-	m.book.Highest = max(m.book.Highest, n)
+func (m replicatedState) Add(number uint64, member Member) {
+	m.members.fromConfig = false
+	m.members.Members[number] = member
+	m.members.Highest = max(m.members.Highest, number)
 }
 
-func (m machine) Remove(n uint64) {
-	m.book.founding = false
-	delete(m.book.Members, n)
+func (m replicatedState) Remove(number uint64) {
+	m.members.fromConfig = false
+	delete(m.members.Members, number)
 }
 
-func (m machine) Save() (lines [][]byte) {
-	if !m.book.founding {
-		lines = append(lines, tagged(forMembers, m.book.save()))
+func (m replicatedState) Save() (lines [][]byte) {
+	if !m.members.fromConfig {
+		lines = append(lines, tagged(payloadMembers, m.members.encode()))
 	}
 	for _, l := range m.state.Save() {
-		lines = append(lines, tagged(forLedger, l))
+		lines = append(lines, tagged(payloadLedger, l))
 	}
 	if m.list != nil {
 		for _, l := range m.list.SaveList() {
-			lines = append(lines, tagged(forList, l))
+			lines = append(lines, tagged(payloadList, l))
 		}
 	}
 	return lines
 }
 
-func (m machine) Restore(lines [][]byte) error {
-	var ledgers, lists [][]byte
-	for _, l := range lines {
+func (m replicatedState) Restore(lines [][]byte) error {
+	var ledgerLines, listLines [][]byte
+	for _, line := range lines {
 		switch {
-		case len(l) > 0 && l[0] == forMembers:
-			if err := m.book.restore(l[1:]); err != nil {
+		case len(line) > 0 && line[0] == payloadMembers:
+			if err := m.members.decode(line[1:]); err != nil {
 				return err
 			}
-		case len(l) > 0 && l[0] == forLedger:
-			ledgers = append(ledgers, l[1:])
-		case len(l) > 0 && l[0] == forList && m.list != nil:
-			lists = append(lists, l[1:])
+		case len(line) > 0 && line[0] == payloadLedger:
+			ledgerLines = append(ledgerLines, line[1:])
+		case len(line) > 0 && line[0] == payloadList && m.list != nil:
+			listLines = append(listLines, line[1:])
 		default:
-			return errors.New("group: a snapshot's line is of nothing that this member has")
+			return errors.New("group: snapshot line has an unknown kind, or this member replicates no list")
 		}
 	}
-	if err := m.state.Restore(ledgers); err != nil {
+	if err := m.state.Restore(ledgerLines); err != nil {
 		return err
 	}
 	if m.list == nil {
 		return nil
 	}
-	return m.list.RestoreList(lists)
+	return m.list.RestoreList(listLines)
 }
 
-// others are the numbers of all members but one.
-func (b *book) others(self uint64) []uint64 {
-	all := slices.Sorted(maps.Keys(b.Members))
-	return slices.DeleteFunc(all, func(n uint64) bool { return n == self })
+// others returns the sorted numbers of all members except self.
+func (t *memberTable) others(self uint64) []uint64 {
+	numbers := slices.Sorted(maps.Keys(t.Members))
+	return slices.DeleteFunc(numbers, func(n uint64) bool { return n == self })
 }
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -1,7 +1,7 @@
-// Package group is a group of list services that agree on a ledger by raft
-// (go.etcd.io/raft/v3). The algorithm is the library's; here are the storage on
-// internal/wal, the state machine, the transport over HTTP, and the calls. core is
-// without clocks and sockets; Group runs it.
+// Package group replicates a ledger, and optionally a registry's list of backends, among a
+// group of members by raft (go.etcd.io/raft/v3). It adds to the library the storage on
+// internal/wal, the state machine, the transport over HTTP and the client. Messages, statuses
+// and metrics call raft's leader the writer.
 package group
 
 import (
@@ -18,16 +18,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Disk is where a member keeps what has to last; *wal.Log is one.
-type Disk interface {
+// DurableLog is the durable storage of a member; *wal.Log implements it.
+type DurableLog interface {
 	Append(records [][]byte) (first uint64, err error)
-	Due() bool
-	Last() uint64
+	SnapshotDue() bool
+	LastSequence() uint64
 	Snapshot(sequence uint64, records func(emit func(record []byte) error) error) error
 }
 
-// Machine is what the members agree on the state of.
-type Machine interface {
+// StateMachine is the replicated state. Apply is called once for each committed entry, in the
+// order of the log.
+type StateMachine interface {
 	Apply(index uint64, data []byte) any
 	Add(number uint64, at Member)
 	Remove(number uint64)
@@ -35,263 +36,265 @@
 	Restore(lines [][]byte) error
 }
 
-// Of raft. A tick is Tick long; an election begins after electionTicks to twice that
-// without a word of the writer.
+// Settings of raft. A follower starts an election after electionTicks to twice that many ticks
+// without a message of the leader.
 const (
-	electionTicks   = 10
-	heartbeatTicks  = 2
-	mostMessage     = 256 << 10 // bytes of entries in one
-	mostInflight    = 64        // messages to one member that are not answered yet
-	mostInflightMem = 4 << 20   // bytes of them
-	mostUncommitted = 8 << 20   // bytes of entries that wait to be agreed on; more are refused
-	keptEntries     = 5000      // behind a snapshot, for members that lag
-	mostRecords     = 512 << 10 // bytes of records that one sync is for, about
+	electionTicks       = 10
+	heartbeatTicks      = 2
+	maxMessageBytes     = 256 << 10 // bytes of the entries in one message
+	maxInflightMessages = 64        // unacknowledged messages to one member
+	maxInflightBytes    = 4 << 20   // bytes of unacknowledged messages to one member
+	maxUncommittedBytes = 8 << 20   // bytes of uncommitted entries; further proposals are dropped
+	retainedEntries     = 5000      // entries kept before a snapshot, for members that lag
+	syncBatchBytes      = 512 << 10 // approximate bytes of records per sync
 )
 
-// Kinds of records on disk, by their first byte.
+// Kinds of records in the durable log, by their first byte.
 const (
-	ofIdentity = 'i' // group name and member, once
-	ofSnapshot = 's' // raftpb.SnapshotMetadata; what stands before it is over
-	ofMachine  = 'm' // a line of the machine as of that snapshot
-	ofEntry    = 'e' // raftpb.Entry; what stands at its index and behind it is over
-	ofState    = 'h' // raftpb.HardState
-	ofLife     = 'l' // life: of this member, or the highest that another has told
-	ofEnd      = 'x' // why this member must not speak any more
+	kindIdentity    = 'i' // identity, written once
+	kindSnapshot    = 's' // raftpb.SnapshotMetadata; replaces all earlier entries and state lines
+	kindStateLine   = 'm' // a line of the state machine at that snapshot
+	kindEntry       = 'e' // raftpb.Entry; replaces earlier entries from its index on
+	kindHardState   = 'h' // raftpb.HardState
+	kindIncarnation = 'l' // incarnation of this member, or the latest known one of another
+	kindTermination = 'x' // reason why this member has terminated for good
 )
 
-// life counts the starts of a member's process.
-type life struct {
+// incarnation identifies one start of a member's process.
+type incarnation struct {
 	Member  uint64 `json:"member"`
-	Life    uint64 `json:"life"`
-	Process string `json:"process"` // a random name: one process sends its join request more than once
+	Number  uint64 `json:"life"`
+	Process string `json:"process"` // random; tells a repeated join request from that of another process
 }
 
-// identity is what a member is, for good.
+// identity names the member and the group that a folder belongs to.
 type identity struct {
-	Group string
-	Self  uint64
+	Group  string
+	Member uint64
 }
 
-func (i identity) String() string { return fmt.Sprintf("member %d of group %q", i.Self, i.Group) }
-
-// recovered is what was found on disk.
-type recovered struct {
-	any      bool
-	identity string
-	meta     *raftpb.SnapshotMetadata
-	lines    [][]byte
-	entries  []*raftpb.Entry
-	state    *raftpb.HardState
-	lives    map[uint64]life
-	end      string
+func (i identity) String() string { return fmt.Sprintf("member %d of group %q", i.Member, i.Group) }
+
+// recoveredState is the state read from the durable log at a start.
+type recoveredState struct {
+	nonEmpty      bool
+	identity      string
+	snapshotMeta  *raftpb.SnapshotMetadata
+	snapshotLines [][]byte
+	entries       []*raftpb.Entry
+	hardState     *raftpb.HardState
+	incarnations  map[uint64]incarnation
+	termination   string
 }
 
-// record takes one in, in the order in which they were written.
-func (r *recovered) record(text []byte) error {
-	if len(text) == 0 {
-		return errors.New("an empty record")
+// addRecord processes the next record of the log.
+func (r *recoveredState) addRecord(record []byte) error {
+	if len(record) == 0 {
+		return errors.New("group: empty record")
 	}
-	r.any = true
-	body := append([]byte(nil), text[1:]...)
-	switch text[0] {
-	case ofIdentity:
+	r.nonEmpty = true
+	body := append([]byte(nil), record[1:]...)
+	switch record[0] {
+	case kindIdentity:
 		r.identity = string(body)
-	case ofSnapshot:
-		r.meta, r.lines, r.entries = &raftpb.SnapshotMetadata{}, nil, nil
-		return proto.Unmarshal(body, r.meta)
-	case ofMachine:
-		r.lines = append(r.lines, body)
-	case ofEntry:
-		e := &raftpb.Entry{}
-		if err := proto.Unmarshal(body, e); err != nil {
+	case kindSnapshot:
+		r.snapshotMeta, r.snapshotLines, r.entries = &raftpb.SnapshotMetadata{}, nil, nil
+		return proto.Unmarshal(body, r.snapshotMeta)
+	case kindStateLine:
+		r.snapshotLines = append(r.snapshotLines, body)
+	case kindEntry:
+		entry := &raftpb.Entry{}
+		if err := proto.Unmarshal(body, entry); err != nil {
 			return err
 		}
 		if len(r.entries) > 0 {
 			first := r.entries[0].GetIndex()
-			if e.GetIndex() < first || e.GetIndex() > first+uint64(len(r.entries)) {
-				return fmt.Errorf("entry %d among those from %d to %d", e.GetIndex(), first, first+uint64(len(r.entries))-1)
+			if entry.GetIndex() < first || entry.GetIndex() > first+uint64(len(r.entries)) {
+				return fmt.Errorf("group: entry %d does not continue the entries from %d to %d", entry.GetIndex(), first, first+uint64(len(r.entries))-1)
 			}
-			r.entries = r.entries[:e.GetIndex()-first]
+			r.entries = r.entries[:entry.GetIndex()-first]
 		}
-		r.entries = append(r.entries, e)
-	case ofState:
-		r.state = &raftpb.HardState{}
-		return proto.Unmarshal(body, r.state)
-	case ofLife:
-		var l life
+		r.entries = append(r.entries, entry)
+	case kindHardState:
+		r.hardState = &raftpb.HardState{}
+		return proto.Unmarshal(body, r.hardState)
+	case kindIncarnation:
+		var l incarnation
 		if err := json.Unmarshal(body, &l); err != nil {
 			return err
 		}
-		if r.lives == nil {
-			r.lives = map[uint64]life{}
+		if r.incarnations == nil {
+			r.incarnations = map[uint64]incarnation{}
 		}
-		if l.Life >= r.lives[l.Member].Life {
-			r.lives[l.Member] = l
+		if l.Number >= r.incarnations[l.Member].Number {
+			r.incarnations[l.Member] = l
 		}
-	case ofEnd:
-		r.end = string(body)
+	case kindTermination:
+		r.termination = string(body)
 	default:
-		return fmt.Errorf("a record of kind %q", text[0])
+		return fmt.Errorf("group: unknown kind of record %q", record[0])
 	}
 	return nil
 }
 
-// core is one member: messages, ticks and proposals in; messages, what was agreed on
-// and what may be read out. Nothing leaves it that the disk does not hold.
+// core is the deterministic part of a member, without clocks and sockets. It persists all
+// state before the messages and results that depend on it are released.
 type core struct {
-	raw     *raft.RawNode
-	who     identity
-	mem     *raft.MemoryStorage
-	disk    Disk
-	machine Machine
-	conf    *raftpb.ConfState
-	applied uint64
-	lives   map[uint64]life // the last of each member that has told its own, and this one's
-	failed  error
+	raw          *raft.RawNode
+	identity     identity
+	storage      *raft.MemoryStorage
+	log          DurableLog
+	stateMachine StateMachine
+	confState    *raftpb.ConfState
+	applied      uint64
+	incarnations map[uint64]incarnation // latest known incarnation by member, this one included
+	err          error
 }
 
-// output is what a step leads to.
+// output holds the messages and results that processReady releases.
 type output struct {
-	send    []*raftpb.Message
-	applied []applied
-	reads   []raft.ReadState
-	whole   bool // a snapshot of another member's was taken in
+	send              []*raftpb.Message
+	applied           []appliedEntry
+	reads             []raft.ReadState
+	installedSnapshot bool // a snapshot of the leader has been installed
 }
 
-// applied is an entry that was agreed on, and what the machine made of it.
-type applied struct {
-	index   uint64
-	key     uint64 // of its proposal
-	result  any
-	changes bool // the members
+// appliedEntry is a committed entry and the result of applying it.
+type appliedEntry struct {
+	index        uint64
+	key          uint64 // of its proposal
+	result       any
+	isConfChange bool
 }
 
-// Errors of a folder that must not be used as it is.
+// Errors of a folder that a member must not start from.
 var (
-	ErrEnded = errors.New("group: this member must not speak any more")
-	errEmpty = errors.New("group: the folder has no beginning")
+	// ErrTerminated says that the member has left its group for good.
+	ErrTerminated     = errors.New("group: this member must not speak any more")
+	errNoInitialState = errors.New("group: the folder has no initial snapshot or no hard state")
 )
 
-// newCore goes on from what was found on disk, or begins: all members of a new group
-// begin with the same voters, as if they had come by a snapshot. One that joins begins
-// with nothing, and gets all of it from the writer.
-func newCore(who identity, process string, voters []uint64, joins bool, disk Disk, r *recovered, machine Machine) (*core, error) {
-	c := &core{who: who, mem: raft.NewMemoryStorage(), disk: disk, machine: machine, lives: map[uint64]life{}}
+// newCore restores a member from its recovered state, or creates one. All members of a new group
+// start from the same snapshot, which names the voters. A joining member starts empty and gets
+// its state from the leader.
+func newCore(owner identity, process string, voters []uint64, joining bool, log DurableLog, recovered *recoveredState, stateMachine StateMachine) (*core, error) {
+	c := &core{identity: owner, storage: raft.NewMemoryStorage(), log: log, stateMachine: stateMachine, incarnations: map[uint64]incarnation{}}
 	switch {
-	case r.end != "":
-		return nil, fmt.Errorf("%w: %s", ErrEnded, r.end)
-	case r.any && r.identity != who.String():
-		return nil, fmt.Errorf("group: the folder is of %s, not of %s", r.identity, who)
-	case r.meta == nil && len(r.entries) > 0 || r.meta != nil && r.state == nil:
-		return nil, errEmpty
-	}
-	maps.Copy(c.lives, r.lives)
-	// It lasts before anything is said in it.
-	c.lives[who.Self] = life{who.Self, c.lives[who.Self].Life + 1, process}
-	records := [][]byte{c.lives[who.Self].record()}
-	if !r.any {
-		records = append(records, tagged(ofIdentity, []byte(who.String())))
-		if !joins {
+	case recovered.termination != "":
+		return nil, fmt.Errorf("%w: %s", ErrTerminated, recovered.termination)
+	case recovered.nonEmpty && recovered.identity != owner.String():
+		return nil, fmt.Errorf("group: the folder is of %s, not of %s", recovered.identity, owner)
+	case recovered.snapshotMeta == nil && len(recovered.entries) > 0 || recovered.snapshotMeta != nil && recovered.hardState == nil:
+		return nil, errNoInitialState
+	}
+	maps.Copy(c.incarnations, recovered.incarnations)
+	// The new incarnation is persisted before the first message of it is sent.
+	c.incarnations[owner.Member] = incarnation{owner.Member, c.incarnations[owner.Member].Number + 1, process}
+	records := [][]byte{c.incarnations[owner.Member].encode()}
+	if !recovered.nonEmpty {
+		records = append(records, tagged(kindIdentity, []byte(owner.String())))
+		if !joining {
 			one := uint64(1)
-			r.meta = &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}
-			r.state = &raftpb.HardState{Term: &one, Commit: &one}
-			r.lines = machine.Save()
-			records = append(append(records, snapshotRecords(r.meta, r.lines)...), tagged(ofState, marshal(r.state)))
+			recovered.snapshotMeta = &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}
+			recovered.hardState = &raftpb.HardState{Term: &one, Commit: &one}
+			recovered.snapshotLines = stateMachine.Save()
+			records = append(append(records, snapshotRecords(recovered.snapshotMeta, recovered.snapshotLines)...), tagged(kindHardState, mustMarshal(recovered.hardState)))
 		}
 	}
-	if _, err := disk.Append(records); err != nil {
+	if _, err := log.Append(records); err != nil {
 		return nil, err
 	}
-	if r.meta != nil {
-		if err := c.mem.ApplySnapshot(&raftpb.Snapshot{Metadata: r.meta, Data: join(r.lines)}); err != nil {
+	if recovered.snapshotMeta != nil {
+		if err := c.storage.ApplySnapshot(&raftpb.Snapshot{Metadata: recovered.snapshotMeta, Data: joinLines(recovered.snapshotLines)}); err != nil {
 			return nil, err
 		}
-		if err := machine.Restore(r.lines); err != nil {
+		if err := stateMachine.Restore(recovered.snapshotLines); err != nil {
 			return nil, err
 		}
 	}
-	if r.state != nil { // one that joins may have heard of a term before it had anything
-		if err := c.mem.SetHardState(r.state); err != nil {
+	if recovered.hardState != nil { // a joining member may have persisted a term before its first snapshot
+		if err := c.storage.SetHardState(recovered.hardState); err != nil {
 			return nil, err
 		}
 	}
-	if err := c.mem.Append(r.entries); err != nil {
+	if err := c.storage.Append(recovered.entries); err != nil {
 		return nil, err
 	}
-	c.conf, c.applied = r.meta.GetConfState(), r.meta.GetIndex()
+	c.confState, c.applied = recovered.snapshotMeta.GetConfState(), recovered.snapshotMeta.GetIndex()
 	var err error
-	c.raw, err = raft.NewRawNode(&raft.Config{ID: who.Self, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.mem, Applied: c.applied,
-		MaxSizePerMsg: mostMessage, MaxInflightMsgs: mostInflight, MaxInflightBytes: mostInflightMem, MaxUncommittedEntriesSize: mostUncommitted,
-		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, Logger: quiet{}})
+	c.raw, err = raft.NewRawNode(&raft.Config{ID: owner.Member, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.storage, Applied: c.applied,
+		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, MaxInflightBytes: maxInflightBytes, MaxUncommittedEntriesSize: maxUncommittedBytes,
+		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, Logger: raftLogger{}})
 	return c, err
 }
 
-func (l life) record() []byte {
+func (l incarnation) encode() []byte {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // unreachable: all fields can be encoded
 	}
-	return tagged(ofLife, text)
+	return tagged(kindIncarnation, text)
 }
 
-// remember makes last that another member has begun a life.
-func (c *core) remember(l life) error {
-	if c.lives[l.Member] == l {
+// saveIncarnation persists the incarnation of another member.
+func (c *core) saveIncarnation(l incarnation) error {
+	if c.incarnations[l.Member] == l {
 		return nil
 	}
-	if _, err := c.disk.Append([][]byte{l.record()}); err != nil {
-		c.failed = fmt.Errorf("group: the disk: %w", err)
-		return c.failed
+	if _, err := c.log.Append([][]byte{l.encode()}); err != nil {
+		c.err = fmt.Errorf("group: persist to the log: %w", err)
+		return c.err
 	}
-	c.lives[l.Member] = l
+	c.incarnations[l.Member] = l
 	return nil
 }
 
-// end makes last that this member must not speak any more, and ends it.
-func (c *core) end(why string) {
-	if _, err := c.disk.Append([][]byte{tagged(ofEnd, []byte(why))}); err != nil {
-		c.failed = fmt.Errorf("group: the disk: %w", err)
+// terminate persists that this member has terminated for good, and stops it.
+func (c *core) terminate(reason string) {
+	if _, err := c.log.Append([][]byte{tagged(kindTermination, []byte(reason))}); err != nil {
+		c.err = fmt.Errorf("group: persist to the log: %w", err)
 		return
 	}
-	c.failed = fmt.Errorf("%w: %s", ErrEnded, why)
+	c.err = fmt.Errorf("%w: %s", ErrTerminated, reason)
 }
 
-// last is the last entry that this member has.
-func (c *core) last() uint64 {
-	last, err := c.mem.LastIndex()
+// lastIndex returns the index of the last entry in the log.
+func (c *core) lastIndex() uint64 {
+	last, err := c.storage.LastIndex()
 	if err != nil {
-		panic(err) // of memory
+		panic(err) // unreachable: MemoryStorage returns no error
 	}
 	return last
 }
 
-// head is what a snapshot on disk begins with.
-func (c *core) head() [][]byte {
-	records := [][]byte{tagged(ofIdentity, []byte(c.who.String()))}
-	for _, n := range slices.Sorted(maps.Keys(c.lives)) {
-		records = append(records, c.lives[n].record())
+// headRecords returns the records at the start of a snapshot on disk.
+func (c *core) headRecords() [][]byte {
+	records := [][]byte{tagged(kindIdentity, []byte(c.identity.String()))}
+	for _, n := range slices.Sorted(maps.Keys(c.incarnations)) {
+		records = append(records, c.incarnations[n].encode())
 	}
 	return records
 }
 
-// ready carries out what the algorithm wants: what has to last first, then all else.
-// A disk that fails ends the member: it must not say what it may not remember.
-func (c *core) ready() (out output, err error) {
-	if c.failed != nil {
-		return out, c.failed
+// processReady processes all that raft has made ready: it persists entries and state, and then
+// applies committed entries. A disk error stops the member, since it must not send messages
+// about state that may be lost.
+func (c *core) processReady() (out output, err error) {
+	if c.err != nil {
+		return out, c.err
 	}
 	for c.raw.HasReady() {
 		rd := c.raw.Ready()
-		if err := c.keep(rd); err != nil {
-			c.failed = fmt.Errorf("group: the disk: %w", err)
-			return output{}, c.failed
+		if err := c.persist(rd); err != nil {
+			c.err = fmt.Errorf("group: persist to the log: %w", err)
+			return output{}, c.err
 		}
-		out.whole = out.whole || !raft.IsEmptySnap(rd.Snapshot)
+		out.installedSnapshot = out.installedSnapshot || !raft.IsEmptySnap(rd.Snapshot)
 		out.send = append(out.send, rd.Messages...)
 		out.reads = append(out.reads, rd.ReadStates...)
 		for _, e := range rd.CommittedEntries {
-			if err := c.apply(e, &out); err != nil {
-				c.failed = err
+			if err := c.applyEntry(e, &out); err != nil {
+				c.err = err
 				return output{}, err
 			}
 		}
@@ -300,20 +303,20 @@
 	return out, c.compact()
 }
 
-// keep makes what is new last, and then known to the algorithm's storage.
-func (c *core) keep(rd raft.Ready) error {
+// persist writes new state to the durable log, and then to raft's storage.
+func (c *core) persist(rd raft.Ready) error {
 	var batch [][]byte
 	size := 0
 	flush := func() error {
 		if len(batch) == 0 {
 			return nil
 		}
-		_, err := c.disk.Append(batch)
+		_, err := c.log.Append(batch)
 		batch, size = nil, 0
 		return err
 	}
 	add := func(r []byte) error {
-		if size += len(r); size > mostRecords {
+		if size += len(r); size > syncBatchBytes {
 			if err := flush(); err != nil {
 				return err
 			}
@@ -321,87 +324,86 @@
 		batch = append(batch, r)
 		return nil
 	}
-	whole := !raft.IsEmptySnap(rd.Snapshot)
-	if whole {
-		lines, err := split(rd.Snapshot.GetData())
+	hasSnapshot := !raft.IsEmptySnap(rd.Snapshot)
+	if hasSnapshot {
+		lines, err := splitLines(rd.Snapshot.GetData())
 		if err != nil {
 			return err
 		}
-		if err := c.machine.Restore(lines); err != nil {
+		if err := c.stateMachine.Restore(lines); err != nil {
 			return err
 		}
-		if err := c.install(rd, lines); err != nil {
+		if err := c.installSnapshot(rd, lines); err != nil {
 			return err
 		}
 	}
 	for _, e := range rd.Entries {
-		if err := add(tagged(ofEntry, marshal(e))); err != nil {
+		if err := add(tagged(kindEntry, mustMarshal(e))); err != nil {
 			return err
 		}
 	}
-	state, err := c.lasting(rd)
+	state, err := c.hardStateToPersist(rd)
 	if err != nil {
 		return err
 	}
 	if state != nil {
-		batch = append(batch, tagged(ofState, marshal(state)))
+		batch = append(batch, tagged(kindHardState, mustMarshal(state)))
 	}
 	if err := flush(); err != nil {
 		return err
 	}
-	if whole {
-		if err := c.mem.ApplySnapshot(rd.Snapshot); err != nil {
+	if hasSnapshot {
+		if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
-		c.applied, c.conf = rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetConfState()
+		c.applied, c.confState = rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetConfState()
 	}
-	if err := c.mem.Append(rd.Entries); err != nil {
+	if err := c.storage.Append(rd.Entries); err != nil {
 		return err
 	}
 	if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
-		return c.mem.SetHardState(rd.HardState)
+		return c.storage.SetHardState(rd.HardState)
 	}
 	return nil
 }
 
-// lasting is the state that has to last with a step, or nil.
+// hardStateToPersist returns the hard state that has to be persisted with a Ready, or nil.
 //
-// Danger: what is agreed on need not be known again after a restart, but for changes of
-// the members. One that has forgotten several of them counts those that were taken out,
-// which say no more: it waits for their votes for ever, or finds a majority among them
-// that has nothing in common with that of the others.
-func (c *core) lasting(rd raft.Ready) (*raftpb.HardState, error) {
-	changes := slices.ContainsFunc(rd.CommittedEntries, func(e *raftpb.Entry) bool {
+// The commit index need not be persisted, except for configuration changes. A member that loses
+// several of them in a restart counts the votes of removed members: it waits for them for ever,
+// or finds a majority that does not intersect with that of the other members.
+func (c *core) hardStateToPersist(rd raft.Ready) (*raftpb.HardState, error) {
+	hasConfChange := slices.ContainsFunc(rd.CommittedEntries, func(e *raftpb.Entry) bool {
 		return e.GetType() == raftpb.EntryType_EntryConfChange
 	})
-	given := rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState)
+	hasState := rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState)
 	switch {
-	case given && (changes || rd.MustSync):
+	case hasState && (hasConfChange || rd.MustSync):
 		return rd.HardState, nil
-	case changes: // they were agreed on in a step before
-		state, _, err := c.mem.InitialState()
+	case hasConfChange: // committed by an earlier Ready
+		state, _, err := c.storage.InitialState()
 		return state, err
 	}
 	return nil, nil
 }
 
-// install puts a snapshot that another member has sent in place of all that is on disk:
-// half of one is none.
-func (c *core) install(rd raft.Ready, lines [][]byte) error {
-	state, _, err := c.mem.InitialState()
+// installSnapshot replaces the content of the durable log by a snapshot that the leader sent,
+// in one atomic step.
+func (c *core) installSnapshot(rd raft.Ready, lines [][]byte) error {
+	state, _, err := c.storage.InitialState()
 	if err != nil {
 		return err
 	}
 	if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
 		state = rd.HardState
 	}
-	// Its place in the log is that of a record of its own.
-	sequence, err := c.disk.Append([][]byte{tagged(ofState, marshal(state))})
+	// The snapshot replaces the log up to this record.
+	sequence, err := c.log.Append([][]byte{tagged(kindHardState, mustMarshal(state))})
 	if err != nil {
 		return err
 	}
-	return c.disk.Snapshot(sequence, func(emit func([]byte) error) error {
-		return emitAll(emit, c.head(), snapshotRecords(rd.Snapshot.GetMetadata(), lines), [][]byte{tagged(ofState, marshal(state))})
+	return c.log.Snapshot(sequence, func(emit func([]byte) error) error {
+		return emitAll(emit, c.headRecords(), snapshotRecords(rd.Snapshot.GetMetadata(), lines), [][]byte{tagged(kindHardState, mustMarshal(state))})
 	})
 }
 
@@ -416,152 +418,155 @@
 	return nil
 }
 
-func (c *core) apply(e *raftpb.Entry, out *output) error {
-	c.applied = e.GetIndex()
-	switch e.GetType() {
+func (c *core) applyEntry(entry *raftpb.Entry, out *output) error {
+	c.applied = entry.GetIndex()
+	switch entry.GetType() {
 	case raftpb.EntryType_EntryNormal:
 	case raftpb.EntryType_EntryConfChange:
-		return c.applyChange(e, out)
+		return c.applyConfChange(entry, out)
 	default:
-		return fmt.Errorf("group: entry %d changes several members at once, which this program does not do", e.GetIndex())
+		return fmt.Errorf("group: entry %d is a joint configuration change, which is not supported", entry.GetIndex())
 	}
-	if len(e.GetData()) > 0 { // a new writer's first entry has none
-		a := applied{index: e.GetIndex(), result: c.machine.Apply(e.GetIndex(), e.GetData())}
-		if len(e.GetData()) >= keyBytes {
-			a.key = binary.BigEndian.Uint64(e.GetData())
+	if len(entry.GetData()) > 0 { // the first entry of a new leader is empty
+		applied := appliedEntry{index: entry.GetIndex(), result: c.stateMachine.Apply(entry.GetIndex(), entry.GetData())}
+		if len(entry.GetData()) >= keyBytes {
+			applied.key = binary.BigEndian.Uint64(entry.GetData())
 		}
-		out.applied = append(out.applied, a)
+		out.applied = append(out.applied, applied)
 	}
 	return nil
 }
 
-// applyChange changes the members.
-func (c *core) applyChange(e *raftpb.Entry, out *output) error {
-	cc := &raftpb.ConfChange{}
-	if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-		return fmt.Errorf("group: entry %d: %w", e.GetIndex(), err)
+// applyConfChange applies a committed configuration change.
+func (c *core) applyConfChange(entry *raftpb.Entry, out *output) error {
+	change := &raftpb.ConfChange{}
+	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
+		return fmt.Errorf("group: entry %d: %w", entry.GetIndex(), err)
 	}
-	with, err := changeMachine(c.machine, e.GetIndex(), cc)
+	member, err := applyMemberChange(c.stateMachine, entry.GetIndex(), change)
 	if err != nil {
 		return err
 	}
-	c.conf = c.raw.ApplyConfChange(cc)
-	out.applied = append(out.applied, applied{index: e.GetIndex(), key: with.Key, changes: true})
-	// What is sent as a snapshot from now on has to name the members as they are, or one
-	// that joins takes it for another's.
-	if _, err := c.mem.CreateSnapshot(c.applied, c.conf, join(c.machine.Save())); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+	c.confState = c.raw.ApplyConfChange(change)
+	out.applied = append(out.applied, appliedEntry{index: entry.GetIndex(), key: member.Key, isConfChange: true})
+	// Snapshots sent from now on must include the new member, or a joining member would reject
+	// them.
+	if _, err := c.storage.CreateSnapshot(c.applied, c.confState, joinLines(c.stateMachine.Save())); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		return err
 	}
 	return nil
 }
 
-// changeMachine takes a change of the members into the machine.
-func changeMachine(m Machine, index uint64, cc *raftpb.ConfChange) (with change, err error) {
-	if err := json.Unmarshal(cc.GetContext(), &with); err != nil {
-		return with, fmt.Errorf("group: entry %d: %w", index, err)
+// applyMemberChange applies a configuration change to the state machine.
+func applyMemberChange(stateMachine StateMachine, index uint64, confChange *raftpb.ConfChange) (change memberChange, err error) {
+	if err := json.Unmarshal(confChange.GetContext(), &change); err != nil {
+		return change, fmt.Errorf("group: entry %d: %w", index, err)
 	}
-	switch cc.GetType() {
+	switch confChange.GetType() {
 	case raftpb.ConfChangeType_ConfChangeAddLearnerNode:
-		m.Add(cc.GetNodeId(), with.Member)
+		stateMachine.Add(confChange.GetNodeId(), change.Member)
 	case raftpb.ConfChangeType_ConfChangeRemoveNode:
-		m.Remove(cc.GetNodeId())
+		stateMachine.Remove(confChange.GetNodeId())
 	}
-	return with, nil
+	return change, nil
 }
 
-// compact puts a snapshot in place of the log when it has grown. One that fails is
-// tried again when more has been written.
+// compact replaces the log by a snapshot when one is due. After a failure the next call tries
+// again.
 func (c *core) compact() error {
-	if !c.disk.Due() {
+	if !c.log.SnapshotDue() {
 		return nil
 	}
-	lines := c.machine.Save()
-	snap, err := c.mem.CreateSnapshot(c.applied, c.conf, join(lines))
+	lines := c.stateMachine.Save()
+	snapshot, err := c.storage.CreateSnapshot(c.applied, c.confState, joinLines(lines))
 	if errors.Is(err, raft.ErrSnapOutOfDate) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	last, err := c.mem.LastIndex()
+	last, err := c.storage.LastIndex()
 	if err != nil {
 		return err
 	}
-	entries, err := c.mem.Entries(c.applied+1, last+1, ^uint64(0))
+	entries, err := c.storage.Entries(c.applied+1, last+1, ^uint64(0))
 	if err != nil && !errors.Is(err, raft.ErrCompacted) && !errors.Is(err, raft.ErrUnavailable) {
 		return err
 	}
-	state, _, err := c.mem.InitialState()
+	state, _, err := c.storage.InitialState()
 	if err != nil {
 		return err
 	}
-	err = c.disk.Snapshot(c.disk.Last(), func(emit func([]byte) error) error {
-		tail := [][]byte{tagged(ofState, marshal(state))}
+	err = c.log.Snapshot(c.log.LastSequence(), func(emit func([]byte) error) error {
+		tail := [][]byte{tagged(kindHardState, mustMarshal(state))}
 		for _, e := range entries {
-			tail = append(tail, tagged(ofEntry, marshal(e)))
+			tail = append(tail, tagged(kindEntry, mustMarshal(e)))
 		}
-		return emitAll(emit, c.head(), snapshotRecords(snap.GetMetadata(), lines), tail)
+		return emitAll(emit, c.headRecords(), snapshotRecords(snapshot.GetMetadata(), lines), tail)
 	})
 	if err != nil {
-		slog.Error("group: no snapshot was kept", "error", err)
+		slog.Error("group: writing a snapshot failed", "error", err)
 		return nil
 	}
-	if first, err := c.mem.FirstIndex(); err == nil && c.applied > keptEntries && c.applied-keptEntries > first {
-		return c.mem.Compact(c.applied - keptEntries)
+	if first, err := c.storage.FirstIndex(); err == nil && c.applied > retainedEntries && c.applied-retainedEntries > first {
+		return c.storage.Compact(c.applied - retainedEntries)
 	}
 	return nil
 }
 
 func tagged(kind byte, body []byte) []byte { return append([]byte{kind}, body...) }
 
-func marshal(m proto.Message) []byte {
+func mustMarshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // of messages that were made here, or read
+		panic(err) // unreachable: the message was built here or decoded before
 	}
 	return b
 }
 
 func snapshotRecords(meta *raftpb.SnapshotMetadata, lines [][]byte) [][]byte {
-	records := [][]byte{tagged(ofSnapshot, marshal(meta))}
+	records := [][]byte{tagged(kindSnapshot, mustMarshal(meta))}
 	for _, l := range lines {
-		records = append(records, tagged(ofMachine, l))
+		records = append(records, tagged(kindStateLine, l))
 	}
 	return records
 }
 
-// join and split make one text of lines, and lines of it.
-func join(lines [][]byte) (text []byte) {
+// joinLines encodes lines as one byte string, each after its length; splitLines reverses it.
+func joinLines(lines [][]byte) (data []byte) {
 	for _, l := range lines {
-		text = append(binary.AppendUvarint(text, uint64(len(l))), l...)
+		data = append(binary.AppendUvarint(data, uint64(len(l))), l...)
 	}
-	return text
+	return data
 }
 
-func split(text []byte) (lines [][]byte, err error) {
-	for len(text) > 0 {
-		n, used := binary.Uvarint(text)
-		if used <= 0 || n > uint64(len(text)-used) {
-			return nil, errors.New("group: a text of lines is cut short")
+func splitLines(data []byte) (lines [][]byte, err error) {
+	for len(data) > 0 {
+		length, prefix := binary.Uvarint(data)
+		if prefix <= 0 || length > uint64(len(data)-prefix) {
+			return nil, errors.New("group: encoded lines are truncated")
 		}
-		lines = append(lines, text[used:used+int(n)])
-		text = text[used+int(n):]
+		lines = append(lines, data[prefix:prefix+int(length)])
+		data = data[prefix+int(length):]
 	}
 	return lines, nil
 }
 
-// quiet is the algorithm's log: what matters of it is told by Group.
-type quiet struct{}
-
-func (quiet) Debug(...any)                {}
-func (quiet) Debugf(string, ...any)       {}
-func (quiet) Info(...any)                 {}
-func (quiet) Infof(string, ...any)        {}
-func (quiet) Warning(v ...any)            {}
-func (quiet) Warningf(f string, v ...any) {}
-func (quiet) Error(v ...any)              { slog.Error("raft", "text", fmt.Sprint(v...)) }
-func (quiet) Errorf(f string, v ...any)   { slog.Error("raft", "text", fmt.Sprintf(f, v...)) }
-func (quiet) Fatal(v ...any)              { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
-func (quiet) Panic(v ...any)              { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
+// raftLogger passes raft's errors to slog and drops its other messages, as Group logs changes of
+// its role itself.
+type raftLogger struct{}
+
+func (raftLogger) Debug(...any)                     {}
+func (raftLogger) Debugf(string, ...any)            {}
+func (raftLogger) Info(...any)                      {}
+func (raftLogger) Infof(string, ...any)             {}
+func (raftLogger) Warning(v ...any)                 {}
+func (raftLogger) Warningf(format string, v ...any) {}
+func (raftLogger) Error(v ...any)                   { slog.Error("raft", "text", fmt.Sprint(v...)) }
+func (raftLogger) Errorf(format string, v ...any) {
+	slog.Error("raft", "text", fmt.Sprintf(format, v...))
+}
+func (raftLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (raftLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (raftLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (raftLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/group/loop.go
+++ b/internal/group/loop.go
@@ -19,89 +19,89 @@
 // Run runs the member until ctx ends or its disk fails. When ctx ends, a leader transfers
 // its role first.
 func (g *Group) Run(ctx context.Context) error {
-	defer close(g.ended)
+	defer close(g.stopped)
 	defer g.log.Close()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx)) // messages of the shutdown still go out
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // messages are still sent during the shutdown
 	defer stop()
-	g.meet = func(n uint64, at string) {
-		carrying, end := context.WithCancel(inner)
-		p := newPeer(g.c.Name, g.c.Self, n, at, func(result func()) { g.tell(carrying, result) })
-		p.stop = end
-		p.generation = g.book.Generation
-		p.unreachable = func() { g.core.raw.ReportUnreachable(n) }
-		p.snapshot = func(status raft.SnapshotStatus) { g.core.raw.ReportSnapshot(n, status) }
-		p.refused = func(why string) { g.core.end(why) }
-		g.peers[n] = p
-		wg.Go(func() { p.run(carrying) })
+	g.startPeer = func(number uint64, address string) {
+		peerCtx, stopPeer := context.WithCancel(runCtx)
+		p := newPeer(g.config.Name, g.config.Self, number, address, func(report func()) { g.enqueue(peerCtx, report) })
+		p.stop = stopPeer
+		p.generation = g.members.Generation
+		p.onUnreachable = func() { g.core.raw.ReportUnreachable(number) }
+		p.onSnapshotStatus = func(status raft.SnapshotStatus) { g.core.raw.ReportSnapshot(number, status) }
+		p.onRefused = func(reason string) { g.core.terminate(reason) }
+		g.peers[number] = p
+		wg.Go(func() { p.run(peerCtx) })
 	}
-	for _, n := range g.book.others(g.c.Self) {
-		g.meet(n, g.book.Members[n].Address)
+	for _, n := range g.members.others(g.config.Self) {
+		g.startPeer(n, g.members.Members[n].Address)
 	}
-	from, ask, need := g.newJoin()
-	wg.Go(func() { g.handshake(inner, from, ask, need) })
-	for _, former := range g.book.Former {
-		wg.Go(func() { g.tellFormer(inner, from, former.Address) })
+	request, addresses, required := g.newJoin()
+	wg.Go(func() { g.handshake(runCtx, request, addresses, required) })
+	for _, former := range g.members.Former {
+		wg.Go(func() { g.notifyFormer(runCtx, request, former.Address) })
 	}
-	if need == 0 {
-		g.takesPart = true
-		if err := g.core.raw.Campaign(); err != nil { // no other member has to welcome it
+	if required == 0 {
+		g.participating = true
+		if err := g.core.raw.Campaign(); err != nil { // no other member has to welcome this one
 			return err
 		}
 	}
-	tick, expire := time.NewTicker(Tick), time.NewTicker(expireGap)
+	tick, expire := time.NewTicker(Tick), time.NewTicker(expireInterval)
 	defer tick.Stop()
 	defer expire.Stop()
 	for {
-		if err := g.turn(); err != nil {
+		if err := g.advance(); err != nil {
 			slog.Error("group: this member ends", "error", err)
 			return err
 		}
 		select {
 		case <-ctx.Done():
-			return g.handOver()
+			return g.transferLeadership()
 		case <-tick.C:
-			if g.takesPart {
+			if g.participating {
 				g.core.raw.Tick()
 			}
 		case <-expire.C:
 			g.expire()
-			g.promote()
+			g.promoteLearner()
 		case call := <-g.calls:
 			call()
-			for range len(g.calls) { // a batch, so that one sync of the disk serves all
+			for range len(g.calls) { // one sync of the disk serves the whole batch
 				(<-g.calls)()
 			}
 		}
 	}
 }
 
-// handOver transfers leadership to the voter whose log is the most complete, so that the
-// group need not wait for an election time-out.
-func (g *Group) handOver() error {
+// transferLeadership transfers leadership to the voter with the most complete log, so that the
+// group need not wait for an election timeout.
+func (g *Group) transferLeadership() error {
 	if g.role != raft.StateLeader {
 		return nil
 	}
-	next, furthest := uint64(0), uint64(0)
+	target, highestMatch := uint64(0), uint64(0)
 	for n, p := range g.core.raw.Status().Progress {
-		if n != g.c.Self && !p.IsLearner && p.Match > furthest {
-			next, furthest = n, p.Match
+		if n != g.config.Self && !p.IsLearner && p.Match > highestMatch {
+			target, highestMatch = n, p.Match
 		}
 	}
-	if next == 0 {
+	if target == 0 {
 		return nil
 	}
-	slog.Info("group: this member ends, and another is to write", "number", next)
-	g.core.raw.TransferLeader(next)
-	end := time.NewTimer(handOverWait)
-	defer end.Stop()
+	slog.Info("group: this member ends, and another is to write", "number", target)
+	g.core.raw.TransferLeader(target)
+	timeout := time.NewTimer(leaderTransferTimeout)
+	defer timeout.Stop()
 	for g.role == raft.StateLeader {
-		if err := g.turn(); err != nil {
+		if err := g.advance(); err != nil {
 			return err
 		}
 		select {
-		case <-end.C:
+		case <-timeout.C:
 			return nil
 		case call := <-g.calls:
 			call()
@@ -111,12 +111,11 @@
 }
 
 // now returns the time since the member was opened.
-func (g *Group) now() time.Duration { return time.Since(g.began) }
+func (g *Group) now() time.Duration { return time.Since(g.openedAt) }
 
-// turn processes what raft has made ready: it sends messages, applies committed entries
-// and completes reads.
-func (g *Group) turn() error {
-	out, err := g.core.ready()
+// advance sends the messages that raft has made ready, and completes proposals and reads.
+func (g *Group) advance() error {
+	out, err := g.core.processReady()
 	if err != nil {
 		return err
 	}
@@ -128,12 +127,12 @@
 			}
 		}
 	}
-	g.stood()
-	if out.whole {
-		g.follow()
+	g.updateRole()
+	if out.installedSnapshot {
+		g.updatePeers()
 	}
 	for _, a := range out.applied {
-		g.applied(a)
+		g.completeProposal(a)
 	}
 	for _, r := range out.reads {
 		if len(r.RequestCtx) == keyBytes {
@@ -142,10 +141,10 @@
 			}
 		}
 	}
-	if g.role == raft.StateLeader && !g.writes && g.core.applied >= g.from {
-		g.writes = true
-		if g.c.List != nil {
-			g.c.List.SetWriter(true, g.book.Members[g.c.Self].List)
+	if g.role == raft.StateLeader && !g.leaderReady && g.core.applied >= g.termStart {
+		g.leaderReady = true
+		if g.config.List != nil {
+			g.config.List.SetWriter(true, g.members.Members[g.config.Self].RegistryAddress)
 		}
 	}
 	for key, w := range g.reads {
@@ -155,108 +154,108 @@
 		}
 	}
 	if len(out.applied) > 0 {
-		close(g.news)
-		g.news = make(chan struct{})
+		close(g.entryApplied)
+		g.entryApplied = make(chan struct{})
 	}
 	return nil
 }
 
-// stood handles a change of the leader or of this member's role.
-func (g *Group) stood() {
-	st := g.core.raw.BasicStatus()
-	if st.Lead == g.writer && st.RaftState == g.role {
+// updateRole handles a change of the leader or of this member's role.
+func (g *Group) updateRole() {
+	status := g.core.raw.BasicStatus()
+	if status.Lead == g.leader && status.RaftState == g.role {
 		return
 	}
-	before := g.role
-	g.writer, g.role = st.Lead, st.RaftState
-	if g.role != raft.StateLeader && g.c.List != nil {
-		g.c.List.SetWriter(false, g.book.Members[g.writer].List)
+	previousRole := g.role
+	g.leader, g.role = status.Lead, status.RaftState
+	if g.role != raft.StateLeader && g.config.List != nil {
+		g.config.List.SetWriter(false, g.members.Members[g.leader].RegistryAddress)
 	}
-	if before == raft.StateLeader && g.role != raft.StateLeader {
-		g.writes, g.changing = false, 0
-		close(g.lost)
-		g.lost = make(chan struct{})
+	if previousRole == raft.StateLeader && g.role != raft.StateLeader {
+		g.leaderReady, g.pendingChange = false, 0
+		close(g.leadershipLost)
+		g.leadershipLost = make(chan struct{})
 	}
 	switch {
 	case g.role == raft.StateLeader:
-		g.won++
-		g.from, _ = g.core.mem.LastIndex() // of a memory storage, which can't fail; the first entry of the term is in it
-		// The former leader may have renewed any session a moment ago.
-		g.leases.Begin(g.now(), g.state.Sessions())
-		clear(g.ending)
-		slog.Info("group: this member is the writer", "term", st.GetTerm())
-	case g.role == raft.StateCandidate && before == raft.StateFollower:
-		g.handed++ // without a transfer it would be a pre-candidate first
-		slog.Info("group: the writer hands over to this member", "term", st.GetTerm())
+		g.electionsWon++
+		g.termStart, _ = g.core.storage.LastIndex() // MemoryStorage returns no error; the last entry is the first of the new term
+		// The former leader may have renewed any session just now.
+		g.leases.Reset(g.now(), g.state.Sessions())
+		clear(g.expiring)
+		slog.Info("group: this member is the writer", "term", status.GetTerm())
+	case g.role == raft.StateCandidate && previousRole == raft.StateFollower:
+		g.transfersReceived++ // without a transfer it would be a pre-candidate first
+		slog.Info("group: the writer transfers its role to this member", "term", status.GetTerm())
 	case g.role == raft.StatePreCandidate || g.role == raft.StateCandidate:
-		if before == raft.StateFollower || before == raft.StateLeader {
+		if previousRole == raft.StateFollower || previousRole == raft.StateLeader {
 			g.elections++
-			slog.Info("group: no word of the writer; this member asks to be it", "term", st.GetTerm())
+			slog.Info("group: no heartbeat from the writer; starting an election", "term", status.GetTerm())
 		}
-	case before == raft.StateLeader:
-		slog.Warn("group: this member is the writer no more", "term", st.GetTerm(), "writer", g.writer)
-	case g.writer != 0:
-		slog.Info("group: the writer", "number", g.writer, "term", st.GetTerm())
+	case previousRole == raft.StateLeader:
+		slog.Warn("group: this member is no longer the writer", "term", status.GetTerm(), "writer", g.leader)
+	case g.leader != 0:
+		slog.Info("group: writer changed", "number", g.leader, "term", status.GetTerm())
 	}
 }
 
-// applied completes the call that waits for an entry which has been applied.
-func (g *Group) applied(a applied) {
-	result, _ := a.result.(ledger.Result)
-	if a.changes {
-		if g.changing == a.key {
-			g.changing = 0
+// completeProposal completes the call whose entry has been applied.
+func (g *Group) completeProposal(entry appliedEntry) {
+	result, _ := entry.result.(ledger.Result)
+	if entry.isConfChange {
+		if g.pendingChange == entry.key {
+			g.pendingChange = 0
 		}
-		g.follow()
+		g.updatePeers()
 	}
-	if w := g.waiting[a.key]; w != nil {
-		delete(g.waiting, a.key)
-		g.commits.RecordValue(min(time.Since(w.began).Microseconds(), slowestCommit))
-		w.done <- result
+	if pending := g.proposals[entry.key]; pending != nil {
+		delete(g.proposals, entry.key)
+		g.commitLatency.RecordValue(min(time.Since(pending.startedAt).Microseconds(), maxCommitMicroseconds))
+		pending.result <- result
 	}
 }
 
-// receive processes messages of another member. The error tells a member that is not part
-// of this group, or no longer, why.
-func (g *Group) receive(ctx context.Context, from uint64, generation Generation, text []byte) error {
-	var not error
+// receive processes messages of another member. It returns a RefusedError if the sender does not
+// belong to the group any more.
+func (g *Group) receive(ctx context.Context, sender uint64, generation Generation, data []byte) error {
+	var rejected error
 	err := g.call(ctx, func() {
-		switch own := g.book.Generation; {
-		case !g.takesPart:
-			not = ErrBusy
+		switch current := g.members.Generation; {
+		case !g.participating:
+			rejected = ErrBusy
 			return
-		case generation.Number > own.Number:
-			g.core.end(superseded(generation))
-			not = errEnded
+		case generation.Number > current.Number:
+			g.core.terminate(supersededReason(generation))
+			rejected = errStopped
 			return
-		case generation.Number < own.Number:
-			not = refuseChange("%s", superseded(own))
+		case generation.Number < current.Number:
+			rejected = refusedf("%s", supersededReason(current))
 			return
-		case generation != own:
-			not = ErrBusy
+		case generation != current:
+			rejected = ErrBusy
 			return
-		case g.book.removed(from):
-			not = refuseChange("member %d was taken out of the group", from)
+		case g.members.wasRemoved(sender):
+			rejected = refusedf("member %d was taken out of the group", sender)
 			return
 		}
-		var all []*raftpb.Message
-		if all, not = decodeMessages(text, g.c.Self, g.book.Members); not != nil {
+		var messages []*raftpb.Message
+		if messages, rejected = decodeMessages(data, g.config.Self, g.members.Members); rejected != nil {
 			return
 		}
 		term := g.core.raw.BasicStatus().GetTerm()
-		for _, m := range all {
-			if g.spoke[m.GetFrom()] = time.Now(); m.GetFrom() == g.writer {
-				g.heard = time.Now()
+		for _, message := range messages {
+			if g.lastReceived[message.GetFrom()] = time.Now(); message.GetFrom() == g.leader {
+				g.leaderSeen = time.Now()
 			}
-			if last := g.core.last(); m.GetType() == raftpb.MessageType_MsgHeartbeat && m.GetTerm() >= term && m.GetCommit() > last {
-				g.core.end(fmt.Sprintf("it has entries up to %d, and has promised the writer those up to %d: its folder is an older one. %s", last, m.GetCommit(), replaceIt))
-				not = errEnded
+			if last := g.core.lastIndex(); message.GetType() == raftpb.MessageType_MsgHeartbeat && message.GetTerm() >= term && message.GetCommit() > last {
+				g.core.terminate(fmt.Sprintf("this member has entries up to %d and has acknowledged those up to %d: its folder is an older one. %s", last, message.GetCommit(), replaceAdvice))
+				rejected = errStopped
 				return
 			}
-			g.core.raw.Step(m) // raft refuses messages of other terms, which is no error
+			g.core.raw.Step(message) // Step rejects messages of other terms, which is expected
 		}
 	})
-	return cmp.Or(err, not)
+	return cmp.Or(err, rejected)
 }
 
 // post queues a function for the loop. It returns ErrBusy if the queue is full.
@@ -264,8 +263,8 @@
 	select {
 	case g.calls <- do:
 		return nil
-	case <-g.ended:
-		return errEnded
+	case <-g.stopped:
+		return errStopped
 	default:
 		return ErrBusy
 	}
@@ -274,10 +273,10 @@
 // call runs a function in the loop and waits for it. If it returns an error, the function
 // has not run and never will.
 func (g *Group) call(ctx context.Context, do func()) (err error) {
-	var begun atomic.Bool // set by whoever comes first: the loop, or this call giving up
+	var claimed atomic.Bool // by the loop, or by this call when it gives up
 	done := make(chan struct{})
 	if err := g.post(func() {
-		if begun.CompareAndSwap(false, true) {
+		if claimed.CompareAndSwap(false, true) {
 			do()
 			close(done)
 		}
@@ -289,10 +288,10 @@
 		return nil
 	case <-ctx.Done():
 		err = ctx.Err()
-	case <-g.ended:
-		err = errEnded
+	case <-g.stopped:
+		err = errStopped
 	}
-	if begun.CompareAndSwap(false, true) {
+	if claimed.CompareAndSwap(false, true) {
 		return err
 	}
 	<-done
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -11,107 +11,110 @@
 	"time"
 )
 
-// keptCopyAge is the least age that a follower tells of the copy that an earlier process
-// kept, as it does not know how long ago that was. It is above staleAge.
-const keptCopyAge = 10 * time.Second
+// minPersistedCopyAge is the minimum age that a follower reports for a copy persisted by an
+// earlier process, whose age is unknown. It is above staleAge.
+const minPersistedCopyAge = 10 * time.Second
 
-// Follower copies a writer by its watch and serves reads. It never writes, until
-// an operator promotes it.
+// Follower is a Server that replicates a writer through a watch and serves reads. It accepts
+// no writes until an operator promotes it.
 type Follower struct {
 	*Server
 	client   *Client
-	moves    chan []string
-	source   string        // the writer that it copies, or whose place it has taken
-	promoted chan struct{} // closed then
+	sources  chan []string
+	source   string        // address of the writer that it was started to replicate
+	promoted chan struct{} // closed at the promotion
 }
 
-// NewFollower copies the writer at an address. Until it has heard from it, reads
-// are turned away, unless it has a copy that an earlier process kept: that is
-// told, as old.
-func NewFollower(self, writer string, kept *Store, limits Limits, serves ServerLimits, began time.Time, random *rand.Rand) *Follower {
-	store := kept
+// NewFollower returns a Follower of the writer at an address. persisted is the copy of an
+// earlier process, or nil. Until the first update from the writer, the follower serves that
+// copy with a high age, or rejects reads if there is none. selfAddress is the address at
+// which other processes reach the follower.
+func NewFollower(selfAddress, writer string, persisted *Store, limits Limits, serverLimits ServerLimits, startedAt time.Time, random *rand.Rand) *Follower {
+	store := persisted
 	if store == nil {
 		store = newStore(limits, 0)
-		store.gathering = math.MaxInt64
+		store.gatheringUntil = math.MaxInt64
 	}
-	f := &Follower{Server: NewWriter(self, store, serves, began, random), moves: make(chan []string), source: writer, promoted: make(chan struct{})}
-	f.client = NewClient([]string{writer}, rand.New(rand.NewPCG(random.Uint64(), 1)), f.heard)
-	f.client.watchWait = followerWatchWait
-	f.age = func() int64 {
-		switch age := f.client.Age(); {
+	follower := &Follower{Server: NewWriter(selfAddress, store, serverLimits, startedAt, random), sources: make(chan []string), source: writer, promoted: make(chan struct{})}
+	follower.client = NewClient([]string{writer}, rand.New(rand.NewPCG(random.Uint64(), 1)), follower.applyUpdate)
+	follower.client.watchWait = followerWatchWait
+	follower.ageMs = func() int64 {
+		switch age := follower.client.Age(); {
 		case age >= 0:
 			return age.Milliseconds()
-		case kept != nil:
-			return (keptCopyAge + f.now()).Milliseconds()
+		case persisted != nil:
+			return (minPersistedCopyAge + follower.now()).Milliseconds()
 		}
 		return -1
 	}
-	name := fmt.Sprintf("%016x", random.Uint64())
-	f.Server.promote = func() error { return f.promote(name) }
-	if store.writes && store.fence == nil {
-		close(f.promoted) // in an earlier life
-		return f
+	historyName := fmt.Sprintf("%016x", random.Uint64())
+	follower.Server.promote = func() error { return follower.promote(historyName) }
+	if store.isWriter && store.fence == nil {
+		close(follower.promoted) // by an earlier process
+		return follower
 	}
-	f.writer.Store(&writer)
-	if store.writes {
-		// A writer that was fenced, and copies from now on.
-		store.writes, store.fence = false, nil
+	follower.writer.Store(&writer)
+	if store.isWriter {
+		// A fenced writer becomes a follower.
+		store.isWriter, store.fence = false, nil
 	}
-	return f
+	return follower
 }
 
-// heard copies what the writer tells.
-func (f *Follower) heard(told Told) {
-	_, err := f.change(func(now time.Duration) (Written, error) {
-		if f.store.writes || f.left() {
-			return Written{}, nil // promoted meanwhile, or at the end
+// applyUpdate applies and persists an update from the writer.
+func (f *Follower) applyUpdate(update Update) {
+	_, err := f.change(func(now time.Duration) (WriteResult, error) {
+		if f.store.isWriter || f.isStopping() {
+			return WriteResult{}, nil // promoted or shutting down
 		}
-		if told.History != f.store.history {
-			slog.Info("history", "name", told.History, "version", told.Generation, "before", f.store.history)
+		if update.History != f.store.history {
+			slog.Info("history changed", "name", update.History, "version", update.Generation, "before", f.store.history)
 		}
-		f.store.gathering = 0
-		f.store.epoch = max(f.store.epoch, told.Epoch)
-		if f.keeper != nil {
-			// A copy that can't be kept is served all the same.
-			if err := f.keeper.keep(Saved{Copy: &SavedCopy{told.History, told.Epoch, told.Listing}}); err != nil {
-				slog.Error("the copy is not kept", "error", err)
+		f.store.gatheringUntil = 0
+		f.store.epoch = max(f.store.epoch, update.Epoch)
+		if f.persister != nil {
+			// Serve the copy even if it cannot be persisted.
+			if err := f.persister.persist(Record{Copy: &CopyRecord{update.History, update.Epoch, update.Listing}}); err != nil {
+				slog.Error("update could not be persisted", "error", err)
 			}
 		}
-		return Written{}, f.store.Copy(now, told.Listing, told.History)
+		return WriteResult{}, f.store.ApplyListing(now, update.Listing, update.History)
 	})
 	if err != nil {
-		slog.Error("copy", "error", err)
+		slog.Error("update could not be applied", "error", err)
 	}
 }
 
-// Move copies another writer from now on. What is had stays until it answers.
-func (f *Follower) Move(ctx context.Context, writer string) {
+// SetSource makes the follower replicate another writer. The current list stays until the
+// first update from that writer. It does nothing after a promotion.
+func (f *Follower) SetSource(ctx context.Context, writer string) {
 	if f.writer.Load() == nil {
-		return // it is the writer
+		return // promoted
 	}
 	f.writer.Store(&writer)
 	select {
-	case f.moves <- []string{writer}:
+	case f.sources <- []string{writer}:
 	case <-ctx.Done():
 	}
 }
 
-// Serve answers until ctx ends.
-func (f *Follower) Serve(ctx context.Context, l, operators net.Listener) error {
-	inner, stop := context.WithCancel(context.Background())
+// Serve is Server.Serve for a follower: it also replicates the writer and, after a promotion,
+// notifies the old writer.
+func (f *Follower) Serve(ctx context.Context, listener, operatorListener net.Listener) error {
+	background, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	copying, end := context.WithCancel(inner)
+	copyContext, stopCopying := context.WithCancel(background)
 	wg.Go(func() {
 		select {
 		case <-f.promoted:
-			end()
-			f.tellOld(inner, f.source)
-		case <-inner.Done():
-			end()
+			stopCopying()
+			f.notifyOldWriter(background, f.source)
+		case <-background.Done():
+			stopCopying()
 		}
 	})
-	wg.Go(func() { f.client.Run(copying, f.moves) })
-	return f.Server.Serve(ctx, l, operators)
+	wg.Go(func() { f.client.Run(copyContext, f.sources) })
+	return f.Server.Serve(ctx, listener, operatorListener)
 }
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -7,122 +7,121 @@
 )
 
 type change struct {
-	version int64
-	id      string
-	started int64
-	drained bool
-	gone    bool
-	text    []byte
-	places  *places // nil: the instance is in no service, and was in none
+	version    int64
+	id         string
+	started    int64
+	drained    bool
+	gone       bool
+	encoded    []byte
+	placements *placements // nil if the instance neither is nor was in a service
 }
 
-// places are where an instance is after a change, and where it was before.
-type places struct {
-	at Placement
-	// left are the other placements that the instance had since the version before, which
-	// is several changes ago where a follower was told of them at once.
-	left []Placement
+// placements records where an instance is after a change and where it was before.
+type placements struct {
+	current Placement
+	// previous holds the other placements since the preceding version of this history. A
+	// follower that received several changes at once has several.
+	previous []Placement
 }
 
-// at is where the instance is; nowhere that a scope knows if it is in no service.
-func (c *change) at() Placement {
-	if c.places == nil {
+// currentPlacement returns the placement after the change; empty if the instance is in no
+// service.
+func (c *change) currentPlacement() Placement {
+	if c.placements == nil {
 		return Placement{}
 	}
-	return c.places.at
+	return c.placements.current
 }
 
-// left are the placements that the instance left with the change.
-func (c *change) left() []Placement {
-	if c.places == nil {
+// previousPlacements returns the placements that the instance left with the change.
+func (c *change) previousPlacements() []Placement {
+	if c.placements == nil {
 		return nil
 	}
-	return c.places.left
+	return c.placements.previous
 }
 
-// size is what a change counts for in the bytes of the history.
+// size returns the bytes that a change counts toward the history limit.
 func (c *change) size() int {
-	bytes := len(c.text)
-	for _, p := range c.left() {
+	bytes := len(c.encoded)
+	for _, p := range c.previousPlacements() {
 		bytes += len(p.Service) + len(p.Region) + len(p.Zone)
 	}
 	return bytes
 }
 
-// forget drops the history: what there was before is no list that anybody may
-// go on from.
-func (s *Store) forget() {
-	s.changes, s.bytes, s.from = nil, 0, s.version
+// clearHistory drops all changes, so that readers at earlier versions receive the full list.
+func (s *Store) clearHistory() {
+	s.changes, s.bytes, s.baseVersion = nil, 0, s.version
 	clear(s.gone)
-	s.dropAnswers()
+	s.clearCache()
 }
 
-// put takes a change in under its version. Meanwhile the instance has been at some
-// other placements, or at none.
-func (s *Store) put(i Instance, version int64, now time.Duration, meanwhile []Placement) error {
-	text, err := json.Marshal(i)
+// applyChange applies a change under its version. interim holds placements that the
+// instance had between its previous state and this one.
+func (s *Store) applyChange(instance Instance, version int64, now time.Duration, interim []Placement) error {
+	encoded, err := json.Marshal(instance)
 	if err != nil {
 		return err
 	}
-	s.stats.Encoded++
-	s.putText(i, text, version, now, meanwhile)
+	s.stats.ChangesEncoded++
+	s.applyEncoded(instance, encoded, version, now, interim)
 	return nil
 }
 
-// putText takes a change in whose text there is.
-func (s *Store) putText(i Instance, text []byte, version int64, now time.Duration, meanwhile []Placement) {
-	var left []Placement
-	if e := s.entries[i.ID]; e != nil {
-		left = appendLeft(left, e.placement(), i.placement())
+// applyEncoded is applyChange for an instance that is already encoded.
+func (s *Store) applyEncoded(instance Instance, encoded []byte, version int64, now time.Duration, interim []Placement) {
+	var previous []Placement
+	if existing := s.entries[instance.ID]; existing != nil {
+		previous = appendPrevious(previous, existing.placement(), instance.placement())
 	}
-	for _, p := range meanwhile {
-		left = appendLeft(left, p, i.placement())
-		s.services.mention(p.Service)
+	for _, p := range interim {
+		previous = appendPrevious(previous, p, instance.placement())
+		s.services.addKnown(p.Service)
 	}
-	c := newChange(i, version, text, left)
+	c := newChange(instance, version, encoded, previous)
 	s.version = version
-	s.dropAnswers()
-	if i.Lifecycle == Gone {
-		s.withdraw(i.ID)
-		s.services.mention(i.Service)
+	s.clearCache()
+	if instance.Lifecycle == Gone {
+		s.removeEntry(instance.ID)
+		s.services.addKnown(instance.Service)
 	} else {
-		s.enter(&entry{Instance: i, version: version, text: text, expires: now + s.limits.Lease})
-		delete(s.gone, i.ID)
+		s.putEntry(&entry{Instance: instance, version: version, encoded: encoded, expires: now + s.limits.Lease})
+		delete(s.gone, instance.ID)
 	}
-	s.remember(c, c.gone)
+	s.appendChange(c, c.gone)
 }
 
-func newChange(i Instance, version int64, text []byte, left []Placement) change {
-	c := change{version: version, id: i.ID, started: i.StartedAtMs, drained: i.Drained, gone: i.Lifecycle == Gone, text: text}
-	if i.Service != "" || len(left) > 0 {
-		c.places = &places{i.placement(), left}
+func newChange(instance Instance, version int64, encoded []byte, previous []Placement) change {
+	c := change{version: version, id: instance.ID, started: instance.StartedAtMs, drained: instance.Drained, gone: instance.Lifecycle == Gone, encoded: encoded}
+	if instance.Service != "" || len(previous) > 0 {
+		c.placements = &placements{instance.placement(), previous}
 	}
 	return c
 }
 
-// appendLeft adds a placement that was left for another, once. One without a service is
-// in no scope.
-func appendLeft(left []Placement, from, to Placement) []Placement {
-	if from.Service == "" || from == to || slices.Contains(left, from) {
-		return left
+// appendPrevious appends from unless it has no service, equals to, or is already present.
+func appendPrevious(previous []Placement, from, to Placement) []Placement {
+	if from.Service == "" || from == to || slices.Contains(previous, from) {
+		return previous
 	}
-	return append(left, from)
+	return append(previous, from)
 }
 
-// remember puts a change into the history, which forgets the oldest for it, and with one
-// all of its version: a follower has several, and nobody goes on from between them.
-func (s *Store) remember(c change, gone bool) {
+// appendChange appends a change to the history and trims the oldest ones to the limits.
+// It trims all changes of a version together, as a follower may have several.
+func (s *Store) appendChange(c change, gone bool) {
 	if gone {
 		s.gone[c.id] = c
 	}
 	s.changes = append(s.changes, c)
 	s.bytes += c.size()
-	for len(s.changes) > 0 && (len(s.changes) > s.limits.History || s.bytes > s.limits.HistoryBytes || s.changes[0].version <= s.from) {
+	for len(s.changes) > 0 && (len(s.changes) > s.limits.History || s.bytes > s.limits.HistoryBytes || s.changes[0].version <= s.baseVersion) {
 		old := s.changes[0]
 		s.changes[0] = change{}
 		s.changes = s.changes[1:]
 		s.bytes -= old.size()
-		s.from = old.version
+		s.baseVersion = old.version
 		if s.gone[old.id].version == old.version {
 			delete(s.gone, old.id)
 		}
--- a/internal/registry/scoped.go
+++ b/internal/registry/scoped.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	mostScopedBytes = 8 << 20 // of the answers to scopes that are kept for others who ask the same
-	mostScopedKept  = 256     // and how many they are
-	leastListCost   = 1.0 / 64
+	maxScopedCacheBytes   = 8 << 20
+	maxScopedCacheEntries = 256
+	minListCost           = 1.0 / 64 // cost of a scoped listing without instances, as a fraction of a full listing
 )
 
-// ScopedRead is a question about a part of the list.
+// ScopedRead is a read of a part of the list.
 type ScopedRead struct {
-	Since   int64  // the version that the reader is at; below 0: it has nothing
-	History string // that the version belongs to; empty: any
+	Since   int64  // the reader's version; below 0 if it has no list
+	History string // history of the version; empty: any
 	Scopes  *ScopeSet
-	// Held are the scopes of which the reader has the list at the version. It is told all
-	// instances of its other scopes, and what has changed in these.
+	// Held contains the scopes whose list the reader has at version Since. The answer has
+	// their changes, and all instances of the other scopes. Nil means Scopes.
 	Held *ScopeSet
 }
 
-// joins reports whether the reader has some scopes and wants others beside them.
-func (q ScopedRead) joins() bool { return !q.Held.same(q.Scopes) }
+// addsScopes reports whether the reader requests other scopes than those that it holds.
+func (r ScopedRead) addsScopes() bool { return !r.Held.equal(r.Scopes) }
 
-// concerns reports whether a change can alter what the reader has or wants.
-func (q ScopedRead) concerns(c *change) bool {
-	if q.touches(c.at()) {
+// affectedBy reports whether a change can alter what the reader holds or requests.
+func (r ScopedRead) affectedBy(c *change) bool {
+	if r.covers(c.currentPlacement()) {
 		return true
 	}
-	for _, p := range c.left() {
-		if q.touches(p) {
+	for _, p := range c.previousPlacements() {
+		if r.covers(p) {
 			return true
 		}
 	}
 	return false
 }
 
-func (q ScopedRead) touches(p Placement) bool {
-	return q.Scopes.contains(p) || q.joins() && q.Held.contains(p)
+func (r ScopedRead) covers(p Placement) bool {
+	return r.Scopes.contains(p) || r.addsScopes() && r.Held.contains(p)
 }
 
-// toList returns the services of which a reader is told all instances in its scopes. A
-// reader without a list is one that holds nothing.
-func (q ScopedRead) toList(held *ScopeSet) (services []string) {
-	for name, scopes := range q.Scopes.byService {
+// servicesToList returns the services of which the answer has all instances in the scopes.
+// held is nil for a reader without a list.
+func (r ScopedRead) servicesToList(held *ScopeSet) (services []string) {
+	for name, scopes := range r.Scopes.byService {
 		if held == nil || slices.ContainsFunc(scopes, func(scope Scope) bool { return !held.covers(scope) }) {
 			services = append(services, name)
 		}
@@ -63,180 +63,179 @@
 	scopes, held string
 }
 
-// scopedAnswers keeps answers for readers that ask the same at the same version.
-type scopedAnswers struct {
-	kept  map[scopedKey]Answer
-	bytes int
+// scopedCache caches the answers at the store's version for readers with equal requests.
+type scopedCache struct {
+	answers map[scopedKey]Answer
+	bytes   int
 }
 
-func (a *scopedAnswers) clear() {
-	clear(a.kept)
+func (a *scopedCache) clear() {
+	clear(a.answers)
 	a.bytes = 0
 }
 
-func (a *scopedAnswers) keep(key scopedKey, answer Answer) {
-	if len(a.kept) >= mostScopedKept || a.bytes+len(answer.Body) > mostScopedBytes {
+func (a *scopedCache) add(key scopedKey, answer Answer) {
+	if len(a.answers) >= maxScopedCacheEntries || a.bytes+len(answer.Body) > maxScopedCacheBytes {
 		a.clear()
 	}
-	if a.kept == nil {
-		a.kept = map[scopedKey]Answer{}
+	if a.answers == nil {
+		a.answers = map[scopedKey]Answer{}
 	}
-	a.kept[key] = answer
+	a.answers[key] = answer
 	a.bytes += len(answer.Body)
 }
 
-// Quiet reports whether a reader that is at a version of a history has nothing to hear.
-// It looks at the changes behind that version alone, and only at whom they concern. A
-// reader that is told so is as good as at the store's version.
-func (s *Store) Quiet(q ScopedRead) bool {
-	if !s.continues(q) {
+// NoChangesFor reports whether no change after the reader's version affects it. The reader
+// may then be treated as if it were at the store's version.
+func (s *Store) NoChangesFor(read ScopedRead) bool {
+	if !s.canContinue(read) {
 		return false
 	}
-	for n := s.behind(q.Since); n < len(s.changes); n++ {
-		if q.concerns(&s.changes[n]) {
+	for n := s.firstChangeAfter(read.Since); n < len(s.changes); n++ {
+		if read.affectedBy(&s.changes[n]) {
 			return false
 		}
 	}
 	return true
 }
 
-// continues reports whether a reader that waits can go on from its version by changes.
-func (s *Store) continues(q ScopedRead) bool {
-	return q.History == s.history && !q.joins() && q.Since >= s.from && q.Since <= s.version
+// canContinue reports whether a waiting reader can be brought up to date by changes alone.
+func (s *Store) canContinue(read ScopedRead) bool {
+	return read.History == s.history && !read.addsScopes() && read.Since >= s.baseVersion && read.Since <= s.version
 }
 
-// servicesChanged returns the services that the changes since a version concern.
+// servicesChanged returns the services affected by the changes after a version.
 func (s *Store) servicesChanged(since int64) map[string]bool {
 	names := map[string]bool{}
-	for n := s.behind(since); n < len(s.changes); n++ {
+	for n := s.firstChangeAfter(since); n < len(s.changes); n++ {
 		c := &s.changes[n]
-		if c.places == nil {
+		if c.placements == nil {
 			continue
 		}
-		names[c.at().Service] = true
-		for _, p := range c.left() {
+		names[c.currentPlacement().Service] = true
+		for _, p := range c.previousPlacements() {
 			names[p.Service] = true
 		}
 	}
 	return names
 }
 
-// behind returns the place of the first change after a version.
-func (s *Store) behind(version int64) int {
+// firstChangeAfter returns the index of the first change after a version.
+func (s *Store) firstChangeAfter(version int64) int {
 	return sort.Search(len(s.changes), func(n int) bool { return s.changes[n].version > version })
 }
 
-// ReadScoped answers as Read does, for a part of the list: with all instances of the
-// scopes, or with the last state of each instance that has changed in them. An instance
-// that has left the scopes is told as Gone.
-func (s *Store) ReadScoped(now time.Duration, q ScopedRead) (Answer, error) {
-	if err := s.readable(now); err != nil {
+// ReadScoped answers like Read for a part of the list: with all instances of the scopes, or
+// with the last state of each instance that has changed in them. An instance that has left
+// the scopes appears as Gone. The errors are of type *Refusal.
+func (s *Store) ReadScoped(now time.Duration, read ScopedRead) (Answer, error) {
+	if err := s.checkReadable(now); err != nil {
 		return Answer{}, err
 	}
-	if q.Held == nil {
-		q.Held = q.Scopes
+	if read.Held == nil {
+		read.Held = read.Scopes
 	}
-	same := q.History == "" || q.History == s.history
-	whole := q.Since < 0 || !same || q.Since < s.from
-	if !whole && q.Since > s.version {
-		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is yet to come, this is %d", q.Since, s.version)
+	sameHistory := read.History == "" || read.History == s.history
+	full := read.Since < 0 || !sameHistory || read.Since < s.baseVersion
+	if !full && read.Since > s.version {
+		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is above the current version %d", read.Since, s.version)
 	}
-	key := scopedKey{q.Since, q.Scopes.ID(), q.Held.ID()}
-	if whole {
+	key := scopedKey{read.Since, read.Scopes.ID(), read.Held.ID()}
+	if full {
 		key.since, key.held = -1, ""
 	}
-	if answer, there := s.scoped.kept[key]; there {
+	if answer, cached := s.cachedScoped.answers[key]; cached {
 		return answer, nil
 	}
-	var texts [][]byte
-	if whole {
-		texts = s.scopedWhole(q, nil, nil)
+	var encoded [][]byte
+	if full {
+		encoded = s.scopedInstances(read, nil, nil)
 	} else {
 		var err error
-		if texts, err = s.scopedChanges(q); err != nil {
+		if encoded, err = s.scopedChanges(read); err != nil {
 			return Answer{}, err
 		}
 	}
-	s.stats.Joined++
-	s.stats.Scoped++
-	unknown := s.unknown(q.Scopes)
-	answer := Answer{Whole: whole || q.joins(), Nothing: !whole && !q.joins() && len(texts) == 0,
-		Body: encodeAnswer(s.version, whole, texts, answerPart{"unknown", len(unknown), unknown})}
-	s.scoped.keep(key, answer)
+	s.stats.AnswersEncoded++
+	s.stats.ScopedAnswersEncoded++
+	unknownScopes := s.unknownScopes(read.Scopes)
+	answer := Answer{Full: full || read.addsScopes(), Unchanged: !full && !read.addsScopes() && len(encoded) == 0,
+		Body: encodeAnswer(s.version, full, encoded, answerField{"unknown", len(unknownScopes), unknownScopes})}
+	s.cachedScoped.add(key, answer)
 	return answer, nil
 }
 
-// scopedWhole returns the instances of a reader's scopes, by id, without those of scopes
-// that it holds and those that were told.
-func (s *Store) scopedWhole(q ScopedRead, held *ScopeSet, told map[string]bool) (texts [][]byte) {
+// scopedInstances returns the encoded instances of a reader's scopes, sorted by id, except
+// those in held and reported.
+func (s *Store) scopedInstances(read ScopedRead, held *ScopeSet, reported map[string]bool) (encoded [][]byte) {
 	var entries []*entry
-	for _, name := range q.toList(held) {
-		of := s.services.known[name]
-		if of == nil {
+	for _, name := range read.servicesToList(held) {
+		service := s.services.known[name]
+		if service == nil {
 			continue
 		}
-		for _, e := range of.instances {
+		for _, e := range service.instances {
 			p := e.placement()
-			if q.Scopes.contains(p) && (held == nil || !held.contains(p)) && !told[e.ID] {
+			if read.Scopes.contains(p) && (held == nil || !held.contains(p)) && !reported[e.ID] {
 				entries = append(entries, e)
 			}
 		}
 	}
 	slices.SortFunc(entries, func(a, b *entry) int { return strings.Compare(a.ID, b.ID) })
 	for _, e := range entries {
-		texts = append(texts, e.text)
+		encoded = append(encoded, e.encoded)
 	}
-	return texts
+	return encoded
 }
 
-// scopedChanges returns the last state of each instance that has changed in the scopes,
-// and all instances of the scopes that the reader does not hold.
+// scopedChanges returns the encoded last state of each instance that has changed in the
+// scopes, and all instances of the scopes that the reader does not hold.
 //
-// Of an instance the last change that concerns the reader says all: had it been in a scope
-// after that, the next change would name its placement, as the one that it left.
-func (s *Store) scopedChanges(q ScopedRead) (texts [][]byte, err error) {
-	first := s.behind(q.Since)
-	told := map[string]bool{}
+// The last change of an instance that affects the reader is sufficient: if the instance had
+// been in a scope after it, the next change would name that as a previous placement.
+func (s *Store) scopedChanges(read ScopedRead) (encoded [][]byte, err error) {
+	first := s.firstChangeAfter(read.Since)
+	reported := map[string]bool{}
 	for n := len(s.changes) - 1; n >= first; n-- {
 		c := &s.changes[n]
-		if !q.concerns(c) || told[c.id] {
+		if !read.affectedBy(c) || reported[c.id] {
 			continue
 		}
-		told[c.id] = true
-		text := c.text
-		if !c.gone && !q.Scopes.contains(c.at()) || c.gone && !q.touches(c.at()) {
-			if text, err = q.leaves(c); err != nil {
+		reported[c.id] = true
+		instance := c.encoded
+		if !c.gone && !read.Scopes.contains(c.currentPlacement()) || c.gone && !read.covers(c.currentPlacement()) {
+			if instance, err = read.encodeGone(c); err != nil {
 				return nil, err
 			}
 		}
-		texts = append(texts, text)
+		encoded = append(encoded, instance)
 	}
-	slices.Reverse(texts)
-	if q.joins() {
-		texts = append(texts, s.scopedWhole(q, q.Held, told)...)
+	slices.Reverse(encoded)
+	if read.addsScopes() {
+		encoded = append(encoded, s.scopedInstances(read, read.Held, reported)...)
 	}
-	return texts, nil
+	return encoded, nil
 }
 
-// leaves encodes, for an instance that has moved out of the reader's scopes, that it is
-// Gone from where the reader knew it.
-func (q ScopedRead) leaves(c *change) ([]byte, error) {
-	var i Instance
-	if err := json.Unmarshal(c.text, &i); err != nil {
+// encodeGone encodes an instance that has moved out of the reader's scopes as Gone from the
+// placement that the reader knew.
+func (r ScopedRead) encodeGone(c *change) ([]byte, error) {
+	var instance Instance
+	if err := json.Unmarshal(c.encoded, &instance); err != nil {
 		return nil, err
 	}
-	i.Lifecycle, i.Drained = Gone, false
-	for _, p := range c.left() {
-		if q.touches(p) {
-			i.Service, i.Region, i.Zone = p.Service, p.Region, p.Zone
+	instance.Lifecycle, instance.Drained = Gone, false
+	for _, p := range c.previousPlacements() {
+		if r.covers(p) {
+			instance.Service, instance.Region, instance.Zone = p.Service, p.Region, p.Zone
 			break
 		}
 	}
-	return json.Marshal(i)
+	return json.Marshal(instance)
 }
 
-// unknown returns the scopes whose service is not known.
-func (s *Store) unknown(scopes *ScopeSet) (texts []string) {
+// unknownScopes returns the scopes whose service is unknown.
+func (s *Store) unknownScopes(scopes *ScopeSet) (texts []string) {
 	for _, scope := range scopes.scopes {
 		if s.services.known[scope.Service] == nil {
 			texts = append(texts, scope.String())
@@ -245,37 +244,36 @@
 	return texts
 }
 
-// listCost is the part of the list that has to be looked at to list what a question asks
-// for: 1 is all of it.
-func (s *Store) listCost(q ScopedRead) float64 {
-	if q.Scopes == nil {
+// listCost returns the fraction of the list that has to be examined to answer a read.
+func (s *Store) listCost(read ScopedRead) float64 {
+	if read.Scopes == nil {
 		return 1
 	}
 	var held *ScopeSet
-	if q.joins() {
-		held = q.Held
+	if read.addsScopes() {
+		held = read.Held
 	}
-	looked := 0
-	for _, name := range q.toList(held) {
-		if of := s.services.known[name]; of != nil {
-			looked += len(of.instances)
+	examined := 0
+	for _, name := range read.servicesToList(held) {
+		if service := s.services.known[name]; service != nil {
+			examined += len(service.instances)
 		}
 	}
-	return max(float64(looked)/float64(max(len(s.entries), 1)), leastListCost)
+	return max(float64(examined)/float64(max(len(s.entries), 1)), minListCost)
 }
 
-// answerPart is a part of an answer beside its instances. It is left out if it is empty.
-type answerPart struct {
+// answerField is an optional JSON field of an answer. It is omitted if count is 0.
+type answerField struct {
 	name  string
 	count int
 	value any
 }
 
-// encodeAnswer puts an answer together from the texts of its instances.
-func encodeAnswer(version int64, reset bool, texts [][]byte, more ...answerPart) []byte {
-	size := len(texts) + 64
-	for _, text := range texts {
-		size += len(text)
+// encodeAnswer encodes an answer from its encoded instances.
+func encodeAnswer(version int64, reset bool, encoded [][]byte, fields ...answerField) []byte {
+	size := len(encoded) + 64
+	for _, instance := range encoded {
+		size += len(instance)
 	}
 	body := make([]byte, 0, size)
 	body = append(body, `{"generation":`...)
@@ -283,55 +281,55 @@
 	body = append(body, `,"reset":`...)
 	body = strconv.AppendBool(body, reset)
 	body = append(body, `,"instances":[`...)
-	for n, text := range texts {
+	for n, instance := range encoded {
 		if n > 0 {
 			body = append(body, ',')
 		}
-		body = append(body, text...)
+		body = append(body, instance...)
 	}
 	body = append(body, ']')
-	for _, part := range more {
-		if part.count == 0 {
-			continue // and encodes nothing, which would take much of a watcher's stack
+	for _, field := range fields {
+		if field.count == 0 {
+			continue // json.Marshal would grow the watcher's stack
 		}
-		value, err := json.Marshal(part.value)
+		value, err := json.Marshal(field.value)
 		if err != nil {
-			panic(err) // of plain fields
+			panic(err) // only plain fields, which always encode
 		}
 		body = append(body, ',', '"')
-		body = append(body, part.name...)
+		body = append(body, field.name...)
 		body = append(body, '"', ':')
 		body = append(body, value...)
 	}
 	return append(body, "}\n"...)
 }
 
-// movedInstances collects where instances were before the last change of an answer.
+// movedInstances collects the intermediate placements of the instances of an answer, by id.
 type movedInstances map[string][]Placement
 
-// add takes in a change of an instance that is now at another placement.
-func (m *movedInstances) add(c *change, now Placement) {
-	left := (*m)[c.id]
-	was := len(left)
-	for _, p := range c.left() {
-		left = appendLeft(left, p, now)
+// add adds the placements of a change to an instance whose last placement is current.
+func (m *movedInstances) add(c *change, current Placement) {
+	previous := (*m)[c.id]
+	countBefore := len(previous)
+	for _, p := range c.previousPlacements() {
+		previous = appendPrevious(previous, p, current)
 	}
-	left = appendLeft(left, c.at(), now)
-	if len(left) == was {
+	previous = appendPrevious(previous, c.currentPlacement(), current)
+	if len(previous) == countBefore {
 		return
 	}
 	if *m == nil {
 		*m = movedInstances{}
 	}
-	(*m)[c.id] = left
+	(*m)[c.id] = previous
 }
 
-// sorted returns the instances in the order of their ids; nil of none.
+// sorted returns the instances sorted by id, or nil if there are none.
 func (m movedInstances) sorted() []Moved {
-	var all []Moved
-	for id, from := range m {
-		all = append(all, Moved{id, from})
+	var moved []Moved
+	for id, previous := range m {
+		moved = append(moved, Moved{id, previous})
 	}
-	slices.SortFunc(all, func(a, b Moved) int { return strings.Compare(a.ID, b.ID) })
-	return all
+	slices.SortFunc(moved, func(a, b Moved) int { return strings.Compare(a.ID, b.ID) })
+	return moved
 }
--- a/internal/registry/services.go
+++ b/internal/registry/services.go
@@ -5,103 +5,103 @@
 	"slices"
 )
 
-// defaultEmptyServices is how many services without instances are remembered where
-// Limits do not say.
+// defaultEmptyServices is the default of Limits.EmptyServices.
 const defaultEmptyServices = 4096
 
-// serviceIndex finds the instances of a service, and knows the services that have had
-// instances and have none now. A service that is not in it is unknown. Instances that
-// name no service are not in it.
+// serviceIndex maps services to their instances and retains services whose instances have
+// all gone. A service that is not in it is unknown. It does not contain instances without a
+// service.
 type serviceIndex struct {
-	known map[string]*indexedService
-	empty int   // services without instances
-	order int64 // counts the services that became empty
+	known       map[string]*indexedService
+	empty       int   // number of services without instances
+	lastEmptied int64 // emptiedOrder of the service that became empty last
 }
 
 // indexedService is one service of the index.
 type indexedService struct {
-	instances map[string]*entry
-	emptied   int64 // its place among those that became empty
+	instances    map[string]*entry
+	emptiedOrder int64 // position in the order in which services became empty
 }
 
 func newServiceIndex() *serviceIndex { return &serviceIndex{known: map[string]*indexedService{}} }
 
-// add puts an entry into its service.
+// add adds an entry to its service.
 func (x *serviceIndex) add(e *entry) {
 	if e.Service == "" {
 		return
 	}
-	of := x.known[e.Service]
+	service := x.known[e.Service]
 	switch {
-	case of == nil:
-		of = &indexedService{instances: map[string]*entry{}}
-		x.known[e.Service] = of
-	case len(of.instances) == 0:
+	case service == nil:
+		service = &indexedService{instances: map[string]*entry{}}
+		x.known[e.Service] = service
+	case len(service.instances) == 0:
 		x.empty--
 	}
-	of.instances[e.ID] = e
+	service.instances[e.ID] = e
 }
 
-// remove takes an entry out of its service, which stays known.
+// remove removes an entry from its service, which stays known.
 func (x *serviceIndex) remove(e *entry) {
-	of := x.known[e.Service]
-	if of == nil || of.instances[e.ID] == nil {
+	service := x.known[e.Service]
+	if service == nil || service.instances[e.ID] == nil {
 		return
 	}
-	delete(of.instances, e.ID)
-	if len(of.instances) == 0 {
-		x.markEmpty(of)
+	delete(service.instances, e.ID)
+	if len(service.instances) == 0 {
+		x.markEmpty(service)
 	}
 }
 
-func (x *serviceIndex) markEmpty(of *indexedService) {
-	x.order++
-	of.emptied = x.order
+func (x *serviceIndex) markEmpty(service *indexedService) {
+	x.lastEmptied++
+	service.emptiedOrder = x.lastEmptied
 	x.empty++
 }
 
-// mention makes a service known that has had instances.
-func (x *serviceIndex) mention(name string) {
+// addKnown adds a service without instances if it is unknown.
+func (x *serviceIndex) addKnown(name string) {
 	if name == "" || x.known[name] != nil {
 		return
 	}
-	of := &indexedService{instances: map[string]*entry{}}
-	x.known[name] = of
-	x.markEmpty(of)
+	service := &indexedService{instances: map[string]*entry{}}
+	x.known[name] = service
+	x.markEmpty(service)
 }
 
-// clear takes all instances out. The services stay known.
+// clear removes all instances. The services stay known.
 func (x *serviceIndex) clear() {
 	for _, name := range slices.Sorted(maps.Keys(x.known)) {
-		if of := x.known[name]; len(of.instances) > 0 {
-			clear(of.instances)
-			x.markEmpty(of)
+		if service := x.known[name]; len(service.instances) > 0 {
+			clear(service.instances)
+			x.markEmpty(service)
 		}
 	}
 }
 
-// trim forgets the services that have been empty for the longest, down to a bound.
-func (x *serviceIndex) trim(most int) {
-	if x.empty <= most {
+// trim removes the services that have been empty for longest until at most limit empty ones
+// are left.
+func (x *serviceIndex) trim(limit int) {
+	if x.empty <= limit {
 		return
 	}
-	for _, name := range x.emptyNames()[:x.empty-most] {
+	for _, name := range x.emptyNames()[:x.empty-limit] {
 		delete(x.known, name)
 		x.empty--
 	}
 }
 
-// emptyNames returns the services without instances, the first to become empty first.
+// emptyNames returns the services without instances in the order in which they became empty.
 func (x *serviceIndex) emptyNames() []string {
 	if x.empty == 0 {
 		return nil
 	}
 	names := make([]string, 0, x.empty)
-	for name, of := range x.known {
-		if len(of.instances) == 0 {
+	for name, service := range x.known {
+		if len(service.instances) == 0 {
 			names = append(names, name)
 		}
 	}
-	slices.SortFunc(names, func(a, b string) int { return int(x.known[a].emptied - x.known[b].emptied) })
+	slices.SortFunc(names, func(a, b string) int { return int(x.known[a].emptiedOrder - x.known[b].emptiedOrder) })
 	return names
 }
