--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,6 +1,5 @@
-// Package wal is a log that lasts: records are appended, and are on disk when that
-// returns; a snapshot stands in place of the records before it. What is read back
-// is all that was told to be kept, or an error that names file and offset.
+// Package wal implements a write-ahead log with snapshots. Records are durable when Append returns,
+// and recovery returns all acknowledged records or an error with file and offset.
 package wal
 
 import (
@@ -12,416 +11,415 @@
 	"time"
 )
 
-// Options are what a log needs to know.
+// Options are the options of a log.
 type Options struct {
-	Kind    string // whose it is, in 8 bytes at most
-	Segment int64  // bytes of one file of the log
-	Most    int64  // bytes of all files together
+	Kind         string // identifies the application; 1 to 8 bytes
+	SegmentBytes int64  // maximum size of a file of the log
+	MaxBytes     int64  // maximum size of all files together
 }
 
-// Parts of Options.Most. An old and a new snapshot may stand beside the log.
+// Fractions of Options.MaxBytes. An old and a new snapshot may exist beside the log.
 const (
-	logPart  = 2 // a half
-	snapPart = 4 // a quarter, each
+	logDivisor      = 2 // the log takes a half
+	snapshotDivisor = 4 // each snapshot takes a quarter
 )
 
 var (
-	// ErrNoRoom says that nothing was kept, as the disk or the bound is full. It can
-	// be tried again.
-	ErrNoRoom = errors.New("no room on disk")
-	// ErrFailed says that the log can't tell any more what is on disk, and takes
-	// nothing until it is opened anew.
+	// ErrNoSpace says that nothing was stored, because the disk is full or a limit is reached.
+	// The call can be retried.
+	ErrNoSpace = errors.New("no room on disk")
+	// ErrFailed says that the content on disk is unknown after a failed sync or truncation. The
+	// log rejects all calls until it is opened again.
 	ErrFailed = errors.New("the log has failed")
 	errClosed = errors.New("the log is closed")
 )
 
-// Stats are a log's figures.
+// Stats holds statistics of a log since it was opened.
 type Stats struct {
 	Appends, Records, Syncs int64
-	Wait                    time.Duration // in syncs, all together
-	LongestWait             time.Duration
-	Bytes                   int64 // of the log's files
+	SyncDuration            time.Duration // total time in syncs
+	MaxSyncDuration         time.Duration
+	Bytes                   int64 // size of the log's files
 	Segments                int
-	Snapshot                uint64 // the newest one's sequence
+	Snapshot                uint64 // sequence of the newest snapshot
 	SnapshotBytes           int64
-	SnapshotAt              time.Time // zero: before this process
-	NoRoom                  int64
+	SnapshotAt              time.Time // zero: none since the log was opened
+	NoSpace                 int64
 	Recovery                Recovery
 }
 
-// Log is an open log, for use by several goroutines. One snapshot is written at a
-// time, and appends go on beside it.
+// Log is an open log. It is safe for concurrent use, but callers must write one snapshot at a time.
+// Appends don't wait for a snapshot.
 type Log struct {
-	fs      FS
-	o       Options
-	unlock  io.Closer
-	mu      sync.Mutex // of what follows
-	file    File       // the newest segment
-	all     []segment  // the newest last
-	snaps   []uint64
-	last    uint64 // sequence
-	failed  error
-	stats   Stats
-	scratch []byte
+	fs           FS
+	options      Options
+	lock         io.Closer
+	mu           sync.Mutex // guards the fields below
+	file         File       // the newest segment
+	segments     []segment  // the newest last
+	snapshots    []uint64
+	lastSequence uint64 // sequence
+	err          error
+	stats        Stats
+	scratch      []byte
 }
 
-// Open reads a folder, gives what it holds to the visitor, and goes on from there.
-// A torn end is cut. Damage is an error, and nothing has been changed then.
-func Open(fs FS, o Options, v Visitor) (*Log, error) {
-	if len(o.Kind) == 0 || len(o.Kind) > 8 || o.Segment < headerBytes+frameBytes || o.Most < 2*o.Segment {
-		return nil, fmt.Errorf("wal: options %+v make no log", o)
+// Open locks a folder, passes its records to the visitor and opens the log for appending. It
+// truncates a torn end. It returns a DamageError without modifying the folder if a file is damaged.
+func Open(fs FS, options Options, visitor Visitor) (*Log, error) {
+	if len(options.Kind) == 0 || len(options.Kind) > 8 || options.SegmentBytes < headerBytes+frameHeaderBytes || options.MaxBytes < 2*options.SegmentBytes {
+		return nil, fmt.Errorf("wal: invalid options %+v", options)
 	}
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{fs: fs, o: o, unlock: unlock}
-	if err := l.open(v); err != nil {
+	log := &Log{fs: fs, options: options, lock: unlock}
+	if err := log.open(visitor); err != nil {
 		unlock.Close()
 		return nil, err
 	}
-	return l, nil
+	return log, nil
 }
 
-func (l *Log) open(v Visitor) error {
-	r, err := scan(l.fs, l.o.Kind, v)
+func (l *Log) open(visitor Visitor) error {
+	recovery, err := scan(l.fs, l.options.Kind, visitor)
 	if err != nil {
 		return err
 	}
-	l.all, l.last, l.snaps = r.segments, r.Last, r.snaps
-	l.stats.Recovery, l.stats.Snapshot, l.stats.SnapshotBytes = *r, r.Snapshot, r.SnapshotBytes
-	for _, name := range r.Dropped {
+	l.segments, l.lastSequence, l.snapshots = recovery.segments, recovery.Last, recovery.snapshots
+	l.stats.Recovery, l.stats.Snapshot, l.stats.SnapshotBytes = *recovery, recovery.Snapshot, recovery.SnapshotBytes
+	for _, name := range recovery.ObsoleteFiles {
 		if err := l.fs.Remove(name); err != nil {
 			return err
 		}
 	}
-	// What was removed must not come back beside what is written next.
+	// The removals must be durable before the next write.
 	if err := l.fs.SyncDir(); err != nil {
 		return err
 	}
-	if n := len(l.snaps); n > 1 {
-		l.snaps = l.snaps[n-1:]
+	if n := len(l.snapshots); n > 1 {
+		l.snapshots = l.snapshots[n-1:]
 	}
-	if len(l.all) == 0 {
-		return l.begin()
+	if len(l.segments) == 0 {
+		return l.startSegment()
 	}
-	s := &l.all[len(l.all)-1]
-	if s.ended {
-		s.size, s.ended = s.size-frameBytes, false // it goes on in its place
+	newest := &l.segments[len(l.segments)-1]
+	if newest.ended {
+		newest.size, newest.ended = newest.size-frameHeaderBytes, false // the next frame overwrites the end mark
 	}
-	if l.file, err = l.fs.Append(logName(s.first), s.size); err != nil {
+	if l.file, err = l.fs.Append(logName(newest.first), newest.size); err != nil {
 		return err
 	}
-	// What was read may not have been made to last before the crash, and what was
-	// cut must be gone before anything is written in its place.
+	// Records may have been read that were not synced before the crash, and the truncation must be
+	// durable before the next write.
 	if err := errors.Join(l.sync(l.file), l.fs.SyncDir()); err != nil {
 		return err
 	}
-	if s.last < l.last { // the snapshot is newer than the log
-		if err := l.end(); err != nil {
+	if newest.last < l.lastSequence { // the snapshot is newer than the log
+		if err := l.endSegment(); err != nil {
 			return err
 		}
-		return l.begin()
+		return l.startSegment()
 	}
 	return nil
 }
 
-// sync makes a file last and measures the wait.
-func (l *Log) sync(f File) error {
-	began := time.Now()
-	err := f.Sync()
-	wait := time.Since(began)
+// sync syncs a file and records the time that it takes.
+func (l *Log) sync(file File) error {
+	start := time.Now()
+	err := file.Sync()
+	wait := time.Since(start)
 	l.stats.Syncs++
-	l.stats.Wait += wait
-	l.stats.LongestWait = max(l.stats.LongestWait, wait)
+	l.stats.SyncDuration += wait
+	l.stats.MaxSyncDuration = max(l.stats.MaxSyncDuration, wait)
 	return err
 }
 
-// begin makes the next file of the log. The caller has the lock, or is alone.
-func (l *Log) begin() error {
-	name := logName(l.last + 1)
-	f, err := l.fs.Create(name)
+// startSegment creates the next file of the log. The caller holds mu or has exclusive access.
+func (l *Log) startSegment() error {
+	name := logName(l.lastSequence + 1)
+	file, err := l.fs.Create(name)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(header(logMagic, l.o.Kind, l.last+1)); err == nil {
-		if err = l.sync(f); err == nil {
+	if _, err = file.Write(encodeHeader(logMagic, l.options.Kind, l.lastSequence+1)); err == nil {
+		if err = l.sync(file); err == nil {
 			err = l.fs.SyncDir()
 		}
 	}
 	if err != nil {
-		return errors.Join(err, f.Close(), l.fs.Remove(name))
+		return errors.Join(err, file.Close(), l.fs.Remove(name))
 	}
-	l.file = f
-	l.all = append(l.all, segment{first: l.last + 1, last: l.last, size: headerBytes})
+	l.file = file
+	l.segments = append(l.segments, segment{first: l.lastSequence + 1, last: l.lastSequence, size: headerBytes})
 	return nil
 }
 
-// end ends the newest file of the log with a frame that says so.
-func (l *Log) end() error {
-	s := &l.all[len(l.all)-1]
-	if _, err := l.file.Write(appendFrame(nil, s.last+1, nil)); err != nil {
-		return errors.Join(err, l.file.Truncate(s.size))
+// endSegment writes the end mark to the newest file of the log and closes it.
+func (l *Log) endSegment() error {
+	newest := &l.segments[len(l.segments)-1]
+	if _, err := l.file.Write(appendFrame(nil, newest.last+1, nil)); err != nil {
+		return errors.Join(err, l.file.Truncate(newest.size))
 	}
 	if err := l.sync(l.file); err != nil {
 		return l.fail(err)
 	}
-	s.size += frameBytes
-	s.ended = true
+	newest.size += frameHeaderBytes
+	newest.ended = true
 	return l.file.Close()
 }
 
-// fail stops the log for good. Danger: after a sync that failed, a later one may
-// succeed and say nothing of what the first has lost.
+// fail stops the log for good. After a failed sync a later one may succeed although data of the
+// first is lost.
 func (l *Log) fail(err error) error {
-	if l.failed == nil {
-		l.failed = fmt.Errorf("%w: %w", ErrFailed, err)
+	if l.err == nil {
+		l.err = fmt.Errorf("%w: %w", ErrFailed, err)
 	}
-	return l.failed
+	return l.err
 }
 
-// Append keeps records: all of them, or none. They last when it returns without an
-// error. It returns the sequence of the first.
+// Append appends records atomically and returns the sequence of the first. They are durable when it
+// returns without an error.
 func (l *Log) Append(records [][]byte) (first uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.failed != nil {
-		return 0, l.failed
+	if l.err != nil {
+		return 0, l.err
 	}
 	if len(records) == 0 {
-		return 0, errors.New("wal: nothing to append")
+		return 0, errors.New("wal: no records to append")
 	}
-	l.scratch = appendFrame(l.scratch[:0], l.last+1, records)
+	l.scratch = appendFrame(l.scratch[:0], l.lastSequence+1, records)
 	size := int64(len(l.scratch))
-	if size-frameBytes > mostFrame || size > l.o.Segment-headerBytes {
-		return 0, fmt.Errorf("wal: %d bytes at once are over %d", size, min(mostFrame, l.o.Segment-headerBytes))
+	if size-frameHeaderBytes > maxFrameBytes || size > l.options.SegmentBytes-headerBytes {
+		return 0, fmt.Errorf("wal: append of %d bytes exceeds the limit of %d", size, min(maxFrameBytes, l.options.SegmentBytes-headerBytes))
 	}
-	if l.bytes()+size+headerBytes+frameBytes > l.o.Most/logPart {
-		l.stats.NoRoom++
-		return 0, fmt.Errorf("%w: the log has %d bytes of %d", ErrNoRoom, l.bytes(), l.o.Most/logPart)
+	if l.logBytes()+size+headerBytes+frameHeaderBytes > l.options.MaxBytes/logDivisor {
+		l.stats.NoSpace++
+		return 0, fmt.Errorf("%w: the log has %d bytes of %d", ErrNoSpace, l.logBytes(), l.options.MaxBytes/logDivisor)
 	}
-	s := &l.all[len(l.all)-1]
-	if s.ended || s.size+size > l.o.Segment {
-		if err := l.roll(); err != nil {
+	newest := &l.segments[len(l.segments)-1]
+	if newest.ended || newest.size+size > l.options.SegmentBytes {
+		if err := l.rollSegment(); err != nil {
 			return 0, err
 		}
-		s = &l.all[len(l.all)-1]
+		newest = &l.segments[len(l.segments)-1]
 	}
 	if _, err := l.file.Write(l.scratch); err != nil {
-		// What was written in part must not stand before what comes next.
-		if cut := l.file.Truncate(s.size); cut != nil {
-			return 0, l.fail(errors.Join(err, cut))
+		// A partially written frame must not precede the next one.
+		if truncateErr := l.file.Truncate(newest.size); truncateErr != nil {
+			return 0, l.fail(errors.Join(err, truncateErr))
 		}
-		l.stats.NoRoom++
-		return 0, fmt.Errorf("%w: %w", ErrNoRoom, err)
+		l.stats.NoSpace++
+		return 0, fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
 	if err := l.sync(l.file); err != nil {
 		return 0, l.fail(err)
 	}
-	first = l.last + 1
-	l.last += uint64(len(records))
-	s.last = l.last
-	s.size += size
+	first = l.lastSequence + 1
+	l.lastSequence += uint64(len(records))
+	newest.last = l.lastSequence
+	newest.size += size
 	l.stats.Appends++
 	l.stats.Records += int64(len(records))
 	return first, nil
 }
 
-// roll goes on in a new file.
-func (l *Log) roll() error {
-	if !l.all[len(l.all)-1].ended {
-		if err := l.end(); err != nil {
-			if l.failed != nil {
-				return l.failed
+// rollSegment ends the newest file of the log and starts another.
+func (l *Log) rollSegment() error {
+	if !l.segments[len(l.segments)-1].ended {
+		if err := l.endSegment(); err != nil {
+			if l.err != nil {
+				return l.err
 			}
-			l.stats.NoRoom++
-			return fmt.Errorf("%w: %w", ErrNoRoom, err)
+			l.stats.NoSpace++
+			return fmt.Errorf("%w: %w", ErrNoSpace, err)
 		}
 	}
-	if err := l.begin(); err != nil {
-		l.stats.NoRoom++
-		return fmt.Errorf("%w: %w", ErrNoRoom, err)
+	if err := l.startSegment(); err != nil {
+		l.stats.NoSpace++
+		return fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
 	return nil
 }
 
-// bytes are those of the log's files.
-func (l *Log) bytes() (n int64) {
-	for _, s := range l.all {
+// logBytes returns the size of the log's files.
+func (l *Log) logBytes() (n int64) {
+	for _, s := range l.segments {
 		n += s.size
 	}
 	return n
 }
 
-// Due says whether a snapshot would be worth its writing: the log has grown beyond
-// a file and beyond twice the last snapshot, or comes near its bound.
-func (l *Log) Due() bool {
+// SnapshotDue reports whether a snapshot should be written: the log is larger than a file and than
+// twice the last snapshot, or larger than half of its limit.
+func (l *Log) SnapshotDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := l.bytes()
-	return l.failed == nil && l.last > l.stats.Snapshot && (n > max(l.o.Segment, 2*l.stats.SnapshotBytes) || n > l.o.Most/logPart/2)
+	size := l.logBytes()
+	return l.err == nil && l.lastSequence > l.stats.Snapshot && (size > max(l.options.SegmentBytes, 2*l.stats.SnapshotBytes) || size > l.options.MaxBytes/logDivisor/2)
 }
 
-// Last is the sequence of the last record.
-func (l *Log) Last() uint64 {
+// LastSequence returns the sequence of the last record.
+func (l *Log) LastSequence() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.last
+	return l.lastSequence
 }
 
-// Snapshot puts a snapshot in place of the records up to a sequence, which are on
-// disk. Those and older snapshots are removed only when the new one lasts. If it
-// fails, all is as it was.
+// Snapshot writes a snapshot that replaces the records up to the sequence. Those records and older
+// snapshots are removed once the new snapshot is durable. After an error they are still there.
 func (l *Log) Snapshot(sequence uint64, records func(emit func(record []byte) error) error) error {
-	if err := l.prepare(sequence); err != nil {
+	if err := l.prepareSnapshot(sequence); err != nil {
 		return err
 	}
-	size, err := l.write(sequence, records)
+	size, err := l.writeSnapshot(sequence, records)
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stats.Snapshot, l.stats.SnapshotBytes, l.stats.SnapshotAt = sequence, size, time.Now()
-	return l.trim(sequence)
+	return l.removeObsolete(sequence)
 }
 
-// prepare checks that there can be a snapshot up to a sequence, and lets what comes
-// behind go into another file, so that all before can be removed.
-func (l *Log) prepare(sequence uint64) error {
+// prepareSnapshot checks the sequence of a snapshot, and starts a new file for later records so that
+// all earlier ones can be removed.
+func (l *Log) prepareSnapshot(sequence uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch s := l.all[len(l.all)-1]; {
-	case l.failed != nil:
-		return l.failed
-	case sequence > l.last || sequence <= l.stats.Snapshot:
-		return fmt.Errorf("wal: a snapshot of record %d, where there are those from %d to %d", sequence, l.stats.Snapshot+1, l.last)
-	case s.last == sequence && s.first <= s.last:
-		return l.roll()
+	switch newest := l.segments[len(l.segments)-1]; {
+	case l.err != nil:
+		return l.err
+	case sequence > l.lastSequence || sequence <= l.stats.Snapshot:
+		return fmt.Errorf("wal: snapshot at record %d is not within the records from %d to %d", sequence, l.stats.Snapshot+1, l.lastSequence)
+	case newest.last == sequence && newest.first <= newest.last:
+		return l.rollSegment()
 	}
 	return nil
 }
 
-// write makes the snapshot's file and makes it last.
-func (l *Log) write(sequence uint64, records func(func([]byte) error) error) (size int64, err error) {
-	temp := snapName(sequence) + tempSuffix
-	f, err := l.fs.Create(temp)
+// writeSnapshot writes the file of a snapshot and makes it durable. It returns its size in bytes.
+func (l *Log) writeSnapshot(sequence uint64, records func(func([]byte) error) error) (size int64, err error) {
+	tempName := snapshotName(sequence) + tempSuffix
+	file, err := l.fs.Create(tempName)
 	if err != nil {
 		return 0, err
 	}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, f.Close(), l.fs.Remove(temp))
+			err = errors.Join(err, file.Close(), l.fs.Remove(tempName))
 		}
 	}()
-	const batch = 64 << 10 // bytes of a frame
-	var waiting [][]byte
-	count, held := uint64(0), 0
-	put := func(b []byte) error {
-		if size += int64(len(b)); size > l.o.Most/snapPart {
-			return fmt.Errorf("%w: the snapshot would have over %d bytes", ErrNoRoom, l.o.Most/snapPart)
+	const batch = 64 << 10 // approximate bytes per frame
+	var pending [][]byte
+	count, pendingBytes := uint64(0), 0
+	write := func(data []byte) error {
+		if size += int64(len(data)); size > l.options.MaxBytes/snapshotDivisor {
+			return fmt.Errorf("%w: snapshot exceeds the limit of %d bytes", ErrNoSpace, l.options.MaxBytes/snapshotDivisor)
 		}
-		if _, err := f.Write(b); err != nil {
-			return fmt.Errorf("%w: %w", ErrNoRoom, err)
+		if _, err := file.Write(data); err != nil {
+			return fmt.Errorf("%w: %w", ErrNoSpace, err)
 		}
 		return nil
 	}
 	flush := func() error {
-		if len(waiting) == 0 {
+		if len(pending) == 0 {
 			return nil
 		}
-		err := put(appendFrame(nil, count, waiting))
-		count += uint64(len(waiting))
-		waiting, held = waiting[:0], 0
+		err := write(appendFrame(nil, count, pending))
+		count += uint64(len(pending))
+		pending, pendingBytes = pending[:0], 0
 		return err
 	}
-	if err = put(header(snapMagic, l.o.Kind, sequence)); err != nil {
+	if err = write(encodeHeader(snapshotMagic, l.options.Kind, sequence)); err != nil {
 		return 0, err
 	}
 	err = records(func(record []byte) error {
-		if len(record) > mostFrame-4 {
-			return fmt.Errorf("wal: a record of %d bytes", len(record))
+		if len(record) > maxFrameBytes-4 {
+			return fmt.Errorf("wal: snapshot record of %d bytes is too large", len(record))
 		}
-		if held+len(record)+4 > batch {
+		if pendingBytes+len(record)+4 > batch {
 			if err := flush(); err != nil {
 				return err
 			}
 		}
-		waiting = append(waiting, slices.Clone(record))
-		held += len(record) + 4
+		pending = append(pending, slices.Clone(record))
+		pendingBytes += len(record) + 4
 		return nil
 	})
 	if err == nil {
 		err = flush()
 	}
 	if err == nil {
-		err = put(appendFrame(nil, count, nil))
+		err = write(appendFrame(nil, count, nil))
 	}
 	if err != nil {
 		return 0, err
 	}
-	if err = f.Sync(); err != nil {
+	if err = file.Sync(); err != nil {
 		return 0, err
 	}
-	if err = f.Close(); err != nil {
+	if err = file.Close(); err != nil {
 		return 0, err
 	}
-	if err = l.fs.Rename(temp, snapName(sequence)); err != nil {
+	if err = l.fs.Rename(tempName, snapshotName(sequence)); err != nil {
 		return 0, err
 	}
 	if err := l.fs.SyncDir(); err != nil {
-		// The name may last or not; both are good, as nothing is removed yet. A later
-		// snapshot removes it.
+		// The rename may or may not be durable. Both are safe, as nothing has been removed yet. A
+		// later snapshot removes this one.
 		l.mu.Lock()
-		l.snaps = append(l.snaps, sequence)
+		l.snapshots = append(l.snapshots, sequence)
 		l.mu.Unlock()
 		return 0, err
 	}
 	return size, nil
 }
 
-// trim removes what a snapshot that lasts has made needless.
-func (l *Log) trim(sequence uint64) error {
-	var all []error
-	keep := l.all[:0]
-	for i, s := range l.all {
-		if i < len(l.all)-1 && s.last <= sequence {
-			all = append(all, l.fs.Remove(logName(s.first)))
+// removeObsolete removes the files that a durable snapshot has replaced.
+func (l *Log) removeObsolete(sequence uint64) error {
+	var errs []error
+	kept := l.segments[:0]
+	for i, s := range l.segments {
+		if i < len(l.segments)-1 && s.last <= sequence {
+			errs = append(errs, l.fs.Remove(logName(s.first)))
 			continue
 		}
-		keep = append(keep, s)
+		kept = append(kept, s)
 	}
-	l.all = keep
-	for _, n := range l.snaps {
-		all = append(all, l.fs.Remove(snapName(n)))
+	l.segments = kept
+	for _, n := range l.snapshots {
+		errs = append(errs, l.fs.Remove(snapshotName(n)))
 	}
-	l.snaps = []uint64{sequence}
-	all = append(all, l.fs.SyncDir())
-	return errors.Join(all...)
+	l.snapshots = []uint64{sequence}
+	errs = append(errs, l.fs.SyncDir())
+	return errors.Join(errs...)
 }
 
-// Stats returns the figures.
+// Stats returns statistics of the log.
 func (l *Log) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	st := l.stats
-	st.Bytes, st.Segments = l.bytes(), len(l.all)
-	return st
+	stats := l.stats
+	stats.Bytes, stats.Segments = l.logBytes(), len(l.segments)
+	return stats
 }
 
-// Close ends the log, so that the next to open it knows that it has all.
+// Close writes the end mark, closes the log and releases the lock.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.failed != nil {
-		return l.unlock.Close()
+	if l.err != nil {
+		return l.lock.Close()
 	}
-	l.failed = errClosed
-	if s := l.all[len(l.all)-1]; s.ended {
-		return l.unlock.Close()
+	l.err = errClosed
+	if newest := l.segments[len(l.segments)-1]; newest.ended {
+		return l.lock.Close()
 	}
-	l.failed = nil
-	err := l.end()
-	l.failed = errClosed
-	return errors.Join(err, l.unlock.Close())
+	l.err = nil
+	err := l.endSegment()
+	l.err = errClosed
+	return errors.Join(err, l.lock.Close())
 }
--- a/rules/drive_test.go
+++ b/rules/drive_test.go
@@ -2,80 +2,86 @@
 
 import "testing"
 
-// drive drives one gateway by hand and keeps the actions of the last event.
-type drive struct {
-	t      *testing.T
-	g      *Gateway
-	now    float64
-	last   []Action
-	nextID RequestID
+// gatewayHarness passes events to one gateway and keeps the actions of the last one.
+type gatewayHarness struct {
+	t       *testing.T
+	gateway *Gateway
+	now     float64
+	last    []Action
+	nextID  RequestID
 }
 
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{{Aim: 0.8, Deadline: 2, Worth: 1},
 			{Aim: 1, Deadline: 3, Worth: 3, Effect: ByKey, Scope: ScopeCell, DedupeWindow: 2}},
-		Plans: []Plan{{Price: 0.5, Rate: 2, Burst: 4, OverCost: 1}, {Price: 1.5, Rate: 20, Burst: 40, OverCost: 1}},
+		Plans: []Plan{{Price: 0.5, Rate: 2, Burst: 4, OverQuotaCost: 1}, {Price: 1.5, Rate: 20, Burst: 40, OverQuotaCost: 1}},
 		Fleet: 2, Tick: 0.002, Counter: true, CounterTimeout: 0.05,
-		CanCancel: true, CanCopy: true, MaxAdvice: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
-		DrainGrace: 1, ColdFrom: 0.2, ColdFor: 10, FallMultiple: 2, FallFor: 2,
+		CanCancel: true, CanHedge: true, MaxRetryAfter: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
+		DrainGrace: 1, InitialColdFraction: 0.2, ColdDuration: 10, OverloadMultiple: 2, OverloadDuration: 2,
 	}
 }
 
-func start(t *testing.T, set Settings, backends ...Backend) *drive {
+// newHarness returns a gateway at time 100 that knows the backends.
+func newHarness(t *testing.T, settings Settings, backends ...Backend) *gatewayHarness {
 	t.Helper()
-	d := &drive{t: t, now: 100}
-	d.g, d.last = New(set, 7, d.now, nil)
-	d.handle(Backends{Kind: CachedList, Entries: backends})
-	return d
+	harness := &gatewayHarness{t: t, now: 100}
+	harness.gateway, harness.last = New(settings, 7, harness.now, nil)
+	harness.handle(Backends{Kind: CachedList, Entries: backends})
+	return harness
 }
 
-func ready(id BackendID) Backend { return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1} }
+func readyBackend(id BackendID) Backend {
+	return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1}
+}
 
-func some(n int) (out []Backend) {
+func readyBackends(n int) (backends []Backend) {
 	for i := range n {
-		out = append(out, ready(BackendID(i+1)))
+		backends = append(backends, readyBackend(BackendID(i+1)))
 	}
-	return out
+	return backends
 }
 
-func (d *drive) handle(ev Event) []Action {
-	d.last = d.g.Handle(d.now, ev, nil)
-	return d.last
+func (harness *gatewayHarness) handle(ev Event) []Action {
+	harness.last = harness.gateway.Handle(harness.now, ev, nil)
+	return harness.last
 }
 
-// ask sends a request of the class and plan and answers its counter calls in full.
-func (d *drive) ask(class, plan int, who CustomerID) RequestID {
-	d.nextID++
-	set := d.g.set
-	out := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: who, Units: 1, Gateways: 2,
-		Deadline: d.now + set.Classes[class].Deadline})
-	d.last = append(out, d.grantAll(out)...)
-	return d.nextID
+// request sends a request of the class and plan and answers its counter calls in full.
+func (harness *gatewayHarness) request(class, plan int, customer CustomerID) RequestID {
+	harness.nextID++
+	settings := harness.gateway.settings
+	actions := harness.handle(Request{ID: harness.nextID, Class: class, Plan: plan, Customer: customer, Units: 1, GatewayCount: 2,
+		Deadline: harness.now + settings.Classes[class].Deadline})
+	harness.last = append(actions, harness.answerCalls(actions)...)
+	return harness.nextID
 }
 
-func (d *drive) grantAll(actions []Action) (all []Action) {
-	for _, c := range find[Count](actions) {
-		all = append(all, d.g.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
+// answerCalls grants the full amount of each counter call and returns the resulting actions.
+func (harness *gatewayHarness) answerCalls(actions []Action) (replies []Action) {
+	for _, c := range actionsOf[Count](actions) {
+		replies = append(replies, harness.gateway.Handle(harness.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
 	}
-	return all
+	return replies
 }
 
-func find[A Action](actions []Action) (out []A) {
+// actionsOf returns the actions of one type.
+func actionsOf[A Action](actions []Action) (found []A) {
 	for _, a := range actions {
-		if x, ok := a.(A); ok {
-			out = append(out, x)
+		if action, ok := a.(A); ok {
+			found = append(found, action)
 		}
 	}
-	return out
+	return found
 }
 
-func one[A Action](t *testing.T, actions []Action) A {
+// onlyAction returns the action of one type and fails the test unless there is exactly one.
+func onlyAction[A Action](t *testing.T, actions []Action) A {
 	t.Helper()
-	all := find[A](actions)
+	all := actionsOf[A](actions)
 	if len(all) != 1 {
-		var none A
-		t.Fatalf("want one %T, got %v", none, actions)
+		var zero A
+		t.Fatalf("want one %T, got %v", zero, actions)
 	}
 	return all[0]
 }
