--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -300,17 +300,17 @@
 // fleetNetwork relays the datagrams between the members of a fleet, and can inject faults. A member
 // may have several processes.
 type fleetNetwork struct {
-	*link.Exchange
+	*link.DatagramRelay
 	t     *testing.T
 	peers string // all addresses, as a JSON list
 
 	mu     sync.Mutex
-	faults map[[2]int]link.How
+	faults map[[2]int]link.Condition
 }
 
 func newFleetNetwork(t *testing.T, size int) *fleetNetwork {
 	t.Helper()
-	network := &fleetNetwork{t: t, faults: map[[2]int]link.How{}}
+	network := &fleetNetwork{t: t, faults: map[[2]int]link.Condition{}}
 	var members []netip.AddrPort
 	for range size {
 		members = append(members, netip.MustParseAddrPort(testnet.UDP(t)))
@@ -318,12 +318,12 @@
 	addresses := slices.Repeat([]string{"127.0.0.1:0"}, size+1)
 	var err error
 	ready := make(chan struct{})
-	network.Exchange, err = link.NewExchange(addresses, members, func(from, to int, data []byte) {
+	network.DatagramRelay, err = link.NewDatagramRelay(addresses, members, func(from, to int, data []byte) {
 		<-ready
 		network.mu.Lock()
 		fault, faulty := network.faults[[2]int{from, to}]
 		network.mu.Unlock()
-		if to != link.ToAll && (!faulty || len(fault.Datagram(rand.Float64)) > 0) {
+		if to != link.Broadcast && (!faulty || len(fault.DatagramDelays(rand.Float64)) > 0) {
 			network.Deliver(from, to, data)
 		}
 	})
@@ -345,7 +345,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if delete(x.faults, [2]int{from, to}); dropped {
-		x.faults[[2]int{from, to}] = link.How{Kind: link.Dropped}
+		x.faults[[2]int{from, to}] = link.Condition{Kind: link.Dropped}
 	}
 }
 
@@ -411,7 +411,7 @@
 	var all []*member
 	for number := range 3 {
 		process := network.start(number, 3, discovery)
-		network.Move(number, process.address)
+		network.SetAddress(number, process.address)
 		all = append(all, process)
 	}
 	for _, process := range all {
@@ -420,13 +420,13 @@
 
 	// The same number is started twice by mistake, and both processes reach the others.
 	twin := network.start(1, 3, discovery)
-	network.Also(1, twin.address)
-	network.Move(1, twin.address)
+	network.AddSource(1, twin.address)
+	network.SetAddress(1, twin.address)
 	twin.awaitView("the later process takes part", hasAlive(0, 1, 2))
-	network.Move(1, all[1].address) // datagrams for the number go to the earlier process
+	network.SetAddress(1, all[1].address) // datagrams for the number go to the earlier process
 	all[1].awaitView("the earlier process is superseded", func(view gateway.MembersView) bool { return view.Superseded })
 	awaitAnswer(t, "http://"+all[1].control+"/control/counters", "app.members.superseded:1|g")
-	network.Move(1, twin.address)
+	network.SetAddress(1, twin.address)
 	twin.awaitView("the later process still takes part", func(view gateway.MembersView) bool { return !view.Superseded && hasAlive(0, 1, 2)(view) })
 
 	// A process is stopped, a successor is started at another address, and the first one continues.
@@ -435,15 +435,15 @@
 	}
 	all[0].awaitView("a stopped process is dead", hasAlive(0, 1))
 	next := network.start(2, 3, discovery)
-	network.Move(2, next.address)
+	network.SetAddress(2, next.address)
 	all[0].awaitView("its successor is found", hasAlive(0, 1, 2))
-	network.Also(2, all[2].address)
+	network.AddSource(2, all[2].address)
 	if err := all[2].cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	network.Move(2, all[2].address)
+	network.SetAddress(2, all[2].address)
 	all[2].awaitView("the process is superseded when it continues", func(view gateway.MembersView) bool { return view.Superseded })
-	network.Move(2, next.address)
+	network.SetAddress(2, next.address)
 	next.awaitView("its successor takes part", func(view gateway.MembersView) bool { return !view.Superseded && hasAlive(0, 1, 2)(view) })
 
 	// Member 0 receives everything and reaches nobody; then its links recover one by one.
--- a/cmd/registry/histories_test.go
+++ b/cmd/registry/histories_test.go
@@ -46,8 +46,8 @@
 				defer c.Close()
 				known := map[string]ledger.Record{}
 				for k := 0; ctx.Err() == nil; k++ {
-					in := linear.Asked{Name: []string{"a", "b"}[random.IntN(2)], Get: random.IntN(2) == 0, Any: random.IntN(3) == 0}
-					out := linear.Got{Known: true}
+					in := linear.Input{Name: []string{"a", "b"}[random.IntN(2)], Get: random.IntN(2) == 0, Unconditional: random.IntN(3) == 0}
+					out := linear.Output{Known: true}
 					within, cancel := context.WithTimeout(ctx, 2*time.Second)
 					call := time.Since(began).Nanoseconds()
 					if in.Get {
@@ -61,7 +61,7 @@
 						json.Unmarshal(have.Value, &in.Expect)
 						in.Value = fmt.Sprint(n, "-", k)
 						command := ledger.Command{Op: ledger.Put, Name: in.Name, Value: fmt.Appendf(nil, "%q", in.Value)}
-						if !in.Any {
+						if !in.Unconditional {
 							command.Expect = &have.Version
 						}
 						r, err := c.Do(within, command)
@@ -107,7 +107,7 @@
 			case 3:
 				for other := range 3 {
 					if r := m.relays[one][other]; r != nil {
-						r.Set(link.There, link.How{Kind: link.Stalled}) // it hears, and is not heard
+						r.Set(link.Forward, link.Condition{Kind: link.Stalled}) // it hears, and is not heard
 					}
 				}
 				until(t, "calls go on: one is not heard", on)
@@ -118,7 +118,7 @@
 		}
 		stop()
 		wg.Wait()
-		if result := porcupine.CheckOperationsTimeout(linear.Registers, history, time.Minute); result != porcupine.Ok {
+		if result := porcupine.CheckOperationsTimeout(linear.RegisterModel, history, time.Minute); result != porcupine.Ok {
 			t.Errorf("seed %d: %v", seed, result)
 		}
 		t.Logf("seed %d: %d calls answered, %d in the history", seed, done.Load(), len(history))
--- a/cmd/registry/members_test.go
+++ b/cmd/registry/members_test.go
@@ -44,7 +44,7 @@
 			if addresses[fmt.Sprint(to+1)] = m.at[to]; to == from {
 				continue
 			}
-			r, err := link.NewRelay("127.0.0.1:0", m.at[to], link.Limits{Connections: 32, Buffer: 64 << 10}, uint64(from*n+to))
+			r, err := link.NewRelay("127.0.0.1:0", m.at[to], link.Limits{MaxConnections: 32, BufferBytes: 64 << 10}, uint64(from*n+to))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,8 +134,8 @@
 			continue
 		}
 		for _, r := range []*link.Relay{m.relays[n][other], m.relays[other][n]} {
-			for _, way := range []link.Way{link.There, link.Back} {
-				if err := r.Set(way, link.How{Kind: kind}); err != nil {
+			for _, way := range []link.Direction{link.Forward, link.Reverse} {
+				if err := r.Set(way, link.Condition{Kind: kind}); err != nil {
 					m.t.Error(err)
 				}
 			}
--- a/cmd/registry/scoped_test.go
+++ b/cmd/registry/scoped_test.go
@@ -122,7 +122,7 @@
 
 func (f *scopedFleet) relay(target string) *link.Relay {
 	f.t.Helper()
-	r, err := link.NewRelay("127.0.0.1:0", target, link.Limits{Connections: 32, Buffer: 64 << 10}, 1)
+	r, err := link.NewRelay("127.0.0.1:0", target, link.Limits{MaxConnections: 32, BufferBytes: 64 << 10}, 1)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -288,9 +288,9 @@
 	}
 }
 
-func (f *scopedFleet) set(r *link.Relay, way link.Way, kind link.Kind) {
+func (f *scopedFleet) set(r *link.Relay, way link.Direction, kind link.Kind) {
 	f.t.Helper()
-	if err := r.Set(way, link.How{Kind: kind}); err != nil {
+	if err := r.Set(way, link.Condition{Kind: kind}); err != nil {
 		f.t.Fatal(err)
 	}
 }
@@ -308,25 +308,25 @@
 			f.start(1)
 		}},
 		"follower frozen":                        {begin: func(f *scopedFleet) { f.signal(1, syscall.SIGSTOP) }},
-		"follower hears nothing from the writer": {begin: func(f *scopedFleet) { f.set(f.upstream[0], link.Back, link.Stalled) }},
-		"follower's calls never arrive":          {begin: func(f *scopedFleet) { f.set(f.upstream[0], link.There, link.Dropped) }},
+		"follower hears nothing from the writer": {begin: func(f *scopedFleet) { f.set(f.upstream[0], link.Reverse, link.Stalled) }},
+		"follower's calls never arrive":          {begin: func(f *scopedFleet) { f.set(f.upstream[0], link.Forward, link.Dropped) }},
 		"readers hear nothing from a follower": {begin: func(f *scopedFleet) {
 			for _, r := range f.readers {
-				f.set(r.relays[0], link.Back, link.Dropped)
+				f.set(r.relays[0], link.Reverse, link.Dropped)
 			}
 		}},
 		"region cut and back": {
 			begin: func(f *scopedFleet) {
 				for _, r := range f.upstream {
-					f.set(r, link.There, link.Dropped)
-					f.set(r, link.Back, link.Dropped)
+					f.set(r, link.Forward, link.Dropped)
+					f.set(r, link.Reverse, link.Dropped)
 				}
 			},
 			end: func(f *scopedFleet) {
 				time.Sleep(regionOutage)
 				for _, r := range f.upstream {
-					f.set(r, link.There, link.Up)
-					f.set(r, link.Back, link.Up)
+					f.set(r, link.Forward, link.Up)
+					f.set(r, link.Reverse, link.Up)
 				}
 			},
 		},
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay, err := fault.NewRelay(address, listener.Addr().String(), fault.Limits{Connections: 100, Buffer: 64 << 10}, 1)
+	relay, err := fault.NewRelay(address, listener.Addr().String(), fault.Limits{MaxConnections: 100, BufferBytes: 64 << 10}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,9 +50,9 @@
 }
 
 // setAnswerFault sets the fault that the relay applies to the registry's answers.
-func (s *registryService) setAnswerFault(t *testing.T, how fault.How) {
+func (s *registryService) setAnswerFault(t *testing.T, how fault.Condition) {
 	t.Helper()
-	if err := s.relay.Set(fault.Back, how); err != nil {
+	if err := s.relay.Set(fault.Reverse, how); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -210,13 +210,13 @@
 	expectServed("at the start")
 	expectDrained(backends[0])
 
-	for _, answerFault := range []fault.How{{Kind: fault.Delayed, Delay: time.Second}, {Kind: fault.Slow, Bytes: 100}, {Kind: fault.Cut, Bytes: 40}, {Kind: fault.Stalled}, {Kind: fault.Dropped}, {Kind: fault.Reset}} {
+	for _, answerFault := range []fault.Condition{{Kind: fault.Delayed, Delay: time.Second}, {Kind: fault.Slow, Bytes: 100}, {Kind: fault.Cut, Bytes: 40}, {Kind: fault.Stalled}, {Kind: fault.Dropped}, {Kind: fault.Reset}} {
 		writer.setAnswerFault(t, answerFault)
 		replica.setAnswerFault(t, answerFault)
 		expectServed("with answers " + string(answerFault.Kind))
 	}
-	writer.setAnswerFault(t, fault.How{Kind: fault.Up})
-	replica.setAnswerFault(t, fault.How{Kind: fault.Up})
+	writer.setAnswerFault(t, fault.Condition{Kind: fault.Up})
+	replica.setAnswerFault(t, fault.Condition{Kind: fault.Up})
 	expectDrained(backends[1])
 
 	writer.stop()
--- a/internal/group/simulation_test.go
+++ b/internal/group/simulation_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-func (s *simulation) finish(client *simulatedClient, input linear.Asked, output linear.Got) {
+func (s *simulation) finish(client *simulatedClient, input linear.Input, output linear.Output) {
 	end := s.clock
 	if !output.Known {
 		s.unknownCalls++
@@ -189,18 +189,18 @@
 	switch r.Code {
 	case ledger.OK:
 		client.known[input.Name] = lastRead{r.Version, input.Value}
-		s.finish(client, input, linear.Got{Known: true})
+		s.finish(client, input, linear.Output{Known: true})
 	case ledger.Conflict:
-		s.finish(client, input, linear.Got{Known: true, Conflict: true})
+		s.finish(client, input, linear.Output{Known: true, Conflict: true})
 	default:
 		s.t.Fatalf("%+v: %+v", client.call.command, r)
 	}
 }
 
-func (c *simulatedClient) input() linear.Asked {
-	input := linear.Asked{Name: c.call.command.Name, Get: c.call.read, Any: c.call.command.Expect == nil}
+func (c *simulatedClient) input() linear.Input {
+	input := linear.Input{Name: c.call.command.Name, Get: c.call.read, Unconditional: c.call.command.Expect == nil}
 	json.Unmarshal(c.call.command.Value, &input.Value)
-	if !input.Get && !input.Any {
+	if !input.Get && !input.Unconditional {
 		input.Expect = c.known[input.Name].value
 	}
 	return input
@@ -212,7 +212,7 @@
 	json.Unmarshal(r.Value, &current.value)
 	input := client.input()
 	client.known[input.Name] = current
-	s.finish(client, input, linear.Got{Known: true, Value: current.value})
+	s.finish(client, input, linear.Output{Known: true, Value: current.value})
 }
 
 // pickMember returns the index of a random member that was not removed.
@@ -276,7 +276,7 @@
 		client.call = call
 	} else if !client.call.read && s.random.IntN(16) == 0 {
 		// The client gives up with an unknown outcome and never reuses the request number.
-		s.finish(client, client.input(), linear.Got{})
+		s.finish(client, client.input(), linear.Output{})
 		return
 	}
 	s.key++
@@ -403,7 +403,7 @@
 	if defect != "" {
 		timeLimit = 3 * time.Second // a defect is found quickly, or at another seed
 	}
-	return porcupine.CheckOperationsTimeout(linear.Registers, sim.history, timeLimit), sim
+	return porcupine.CheckOperationsTimeout(linear.RegisterModel, sim.history, timeLimit), sim
 }
 
 func (s *simulation) idle() bool {
--- a/internal/linear/linear.go
+++ b/internal/linear/linear.go
@@ -6,27 +6,27 @@
 import "github.com/anishathalye/porcupine"
 
 // Asked is a call. What a caller expects is told by the value that it read.
-type Asked struct {
-	Name   string // of the register
-	Get    bool
-	Any    bool // a put that expects nothing
-	Expect string
-	Value  string
+type Input struct {
+	Name          string // of the register
+	Get           bool
+	Unconditional bool // a put that expects nothing
+	Expect        string
+	Value         string
 }
 
 // Got is what it came to.
-type Got struct {
+type Output struct {
 	Known    bool // else it may have been done or not, and may yet be
 	Conflict bool
 	Value    string // of a get
 }
 
 // Registers are registers with empty values at first, each by itself.
-var Registers = (&porcupine.NondeterministicModel{
+var RegisterModel = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) (all [][]porcupine.Operation) {
 		at := map[string]int{}
 		for _, o := range history {
-			name := o.Input.(Asked).Name
+			name := o.Input.(Input).Name
 			if _, there := at[name]; !there {
 				at[name] = len(all)
 				all = append(all, nil)
@@ -37,8 +37,8 @@
 	},
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		have, in, out := state.(string), input.(Asked), output.(Got)
-		fits := in.Any || in.Expect == have
+		have, in, out := state.(string), input.(Input), output.(Output)
+		fits := in.Unconditional || in.Expect == have
 		switch {
 		case in.Get && have == out.Value:
 			return []any{have}
--- a/internal/link/datagram.go
+++ b/internal/link/datagram.go
@@ -10,8 +10,8 @@
 
 // Datagram tells what becomes of one datagram: by how much later than without a
 // fault it comes, for each time that it does. What is drawn is from 0 to 1.
-func (h How) Datagram(draw func() float64) []time.Duration {
-	switch hit := h.Share > 0 && draw() < h.Share; {
+func (h Condition) DatagramDelays(draw func() float64) []time.Duration {
+	switch hit := h.Fraction > 0 && draw() < h.Fraction; {
 	case h.Kind == Dropped || h.Kind == Lost && hit:
 		return nil
 	case h.Kind == Delayed:
@@ -25,4 +25,4 @@
 }
 
 // Stream says whether a stream can be carried so.
-func (h How) Stream() bool { return h.Kind == Up || slices.Contains(Kinds, h.Kind) }
+func (h Condition) AppliesToStreams() bool { return h.Kind == Up || slices.Contains(Kinds, h.Kind) }
--- a/internal/link/exchange.go
+++ b/internal/link/exchange.go
@@ -14,7 +14,7 @@
 // at which the others send to it and from which they hear it, and one at which a
 // datagram is for all. What comes is handed on, and whoever takes it decides what
 // becomes of it.
-type Exchange struct {
+type DatagramRelay struct {
 	sockets []*net.UDPConn // by member; the last is that of all
 	wg      sync.WaitGroup
 
@@ -24,16 +24,16 @@
 }
 
 // ToAll stands for all members as those whom a datagram is for.
-const ToAll = -1
+const Broadcast = -1
 
 // NewExchange listens at an address for each member, and at one more for all of them.
 // It hands on what comes from the members' own addresses; each socket has a goroutine
 // that calls take.
-func NewExchange(addresses []string, members []netip.AddrPort, take func(from, to int, data []byte)) (*Exchange, error) {
+func NewDatagramRelay(addresses []string, members []netip.AddrPort, take func(from, to int, data []byte)) (*DatagramRelay, error) {
 	if len(addresses) != len(members)+1 {
 		return nil, fmt.Errorf("link: %d addresses for %d members and all", len(addresses), len(members))
 	}
-	x := &Exchange{from: map[netip.AddrPort]int{}, to: append([]netip.AddrPort(nil), members...)}
+	x := &DatagramRelay{from: map[netip.AddrPort]int{}, to: append([]netip.AddrPort(nil), members...)}
 	for n, at := range members {
 		x.from[at] = n
 	}
@@ -52,7 +52,7 @@
 	for n, c := range x.sockets {
 		to := n
 		if n == len(members) {
-			to = ToAll
+			to = Broadcast
 		}
 		x.wg.Go(func() { x.read(c, to, take) })
 	}
@@ -60,9 +60,9 @@
 }
 
 // Address is where others send to a member.
-func (x *Exchange) Address(n int) string { return x.sockets[n].LocalAddr().String() }
+func (x *DatagramRelay) Address(n int) string { return x.sockets[n].LocalAddr().String() }
 
-func (x *Exchange) read(c *net.UDPConn, to int, take func(from, to int, data []byte)) {
+func (x *DatagramRelay) read(c *net.UDPConn, to int, take func(from, to int, data []byte)) {
 	buf := make([]byte, mostDatagram)
 	for {
 		n, source, err := c.ReadFromUDPAddrPort(buf)
@@ -80,14 +80,14 @@
 
 // Also takes what comes from one more address for a member's, as of a second process
 // that has its number.
-func (x *Exchange) Also(n int, at netip.AddrPort) {
+func (x *DatagramRelay) AddSource(n int, at netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.from[at] = n
 }
 
 // Move delivers what is for a member to another address from now on.
-func (x *Exchange) Move(n int, at netip.AddrPort) {
+func (x *DatagramRelay) SetAddress(n int, at netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.from[at], x.to[n] = n, at
@@ -95,7 +95,7 @@
 
 // Deliver sends a member what another has sent. One that fails is lost, as datagrams
 // may be.
-func (x *Exchange) Deliver(from, to int, data []byte) {
+func (x *DatagramRelay) Deliver(from, to int, data []byte) {
 	x.mu.Lock()
 	at := x.to[to]
 	x.mu.Unlock()
@@ -103,7 +103,7 @@
 }
 
 // Close ends it; nothing is taken when it has returned.
-func (x *Exchange) Close() {
+func (x *DatagramRelay) Close() {
 	for _, c := range x.sockets {
 		c.Close()
 	}
--- a/internal/link/flow.go
+++ b/internal/link/flow.go
@@ -36,21 +36,21 @@
 )
 
 // How a link carries what is sent.
-type How struct {
-	Kind   Kind
-	Bytes  int64
-	Share  float64
-	Delay  time.Duration
-	Jitter time.Duration
+type Condition struct {
+	Kind     Kind
+	Bytes    int64
+	Fraction float64
+	Delay    time.Duration
+	Jitter   time.Duration
 }
 
 // Check finds what can't be.
-func (h How) Check() error {
+func (h Condition) Check() error {
 	switch {
 	case h.Kind != Up && !slices.Contains(Kinds, h.Kind) && !slices.Contains(DatagramKinds, h.Kind):
 		return fmt.Errorf("%q is not one of %v or %v", h.Kind, Kinds, DatagramKinds)
-	case slices.Contains([]Kind{Lost, Repeated, Reordered}, h.Kind) != (h.Share > 0) || h.Share < 0 || h.Share > 1:
-		return fmt.Errorf("%s of a share of %g can't be", h.Kind, h.Share)
+	case slices.Contains([]Kind{Lost, Repeated, Reordered}, h.Kind) != (h.Fraction > 0) || h.Fraction < 0 || h.Fraction > 1:
+		return fmt.Errorf("%s of a share of %g can't be", h.Kind, h.Fraction)
 	case h.Kind == Slow && h.Bytes < 1:
 		return fmt.Errorf("%d bytes a second is no speed", h.Bytes)
 	case h.Kind == Cut && h.Bytes < 0:
@@ -68,7 +68,7 @@
 // Flow is one direction of one connection: it says what becomes of the pieces that
 // are read, in their order. It is pure; the time comes in.
 type Flow struct {
-	how    How
+	how    Condition
 	random *rand.Rand
 	passed int64         // bytes, since the present fault began
 	free   time.Duration // when the last piece has passed
@@ -76,13 +76,13 @@
 }
 
 // NewFlow returns a flow that begins as the link is.
-func NewFlow(how How, random *rand.Rand) *Flow { return &Flow{how: how, random: random} }
+func NewFlow(how Condition, random *rand.Rand) *Flow { return &Flow{how: how, random: random} }
 
 // Set changes how it flows from now on. Pieces taken before keep their time.
-func (f *Flow) Set(now time.Duration, how How) { f.how, f.passed, f.free = how, 0, now }
+func (f *Flow) Set(now time.Duration, how Condition) { f.how, f.passed, f.free = how, 0, now }
 
 // Holds says whether nothing passes now, also not what was taken before.
-func (f *Flow) Holds() bool {
+func (f *Flow) Blocked() bool {
 	return f.how.Kind == Dropped || f.how.Kind == Stalled
 }
 
@@ -92,7 +92,7 @@
 )
 
 // Piece is how many bytes may be read at once.
-func (f *Flow) Piece() int {
+func (f *Flow) ReadSize() int {
 	if f.how.Kind == Slow {
 		return int(min(max(f.how.Bytes/slowPieces, 1), mostPiece))
 	}
@@ -101,7 +101,7 @@
 
 // Take takes in a piece of n bytes, and says how many of them pass, when, and
 // whether the connection is reset behind them.
-func (f *Flow) Take(now time.Duration, n int) (pass int, due time.Duration, reset bool) {
+func (f *Flow) Schedule(now time.Duration, n int) (pass int, due time.Duration, reset bool) {
 	if f.over {
 		return 0, now, true
 	}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -22,13 +22,13 @@
 // read, a cut lets its bytes pass and no more, and a slow one takes its time.
 func TestFlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFlow(How{Kind: Up}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
-		how, now, since, passed, last := How{Kind: Up}, time.Duration(0), time.Duration(0), int64(0), time.Duration(0)
+		f := NewFlow(Condition{Kind: Up}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
+		how, now, since, passed, last := Condition{Kind: Up}, time.Duration(0), time.Duration(0), int64(0), time.Duration(0)
 		ended := false
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond
 			if rapid.IntRange(0, 3).Draw(t, "change") == 0 {
-				how = How{Kind: append(Kinds, Up)[rapid.IntRange(0, len(Kinds)).Draw(t, "kind")]}
+				how = Condition{Kind: append(Kinds, Up)[rapid.IntRange(0, len(Kinds)).Draw(t, "kind")]}
 				switch how.Kind {
 				case Slow, Cut:
 					how.Bytes = rapid.Int64Range(1, 5000).Draw(t, "bytes")
@@ -41,11 +41,11 @@
 				f.Set(now, how)
 				since, passed, last = now, 0, now
 			}
-			if f.Holds() != (how.Kind == Dropped || how.Kind == Stalled) || f.Piece() < 1 || f.Piece() > mostPiece {
-				t.Fatalf("%+v: holds %v, pieces of %d", how, f.Holds(), f.Piece())
+			if f.Blocked() != (how.Kind == Dropped || how.Kind == Stalled) || f.ReadSize() < 1 || f.ReadSize() > mostPiece {
+				t.Fatalf("%+v: holds %v, pieces of %d", how, f.Blocked(), f.ReadSize())
 			}
-			n := rapid.IntRange(0, f.Piece()).Draw(t, "n")
-			pass, due, reset := f.Take(now, n)
+			n := rapid.IntRange(0, f.ReadSize()).Draw(t, "n")
+			pass, due, reset := f.Schedule(now, n)
 			if ended {
 				if pass != 0 || !reset {
 					t.Fatalf("behind its end %d bytes pass, reset %v", pass, reset)
@@ -132,20 +132,20 @@
 // Each kind of fault, on each way of a link, does to a connection that stands and to
 // a new one what it says, and not to the other way; when it is over all goes on.
 func TestRelay(t *testing.T) {
-	for _, way := range []Way{There, Back} {
+	for _, way := range []Direction{Forward, Reverse} {
 		for _, kind := range Kinds {
 			t.Run(string(kind)+[]string{" there", " back"}[way], func(t *testing.T) {
 				t.Parallel()
-				r, taken := newRelay(t, Limits{Connections: 8, Buffer: 64 << 10})
+				r, taken := newRelay(t, Limits{MaxConnections: 8, BufferBytes: 64 << 10})
 				near := dial(t, r)
 				ends := [2]net.Conn{near, <-taken}
 				from, to := ends[way], ends[1-way]
 				say(t, near, "up")
 				hear(t, ends[1], "up")
-				for r.Stats().Bytes[There] != 2 { // they are counted behind the write that they were heard by
+				for r.Stats().Bytes[Forward] != 2 { // they are counted behind the write that they were heard by
 					runtime.Gosched()
 				}
-				how := How{Kind: kind}
+				how := Condition{Kind: kind}
 				switch kind {
 				case Cut:
 					how.Bytes = 3
@@ -186,7 +186,7 @@
 						}
 						c.Close()
 					}
-					r.Set(way, How{Kind: Up})
+					r.Set(way, Condition{Kind: Up})
 					hear(t, to, "held")
 				case Refused, Reset:
 					for _, end := range ends {
@@ -204,14 +204,14 @@
 						}
 						c.Close()
 					}
-					r.Set(way, How{Kind: Up})
+					r.Set(way, Condition{Kind: Up})
 				case Cut:
 					say(t, from, "whole")
 					got, err := io.ReadAll(to)
 					if !isReset(err) || len(got) > 3 {
 						t.Errorf("%q, then %v", got, err)
 					}
-					r.Set(way, How{Kind: Up})
+					r.Set(way, Condition{Kind: Up})
 				case Slow:
 					say(t, from, "0123456789012345")
 					hear(t, to, "0123456789012345")
@@ -254,7 +254,7 @@
 // Connections beyond the limit are reset, faults that can't be are refused, and
 // nothing is left of a relay that was closed.
 func TestRelayBounds(t *testing.T) {
-	r, taken := newRelay(t, Limits{Connections: 1, Buffer: 1 << 10})
+	r, taken := newRelay(t, Limits{MaxConnections: 1, BufferBytes: 1 << 10})
 	first := dial(t, r)
 	end := <-taken
 	second, err := net.DialTimeout("tcp", r.Address(), patience)
@@ -265,8 +265,8 @@
 	if !isReset(err) {
 		t.Errorf("the second: %v", err)
 	}
-	for _, how := range []How{{}, {Kind: "asleep"}, {Kind: Slow}, {Kind: Cut, Bytes: -1}, {Kind: Delayed}, {Kind: Dropped, Bytes: 1}, {Kind: Up, Delay: 1}, {Kind: Up, Share: 0.5}, {Kind: Lost, Share: 0.5}, {Kind: Lost}} {
-		if err := r.Set(There, how); err == nil {
+	for _, how := range []Condition{{}, {Kind: "asleep"}, {Kind: Slow}, {Kind: Cut, Bytes: -1}, {Kind: Delayed}, {Kind: Dropped, Bytes: 1}, {Kind: Up, Delay: 1}, {Kind: Up, Fraction: 0.5}, {Kind: Lost, Fraction: 0.5}, {Kind: Lost}} {
+		if err := r.Set(Forward, how); err == nil {
 			t.Errorf("%+v was taken", how)
 		}
 	}
@@ -279,13 +279,13 @@
 	if _, err := io.CopyN(io.Discard, end, 4<<20+2*mostPiece); err != nil { // a piece is counted when it has passed
 		t.Fatal(err)
 	}
-	if s := r.Stats(); s.Connections != 1 || s.Most != 1 || s.Turned != 1 || s.Bytes[There] < 4<<20 {
+	if s := r.Stats(); s.Connections != 1 || s.MaxConnections != 1 || s.Rejected != 1 || s.Bytes[Forward] < 4<<20 {
 		t.Errorf("%+v", s)
 	}
 	r.mu.Lock()
 	for c := range r.conns {
-		if c.bytes[There] > 1<<10 {
-			t.Errorf("%d bytes are held", c.bytes[There])
+		if c.bytes[Forward] > 1<<10 {
+			t.Errorf("%d bytes are held", c.bytes[Forward])
 		}
 	}
 	r.mu.Unlock()
--- a/internal/link/relay.go
+++ b/internal/link/relay.go
@@ -11,27 +11,27 @@
 )
 
 // Way is a direction of a link.
-type Way int
+type Direction int
 
 // The ways, as seen by who connects.
 const (
-	There Way = iota
-	Back
+	Forward Direction = iota
+	Reverse
 )
 
 // Limits bound a Relay.
 type Limits struct {
-	Connections int // at once; more are reset
-	Buffer      int // bytes read ahead, in each direction of each connection
+	MaxConnections int // at once; more are reset
+	BufferBytes    int // bytes read ahead, in each direction of each connection
 }
 
 // Stats are a Relay's figures.
 type Stats struct {
-	Connections int           // that stand
-	Most        int           // that stood at once
-	Turned      int64         // connections beyond the limit
-	Bytes       [2]int64      // passed, by way
-	Late        time.Duration // the longest by which a piece was passed on behind its time
+	Connections    int           // that stand
+	MaxConnections int           // that stood at once
+	Rejected       int64         // connections beyond the limit
+	Bytes          [2]int64      // passed, by way
+	MaxLateness    time.Duration // the longest by which a piece was passed on behind its time
 }
 
 // Relay carries the connections of one link.
@@ -44,7 +44,7 @@
 
 	mu      sync.Mutex
 	changed sync.Cond // a fault, a queue, or an end; on mu
-	hows    [2]How
+	hows    [2]Condition
 	conns   map[*conn]bool
 	closed  bool
 	random  *rand.Rand
@@ -74,7 +74,7 @@
 
 // NewRelay carries what comes to an address to another.
 func NewRelay(address, target string, limits Limits, seed uint64) (*Relay, error) {
-	r := &Relay{target: target, limits: limits, began: time.Now(), hows: [2]How{{Kind: Up}, {Kind: Up}}, conns: map[*conn]bool{},
+	r := &Relay{target: target, limits: limits, began: time.Now(), hows: [2]Condition{{Kind: Up}, {Kind: Up}}, conns: map[*conn]bool{},
 		random: rand.New(rand.NewPCG(seed, 1))}
 	r.changed.L = &r.mu
 	listener, err := NewListener(address, func(c net.Conn) {
@@ -98,11 +98,11 @@
 
 // Set changes how one way of the link carries what is sent from now on. Refused and
 // Reset end the connections that stand; whichever way has them, the link has.
-func (r *Relay) Set(way Way, how How) error {
+func (r *Relay) Set(way Direction, how Condition) error {
 	if err := how.Check(); err != nil {
 		return err
 	}
-	if !how.Stream() {
+	if !how.AppliesToStreams() {
 		return fmt.Errorf("%s is of datagrams, and this relay carries streams", how.Kind)
 	}
 	r.mu.Lock()
@@ -153,12 +153,12 @@
 func (r *Relay) connect(from *net.TCPConn) {
 	c := &conn{ends: [2]*net.TCPConn{from, nil}}
 	r.mu.Lock()
-	full := len(r.conns) >= r.limits.Connections
+	full := len(r.conns) >= r.limits.MaxConnections
 	if full {
-		r.stats.Turned++
+		r.stats.Rejected++
 	}
-	ends := func(h How) bool { return h.Kind == Reset || h.Kind == Refused } // it may have come in the moment of the change
-	if full || r.closed || ends(r.hows[There]) || ends(r.hows[Back]) {
+	ends := func(h Condition) bool { return h.Kind == Reset || h.Kind == Refused } // it may have come in the moment of the change
+	if full || r.closed || ends(r.hows[Forward]) || ends(r.hows[Reverse]) {
 		r.mu.Unlock()
 		Abort(from)
 		return
@@ -167,7 +167,7 @@
 		c.flows[way] = NewFlow(r.hows[way], rand.New(rand.NewPCG(r.random.Uint64(), 2)))
 	}
 	r.conns[c] = true // also while its other side is sought
-	r.stats.Most = max(r.stats.Most, len(r.conns))
+	r.stats.MaxConnections = max(r.stats.MaxConnections, len(r.conns))
 	r.mu.Unlock()
 	to, err := net.DialTimeout("tcp", r.target, dialWait)
 	r.mu.Lock()
@@ -183,7 +183,7 @@
 	c.ends[1] = to.(*net.TCPConn)
 	r.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, way := range []Way{There, Back} {
+	for _, way := range []Direction{Forward, Reverse} {
 		wg.Go(func() { r.read(c, way) })
 		wg.Go(func() { r.write(c, way) })
 	}
@@ -213,14 +213,14 @@
 
 // read takes in what one side sends, as far as there is room for it and the link
 // does not hold it.
-func (r *Relay) read(c *conn, way Way) {
+func (r *Relay) read(c *conn, way Direction) {
 	from := c.ends[way]
 	for {
 		r.mu.Lock()
-		for !c.over && (c.flows[way].Holds() || c.bytes[way] >= r.limits.Buffer) {
+		for !c.over && (c.flows[way].Blocked() || c.bytes[way] >= r.limits.BufferBytes) {
 			r.changed.Wait()
 		}
-		text := make([]byte, min(c.flows[way].Piece(), max(r.limits.Buffer-c.bytes[way], 1)))
+		text := make([]byte, min(c.flows[way].ReadSize(), max(r.limits.BufferBytes-c.bytes[way], 1)))
 		over := c.over
 		r.mu.Unlock()
 		if over {
@@ -229,12 +229,12 @@
 		n, err := from.Read(text)
 		r.mu.Lock()
 		if n > 0 {
-			pass, due, reset := c.flows[way].Take(r.now(), n)
+			pass, due, reset := c.flows[way].Schedule(r.now(), n)
 			c.queue[way] = append(c.queue[way], piece{text: text[:pass], due: due, reset: reset})
 			c.bytes[way] += pass
 		}
 		if err != nil {
-			_, due, _ := c.flows[way].Take(r.now(), 0)
+			_, due, _ := c.flows[way].Schedule(r.now(), 0)
 			c.queue[way] = append(c.queue[way], piece{due: due, end: errors.Is(err, io.EOF), reset: !errors.Is(err, io.EOF)})
 		}
 		r.changed.Broadcast()
@@ -246,7 +246,7 @@
 }
 
 // write passes on what was read, each piece at its time, unless the link holds it.
-func (r *Relay) write(c *conn, way Way) {
+func (r *Relay) write(c *conn, way Direction) {
 	to := c.ends[1-way]
 	for {
 		p, ok := r.next(c, way)
@@ -274,12 +274,12 @@
 }
 
 // next waits for the next piece to be passed on.
-func (r *Relay) next(c *conn, way Way) (piece, bool) {
+func (r *Relay) next(c *conn, way Direction) (piece, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waited := false
 	for !c.over {
-		if len(c.queue[way]) == 0 || c.flows[way].Holds() {
+		if len(c.queue[way]) == 0 || c.flows[way].Blocked() {
 			waited = false
 			r.changed.Wait()
 			continue
@@ -296,7 +296,7 @@
 			alarm.Stop()
 			continue
 		} else if waited {
-			r.stats.Late = max(r.stats.Late, -in)
+			r.stats.MaxLateness = max(r.stats.MaxLateness, -in)
 		}
 		c.queue[way][0] = piece{}
 		c.queue[way] = c.queue[way][1:]
--- a/internal/play/agents.go
+++ b/internal/play/agents.go
@@ -112,7 +112,7 @@
 		return
 	}
 	http.NewResponseController(w).Flush()
-	a.e.post(world.Told{Gateway: a.gateway, Version: l.Generation, Whole: l.Reset, Entries: a.e.entries(l)})
+	a.e.post(world.ListDelivered{Gateway: a.gateway, Version: l.Generation, Full: l.Reset, Entries: a.e.entries(l)})
 }
 
 // forward asks the list service.
@@ -210,9 +210,9 @@
 }
 
 // change carries out Lists.
-func (a *agent) change(l world.Lists) {
+func (a *agent) change(l world.SetListDelivery) {
 	a.set(func() {
-		a.held = l.Held
+		a.held = l.Paused
 		if a.isStale = l.Stale; l.Stale && a.service == "" {
 			a.stale, _ = json.Marshal(a.last) // of plain fields
 		}
@@ -269,13 +269,13 @@
 type registrar struct {
 	e     *engine
 	to    int // the list service that is asked first
-	calls chan world.Enlist
+	calls chan world.Register
 	have  map[int]*standing
 }
 
 // standing is a backend's last word.
 type standing struct {
-	world.Enlist
+	world.Register
 	done bool // it was answered as done
 }
 
@@ -285,7 +285,7 @@
 )
 
 func newRegistrar(e *engine) *registrar {
-	return &registrar{e: e, calls: make(chan world.Enlist, registrarCalls), have: map[int]*standing{}}
+	return &registrar{e: e, calls: make(chan world.Register, registrarCalls), have: map[int]*standing{}}
 }
 
 func (r *registrar) run(ctx context.Context) {
@@ -298,7 +298,7 @@
 		case <-ctx.Done():
 			return
 		case change := <-r.calls:
-			b := &standing{Enlist: change}
+			b := &standing{Register: change}
 			r.have[change.Backend] = b
 			r.tell(ctx, b)
 		case <-again.C:
@@ -341,7 +341,7 @@
 			"lifecycle": i.Lifecycle, "weight": i.Weight, "startedAtMs": i.StartedAtMs})
 	}
 	if b.done = status == http.StatusOK; b.done {
-		r.e.post(world.Enlisted{Entry: b.Entry, Version: version})
+		r.e.post(world.Registered{Entry: b.Entry, Version: version})
 		if b.Lifecycle == world.Gone {
 			delete(r.have, b.Backend)
 		}
@@ -374,7 +374,7 @@
 			return 0, 0
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.e.service(world.End{Kind: scenario.Backends}, r.to)+registry.Path+"/"+path, &text)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.e.service(world.Endpoint{Kind: scenario.Backends}, r.to)+registry.Path+"/"+path, &text)
 	if err != nil {
 		return 0, 0
 	}
--- a/internal/play/clients.go
+++ b/internal/play/clients.go
@@ -62,7 +62,7 @@
 	}
 	p.mu.Lock()
 	p.open[x.id] = x
-	if n := len(p.idle); n > 0 && !r.Fresh {
+	if n := len(p.idle); n > 0 && !r.NewConnection {
 		x.conn = p.idle[n-1]
 		x.conn.pending = x
 		p.idle = p.idle[:n-1]
@@ -70,17 +70,17 @@
 	c := x.conn
 	p.mu.Unlock()
 	if c == nil {
-		if c = p.connect(x, r.Left); c == nil {
+		if c = p.connect(x, r.Remaining); c == nil {
 			return
 		}
 	}
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s /%s?%s HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %016x\r\nX-Service-Class: %s\r\nX-Tier: %s\r\nX-Api-Key: %016x\r\nX-Time-Left-Ms: %d\r\nX-Call-Terms: units=%d,spread=%d,first=%d\r\n",
-		x.method, class.Name, queryOf(r.ID), r.ID, class.Name, p.e.s.Plans[r.Plan].Name, r.Customer, r.Left.Milliseconds(), class.Units, p.e.s.Plans[r.Plan].Spread, r.Set)
+		x.method, class.Name, queryOf(r.ID), r.ID, class.Name, p.e.s.Plans[r.Plan].Name, r.Customer, r.Remaining.Milliseconds(), class.Units, p.e.s.Plans[r.Plan].Spread, r.FirstGateway)
 	if r.Key != "" {
 		fmt.Fprintf(&head, "Idempotency-Key: %s\r\n", r.Key)
 	}
-	if r.Repeat {
+	if r.Retry {
 		head.WriteString("X-Repeat: 1\r\n")
 	}
 	if x.method == http.MethodPost {
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	x.sent = true
 	p.mu.Unlock()
-	p.e.post(world.Taken{ID: x.id})
+	p.e.post(world.RequestWritten{ID: x.id})
 }
 
 // connect makes a connection for a request, and tells of its failure.
@@ -182,14 +182,14 @@
 		x := c.pending
 		p.mu.Unlock()
 		if x == nil {
-			p.e.post(world.Extra{Gateway: p.gateway, ID: c.last})
+			p.e.post(world.UnexpectedData{Gateway: p.gateway, ID: c.last})
 			return
 		}
 		answer, keep := readAnswer(in, x)
 		c.last = x.id
 		if in.Buffered() > 0 {
 			keep = false
-			p.e.post(world.Extra{Gateway: p.gateway, ID: x.id})
+			p.e.post(world.UnexpectedData{Gateway: p.gateway, ID: x.id})
 		}
 		if c.take() == nil {
 			return
@@ -222,7 +222,7 @@
 		}
 		a.Status = resp.StatusCode
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
-			a.Advice = time.Duration(s * float64(time.Second))
+			a.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 		if a.Status == http.StatusOK {
 			a.Body, a.BodyErr = world.ReadBody(resp.Body)
@@ -232,7 +232,7 @@
 			a.BodyErr = nil
 			return a, false
 		}
-		a.Whole = true
+		a.Complete = true
 		return a, !resp.Close
 	}
 }
@@ -262,8 +262,8 @@
 
 // rude opens connections that send nothing, or a head byte by byte, and opens them
 // again when they are closed.
-func (p *callers) rude(r world.Rude) {
-	ctx, cancel := context.WithTimeout(p.e.ctx, r.For)
+func (p *callers) rude(r world.HoldConnections) {
+	ctx, cancel := context.WithTimeout(p.e.ctx, r.Duration)
 	var wg sync.WaitGroup
 	for n := range r.Connections {
 		wg.Go(func() {
--- a/internal/play/connectivity.go
+++ b/internal/play/connectivity.go
@@ -35,7 +35,7 @@
 			for i, m := range v.Members {
 				present[i] = m.State == membership.Alive.String() || m.State == membership.Suspect.String()
 			}
-			e.post(world.Connectivity{Gateway: g, State: v.State, Why: v.Reason, Present: present})
+			e.post(world.Connectivity{Gateway: g, State: v.State, Reason: v.Reason, Present: present})
 		}
 	}
 }
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	at := e.place.control(g)
-	if r := e.wires[world.Wire{From: world.End{Kind: scenario.Operators}, To: world.End{Kind: scenario.Gateways, N: g}}]; r != nil {
+	if r := e.wires[world.ProcessLink{From: world.Endpoint{Kind: scenario.Operators}, To: world.Endpoint{Kind: scenario.Gateways, Number: g}}]; r != nil {
 		at = r.Address()
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/control/members", nil)
--- a/internal/play/links.go
+++ b/internal/play/links.go
@@ -152,8 +152,8 @@
 func (e *engine) arrival(id world.Conn, req *http.Request, body world.Body, bodyErr error, first time.Duration) world.Arrived {
 	correlation, err := strconv.ParseUint(req.Header.Get("X-Correlation-Id"), 16, 64)
 	class, query, _ := strings.Cut(strings.TrimPrefix(req.URL.RequestURI(), "/"), "?")
-	a := world.Arrived{Conn: id, ID: correlation, First: first, Class: class, Key: req.Header.Get("Idempotency-Key"), Body: body}
-	a.Same = err == nil && bodyErr == nil && query == queryOf(correlation) && req.Method == e.methods[class]
+	a := world.Arrived{Conn: id, ID: correlation, FirstByte: first, Class: class, Key: req.Header.Get("Idempotency-Key"), Body: body}
+	a.Unchanged = err == nil && bodyErr == nil && query == queryOf(correlation) && req.Method == e.methods[class]
 	return a
 }
 
@@ -168,11 +168,11 @@
 	if !ok || err != nil || err2 != nil || req.Method != http.MethodPost || name == "" || len(name) > 64 || life < 1 || add > 1e9 || add < -1e9 {
 		return world.Called{}, false
 	}
-	return world.Called{Name: name, Add: add, Life: time.Duration(min(life, 60_000)) * time.Millisecond}, true
+	return world.Called{Name: name, Add: add, Lifetime: time.Duration(min(life, 60_000)) * time.Millisecond}, true
 }
 
 // total writes the counter's answer.
-func (s *served) total(t world.Total) {
+func (s *served) total(t world.CounterReply) {
 	text := ""
 	if t.Status == http.StatusOK {
 		text = strconv.FormatFloat(t.Total, 'f', -1, 64)
@@ -185,18 +185,18 @@
 func (s *served) reply(r world.Reply) {
 	var head strings.Builder
 	fmt.Fprintf(&head, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", r.Status, http.StatusText(r.Status), r.Body.Size)
-	if r.Unseen {
+	if r.NotStarted {
 		head.WriteString("X-Unprocessed: 1\r\n")
 	}
 	if r.Load != nil {
-		fmt.Fprintf(&head, "X-Backend-Load: {\"busy_reqs\":%d,\"pending\":%d,\"cpu_share\":%.2f}\r\n", r.Load.Held, r.Load.Waiting, r.Load.Busy)
+		fmt.Fprintf(&head, "X-Backend-Load: {\"busy_reqs\":%d,\"pending\":%d,\"cpu_share\":%.2f}\r\n", r.Load.Outstanding, r.Load.Queued, r.Load.Utilization)
 	}
 	if r.Close {
 		head.WriteString("Connection: close\r\n")
 	}
 	head.WriteString("\r\n")
 	body := io.Reader(r.Body.Reader())
-	if r.Spoilt {
+	if r.Truncated {
 		body = io.LimitReader(body, r.Body.Size/2)
 	}
 	if r.Body.Size <= shortBody {
@@ -215,7 +215,7 @@
 		return
 	}
 	out.Flush()
-	if r.Spoilt || r.Close {
+	if r.Truncated || r.Close {
 		s.Conn.(*net.TCPConn).CloseWrite() // its reader sees the gateway's end
 	}
 }
--- a/internal/play/loop.go
+++ b/internal/play/loop.go
@@ -51,7 +51,7 @@
 		return
 	}
 	r := e.w.Tally.Recent()
-	_, counts := e.w.Judge.Violations()
+	_, counts := e.w.Referee.Violations()
 	broken := 0
 	for _, n := range counts {
 		broken += n
@@ -82,7 +82,7 @@
 		// The exit of an earlier process may arrive after the next has started.
 		if x.life == e.lives[x.service] && !e.killed[x.service] && e.s.Fleet.Group && x.how == killedOutside && e.failed == nil {
 			// The user has killed it, to see whether the others go on.
-			e.carry([]world.Action{{Due: event.at, Do: world.Mark{Text: e.services[x.service].name + " was killed from outside, and starts again"}}})
+			e.carry([]world.Action{{Due: event.at, Operation: world.Mark{Text: e.services[x.service].name + " was killed from outside, and starts again"}}})
 			e.failed = e.startService(x.service)
 			return
 		}
@@ -100,7 +100,7 @@
 func (e *engine) carry(actions []world.Action) {
 	for _, a := range actions {
 		e.w.Tally.Acted(e.now() - a.Due)
-		if err := e.do(a.Do); err != nil && e.failed == nil {
+		if err := e.do(a.Operation); err != nil && e.failed == nil {
 			e.failed = err
 		}
 	}
@@ -119,7 +119,7 @@
 		if s := e.served[a.Conn]; s != nil {
 			s.reply(a)
 		}
-	case world.Total:
+	case world.CounterReply:
 		if s := e.served[a.Conn]; s != nil {
 			s.total(a)
 		}
@@ -127,25 +127,25 @@
 		if s := e.served[a.Conn]; s != nil {
 			link.Abort(s.Conn)
 		}
-	case world.Look:
-		looked := world.Looked{ID: a.ID}
-		for _, c := range a.Conns {
+	case world.CheckConnections:
+		looked := world.ConnectionsChecked{ID: a.ID}
+		for _, c := range a.Connections {
 			if s := e.served[c]; s == nil || s.ended() {
-				looked.Ended = append(looked.Ended, c)
+				looked.Closed = append(looked.Closed, c)
 			}
 		}
 		e.step(stamped{e.now(), looked})
-	case world.Link:
+	case world.SetLinkState:
 		p, err := e.peer(between{a.Gateway, a.Peer})
 		if err != nil {
 			return err
 		}
 		return p.set(a.State)
-	case world.Rewire:
-		if r := e.wires[a.Wire]; r != nil {
-			return r.Set(a.Way, a.How)
+	case world.SetRelayCondition:
+		if r := e.wires[a.ProcessLink]; r != nil {
+			return r.Set(a.Direction, a.Condition)
 		}
-	case world.Enlist:
+	case world.Register:
 		for g := range e.gateways { // a new backend is there before it is told
 			if _, err := e.peer(between{g, a.Backend}); err != nil {
 				return err
@@ -154,9 +154,9 @@
 		if e.registrar != nil {
 			e.registrar.calls <- a
 		}
-	case world.Tell:
+	case world.SendList:
 		e.agents[a.Gateway][0].tell(a.Entries)
-	case world.Lists:
+	case world.SetListDelivery:
 		for _, agent := range e.agents[a.Gateway] {
 			agent.change(a)
 		}
@@ -193,7 +193,7 @@
 			return err
 		}
 		e.killed[a.Service] = false
-	case world.Rude:
+	case world.HoldConnections:
 		e.callers[a.Gateway].rude(a)
 	case world.Deliver:
 		e.relays.deliver(a)
--- a/internal/play/machine.go
+++ b/internal/play/machine.go
@@ -91,7 +91,7 @@
 	if memory := s.Fleet.Gateways*s.Fleet.MemoryMB + ownMemoryMB; memory > m.memoryMB {
 		all = append(all, fmt.Errorf("up to %d MB of memory for %d gateways, and %d are free", memory, s.Fleet.Gateways, m.memoryMB))
 	}
-	links := s.Fleet.Gateways*(s.Fleet.Backends+2+s.Fleet.ListServices) + len(world.Wires(s))
+	links := s.Fleet.Gateways*(s.Fleet.Backends+2+s.Fleet.ListServices) + len(world.RelayedLinks(s))
 	if sockets := ownSockets + eachListener*links + int(3*rate*openSeconds) + rude; sockets > m.sockets {
 		all = append(all, fmt.Errorf("about %d descriptors, and the limit is %d (ulimit -n)", sockets, m.sockets))
 	}
--- a/internal/play/play.go
+++ b/internal/play/play.go
@@ -79,7 +79,7 @@
 type engine struct {
 	s       *scenario.Scenario
 	o       Options
-	w       *world.World
+	w       *world.Emulator
 	place   place
 	claim   net.Listener // reserves the addresses of place
 	epoch   time.Time
@@ -100,7 +100,7 @@
 	agents    [][]*agent // by gateway, one for each list service
 	peers     map[between]*peer
 	relays    *relays
-	wires     map[world.Wire]*link.Relay // on links that have faults
+	wires     map[world.ProcessLink]*link.Relay // on links that have faults
 	registrar *registrar
 
 	// Owned by the loop:
@@ -126,7 +126,7 @@
 // Run runs a scenario until its day is over or ctx ends. When it returns, all processes
 // that it started have ended.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*Result, error) {
-	e := &engine{s: s, o: o, epoch: time.Now(), events: make(chan stamped, mostEvents), peers: map[between]*peer{}, wires: map[world.Wire]*link.Relay{},
+	e := &engine{s: s, o: o, epoch: time.Now(), events: make(chan stamped, mostEvents), peers: map[between]*peer{}, wires: map[world.ProcessLink]*link.Relay{},
 		served: map[world.Conn]*served{}, killed: map[int]bool{}, lives: map[int]int{}, methods: map[string]string{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: s.Fleet.Gateways + 4}, Timeout: 65 * time.Second}}
 	for _, c := range s.Classes {
@@ -148,14 +148,14 @@
 	whole := err == nil && ctx.Err() == nil
 	if whole {
 		for g := range e.gateways {
-			e.w.Judge.Stopping(e.now(), g)
+			e.w.Referee.Stopping(e.now(), g)
 		}
 	}
 	hung := e.stopFleet(whole)
 	stop()
 	e.close()
 	for _, g := range hung {
-		e.w.Judge.Hung(e.now(), g)
+		e.w.Referee.Hung(e.now(), g)
 	}
 	if err == nil {
 		err = e.failed
@@ -167,9 +167,9 @@
 	for _, p := range e.gateways {
 		e.w.Tally.Gateways = append(e.w.Tally.Gateways, p.use)
 	}
-	r := &Result{Tally: e.w.Tally, Marks: e.marks, Cut: ctx.Err() != nil, Nearest: e.w.Judge.Nearest(),
-		Trials: e.w.Judge.Trials(), Low: e.w.Judge.Low(), ColdMost: e.w.Judge.ColdMost()}
-	r.Violations, r.Counts = e.w.Judge.Violations()
+	r := &Result{Tally: e.w.Tally, Marks: e.marks, Cut: ctx.Err() != nil, Nearest: e.w.Referee.Nearest(),
+		Trials: e.w.Referee.Trials(), Low: e.w.Referee.Low(), ColdMost: e.w.Referee.ColdMost()}
+	r.Violations, r.Counts = e.w.Referee.Violations()
 	switch p99 := e.w.Tally.Lateness(99); {
 	case p99 > mostLateP99:
 		r.Late = fmt.Sprintf("the emulation did things %v late at p99, over %v: the machine is too small for this scenario", p99, mostLateP99)
@@ -177,8 +177,8 @@
 		r.Late = fmt.Sprintf("the emulation stood still for %v", e.gap.Round(time.Millisecond))
 	}
 	for at, relay := range e.wires {
-		if s := relay.Stats(); s.Late > mostGap || s.Turned > 0 {
-			r.Late = fmt.Sprintf("the relay from %v was late by %v and turned %d connections away", at, s.Late.Round(time.Millisecond), s.Turned)
+		if s := relay.Stats(); s.MaxLateness > mostGap || s.Rejected > 0 {
+			r.Late = fmt.Sprintf("the relay from %v was late by %v and turned %d connections away", at, s.MaxLateness.Round(time.Millisecond), s.Rejected)
 		}
 	}
 	return r, nil
--- a/internal/play/relays.go
+++ b/internal/play/relays.go
@@ -10,7 +10,7 @@
 // relays are the network between gateways: the exchange that their datagrams pass
 // through, and those that are under way.
 type relays struct {
-	*link.Exchange
+	*link.DatagramRelay
 
 	// Of the loop:
 	bytes [mostWaiting][]byte
@@ -35,13 +35,13 @@
 			members = append(members, netip.MustParseAddrPort(e.place.peer(n)))
 		}
 	}
-	x, err := link.NewExchange(addresses, members, func(from, to int, data []byte) {
-		if to == link.ToAll {
-			to = world.Everyone
+	x, err := link.NewDatagramRelay(addresses, members, func(from, to int, data []byte) {
+		if to == link.Broadcast {
+			to = world.Broadcast
 		}
 		e.post(arrivedAt{world.Datagram{From: from, To: to, Bytes: len(data)}, data})
 	})
-	return &relays{Exchange: x}, err
+	return &relays{DatagramRelay: x}, err
 }
 
 // keep numbers a datagram.
--- a/internal/play/start.go
+++ b/internal/play/start.go
@@ -19,14 +19,14 @@
 	if e.place, e.claim, err = findPlace(e.s.Fleet.Gateways, e.s.Fleet.ListServices, rand.IntN); err != nil {
 		return err
 	}
-	for n, at := range world.Wires(e.s) {
-		limits := link.Limits{Connections: wireConnections, Buffer: wireBuffer}
-		target := e.place.registry(at.To.N)
+	for n, at := range world.RelayedLinks(e.s) {
+		limits := link.Limits{MaxConnections: wireConnections, BufferBytes: wireBuffer}
+		target := e.place.registry(at.To.Number)
 		switch {
 		case at.From.Kind == scenario.Operators:
-			target = e.place.control(at.To.N)
+			target = e.place.control(at.To.Number)
 		case e.s.Fleet.Group && at.From.Kind == scenario.Lists:
-			target = e.place.registryGroup(at.To.N)
+			target = e.place.registryGroup(at.To.Number)
 		}
 		r, err := link.NewRelay(e.place.wire(n), target, limits, e.s.Seed+uint64(n))
 		if err != nil {
@@ -101,7 +101,7 @@
 		}
 		writer := ""
 		if k > 0 && !e.s.Fleet.Group {
-			writer = e.service(world.End{Kind: scenario.Lists, N: k}, 0)
+			writer = e.service(world.Endpoint{Kind: scenario.Lists, Number: k}, 0)
 		}
 		config, err := e.s.RegistryConfig(k, e.place.registry(k), e.place.registryControl(k), writer, filepath.Join(p.dir, "data"), e.groupOf(k))
 		if err != nil {
@@ -114,7 +114,7 @@
 	}
 	// Backends register while the writer still waits for the first registrations.
 	for _, entry := range e.w.Entries() {
-		e.registrar.calls <- world.Enlist{Entry: entry}
+		e.registrar.calls <- world.Register{Entry: entry}
 	}
 	e.wg.Go(func() { e.registrar.run(e.ctx) })
 	for k, p := range e.services {
@@ -130,7 +130,7 @@
 	at := scenario.GroupAddresses{Listen: e.place.registryGroup(k)}
 	for other := range e.s.Fleet.ListServices {
 		address := e.place.registryGroup(other)
-		if r := e.wires[world.Wire{From: world.End{Kind: scenario.Lists, N: k}, To: world.End{Kind: scenario.Lists, N: other}}]; r != nil {
+		if r := e.wires[world.ProcessLink{From: world.Endpoint{Kind: scenario.Lists, Number: k}, To: world.Endpoint{Kind: scenario.Lists, Number: other}}]; r != nil {
 			address = r.Address()
 		}
 		at.Members, at.Lists = append(at.Members, address), append(at.Lists, e.place.registry(other))
@@ -163,7 +163,7 @@
 	for k := range max(1, e.s.Fleet.ListServices) {
 		service := ""
 		if e.s.Fleet.ListServices > 0 {
-			service = e.service(world.End{Kind: scenario.Gateways, N: g}, k)
+			service = e.service(world.Endpoint{Kind: scenario.Gateways, Number: g}, k)
 		}
 		a, err := newAgent(e, g, e.place.agent(g, k), service)
 		if err != nil {
@@ -180,8 +180,8 @@
 
 // service returns the address at which a process reaches a registry: that of the relay
 // between them, if there is one.
-func (e *engine) service(from world.End, k int) string {
-	if r := e.wires[world.Wire{From: from, To: world.End{Kind: scenario.Lists, N: k}}]; r != nil {
+func (e *engine) service(from world.Endpoint, k int) string {
+	if r := e.wires[world.ProcessLink{From: from, To: world.Endpoint{Kind: scenario.Lists, Number: k}}]; r != nil {
 		return r.Address()
 	}
 	return e.place.registry(k)
@@ -214,13 +214,13 @@
 	var list any
 	if len(known.Instances) > 0 {
 		list = known
-		e.step(stamped{e.now(), world.Told{Gateway: g, Version: known.Generation, Whole: true, Entries: e.entries(known)}})
+		e.step(stamped{e.now(), world.ListDelivered{Gateway: g, Version: known.Generation, Full: true, Entries: e.entries(known)}})
 	}
 	config, err := e.s.GatewayConfig(g, a, list)
 	if err != nil {
 		return err
 	}
 	return e.gateways[g].start(e.starter, config, func(how string) {
-		e.post(world.Exited{Gateway: g, How: how})
+		e.post(world.Exited{Gateway: g, Cause: how})
 	})
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -215,7 +215,7 @@
 	for _, s := range some {
 		n := len(r.services)
 		if s.Link != "" {
-			relay, err := link.NewRelay(s.Link, r.plan.Services[s.Copies].Listen, link.Limits{Connections: relayConnections, Buffer: relayBuffer}, r.s.Seed+uint64(n))
+			relay, err := link.NewRelay(s.Link, r.plan.Services[s.Copies].Listen, link.Limits{MaxConnections: relayConnections, BufferBytes: relayBuffer}, r.s.Seed+uint64(n))
 			if err != nil {
 				return err
 			}
@@ -517,15 +517,15 @@
 		}
 		return r.restarts(rate)
 	case FaultRegionCut:
-		how := link.How{Kind: link.Dropped}
+		how := link.Condition{Kind: link.Dropped}
 		if at.ends {
-			how = link.How{Kind: link.Up}
+			how = link.Condition{Kind: link.Up}
 		}
 		for n, relay := range r.links {
 			if r.plan.Services[n].Region != f.Region {
 				continue
 			}
-			if err := errors.Join(relay.Set(link.There, how), relay.Set(link.Back, how)); err != nil {
+			if err := errors.Join(relay.Set(link.Forward, how), relay.Set(link.Reverse, how)); err != nil {
 				return err
 			}
 		}
--- a/internal/scenario/actor.go
+++ b/internal/scenario/actor.go
@@ -62,7 +62,7 @@
 type LinkFault struct {
 	From, To    Actor
 	There, Back bool
-	How         link.How
+	How         link.Condition
 }
 
 // onLinks are the links that a play stands on, and what each can do.
@@ -85,11 +85,11 @@
 		return l, "to", err
 	}
 	l.There, l.Back = f.Way != "back", f.Way != "there"
-	l.How = link.How{Kind: link.Kind(f.How), Delay: f.Delay.D(), Jitter: f.Jitter.D()}
+	l.How = link.Condition{Kind: link.Kind(f.How), Delay: f.Delay.D(), Jitter: f.Jitter.D()}
 	if slices.Contains(link.Kinds, l.How.Kind) {
 		l.How.Bytes = int64(f.Size)
 	} else {
-		l.How.Share = f.Size
+		l.How.Fraction = f.Size
 	}
 	can := onLinks[[2]ActorKind{l.From.Kind, l.To.Kind}]
 	switch {
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -71,11 +71,11 @@
 }
 
 // add brings a backend; started is below 0 where it has run for long.
-func (w *World) add(started time.Duration) *backend {
+func (w *Emulator) add(started time.Duration) *backend {
 	n := len(w.backends)
 	b := &backend{n: n, zone: n % len(w.s.Fleet.Zones), cell: n % w.s.Backend.Cells, started: started, listed: true}
 	w.backends = append(w.backends, b)
-	w.Judge.Backend(w.now, n, b.zone, b.cell, started >= 0)
+	w.Referee.Backend(w.now, n, b.zone, b.cell, started >= 0)
 	return b
 }
 
@@ -88,7 +88,7 @@
 }
 
 // capacity is in cores.
-func (w *World) capacity(b *backend) float64 {
+func (w *Emulator) capacity(b *backend) float64 {
 	c := w.s.Backend.Cores
 	if b.started >= 0 {
 		warm := (w.now - b.started).Seconds() / w.s.Backend.Cold.Seconds()
@@ -102,7 +102,7 @@
 }
 
 // rate is how fast each request in work is served.
-func (w *World) rate(b *backend) float64 {
+func (w *Emulator) rate(b *backend) float64 {
 	if len(b.inWork) == 0 {
 		return 0
 	}
@@ -110,7 +110,7 @@
 }
 
 // advance serves what is in work up to now.
-func (w *World) advance(b *backend) {
+func (w *Emulator) advance(b *backend) {
 	b.done += w.rate(b) * (w.now - b.asOf).Seconds()
 	b.asOf = w.now
 	if len(b.inWork) == 0 {
@@ -122,7 +122,7 @@
 const warmStep = 20 * time.Millisecond
 
 // plan sets the timer for the next request to be served.
-func (w *World) plan(b *backend) {
+func (w *Emulator) plan(b *backend) {
 	b.wake++
 	if len(b.inWork) == 0 || b.state != running {
 		return
@@ -140,7 +140,7 @@
 }
 
 // serve ends the requests that have got their work, and takes up others.
-func (w *World) serve(b *backend) {
+func (w *Emulator) serve(b *backend) {
 	w.advance(b)
 	const close = 1e-9 // seconds; the timer's rounding
 	for len(b.inWork) > 0 && b.inWork[0].until <= b.done+close {
@@ -155,7 +155,7 @@
 	w.plan(b)
 }
 
-func (w *World) finish(b *backend, j *work) {
+func (w *Emulator) finish(b *backend, j *work) {
 	if j.key != "" {
 		w.remember(b, j)
 	}
@@ -163,35 +163,35 @@
 }
 
 // reply answers on the attempt's connection, one way through the network later.
-func (w *World) reply(b *backend, j *work, how referee.How) {
+func (w *Emulator) reply(b *backend, j *work, how referee.How) {
 	c := j.conn
 	if c == nil {
 		return
 	}
 	if w.s.Backend.LoadReports {
 		busy := min(1, float64(len(b.inWork))/w.s.Backend.Cores)
-		j.reply.Load = &Report{Held: len(b.inWork) + len(b.waiting), Waiting: len(b.waiting), Busy: busy}
+		j.reply.Load = &LoadReport{Outstanding: len(b.inWork) + len(b.waiting), Queued: len(b.waiting), Utilization: busy}
 	}
 	lives := b.lives
 	w.after(w.delay(c), func() {
 		if j.conn == nil || b.lives != lives || w.links[edge{c.gateway, c.peer}] != Up {
 			return
 		}
-		if j.reply.Spoilt {
+		if j.reply.Truncated {
 			how = referee.Broken
 		}
-		w.Judge.Over(w.now, j.id, j.number, how)
+		w.Referee.Over(w.now, j.id, j.number, how)
 		w.do(j.reply)
 		c.attempt = nil
 		w.rests(c)
-		if j.reply.Spoilt || j.reply.Close {
+		if j.reply.Truncated || j.reply.Close {
 			w.drop(c)
 		}
 	})
 }
 
 // delay is one way between a gateway and what it speaks to.
-func (w *World) delay(c *conn) time.Duration {
+func (w *Emulator) delay(c *conn) time.Duration {
 	d := w.s.Network.Delay.D()
 	if w.gateways[c.gateway].zone != w.zoneOf(c.peer) {
 		d += w.s.Network.CrossZone.D()
@@ -200,7 +200,7 @@
 }
 
 // zoneOf is where a peer stands; the counter and the lists stand in the first.
-func (w *World) zoneOf(peer int) int {
+func (w *Emulator) zoneOf(peer int) int {
 	if peer == Counter {
 		return 0
 	}
@@ -214,7 +214,7 @@
 	counterIdle        = 10 * time.Second
 )
 
-func (w *World) opened(e Opened) {
+func (w *Emulator) opened(e Opened) {
 	c := &conn{id: e.Conn, gateway: e.Gateway, peer: e.Peer}
 	if w.links[edge{c.gateway, c.peer}] != Up {
 		return // what comes on it is not heard
@@ -236,7 +236,7 @@
 }
 
 // rests notes that a connection is idle, and closes it when it has been for long.
-func (w *World) rests(c *conn) {
+func (w *Emulator) rests(c *conn) {
 	c.idle = w.now
 	keep := w.s.Backend.KeepAlive.D()
 	if c.peer == Counter {
@@ -249,13 +249,13 @@
 	})
 }
 
-func (w *World) reset(c *conn) {
+func (w *Emulator) reset(c *conn) {
 	w.do(Reset{c.id})
 	w.drop(c)
 }
 
 // drop forgets a connection; what is out on it is over.
-func (w *World) drop(c *conn) {
+func (w *Emulator) drop(c *conn) {
 	if w.conns[c.id] == nil {
 		return
 	}
@@ -266,13 +266,13 @@
 	}
 	w.backends[c.peer].conns--
 	if j := c.attempt; j != nil {
-		w.Judge.Over(w.now, j.id, j.number, referee.Broken)
+		w.Referee.Over(w.now, j.id, j.number, referee.Broken)
 		w.giveUp(j)
 	}
 }
 
 // giveUp stops what waits for a place; what is in work goes on for nothing.
-func (w *World) giveUp(j *work) {
+func (w *Emulator) giveUp(j *work) {
 	b := w.backends[j.conn.peer]
 	j.conn.attempt = nil
 	j.conn = nil
@@ -281,26 +281,26 @@
 	}
 }
 
-func (w *World) closed(id Conn) {
+func (w *Emulator) closed(id Conn) {
 	c := w.conns[id]
 	if c == nil {
 		return
 	}
 	if j := c.attempt; j != nil {
-		w.Judge.Over(w.now, j.id, j.number, referee.Left)
+		w.Referee.Over(w.now, j.id, j.number, referee.Left)
 		w.giveUp(j)
 	}
 	w.drop(c)
 }
 
-func (w *World) probed(e Probed) {
+func (w *Emulator) probed(e Probed) {
 	c := w.conns[e.Conn]
 	if c == nil || c.peer == Counter || w.links[edge{c.gateway, c.peer}] != Up {
 		return
 	}
 	w.Tally.Costs.Probes++
 	b := w.backends[c.peer]
-	r := Reply{Conn: c.id, Status: 200, Body: Body{Seed: 1, Size: 32}, Load: &Report{Held: len(b.inWork) + len(b.waiting), Waiting: len(b.waiting)}}
+	r := Reply{Conn: c.id, Status: 200, Body: Body{Seed: 1, Size: 32}, Load: &LoadReport{Outstanding: len(b.inWork) + len(b.waiting), Queued: len(b.waiting)}}
 	w.after(2*w.delay(c), func() {
 		if w.conns[c.id] == c && w.links[edge{c.gateway, c.peer}] == Up {
 			w.do(r)
@@ -311,7 +311,7 @@
 
 // settle has the attempts of a request looked at before they are judged: that a
 // gateway has given one up may still wait at the driver to be read.
-func (w *World) settle(id uint64) {
+func (w *Emulator) settle(id uint64) {
 	var out []Conn
 	for _, c := range w.conns {
 		if c.attempt != nil && c.attempt.id == id {
@@ -319,17 +319,17 @@
 		}
 	}
 	slices.Sort(out)
-	w.do(Look{ID: id, Conns: out})
+	w.do(CheckConnections{ID: id, Connections: out})
 }
 
-func (w *World) looked(e Looked) {
-	for _, c := range e.Ended {
+func (w *Emulator) looked(e ConnectionsChecked) {
+	for _, c := range e.Closed {
 		w.closed(c)
 	}
-	w.Judge.Settle(w.now, e.ID)
+	w.Referee.Settle(w.now, e.ID)
 }
 
-func (w *World) arrived(e Arrived) {
+func (w *Emulator) arrived(e Arrived) {
 	c := w.conns[e.Conn]
 	if c == nil || c.peer == Counter || w.links[edge{c.gateway, c.peer}] != Up {
 		return // it never came
@@ -339,9 +339,9 @@
 	j := &work{number: number, id: e.ID, conn: c, key: e.Key}
 	j.reply = Reply{Conn: c.id, Status: 200, Body: Body{Seed: mix(number, e.ID)}}
 	t := w.clients.open[e.ID]
-	same := e.Same && t != nil && e.Class == w.s.Classes[t.class].Name && e.Key == t.key && e.Body.Size == t.size &&
+	same := e.Unchanged && t != nil && e.Class == w.s.Classes[t.class].Name && e.Key == t.key && e.Body.Size == t.size &&
 		(t.size == 0 || e.Body == t.request().Body)
-	if w.Judge.Arrived(w.now, referee.Attempt{ID: e.ID, Number: number, Gateway: c.gateway, Backend: b.n, First: e.First, Same: same || t == nil, Answer: j.reply.Body.Seed}) {
+	if w.Referee.Arrived(w.now, referee.Attempt{ID: e.ID, Number: number, Gateway: c.gateway, Backend: b.n, First: e.FirstByte, Same: same || t == nil, Answer: j.reply.Body.Seed}) {
 		w.after(w.s.Rules.Observe.D(), func() { w.settle(e.ID) })
 	}
 	c.attempt = j
@@ -365,7 +365,7 @@
 		j.cost += w.s.Backend.Handshake.Seconds()
 	}
 	j.reply.Body.Size = class.AnswerBytes
-	if w.Judge.Pressed(w.now, c.gateway, b.n, w.running(), j.cost, class.Work.Seconds(), w.capacity(b)) {
+	if w.Referee.Pressed(w.now, c.gateway, b.n, w.running(), j.cost, class.Work.Seconds(), w.capacity(b)) {
 		w.Tally.Costs.Cold++
 		w.do(Mark{fmt.Sprintf("backend b-%d falls over", b.n)})
 		b.fallen = true
@@ -377,7 +377,7 @@
 }
 
 // running counts the backends that take requests.
-func (w *World) running() (n int) {
+func (w *Emulator) running() (n int) {
 	for _, b := range w.backends {
 		if b.state == running && !b.draining {
 			n++
@@ -387,7 +387,7 @@
 }
 
 // enter is a request's coming to the backend's program.
-func (w *World) enter(b *backend, j *work) {
+func (w *Emulator) enter(b *backend, j *work) {
 	if j.conn == nil || b.state != running {
 		return
 	}
@@ -404,7 +404,7 @@
 	case j.key != "" && w.remembers(b, j):
 		w.reply(b, j, referee.Whole) // another attempt has done the work
 	default:
-		j.reply.Spoilt = b.spoilt > 0 && draw(3) < b.spoilt
+		j.reply.Truncated = b.spoilt > 0 && draw(3) < b.spoilt
 		j.until = b.done + j.cost
 		if len(b.inWork) < w.s.Backend.Slots {
 			heap.Push(&b.inWork, j)
@@ -415,19 +415,19 @@
 	w.plan(b)
 }
 
-func (w *World) turn(b *backend, j *work) {
+func (w *Emulator) turn(b *backend, j *work) {
 	w.Tally.Costs.Turned++
-	j.reply.Status, j.reply.Unseen, j.reply.Body.Size = 503, true, 32
+	j.reply.Status, j.reply.NotStarted, j.reply.Body.Size = 503, true, 32
 	j.reply.Close = j.conn.over
 	w.reply(b, j, referee.Turned)
 }
 
-func (w *World) fail(b *backend, j *work, status int) {
+func (w *Emulator) fail(b *backend, j *work, status int) {
 	j.reply.Status, j.reply.Body.Size = status, 32
 	w.reply(b, j, referee.Failed)
 }
 
-func (w *World) groupOf(b *backend, class int) group {
+func (w *Emulator) groupOf(b *backend, class int) group {
 	switch w.s.Classes[class].Scope {
 	case "zone":
 		return group{1, b.zone}
@@ -437,11 +437,11 @@
 	return group{0, 0}
 }
 
-func (w *World) remembers(b *backend, j *work) bool {
+func (w *Emulator) remembers(b *backend, j *work) bool {
 	return w.groups[w.groupOf(b, j.class)][j.key] > w.now
 }
 
-func (w *World) remember(b *backend, j *work) {
+func (w *Emulator) remember(b *backend, j *work) {
 	at := w.groupOf(b, j.class)
 	keys := w.groups[at]
 	if keys == nil {
@@ -457,21 +457,21 @@
 }
 
 // crash ends the backend's process.
-func (w *World) crash(b *backend) {
+func (w *Emulator) crash(b *backend) {
 	b.state = crashed
 	w.stopped(b)
 	w.relink()
 }
 
 // stopped drops all that a backend that stops has had.
-func (w *World) stopped(b *backend) {
+func (w *Emulator) stopped(b *backend) {
 	b.lives++
 	b.wake++
 	b.inWork, b.waiting, b.done = nil, nil, 0
 }
 
 // start brings a backend back, cold.
-func (w *World) start(b *backend) {
+func (w *Emulator) start(b *backend) {
 	if b.fallen || b.state == ended {
 		return
 	}
@@ -481,14 +481,14 @@
 	b.asOf = w.now
 	b.draining = false
 	b.listed = true
-	w.Judge.Backend(w.now, b.n, b.zone, b.cell, true)
+	w.Referee.Backend(w.now, b.n, b.zone, b.cell, true)
 	w.relink()
 	w.list(b, false)
 }
 
 // relink tells the driver of every link that has changed, and ends the
 // connections along those that have.
-func (w *World) relink() {
+func (w *Emulator) relink() {
 	ended := map[edge]bool{}
 	for g := range w.gateways {
 		for peer := Counter; peer < len(w.backends); peer++ {
@@ -498,7 +498,7 @@
 				continue
 			}
 			w.links[at] = state
-			w.do(Link{g, peer, state})
+			w.do(SetLinkState{g, peer, state})
 			ended[at] = state != Silent // what stands on a silent one goes on standing, unheard
 		}
 	}
@@ -509,16 +509,16 @@
 	}
 }
 
-func (w *World) linkState(g, peer int) LinkState {
+func (w *Emulator) linkState(g, peer int) LinkState {
 	here, there := w.gateways[g].zone, w.zoneOf(peer)
 	if here != there && (w.cuts[here] > 0 || w.cuts[there] > 0) {
 		return Silent
 	}
-	to := End{scenario.Backends, peer}
+	to := Endpoint{scenario.Backends, peer}
 	if peer == Counter {
-		to = End{scenario.CounterActor, 0}
+		to = Endpoint{scenario.CounterActor, 0}
 	}
-	switch how := w.how(Wire{End{scenario.Gateways, g}, to}, link.There); {
+	switch how := w.how(ProcessLink{Endpoint{scenario.Gateways, g}, to}, link.Forward); {
 	case how.Kind == link.Dropped, peer == Counter && w.counter.silent > 0:
 		return Silent
 	case how.Kind == link.Refused:
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -80,7 +80,7 @@
 	answered bool
 }
 
-func (w *World) newClients() {
+func (w *Emulator) newClients() {
 	c := &w.clients
 	c.arrivals = rand.New(rand.NewPCG(w.s.Seed, streamArrivals))
 	c.shifts = rand.New(rand.NewPCG(w.s.Seed, streamShifts))
@@ -97,7 +97,7 @@
 }
 
 // shift draws anew how much each customer asks, and through which gateways.
-func (w *World) shift() {
+func (w *Emulator) shift() {
 	c := &w.clients
 	for p := range c.customers {
 		c.reach[p] = c.reach[p][:0]
@@ -116,7 +116,7 @@
 	}
 }
 
-func (c *clients) begin(w *World) {
+func (c *clients) begin(w *Emulator) {
 	c.end = w.now + w.s.Duration.D()
 	if every := w.s.Load.ShiftEvery.D(); every > 0 {
 		var again func()
@@ -134,7 +134,7 @@
 
 // arrive plans the next arrival. They come at random at the highest rate, and
 // those are passed over that the rate of the moment has no room for.
-func (c *clients) arrive(w *World, begin, from time.Duration) {
+func (c *clients) arrive(w *Emulator, begin, from time.Duration) {
 	at := from
 	for {
 		highest := w.s.Load.RequestsPerS * w.mostLoad()
@@ -156,7 +156,7 @@
 }
 
 // load is the factor on the rate at a moment of the day.
-func (w *World) load(at time.Duration) float64 {
+func (w *Emulator) load(at time.Duration) float64 {
 	factor := 1.0
 	if shape := w.s.Load.Shape; len(shape) > 0 {
 		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.D() > at })
@@ -179,7 +179,7 @@
 }
 
 // mostLoad is a bound on load.
-func (w *World) mostLoad() float64 {
+func (w *Emulator) mostLoad() float64 {
 	most := 1.0
 	if len(w.s.Load.Shape) > 0 {
 		most = 0
@@ -206,7 +206,7 @@
 }
 
 // wish is a client's beginning to want something.
-func (w *World) wish() {
+func (w *Emulator) wish() {
 	c := &w.clients
 	draw := c.arrivals
 	v := &wish{at: w.now}
@@ -232,9 +232,9 @@
 	w.try(v)
 }
 
-func (w *World) begin() time.Duration { return w.clients.end - w.s.Duration.D() }
+func (w *Emulator) begin() time.Duration { return w.clients.end - w.s.Duration.D() }
 
-func (w *World) store(stores map[uint64]*quota, v *wish) *quota {
+func (w *Emulator) store(stores map[uint64]*quota, v *wish) *quota {
 	id := w.clients.customers[v.plan][v.customer].id
 	q := stores[id]
 	if q == nil {
@@ -245,7 +245,7 @@
 }
 
 // try sends a wish once more, or for the first time.
-func (w *World) try(v *wish) {
+func (w *Emulator) try(v *wish) {
 	c := &w.clients
 	c.next++
 	v.tries++
@@ -266,12 +266,12 @@
 	}
 	c.open[t.id] = t
 	w.Tally.Costs.Tries++
-	w.Judge.Sent(w.now, referee.Request{ID: t.id, Gateway: t.gateway, Class: t.class, Plan: t.plan, Customer: t.account, Units: float64(class.Units), Due: t.due})
+	w.Referee.Sent(w.now, referee.Request{ID: t.id, Gateway: t.gateway, Class: t.class, Plan: t.plan, Customer: t.account, Units: float64(class.Units), Due: t.due})
 	w.do(Send{Request: t.request()})
 	if draw(2) < w.s.Load.Impatient {
 		w.after(t.left/4, func() {
 			if c.open[t.id] == t && !t.answered {
-				w.Judge.Abandoned(w.now, t.id)
+				w.Referee.Abandoned(w.now, t.id)
 				w.do(Abandon{t.id})
 				w.ended(t, results.Left, 0)
 			}
@@ -280,23 +280,23 @@
 	last := t.due + w.s.Rules.LostAfter.D() + 2*w.s.Rules.Observe.D()
 	w.at(last, func() {
 		if c.open[t.id] == t && !t.answered {
-			w.Judge.Overdue(w.now, t.id)
+			w.Referee.Overdue(w.now, t.id)
 			w.do(Abandon{t.id})
 			w.ended(t, results.Lost, 0)
 		}
 	})
-	w.at(last+keptFor, func() { w.Judge.Forget(t.id) })
+	w.at(last+keptFor, func() { w.Referee.Forget(t.id) })
 }
 
 // keptFor is how long the referee knows a request that is over.
 const keptFor = 5 * time.Second
 
 func (t *try) request() Request {
-	return Request{ID: t.id, Gateway: t.gateway, Class: t.class, Plan: t.plan, Customer: t.account, Set: t.set, Left: t.left, Key: t.key,
-		Body: Body{Seed: mix(t.id, 3), Size: t.size}, Repeat: t.tries > 1}
+	return Request{ID: t.id, Gateway: t.gateway, Class: t.class, Plan: t.plan, Customer: t.account, FirstGateway: t.set, Remaining: t.left, Key: t.key,
+		Body: Body{Seed: mix(t.id, 3), Size: t.size}, Retry: t.tries > 1}
 }
 
-func (w *World) sentOn(t *try) {
+func (w *Emulator) sentOn(t *try) {
 	if t.sent {
 		return
 	}
@@ -308,13 +308,13 @@
 	}
 }
 
-func (w *World) answered(e Answered) {
+func (w *Emulator) answered(e Answered) {
 	t := w.clients.open[e.ID]
 	wrong := errText(e.BodyErr)
-	if t != nil && e.Status == 200 && e.Whole && e.Body.Size != w.s.Classes[t.class].AnswerBytes {
+	if t != nil && e.Status == 200 && e.Complete && e.Body.Size != w.s.Classes[t.class].AnswerBytes {
 		wrong = fmt.Sprintf("(%d bytes)", e.Body.Size)
 	}
-	w.Judge.Answered(w.now, e.ID, e.Status, e.Whole, e.Body.Seed, wrong)
+	w.Referee.Answered(w.now, e.ID, e.Status, e.Complete, e.Body.Seed, wrong)
 	if t == nil || t.answered {
 		return
 	}
@@ -326,12 +326,12 @@
 	}
 	after := w.now - t.at
 	switch {
-	case e.Status == 200 && e.Whole && after <= class.Aim.D():
+	case e.Status == 200 && e.Complete && after <= class.Aim.D():
 		w.ended(t, results.Served, worth)
-	case e.Status == 200 && e.Whole && w.now <= t.due:
+	case e.Status == 200 && e.Complete && w.now <= t.due:
 		w.ended(t, results.Late, worth*class.LateWorth)
 	case e.Status == 429 || e.Status == 503:
-		w.again(t, results.Refused, true, e.Advice)
+		w.again(t, results.Refused, true, e.RetryAfter)
 	default:
 		w.again(t, results.Failed, false, 0)
 	}
@@ -344,29 +344,29 @@
 	return err.Error()
 }
 
-func (w *World) unanswered(e Unanswered) {
+func (w *Emulator) unanswered(e Unanswered) {
 	t := w.clients.open[e.ID]
 	if t == nil || t.answered {
 		return
 	}
-	if e.Reused && !t.fresh && !w.Judge.Seen(e.ID) {
+	if e.Reused && !t.fresh && !w.Referee.Seen(e.ID) {
 		// Its connection was closed while it was idle: the gateway has not read it.
 		t.fresh = true
 		r := t.request()
-		r.Left = max(0, t.due-w.now)
-		w.do(Send{Request: r, Fresh: true})
+		r.Remaining = max(0, t.due-w.now)
+		w.do(Send{Request: r, NewConnection: true})
 		return
 	}
 	if e.Sent {
-		w.Judge.Taken(w.now, e.ID)
+		w.Referee.Taken(w.now, e.ID)
 	}
-	w.Judge.Closed(w.now, e.ID, !e.Reused)
+	w.Referee.Closed(w.now, e.ID, !e.Reused)
 	t.answered = true
 	w.again(t, results.Failed, !e.Sent, 0)
 }
 
 // again lets the client try once more if it may and has the time.
-func (w *World) again(t *try, o results.Outcome, harmless bool, advice time.Duration) {
+func (w *Emulator) again(t *try, o results.Outcome, harmless bool, advice time.Duration) {
 	class := &w.s.Classes[t.class]
 	pause := w.s.Load.RetryAfter.D() << min(t.tries-1, 10)
 	pause = max(pause, min(advice, mostAdvice))
@@ -388,7 +388,7 @@
 	leastLeft  = 50 * time.Millisecond // for another try
 )
 
-func (w *World) ended(t *try, o results.Outcome, worth float64) {
+func (w *Emulator) ended(t *try, o results.Outcome, worth float64) {
 	t.answered = true
 	delete(w.clients.open, t.id)
 	if t.wish.ended {
@@ -399,7 +399,7 @@
 }
 
 // struck picks the gateways or backends that a fault befalls.
-func (w *World) struck(n int, part float64, zone string, zoneOf func(int) int, fit func(int) bool) []int {
+func (w *Emulator) struck(n int, part float64, zone string, zoneOf func(int) int, fit func(int) bool) []int {
 	var all []int
 	at := slices.Index(w.s.Fleet.Zones, zone)
 	for i := range n {
--- a/internal/world/counter.go
+++ b/internal/world/counter.go
@@ -16,7 +16,7 @@
 // mostLife is how long a number is kept at most.
 const mostLife = time.Minute
 
-func (w *World) called(e Called) {
+func (w *Emulator) called(e Called) {
 	c := w.conns[e.Conn]
 	if c == nil || w.links[edge{c.gateway, c.peer}] != Up {
 		return
@@ -27,7 +27,7 @@
 	each := time.Duration(1e9 / w.s.Counter.CallsPerS * max(w.counter.slow, 1))
 	delay := w.s.Counter.Delay.D()/2 + w.delay(c)
 	n.free = max(n.free, w.now+delay) // the call's way there
-	answer := Total{Conn: c.id, Status: 503}
+	answer := CounterReply{Conn: c.id, Status: 503}
 	if n.free-w.now <= each*time.Duration(w.s.Counter.Queue) {
 		n.free += each
 		answer.Status = 200
@@ -53,12 +53,12 @@
 	})
 }
 
-func (n *counter) add(w *World, e Called) float64 {
+func (n *counter) add(w *Emulator, e Called) float64 {
 	kept := n.names[e.Name]
 	if kept == nil {
 		kept = &number{}
 		n.names[e.Name] = kept
-		w.after(min(max(e.Life, time.Millisecond), mostLife), func() {
+		w.after(min(max(e.Lifetime, time.Millisecond), mostLife), func() {
 			if n.names[e.Name] == kept {
 				delete(n.names, e.Name)
 			}
--- a/internal/world/double_test.go
+++ b/internal/world/double_test.go
@@ -10,7 +10,7 @@
 
 // harness drives a world in time of its own, with doubles in the gateways' place.
 type harness struct {
-	w        *World
+	w        *Emulator
 	s        *scenario.Scenario
 	now      time.Duration
 	queue    timers
@@ -77,7 +77,7 @@
 
 func (h *harness) step(e Event) {
 	for _, a := range h.w.Step(h.now, e) {
-		h.do(a.Do)
+		h.do(a.Operation)
 	}
 }
 
@@ -91,7 +91,7 @@
 		h.step(Ready{g})
 	}
 	for _, a := range h.w.Begin(h.now) {
-		h.do(a.Do)
+		h.do(a.Operation)
 	}
 	for range h.maxSteps {
 		if h.w.Done() {
@@ -118,7 +118,7 @@
 	if !d.alive {
 		return
 	}
-	h.step(Told{Gateway: d.n, Whole: true, Entries: entries})
+	h.step(ListDelivered{Gateway: d.n, Full: true, Entries: entries})
 	clear(d.told)
 	for _, e := range entries {
 		d.told[e.Backend] = e
@@ -134,7 +134,7 @@
 				h.step(Unanswered{ID: a.ID})
 				return
 			}
-			h.step(Taken{a.ID})
+			h.step(RequestWritten{a.ID})
 			d.take(a.Request)
 		})
 	case Abandon:
@@ -147,14 +147,14 @@
 		if c := h.conns[a.Conn]; c != nil {
 			h.after(0, func() { h.replied(c, a) })
 		}
-	case Look: // what a double ends has ended at once
-		h.after(0, func() { h.step(Looked{ID: a.ID}) })
+	case CheckConnections: // what a double ends has ended at once
+		h.after(0, func() { h.step(ConnectionsChecked{ID: a.ID}) })
 	case Reset:
 		if c := h.conns[a.Conn]; c != nil {
 			h.gone(c)
 			h.after(0, func() { h.broke(c) })
 		}
-	case Link:
+	case SetLinkState:
 		h.links[edge{a.Gateway, a.Peer}] = a.State
 		if a.State != Silent {
 			for _, id := range sortedConns(h.conns) {
@@ -164,7 +164,7 @@
 				}
 			}
 		}
-	case Tell:
+	case SendList:
 		h.after(0, func() { h.tell(h.doubles[a.Gateway], a.Entries) })
 	case Kill:
 		d := h.doubles[a.Gateway]
@@ -224,9 +224,9 @@
 }
 
 func (d *double) take(r Request) {
-	x := &held{Request: r, d: d, due: d.h.now + r.Left, refused: map[int]bool{}}
+	x := &held{Request: r, d: d, due: d.h.now + r.Remaining, refused: map[int]bool{}}
 	d.open[r.ID] = x
-	d.h.after(r.Left-10*time.Millisecond, func() { x.answer(504, Body{}) })
+	d.h.after(r.Remaining-10*time.Millisecond, func() { x.answer(504, Body{}) })
 	switch {
 	case d.h.plant("holds") && r.ID%64 == 0:
 		x.done = true // and nothing more
@@ -338,7 +338,7 @@
 }
 
 func (h *harness) arrive(c *doubleConn, r Request) {
-	a := Arrived{Conn: c.id, ID: r.ID, First: h.now, Class: h.s.Classes[r.Class].Name, Key: r.Key, Body: r.Body, Same: true}
+	a := Arrived{Conn: c.id, ID: r.ID, FirstByte: h.now, Class: h.s.Classes[r.Class].Name, Key: r.Key, Body: r.Body, Unchanged: true}
 	if h.plant("sends its own") && r.ID%64 == 0 {
 		h.planted++
 		a.ID++
@@ -389,10 +389,10 @@
 	if x.conn != nil && h.conns[x.conn.id] == x.conn {
 		h.hangUp(x.conn)
 	}
-	h.step(Answered{ID: x.ID, Status: status, Whole: true, Body: body})
+	h.step(Answered{ID: x.ID, Status: status, Complete: true, Body: body})
 	if h.plant("answers twice") && x.ID%64 == 0 {
 		h.planted++
-		h.step(Extra{x.d.n, x.ID})
+		h.step(UnexpectedData{x.d.n, x.ID})
 	}
 }
 
@@ -414,10 +414,10 @@
 		return
 	}
 	switch {
-	case r.Spoilt || r.Status == 500:
+	case r.Truncated || r.Status == 500:
 		x.mayRun = true
 		x.again()
-	case r.Unseen:
+	case r.NotStarted:
 		x.refused[c.backend] = true
 		x.attempt()
 	case r.Status == 200:
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -11,7 +11,7 @@
 )
 
 // strike begins a fault, and plans its end.
-func (w *World) strike(f *scenario.Fault) {
+func (w *Emulator) strike(f *scenario.Fault) {
 	text := fmt.Sprintf("%s for %v", f.Kind, f.For)
 	if f.Zone != "" {
 		text += " in zone " + f.Zone
@@ -45,24 +45,24 @@
 	case "counter_silent":
 		w.counter.silent++
 		w.ground()
-		w.Judge.Counter(w.now, referee.CounterSilent)
+		w.Referee.Counter(w.now, referee.CounterSilent)
 		w.relink()
 		end(func() {
 			w.counter.silent--
 			w.ground()
 			w.counter.empty()
-			w.Judge.Counter(w.now, referee.CounterEmpty)
+			w.Referee.Counter(w.now, referee.CounterEmpty)
 			w.relink()
 		})
 	case "counter_empty":
 		w.counter.empty()
-		w.Judge.Counter(w.now, referee.CounterEmpty)
+		w.Referee.Counter(w.now, referee.CounterEmpty)
 	case "counter_slow":
 		w.counter.slow = f.Size
-		w.Judge.Counter(w.now, referee.CounterSlow)
+		w.Referee.Counter(w.now, referee.CounterSlow)
 		end(func() {
 			w.counter.slow = 0
-			w.Judge.Counter(w.now, referee.CounterUp)
+			w.Referee.Counter(w.now, referee.CounterUp)
 		})
 	case "list_late":
 		w.hushed++
@@ -84,15 +84,15 @@
 	case "rude":
 		for g := range w.gateways {
 			if int(f.Size) > w.s.Fleet.Sockets/2 {
-				w.Judge.Crowded(g, w.now+f.For.D())
+				w.Referee.Crowded(g, w.now+f.For.D())
 			}
-			w.do(Rude{Gateway: g, Connections: int(f.Size), For: f.For.D()})
+			w.do(HoldConnections{Gateway: g, Connections: int(f.Size), Duration: f.For.D()})
 		}
 	}
 	w.do(Mark{text})
 }
 
-func (w *World) onGateways(f *scenario.Fault, struck []int) {
+func (w *Emulator) onGateways(f *scenario.Fault, struck []int) {
 	for i, g := range struck {
 		switch f.Kind {
 		case "kill":
@@ -114,13 +114,13 @@
 }
 
 // onWhom strikes the processes that a fault names.
-func (w *World) onWhom(f *scenario.Fault) {
+func (w *Emulator) onWhom(f *scenario.Fault) {
 	who, _ := w.s.ParseActor(f.Who) // Check has read it
 	w.do(Mark{fmt.Sprintf("%s of %s for %v", f.Kind, f.Who, f.For)})
 	if who.Kind == scenario.Gateways {
 		var struck []int
 		for g := range w.gateways {
-			if w.has(who, End{who.Kind, g}) && w.gateways[g].state == up {
+			if w.has(who, Endpoint{who.Kind, g}) && w.gateways[g].state == up {
 				struck = append(struck, g)
 			}
 		}
@@ -128,7 +128,7 @@
 		return
 	}
 	for k := range w.s.Fleet.ListServices {
-		if !w.has(who, End{who.Kind, k}) || w.struckServices[k] {
+		if !w.has(who, Endpoint{who.Kind, k}) || w.struckServices[k] {
 			continue
 		}
 		w.struckServices[k] = true
@@ -167,7 +167,7 @@
 
 // serviceLoop kills a list service each life until a moment, starts it again each
 // time, and says when it is over.
-func (w *World) serviceLoop(k int, life, end time.Duration, over func()) {
+func (w *Emulator) serviceLoop(k int, life, end time.Duration, over func()) {
 	w.do(KillService{k})
 	w.after(bootAfter, func() {
 		w.do(StartService{k})
@@ -179,7 +179,7 @@
 	})
 }
 
-func (w *World) onBackends(f *scenario.Fault, struck []int) {
+func (w *Emulator) onBackends(f *scenario.Fault, struck []int) {
 	for i, n := range struck {
 		b := w.backends[n]
 		var trouble *float64
@@ -213,7 +213,7 @@
 }
 
 // replace drains a backend, and brings another in its place.
-func (w *World) replace(b *backend) {
+func (w *Emulator) replace(b *backend) {
 	if b.state != running || b.draining {
 		return
 	}
@@ -234,7 +234,7 @@
 		w.relink()
 		e := b.entry()
 		e.Lifecycle = Gone
-		w.do(Enlist{Entry: e})
+		w.do(Register{Entry: e})
 		if w.s.Fleet.ListServices == 0 {
 			w.tell()
 		}
@@ -243,9 +243,9 @@
 
 // lists tells the driver what each gateway can hear of lists. They stand in the
 // first zone.
-func (w *World) lists() {
+func (w *Emulator) lists() {
 	for n, g := range w.gateways {
 		held := w.hushed > 0 || g.zone != 0 && (w.cuts[g.zone] > 0 || w.cuts[0] > 0)
-		w.do(Lists{Gateway: n, Held: held, Stale: w.stale > 0})
+		w.do(SetListDelivery{Gateway: n, Paused: held, Stale: w.stale > 0})
 	}
 }
--- a/internal/world/fleet.go
+++ b/internal/world/fleet.go
@@ -11,7 +11,7 @@
 
 // ground tells the referee what gateways can reach of each other from now on. It has
 // to be called after each change of that.
-func (w *World) ground() {
+func (w *Emulator) ground() {
 	if !w.s.Fleet.Membership || !w.begun {
 		return
 	}
@@ -20,11 +20,11 @@
 		g.Running[n] = w.gateways[n].state == up && !w.gateways[n].frozen
 	}
 	g.Well = len(w.cuts) == 0 && len(w.broken) == 0 && len(w.struckServices) == 0 && w.counter.silent == 0 && w.hushed == 0
-	w.Judge.Ground(w.now, g)
+	w.Referee.Ground(w.now, g)
 }
 
 // between is what datagrams do between two gateways.
-func (w *World) between(a, b int) referee.Reach {
+func (w *Emulator) between(a, b int) referee.Reach {
 	if w.parted(a, b) {
 		return referee.Apart
 	}
@@ -36,7 +36,7 @@
 }
 
 // oneWay is what becomes of those from one to another.
-func (w *World) oneWay(from, to int) referee.Reach {
+func (w *Emulator) oneWay(from, to int) referee.Reach {
 	worst := referee.Joined
 	for _, how := range w.hows(from, to) {
 		switch how.Kind {
@@ -51,29 +51,29 @@
 }
 
 // parted says whether two gateways stand in zones of which one is cut off.
-func (w *World) parted(a, b int) bool {
+func (w *Emulator) parted(a, b int) bool {
 	here, there := w.gateways[a].zone, w.gateways[b].zone
 	return here != there && (w.cuts[here] > 0 || w.cuts[there] > 0)
 }
 
 // hows are what faults of links do to what one gateway sends another.
-func (w *World) hows(from, to int) [2]link.How {
+func (w *Emulator) hows(from, to int) [2]link.Condition {
 	if len(w.broken) == 0 {
-		return [2]link.How{{Kind: link.Up}, {Kind: link.Up}}
+		return [2]link.Condition{{Kind: link.Up}, {Kind: link.Up}}
 	}
-	return [2]link.How{
-		w.how(Wire{End{scenario.Gateways, from}, End{scenario.Gateways, to}}, link.There),
-		w.how(Wire{End{scenario.Gateways, to}, End{scenario.Gateways, from}}, link.Back),
+	return [2]link.Condition{
+		w.how(ProcessLink{Endpoint{scenario.Gateways, from}, Endpoint{scenario.Gateways, to}}, link.Forward),
+		w.how(ProcessLink{Endpoint{scenario.Gateways, to}, Endpoint{scenario.Gateways, from}}, link.Reverse),
 	}
 }
 
 // betweenGateways is what those do to one datagram: how much later it comes, for
 // each time that it does.
-func (w *World) betweenGateways(from, to int, draw func() float64) []time.Duration {
+func (w *Emulator) betweenGateways(from, to int, draw func() float64) []time.Duration {
 	hows := w.hows(from, to)
 	var all []time.Duration
-	for _, first := range hows[0].Datagram(draw) {
-		for _, second := range hows[1].Datagram(draw) {
+	for _, first := range hows[0].DatagramDelays(draw) {
+		for _, second := range hows[1].DatagramDelays(draw) {
 			all = append(all, first+second)
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // cut cuts zones off, and plans their return.
-func (w *World) cut(zones []int, d time.Duration) {
+func (w *Emulator) cut(zones []int, d time.Duration) {
 	change := func(by int) {
 		for _, z := range zones {
 			if w.cuts[z] += by; w.cuts[z] == 0 {
@@ -97,10 +97,10 @@
 }
 
 // connectivity handles the connectivity that a gateway reports.
-func (w *World) connectivity(e Connectivity) {
+func (w *Emulator) connectivity(e Connectivity) {
 	if before := w.said[e.Gateway]; before != e.State && (before != "" || e.State != "whole") {
-		w.do(Mark{fmt.Sprintf("n%d stands %s: %s", e.Gateway, e.State, e.Why)})
+		w.do(Mark{fmt.Sprintf("n%d stands %s: %s", e.Gateway, e.State, e.Reason)})
 	}
 	w.said[e.Gateway] = e.State
-	w.Judge.Connectivity(w.now, e.Gateway, e.State, e.Present)
+	w.Referee.Connectivity(w.now, e.Gateway, e.State, e.Present)
 }
--- a/internal/world/gateways.go
+++ b/internal/world/gateways.go
@@ -32,7 +32,7 @@
 // stopSends is how long a front still sends to a gateway that was told to end.
 const stopSends = 300 * time.Millisecond
 
-func (w *World) ready(n int) {
+func (w *Emulator) ready(n int) {
 	g := &w.gateways[n]
 	if g.state == starting {
 		g.state = up
@@ -41,14 +41,14 @@
 	}
 }
 
-func (w *World) exited(e Exited) {
+func (w *Emulator) exited(e Exited) {
 	g := &w.gateways[e.Gateway]
 	g.process = false
 	defer w.ground()
 	switch g.state {
 	case up, starting:
-		w.Judge.Crashed(w.now, e.Gateway, e.How)
-		w.do(Mark{fmt.Sprintf("gateway n%d ended: %s", e.Gateway, e.How)})
+		w.Referee.Crashed(w.now, e.Gateway, e.Cause)
+		w.do(Mark{fmt.Sprintf("gateway n%d ended: %s", e.Gateway, e.Cause)})
 		g.front = false
 		g.state = down
 		return
@@ -69,18 +69,18 @@
 const bootAfter = 100 * time.Millisecond
 
 // kill ends a gateway's process at once.
-func (w *World) kill(n int) {
+func (w *Emulator) kill(n int) {
 	w.do(Kill{n})
 	w.lose(n)
 }
 
 // lose takes note that a gateway is gone, which the front sees late.
-func (w *World) lose(n int) {
+func (w *Emulator) lose(n int) {
 	g := &w.gateways[n]
 	g.state = down
 	g.lives++
 	g.frozen = false
-	w.Judge.Excuse(w.now, n)
+	w.Referee.Excuse(w.now, n)
 	w.ground()
 	lives := g.lives
 	w.after(w.s.Network.Notice.D(), func() {
@@ -92,7 +92,7 @@
 
 // vanish takes a gateway's machine away: the process says nothing, and what is
 // connected to it stands, until another is started.
-func (w *World) vanish(n int, d time.Duration) {
+func (w *Emulator) vanish(n int, d time.Duration) {
 	g := &w.gateways[n]
 	if g.state != up {
 		return
@@ -109,7 +109,7 @@
 }
 
 // loop kills a gateway each life, until a moment.
-func (w *World) loop(n int, life time.Duration, end time.Duration) {
+func (w *Emulator) loop(n int, life time.Duration, end time.Duration) {
 	if g := &w.gateways[n]; g.state == up || g.state == starting {
 		w.kill(n)
 		w.after(bootAfter, func() { w.boot(n) })
@@ -120,7 +120,7 @@
 }
 
 // startSlowly kills a gateway, and lets its next process stand still at its start.
-func (w *World) startSlowly(n int, d time.Duration) {
+func (w *Emulator) startSlowly(n int, d time.Duration) {
 	g := &w.gateways[n]
 	w.kill(n)
 	g.slow = d
@@ -128,7 +128,7 @@
 }
 
 // boot starts its next process, once the last has ended.
-func (w *World) boot(n int) {
+func (w *Emulator) boot(n int) {
 	g := &w.gateways[n]
 	if g.state != down {
 		return
@@ -139,7 +139,7 @@
 	g.lives++
 	g.state = starting
 	g.process, g.frozen = true, false
-	w.Judge.Back(w.now, n, true)
+	w.Referee.Back(w.now, n, true)
 	w.do(Start{n})
 	if slow := g.slow; slow > 0 {
 		g.slow = 0
@@ -155,7 +155,7 @@
 
 // stop tells a gateway to end, and starts it again when it has, or has been made
 // to.
-func (w *World) stop(n int) {
+func (w *Emulator) stop(n int) {
 	g := &w.gateways[n]
 	if g.state != up {
 		return
@@ -163,7 +163,7 @@
 	g.state = stopping
 	g.lives++
 	lives := g.lives
-	w.Judge.Stopping(w.now, n)
+	w.Referee.Stopping(w.now, n)
 	w.ground()
 	w.do(Stop{n})
 	w.after(stopSends, func() {
@@ -173,19 +173,19 @@
 	})
 	w.after(w.s.KillAfter(), func() {
 		if g.lives == lives && g.state == stopping {
-			w.Judge.Hung(w.now, n)
+			w.Referee.Hung(w.now, n)
 			w.do(Kill{n})
 		}
 	})
 }
 
-func (w *World) freeze(n int, d time.Duration) {
+func (w *Emulator) freeze(n int, d time.Duration) {
 	g := &w.gateways[n]
 	if g.state != up {
 		return
 	}
 	lives := g.lives
-	w.Judge.Excuse(w.now, n)
+	w.Referee.Excuse(w.now, n)
 	w.do(Freeze{n})
 	g.frozen = true
 	w.ground()
@@ -197,7 +197,7 @@
 			// What was on its way while it stood still is answered late.
 			w.after(w.s.Rules.Observe.D(), func() {
 				if g.lives == lives {
-					w.Judge.Back(w.now, n, false)
+					w.Referee.Back(w.now, n, false)
 				}
 			})
 		}
@@ -206,7 +206,7 @@
 
 // heardOf measures how long after it began a gateway is told of what a backend does
 // now.
-func (w *World) heardOf(g int, e Entry) {
+func (w *Emulator) heardOf(g int, e Entry) {
 	if e.Backend >= len(w.backends) {
 		return
 	}
@@ -221,9 +221,9 @@
 }
 
 // list tells discovery of a backend, and gateways late.
-func (w *World) list(b *backend, lost bool) {
+func (w *Emulator) list(b *backend, lost bool) {
 	b.changed = w.now
-	w.do(Enlist{Entry: b.entry(), Lost: lost})
+	w.do(Register{Entry: b.entry(), Lost: lost})
 	if w.s.Fleet.ListServices > 0 {
 		return // they tell it
 	}
@@ -241,34 +241,34 @@
 }
 
 // tell every gateway the list, each with its own delay.
-func (w *World) tell() {
+func (w *Emulator) tell() {
 	for g := range w.gateways {
 		late := time.Duration(share(mix(w.s.Seed, uint64(w.now), uint64(g))) * float64(w.s.Network.ListDelay))
-		w.after(late, func() { w.do(Tell{g, w.Entries()}) })
+		w.after(late, func() { w.do(SendList{g, w.Entries()}) })
 	}
 }
 
 // lostAfter is when a discovery finds out by itself that a backend is gone.
 const lostAfter = 2 * time.Second
 
-func (w *World) told(e Told) {
-	if e.Whole {
+func (w *Emulator) told(e ListDelivered) {
+	if e.Full {
 		// What the list leaves out is gone.
 		listed := map[int]bool{}
 		for _, entry := range e.Entries {
 			listed[entry.Backend] = true
 		}
-		for _, b := range w.Judge.Named(e.Gateway) {
+		for _, b := range w.Referee.Named(e.Gateway) {
 			if !listed[b] {
-				w.Judge.Told(w.now, e.Gateway, b, referee.Gone, -1)
+				w.Referee.Told(w.now, e.Gateway, b, referee.Gone, -1)
 			}
 		}
 	}
 	for _, entry := range e.Entries {
 		w.heardOf(e.Gateway, entry)
-		w.Judge.Told(w.now, e.Gateway, entry.Backend, states[entry.Lifecycle], entry.Started)
+		w.Referee.Told(w.now, e.Gateway, entry.Backend, states[entry.Lifecycle], entry.Started)
 	}
-	w.Judge.Version(w.now, e.Gateway, e.Version)
+	w.Referee.Version(w.now, e.Gateway, e.Version)
 }
 
 // states are the lifecycles as the referee has them.
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -8,20 +8,20 @@
 )
 
 // Wire is a link on which the driver has a relay, from who connects.
-type Wire struct{ From, To End }
+type ProcessLink struct{ From, To Endpoint }
 
 // End is one process at the end of a link.
-type End struct {
-	Kind scenario.ActorKind
-	N    int // backends: 0 stands for all
+type Endpoint struct {
+	Kind   scenario.ActorKind
+	Number int // backends: 0 stands for all
 }
 
-func (e End) String() string {
+func (e Endpoint) String() string {
 	switch e.Kind {
 	case scenario.Gateways:
-		return fmt.Sprintf("n%d", e.N)
+		return fmt.Sprintf("n%d", e.Number)
 	case scenario.Lists:
-		return fmt.Sprintf("list%d", e.N)
+		return fmt.Sprintf("list%d", e.Number)
 	case scenario.Backends:
 		return "backends"
 	case scenario.Operators:
@@ -30,7 +30,7 @@
 	return "counter"
 }
 
-func (w Wire) String() string { return w.From.String() + " to " + w.To.String() }
+func (w ProcessLink) String() string { return w.From.String() + " to " + w.To.String() }
 
 // broken is a link's fault that has begun.
 type broken struct {
@@ -39,24 +39,24 @@
 }
 
 // has reports whether a process belongs to an actor.
-func (w *World) has(p scenario.Actor, e End) bool {
-	if p.Kind != e.Kind || p.N >= 0 && p.N != e.N {
+func (w *Emulator) has(p scenario.Actor, e Endpoint) bool {
+	if p.Kind != e.Kind || p.N >= 0 && p.N != e.Number {
 		return false
 	}
 	switch {
 	case p.Zone < 0:
 		return true
 	case e.Kind == scenario.Gateways:
-		return w.gateways[e.N].zone == p.Zone
+		return w.gateways[e.Number].zone == p.Zone
 	}
-	return w.backends[e.N].zone == p.Zone
+	return w.backends[e.Number].zone == p.Zone
 }
 
 // how a link carries what goes one way of it now: of several faults the last.
-func (w *World) how(at Wire, way link.Way) link.How {
-	how := link.How{Kind: link.Up}
+func (w *Emulator) how(at ProcessLink, way link.Direction) link.Condition {
+	how := link.Condition{Kind: link.Up}
 	for _, b := range w.broken {
-		if !b.off && w.has(b.From, at.From) && w.has(b.To, at.To) && (way == link.There && b.There || way == link.Back && b.Back) {
+		if !b.off && w.has(b.From, at.From) && w.has(b.To, at.To) && (way == link.Forward && b.There || way == link.Reverse && b.Back) {
 			how = b.How
 		}
 	}
@@ -65,8 +65,8 @@
 
 // Wires are the links that need a relay in the scenario: those between processes
 // that a fault is to befall.
-func Wires(s *scenario.Scenario) (all []Wire) {
-	w := &World{s: s, gateways: make([]gateway, s.Fleet.Gateways)}
+func RelayedLinks(s *scenario.Scenario) (all []ProcessLink) {
+	w := &Emulator{s: s, gateways: make([]gateway, s.Fleet.Gateways)}
 	for g := range w.gateways {
 		w.gateways[g].zone = g % len(s.Fleet.Zones)
 	}
@@ -77,7 +77,7 @@
 		}
 	}
 	for _, at := range w.wires() {
-		if w.how(at, link.There).Kind != link.Up || w.how(at, link.Back).Kind != link.Up {
+		if w.how(at, link.Forward).Kind != link.Up || w.how(at, link.Reverse).Kind != link.Up {
 			all = append(all, at)
 		}
 	}
@@ -85,28 +85,28 @@
 }
 
 // wires are all links between processes on which a relay can stand.
-func (w *World) wires() (all []Wire) {
+func (w *Emulator) wires() (all []ProcessLink) {
 	for g := range w.gateways {
-		all = append(all, Wire{End{scenario.Operators, 0}, End{scenario.Gateways, g}})
+		all = append(all, ProcessLink{Endpoint{scenario.Operators, 0}, Endpoint{scenario.Gateways, g}})
 	}
 	for k := range w.s.Fleet.ListServices {
-		to := End{scenario.Lists, k}
+		to := Endpoint{scenario.Lists, k}
 		for g := range w.gateways {
-			all = append(all, Wire{End{scenario.Gateways, g}, to})
+			all = append(all, ProcessLink{Endpoint{scenario.Gateways, g}, to})
 		}
 		if w.s.Fleet.Group {
-			all = append(all, Wire{End{scenario.Backends, 0}, to})
+			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
 			for other := range w.s.Fleet.ListServices {
 				if other != k {
-					all = append(all, Wire{End{scenario.Lists, other}, to})
+					all = append(all, ProcessLink{Endpoint{scenario.Lists, other}, to})
 				}
 			}
 			continue
 		}
 		if k == 0 {
-			all = append(all, Wire{End{scenario.Backends, 0}, to})
+			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
 			for other := 1; other < w.s.Fleet.ListServices; other++ {
-				all = append(all, Wire{End{scenario.Lists, other}, to})
+				all = append(all, ProcessLink{Endpoint{scenario.Lists, other}, to})
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 // breakLink begins a link's fault, and plans its end.
-func (w *World) breakLink(f *scenario.Fault) {
+func (w *Emulator) breakLink(f *scenario.Fault) {
 	l, _, _ := w.s.Link(f) // Check has read it
 	b := &broken{LinkFault: l}
 	w.broken = append(w.broken, b)
@@ -145,16 +145,16 @@
 }
 
 // rewire tells the driver of every link that carries otherwise than before.
-func (w *World) rewire() {
+func (w *Emulator) rewire() {
 	for _, at := range w.wires() {
-		for _, way := range []link.Way{link.There, link.Back} {
+		for _, way := range []link.Direction{link.Forward, link.Reverse} {
 			how := w.how(at, way)
 			before, known := w.wired[wiredWay{at, way}]
 			if known && before == how || !known && how.Kind == link.Up {
 				continue
 			}
 			w.wired[wiredWay{at, way}] = how
-			w.do(Rewire{Wire: at, Way: way, How: how})
+			w.do(SetRelayCondition{ProcessLink: at, Direction: way, Condition: how})
 		}
 	}
 	w.relink()
@@ -162,6 +162,6 @@
 }
 
 type wiredWay struct {
-	Wire
-	way link.Way
+	ProcessLink
+	way link.Direction
 }
--- a/internal/world/links_test.go
+++ b/internal/world/links_test.go
@@ -26,16 +26,16 @@
 }
 
 // follow plays a world to a moment, and takes note of how relays carry.
-func follow(w *World, until time.Duration, as map[wiredWay]link.How) (other []any) {
+func follow(w *Emulator, until time.Duration, as map[wiredWay]link.Condition) (other []any) {
 	for next, ok := w.Next(); ok && next <= until; next, ok = w.Next() {
 		for _, a := range w.Step(next, Tick{}) {
-			switch do := a.Do.(type) {
-			case Rewire:
-				if before := as[wiredWay{do.Wire, do.Way}]; before == do.How {
+			switch do := a.Operation.(type) {
+			case SetRelayCondition:
+				if before := as[wiredWay{do.ProcessLink, do.Direction}]; before == do.Condition {
 					other = append(other, "told twice")
 				}
-				as[wiredWay{do.Wire, do.Way}] = do.How
-			case Link, Deliver:
+				as[wiredWay{do.ProcessLink, do.Direction}] = do.Condition
+			case SetLinkState, Deliver:
 				other = append(other, do)
 			}
 		}
@@ -55,42 +55,42 @@
 	)
 	// n1 and n3 stand in b, each before three list services; two followers; the backends;
 	// operators before one gateway.
-	if wires := Wires(s); len(wires) != 2*3+2+1+1 {
+	if wires := RelayedLinks(s); len(wires) != 2*3+2+1+1 {
 		t.Errorf("relays on %v", wires)
 	}
 	w := New(s)
 	w.Begin(0)
-	as := map[wiredWay]link.How{}
-	list := func(k int) End { return End{scenario.Lists, k} }
-	gateway := func(n int) End { return End{scenario.Gateways, n} }
-	backends := Wire{End{scenario.Backends, 0}, list(0)}
+	as := map[wiredWay]link.Condition{}
+	list := func(k int) Endpoint { return Endpoint{scenario.Lists, k} }
+	gateway := func(n int) Endpoint { return Endpoint{scenario.Gateways, n} }
+	backends := ProcessLink{Endpoint{scenario.Backends, 0}, list(0)}
 	for _, c := range []struct {
 		at   time.Duration
-		wire Wire
-		way  link.Way
+		wire ProcessLink
+		way  link.Direction
 		want link.Kind
 	}{
-		{900 * time.Millisecond, Wire{list(1), list(0)}, link.There, ""},
-		{1500 * time.Millisecond, Wire{list(1), list(0)}, link.There, link.Dropped},
-		{1500 * time.Millisecond, Wire{list(2), list(0)}, link.Back, link.Dropped},
-		{2500 * time.Millisecond, Wire{gateway(1), list(2)}, link.Back, link.Slow},
-		{2500 * time.Millisecond, Wire{End{scenario.Operators, 0}, gateway(0)}, link.There, link.Refused},
-		{2500 * time.Millisecond, Wire{End{scenario.Operators, 0}, gateway(1)}, link.There, ""},
-		{2500 * time.Millisecond, Wire{gateway(1), list(2)}, link.There, ""},
-		{2500 * time.Millisecond, Wire{gateway(0), list(2)}, link.Back, ""},
-		{3500 * time.Millisecond, Wire{gateway(1), list(2)}, link.Back, link.Stalled},
-		{3500 * time.Millisecond, Wire{gateway(1), list(2)}, link.There, link.Stalled},
-		{3500 * time.Millisecond, Wire{gateway(1), list(1)}, link.Back, link.Slow},
-		{4500 * time.Millisecond, Wire{gateway(1), list(2)}, link.Back, link.Slow},
-		{4500 * time.Millisecond, Wire{gateway(1), list(2)}, link.There, link.Up},
-		{7 * time.Second, Wire{gateway(1), list(2)}, link.Back, link.Up},
-		{7 * time.Second, Wire{list(1), list(0)}, link.There, link.Dropped},
-		{12 * time.Second, Wire{list(1), list(0)}, link.There, link.Up},
-		{20200 * time.Millisecond, backends, link.There, link.Cut},
-		{20200 * time.Millisecond, backends, link.Back, ""},
-		{20700 * time.Millisecond, backends, link.There, link.Up},
-		{21200 * time.Millisecond, backends, link.There, link.Cut},
-		{30 * time.Second, backends, link.There, link.Up},
+		{900 * time.Millisecond, ProcessLink{list(1), list(0)}, link.Forward, ""},
+		{1500 * time.Millisecond, ProcessLink{list(1), list(0)}, link.Forward, link.Dropped},
+		{1500 * time.Millisecond, ProcessLink{list(2), list(0)}, link.Reverse, link.Dropped},
+		{2500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Reverse, link.Slow},
+		{2500 * time.Millisecond, ProcessLink{Endpoint{scenario.Operators, 0}, gateway(0)}, link.Forward, link.Refused},
+		{2500 * time.Millisecond, ProcessLink{Endpoint{scenario.Operators, 0}, gateway(1)}, link.Forward, ""},
+		{2500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Forward, ""},
+		{2500 * time.Millisecond, ProcessLink{gateway(0), list(2)}, link.Reverse, ""},
+		{3500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Reverse, link.Stalled},
+		{3500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Forward, link.Stalled},
+		{3500 * time.Millisecond, ProcessLink{gateway(1), list(1)}, link.Reverse, link.Slow},
+		{4500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Reverse, link.Slow},
+		{4500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Forward, link.Up},
+		{7 * time.Second, ProcessLink{gateway(1), list(2)}, link.Reverse, link.Up},
+		{7 * time.Second, ProcessLink{list(1), list(0)}, link.Forward, link.Dropped},
+		{12 * time.Second, ProcessLink{list(1), list(0)}, link.Forward, link.Up},
+		{20200 * time.Millisecond, backends, link.Forward, link.Cut},
+		{20200 * time.Millisecond, backends, link.Reverse, ""},
+		{20700 * time.Millisecond, backends, link.Forward, link.Up},
+		{21200 * time.Millisecond, backends, link.Forward, link.Cut},
+		{30 * time.Second, backends, link.Forward, link.Up},
 	} {
 		if other := follow(w, c.at, as); len(other) > 0 {
 			t.Errorf("%v: %v", c.at, other)
@@ -116,7 +116,7 @@
 		scenario.Fault{At: 6 * second, For: 1 * second, From: "n2", To: "counter", How: "refused"},
 	))
 	w.Begin(0)
-	as := map[wiredWay]link.How{}
+	as := map[wiredWay]link.Condition{}
 	number := uint64(0)
 	// passes sends a datagram, and tells how long it took; below 0: it was lost.
 	passes := func(at time.Duration, from, to int) time.Duration {
@@ -127,7 +127,7 @@
 			actions = append(actions, w.Step(next, Tick{})...)
 		}
 		for _, a := range actions {
-			if d, ok := a.Do.(Deliver); ok && d.Number == number {
+			if d, ok := a.Operation.(Deliver); ok && d.Number == number {
 				return a.Due - at
 			}
 		}
@@ -147,7 +147,7 @@
 	}
 	links := map[edge]LinkState{}
 	for _, do := range follow(w, 6500*time.Millisecond, as) {
-		if l, ok := do.(Link); ok {
+		if l, ok := do.(SetLinkState); ok {
 			links[edge{l.Gateway, l.Peer}] = l.State
 		}
 	}
@@ -155,7 +155,7 @@
 		t.Errorf("%v", links)
 	}
 	for _, do := range follow(w, 8*time.Second, as) {
-		if l, ok := do.(Link); ok {
+		if l, ok := do.(SetLinkState); ok {
 			links[edge{l.Gateway, l.Peer}] = l.State
 		}
 	}
--- a/internal/world/peers.go
+++ b/internal/world/peers.go
@@ -9,16 +9,16 @@
 }
 
 // Everyone stands for all gateways as the receiver of a datagram.
-const Everyone = -1
+const Broadcast = -1
 
-func (w *World) datagram(e Datagram) {
+func (w *Emulator) datagram(e Datagram) {
 	w.peers.sent++
 	w.Tally.Costs.Datagrams++
-	if !w.Judge.Datagram(w.now, e.From, e.Bytes) {
+	if !w.Referee.Datagram(w.now, e.From, e.Bytes) {
 		return
 	}
 	for to := range w.gateways {
-		if to != e.To && (e.To != Everyone || to == e.From) {
+		if to != e.To && (e.To != Broadcast || to == e.From) {
 			continue
 		}
 		salt := uint64(0)
--- a/internal/world/types.go
+++ b/internal/world/types.go
@@ -33,39 +33,39 @@
 	Closed struct{ Conn Conn }
 	// Arrived: a request has come whole at a backend.
 	Arrived struct {
-		Conn  Conn
-		ID    uint64
-		First time.Duration // when its first byte came
-		Class string        // of its path
-		Key   string
-		Body  Body
-		Same  bool // what the model does not know is as the client sent it
+		Conn      Conn
+		ID        uint64
+		FirstByte time.Duration // when its first byte came
+		Class     string        // of its path
+		Key       string
+		Body      Body
+		Unchanged bool // what the model does not know is as the client sent it
 	}
 	// Probed: a backend was asked for its health.
 	Probed struct{ Conn Conn }
 	// Called: the counter was called.
 	Called struct {
-		Conn Conn
-		Name string
-		Add  float64
-		Life time.Duration
+		Conn     Conn
+		Name     string
+		Add      float64
+		Lifetime time.Duration
 	}
 	// Looked: these of the connections that were to be looked at have been ended by
 	// the gateway.
-	Looked struct {
-		ID    uint64
-		Ended []Conn
+	ConnectionsChecked struct {
+		ID     uint64
+		Closed []Conn
 	}
 	// Taken: a request's last byte has been written to a gateway.
-	Taken struct{ ID uint64 }
+	RequestWritten struct{ ID uint64 }
 	// Answered: a client got an answer, or the beginning of one.
 	Answered struct {
-		ID      uint64
-		Status  int
-		Whole   bool
-		Body    Body
-		BodyErr error
-		Advice  time.Duration // Retry-After
+		ID         uint64
+		Status     int
+		Complete   bool
+		Body       Body
+		BodyErr    error
+		RetryAfter time.Duration // Retry-After
 	}
 	// Unanswered: the connection ended, or never came up, before any of an answer.
 	Unanswered struct {
@@ -74,19 +74,19 @@
 		Sent   bool // the request had gone out whole
 	}
 	// Extra: more came on a client's connection than was asked for.
-	Extra struct {
+	UnexpectedData struct {
 		Gateway int
 		ID      uint64 // the last request on it
 	}
 	// Told: a list has been written to a gateway.
-	Told struct {
+	ListDelivered struct {
 		Gateway int
 		Version int64
-		Whole   bool
+		Full    bool
 		Entries []Entry
 	}
 	// Enlisted: a list service has taken a backend's word, at a version.
-	Enlisted struct {
+	Registered struct {
 		Entry
 		Version int64
 	}
@@ -99,16 +99,16 @@
 	}
 	// Connectivity: a gateway reported its connectivity and the members that it holds present.
 	Connectivity struct {
-		Gateway    int
-		State, Why string
-		Present    []bool
+		Gateway       int
+		State, Reason string
+		Present       []bool
 	}
 	// Ready: a gateway takes clients.
 	Ready struct{ Gateway int }
 	// Exited: a gateway's process has ended.
 	Exited struct {
 		Gateway int
-		How     string
+		Cause   string
 	}
 )
 
@@ -133,8 +133,8 @@
 
 // Action is something for the driver to do.
 type Action struct {
-	Due time.Duration // when the model meant it to be done
-	Do  any
+	Due       time.Duration // when the model meant it to be done
+	Operation any
 }
 
 // The actions.
@@ -142,22 +142,22 @@
 	// Send a request as a client, on a new connection if it says so.
 	Send struct {
 		Request
-		Fresh bool
+		NewConnection bool
 	}
 	// Abandon a request: its connection is closed.
 	Abandon struct{ ID uint64 }
 	// Reply on a connection from a gateway.
 	Reply struct {
-		Conn   Conn
-		Status int
-		Unseen bool // the request was turned away unseen
-		Body   Body
-		Spoilt bool    // the body ends early, and the connection with it
-		Load   *Report // if told
-		Close  bool
+		Conn       Conn
+		Status     int
+		NotStarted bool // the request was turned away unseen
+		Body       Body
+		Truncated  bool        // the body ends early, and the connection with it
+		Load       *LoadReport // if told
+		Close      bool
 	}
 	// Total is an answer of the counter; a status of 503 turns the call away.
-	Total struct {
+	CounterReply struct {
 		Conn   Conn
 		Status int
 		Total  float64
@@ -166,35 +166,35 @@
 	Reset struct{ Conn Conn }
 	// Look whether connections have been ended by the gateway, and say so by Looked
 	// for the request.
-	Look struct {
-		ID    uint64
-		Conns []Conn
+	CheckConnections struct {
+		ID          uint64
+		Connections []Conn
 	}
 	// Link changes what lies between a gateway and a backend or the counter.
-	Link struct {
+	SetLinkState struct {
 		Gateway, Peer int
 		State         LinkState
 	}
 	// Rewire changes how one way of a link between processes carries.
-	Rewire struct {
-		Wire
-		Way link.Way
-		How link.How
+	SetRelayCondition struct {
+		ProcessLink
+		Direction link.Direction
+		Condition link.Condition
 	}
 	// Enlist tells discovery of a backend. Lost means that it says nothing more.
-	Enlist struct {
+	Register struct {
 		Entry
 		Lost bool
 	}
 	// Tell a gateway the whole list, where the world is the discovery.
-	Tell struct {
+	SendList struct {
 		Gateway int
 		Entries []Entry
 	}
 	// Lists changes what a gateway can hear of lists.
-	Lists struct {
+	SetListDelivery struct {
 		Gateway int
-		Held    bool // nothing is told
+		Paused  bool // nothing is told
 		Stale   bool // a whole list is the one from when this began
 	}
 	// Start, Kill, Stop, Freeze and Thaw a gateway's process.
@@ -210,9 +210,9 @@
 	FreezeService struct{ Service int }
 	ThawService   struct{ Service int }
 	// Rude connections are opened to a gateway and end after a while.
-	Rude struct {
+	HoldConnections struct {
 		Gateway, Connections int
-		For                  time.Duration
+		Duration             time.Duration
 	}
 	// Deliver a datagram that came before.
 	Deliver struct {
@@ -235,20 +235,20 @@
 
 // Request is one try of a client.
 type Request struct {
-	ID       uint64
-	Gateway  int
-	Class    int
-	Plan     int
-	Customer uint64
-	Set      int // number of the first gateway of the customer's set
-	Left     time.Duration
-	Key      string // where its class is keyed
-	Body     Body
-	Repeat   bool
+	ID           uint64
+	Gateway      int
+	Class        int
+	Plan         int
+	Customer     uint64
+	FirstGateway int // number of the first gateway of the customer's set
+	Remaining    time.Duration
+	Key          string // where its class is keyed
+	Body         Body
+	Retry        bool
 }
 
 // Report is what a backend tells of its load.
-type Report struct {
-	Held, Waiting int
-	Busy          float64
+type LoadReport struct {
+	Outstanding, Queued int
+	Utilization         float64
 }
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -12,9 +12,9 @@
 )
 
 // World is one fleet's surroundings.
-type World struct {
-	Judge *referee.Referee
-	Tally *results.Tally
+type Emulator struct {
+	Referee *referee.Referee
+	Tally   *results.Tally
 
 	s        *scenario.Scenario
 	now      time.Duration
@@ -37,8 +37,8 @@
 	said     []string // connectivity that each gateway reported last
 	broken   []*broken
 
-	struckServices map[int]bool          // list services that a fault has
-	wired          map[wiredWay]link.How // as the driver was told
+	struckServices map[int]bool                // list services that a fault has
+	wired          map[wiredWay]link.Condition // as the driver was told
 	stale          int
 }
 
@@ -89,9 +89,9 @@
 
 // New returns the world of a scenario, which begins with Begin. The scenario has
 // to be one that Check finds no fault with.
-func New(s *scenario.Scenario) *World {
-	w := &World{s: s, Judge: referee.New(s), Tally: results.New(s), groups: map[group]map[string]time.Duration{}, conns: map[Conn]*conn{},
-		links: map[edge]LinkState{}, faults: rand.New(rand.NewPCG(s.Seed, streamFaults)), cuts: map[int]int{}, heard: map[edge]Entry{}, wired: map[wiredWay]link.How{}, struckServices: map[int]bool{}}
+func New(s *scenario.Scenario) *Emulator {
+	w := &Emulator{s: s, Referee: referee.New(s), Tally: results.New(s), groups: map[group]map[string]time.Duration{}, conns: map[Conn]*conn{},
+		links: map[edge]LinkState{}, faults: rand.New(rand.NewPCG(s.Seed, streamFaults)), cuts: map[int]int{}, heard: map[edge]Entry{}, wired: map[wiredWay]link.Condition{}, struckServices: map[int]bool{}}
 	w.counter.names = map[string]*number{}
 	w.gateways = make([]gateway, s.Fleet.Gateways)
 	for g := range w.gateways {
@@ -107,10 +107,10 @@
 }
 
 // Zone is where a gateway stands.
-func (w *World) Zone(g int) int { return w.gateways[g].zone }
+func (w *Emulator) Zone(g int) int { return w.gateways[g].zone }
 
 // Entries is the list as discovery has it.
-func (w *World) Entries() []Entry {
+func (w *Emulator) Entries() []Entry {
 	var all []Entry
 	for _, b := range w.backends {
 		if b.listed {
@@ -121,7 +121,7 @@
 }
 
 // Begin starts the day; gateways have been started and are ready, or will be.
-func (w *World) Begin(now time.Duration) []Action {
+func (w *Emulator) Begin(now time.Duration) []Action {
 	w.now = now
 	w.begun = true
 	w.ground()
@@ -135,7 +135,7 @@
 
 // Step tells the world of an event, and of the time. An event's time is never
 // before one that was told earlier.
-func (w *World) Step(now time.Duration, e Event) []Action {
+func (w *Emulator) Step(now time.Duration, e Event) []Action {
 	for len(w.timers) > 0 && w.timers[0].at <= now {
 		t := heap.Pop(&w.timers).(timer)
 		w.now = max(w.now, t.at)
@@ -154,20 +154,20 @@
 		w.probed(e)
 	case Called:
 		w.called(e)
-	case Looked:
+	case ConnectionsChecked:
 		w.looked(e)
-	case Taken:
-		w.Judge.Taken(w.now, e.ID)
+	case RequestWritten:
+		w.Referee.Taken(w.now, e.ID)
 	case Answered:
 		w.answered(e)
 	case Unanswered:
 		w.unanswered(e)
-	case Extra:
-		w.Judge.Extra(w.now, e.Gateway, e.ID)
-	case Told:
+	case UnexpectedData:
+		w.Referee.Extra(w.now, e.Gateway, e.ID)
+	case ListDelivered:
 		w.told(e)
-	case Enlisted:
-		w.Judge.Enlisted(w.now, e.Backend, states[e.Lifecycle], e.Started, e.Version)
+	case Registered:
+		w.Referee.Enlisted(w.now, e.Backend, states[e.Lifecycle], e.Started, e.Version)
 	case Datagram:
 		w.datagram(e)
 	case Connectivity:
@@ -183,7 +183,7 @@
 }
 
 // Next is when something is due that no event brings.
-func (w *World) Next() (time.Duration, bool) {
+func (w *Emulator) Next() (time.Duration, bool) {
 	if len(w.timers) == 0 {
 		return 0, false
 	}
@@ -191,27 +191,27 @@
 }
 
 // Done says whether the day is over and all requests have ended.
-func (w *World) Done() bool {
+func (w *Emulator) Done() bool {
 	return w.begun && w.clients.over && len(w.clients.open) == 0 && w.clients.pauses == 0
 }
 
 // End judges what only the whole day shows.
-func (w *World) End(now time.Duration) { w.Judge.End(now) }
+func (w *Emulator) End(now time.Duration) { w.Referee.End(now) }
 
-func (w *World) take() []Action {
+func (w *Emulator) take() []Action {
 	out := w.out
 	w.out = nil
 	return out
 }
 
-func (w *World) do(action any) { w.out = append(w.out, Action{w.now, action}) }
+func (w *Emulator) do(action any) { w.out = append(w.out, Action{w.now, action}) }
 
-func (w *World) at(at time.Duration, do func()) {
+func (w *Emulator) at(at time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.timers, timer{at, w.order, do})
 }
 
-func (w *World) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (w *Emulator) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
 // mix spreads the bits of its arguments, so that what is drawn for a request
 // depends on nothing but the request.
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -44,7 +44,7 @@
 func TestSoundGatewaysBreakNoRule(t *testing.T) {
 	for seed := range uint64(20) {
 		h := playDoubles(troubled(seed), "")
-		violations, counts := h.w.Judge.Violations()
+		violations, counts := h.w.Referee.Violations()
 		if len(counts) > 0 {
 			t.Errorf("seed %d: %v\n%v", seed, counts, violations[0])
 		}
@@ -60,7 +60,7 @@
 		s := troubled(seed)
 		s.Draw()
 		h := playDoubles(s, "")
-		if violations, counts := h.w.Judge.Violations(); len(counts) > 0 || !h.w.Done() {
+		if violations, counts := h.w.Referee.Violations(); len(counts) > 0 || !h.w.Done() {
 			t.Errorf("seed %d: done %v, %v\n%v\n%+v", seed, h.w.Done(), counts, violations, s.Faults)
 		}
 	}
@@ -83,7 +83,7 @@
 	var got []string
 	for next, ok := w.Next(); ok && next < 13*time.Second; next, ok = w.Next() {
 		for _, a := range w.Step(next, Tick{}) {
-			switch do := a.Do.(type) {
+			switch do := a.Operation.(type) {
 			case KillService, StartService, FreezeService, ThawService, Freeze, Start:
 				got = append(got, fmt.Sprintf("%v %T %v", a.Due, do, do))
 			case Kill:
@@ -126,7 +126,7 @@
 			s.Faults[0].Part = 1
 		}
 		h := playDoubles(s, defect)
-		violations, counts := h.w.Judge.Violations()
+		violations, counts := h.w.Referee.Violations()
 		if h.planted == 0 || counts[rule] == 0 {
 			t.Errorf("%s: acted out %d times, told as %v, not as %s", defect, h.planted, counts, rule)
 			continue
@@ -154,10 +154,10 @@
 func TestTrials(t *testing.T) {
 	untried := func(s *scenario.Scenario) []string {
 		h := playDoubles(s, "")
-		if _, counts := h.w.Judge.Violations(); len(counts) > 0 {
+		if _, counts := h.w.Referee.Violations(); len(counts) > 0 {
 			t.Errorf("broken: %v", counts)
 		}
-		return referee.Untried(h.w.Judge.Trials(), referee.Rules())
+		return referee.Untried(h.w.Referee.Trials(), referee.Rules())
 	}
 	pressed := func(change func(s *scenario.Scenario)) *scenario.Scenario {
 		s := troubled(3)
@@ -203,8 +203,8 @@
 // more to be judged by once a later process has registered.
 func TestListsAreHeldToTheirWord(t *testing.T) {
 	const draining, started = 3, 5 * time.Second
-	list := func(version int64, whole bool, l Lifecycle, at time.Duration) Told {
-		return Told{Gateway: 0, Version: version, Whole: whole, Entries: []Entry{{Backend: draining, Lifecycle: l, Started: at}}}
+	list := func(version int64, whole bool, l Lifecycle, at time.Duration) ListDelivered {
+		return ListDelivered{Gateway: 0, Version: version, Full: whole, Entries: []Entry{{Backend: draining, Lifecycle: l, Started: at}}}
 	}
 	for name, c := range map[string]struct {
 		told          []Event // before and after version 7 is known to drain it
@@ -214,14 +214,14 @@
 		"told among changes":      {[]Event{list(6, true, Serving, started), list(8, false, Draining, started)}, false, true},
 		"an older list":           {[]Event{list(6, true, Serving, started)}, false, false},
 		"dropped":                 {[]Event{list(7, true, Serving, started)}, true, true},
-		"dropped among changes":   {[]Event{list(6, true, Serving, started), Told{Version: 8}}, true, true},
-		"gone from a whole list":  {[]Event{list(6, true, Serving, started), Told{Version: 8, Whole: true}}, false, true},
+		"dropped among changes":   {[]Event{list(6, true, Serving, started), ListDelivered{Version: 8}}, true, true},
+		"gone from a whole list":  {[]Event{list(6, true, Serving, started), ListDelivered{Version: 8, Full: true}}, false, true},
 		"a later process is told": {[]Event{list(9, true, Serving, 2*started)}, false, false},
 	} {
 		for _, early := range []bool{false, true} {
 			s := troubled(1)
 			w := New(s)
-			word := Enlisted{Entry{Backend: draining, Lifecycle: Draining, Started: started}, 7}
+			word := Registered{Entry{Backend: draining, Lifecycle: Draining, Started: started}, 7}
 			if early {
 				w.Step(0, word)
 			}
@@ -231,8 +231,8 @@
 			if !early {
 				w.Step(0, word)
 			}
-			_, counts := w.Judge.Violations()
-			untried := referee.Untried(w.Judge.Trials(), []string{referee.List})
+			_, counts := w.Referee.Violations()
+			untried := referee.Untried(w.Referee.Trials(), []string{referee.List})
 			if (counts[referee.List] > 0) != c.broken || (len(untried) == 0) != c.tried {
 				t.Errorf("%s, its word first %v: broken %v, untried %v", name, early, counts, untried)
 			}
@@ -249,11 +249,11 @@
 		s.Plans[i].CeilingRate, s.Plans[i].CeilingBurst, s.Plans[i].CeilingSlack = 1, 12, 2
 	}
 	h := playDoubles(s, "")
-	if _, counts := h.w.Judge.Violations(); counts[referee.Ceiling] == 0 || len(counts) != 1 {
+	if _, counts := h.w.Referee.Violations(); counts[referee.Ceiling] == 0 || len(counts) != 1 {
 		t.Errorf("told as %v", counts)
 	}
-	if len(referee.Untried(h.w.Judge.Trials(), []string{"ceiling/up"})) > 0 || h.w.Judge.Low() == 0 {
-		t.Errorf("tried: %v", h.w.Judge.Trials())
+	if len(referee.Untried(h.w.Referee.Trials(), []string{"ceiling/up"})) > 0 || h.w.Referee.Low() == 0 {
+		t.Errorf("tried: %v", h.w.Referee.Trials())
 	}
 }
 
@@ -265,7 +265,7 @@
 		if err := h.w.Tally.JSON(&out); err != nil {
 			t.Fatal(err)
 		}
-		violations, _ := h.w.Judge.Violations()
+		violations, _ := h.w.Referee.Violations()
 		for _, v := range violations {
 			out.WriteString(v.String())
 		}
@@ -292,11 +292,11 @@
 		}
 		take := func(actions []Action) {
 			for _, a := range actions {
-				if send, ok := a.Do.(Send); ok {
+				if send, ok := a.Operation.(Send); ok {
 					send.Gateway = 0 // the front's choice follows the gateways' states
 					all = append(all, send.Request)
 					if defect != "" {
-						w.Step(a.Due, Answered{ID: send.ID, Status: 503, Whole: true})
+						w.Step(a.Due, Answered{ID: send.ID, Status: 503, Complete: true})
 					}
 				}
 			}
@@ -337,7 +337,7 @@
 		send := func(now time.Duration) []Action {
 			n++
 			w.clients.open[n] = &try{wish: &wish{at: now, work: work, worth: 1}, id: n, due: now + time.Hour}
-			return append(w.Step(now, Opened{Conn(n), 0, 0}), w.Step(now, Arrived{Conn: Conn(n), ID: n, First: now, Class: s.Classes[0].Name, Same: true})...)
+			return append(w.Step(now, Opened{Conn(n), 0, 0}), w.Step(now, Arrived{Conn: Conn(n), ID: n, FirstByte: now, Class: s.Classes[0].Name, Unchanged: true})...)
 		}
 		var queue []Action
 		for range atOnce {
@@ -348,7 +348,7 @@
 			for len(queue) > 0 {
 				a := queue[0]
 				queue = queue[1:]
-				if r, ok := a.Do.(Reply); ok {
+				if r, ok := a.Operation.(Reply); ok {
 					if r.Status == 200 {
 						done++
 					} else {
@@ -414,7 +414,7 @@
 			actions = append(actions, w.Step(next, Tick{})...)
 		}
 		for _, a := range actions {
-			if total, ok := a.Do.(Total); ok && total.Status == 200 {
+			if total, ok := a.Operation.(CounterReply); ok && total.Status == 200 {
 				totals = append(totals, total.Total)
 			} else if ok {
 				turned++
@@ -437,7 +437,7 @@
 	w.Step(11*time.Second, Opened{2, 0, Counter})
 	var back []float64
 	for _, a := range append(w.Step(11*time.Second, Called{2, "a", 2, 5 * time.Second}), w.Step(11500*time.Millisecond, Tick{})...) {
-		if total, ok := a.Do.(Total); ok {
+		if total, ok := a.Operation.(CounterReply); ok {
 			back = append(back, total.Total)
 		}
 	}
