--- a/internal/registry/agreed_test.go
+++ b/internal/registry/agreed_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// fakeGroup agrees at once, or loses its writer in the middle: then nobody knows whether
-// the records are taken, and they come by the next writer, or never.
+// fakeGroup commits records immediately or loses its writer during Append. The outcome is then
+// unknown to the writer: the records may or may not be committed.
 type fakeGroup struct {
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -32,7 +32,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.index != f.writer {
-		return errors.New("another writes")
+		return errors.New("another member is the writer")
 	}
 	lost := f.random.IntN(4) == 0
 	committed := !lost || f.random.IntN(2) == 0
@@ -41,7 +41,7 @@
 	}
 	if committed {
 		for n, member := range f.members {
-			if f.defect != "a member misses what its writer was not told of" || !lost || n != f.index {
+			if f.defect != "a replaced writer does not apply committed records" || !lost || n != f.index {
 				member.ApplyList(records)
 			}
 		}
@@ -51,7 +51,7 @@
 	}
 	f.writer = f.random.IntN(len(f.members))
 	f.members[f.writer].SetWriter(true, "")
-	return errors.New("it is not known")
+	return errors.New("outcome unknown")
 }
 
 func (f *fakeGroup) writerIndex() int {
@@ -60,9 +60,9 @@
 	return f.writer
 }
 
-// compare looks whether the members have one list, and in it what was kept.
+// checkMembers checks that all members have the same list, with all acknowledged writes.
 func (f *fakeGroup) checkMembers(acknowledged map[string]int64, lastStart int64) error {
-	f.mu.Lock() // the history's beginning may be on its way
+	f.mu.Lock() // the beginning of the history may be in progress
 	defer f.mu.Unlock()
 	snapshots := map[string]bool{}
 	for n, member := range f.members {
@@ -71,19 +71,18 @@
 		for id, started := range acknowledged {
 			if e := member.store.entries[id]; e == nil || e.StartedAtMs < started || e.StartedAtMs > lastStart {
 				member.mu.Unlock()
-				return fmt.Errorf("member %d has %+v of %s, which was at %d", n, e, id, started)
+				return fmt.Errorf("member %d has %+v for %s, expected a start of at least %d", n, e, id, started)
 			}
 		}
 		member.mu.Unlock()
 	}
 	if len(snapshots) > 1 {
-		return fmt.Errorf("members differ: %d lists", len(snapshots))
+		return fmt.Errorf("members have %d different lists", len(snapshots))
 	}
 	return nil
 }
 
-// agree has a group's list written through changes of its writer, and says what is
-// wrong with it.
+// runGroup writes to a group while its writer changes, and returns the first violation.
 func runGroup(t *testing.T, seed uint64, defect string) error {
 	group := &fakeGroup{random: rand.New(rand.NewPCG(seed, 1)), defect: defect}
 	ctx, stop := context.WithCancel(t.Context())
@@ -101,7 +100,7 @@
 	group.members[0].SetWriter(true, "")
 	for end := time.Now().Add(testTimeout); !group.members[group.writerIndex()].hasHistory(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			return errors.New("no history was begun")
+			return errors.New("no history has begun")
 		}
 	}
 	random := rand.New(rand.NewPCG(seed, 2))
@@ -110,14 +109,14 @@
 	for range 150 {
 		lastStart++
 		instance := Instance{ID: fmt.Sprint("s-", random.IntN(5)), HostPort: "127.0.0.1:1", Zone: "a", MachineType: "m", Weight: 1, StartedAtMs: lastStart}
-		if random.IntN(3) > 0 { // it may move from service to service
+		if random.IntN(3) > 0 { // instances may move between services
 			instance.Service, instance.Region = fmt.Sprint("service-", random.IntN(4)), "r"
 		}
 		member := group.members[group.writerIndex()]
 		result, err := member.writeChange(func(now time.Duration) (WriteResult, error) { return member.store.Register(now, instance, nil) })
 		if err == nil {
 			if result.Lifecycle != Ready {
-				return fmt.Errorf("answered %+v", result)
+				return fmt.Errorf("acknowledged with %+v, expected Ready", result)
 			}
 			acknowledged[instance.ID] = lastStart
 			answered++
@@ -125,7 +124,7 @@
 		if err := group.checkMembers(acknowledged, lastStart); err != nil {
 			return err
 		}
-		if seed%2 == 0 && random.IntN(10) == 0 { // a member starts again from a snapshot
+		if seed%2 == 0 && random.IntN(10) == 0 { // a member restarts from a snapshot
 			group.mu.Lock()
 			restored := group.members[random.IntN(3)]
 			err := restored.RestoreList(restored.SaveList())
@@ -136,20 +135,20 @@
 		}
 	}
 	if answered < 30 {
-		return fmt.Errorf("%d writes were answered", answered)
+		return fmt.Errorf("%d writes were acknowledged, expected at least 30", answered)
 	}
 	return nil
 }
 
-// begun says whether a history has begun here.
+// hasHistory reports whether a history has begun.
 func (s *Server) hasHistory() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.store.history != ""
 }
 
-// Through any changes of who writes, also in the middle of a change of which nobody knows
-// whether it is taken, all members have one list, with all that was answered as done.
+// All members have the same list with all acknowledged writes, even if the writer changes while
+// the outcome of a write is unknown.
 func TestGroupMembersApplyTheSameList(t *testing.T) {
 	for seed := range uint64(10) {
 		if err := runGroup(t, seed, ""); err != nil {
@@ -158,15 +157,15 @@
 	}
 	found := 0
 	for seed := range uint64(4) {
-		if runGroup(t, seed, "a member misses what its writer was not told of") != nil {
+		if runGroup(t, seed, "a replaced writer does not apply committed records") != nil {
 			found++
 		}
 	}
 	if found < 3 {
-		t.Errorf("the defect is found in %d of 4", found)
+		t.Errorf("the planted defect was found with %d of 4 seeds, expected at least 3", found)
 	}
 	member := NewGroupMember("a", Limits{Lease: time.Second, Instances: 1, History: 1, HistoryBytes: 1}, ServerLimits{Connections: 1, Watchers: 1, ListingsPerSecond: 1}, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	if _, err := member.store.Read(time.Hour, -1, ""); err == nil || !strings.Contains(err.Error(), "not complete yet") || member.ready() {
-		t.Errorf("a list that has not begun is read: %v", err)
+		t.Errorf("read before a history has begun: %v", err)
 	}
 }
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -18,8 +18,8 @@
 	"dunlintray/internal/wal"
 )
 
-// BenchmarkChange counts what one change costs with so many watchers, each of
-// which asks again when it has been told.
+// BenchmarkChange measures one change with a number of watchers, each of which sends its next
+// request after an answer.
 func BenchmarkChange(b *testing.B) {
 	for _, watchers := range []int{1, 30, 300} {
 		b.Run(fmt.Sprint(watchers, "watchers"), func(b *testing.B) {
@@ -29,19 +29,19 @@
 			for n := range 200 {
 				store.Register(0, testInstance(fmt.Sprint("instance-", n), 1), nil)
 			}
-			s := NewWriter("self", store, testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			server := NewWriter("self", store, testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
 			}
-			server := &http.Server{Handler: s.Handler()}
-			go server.Serve(l)
-			defer server.Close()
+			httpServer := &http.Server{Handler: server.Handler()}
+			go httpServer.Serve(listener)
+			defer httpServer.Close()
 			before := heapBytes()
 			versions := make(chan int64, watchers)
 			var conns []net.Conn
 			for range watchers {
-				conn, err := net.Dial("tcp", l.Addr().String())
+				conn, err := net.Dial("tcp", listener.Addr().String())
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -49,7 +49,7 @@
 				conns = append(conns, conn)
 				sendWatch(conn, store.version)
 			}
-			for s.metrics.watchers.Load() < int64(watchers) {
+			for server.metrics.watchers.Load() < int64(watchers) {
 				runtime.Gosched()
 			}
 			perWatcher := float64(heapBytes()-before) / float64(watchers)
@@ -70,11 +70,11 @@
 					}
 				}()
 			}
-			statsBefore, bytes := store.Stats(), s.metrics.bytes.Load()
+			statsBefore, bytes := store.Stats(), server.metrics.bytes.Load()
 			b.ResetTimer()
 			for n := range b.N {
-				result, err := s.change(func(stats time.Duration) (WriteResult, error) {
-					s.lastWake = time.Time{} // no waiting for further changes
+				result, err := server.change(func(stats time.Duration) (WriteResult, error) {
+					server.lastWake = time.Time{} // do not wait for further changes
 					return store.Register(stats, testInstance(fmt.Sprint("instance-", n%200), int64(n+2)), nil)
 				})
 				if err != nil {
@@ -82,10 +82,10 @@
 				}
 				for range watchers {
 					if v := <-versions; v != result.Version {
-						b.Fatalf("told of %d, not %d", v, result.Version)
+						b.Fatalf("received version %d, expected %d", v, result.Version)
 					}
 				}
-				for s.metrics.watchers.Load() < int64(watchers) {
+				for server.metrics.watchers.Load() < int64(watchers) {
 					runtime.Gosched()
 				}
 			}
@@ -93,7 +93,7 @@
 			stats := store.Stats()
 			b.ReportMetric(float64(stats.ChangesEncoded-statsBefore.ChangesEncoded)/float64(b.N), "encoded/op")
 			b.ReportMetric(float64(stats.AnswersEncoded-statsBefore.AnswersEncoded)/float64(b.N), "joined/op")
-			b.ReportMetric(float64(s.metrics.bytes.Load()-bytes)/float64(b.N)/float64(watchers), "B/watcher/op")
+			b.ReportMetric(float64(server.metrics.bytes.Load()-bytes)/float64(b.N)/float64(watchers), "B/watcher/op")
 			b.ReportMetric(perWatcher, "B/watcher")
 			b.ReportMetric(float64(stats.Bytes)/float64(stats.History), "B/change")
 		})
@@ -104,7 +104,7 @@
 	fmt.Fprintf(w, "GET %s?since=%d&timeout_ms=60000 HTTP/1.1\r\nHost: a\r\n\r\n", Path, since)
 }
 
-// heap is what is in use of it and of stacks.
+// heapBytes returns the bytes in use by heap and stacks.
 func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -113,18 +113,18 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkRecovery opens a folder with so many instances, from the log alone, from
-// a log ten times as long, and from a snapshot.
+// BenchmarkRecovery opens a data directory from a log, from a log with ten times the records, and
+// from a snapshot.
 func BenchmarkRecovery(b *testing.B) {
 	const maxBytes = 4 << 30
 	limits := Limits{Lease: time.Minute, Instances: 1 << 20, History: 20_000, HistoryBytes: 8 << 20}
 	for _, instances := range []int{1000, 10_000, 100_000} {
-		for _, c := range []struct {
+		for _, test := range []struct {
 			name     string
 			rounds   int
 			snapshot bool
 		}{{"log", 1, false}, {"log10", 10, false}, {"snapshot", 10, true}} {
-			b.Run(fmt.Sprintf("%d/%s", instances, c.name), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%d/%s", instances, test.name), func(b *testing.B) {
 				slog.SetDefault(slog.New(slog.DiscardHandler))
 				dir := wal.Dir(b.TempDir())
 				log, _, err := Open(dir, maxBytes, limits, 0)
@@ -134,7 +134,7 @@
 				store := NewStore(limits, "h", 1000, 0)
 				log.Append([][]byte{encodeRecord(store.SnapshotRecords()[0])})
 				store.EnableStaging()
-				for round := range c.rounds {
+				for round := range test.rounds {
 					for n := range instances {
 						store.Register(0, testInstance(fmt.Sprint("instance-", n), int64(round)), nil)
 						if len(store.staged) == 1000 || n == instances-1 {
@@ -145,7 +145,7 @@
 						}
 					}
 				}
-				if c.snapshot {
+				if test.snapshot {
 					if err := writeSnapshot(log, log.LastSequence(), store.SnapshotRecords()); err != nil {
 						b.Fatal(err)
 					}
@@ -168,28 +168,28 @@
 	}
 }
 
-// BenchmarkWrites has so many writers each change an instance of its own, kept on
-// disk and in memory.
+// BenchmarkWrites measures concurrent writers that each change their own instance, with and
+// without persistence.
 func BenchmarkWrites(b *testing.B) {
 	limits := Limits{Lease: time.Hour, Instances: 1000, History: 20_000, HistoryBytes: 8 << 20}
 	for _, persisted := range []bool{true, false} {
 		for _, writers := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("kept=%t/%d", persisted, writers), func(b *testing.B) {
 				slog.SetDefault(slog.New(slog.DiscardHandler))
-				s := NewWriter("self", NewStore(limits, "h", 1000, 0), testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
+				server := NewWriter("self", NewStore(limits, "h", 1000, 0), testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
 				var log *wal.Log
 				if persisted {
 					var err error
 					if log, _, err = Open(wal.Dir(b.TempDir()), 512<<20, limits, 0); err != nil {
 						b.Fatal(err)
 					}
-					if err := s.Persist(log, true); err != nil {
+					if err := server.Persist(log, true); err != nil {
 						b.Fatal(err)
 					}
 					ctx, stop := context.WithCancel(context.Background())
 					ended := make(chan error, 1)
-					go func() { ended <- s.persister.run(ctx) }()
-					defer func() { stop(); <-ended; s.snapshots.Wait() }()
+					go func() { ended <- server.persister.run(ctx) }()
+					defer func() { stop(); <-ended; server.snapshots.Wait() }()
 				}
 				var next atomic.Int64
 				var wg sync.WaitGroup
@@ -197,8 +197,8 @@
 				for n := range writers {
 					wg.Go(func() {
 						for started := next.Add(1); started <= int64(b.N); started = next.Add(1) {
-							_, err := s.writeChange(func(now time.Duration) (WriteResult, error) {
-								return s.store.Register(now, testInstance(fmt.Sprint("s-", n), started), nil)
+							_, err := server.writeChange(func(now time.Duration) (WriteResult, error) {
+								return server.store.Register(now, testInstance(fmt.Sprint("s-", n), started), nil)
 							})
 							if err != nil {
 								b.Error(err)
--- a/internal/registry/feed_test.go
+++ b/internal/registry/feed_test.go
@@ -14,10 +14,9 @@
 	return Listing{Generation: version, Reset: true, Instances: instances}
 }
 
-// A reader keeps to the last good list, goes on with changes from any service,
-// and knows another history from an older version of its own.
+// A feed accepts changes from any server but rejects older versions and abandoned histories.
 func TestFeedAcceptsOnlyCurrentAnswers(t *testing.T) {
-	f := newTestFeed("a")
+	feed := newTestFeed("a")
 	drained := testInstance("x", 1)
 	drained.Lifecycle = Terminating
 	gone := testInstance("y", 1)
@@ -30,103 +29,103 @@
 	}{
 		{Listing{Generation: 5}, "h1", errNoFullList, Listing{}},
 		{fullList(5, testInstance("x", 1), testInstance("y", 1)), "h1", nil, fullList(5, testInstance("x", 1), testInstance("y", 1))},
-		{fullList(5, testInstance("x", 1), testInstance("y", 1)), "h1", nil, Listing{Generation: 5}}, // nothing new
+		{fullList(5, testInstance("x", 1), testInstance("y", 1)), "h1", nil, Listing{Generation: 5}}, // no changes
 		{Listing{Generation: 6, Instances: []Instance{drained, gone}}, "h1", nil, Listing{Generation: 6, Instances: []Instance{drained, gone}}},
-		{fullList(5, testInstance("x", 1), testInstance("y", 1)), "h1", errOlderVersion, Listing{}},       // from one that lags
-		{Listing{Generation: 6, Instances: []Instance{drained, gone}}, "h1", nil, Listing{Generation: 6}}, // told again
+		{fullList(5, testInstance("x", 1), testInstance("y", 1)), "h1", errOlderVersion, Listing{}},       // from a lagging follower
+		{Listing{Generation: 6, Instances: []Instance{drained, gone}}, "h1", nil, Listing{Generation: 6}}, // repeated
 		{fullList(9, testInstance("z", 1)), "h1", nil, Listing{Generation: 9, Instances: []Instance{testInstance("z", 1), func() Instance { i := drained; i.Lifecycle = Gone; return i }()}}},
 		{Listing{Generation: 20}, "h2", errNoFullList, Listing{}},
-		{fullList(3, testInstance("z", 1)), "h2", nil, fullList(3, testInstance("z", 1))}, // a service that was replaced
-		{fullList(99, testInstance("x", 1)), "h1", errPastHistory, Listing{}},             // and one that has not heard of it
+		{fullList(3, testInstance("z", 1)), "h2", nil, fullList(3, testInstance("z", 1))}, // a new writer
+		{fullList(99, testInstance("x", 1)), "h1", errPastHistory, Listing{}},             // a server that still has the old history
 	} {
-		changes, err := f.Answered(step.listing, step.history, 0)
+		changes, err := feed.Answered(step.listing, step.history, 0)
 		if !errors.Is(err, step.err) || changes.Generation != step.changes.Generation || changes.Reset != step.changes.Reset ||
 			!slices.Equal(changes.Instances, step.changes.Instances) {
 			t.Fatalf("step %d: %+v, %v; want %+v, %v", n, changes, err, step.changes, step.err)
 		}
 	}
 	for range 3 * maxPastHistories {
-		if f.Answered(fullList(1), "h"+string(rune('a'+len(f.pastHistories))), 0); len(f.pastHistories) > maxPastHistories {
-			t.Fatalf("%d histories are remembered", len(f.pastHistories))
+		if feed.Answered(fullList(1), "h"+string(rune('a'+len(feed.pastHistories))), 0); len(feed.pastHistories) > maxPastHistories {
+			t.Fatalf("%d past histories are kept", len(feed.pastHistories))
 		}
 	}
 }
 
-// A follower that lags in a history that the reader never had does not lead it back, and a
-// reader that was led back comes to the later history again, as long as one has it.
+// A lagging follower with an older history does not move a feed back, and a feed that had to
+// move back returns to the later history when a server has it.
 func TestFeedRejectsLaggingHistories(t *testing.T) {
-	f := newTestFeed("a", "b", "c")
+	feed := newTestFeed("a", "b", "c")
 	step := func(version int64, history string, want error) {
 		t.Helper()
-		if _, err := f.Answered(fullList(version, testInstance("x", version)), history, 0); !errors.Is(err, want) {
+		if _, err := feed.Answered(fullList(version, testInstance("x", version)), history, 0); !errors.Is(err, want) {
 			t.Fatalf("%s/%d: %v, want %v", history, version, err, want)
 		}
 	}
 	step(100, "h1", nil)
 	step(300, "h3", nil)
-	step(200, "h2", errPastHistory) // of one that lags
-	f.Failed(0)
+	step(200, "h2", errPastHistory) // from a lagging follower
+	feed.Failed(0)
 	step(310, "h3", nil)
-	for range 2 { // nobody else answers
+	for range 2 { // no other server answers
 		step(200, "h2", errPastHistory)
-		f.Failed(0)
+		feed.Failed(0)
 	}
 	step(200, "h2", nil)
-	for range 3 { // one that was left, in the first round
+	for range 3 { // an abandoned history, during the first round of failures
 		step(400, "h3", errPastHistory)
-		f.Failed(0)
+		feed.Failed(0)
 	}
-	step(110, "h1", errPastHistory) // older than what is had
+	step(110, "h1", errPastHistory) // older than the current version
 	step(400, "h3", nil)
-	f.Failed(0)
-	f.Failed(0)
-	f.Failed(0)
+	feed.Failed(0)
+	feed.Failed(0)
+	feed.Failed(0)
 	step(210, "h2", errPastHistory)
 }
 
-// At a failure the next address has its turn soon; after a round the pauses grow,
-// with jitter, to a bound, and not below what a service asks for.
+// After a failure the next address follows soon; after a full round the backoff grows with jitter
+// to its maximum, and honors Retry-After.
 func TestFeedBacksOff(t *testing.T) {
-	f := newTestFeed("a", "b", "c")
-	firstAddress := f.Next().Address
+	feed := newTestFeed("a", "b", "c")
+	firstAddress := feed.Next().Address
 	seen := map[string]bool{firstAddress: true}
 	for range 2 {
-		if delay := f.Failed(0); delay > maxNextAddressDelay {
-			t.Errorf("%v to the next address", delay)
+		if delay := feed.Failed(0); delay > maxNextAddressDelay {
+			t.Errorf("delay of %v to the next address", delay)
 		}
-		seen[f.Next().Address] = true
+		seen[feed.Next().Address] = true
 	}
 	if len(seen) != 3 {
-		t.Errorf("asked %v", seen)
+		t.Errorf("requested %v, expected 3 addresses", seen)
 	}
 	longest := time.Duration(0)
 	for round := range 20 {
-		delay := f.Failed(0)
+		delay := feed.Failed(0)
 		backoff := min(initialBackoff<<min(round/3, 10), maxBackoff)
 		if delay < backoff/2 || delay > backoff+backoff/2 {
-			t.Errorf("%v after %d failures, about %v", delay, f.failures, backoff)
+			t.Errorf("delay of %v after %d failures, expected about %v", delay, feed.failures, backoff)
 		}
 		longest = max(longest, delay)
 	}
-	if f.Next().Address == "" || longest < maxBackoff/2 {
-		t.Errorf("never more than %v", longest)
+	if feed.Next().Address == "" || longest < maxBackoff/2 {
+		t.Errorf("longest delay is %v", longest)
 	}
-	if delay := f.Failed(40 * time.Second); delay < 40*time.Second || delay > time.Minute {
-		t.Errorf("%v where 40 s were asked for", delay)
+	if delay := feed.Failed(40 * time.Second); delay < 40*time.Second || delay > time.Minute {
+		t.Errorf("delay of %v with a Retry-After of 40 s", delay)
 	}
-	if delay := f.Failed(time.Hour); delay > 90*time.Second {
-		t.Errorf("%v where an hour was asked for", delay)
+	if delay := feed.Failed(time.Hour); delay > 90*time.Second {
+		t.Errorf("delay of %v with a Retry-After of an hour", delay)
 	}
-	if f.Answered(fullList(1), "h", 0); f.failures != 0 {
-		t.Error("a success is not one")
+	if feed.Answered(fullList(1), "h", 0); feed.failures != 0 {
+		t.Error("a success does not reset the failures")
 	}
-	address := f.Next().Address
-	if f.Answered(fullList(2), "h", 2*staleAge); f.Next().Address == address {
-		t.Error("stays with a follower that lags")
+	address := feed.Next().Address
+	if feed.Answered(fullList(2), "h", 2*staleAge); feed.Next().Address == address {
+		t.Error("the feed stays with a lagging follower")
 	}
 }
 
-// 300 readers that lose their services make calls in every second, but few.
+// 300 readers without a reachable server keep retrying, at a bounded rate.
 func TestRequestRateDuringOutage(t *testing.T) {
 	const readers, seconds = 300, 60
 	for _, services := range []int{1, 3} {
@@ -137,14 +136,13 @@
 				requests[at/time.Second]++
 			}
 		}
-		// One round and the first pause in the first second, then ever fewer; about
-		// one round for each reader in each longest pause.
-		t.Logf("%d services: %v", services, requests)
+		// The rate falls to about one round per reader and maximum backoff.
+		t.Logf("%d servers: %v", services, requests)
 		if late := slices.Max(requests[20:]); late > readers*services/5 {
-			t.Errorf("%d services: up to %d calls a second", services, late)
+			t.Errorf("%d servers: up to %d requests a second", services, late)
 		}
 		if slices.Min(requests[:]) == 0 {
-			t.Errorf("%d services: nobody calls: %v", services, requests)
+			t.Errorf("%d servers: a second without requests: %v", services, requests)
 		}
 	}
 }
@@ -158,14 +156,14 @@
 		listing, err := ParseListing(text)
 		if err != nil {
 			if len(listing.Instances) > 0 {
-				t.Error("a part of a list")
+				t.Error("a partial list with an error")
 			}
 			return
 		}
 		ids := map[string]bool{}
 		for _, i := range listing.Instances {
 			if i.check() != nil || ids[i.ID] {
-				t.Errorf("took %+v", i)
+				t.Errorf("accepted %+v", i)
 			}
 			ids[i.ID] = true
 		}
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -79,7 +79,7 @@
 		previous = appendPrevious(previous, p, instance.placement())
 		s.services.addKnown(p.Service)
 	}
-	c := newChange(instance, version, encoded, previous)
+	applied := newChange(instance, version, encoded, previous)
 	s.version = version
 	s.clearCache()
 	if instance.Lifecycle == Gone {
@@ -89,7 +89,7 @@
 		s.putEntry(&entry{Instance: instance, version: version, encoded: encoded, expires: now + s.limits.Lease})
 		delete(s.gone, instance.ID)
 	}
-	s.appendChange(c, c.gone)
+	s.appendChange(applied, applied.gone)
 }
 
 func newChange(instance Instance, version int64, encoded []byte, previous []Placement) change {
--- a/internal/registry/keeper_test.go
+++ b/internal/registry/keeper_test.go
@@ -15,7 +15,7 @@
 	"dunlintray/internal/wal"
 )
 
-// faultyFS is a folder whose disk can be full or fail.
+// faultyFS is a directory whose disk can be full or fail to sync.
 type faultyFS struct {
 	wal.FS
 	diskFull, failSync atomic.Bool
@@ -49,7 +49,7 @@
 	return f.File.Sync()
 }
 
-// startKeeping runs a writer, or a follower of one, on a folder.
+// startPersistent runs a writer, or a follower if writer is set, on a data directory.
 func startPersistent(t *testing.T, dir wal.FS, address, writer string) (*testServer, *Follower) {
 	t.Helper()
 	log, store, err := Open(dir, 64<<20, testLimits, 0)
@@ -91,69 +91,69 @@
 	return text
 }
 
-// After a restart the same history goes on: readers continue from their version,
-// a thousand at once get no whole list, and nobody has gone.
+// A restarted writer continues its history: a thousand readers continue from their version
+// without full lists, and no instance is lost.
 func TestRestartContinuesHistory(t *testing.T) {
 	dir := wal.Dir(t.TempDir())
-	s, _ := startPersistent(t, dir, "127.0.0.1:0", "")
+	server, _ := startPersistent(t, dir, "127.0.0.1:0", "")
 	for n := range 20 {
-		s.register(t, fmt.Sprint("s-", n), 5)
+		server.register(t, fmt.Sprint("s-", n), 5)
 	}
-	call(t, "DELETE", s.url("/s-0?startedAtMs=5"), "")
-	before := s.list(t, "")
-	positionBefore := s.position(t)
-	s.stopAndWait(t)
+	call(t, "DELETE", server.url("/s-0?startedAtMs=5"), "")
+	before := server.list(t, "")
+	positionBefore := server.position(t)
+	server.stopAndWait(t)
 
-	s, _ = startPersistent(t, dir, "127.0.0.1:0", "")
-	if position := s.position(t); position != positionBefore {
-		t.Errorf("%s, before %s", position, positionBefore)
+	server, _ = startPersistent(t, dir, "127.0.0.1:0", "")
+	if position := server.position(t); position != positionBefore {
+		t.Errorf("position %s, before the restart %s", position, positionBefore)
 	}
-	if l := s.list(t, ""); l.Generation != before.Generation || len(l.Instances) != 19 {
+	if l := server.list(t, ""); l.Generation != before.Generation || len(l.Instances) != 19 {
 		t.Errorf("%+v", l)
 	}
-	if l := s.list(t, "?since=1015"); l.Reset || len(l.Instances) != 6 || l.Instances[5].Lifecycle != Gone {
+	if l := server.list(t, "?since=1015"); l.Reset || len(l.Instances) != 6 || l.Instances[5].Lifecycle != Gone {
 		t.Errorf("since 1015: %+v", l)
 	}
-	if code, text, _ := call(t, "PUT", s.url("/s-0"), registration(4)); code != 409 {
-		t.Errorf("an earlier process than the one that left: %d %s", code, text)
+	if code, text, _ := call(t, "PUT", server.url("/s-0"), registration(4)); code != 409 {
+		t.Errorf("registration of an older process than the one that left: %d %s", code, text)
 	}
-	encodedBefore := s.storeStats().AnswersEncoded
+	encodedBefore := server.storeStats().AnswersEncoded
 	var wg sync.WaitGroup
 	var unexpected atomic.Int64
 	for range 1000 {
 		wg.Go(func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			if a, err := s.store.Read(s.now(), before.Generation, "h1"); err != nil || a.Full || !a.Unchanged {
+			server.mu.Lock()
+			defer server.mu.Unlock()
+			if a, err := server.store.Read(server.now(), before.Generation, "h1"); err != nil || a.Full || !a.Unchanged {
 				unexpected.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	if unexpected.Load() > 0 || s.storeStats().AnswersEncoded > encodedBefore+1 {
-		t.Errorf("%d of 1000 got more than nothing, %d answers put together", unexpected.Load(), s.storeStats().AnswersEncoded-encodedBefore)
+	if unexpected.Load() > 0 || server.storeStats().AnswersEncoded > encodedBefore+1 {
+		t.Errorf("%d of 1000 readers received changes, %d answers encoded", unexpected.Load(), server.storeStats().AnswersEncoded-encodedBefore)
 	}
-	_, metrics, _ := call(t, "GET", "http://"+s.control+"/control/counters", "")
+	_, metrics, _ := call(t, "GET", "http://"+server.control+"/control/counters", "")
 	for _, want := range []string{"registry.data.syncs:", "registry.data.segments:", "registry.data.recovery_us:", "registry.data.cut_bytes:0|g"} {
 		if !strings.Contains(metrics, want) {
-			t.Errorf("%s is missing:\n%s", want, metrics)
+			t.Errorf("metric %s is missing:\n%s", want, metrics)
 		}
 	}
 }
 
-// Many writers share syncs, and each is told once its change lasts.
+// Concurrent writers share syncs, and every acknowledged change is durable.
 func TestWritersShareSyncs(t *testing.T) {
 	dir := wal.Dir(t.TempDir())
-	s, _ := startPersistent(t, dir, "127.0.0.1:0", "")
-	s.SetLimits(Limits{Lease: time.Minute, Instances: 1000, History: 10_000, HistoryBytes: 1 << 24}, testServerLimits)
+	server, _ := startPersistent(t, dir, "127.0.0.1:0", "")
+	server.SetLimits(Limits{Lease: time.Minute, Instances: 1000, History: 10_000, HistoryBytes: 1 << 24}, testServerLimits)
 	var wg sync.WaitGroup
 	var failed atomic.Int64
 	for n := range 50 {
 		wg.Go(func() {
 			for started := range int64(10) {
 				id := fmt.Sprint("s-", n)
-				_, err := s.writeChange(func(now time.Duration) (WriteResult, error) {
-					return s.store.Register(now, testInstance(id, started+1), nil)
+				_, err := server.writeChange(func(now time.Duration) (WriteResult, error) {
+					return server.store.Register(now, testInstance(id, started+1), nil)
 				})
 				if err != nil {
 					failed.Add(1)
@@ -162,59 +162,59 @@
 		})
 	}
 	wg.Wait()
-	st := s.persister.log.Stats()
+	st := server.persister.log.Stats()
 	t.Logf("%d records, %d syncs", st.Records, st.Syncs)
 	if failed.Load() > 0 || st.Records != 501 || st.Syncs >= 500 {
-		t.Errorf("%d failed, %+v", failed.Load(), st)
+		t.Errorf("%d writes failed, %+v", failed.Load(), st)
 	}
-	s.stopAndWait(t)
-	version := s.storeStats().Version
+	server.stopAndWait(t)
+	version := server.storeStats().Version
 	_, store, err := Open(dir, 64<<20, testLimits, 0)
 	if err != nil || store.version != version || len(store.entries) != 50 {
-		t.Errorf("%v, version %d of %d", err, store.version, version)
+		t.Errorf("%v, recovered version %d, expected %d", err, store.version, version)
 	}
 }
 
-// With a full disk writes are turned away and reads go on, until there is room.
-// When a sync fails, nothing more is told to be kept, and the service ends.
+// With a full disk the server rejects writes and answers reads until there is room. After a
+// failed sync it acknowledges no more writes and stops.
 func TestFullAndFailingDisk(t *testing.T) {
-	fs := &faultyFS{FS: wal.Dir(t.TempDir())}
-	s, _ := startPersistent(t, fs, "127.0.0.1:0", "")
-	s.register(t, "s-1", 5)
-	before := s.list(t, "")
-	fs.diskFull.Store(true)
+	disk := &faultyFS{FS: wal.Dir(t.TempDir())}
+	server, _ := startPersistent(t, disk, "127.0.0.1:0", "")
+	server.register(t, "s-1", 5)
+	before := server.list(t, "")
+	disk.diskFull.Store(true)
 	for range 3 {
-		if code, text, header := call(t, "PUT", s.url("/s-2"), registration(5)); code != 503 || header.Get("Retry-After") == "" || !strings.Contains(text, "no room") {
+		if code, text, header := call(t, "PUT", server.url("/s-2"), registration(5)); code != 503 || header.Get("Retry-After") == "" || !strings.Contains(text, "no room") {
 			t.Errorf("status %d: %s", code, text)
 		}
 	}
-	if l := s.list(t, ""); l.Generation != before.Generation {
+	if l := server.list(t, ""); l.Generation != before.Generation {
 		t.Errorf("%+v", l)
 	}
-	if code, _, _ := call(t, "POST", s.url("/s-1/renew"), `{"startedAtMs":5}`); code != 200 {
-		t.Errorf("a renewal needs no room: %d", code)
+	if code, _, _ := call(t, "POST", server.url("/s-1/renew"), `{"startedAtMs":5}`); code != 200 {
+		t.Errorf("renewal with a full disk: status %d", code)
 	}
-	fs.diskFull.Store(false)
-	s.register(t, "s-2", 5)
-	if l := s.list(t, ""); l.Generation != before.Generation+1 || len(l.Instances) != 2 {
-		t.Errorf("with room again: %+v", l)
+	disk.diskFull.Store(false)
+	server.register(t, "s-2", 5)
+	if l := server.list(t, ""); l.Generation != before.Generation+1 || len(l.Instances) != 2 {
+		t.Errorf("after the disk has room again: %+v", l)
 	}
-	fs.failSync.Store(true)
-	if code, text, _ := call(t, "PUT", s.url("/s-3"), registration(5)); code != 503 {
+	disk.failSync.Store(true)
+	if code, text, _ := call(t, "PUT", server.url("/s-3"), registration(5)); code != 503 {
 		t.Errorf("status %d: %s", code, text)
 	}
-	if err := <-s.ended; !errors.Is(err, wal.ErrFailed) {
+	if err := <-server.ended; !errors.Is(err, wal.ErrFailed) {
 		t.Errorf("ended with %v", err)
 	}
-	fs.failSync.Store(false)
-	_, store, err := Open(fs, 64<<20, testLimits, 0)
+	disk.failSync.Store(false)
+	_, store, err := Open(disk, 64<<20, testLimits, 0)
 	if err != nil || store.entries["s-1"] == nil || store.entries["s-2"] == nil {
 		t.Errorf("%v, %v", err, store)
 	}
 }
 
-// A follower that starts again tells the list that it had, as old. Promoted, it
-// writes, and the old writer finds out that it must not, also after a restart.
+// A restarted follower serves its copy with a high age. After its promotion it accepts writes and
+// the old writer stays fenced, also across a restart.
 func TestPromotionFencesOldWriter(t *testing.T) {
 	oldDir, followerDir := wal.Dir(t.TempDir()), wal.Dir(t.TempDir())
 	writer, _ := startPersistent(t, oldDir, "127.0.0.1:0", "")
@@ -228,9 +228,9 @@
 	}
 	waitUntil(t, "the follower has the list", hasInstance(follower, "s-1"))
 	writer.register(t, "s-2", 5)
-	waitUntil(t, "and what is new", hasInstance(follower, "s-2"))
+	waitUntil(t, "the follower has the update", hasInstance(follower, "s-2"))
 	if code, _, _ := call(t, "POST", "http://"+writer.control+"/control/promote", ""); code != 409 {
-		t.Errorf("a writer is promoted: %d", code)
+		t.Errorf("promotion of a writer: status %d", code)
 	}
 	writer.stopAndWait(t)
 	follower.stopAndWait(t)
@@ -238,7 +238,7 @@
 	follower, _ = startPersistent(t, followerDir, "127.0.0.1:0", writer.address)
 	code, text, header := call(t, "GET", follower.url(""), "")
 	if code != 200 || !strings.Contains(text, "s-2") || !(len(header.Get(AgeHeader)) >= 5) {
-		t.Fatalf("at once after a restart: %d %s, age %s", code, text, header.Get(AgeHeader))
+		t.Fatalf("read right after a restart: %d %s, age %s", code, text, header.Get(AgeHeader))
 	}
 	version := follower.list(t, "").Generation
 	if code, text, _ := call(t, "POST", "http://"+follower.control+"/control/promote", ""); code != 200 {
@@ -247,33 +247,33 @@
 	follower.register(t, "s-3", 5)
 	listing := follower.list(t, "")
 	if len(listing.Instances) != 3 || listing.Generation <= version {
-		t.Errorf("%+v, before at %d", listing, version)
+		t.Errorf("%+v, before the promotion at version %d", listing, version)
 	}
 	if where := follower.position(t); !strings.Contains(where, `"epoch":2`) || strings.Contains(where, "writer") {
 		t.Errorf("%s", where)
 	}
 
-	// The old writer comes back at its address, with its list.
+	// The old writer restarts at its address, with its list.
 	writer, _ = startPersistent(t, oldDir, writer.address, "")
-	waitUntil(t, "the old writer refuses", func() bool {
+	waitUntil(t, "the old writer rejects writes", func() bool {
 		code, text, _ := call(t, "PUT", writer.url("/s-4"), registration(5))
 		return code == 503 && strings.Contains(text, "has replaced this writer")
 	})
 	if code, _, _ := call(t, "GET", writer.url(""), ""); code != 503 {
-		t.Errorf("it still tells its list: %d", code)
+		t.Errorf("a fenced writer answers reads: status %d", code)
 	}
 	writer.stopAndWait(t)
 	writer, _ = startPersistent(t, oldDir, "127.0.0.1:0", "")
 	if code, _, _ := call(t, "GET", writer.url(""), ""); code != 503 || !strings.Contains(writer.position(t), "fencedBy") {
-		t.Errorf("after a restart it tells its list: %d", code)
+		t.Errorf("a fenced writer answers reads after a restart: status %d", code)
 	}
 	writer.stopAndWait(t)
 
-	// Before it takes any write it asks; and it can copy the new one.
+	// A writer queries its peers before it accepts writes, and a fenced writer can become a follower.
 	follower.stopAndWait(t)
 	follower, _ = startPersistent(t, followerDir, "127.0.0.1:0", "127.0.0.1:1")
 	if listing := follower.list(t, ""); len(listing.Instances) != 3 {
-		t.Errorf("the promoted one after a restart: %+v", listing)
+		t.Errorf("promoted follower after a restart: %+v", listing)
 	}
 	follower.register(t, "s-5", 5)
 	fresh := NewWriter("w", newTestStore(testLimits, 0), testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
@@ -282,43 +282,43 @@
 		t.Errorf("%+v", fenced)
 	}
 	writer, _ = startPersistent(t, oldDir, "127.0.0.1:0", follower.address)
-	waitUntil(t, "the old writer copies the new one", hasInstance(writer, "s-5"))
+	waitUntil(t, "the old writer replicates the new one", hasInstance(writer, "s-5"))
 
-	// One that was promoted is the writer when it is asked again, but not once another is.
+	// A repeated promotion succeeds, unless another writer has replaced the promoted one.
 	promote := func() int {
 		code, _, _ := call(t, "POST", "http://"+follower.control+"/control/promote", "")
 		return code
 	}
 	if code := promote(); code != 200 {
-		t.Errorf("promoted again: %d", code)
+		t.Errorf("repeated promotion: status %d", code)
 	}
 	if code, text, _ := call(t, "POST", "http://"+follower.address+FencePath, `{"epoch":9,"history":"other","writer":"127.0.0.1:9"}`); code != 200 {
-		t.Errorf("fenced: %d %s", code, text)
+		t.Errorf("fence: %d %s", code, text)
 	}
 	if code := promote(); code != 409 {
-		t.Errorf("promoted after it was fenced: %d", code)
+		t.Errorf("promotion of a fenced writer: status %d", code)
 	}
 }
 
-// Whatever the clock says, a promotion's history begins above all versions before.
+// A promotion begins its history above all earlier versions, regardless of the clock.
 func TestVersionsNeverGoBack(t *testing.T) {
 	for _, clock := range []int64{-1 << 40, 0, 1000, 1 << 41} {
-		s := newTestStore(testLimits, 0)
-		s.Register(0, testInstance("a", 1), nil)
-		before := s.version
-		if err := s.Restore(0, s.PromotionRecord(0, "h2", clock)); err != nil {
+		store := newTestStore(testLimits, 0)
+		store.Register(0, testInstance("a", 1), nil)
+		before := store.version
+		if err := store.Restore(0, store.PromotionRecord(0, "h2", clock)); err != nil {
 			t.Fatal(err)
 		}
-		if s.version <= before || s.version < clock || s.epoch != 2 || s.entries["a"] == nil {
-			t.Errorf("clock %d: version %d after %d, epoch %d", clock, s.version, before, s.epoch)
+		if store.version <= before || store.version < clock || store.epoch != 2 || store.entries["a"] == nil {
+			t.Errorf("clock %d: version %d after %d, epoch %d", clock, store.version, before, store.epoch)
 		}
-		if err := s.Restore(0, Record{Begin: &Begin{History: "h3", Version: before, Epoch: 3}}); err == nil {
-			t.Errorf("clock %d: a record of version %d was taken at %d", clock, before, s.version)
+		if err := store.Restore(0, Record{Begin: &Begin{History: "h3", Version: before, Epoch: 3}}); err == nil {
+			t.Errorf("clock %d: accepted a record of version %d at version %d", clock, before, store.version)
 		}
 	}
 }
 
-// Readers of two services go over to the promoted one, and never back.
+// Readers of a writer and a follower switch to the follower when it is promoted.
 func TestReadersSwitchToPromotedWriter(t *testing.T) {
 	writer, _ := startPersistent(t, wal.Dir(t.TempDir()), "127.0.0.1:0", "")
 	follower, _ := startPersistent(t, wal.Dir(t.TempDir()), "127.0.0.1:0", writer.address)
@@ -330,16 +330,15 @@
 	defer stop()
 	wg.Go(func() { reader.client.Run(ctx, nil) })
 	waitUntil(t, "the reader has the list", func() bool { return reader.version.Load() == 1001 })
-	waitUntil(t, "the follower too", func() bool { code, _, _ := call(t, "GET", follower.url(""), ""); return code == 200 })
+	waitUntil(t, "the follower has the list", func() bool { code, _, _ := call(t, "GET", follower.url(""), ""); return code == 200 })
 	if code, text, _ := call(t, "POST", "http://"+follower.control+"/control/promote", ""); code != http.StatusOK {
 		t.Fatalf("%d %s", code, text)
 	}
 	follower.register(t, "s-2", 5)
-	waitUntil(t, "the reader has what the new writer says", func() bool { return reader.version.Load() > 1_000_000 })
+	waitUntil(t, "the reader has the list of the new writer", func() bool { return reader.version.Load() > 1_000_000 })
 }
 
-// What a folder holds is what the store had, whatever was done to it and whenever
-// it was opened again, with a snapshot or without.
+// A recovered store equals the store before, after random writes, with and without snapshots.
 func TestRecoveryMatchesModel(t *testing.T) {
 	for seed := range uint64(10) {
 		random := rand.New(rand.NewPCG(seed, 11))
--- a/internal/registry/scope_http_test.go
+++ b/internal/registry/scope_http_test.go
@@ -29,7 +29,7 @@
 
 func (s *testServer) subscriptionsURL() string { return "http://" + s.address + SubscriptionsPath }
 
-// named names scopes at a service and returns the part of a call that has their id.
+// registerScopes registers scopes with the server and returns the query with their id.
 func (s *testServer) registerScopes(t *testing.T, scopes ...string) string {
 	t.Helper()
 	body, _ := json.Marshal(subscriptionRequest{scopes})
@@ -40,7 +40,7 @@
 	return "?subscription=" + mustSet(t, scopes...).ID()
 }
 
-// scopedWatching is a client and what whoever uses its news has.
+// scopedWatcher is a client and the list that its updates build up.
 type scopedWatcher struct {
 	client     *Client
 	mu         sync.Mutex
@@ -94,67 +94,67 @@
 	return w.lastUpdate, w.updates, w.resets
 }
 
-// A client has the part of the list that its scopes select, through changes of these and
-// of the list, hears which scopes are not known, and uses one connection.
+// A client has the part of the list that its scopes select while scopes and list change, and is
+// notified of unknown scopes.
 func TestClientFollowsScopeChanges(t *testing.T) {
 	t.Parallel()
-	s := newTestWriter(t, testServerLimits)
-	s.registerInstance(t, instanceOf("x1", "a", "r1", "z1"))
-	s.registerInstance(t, instanceOf("x2", "a", "r2", "z2"))
-	s.registerInstance(t, instanceOf("y", "b", "r1", "z1"))
-	s.registerInstance(t, instanceOf("n", "", "", "z1"))
-	w := watchScopes(t, []string{s.address}, "a@region=r1", "later")
-	waitUntil(t, "the scope is there", func() bool { return w.ids() == "x1:R" })
-	if update, _, _ := w.state(); !slices.Equal(update.Unknown, mustScopes(t, "later")) || len(update.Instances) != 1 {
+	server := newTestWriter(t, testServerLimits)
+	server.registerInstance(t, instanceOf("x1", "a", "r1", "z1"))
+	server.registerInstance(t, instanceOf("x2", "a", "r2", "z2"))
+	server.registerInstance(t, instanceOf("y", "b", "r1", "z1"))
+	server.registerInstance(t, instanceOf("n", "", "", "z1"))
+	watcher := watchScopes(t, []string{server.address}, "a@region=r1", "later")
+	waitUntil(t, "the list of the scope", func() bool { return watcher.ids() == "x1:R" })
+	if update, _, _ := watcher.state(); !slices.Equal(update.Unknown, mustScopes(t, "later")) || len(update.Instances) != 1 {
 		t.Errorf("%+v", update)
 	}
-	w.client.SetScopes(mustScopes(t, "a@region=r1", "b", "later"))
-	waitUntil(t, "the new scope is there", func() bool { return w.ids() == "x1:R y:R" })
-	w.client.SetScopes(mustScopes(t, "a", "later"))
-	waitUntil(t, "one is dropped and one is wider", func() bool { return w.ids() == "x1:R x2:R" })
-	s.registerInstance(t, instanceOf("l", "later", "r1", "z1"))
-	waitUntil(t, "a service comes to be", func() bool { return w.ids() == "l:R x1:R x2:R" })
-	if update, _, _ := w.state(); len(update.Unknown) > 0 {
+	watcher.client.SetScopes(mustScopes(t, "a@region=r1", "b", "later"))
+	waitUntil(t, "the list of the new scope", func() bool { return watcher.ids() == "x1:R y:R" })
+	watcher.client.SetScopes(mustScopes(t, "a", "later"))
+	waitUntil(t, "one scope dropped and one widened", func() bool { return watcher.ids() == "x1:R x2:R" })
+	server.registerInstance(t, instanceOf("l", "later", "r1", "z1"))
+	waitUntil(t, "the first instance of a service", func() bool { return watcher.ids() == "l:R x1:R x2:R" })
+	if update, _, _ := watcher.state(); len(update.Unknown) > 0 {
 		t.Errorf("unknown %v", update.Unknown)
 	}
 	moved := instanceOf("x1", "b", "r1", "z1")
 	moved.StartedAtMs = 2
-	s.registerInstance(t, moved)
-	waitUntil(t, "one moves away", func() bool { return w.ids() == "l:R x2:R" })
-	call(t, "POST", s.url("/x2/lifecycle"), `{"lifecycle":"Terminating","startedAtMs":1}`)
-	waitUntil(t, "the last of a service drains", func() bool { return w.ids() == "l:R x2:T" })
-	call(t, "DELETE", s.url("/x2?startedAtMs=1"), "")
-	waitUntil(t, "and leaves", func() bool { return w.ids() == "l:R" })
-	if update, _, resets := w.state(); len(update.Unknown) > 0 || resets != 1 {
-		t.Errorf("unknown %v, %d lists anew", update.Unknown, resets)
-	}
-	w.client.SetScopes(nil)
-	waitUntil(t, "the whole list", func() bool { return w.ids() == "l:R n:R x1:R y:R" })
+	server.registerInstance(t, moved)
+	waitUntil(t, "an instance moved out of scope", func() bool { return watcher.ids() == "l:R x2:R" })
+	call(t, "POST", server.url("/x2/lifecycle"), `{"lifecycle":"Terminating","startedAtMs":1}`)
+	waitUntil(t, "the last instance of a service drains", func() bool { return watcher.ids() == "l:R x2:T" })
+	call(t, "DELETE", server.url("/x2?startedAtMs=1"), "")
+	waitUntil(t, "the last instance of a service left", func() bool { return watcher.ids() == "l:R" })
+	if update, _, resets := watcher.state(); len(update.Unknown) > 0 || resets != 1 {
+		t.Errorf("unknown %v, %d resets", update.Unknown, resets)
+	}
+	watcher.client.SetScopes(nil)
+	waitUntil(t, "the full list", func() bool { return watcher.ids() == "l:R n:R x1:R y:R" })
 }
 
-// Scopes that change all the time don't keep the reader from those that it gets.
+// A client with constantly changing scopes still receives updates.
 func TestFrequentScopeChangesDoNotStarveReads(t *testing.T) {
 	t.Parallel()
-	s := newTestWriter(t, testServerLimits)
+	server := newTestWriter(t, testServerLimits)
 	for n := range 20 {
-		s.registerInstance(t, instanceOf(fmt.Sprintf("x%02d", n), fmt.Sprintf("s%d", n), "r1", "z1"))
+		server.registerInstance(t, instanceOf(fmt.Sprintf("x%02d", n), fmt.Sprintf("s%d", n), "r1", "z1"))
 	}
-	w := watchScopes(t, []string{s.address}, "s0")
+	watcher := watchScopes(t, []string{server.address}, "s0")
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
 	wg.Go(func() {
 		for n := 0; ctx.Err() == nil; n++ {
-			w.client.SetScopes(mustScopes(t, "s0", fmt.Sprintf("s%d", 1+n%19)))
+			watcher.client.SetScopes(mustScopes(t, "s0", fmt.Sprintf("s%d", 1+n%19)))
 			time.Sleep(100 * time.Microsecond)
 		}
 	})
-	waitUntil(t, "it hears while its scopes change", func() bool { _, updates, _ := w.state(); return updates > 10 })
+	waitUntil(t, "updates while scopes change", func() bool { _, updates, _ := watcher.state(); return updates > 10 })
 	stop()
 	wg.Wait()
-	w.client.SetScopes(mustScopes(t, "s1", "s2"))
-	waitUntil(t, "the last scopes", func() bool { return w.ids() == "x01:R x02:R" })
+	watcher.client.SetScopes(mustScopes(t, "s1", "s2"))
+	waitUntil(t, "the list of the last scopes", func() bool { return watcher.ids() == "x01:R x02:R" })
 }
 
 func FuzzSubscription(f *testing.F) {
@@ -176,12 +176,12 @@
 	})
 }
 
-// Scopes that make no sense, or are too many, are refused with one clear line.
+// The server rejects invalid and too many scopes with one line that names the problem.
 func TestInvalidSubscriptionsAreRejected(t *testing.T) {
 	t.Parallel()
 	limits := testServerLimits
 	limits.SubscriptionBytes = 1 << 20
-	s := newTestWriter(t, limits)
+	server := newTestWriter(t, limits)
 	many := func(n int) string {
 		var scopes []string
 		for i := range n {
@@ -207,76 +207,75 @@
 		{`{"scopes":["a"`, 400, "invalid JSON"},
 		{``, 400, "invalid JSON"},
 	} {
-		code, text, _ := call(t, "POST", s.subscriptionsURL(), test.body)
+		code, text, _ := call(t, "POST", server.subscriptionsURL(), test.body)
 		if code != test.status || !strings.Contains(text, test.message) || len(text) > 600 || strings.Count(strings.TrimSpace(text), "\n") > 0 {
 			t.Errorf("%.60s: status %d, %q; want %d, %q", test.body, code, text, test.status, test.message)
 		}
 	}
-	known := s.registerScopes(t, "a")
+	known := server.registerScopes(t, "a")
 	for query, status := range map[string]int{"?subscription=": 404, "?subscription=abc": 404, known: 200, known + "&held=abc": 404, known + "&since=9999": 400, known + "&since=x": 400} {
-		if code, text, _ := call(t, "GET", s.url(query), ""); code != status || text == "" {
+		if code, text, _ := call(t, "GET", server.url(query), ""); code != status || text == "" {
 			t.Errorf("%s: status %d, %q", query, code, text)
 		}
 	}
-	// A client that is refused says so, and has nothing.
-	w := watchScopes(t, []string{s.address}, "a")
-	waitUntil(t, "a good set", func() bool { update, _, _ := w.state(); return update.Generation > 0 })
+	// A client recovers from rejected scopes when it gets valid ones.
+	watcher := watchScopes(t, []string{server.address}, "a")
+	waitUntil(t, "the first update", func() bool { update, _, _ := watcher.state(); return update.Generation > 0 })
 	var scopes []Scope
 	for n := range 10_000 {
 		scopes = append(scopes, Scope{Service: fmt.Sprint("s", n)})
 	}
-	before := s.metrics.refused.Load()
-	w.client.SetScopes(append(scopes, mustScopes(t, "a")...))
-	waitUntil(t, "it is refused", func() bool { return s.metrics.refused.Load() > before })
-	w.client.SetScopes(mustScopes(t, "a"))
-	s.registerInstance(t, instanceOf("x", "a", "r", "z"))
-	waitUntil(t, "it goes on with fewer", func() bool { return w.ids() == "x:R" })
+	before := server.metrics.refused.Load()
+	watcher.client.SetScopes(append(scopes, mustScopes(t, "a")...))
+	waitUntil(t, "the scopes are rejected", func() bool { return server.metrics.refused.Load() > before })
+	watcher.client.SetScopes(mustScopes(t, "a"))
+	server.registerInstance(t, instanceOf("x", "a", "r", "z"))
+	waitUntil(t, "the list of the valid scopes", func() bool { return watcher.ids() == "x:R" })
 }
 
-// A reader of scopes that waits is not answered for changes elsewhere, and comes on to the
-// last version all the same.
+// A scoped watch is not answered for changes outside its scopes, but advances to the last version.
 func TestScopedWatchIgnoresOtherScopes(t *testing.T) {
 	t.Parallel()
-	s := newTestWriter(t, testServerLimits)
-	s.registerInstance(t, instanceOf("x", "a", "r1", "z1"))
-	query := s.registerScopes(t, "a@region=r1", "c")
+	server := newTestWriter(t, testServerLimits)
+	server.registerInstance(t, instanceOf("x", "a", "r1", "z1"))
+	query := server.registerScopes(t, "a@region=r1", "c")
 	answered := make(chan Listing, 1)
-	go func() { answered <- s.list(t, query+"&since=1001&timeout_ms=60000&history=h1") }()
-	waitUntil(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
+	go func() { answered <- server.list(t, query+"&since=1001&timeout_ms=60000&history=h1") }()
+	waitUntil(t, "one watcher", func() bool { return server.metrics.watchers.Load() == 1 })
 	for n := range int64(30) {
 		i := instanceOf("y", []string{"a", "b"}[n%2], "r2", "z1")
 		i.StartedAtMs = n
-		s.registerInstance(t, i)
+		server.registerInstance(t, i)
 	}
 	select {
 	case l := <-answered:
 		t.Errorf("answered %+v", l)
 	case <-time.After(3 * wakeInterval):
 	}
-	s.registerInstance(t, instanceOf("z", "a", "r1", "z1"))
+	server.registerInstance(t, instanceOf("z", "a", "r1", "z1"))
 	if l := <-answered; l.Generation != 1032 || l.Reset || idList(l.Instances) != "z" {
 		t.Errorf("%+v", l)
 	}
 	i := instanceOf("y", "b", "r2", "z1")
 	i.StartedAtMs = 100
-	s.registerInstance(t, i)
-	if l := s.list(t, query+"&since=1032&timeout_ms=20&history=h1"); l.Generation != 1033 || l.Reset || len(l.Instances) > 0 || !slices.Equal(l.Unknown, []string{"c"}) {
-		t.Errorf("at the end of a wait: %+v", l)
-	}
-	// New scopes beside those that are held are answered at once, with all of them.
-	s.registerScopes(t, "a@region=r1")
-	wider := s.registerScopes(t, "a", "b")
-	held := strings.Replace(s.registerScopes(t, "a@region=r1"), "?subscription", "&held", 1)
-	if l := s.list(t, wider+held+"&since=1033&timeout_ms=60000&history=h1"); l.Generation != 1033 || l.Reset || idList(l.Instances) != "y" {
+	server.registerInstance(t, i)
+	if l := server.list(t, query+"&since=1032&timeout_ms=20&history=h1"); l.Generation != 1033 || l.Reset || len(l.Instances) > 0 || !slices.Equal(l.Unknown, []string{"c"}) {
+		t.Errorf("at the end of a watch: %+v", l)
+	}
+	// A read with new scopes is answered immediately, with all their instances.
+	server.registerScopes(t, "a@region=r1")
+	wider := server.registerScopes(t, "a", "b")
+	held := strings.Replace(server.registerScopes(t, "a@region=r1"), "?subscription", "&held", 1)
+	if l := server.list(t, wider+held+"&since=1033&timeout_ms=60000&history=h1"); l.Generation != 1033 || l.Reset || idList(l.Instances) != "y" {
 		t.Errorf("%+v", l)
 	}
-	if _, _, header := call(t, "GET", s.url(wider), ""); header.Get(SubscriptionHeader) != mustSet(t, "a", "b").ID() {
+	if _, _, header := call(t, "GET", server.url(wider), ""); header.Get(SubscriptionHeader) != mustSet(t, "a", "b").ID() {
 		t.Errorf("header %q", header.Get(SubscriptionHeader))
 	}
 }
 
-// A follower knows scopes of its own; one that has forgotten them, by a restart or for
-// others, is named them again, and the reader goes on from where it was.
+// A client registers its scopes again after a server has evicted or lost them, and continues from
+// its version.
 func TestClientRegistersEvictedSubscriptionsAgain(t *testing.T) {
 	t.Parallel()
 	writer := newTestWriter(t, testServerLimits)
@@ -289,12 +288,12 @@
 	server := &testServer{Server: follower.Server}
 	server.run(t, follower.Serve, "127.0.0.1:0")
 	watcher := watchScopes(t, []string{server.address}, "a")
-	waitUntil(t, "the scope is there", func() bool { return watcher.ids() == "x:R" })
+	waitUntil(t, "the list of the scope", func() bool { return watcher.ids() == "x:R" })
 	for n := range 5 {
 		server.registerScopes(t, fmt.Sprint("other", n))
 	}
 	if code, _, _ := call(t, "GET", server.url("?subscription="+mustSet(t, "a").ID()), ""); code != 404 {
-		t.Errorf("status %d of a subscription that was to be forgotten", code)
+		t.Errorf("status %d for an evicted subscription", code)
 	}
 	server.stop()
 	<-server.ended
@@ -302,9 +301,9 @@
 	restarted := &testServer{Server: follower.Server}
 	restarted.run(t, follower.Serve, server.address)
 	writer.registerInstance(t, instanceOf("x2", "a", "r1", "z1"))
-	waitUntil(t, "it goes on", func() bool { return watcher.ids() == "x2:R x:R" })
+	waitUntil(t, "the update after the restart", func() bool { return watcher.ids() == "x2:R x:R" })
 	if _, _, resets := watcher.state(); resets != 1 {
-		t.Errorf("%d lists anew", resets)
+		t.Errorf("%d resets, expected 1", resets)
 	}
 	restarted.mu.Lock()
 	defer restarted.mu.Unlock()
@@ -313,13 +312,12 @@
 	}
 }
 
-// A list service of a build before scopes answers with everything. The reader does not
-// take that for its part, says so, keeps what it has, and goes on to the next address.
+// A client rejects the full list of a server of a build without scopes and tries the next address.
 func TestClientSkipsServersWithoutScopes(t *testing.T) {
 	t.Parallel()
-	s := newTestWriter(t, testServerLimits)
-	s.registerInstance(t, instanceOf("x", "a", "r1", "z1"))
-	s.registerInstance(t, instanceOf("y", "b", "r1", "z1"))
+	server := newTestWriter(t, testServerLimits)
+	server.registerInstance(t, instanceOf("x", "a", "r1", "z1"))
+	server.registerInstance(t, instanceOf("y", "b", "r1", "z1"))
 	var requests atomic.Int64
 	oldServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
@@ -328,7 +326,7 @@
 			return
 		}
 		w.Header().Set(HistoryHeader, "h1")
-		_, text, _ := call(t, "GET", s.url(""), "")
+		_, text, _ := call(t, "GET", server.url(""), "")
 		io.WriteString(w, text)
 	}))
 	defer oldServer.Close()
@@ -338,19 +336,19 @@
 		t.Errorf("%v", result.err)
 	}
 	if result := client.read(t.Context(), ReadRequest{Address: oldAddress, Full: true}); result.err != nil || len(result.listing.Instances) != 2 {
-		t.Errorf("a reader of everything: %+v", result)
+		t.Errorf("read of the full list: %+v", result)
 	}
-	for n := range uint64(4) { // in whichever order the addresses come
-		w := watchScopes(t, []string{oldAddress, s.address}, "a", fmt.Sprint("never", n))
-		waitUntil(t, "the next address is asked", func() bool { return w.ids() == "x:R" })
+	for n := range uint64(4) { // for different orders of the addresses
+		w := watchScopes(t, []string{oldAddress, server.address}, "a", fmt.Sprint("never", n))
+		waitUntil(t, "the list from the next address", func() bool { return w.ids() == "x:R" })
 	}
 	if requests.Load() == 0 {
-		t.Error("the old service was never asked")
+		t.Error("the old server received no request")
 	}
 }
 
-// A thousand readers that lose their follower all at once go on from where they are at another, and
-// hear of what has changed meanwhile, without their lists anew.
+// A thousand scoped readers that lose their follower continue at another one from their version,
+// without full lists.
 func TestScopedReadersFailOverWithoutFullLists(t *testing.T) {
 	t.Parallel()
 	const readers = 1000
@@ -374,7 +372,7 @@
 		all = append(all, watchScopes(t, []string{followers[0].address, followers[1].address}, fmt.Sprint("s", n%20), fmt.Sprint("own", n)))
 	}
 	for n, w := range all {
-		waitUntil(t, "a reader has its scopes", func() bool { return w.ids() == fmt.Sprintf("x%d:R", n%20) })
+		waitUntil(t, "the list of a reader", func() bool { return w.ids() == fmt.Sprintf("x%d:R", n%20) })
 	}
 	followers[0].stop()
 	for n := range 20 {
@@ -384,51 +382,51 @@
 	}
 	resets := 0
 	for n, w := range all {
-		waitUntil(t, "a reader hears of the drain", func() bool { return w.ids() == fmt.Sprintf("x%d:T", n%20) })
+		waitUntil(t, "the drain reaches a reader", func() bool { return w.ids() == fmt.Sprintf("x%d:T", n%20) })
 		_, _, r := w.state()
 		resets += r
 	}
 	if resets != readers {
-		t.Errorf("%d lists anew for %d readers", resets-readers, readers)
+		t.Errorf("%d additional full lists for %d readers", resets-readers, readers)
 	}
 	if watching := followers[1].metrics.watchers.Load(); watching > readers {
-		t.Errorf("%d watch at the other follower", watching)
+		t.Errorf("%d watchers at the other follower", watching)
 	}
 }
 
-// All that a reader of scopes asks goes over one connection.
+// A client makes all scoped requests over one connection.
 func TestScopesUseOneConnection(t *testing.T) {
 	t.Parallel()
 	store := newTestStore(testLimits, 0)
-	s := NewWriter("self", store, testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
+	server := NewWriter("self", store, testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	for n := range 10 {
 		store.Register(0, instanceOf(fmt.Sprint("x", n), fmt.Sprint("s", n), "r", "z"), nil)
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var opened atomic.Int64
-	server := &http.Server{Handler: s.Handler(), ConnState: func(_ net.Conn, state http.ConnState) {
+	httpServer := &http.Server{Handler: server.Handler(), ConnState: func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
 			opened.Add(1)
 		}
 	}}
-	go server.Serve(l)
-	defer server.Close()
-	c := NewClient([]string{l.Addr().String()}, rand.New(rand.NewPCG(1, 1)), nil)
-	defer c.http.CloseIdleConnections()
+	go httpServer.Serve(listener)
+	defer httpServer.Close()
+	client := NewClient([]string{listener.Addr().String()}, rand.New(rand.NewPCG(1, 1)), nil)
+	defer client.http.CloseIdleConnections()
 	var scopes []string
 	for n := range 10 {
 		scopes = append(scopes, fmt.Sprint("s", n))
-		c.feed.SetScopes(mustScopes(t, scopes...))
-		request := c.feed.Next()
-		result := c.read(t.Context(), request)
+		client.feed.SetScopes(mustScopes(t, scopes...))
+		request := client.feed.Next()
+		result := client.read(t.Context(), request)
 		if result.err != nil {
 			t.Fatal(result.err)
 		}
-		if _, err := c.feed.AnsweredTo(request, result.listing, result.history, 0); err != nil || len(c.feed.instances) != n+1 || len(result.listing.Instances) != 1 {
-			t.Fatalf("%d known, %d told, %v", len(c.feed.instances), len(result.listing.Instances), err)
+		if _, err := client.feed.AnsweredTo(request, result.listing, result.history, 0); err != nil || len(client.feed.instances) != n+1 || len(result.listing.Instances) != 1 {
+			t.Fatalf("%d instances, %d in the answer, %v", len(client.feed.instances), len(result.listing.Instances), err)
 		}
 	}
 	if opened.Load() != 1 {
@@ -436,34 +434,34 @@
 	}
 }
 
-// Subscriptions are kept within their bounds, those used last.
+// Subscriptions stay within their limits by evicting the least recently used.
 func TestSubscriptionBounds(t *testing.T) {
-	s := newSubscriptions()
+	cache := newSubscriptions()
 	var sets []*ScopeSet
 	for n := range 6 {
 		sets = append(sets, mustSet(t, fmt.Sprint("a", n), "b"))
 	}
 	for _, set := range sets[:3] {
-		s.add(set, 3, 100)
+		cache.add(set, 3, 100)
 	}
-	s.add(sets[1], 3, 100)
-	s.get(sets[0].ID())
-	s.add(sets[3], 3, 100) // for the third
+	cache.add(sets[1], 3, 100)
+	cache.get(sets[0].ID())
+	cache.add(sets[3], 3, 100) // evicts the third
 	for n, retained := range []bool{true, true, false, true} {
-		if (s.get(sets[n].ID()) != nil) != retained {
-			t.Errorf("set %d is kept: %t", n, !retained)
+		if (cache.get(sets[n].ID()) != nil) != retained {
+			t.Errorf("set %d is present: %t", n, !retained)
 		}
 	}
-	s.add(sets[4], 3, 4) // for one more
-	if len(s.byID) != 2 || s.recent.Len() != 2 || s.scopes != 4 {
-		t.Errorf("%d sets of %d scopes", len(s.byID), s.scopes)
+	cache.add(sets[4], 3, 4) // evicts two by the limit on scopes
+	if len(cache.byID) != 2 || cache.recent.Len() != 2 || cache.scopes != 4 {
+		t.Errorf("%d sets of %d scopes", len(cache.byID), cache.scopes)
 	}
-	if s.add(mustSet(t, "c", "d", "e", "f", "g"), 3, 4); len(s.byID) != 1 || s.scopes != 5 {
-		t.Errorf("%d sets of %d scopes", len(s.byID), s.scopes) // the one in use is kept
+	if cache.add(mustSet(t, "c", "d", "e", "f", "g"), 3, 4); len(cache.byID) != 1 || cache.scopes != 5 {
+		t.Errorf("%d sets of %d scopes", len(cache.byID), cache.scopes) // the added set is never evicted
 	}
 }
 
-// Whole lists of scopes count by their share of the list.
+// A scoped listing counts toward the rate limit by the fraction of the list that it examines.
 func TestScopedListingsAreRateLimited(t *testing.T) {
 	store := newTestStore(testLimits, 0)
 	for n := range 40 {
@@ -474,30 +472,29 @@
 		store.Leave(0, fmt.Sprint("other", n), 1, nil)
 	}
 	part := ScopedRead{Since: -1, Scopes: mustSet(t, "s1", "s1@region=r"), Held: mustSet(t, "s1", "s1@region=r")}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		read             ScopedRead
 		minimum, maximum int
 	}{
 		{ScopedRead{Since: -1}, 2, 2},
 		{part, 39, 40}, // 2 of 40 instances each
 		{ScopedRead{Scopes: mustSet(t, "s1", "s2"), Held: mustSet(t, "s2")}, 39, 40},
-		{ScopedRead{Since: -1, Scopes: mustSet(t, "other", "never")}, 127, 128}, // of none, but not for nothing
+		{ScopedRead{Since: -1, Scopes: mustSet(t, "other", "never")}, 127, 128}, // no instances, but the minimum cost
 	} {
-		s := NewWriter("self", store, ServerLimits{Connections: 100, Watchers: 1, ListingsPerSecond: 2}, time.Now(), rand.New(rand.NewPCG(1, 1)))
-		s.limits.ListingsPerSecond = 2
-		s.listingTokens, s.listingTokensAt = 2, time.Now()
+		server := NewWriter("self", store, ServerLimits{Connections: 100, Watchers: 1, ListingsPerSecond: 2}, time.Now(), rand.New(rand.NewPCG(1, 1)))
+		server.limits.ListingsPerSecond = 2
+		server.listingTokens, server.listingTokensAt = 2, time.Now()
 		answered := 0
-		for s.takeListingTokens(store.listCost(c.read)) {
+		for server.takeListingTokens(store.listCost(test.read)) {
 			answered++
 		}
-		if answered < c.minimum || answered > c.maximum {
-			t.Errorf("%v: %d lists", c.read.Scopes.Strings(), answered)
+		if answered < test.minimum || answered > test.maximum {
+			t.Errorf("%v: %d listings admitted", test.read.Scopes.Strings(), answered)
 		}
 	}
 }
 
-// BenchmarkScopedWake counts what one change costs with so many watchers, each with scopes
-// of its own of which one in a hundred has it.
+// BenchmarkScopedWake measures polling all watches after a change that affects one in a hundred.
 func BenchmarkScopedWake(b *testing.B) {
 	for _, watchers := range []int{100, 1000} {
 		b.Run(fmt.Sprint(watchers, "watchers"), func(b *testing.B) {
@@ -511,12 +508,12 @@
 	}
 }
 
-// BenchmarkScopedWatch counts the processor time of one change with so many watchers that
-// wait, each with scopes of its own: all wake, and one in a hundred is answered.
+// BenchmarkScopedWatch measures the CPU time of a change with waiting watchers, one in a hundred
+// of which it affects.
 func BenchmarkScopedWatch(b *testing.B) {
 	for _, watchers := range []int{100, 1000, 3000} {
 		b.Run(fmt.Sprint(watchers, "watchers"), func(b *testing.B) {
-			s, reads := scopedWatchers(b, watchers)
+			server, reads := scopedWatchers(b, watchers)
 			ctx, stop := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
 			defer wg.Wait()
@@ -525,7 +522,7 @@
 			for _, read := range reads {
 				wg.Go(func() {
 					for read := *read; ; {
-						result, err := s.awaitAnswer(ctx, read, time.Hour)
+						result, err := server.awaitAnswer(ctx, read, time.Hour)
 						if err != nil {
 							return
 						}
@@ -536,17 +533,17 @@
 					}
 				})
 			}
-			for s.metrics.watchers.Load() < int64(watchers) {
+			for server.metrics.watchers.Load() < int64(watchers) {
 				runtime.Gosched()
 			}
 			before := processorTime(b)
 			b.ResetTimer()
 			for n := range b.N {
-				_, err := s.change(func(now time.Duration) (WriteResult, error) {
-					s.lastWake = time.Time{} // no waiting for further changes
+				_, err := server.change(func(now time.Duration) (WriteResult, error) {
+					server.lastWake = time.Time{} // do not wait for further changes
 					i := instanceOf(fmt.Sprint("x", n%100), fmt.Sprint("common", n%100), "r", "z")
 					i.StartedAtMs = int64(n + 2)
-					return s.store.Register(now, i, nil)
+					return server.store.Register(now, i, nil)
 				})
 				if err != nil {
 					b.Fatal(err)
@@ -561,29 +558,29 @@
 	}
 }
 
-// BenchmarkPassOver counts what it takes to look for so many watches whether a burst of a
-// thousand changes, none of which does, concerns them.
+// BenchmarkAdvanceWatches measures advancing watches over a burst of a thousand changes that affect
+// none of them.
 func BenchmarkAdvanceWatches(b *testing.B) {
 	for _, watchers := range []int{100, 1000} {
 		b.Run(fmt.Sprint(watchers, "watchers"), func(b *testing.B) {
-			s, reads := scopedWatchers(b, watchers)
-			since := s.store.version
+			server, reads := scopedWatchers(b, watchers)
+			since := server.store.version
 			for n := range 1000 {
-				s.store.Register(0, instanceOf(fmt.Sprint("burst", n), fmt.Sprint("elsewhere", n%200), "r", "z"), nil)
+				server.store.Register(0, instanceOf(fmt.Sprint("burst", n), fmt.Sprint("elsewhere", n%200), "r", "z"), nil)
 			}
 			for _, read := range reads {
-				s.watches[newScopedWatch(*read)] = struct{}{}
+				server.watches[newScopedWatch(*read)] = struct{}{}
 			}
 			b.ResetTimer()
 			for range b.N {
-				for watch := range s.watches {
+				for watch := range server.watches {
 					watch.read.Since = since
 				}
-				s.watchesVersion = since
-				s.advanceWatches()
+				server.watchesVersion = since
+				server.advanceWatches()
 			}
-			for watch := range s.watches {
-				if watch.read.Since != s.store.version || len(watch.wake) > 0 {
+			for watch := range server.watches {
+				if watch.read.Since != server.store.version || len(watch.wake) > 0 {
 					b.Fatal("a watch was woken")
 				}
 			}
@@ -592,7 +589,7 @@
 	}
 }
 
-// processorTime is what this process has used of it.
+// processorTime returns the CPU time that this process has used.
 func processorTime(t testing.TB) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -601,7 +598,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkScopeSet counts the memory of a set of so many scopes.
+// BenchmarkScopeSet measures the time and memory to build a set of scopes.
 func BenchmarkScopeSet(b *testing.B) {
 	for _, n := range []int{1, 50, 500, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -624,15 +621,15 @@
 	}
 }
 
-// scopedWatchers are questions of so many watchers that are at the last version, each of
-// ten services of its own and one that it has in common with one in a hundred.
+// scopedWatchers returns a server and reads at its last version. Each has ten services of its own
+// and one that it shares with one in a hundred.
 func scopedWatchers(t testing.TB, watchers int) (*Server, []*ScopedRead) {
 	limits := Limits{Lease: time.Hour, Instances: 100_000, History: 1000, HistoryBytes: 1 << 20}
 	store := NewStore(limits, "h1", 1000, -limits.Lease)
 	for n := range 2000 {
 		store.Register(0, instanceOf(fmt.Sprint("x", n), fmt.Sprint("common", n%100), "r", "z"), nil)
 	}
-	s := NewWriter("self", store, ServerLimits{Connections: watchers, Watchers: watchers, ListingsPerSecond: 1e9}, time.Now(), rand.New(rand.NewPCG(1, 1)))
+	server := NewWriter("self", store, ServerLimits{Connections: watchers, Watchers: watchers, ListingsPerSecond: 1e9}, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	var reads []*ScopedRead
 	for n := range watchers {
 		scopes := []string{fmt.Sprintf("common%d@region=r", n%100)}
@@ -642,37 +639,36 @@
 		set := mustSet(t, scopes...)
 		reads = append(reads, &ScopedRead{Since: store.version, History: "h1", Scopes: set, Held: set})
 	}
-	return s, reads
+	return server, reads
 }
 
-// wakeScoped changes an instance and has each watcher look once; those whose it is are
-// answered.
-func wakeScoped(t testing.TB, s *Server, reads []*ScopedRead, change int) {
+// wakeScoped changes an instance and polls each read once; the change affects one in a hundred.
+func wakeScoped(t testing.TB, server *Server, reads []*ScopedRead, change int) {
 	instance := instanceOf(fmt.Sprint("x", change%100), fmt.Sprint("common", change%100), "r", "z")
 	instance.StartedAtMs = int64(change + 2)
-	if _, err := s.store.Register(0, instance, nil); err != nil {
+	if _, err := server.store.Register(0, instance, nil); err != nil {
 		t.Fatal(err)
 	}
 	answered := 0
 	for _, read := range reads {
-		result, err := s.poll(read, false)
+		result, err := server.poll(read, false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if result.body != nil {
 			answered++
-			read.Since = s.store.version
+			read.Since = server.store.version
 		}
-		if read.Since != s.store.version {
-			t.Fatalf("a watcher looks again at what it has looked at, from %d on", read.Since)
+		if read.Since != server.store.version {
+			t.Fatalf("a read was not advanced from version %d", read.Since)
 		}
 	}
 	if answered != len(reads)/100 {
-		t.Fatalf("%d of %d were answered", answered, len(reads))
+		t.Fatalf("%d of %d reads were answered, expected one in a hundred", answered, len(reads))
 	}
 }
 
-// A watcher that a change does not concern costs no memory, and looks at each change once.
+// A change allocates no memory for the watchers that it does not affect.
 func TestScopedWakeAllocations(t *testing.T) {
 	s, reads := scopedWatchers(t, 1000)
 	n := 0
@@ -684,13 +680,13 @@
 		wakeScoped(t, s, reads, n)
 		n++
 	})
-	t.Logf("%.0f allocations for a change, 1000 watchers looking and 10 answered", allocations)
+	t.Logf("%.0f allocations for a change with 1000 watchers, 10 of them answered", allocations)
 	if allocations > 500 {
-		t.Errorf("%.0f allocations", allocations)
+		t.Errorf("%.0f allocations, expected at most 500", allocations)
 	}
 }
 
-// The part of a list costs what it has: its bytes are those of its instances.
+// The size of a scoped answer is proportional to its instances.
 func TestScopedAnswerSizeIsProportional(t *testing.T) {
 	limits := Limits{Lease: time.Hour, Instances: 100_000, History: 1000, HistoryBytes: 1 << 20}
 	store := NewStore(limits, "h1", 1000, -limits.Lease)
@@ -710,20 +706,20 @@
 	}
 	perInstance := float64(len(full.Body)) / 4000
 	part := length(ScopedRead{Since: -1, Scopes: mustSet(t, "service7")})
-	t.Logf("%d bytes whole, %.0f an instance; %d bytes for a service of 20", len(full.Body), perInstance, part)
+	t.Logf("%d bytes for the full list, %.0f per instance; %d bytes for a service of 20", len(full.Body), perInstance, part)
 	if float64(part) > 20*perInstance*1.05+100 {
-		t.Errorf("%d bytes for 20 instances of %.0f", part, perInstance)
+		t.Errorf("%d bytes for 20 instances of %.0f bytes", part, perInstance)
 	}
 	store.Leave(0, "x00007", 1, nil)
 	if change := length(ScopedRead{Since: store.version - 1, History: "h1", Scopes: mustSet(t, "service7")}); float64(change) > perInstance+100 {
-		t.Errorf("%d bytes for a change", change)
+		t.Errorf("%d bytes for one change", change)
 	}
 	if unchanged := length(ScopedRead{Since: store.version - 1, History: "h1", Scopes: mustSet(t, "service8")}); unchanged > 64 {
-		t.Errorf("%d bytes for no change", unchanged)
+		t.Errorf("%d bytes without changes", unchanged)
 	}
 }
 
-// A reader takes no answer that is longer than its limit, and keeps the list that it has.
+// A client rejects answers above its limit.
 func TestClientRejectsAnswersAboveLimit(t *testing.T) {
 	aboveLimit := false
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -742,10 +738,10 @@
 	c.SetAnswerLimit(limit)
 	request := c.feed.Next()
 	if result := c.read(t.Context(), request); result.err != nil || len(result.listing.Instances) != 1 {
-		t.Fatalf("a short list: %+v", result)
+		t.Fatalf("an answer within the limit: %+v", result)
 	}
 	aboveLimit = true
 	if result := c.read(t.Context(), request); result.err == nil || !strings.Contains(result.err.Error(), "more than 1000 bytes") {
-		t.Errorf("a list beyond the limit: %+v", result)
+		t.Errorf("an answer above the limit: %+v", result)
 	}
 }
--- a/internal/registry/scope_model_test.go
+++ b/internal/registry/scope_model_test.go
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// Defects that are planted into the model's calls, one of them at a time.
+// Defects that the model plants, one at a time.
 const (
-	defectNone          = ""
-	defectScopeHeld     = "scope change: a new scope is taken for one that is held"
-	defectScopeStays    = "scope change: the instances of a dropped scope stay"
-	defectScopeLate     = "scope change: an answer to the scopes before is taken"
-	defectFoldMoves     = "folding: the placement that an instance left is forgotten"
-	defectFoldFollower  = "folding: a follower is not told where instances were meanwhile"
-	defectFoldFirst     = "folding: of the changes to an instance the first is told"
-	defectResumeSkips   = "resumption: a watch that waits passes over changes"
-	defectResumeAsleep  = "resumption: a watch that a change concerns sleeps on"
-	defectResumePassed  = "resumption: a watch is moved on past a change that concerns it"
-	defectResumeForgets = "resumption: changes before a follower's whole list count as known"
-	defectResumeHistory = "resumption: a history goes on in another"
-	defectResumeAhead   = "resumption: an answer claims a later version"
+	defectNone                    = ""
+	defectNewScopeTreatedAsHeld   = "scope change: a new scope is treated as held"
+	defectDroppedScopeStays       = "scope change: the instances of a dropped scope stay"
+	defectStaleScopeAnswer        = "scope change: an answer for the previous scopes is accepted"
+	defectPlacementsLost          = "merging: the previous placements of an instance are lost"
+	defectFollowerPlacementsLost  = "merging: a follower does not receive intermediate placements"
+	defectFirstChangeWins         = "merging: the first change of an instance wins"
+	defectWatchSkipsChanges       = "resumption: a waiting watch skips changes"
+	defectWatchNotWoken           = "resumption: a watch that a change affects is not woken"
+	defectWatchAdvancedPastChange = "resumption: a watch is advanced past a change that affects it"
+	defectFullListKeepsHistory    = "resumption: a follower keeps its history across a full list"
+	defectHistoryContinued        = "resumption: a reader continues in another history"
+	defectVersionAhead            = "resumption: an answer has a version that is too high"
 )
 
-// scopedReader is a reader in the model, with what whoever uses its news has.
+// scopedReader is a reader in the model and the list that its changes build up.
 type scopedReader struct {
 	feed      *Feed
 	instances map[string]Instance
 	pending   *pendingRead
 }
 
-// pendingCall is a watch that a service has not answered.
+// pendingRead is a watch that a server has not answered.
 type pendingRead struct {
 	server  *Server
 	request ReadRequest
@@ -43,21 +43,20 @@
 	changed <-chan struct{}
 }
 
-// modelList is the list at a version, and the services that are known then.
+// modelList is the list and the known services at a version.
 type modelList struct {
 	instances map[string]Instance
 	services  map[string]bool
 }
 
-// scopedFollower is a follower that copies another service.
+// scopedFollower is a follower of another server.
 type scopedFollower struct {
 	server *Server
 	source string
 	feed   *Feed
 }
 
-// scopedWorld is a writer, two followers, of which the second copies the first, and
-// readers of all three.
+// scopedModel is a writer, a chain of two followers, and readers of all three.
 type scopedModel struct {
 	t              *testing.T
 	random         *rand.Rand
@@ -67,9 +66,9 @@
 	followers      map[string]*scopedFollower
 	readers        []*scopedReader
 	listsByVersion map[string]modelList
-	services       map[string]bool // known now
+	services       map[string]bool // currently known services
 	histories      int
-	err            error // the first that was found
+	err            error // the first violation
 	moves          int
 	scopeAdditions int
 	refused        int
@@ -79,16 +78,16 @@
 
 func newScopedModel(t *testing.T, seed uint64, defect string) *scopedModel {
 	random := rand.New(rand.NewPCG(seed, 11))
-	w := &scopedModel{t: t, random: random, defect: defect, listsByVersion: map[string]modelList{}, followers: map[string]*scopedFollower{}}
-	w.beginHistory()
+	model := &scopedModel{t: t, random: random, defect: defect, listsByVersion: map[string]modelList{}, followers: map[string]*scopedFollower{}}
+	model.beginHistory()
 	for name, source := range map[string]string{"first": "writer", "second": "first"} {
-		w.followers[name] = &scopedFollower{source: source}
-		w.restartEmpty(w.followers[name])
+		model.followers[name] = &scopedFollower{source: source}
+		model.restartEmpty(model.followers[name])
 	}
 	for range 8 {
-		w.readers = append(w.readers, &scopedReader{feed: NewFeed([]string{"writer", "first", "second"}, random), instances: map[string]Instance{}})
+		model.readers = append(model.readers, &scopedReader{feed: NewFeed([]string{"writer", "first", "second"}, random), instances: map[string]Instance{}})
 	}
-	return w
+	return model
 }
 
 func (w *scopedModel) failf(format string, args ...any) {
@@ -97,7 +96,7 @@
 	}
 }
 
-// serve puts a store behind a server, whose looks answer readers.
+// newServer returns a server for a store; source is the writer's name for a follower.
 func (w *scopedModel) newServer(store *Store, source string) *Server {
 	s := NewWriter("self", store, ServerLimits{Connections: 1, Watchers: 1, ListingsPerSecond: 1e9}, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	if source != "" {
@@ -134,7 +133,7 @@
 	return list
 }
 
-// remember notes the writer's list at its version.
+// recordList records the writer's list at its version.
 func (w *scopedModel) recordList() {
 	store := w.writer.store
 	list := modelList{instances: instancesOf(store), services: w.services}
@@ -147,7 +146,7 @@
 	}
 	w.listsByVersion[versionKey(store.history, store.version)] = list
 	w.wake(w.writer)
-	if w.defect == defectFoldMoves {
+	if w.defect == defectPlacementsLost {
 		for n := range store.changes {
 			if p := store.changes[n].placements; p != nil {
 				p.previous = nil
@@ -156,17 +155,17 @@
 	}
 }
 
-// wake lets a service wake the watches that its news concern.
-func (w *scopedModel) wake(s *Server) {
+// wake makes a server wake the watches that its changes affect, unless a defect is planted.
+func (w *scopedModel) wake(server *Server) {
 	switch w.defect {
-	case defectResumeAsleep:
+	case defectWatchNotWoken:
 		return
-	case defectResumePassed:
-		for watch := range s.watches {
-			watch.read.Since = max(watch.read.Since, s.store.version)
+	case defectWatchAdvancedPastChange:
+		for watch := range server.watches {
+			watch.read.Since = max(watch.read.Since, server.store.version)
 		}
 	}
-	s.wakeNow()
+	server.wakeNow()
 }
 
 func restricted(list map[string]Instance, scopes *ScopeSet) map[string]Instance {
@@ -179,7 +178,7 @@
 	return part
 }
 
-// randomInstance is one anywhere.
+// randomInstance returns an instance with a random placement.
 func (w *scopedModel) randomInstance(id string, started int64) Instance {
 	i := testInstance(id, started)
 	i.Service = []string{"", "a", "a", "b", "b", "c", "d"}[w.random.IntN(7)]
@@ -205,34 +204,34 @@
 	return scopes
 }
 
-// look has a service look at a question once, through the planted defect.
+// pollRead polls a watch once, with the planted defect.
 func (w *scopedModel) pollRead(pending *pendingRead, final bool) (watchResult, error) {
 	server, read := pending.server, &pending.watch.read
 	server.startedAt = time.Now().Add(-w.now)
 	original := *read
 	switch w.defect {
-	case defectScopeHeld:
+	case defectNewScopeTreatedAsHeld:
 		read.Held = read.Scopes
-	case defectResumeHistory:
+	case defectHistoryContinued:
 		if read.Since >= 0 && read.History != server.store.history && server.store.history != "" {
 			read.History, read.Since = server.store.history, server.store.version
 		}
-	case defectFoldFirst:
+	case defectFirstChangeWins:
 		kept := server.store.changes
 		defer func() { server.store.changes = kept; server.store.clearCache() }()
 		server.store.clearCache()
-		server.store.changes = foldedToFirst(kept, read.Since)
+		server.store.changes = firstChangesOnly(kept, read.Since)
 	}
 	result, changed, err := server.pollWatch(pending.watch, final)
 	pending.changed = changed
-	if w.defect == defectResumeHistory && original.Since >= 0 && original.History != "" {
+	if w.defect == defectHistoryContinued && original.Since >= 0 && original.History != "" {
 		result.history = original.History
 	}
 	return result, err
 }
 
-// foldedToFirst are changes of which each instance's are all as the first behind a version.
-func foldedToFirst(changes []change, since int64) []change {
+// firstChangesOnly replaces each change after a version by the first one of its instance.
+func firstChangesOnly(changes []change, since int64) []change {
 	first := map[string]change{}
 	folded := slices.Clone(changes)
 	for n, c := range folded {
@@ -249,7 +248,7 @@
 	return folded
 }
 
-// read takes a reader's next step: it asks, or its watch goes on or ends.
+// step makes a reader's next step: it sends a request, or its watch continues or ends.
 func (w *scopedModel) step(reader *scopedReader, final bool) {
 	pending := reader.pending
 	reader.pending = nil
@@ -257,7 +256,7 @@
 		pending.server.endWatch(pending.watch)
 	}
 	if pending != nil && pending.server != w.serverAt(pending.request.Address) {
-		reader.feed.Failed(0) // the service has been replaced under the call
+		reader.feed.Failed(0) // the server was replaced during the request
 		return
 	}
 	waited := pending != nil
@@ -272,13 +271,13 @@
 		}
 		pending = &pendingRead{server: w.serverAt(request.Address), request: request, watch: newScopedWatch(read)}
 	}
-	if waited && w.defect == defectResumeSkips {
+	if waited && w.defect == defectWatchSkipsChanges {
 		pending.watch.read.Since = max(pending.watch.read.Since, pending.server.store.version)
 	}
 	final = final || !pending.request.IsLongPoll() || w.random.IntN(3) == 0
-	if waited && !final && len(pending.changed) == 0 && pending.request.Scopes != nil { // nobody wakes it
+	if waited && !final && len(pending.changed) == 0 && pending.request.Scopes != nil { // no wake-up
 		if read, store := pending.watch.read, pending.server.store; read.Since <= store.version && !store.NoChangesFor(read) {
-			w.failf("a watch that is at %s/%d is not woken at %s/%d", read.History, read.Since, store.history, store.version)
+			w.failf("a watch at %s/%d is not woken at %s/%d", read.History, read.Since, store.history, store.version)
 		}
 		pending.server.watches[pending.watch] = struct{}{}
 		reader.pending = pending
@@ -295,7 +294,7 @@
 	case w.random.IntN(6) == 0: // the answer is lost
 		reader.feed.Failed(0)
 		return
-	case w.random.IntN(12) == 0: // or cut short
+	case w.random.IntN(12) == 0: // or truncated
 		result.body = result.body[:w.random.IntN(len(result.body))]
 	}
 	listing, err := ParseListing(result.body)
@@ -303,19 +302,19 @@
 		reader.feed.Failed(0)
 		return
 	}
-	if w.defect == defectResumeAhead {
+	if w.defect == defectVersionAhead {
 		listing.Generation++
 	}
 	if !final && w.random.IntN(10) == 0 {
-		w.changeScopes(reader) // meanwhile
+		w.changeScopes(reader) // while the request is in flight
 	}
 	w.handleAnswer(reader, pending.request, listing, result.history)
 }
 
-// take has a reader take an answer and looks what it then has.
+// handleAnswer passes an answer to a reader and compares its list with the model.
 func (w *scopedModel) handleAnswer(reader *scopedReader, request ReadRequest, listing Listing, history string) {
 	feed := reader.feed
-	if w.defect == defectScopeLate {
+	if w.defect == defectStaleScopeAnswer {
 		request.revision = feed.revision
 	}
 	versionBefore, historyBefore := feed.version, feed.history
@@ -327,7 +326,7 @@
 		return
 	}
 	if request.revision != revision {
-		w.failf("an answer to scopes of before was taken")
+		w.failf("accepted an answer for previous scopes")
 	}
 	if historyBefore == feed.history && feed.version < versionBefore {
 		w.failf("a reader goes back from %d to %d of %s", versionBefore, feed.version, feed.history)
@@ -335,7 +334,7 @@
 	w.apply(reader, changes)
 	model, recorded := w.listsByVersion[versionKey(feed.history, feed.version)]
 	if !recorded {
-		w.failf("a reader says to be at %s/%d, which never was", feed.history, feed.version)
+		w.failf("a reader is at %s/%d, which never existed", feed.history, feed.version)
 		return
 	}
 	if want := restricted(model.instances, feed.wanted); !maps.Equal(feed.instances, want) {
@@ -343,12 +342,12 @@
 	}
 	for _, scope := range feed.wanted.Scopes() {
 		if unknown := slices.Contains(feed.unknown, scope); unknown == model.services[scope.Service] {
-			w.failf("at %s/%d %v is told as unknown: %t, the services were %v", feed.history, feed.version, scope, unknown, model.services)
+			w.failf("at %s/%d %v is reported as unknown: %t, the services were %v", feed.history, feed.version, scope, unknown, model.services)
 		}
 	}
 }
 
-// apply hands news to whoever uses them.
+// apply applies changes to the list that the reader's user builds up.
 func (w *scopedModel) apply(reader *scopedReader, changes Listing) {
 	if changes.Reset {
 		clear(reader.instances)
@@ -356,24 +355,24 @@
 	for _, instance := range changes.Instances {
 		previous, existed := reader.instances[instance.ID]
 		if instance.Lifecycle == Gone && !existed || existed && previous == instance {
-			w.failf("told twice: %v", instance)
+			w.failf("reported without a change: %v", instance)
 		}
 		if reader.instances[instance.ID] = instance; instance.Lifecycle == Gone {
 			delete(reader.instances, instance.ID)
 		}
 	}
 	if !maps.Equal(reader.instances, reader.feed.instances) {
-		w.failf("the news lead to %v, the reader has %v", reader.instances, reader.feed.instances)
+		w.failf("the changes lead to %v, the reader has %v", reader.instances, reader.feed.instances)
 	}
 }
 
-// rescope changes a reader's scopes, or drops one and adds it again at once.
+// changeScopes changes a reader's scopes, or drops one and adds it again immediately.
 func (w *scopedModel) changeScopes(reader *scopedReader) {
 	feed := reader.feed
 	set := func(scopes []Scope) {
 		before := maps.Clone(feed.instances)
 		changes := feed.SetScopes(scopes)
-		if w.defect == defectScopeStays {
+		if w.defect == defectDroppedScopeStays {
 			feed.instances, changes.Instances = before, nil
 		}
 		w.apply(reader, changes)
@@ -393,13 +392,13 @@
 	default:
 		set(w.randomScopes())
 	}
-	if reader.pending != nil { // its call is ended
+	if reader.pending != nil { // the client cancels its request
 		reader.pending.server.endWatch(reader.pending.watch)
 		reader.pending = nil
 	}
 }
 
-// follow takes a follower's next step.
+// replicate makes a follower's next step.
 func (w *scopedModel) replicate(follower *scopedFollower) {
 	request := follower.feed.Next()
 	read := ScopedRead{Since: request.Since, History: request.History}
@@ -421,7 +420,7 @@
 		follower.feed.Failed(0)
 		return
 	}
-	if w.defect == defectFoldFollower {
+	if w.defect == defectFollowerPlacementsLost {
 		listing.Moved = nil
 	}
 	store := follower.server.store
@@ -430,7 +429,7 @@
 		w.t.Fatal(err)
 	}
 	w.wake(follower.server)
-	if w.defect == defectResumeForgets && listing.Reset {
+	if w.defect == defectFullListKeepsHistory && listing.Reset {
 		store.baseVersion = 0
 	}
 	if !maps.Equal(instancesOf(store), follower.feed.instances) {
@@ -438,8 +437,8 @@
 	}
 }
 
-// change does something to the list or to a service.
-func (w *scopedModel) change(startedAtMs int64) {
+// changeList changes the list or injects a fault.
+func (w *scopedModel) changeList(startedAtMs int64) {
 	store := w.writer.store
 	id := fmt.Sprint("i", w.random.IntN(12))
 	existing := store.entries[id]
@@ -460,7 +459,7 @@
 	case action < 8 && existing != nil:
 		store.Renew(w.now, id, existing.StartedAtMs)
 	case action < 9:
-		store.lapseCredit = 0 // one at a time, so that the list at each version is known
+		store.lapseCredit = 0 // one lapse at a time, so that the list at each version is recorded
 		store.Tick(w.now)
 	case w.random.IntN(12) == 0:
 		w.injectFault()
@@ -468,27 +467,27 @@
 	w.recordList()
 }
 
-// disturb restarts, replaces or empties a service.
+// injectFault restarts, replaces or empties a server, or lets a minute pass.
 func (w *scopedModel) injectFault() {
 	first := w.followers["first"]
 	switch w.random.IntN(7) {
-	case 0: // the writer starts again with what lasts
+	case 0: // the writer restarts with its durable state
 		w.writer = w.newServer(restoredStore(w.t, w.writer.store, w.now), "")
-	case 1: // or from nothing
+	case 1: // or with an empty store
 		if w.random.IntN(2) == 0 {
 			w.beginHistory()
 		}
 	case 2:
 		w.now += time.Minute
-	case 3, 4: // a follower starts empty
+	case 3, 4: // a follower restarts empty
 		w.restartEmpty(w.followers[[]string{"first", "second"}[w.random.IntN(2)]])
-	case 5: // or with its copy, which is older than what its readers have by now
+	case 5: // or with its copy, which may be older than its readers' lists
 		if first.server.store.history == "" {
 			return
 		}
 		store := restoredStore(w.t, first.server.store, w.now)
 		first.server, first.feed = w.newServer(store, first.source), NewFeed([]string{first.source}, w.random)
-	case 6: // a follower is put in the writer's place
+	case 6: // a follower is promoted
 		store := first.server.store
 		if store.history == "" {
 			return
@@ -505,14 +504,14 @@
 	}
 }
 
-// runScopedModel plays a seed and returns what is wrong.
+// runScopedModel runs a seed and returns the first violation.
 func runScopedModel(t *testing.T, seed uint64, defect string) (*scopedModel, error) {
 	model := newScopedModel(t, seed, defect)
 	for step := range int64(2500) {
 		model.now += time.Duration(model.random.IntN(200)) * time.Millisecond
 		switch action := model.random.IntN(20); {
 		case action < 7:
-			model.change(step)
+			model.changeList(step)
 		case action < 9:
 			model.replicate(model.followers["first"])
 		case action < 11:
@@ -530,7 +529,7 @@
 	return model, cmp.Or(model.err)
 }
 
-// settle lets all come to the last version.
+// settle brings all readers to the last version.
 func (w *scopedModel) settle() {
 	w.now += time.Minute
 	for range 60 {
@@ -549,9 +548,8 @@
 	}
 }
 
-// Whatever happens, and whatever gets lost, every reader has at each version that it says
-// to be at the list restricted to its scopes, told without gaps and not twice, and comes to
-// the last version in the end.
+// Despite lost answers, restarts and promotions every scoped reader has, at each of its versions,
+// the list restricted to its scopes, without gaps or repetitions, and reaches the last version.
 func TestScopedReadersMatchModel(t *testing.T) {
 	moves, scopeAdditions, refused := 0, 0, 0
 	for seed := range uint64(8) {
@@ -561,17 +559,16 @@
 		}
 		moves, scopeAdditions, refused = moves+model.moves, scopeAdditions+model.scopeAdditions, refused+model.refused
 	}
-	t.Logf("%d moves, %d calls that add scopes, %d answers refused", moves, scopeAdditions, refused)
+	t.Logf("%d moves, %d requests that add scopes, %d answers rejected", moves, scopeAdditions, refused)
 	if moves < 500 || scopeAdditions < 400 || refused < 80 {
-		t.Error("the model meets too little")
+		t.Error("the model covers too few cases")
 	}
 }
 
-// The model finds each defect that is planted into a change of scopes, the folding of
-// changes or the resumption of a watch.
+// The model detects defects in scope changes, in merging changes and in resuming a watch.
 func TestScopedModelFindsPlantedDefects(t *testing.T) {
-	for _, defect := range []string{defectScopeHeld, defectScopeStays, defectScopeLate, defectFoldMoves, defectFoldFollower,
-		defectFoldFirst, defectResumeSkips, defectResumeAsleep, defectResumePassed, defectResumeForgets, defectResumeHistory, defectResumeAhead} {
+	for _, defect := range []string{defectNewScopeTreatedAsHeld, defectDroppedScopeStays, defectStaleScopeAnswer, defectPlacementsLost, defectFollowerPlacementsLost,
+		defectFirstChangeWins, defectWatchSkipsChanges, defectWatchNotWoken, defectWatchAdvancedPastChange, defectFullListKeepsHistory, defectHistoryContinued, defectVersionAhead} {
 		const seeds = 5
 		var found error
 		for seed := uint64(0); seed < seeds && found == nil; seed++ {
--- a/internal/registry/scope_test.go
+++ b/internal/registry/scope_test.go
@@ -26,7 +26,7 @@
 	return set
 }
 
-// of is an instance of a service.
+// instanceOf returns an instance of a service.
 func instanceOf(id, service, region, zone string) Instance {
 	i := testInstance(id, 1)
 	i.Service, i.Region, i.Zone = service, region, zone
@@ -43,14 +43,14 @@
 	for _, text := range []string{"", "@region=a", "a@", "a@region=", "a@zone=", "a@cell=1", "a b", "ä", "a@region=a\nb", strings.Repeat("a", 65),
 		"a@zone=" + strings.Repeat("z", 65), "a@eu-1"} {
 		if scope, err := ParseScope(text); err == nil || len(err.Error()) > 400 {
-			t.Errorf("%q: took %+v, %v", text, scope, err)
+			t.Errorf("%q: accepted %+v, %v", text, scope, err)
 		}
 	}
 	if _, err := NewScopeSet([]Scope{{Service: "a", Region: "r", Zone: "z"}}); err == nil {
-		t.Error("a scope of a region and a zone was taken")
+		t.Error("accepted a scope with both a region and a zone")
 	}
 	if _, err := NewScopeSet(nil); err == nil {
-		t.Error("a set of no scopes was made")
+		t.Error("accepted an empty set of scopes")
 	}
 }
 
@@ -71,28 +71,28 @@
 
 func TestScopeMatches(t *testing.T) {
 	instances := []Instance{instanceOf("1", "a", "r1", "z1"), instanceOf("2", "a", "r1", "z2"), instanceOf("3", "a", "r2", "z1"), instanceOf("4", "b", "r1", "z1"), instanceOf("5", "", "r1", "z1"), instanceOf("6", "a", "", "z3")}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		scopes []string
 		ids    string
 	}{{[]string{"a"}, "1236"}, {[]string{"a@region=r1"}, "12"}, {[]string{"a@zone=z1"}, "13"}, {[]string{"b@region=r2"}, ""},
 		{[]string{"a@region=r2", "a@zone=z2", "b"}, "234"}, {[]string{"c"}, ""}} {
 		ids := ""
 		for _, i := range instances {
-			if mustSet(t, c.scopes...).Matches(i) {
+			if mustSet(t, test.scopes...).Matches(i) {
 				ids += i.ID
 			}
-			single := slices.ContainsFunc(mustScopes(t, c.scopes...), func(scope Scope) bool { return scope.Matches(i) })
-			if single != mustSet(t, c.scopes...).Matches(i) {
-				t.Errorf("%v: the set and its scopes differ on %s", c.scopes, i.ID)
+			single := slices.ContainsFunc(mustScopes(t, test.scopes...), func(scope Scope) bool { return scope.Matches(i) })
+			if single != mustSet(t, test.scopes...).Matches(i) {
+				t.Errorf("%v: the set and its scopes differ on %s", test.scopes, i.ID)
 			}
 		}
-		if ids != c.ids {
-			t.Errorf("%v: %s, want %s", c.scopes, ids, c.ids)
+		if ids != test.ids {
+			t.Errorf("%v: %s, want %s", test.scopes, ids, test.ids)
 		}
 	}
 }
 
-// A set has one form and one id, however its scopes were named.
+// Equal sets have one form and one id, regardless of order and duplicates.
 func TestScopeSetIsCanonical(t *testing.T) {
 	one, other := mustSet(t, "b", "a@zone=z", "a", "b"), mustSet(t, "a", "b", "a@zone=z")
 	if one.ID() != other.ID() || !slices.Equal(one.Strings(), []string{"a", "a@zone=z", "b"}) || one.Len() != 3 {
@@ -108,34 +108,34 @@
 	}
 }
 
-// Scopes are known as long as the list or its history has their services; services without
-// instances are remembered within a bound, the oldest forgotten first, and in snapshots.
+// A scope is unknown only if its service never had instances or was trimmed: empty services are
+// retained up to a limit, in snapshots and followers too.
 func TestUnknownAndEmptyServicesDiffer(t *testing.T) {
 	limits := testLimits
 	limits.EmptyServices = 2
-	s := newTestStore(limits, 0)
-	readScopes := func(s *Store, texts ...string) Listing {
+	writer := newTestStore(limits, 0)
+	readScopes := func(store *Store, texts ...string) Listing {
 		t.Helper()
-		a, err := s.ReadScoped(0, ScopedRead{Since: -1, Scopes: mustSet(t, texts...)})
+		answer, err := store.ReadScoped(0, ScopedRead{Since: -1, Scopes: mustSet(t, texts...)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		listing, err := ParseListing(a.Body)
+		listing, err := ParseListing(answer.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return listing
 	}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		s.Register(0, instanceOf("i-"+name, name, "r", "z"), nil)
+		writer.Register(0, instanceOf("i-"+name, name, "r", "z"), nil)
 	}
-	if listing := readScopes(s, "a", "b@region=other", "never@zone=z"); len(listing.Instances) != 1 || !slices.Equal(listing.Unknown, []string{"never@zone=z"}) {
+	if listing := readScopes(writer, "a", "b@region=other", "never@zone=z"); len(listing.Instances) != 1 || !slices.Equal(listing.Unknown, []string{"never@zone=z"}) {
 		t.Errorf("%+v", listing)
 	}
 	for _, name := range []string{"c", "a", "b"} {
-		s.Leave(0, "i-"+name, 1, nil)
+		writer.Leave(0, "i-"+name, 1, nil)
 	}
-	for n, store := range []*Store{s, restoredStore(t, s, 0)} {
+	for n, store := range []*Store{writer, restoredStore(t, writer, 0)} {
 		if listing := readScopes(store, "a", "b", "c", "d"); len(listing.Instances) != 1 || !slices.Equal(listing.Unknown, []string{"c"}) {
 			t.Errorf("%d: %+v", n, listing)
 		}
@@ -144,10 +144,10 @@
 		}
 	}
 	follower := newStore(limits, 0)
-	a, _ := s.Read(0, -1, "")
-	listing, err := ParseListing(a.Body)
+	answer, _ := writer.Read(0, -1, "")
+	listing, err := ParseListing(answer.Body)
 	if err != nil || !slices.Equal(listing.EmptyServices, []string{"a", "b"}) {
-		t.Fatalf("%s, %v", a.Body, err)
+		t.Fatalf("%s, %v", answer.Body, err)
 	}
 	if err := follower.ApplyListing(0, listing, "h1"); err != nil {
 		t.Fatal(err)
@@ -157,17 +157,16 @@
 	}
 }
 
-// What a list without services has always been, to the byte: whole, in changes, and in the
-// records of a snapshot.
+// The encoding of lists, changes and records without services stays the same byte for byte.
 func TestEncodingWithoutServicesIsUnchanged(t *testing.T) {
-	s := newTestStore(testLimits, 0)
-	s.Register(0, testInstance("a", 5), nil)
-	s.Register(0, testInstance("b", 6), nil)
-	s.SetLifecycle(0, "a", 5, Terminating, nil)
-	s.Leave(0, "a", 5, nil)
+	store := newTestStore(testLimits, 0)
+	store.Register(0, testInstance("a", 5), nil)
+	store.Register(0, testInstance("b", 6), nil)
+	store.SetLifecycle(0, "a", 5, Terminating, nil)
+	store.Leave(0, "a", 5, nil)
 	moved := testInstance("b", 7)
 	moved.Zone = "other"
-	s.Register(0, moved, nil)
+	store.Register(0, moved, nil)
 	const (
 		goneA  = `{"instanceId":"a","hostPort":"127.0.0.1:80","zone":"a","machineType":"m","cell":0,"lifecycle":"Gone","weight":1,"startedAtMs":5,"drained":true}`
 		movedB = `{"instanceId":"b","hostPort":"127.0.0.1:80","zone":"other","machineType":"m","cell":0,"lifecycle":"Ready","weight":1,"startedAtMs":7}`
@@ -178,11 +177,11 @@
 	}{{-1, `{"generation":1005,"reset":true,"instances":[` + movedB + "]}\n"},
 		{1000, `{"generation":1005,"reset":false,"instances":[` + goneA + "," + movedB + "]}\n"},
 		{1005, `{"generation":1005,"reset":false,"instances":[]}` + "\n"}} {
-		if a, err := s.Read(0, c.since, "h1"); err != nil || string(a.Body) != c.body {
+		if a, err := store.Read(0, c.since, "h1"); err != nil || string(a.Body) != c.body {
 			t.Errorf("since %d: %s, %v; want %s", c.since, a.Body, err, c.body)
 		}
 	}
-	saved := s.SnapshotRecords()
+	saved := store.SnapshotRecords()
 	want := []string{`{"begin":{"history":"h1","version":1005,"from":1000,"epoch":1,"writer":true}}`, `{"entry":{"version":1005,"instance":` + movedB + `}}`}
 	if len(saved) != 2+5 || string(encodeRecord(saved[0])) != want[0] || string(encodeRecord(saved[1])) != want[1] ||
 		string(encodeRecord(saved[5])) != `{"change":{"version":1004,"instance":`+goneA+`}}` || string(encodeRecord(saved[6])) != `{"change":{"version":1005,"instance":`+movedB+`}}` {
@@ -196,23 +195,22 @@
 	}
 }
 
-// An instance that moves to another service is Gone for the readers of the one and new for
-// those of the other, also after a restart, and from a follower for readers from between
-// its versions.
+// An instance that moves to another service is Gone for readers of the old one and new for readers
+// of the new one, also after a restart and at a follower's intermediate versions.
 func TestMovedInstanceIsGoneFromItsOldScope(t *testing.T) {
-	s := newTestStore(testLimits, 0)
+	writer := newTestStore(testLimits, 0)
 	move := func(started int64, service, region string) int64 {
-		i := instanceOf("x", service, region, "z")
-		i.StartedAtMs = started
-		result, err := s.Register(0, i, nil)
+		instance := instanceOf("x", service, region, "z")
+		instance.StartedAtMs = started
+		result, err := writer.Register(0, instance, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return result.Version
 	}
 	inA := move(1, "a", "r1")
-	log, followerLog := s.SnapshotRecords(), []Record(nil)
-	answer, _ := s.Read(0, -1, "")
+	log, followerLog := writer.SnapshotRecords(), []Record(nil)
+	answer, _ := writer.Read(0, -1, "")
 	listing, _ := ParseListing(answer.Body)
 	follower := newStore(testLimits, 0)
 	replicate := func(listing Listing) {
@@ -221,39 +219,39 @@
 			t.Fatal(err)
 		}
 	}
-	replayed := func(log []Record) *Store {
-		again := newStore(testLimits, 0)
+	replay := func(log []Record) *Store {
+		restored := newStore(testLimits, 0)
 		for _, r := range log {
 			record, err := ParseRecord(encodeRecord(r))
 			if err == nil {
-				err = again.Restore(0, record)
+				err = restored.Restore(0, record)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
-		return again
+		return restored
 	}
 	replicate(listing)
 	inB := move(2, "b", "r1")
 	inC := move(3, "c", "r2")
-	answer, _ = s.Read(0, inA, "h1")
+	answer, _ = writer.Read(0, inA, "h1")
 	if listing, _ = ParseListing(answer.Body); len(listing.Moved) != 1 || len(listing.Moved[0].From) != 2 {
 		t.Fatalf("%s", answer.Body)
 	}
 	replicate(listing)
-	for _, c := range s.changes[len(s.changes)-2:] { // as they are kept in a log
+	for _, c := range writer.changes[len(writer.changes)-2:] { // in the form of a log
 		log = append(log, Record{Change: &InstanceRecord{Version: c.version, Instance: c.encoded}})
 	}
-	for name, store := range map[string]*Store{"the writer": s, "after a restart": restoredStore(t, s, 0), "a follower": follower, "a follower after a restart": restoredStore(t, follower, 0),
-		"from the log": replayed(log), "a follower from its log": replayed(followerLog)} {
-		for _, c := range []struct {
+	for name, store := range map[string]*Store{"the writer": writer, "after a restart": restoredStore(t, writer, 0), "a follower": follower, "a follower after a restart": restoredStore(t, follower, 0),
+		"from the log": replay(log), "a follower from its log": replay(followerLog)} {
+		for _, test := range []struct {
 			since int64
 			scope string
 			want  Lifecycle
 		}{{inA, "a", Gone}, {inA, "a@region=r1", Gone}, {inA, "a@region=r2", ""}, {inB, "b", Gone}, {inB, "b@zone=z", Gone}, {inA, "c", Ready}, {inB, "c@region=r2", Ready},
 			{inC, "c", ""}, {inC, "b", ""}, {inB, "d", ""}} {
-			answer, err := store.ReadScoped(0, ScopedRead{Since: c.since, History: "h1", Scopes: mustSet(t, c.scope)})
+			answer, err := store.ReadScoped(0, ScopedRead{Since: test.since, History: "h1", Scopes: mustSet(t, test.scope)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -265,21 +263,21 @@
 			if len(listing.Instances) > 0 {
 				got = listing.Instances[0].Lifecycle
 			}
-			scope, _ := ParseScope(c.scope)
-			if got != c.want || got != "" && !scope.Matches(listing.Instances[0]) {
-				t.Errorf("%s, since %d in %s: %s", name, c.since, c.scope, answer.Body)
+			scope, _ := ParseScope(test.scope)
+			if got != test.want || got != "" && !scope.Matches(listing.Instances[0]) {
+				t.Errorf("%s, since %d in %s: %s", name, test.since, test.scope, answer.Body)
 			}
 		}
 	}
 }
 
-// newScopedFeed has the list of some scopes.
+// newScopedFeed returns a feed with the list of some scopes.
 func newScopedFeed(t *testing.T, scopes []string, instances ...Instance) *Feed {
 	t.Helper()
 	f := newTestFeed("a")
 	f.SetScopes(mustScopes(t, scopes...))
-	if ask := f.Next(); !ask.Full || ask.IsLongPoll() || !ask.Scopes.equal(mustSet(t, scopes...)) {
-		t.Fatalf("asks %+v first", ask)
+	if request := f.Next(); !request.Full || request.IsLongPoll() || !request.Scopes.equal(mustSet(t, scopes...)) {
+		t.Fatalf("first request: %+v", request)
 	}
 	if _, err := f.Answered(fullList(10, instances...), "h", 0); err != nil {
 		t.Fatal(err)
@@ -299,8 +297,8 @@
 	return strings.TrimSpace(text)
 }
 
-// A change of scopes asks for what is new alone, drops at once what is in no scope any
-// more, and keeps what serves until its replacement is there.
+// A change of scopes requests only new scopes, drops instances outside of all scopes immediately,
+// and keeps those of a replaced scope until the next answer.
 func TestFeedRequestsOnlyNewScopes(t *testing.T) {
 	x, y := instanceOf("x", "a", "r1", "z1"), instanceOf("y", "a", "r2", "z2")
 	b := instanceOf("b", "b", "r1", "z1")
@@ -309,7 +307,7 @@
 		initial, wanted []string
 		dropped         string
 		whole           bool
-		held            []string // that the next call names; nil: all that it asks for
+		held            []string // in the next request; nil: all of its scopes
 	}{
 		{"add", []string{"a", "b"}, []string{"a", "b", "c"}, "", false, []string{"a", "b"}},
 		{"drop", []string{"a", "b"}, []string{"a"}, "b-", false, nil},
@@ -336,19 +334,19 @@
 			held = mustScopes(t, test.wanted...)
 		}
 		if idList(changes.Instances) != test.dropped || request.Full != test.whole || request.Scopes.ID() != newScopeSet(mustScopes(t, test.wanted...)).ID() || !request.Full && request.Held.ID() != newScopeSet(held).ID() {
-			t.Errorf("%s: dropped %q, asks %+v of %v beside %v", test.name, idList(changes.Instances), request, request.Scopes.Strings(), request.Held.Strings())
+			t.Errorf("%s: dropped %q, next request %+v of %v with held %v", test.name, idList(changes.Instances), request, request.Scopes.Strings(), request.Held.Strings())
 		}
 		if request.IsLongPoll() != (test.held == nil && !test.whole) {
-			t.Errorf("%s: waits %t", test.name, request.IsLongPoll())
+			t.Errorf("%s: long poll %t", test.name, request.IsLongPoll())
 		}
 		if _, err := feed.AnsweredTo(before, Listing{Generation: 11}, "h", 0); !errors.Is(err, errScopesChanged) || feed.version != 10 {
-			t.Errorf("%s: an answer to the call before: %v", test.name, err)
+			t.Errorf("%s: answer to the previous request: %v", test.name, err)
 		}
 	}
 }
 
-// A scope that is dropped and added again at once is asked for anew, and the instances of
-// one that was only there until its replacement came go with that.
+// A feed requests a scope again that was dropped and added again, and drops the instances of a
+// replaced scope with the next answer.
 func TestFeedDropsReplacedScopes(t *testing.T) {
 	x, y := instanceOf("x", "a", "r1", "z1"), instanceOf("y", "b", "r1", "z1")
 	feed := newScopedFeed(t, []string{"a", "b"}, x, y)
@@ -360,7 +358,7 @@
 	}
 	request := feed.Next()
 	if request.Full || request.IsLongPoll() || !slices.Equal(request.Held.Strings(), []string{"b"}) || !slices.Equal(request.Scopes.Strings(), []string{"a", "b"}) {
-		t.Errorf("asks for %v beside %v", request.Scopes.Strings(), request.Held.Strings())
+		t.Errorf("next request for %v with held %v", request.Scopes.Strings(), request.Held.Strings())
 	}
 	if changes, err := feed.Answered(Listing{Generation: 12, Instances: []Instance{x}, Unknown: []string{"b"}}, "h", 0); err != nil || idList(changes.Instances) != "x" ||
 		!slices.Equal(feed.Unknown(), mustScopes(t, "b")) {
@@ -368,11 +366,11 @@
 	}
 	feed.SetScopes(mustScopes(t, "a@zone=z9", "b"))
 	if _, there := feed.instances["x"]; there {
-		t.Error("what a narrower scope leaves out stays")
+		t.Error("an instance outside of a narrower scope stays")
 	}
 	feed = newScopedFeed(t, []string{"a@region=r1"}, x)
 	if changes := feed.SetScopes(mustScopes(t, "a@region=r2")); len(changes.Instances) > 0 {
-		t.Errorf("dropped %s before its replacement came", idList(changes.Instances))
+		t.Errorf("dropped %s before the answer for its replacement", idList(changes.Instances))
 	}
 	z := instanceOf("z", "a", "r2", "z1")
 	if changes, err := feed.Answered(Listing{Generation: 12, Instances: []Instance{z}}, "h", 0); err != nil || idList(changes.Instances) != "z x-" || len(feed.instances) != 1 {
@@ -383,11 +381,11 @@
 		history string
 		err     error
 	}{
-		"out of scope":          {Listing{Generation: 13, Instances: []Instance{y}}, "h", errOutOfScope},
-		"a follower that lags":  {Listing{Generation: 11}, "h", errOlderVersion},
-		"another history's":     {Listing{Generation: 13}, "other", errNoFullList},
-		"a scope that is none":  {Listing{Generation: 13, Unknown: []string{"@"}}, "h", nil},
-		"whole of one that was": {Listing{Generation: 11, Reset: true}, "h", errOlderVersion},
+		"out of scope":               {Listing{Generation: 13, Instances: []Instance{y}}, "h", errOutOfScope},
+		"a lagging follower":         {Listing{Generation: 11}, "h", errOlderVersion},
+		"changes of another history": {Listing{Generation: 13}, "other", errNoFullList},
+		"an invalid unknown scope":   {Listing{Generation: 13, Unknown: []string{"@"}}, "h", nil},
+		"an older full list":         {Listing{Generation: 11, Reset: true}, "h", errOlderVersion},
 	} {
 		if _, err := feed.Answered(c.l, c.history, 0); err == nil || c.err != nil && !errors.Is(err, c.err) || feed.version != 12 || len(feed.instances) != 1 {
 			t.Errorf("%s: %v", name, err)
@@ -401,35 +399,34 @@
 	}
 }
 
-// From the whole list to scopes and back, all that is known stays until the answer.
+// A switch between the full list and scopes keeps all instances until the next answer.
 func TestFeedSwitchesBetweenFullListAndScopes(t *testing.T) {
 	x, y := instanceOf("x", "a", "r1", "z1"), instanceOf("y", "b", "r1", "z1")
 	feed := newTestFeed("a")
 	feed.Answered(fullList(10, x, y), "h", 0)
 	if changes := feed.SetScopes(mustScopes(t, "a")); len(changes.Instances) > 0 || len(feed.instances) != 2 || !feed.Next().Full {
-		t.Errorf("%+v, asks %+v", changes, feed.Next())
+		t.Errorf("%+v, next request %+v", changes, feed.Next())
 	}
 	if changes, err := feed.Answered(fullList(10, x), "h", 0); err != nil || idList(changes.Instances) != "y-" || changes.Reset || !feed.Next().IsLongPoll() {
 		t.Errorf("%+v, %v", changes, err)
 	}
 	if changes := feed.SetScopes(nil); len(changes.Instances) > 0 || len(feed.instances) != 1 || !feed.Next().Full || feed.Next().Scopes != nil {
-		t.Errorf("%+v, asks %+v", changes, feed.Next())
+		t.Errorf("%+v, next request %+v", changes, feed.Next())
 	}
 	feed.SetScopes(mustScopes(t, "b"))
 	if request := feed.Next(); !request.Full || len(feed.instances) != 1 {
-		t.Errorf("asks %+v", request)
+		t.Errorf("next request %+v", request)
 	}
 	if changes, err := feed.Answered(fullList(10, y), "h", 0); err != nil || idList(changes.Instances) != "y x-" {
 		t.Errorf("%+v, %v", changes, err)
 	}
 }
 
-// What an answer costs grows with the list and the answer, not with their product: when a
-// whole list drops half of it and has changed the other half.
+// The comparisons for a full list grow with the sum of both lists, not with their product.
 func TestFeedComparesEachInstanceOnce(t *testing.T) {
-	for _, n := range []int{100, 1000, 10_000} {
+	for _, size := range []int{100, 1000, 10_000} {
 		var before, after []Instance
-		for i := range n {
+		for i := range size {
 			before = append(before, testInstance(fmt.Sprintf("i%06d", i), 1))
 			if i%2 == 0 {
 				after = append(after, testInstance(fmt.Sprintf("i%06d", i), 2))
@@ -439,11 +436,11 @@
 		feed.Answered(fullList(1, before...), "h", 0)
 		comparedBefore := feed.Compared()
 		changes, err := feed.Answered(fullList(2, after...), "h", 0)
-		if err != nil || len(changes.Instances) != n {
-			t.Fatalf("%d news, %v", len(changes.Instances), err)
+		if err != nil || len(changes.Instances) != size {
+			t.Fatalf("%d changes, %v", len(changes.Instances), err)
 		}
-		if compared := feed.Compared() - comparedBefore; compared > int64(2*n) {
-			t.Errorf("%d comparisons for %d instances", compared, n)
+		if compared := feed.Compared() - comparedBefore; compared > int64(2*size) {
+			t.Errorf("%d comparisons for %d instances", compared, size)
 		}
 	}
 }
--- a/internal/registry/scoped.go
+++ b/internal/registry/scoped.go
@@ -308,20 +308,20 @@
 type movedInstances map[string][]Placement
 
 // add adds the placements of a change to an instance whose last placement is current.
-func (m *movedInstances) add(c *change, current Placement) {
-	previous := (*m)[c.id]
+func (m *movedInstances) add(change *change, current Placement) {
+	previous := (*m)[change.id]
 	countBefore := len(previous)
-	for _, p := range c.previousPlacements() {
+	for _, p := range change.previousPlacements() {
 		previous = appendPrevious(previous, p, current)
 	}
-	previous = appendPrevious(previous, c.currentPlacement(), current)
+	previous = appendPrevious(previous, change.currentPlacement(), current)
 	if len(previous) == countBefore {
 		return
 	}
 	if *m == nil {
 		*m = movedInstances{}
 	}
-	(*m)[c.id] = previous
+	(*m)[change.id] = previous
 }
 
 // sorted returns the instances sorted by id, or nil if there are none.
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// patience bounds every wait of a test; none is expected to last so long.
+// testTimeout bounds every wait of a test.
 const testTimeout = 20 * time.Second
 
 var testServerLimits = ServerLimits{Connections: 700, Watchers: 600, ListingsPerSecond: 1000}
 
-// service is one list service on loopback sockets.
+// testServer is a registry server on loopback sockets.
 type testServer struct {
 	*Server
 	address, control string
@@ -31,7 +31,7 @@
 
 func (s *testServer) run(t *testing.T, serve func(context.Context, net.Listener, net.Listener) error, address string) {
 	t.Helper()
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,11 +39,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.address, s.control, s.ended = l.Addr().String(), operators.Addr().String(), make(chan error, 1)
+	s.address, s.control, s.ended = listener.Addr().String(), operators.Addr().String(), make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	s.stop = stop
-	go func() { defer close(done); s.ended <- serve(ctx, l, operators) }()
+	go func() { defer close(done); s.ended <- serve(ctx, listener, operators) }()
 	t.Cleanup(func() { stop(); <-done })
 }
 
@@ -68,7 +68,7 @@
 	return s, f
 }
 
-// call makes one call, without following where it is sent on to.
+// call makes one HTTP request and does not follow redirects.
 func call(t *testing.T, method, url, body string) (int, string, http.Header) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -119,18 +119,18 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// The list has the form of the protocol, and a watch waits for what is new.
+// The list has the JSON form of the protocol, and a watch waits for changes.
 func TestReadAndWatch(t *testing.T) {
 	t.Parallel()
-	s := newTestWriter(t, testServerLimits)
-	s.register(t, "s-1", 7)
+	server := newTestWriter(t, testServerLimits)
+	server.register(t, "s-1", 7)
 	var raw map[string]any
-	_, text, header := call(t, "GET", s.url(""), "")
+	_, text, header := call(t, "GET", server.url(""), "")
 	if err := json.Unmarshal([]byte(text), &raw); err != nil {
 		t.Fatal(err)
 	}
@@ -138,34 +138,34 @@
 	if fmt.Sprint(raw) != want || header.Get(HistoryHeader) != "h1" {
 		t.Errorf("%v, history %q", raw, header.Get(HistoryHeader))
 	}
-	if listing := s.list(t, "?since=1001&timeout_ms=20"); listing.Generation != 1001 || listing.Reset || len(listing.Instances) > 0 {
-		t.Errorf("at the end of a wait: %+v", listing)
+	if listing := server.list(t, "?since=1001&timeout_ms=20"); listing.Generation != 1001 || listing.Reset || len(listing.Instances) > 0 {
+		t.Errorf("at the end of a watch: %+v", listing)
 	}
 	answered := make(chan Listing, 1)
-	go func() { answered <- s.list(t, "?since=1001&timeout_ms=60000&history=h1") }()
-	waitUntil(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
-	if code, text, _ := call(t, "POST", s.url("/s-1/lifecycle"), `{"lifecycle":"Terminating","startedAtMs":7,"ifVersion":1001}`); code != 200 || text != `{"version":1002,"lifecycle":"Terminating","leaseMs":10000}`+"\n" {
+	go func() { answered <- server.list(t, "?since=1001&timeout_ms=60000&history=h1") }()
+	waitUntil(t, "one watcher", func() bool { return server.metrics.watchers.Load() == 1 })
+	if code, text, _ := call(t, "POST", server.url("/s-1/lifecycle"), `{"lifecycle":"Terminating","startedAtMs":7,"ifVersion":1001}`); code != 200 || text != `{"version":1002,"lifecycle":"Terminating","leaseMs":10000}`+"\n" {
 		t.Errorf("status %d: %s", code, text)
 	}
 	if listing := <-answered; listing.Generation != 1002 || listing.Reset || len(listing.Instances) != 1 || listing.Instances[0].Lifecycle != Terminating {
 		t.Errorf("%+v", listing)
 	}
-	if code, _, _ := call(t, "POST", s.url("/s-1/renew"), `{"startedAtMs":7}`); code != 200 {
+	if code, _, _ := call(t, "POST", server.url("/s-1/renew"), `{"startedAtMs":7}`); code != 200 {
 		t.Errorf("renewal: status %d", code)
 	}
-	if code, _, _ := call(t, "DELETE", s.url("/s-1?startedAtMs=7"), ""); code != 200 {
-		t.Errorf("leaving: status %d", code)
+	if code, _, _ := call(t, "DELETE", server.url("/s-1?startedAtMs=7"), ""); code != 200 {
+		t.Errorf("removal: status %d", code)
 	}
-	if listing := s.list(t, "?since=1002"); len(listing.Instances) != 1 || listing.Instances[0].Lifecycle != Gone {
+	if listing := server.list(t, "?since=1002"); len(listing.Instances) != 1 || listing.Instances[0].Lifecycle != Gone {
 		t.Errorf("%+v", listing)
 	}
 }
 
-// What is not understood changes nothing, and is answered with one line.
+// Invalid requests change nothing and get an error of one line.
 func TestInvalidRequestsChangeNothing(t *testing.T) {
 	t.Parallel()
-	s := newTestWriter(t, testServerLimits)
-	s.register(t, "s-1", 7)
+	server := newTestWriter(t, testServerLimits)
+	server.register(t, "s-1", 7)
 	modified := func(old, new string) string { return strings.Replace(registration(8), old, new, 1) }
 	for _, test := range []struct {
 		method, path, body string
@@ -213,17 +213,17 @@
 		{"GET", "?since=x", "", 400},
 		{"GET", "/s-1", "", 405},
 	} {
-		code, text, _ := call(t, test.method, s.url(test.path), test.body)
+		code, text, _ := call(t, test.method, server.url(test.path), test.body)
 		if code != test.status || strings.Count(strings.TrimSpace(text), "\n") > 0 || text == "" {
 			t.Errorf("%s %s %.60s: status %d, %q; want %d", test.method, test.path, test.body, code, text, test.status)
 		}
 	}
-	if listing := s.list(t, ""); listing.Generation != 1001 || len(listing.Instances) != 1 || listing.Instances[0] != testInstance("s-1", 7) {
+	if listing := server.list(t, ""); listing.Generation != 1001 || len(listing.Instances) != 1 || listing.Instances[0] != testInstance("s-1", 7) {
 		t.Errorf("%+v", listing)
 	}
 }
 
-// watch follows a service until it is told to stop, and counts.
+// watcher is a client that counts its updates.
 type watcher struct {
 	client  *Client
 	updates atomic.Int64
@@ -239,117 +239,116 @@
 	return w
 }
 
-// storeStats are the store's, which the service's tick changes too.
+// storeStats returns the store's statistics under the server's lock.
 func (s *Server) storeStats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.store.Stats()
 }
 
-// A change is encoded once for all watchers, and changes that come in a burst are
-// joined for each.
+// A change is encoded once for all watchers, and a burst of changes is one answer.
 func TestWatchersShareEncodedChanges(t *testing.T) {
 	t.Parallel()
 	const watchers, changes = 300, 200
-	s := newTestWriter(t, testServerLimits)
+	server := newTestWriter(t, testServerLimits)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
 	var all []*watcher
 	for n := range uint64(watchers) {
-		w := newWatcher([]string{s.address}, n)
+		w := newWatcher([]string{server.address}, n)
 		all = append(all, w)
 		wg.Go(func() { w.client.Run(ctx, nil) })
 	}
-	waitUntil(t, "all watch", func() bool { return s.metrics.watchers.Load() == watchers })
-	before := s.storeStats()
-	s.change(func(now time.Duration) (WriteResult, error) {
+	waitUntil(t, "all watchers", func() bool { return server.metrics.watchers.Load() == watchers })
+	before := server.storeStats()
+	server.change(func(now time.Duration) (WriteResult, error) {
 		for n := range int64(changes) {
-			if _, err := s.store.Register(now, testInstance(fmt.Sprint(n%40), n), nil); err != nil {
+			if _, err := server.store.Register(now, testInstance(fmt.Sprint(n%40), n), nil); err != nil {
 				return WriteResult{}, err
 			}
 		}
 		return WriteResult{}, nil
 	})
 	for n, w := range all {
-		waitUntil(t, "a watcher is at the last version", func() bool { return w.version.Load() == 1000+changes })
+		waitUntil(t, "the last version at a watcher", func() bool { return w.version.Load() == 1000+changes })
 		if answers := w.updates.Load(); answers != 2 {
-			t.Errorf("watcher %d had %d answers for one burst", n, answers-1)
+			t.Errorf("watcher %d received %d answers for one burst", n, answers-1)
 		}
 	}
-	after := s.storeStats()
+	after := server.storeStats()
 	if after.ChangesEncoded-before.ChangesEncoded != changes || after.AnswersEncoded-before.AnswersEncoded > 2 {
-		t.Errorf("%d encoded and %d joined for %d changes and %d watchers", after.ChangesEncoded-before.ChangesEncoded,
+		t.Errorf("%d changes and %d answers encoded for %d changes and %d watchers", after.ChangesEncoded-before.ChangesEncoded,
 			after.AnswersEncoded-before.AnswersEncoded, changes, watchers)
 	}
 }
 
-// Beyond its limits a service turns calls away, each for a time of its own.
+// An overloaded server rejects requests with differing Retry-After delays.
 func TestOverloadedServerRejects(t *testing.T) {
 	t.Parallel()
-	s := newTestWriter(t, ServerLimits{Connections: 100, Watchers: 1, ListingsPerSecond: 3})
+	server := newTestWriter(t, ServerLimits{Connections: 100, Watchers: 1, ListingsPerSecond: 3})
 	for range 3 {
-		s.list(t, "")
+		server.list(t, "")
 	}
 	retryAfter := map[string]bool{}
-	for n := 0; n < 300 && len(retryAfter) < 2; n++ { // on a slow machine some are let through meanwhile
-		code, _, header := call(t, "GET", s.url(""), "")
+	for n := 0; n < 300 && len(retryAfter) < 2; n++ { // on a slow machine the rate limit admits some meanwhile
+		code, _, header := call(t, "GET", server.url(""), "")
 		if code == 503 {
 			retryAfter[header.Get("Retry-After")] = true
 		}
 	}
 	if len(retryAfter) < 2 || retryAfter[""] {
-		t.Errorf("advice %v", retryAfter)
+		t.Errorf("Retry-After values %v", retryAfter)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	req, _ := http.NewRequestWithContext(ctx, "GET", s.url("?since=1000&timeout_ms=60000"), nil)
+	req, _ := http.NewRequestWithContext(ctx, "GET", server.url("?since=1000&timeout_ms=60000"), nil)
 	go http.DefaultClient.Do(req)
-	waitUntil(t, "a watcher", func() bool { return s.metrics.watchers.Load() == 1 })
-	if code, _, _ := call(t, "GET", s.url("?since=1000&timeout_ms=60000"), ""); code != 503 {
-		t.Errorf("one watcher too many: status %d", code)
+	waitUntil(t, "one watcher", func() bool { return server.metrics.watchers.Load() == 1 })
+	if code, _, _ := call(t, "GET", server.url("?since=1000&timeout_ms=60000"), ""); code != 503 {
+		t.Errorf("watcher above the limit: status %d", code)
 	}
-	if code, _, _ := call(t, "GET", s.url("?since=1000"), ""); code != 200 {
-		t.Errorf("a call that does not wait: status %d", code)
+	if code, _, _ := call(t, "GET", server.url("?since=1000"), ""); code != 200 {
+		t.Errorf("read without waiting: status %d", code)
 	}
 	stop()
-	waitUntil(t, "no watcher", func() bool { return s.metrics.watchers.Load() == 0 })
+	waitUntil(t, "no watchers", func() bool { return server.metrics.watchers.Load() == 0 })
 }
 
-// A watcher that takes no answer is cut, and holds up nobody.
+// The server disconnects a client that does not read its answers, without delaying others.
 func TestStalledWatcherIsDisconnected(t *testing.T) {
 	t.Parallel()
-	s := newTestWriter(t, testServerLimits)
+	server := newTestWriter(t, testServerLimits)
 	for n := range int64(40) {
-		s.register(t, fmt.Sprint("s-", n), 1)
+		server.register(t, fmt.Sprint("s-", n), 1)
 	}
-	conn, err := net.Dial("tcp", s.address)
+	conn, err := net.Dial("tcp", server.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	go func() { // asks, and never reads
+	go func() { // sends requests and never reads
 		for {
 			if _, err := io.WriteString(conn, "GET "+Path+"?since=1000 HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 				return
 			}
 		}
 	}()
-	waitUntil(t, "it is cut", func() bool { return s.metrics.aborted.Load() > 0 })
-	s.list(t, "")
+	waitUntil(t, "the client is disconnected", func() bool { return server.metrics.aborted.Load() > 0 })
+	server.list(t, "")
 }
 
-// At a stop watchers move on at differing moments.
+// Shutdown ends watches spread over time.
 func TestShutdownSpreadsWatchers(t *testing.T) {
 	t.Parallel()
 	const watchers = 40
-	s := newTestWriter(t, testServerLimits)
+	server := newTestWriter(t, testServerLimits)
 	ends := make(chan time.Time, watchers)
 	for range watchers {
 		go func() {
-			resp, err := http.Get(s.url("?since=1000&timeout_ms=60000"))
+			resp, err := http.Get(server.url("?since=1000&timeout_ms=60000"))
 			if err != nil || resp.StatusCode != 200 || !resp.Close {
 				t.Errorf("%v %v", resp, err)
 			} else {
@@ -358,22 +357,22 @@
 			ends <- time.Now()
 		}()
 	}
-	waitUntil(t, "all watch", func() bool { return s.metrics.watchers.Load() == watchers })
-	s.stop()
+	waitUntil(t, "all watchers", func() bool { return server.metrics.watchers.Load() == watchers })
+	server.stop()
 	var moments []time.Time
 	for range watchers {
 		moments = append(moments, <-ends)
 	}
 	if spread := moments[watchers-1].Sub(moments[0]); spread < watchDrainPeriod/4 {
-		t.Errorf("all left within %v", spread)
+		t.Errorf("all watches ended within %v", spread)
 	}
-	if err := <-s.ended; err != nil {
+	if err := <-server.ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// A follower has the writer's versions, sends writes there, and without it serves
-// what it has and says how old that is.
+// A follower serves the writer's versions, redirects writes to it, and without it serves its copy
+// with the age.
 func TestFollowerServesWritersVersions(t *testing.T) {
 	t.Parallel()
 	writer := newTestWriter(t, testServerLimits)
@@ -386,23 +385,22 @@
 	if code != http.StatusTemporaryRedirect || header.Get("Location") != writer.url("/s-1") {
 		t.Errorf("status %d to %q", code, header.Get("Location"))
 	}
-	// One that is ahead of the follower waits for it.
+	// A reader ahead of the follower waits for it.
 	answered := make(chan Listing, 1)
 	go func() { answered <- follower.list(t, "?since=1001&timeout_ms=60000&history=h1") }()
 	writer.register(t, "s-1", 7)
 	writer.register(t, "s-2", 7)
-	// If the follower has heard of both at once, both are new to one who comes from a
-	// version in between.
+	// If the follower received both at once, a reader at the intermediate version gets both.
 	if listing := <-answered; listing.Generation != 1002 || listing.Reset || len(listing.Instances) == 0 || listing.Instances[len(listing.Instances)-1].ID != "s-2" {
 		t.Errorf("%+v", listing)
 	}
 	waitUntil(t, "the same list", func() bool { return follower.list(t, "").Generation == 1002 })
 	if code, _, _ := call(t, "GET", follower.url("?since=5000"), ""); code != 400 {
-		t.Errorf("a version to come: status %d", code)
+		t.Errorf("read at a future version: status %d", code)
 	}
 	writer.stop()
 	<-writer.ended
-	waitUntil(t, "it says how old its list is", func() bool {
+	waitUntil(t, "a list age of at least a second", func() bool {
 		_, _, header := call(t, "GET", follower.url(""), "")
 		return len(header.Get(AgeHeader)) > 3
 	})
@@ -412,12 +410,12 @@
 	_, metrics, _ := call(t, "GET", "http://"+follower.control+"/control/counters", "")
 	for _, line := range []string{"registry.version:1002|g", "registry.instances:2|g", "registry.lapsed:0|c", "registry.age_ms:"} {
 		if !strings.Contains(metrics, line) {
-			t.Errorf("no %s in\n%s", line, metrics)
+			t.Errorf("metric %s is missing in\n%s", line, metrics)
 		}
 	}
 }
 
-// A follower that has never heard from its writer tells no list, and says so.
+// A follower without an update from its writer rejects reads and reports age -1.
 func TestFollowerWithoutWriterRejectsReads(t *testing.T) {
 	t.Parallel()
 	writer := newTestWriter(t, testServerLimits)
@@ -425,14 +423,14 @@
 	<-writer.ended
 	follower, _ := newTestFollower(t, writer.address)
 	if code, _, header := call(t, "GET", follower.url(""), ""); code != 503 || header.Get("Retry-After") == "" {
-		t.Errorf("status %d, advice %q", code, header.Get("Retry-After"))
+		t.Errorf("status %d, Retry-After %q", code, header.Get("Retry-After"))
 	}
 	if _, position, _ := call(t, "GET", "http://"+follower.control+"/control/where", ""); !strings.Contains(position, `"ageMs":-1`) {
 		t.Errorf("%s", position)
 	}
 }
 
-// An operator points a follower at a new writer, and its readers go along.
+// A follower that is pointed at a new writer takes its readers along.
 func TestFollowerSwitchesWriter(t *testing.T) {
 	t.Parallel()
 	oldWriter, newWriter := newTestWriter(t, testServerLimits), &testServer{}
@@ -458,7 +456,7 @@
 	}
 }
 
-// A head that does not come, and a body that does not, end in time.
+// Requests with an incomplete header or body time out.
 func TestStalledRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	s := newTestWriter(t, testServerLimits)
@@ -473,7 +471,7 @@
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && resp.StatusCode/100 != 4 {
 			t.Errorf("%q: status %d", text, resp.StatusCode)
 		} else if err, ok := err.(net.Error); ok && err.Timeout() {
-			t.Errorf("%q: never ended", text)
+			t.Errorf("%q: not ended within the timeout", text)
 		}
 	}
 }
--- a/internal/registry/services.go
+++ b/internal/registry/services.go
@@ -26,19 +26,19 @@
 func newServiceIndex() *serviceIndex { return &serviceIndex{known: map[string]*indexedService{}} }
 
 // add adds an entry to its service.
-func (x *serviceIndex) add(e *entry) {
-	if e.Service == "" {
+func (x *serviceIndex) add(added *entry) {
+	if added.Service == "" {
 		return
 	}
-	service := x.known[e.Service]
+	service := x.known[added.Service]
 	switch {
 	case service == nil:
 		service = &indexedService{instances: map[string]*entry{}}
-		x.known[e.Service] = service
+		x.known[added.Service] = service
 	case len(service.instances) == 0:
 		x.empty--
 	}
-	service.instances[e.ID] = e
+	service.instances[added.ID] = added
 }
 
 // remove removes an entry from its service, which stays known.
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-// restarted is a store with all that a snapshot of another has.
+// restoredStore returns a store restored from a snapshot of another.
 func restoredStore(t *testing.T, s *Store, now time.Duration) *Store {
 	t.Helper()
 	restored := newStore(s.limits, now)
@@ -49,10 +49,9 @@
 	return 0
 }
 
-// Writes mean the same when they are made again, and one process can't write for
-// another.
+// Repeated writes change nothing, and a process cannot write for another one.
 func TestWritesAreIdempotent(t *testing.T) {
-	s := newTestStore(testLimits, 0)
+	store := newTestStore(testLimits, 0)
 	version := func(n int64) *int64 { return &n }
 	otherAddress, otherWeight := testInstance("a", 5), testInstance("a", 5)
 	otherAddress.HostPort, otherWeight.Weight = "127.0.0.1:81", 2
@@ -60,68 +59,67 @@
 	gone.Lifecycle = Gone
 	for n, step := range []struct {
 		do      func() (WriteResult, error)
-		status  int // 0: done
+		status  int // 0: success
 		version int64
 	}{
-		{func() (WriteResult, error) { return s.Register(0, testInstance("a", 5), version(7)) }, http.StatusPreconditionFailed, 1000},
-		{func() (WriteResult, error) { return s.Register(0, testInstance("a", 5), version(0)) }, 0, 1001},
-		{func() (WriteResult, error) { return s.Register(0, testInstance("a", 5), nil) }, 0, 1001},                   // again
-		{func() (WriteResult, error) { return s.Register(0, otherAddress, nil) }, http.StatusConflict, 1001},         // two processes, one start
-		{func() (WriteResult, error) { return s.Register(0, testInstance("a", 4), nil) }, http.StatusConflict, 1001}, // an old one
-		{func() (WriteResult, error) { return s.Register(0, otherWeight, version(1001)) }, 0, 1002},
-		{func() (WriteResult, error) { return s.Renew(0, "a", 4) }, http.StatusConflict, 1002},
-		{func() (WriteResult, error) { return s.Renew(0, "b", 4) }, http.StatusNotFound, 1002},
-		{func() (WriteResult, error) { return s.Renew(0, "a", 5) }, 0, 1002},
-		{func() (WriteResult, error) { return s.SetLifecycle(0, "a", 5, "Asleep", nil) }, http.StatusBadRequest, 1002},
-		{func() (WriteResult, error) { return s.SetLifecycle(0, "a", 5, Terminating, version(1001)) }, http.StatusPreconditionFailed, 1002},
-		{func() (WriteResult, error) { return s.SetLifecycle(0, "a", 5, Terminating, version(1002)) }, 0, 1003},
-		{func() (WriteResult, error) { return s.SetLifecycle(0, "a", 5, Terminating, nil) }, 0, 1003},
-		{func() (WriteResult, error) { return s.Register(0, testInstance("a", 6), nil) }, 0, 1004},
-		{func() (WriteResult, error) { return s.Renew(0, "a", 5) }, http.StatusConflict, 1004}, // the old process
-		{func() (WriteResult, error) { return s.Leave(0, "a", 5, nil) }, http.StatusConflict, 1004},
-		{func() (WriteResult, error) { return s.Leave(0, "a", 6, nil) }, 0, 1005},
-		{func() (WriteResult, error) { return s.Leave(0, "a", 6, nil) }, 0, 1005},
-		{func() (WriteResult, error) { return s.Register(0, testInstance("a", 5), nil) }, http.StatusConflict, 1005}, // back from the dead
-		{func() (WriteResult, error) { i := otherAddress; i.StartedAtMs = 7; return s.Register(0, i, nil) }, 0, 1006},
-		{func() (WriteResult, error) { return s.Register(0, gone, nil) }, http.StatusBadRequest, 1006},
+		{func() (WriteResult, error) { return store.Register(0, testInstance("a", 5), version(7)) }, http.StatusPreconditionFailed, 1000},
+		{func() (WriteResult, error) { return store.Register(0, testInstance("a", 5), version(0)) }, 0, 1001},
+		{func() (WriteResult, error) { return store.Register(0, testInstance("a", 5), nil) }, 0, 1001},                   // repeated
+		{func() (WriteResult, error) { return store.Register(0, otherAddress, nil) }, http.StatusConflict, 1001},         // two processes with the same start
+		{func() (WriteResult, error) { return store.Register(0, testInstance("a", 4), nil) }, http.StatusConflict, 1001}, // an older process
+		{func() (WriteResult, error) { return store.Register(0, otherWeight, version(1001)) }, 0, 1002},
+		{func() (WriteResult, error) { return store.Renew(0, "a", 4) }, http.StatusConflict, 1002},
+		{func() (WriteResult, error) { return store.Renew(0, "b", 4) }, http.StatusNotFound, 1002},
+		{func() (WriteResult, error) { return store.Renew(0, "a", 5) }, 0, 1002},
+		{func() (WriteResult, error) { return store.SetLifecycle(0, "a", 5, "Asleep", nil) }, http.StatusBadRequest, 1002},
+		{func() (WriteResult, error) { return store.SetLifecycle(0, "a", 5, Terminating, version(1001)) }, http.StatusPreconditionFailed, 1002},
+		{func() (WriteResult, error) { return store.SetLifecycle(0, "a", 5, Terminating, version(1002)) }, 0, 1003},
+		{func() (WriteResult, error) { return store.SetLifecycle(0, "a", 5, Terminating, nil) }, 0, 1003},
+		{func() (WriteResult, error) { return store.Register(0, testInstance("a", 6), nil) }, 0, 1004},
+		{func() (WriteResult, error) { return store.Renew(0, "a", 5) }, http.StatusConflict, 1004}, // an older process
+		{func() (WriteResult, error) { return store.Leave(0, "a", 5, nil) }, http.StatusConflict, 1004},
+		{func() (WriteResult, error) { return store.Leave(0, "a", 6, nil) }, 0, 1005},
+		{func() (WriteResult, error) { return store.Leave(0, "a", 6, nil) }, 0, 1005},
+		{func() (WriteResult, error) { return store.Register(0, testInstance("a", 5), nil) }, http.StatusConflict, 1005}, // an older process after its successor left
+		{func() (WriteResult, error) { i := otherAddress; i.StartedAtMs = 7; return store.Register(0, i, nil) }, 0, 1006},
+		{func() (WriteResult, error) { return store.Register(0, gone, nil) }, http.StatusBadRequest, 1006},
 	} {
 		result, err := step.do()
-		if statusOf(err) != step.status || (err == nil) != (step.status == 0) || s.version != step.version ||
-			err == nil && result.Version != s.version {
-			t.Fatalf("step %d: %v, version %d of %d; want status %d, version %d", n, err, result.Version, s.version, step.status, step.version)
+		if statusOf(err) != step.status || (err == nil) != (step.status == 0) || store.version != step.version ||
+			err == nil && result.Version != store.version {
+			t.Fatalf("step %d: %v, version %d of %d; want status %d, version %d", n, err, result.Version, store.version, step.status, step.version)
 		}
 	}
-	for i := len(s.entries); i < testLimits.Instances; i++ {
-		if _, err := s.Register(0, testInstance(fmt.Sprint("x", i), 1), nil); err != nil {
+	for i := len(store.entries); i < testLimits.Instances; i++ {
+		if _, err := store.Register(0, testInstance(fmt.Sprint("x", i), 1), nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := s.Register(0, testInstance("more", 1), nil); statusOf(err) != http.StatusConflict {
-		t.Errorf("beyond the limit: %v", err)
+	if _, err := store.Register(0, testInstance("more", 1), nil); statusOf(err) != http.StatusConflict {
+		t.Errorf("registration above the limit: %v", err)
 	}
 }
 
-// Each state of an instance meets each call, through every way in which a list comes
-// to be: the state that follows is the one in the table, and a call is answered as
-// done only if what it asked for holds then.
+// Every request in every state of an instance leads to the state in the table, in a new, restored,
+// replicated or promoted store. It succeeds only if the requested state is reached.
 func TestLifecycleTransitions(t *testing.T) {
 	absent := Lifecycle("")
-	const lapsed, drained = Lifecycle("lapsed"), Lifecycle("lapsed in a drain")
+	const lapsed, drained = Lifecycle("lapsed"), Lifecycle("lapsed while draining")
 	register := func(requested Lifecycle) func(*Store) (WriteResult, error) {
-		return func(s *Store) (WriteResult, error) {
+		return func(store *Store) (WriteResult, error) {
 			i := testInstance("a", 5)
 			i.Lifecycle = requested
-			return s.Register(0, i, nil)
+			return store.Register(0, i, nil)
 		}
 	}
 	set := func(lifecycle Lifecycle) func(*Store) (WriteResult, error) {
-		return func(s *Store) (WriteResult, error) { return s.SetLifecycle(0, "a", 5, lifecycle, nil) }
+		return func(store *Store) (WriteResult, error) { return store.SetLifecycle(0, "a", 5, lifecycle, nil) }
 	}
-	later := func(s *Store) (WriteResult, error) { return s.Register(0, testInstance("a", 6), nil) }
+	later := func(store *Store) (WriteResult, error) { return store.Register(0, testInstance("a", 6), nil) }
 	calls := []struct {
 		name string
 		do   func(*Store) (WriteResult, error)
-		asks Lifecycle // empty: whatever there is
+		asks Lifecycle // empty: any
 		then map[Lifecycle]Lifecycle
 	}{
 		{"PUT", register(""), "", map[Lifecycle]Lifecycle{absent: Ready, Ready: Ready, Terminating: Terminating, lapsed: Ready, drained: Terminating}},
@@ -130,12 +128,12 @@
 		{"PUT of a later start", later, Ready, map[Lifecycle]Lifecycle{absent: Ready, Ready: Ready, Terminating: Ready, lapsed: Ready, drained: Ready}},
 		{"lifecycle Ready", set(Ready), Ready, map[Lifecycle]Lifecycle{Ready: Ready, Terminating: Ready}},
 		{"lifecycle Terminating", set(Terminating), Terminating, map[Lifecycle]Lifecycle{Ready: Terminating, Terminating: Terminating}},
-		{"renew", func(s *Store) (WriteResult, error) { return s.Renew(0, "a", 5) }, "", map[Lifecycle]Lifecycle{Ready: Ready, Terminating: Terminating}},
-		{"DELETE", func(s *Store) (WriteResult, error) { return s.Leave(0, "a", 5, nil) }, Gone, map[Lifecycle]Lifecycle{absent: Gone, Ready: Gone, Terminating: Gone, lapsed: Gone, drained: Gone}},
+		{"renew", func(store *Store) (WriteResult, error) { return store.Renew(0, "a", 5) }, "", map[Lifecycle]Lifecycle{Ready: Ready, Terminating: Terminating}},
+		{"DELETE", func(store *Store) (WriteResult, error) { return store.Leave(0, "a", 5, nil) }, Gone, map[Lifecycle]Lifecycle{absent: Gone, Ready: Gone, Terminating: Gone, lapsed: Gone, drained: Gone}},
 	}
-	origins := []string{"as it is", "from a snapshot", "from the log", "of a follower", "after promotion", "staged, then kept"}
-	state := func(s *Store) Lifecycle {
-		if e := s.entries["a"]; e != nil {
+	origins := []string{"new", "from a snapshot", "from the log", "from a follower", "after promotion", "staged, then committed"}
+	state := func(store *Store) Lifecycle {
+		if e := store.entries["a"]; e != nil {
 			return e.Lifecycle
 		}
 		return Gone
@@ -143,9 +141,9 @@
 	for _, from := range []Lifecycle{absent, Ready, Terminating, lapsed, drained} {
 		for _, origin := range origins {
 			for _, call := range calls {
-				s := newTestStore(testLimits, 0)
-				s.Register(0, testInstance("b", 1), nil)
-				log := s.SnapshotRecords()
+				store := newTestStore(testLimits, 0)
+				store.Register(0, testInstance("b", 1), nil)
+				log := store.SnapshotRecords()
 				follower := newStore(testLimits, 0)
 				step := func(result WriteResult, err error) {
 					if err != nil {
@@ -153,13 +151,13 @@
 					}
 				}
 				replicate := func() {
-					a, err := s.Read(0, max(follower.version, -1), s.history)
+					a, err := store.Read(0, max(follower.version, -1), store.history)
 					if err != nil {
 						t.Fatal(err)
 					}
 					listing, err := ParseListing(a.Body)
 					if err == nil {
-						err = follower.ApplyListing(0, listing, s.history)
+						err = follower.ApplyListing(0, listing, store.history)
 					}
 					if err != nil {
 						t.Fatal(err)
@@ -168,18 +166,18 @@
 				follower.version = -1
 				replicate()
 				if from != absent {
-					step(register("")(s))
+					step(register("")(store))
 				}
 				if from == Terminating || from == drained {
 					replicate()
-					step(set(Terminating)(s))
+					step(set(Terminating)(store))
 				}
 				if from == lapsed || from == drained {
 					replicate()
-					s.lapseCredit, s.lastTick, s.entries["a"].expires = 1, 0, 0
-					s.entries["b"].expires = time.Hour
-					if err := s.Tick(0); err != nil || s.entries["a"] != nil {
-						t.Fatalf("no lapse: %v", err)
+					store.lapseCredit, store.lastTick, store.entries["a"].expires = 1, 0, 0
+					store.entries["b"].expires = time.Hour
+					if err := store.Tick(0); err != nil || store.entries["a"] != nil {
+						t.Fatalf("the lease has not lapsed: %v", err)
 					}
 				}
 				replicate()
@@ -190,152 +188,151 @@
 					for _, r := range log {
 						step(WriteResult{}, again.Restore(0, r))
 					}
-					for _, logged := range s.changes {
+					for _, logged := range store.changes {
 						if logged.version > again.version {
 							step(WriteResult{}, again.Restore(0, Record{Change: &InstanceRecord{Version: logged.version, Instance: logged.encoded}}))
 						}
 					}
-					s = again
-				case "of a follower":
+					store = again
+				case "from a follower":
 					follower.baseVersion = 0
-					s = follower
+					store = follower
 				case "after promotion":
 					step(WriteResult{}, follower.Restore(0, follower.PromotionRecord(0, "h2", 1)))
-					s = follower
-					// What has gone is not known any more: it is as if it had never been.
+					store = follower
+					// A promoted follower has no history, so that a Gone instance counts as absent.
 					if from == drained {
 						want, accepted = call.then[absent]
 					}
-				case "staged, then kept":
-					s.EnableStaging()
+				case "staged, then committed":
+					store.EnableStaging()
 				case "from a snapshot":
-					s = restoredStore(t, s, 0)
+					store = restoredStore(t, store, 0)
 				}
-				written, err := call.do(s)
-				s.CommitStaged(0)
+				written, err := call.do(store)
+				store.CommitStaged(0)
 				name := fmt.Sprintf("%s, %s, %q", origin, call.name, from)
 				switch {
 				case !accepted:
 					if code := statusOf(err); code != http.StatusConflict && code != http.StatusNotFound {
 						t.Errorf("%s: %+v, %v", name, written, err)
 					}
-				case err != nil || written.Lifecycle != want || state(s) != want || call.asks != "" && call.asks != want:
-					t.Errorf("%s: %+v, %v, then %s; want %s", name, written, err, state(s), want)
+				case err != nil || written.Lifecycle != want || state(store) != want || call.asks != "" && call.asks != want:
+					t.Errorf("%s: %+v, %v, then %s; want %s", name, written, err, state(store), want)
 				}
 			}
 		}
 	}
 }
 
-// What does not last yet is not told, and has not happened if it is dropped.
+// Staged changes are invisible to readers and leave no trace if they are dropped.
 func TestStagedChangesAreInvisible(t *testing.T) {
-	s := newTestStore(testLimits, 0)
-	s.Register(0, testInstance("a", 1), nil)
-	s.EnableStaging()
-	before, _ := s.Read(0, -1, "")
+	store := newTestStore(testLimits, 0)
+	store.Register(0, testInstance("a", 1), nil)
+	store.EnableStaging()
+	before, _ := store.Read(0, -1, "")
 	stage := func() {
 		t.Helper()
 		for n, do := range []func() (WriteResult, error){
-			func() (WriteResult, error) { return s.Register(0, testInstance("b", 1), nil) },
-			func() (WriteResult, error) { return s.SetLifecycle(0, "a", 1, Terminating, nil) },
-			func() (WriteResult, error) { return s.Register(0, testInstance("c", 1), nil) },
+			func() (WriteResult, error) { return store.Register(0, testInstance("b", 1), nil) },
+			func() (WriteResult, error) { return store.SetLifecycle(0, "a", 1, Terminating, nil) },
+			func() (WriteResult, error) { return store.Register(0, testInstance("c", 1), nil) },
 		} {
-			if written, err := do(); err != nil || written.Version != s.version+int64(n)+1 {
+			if written, err := do(); err != nil || written.Version != store.version+int64(n)+1 {
 				t.Errorf("%d: %+v, %v", n, written, err)
 			}
 		}
 		for _, do := range []func() (WriteResult, error){
-			func() (WriteResult, error) { return s.Register(0, testInstance("b", 2), nil) },
-			func() (WriteResult, error) { return s.Renew(0, "a", 1) },
-			func() (WriteResult, error) { return s.Leave(0, "c", 1, nil) },
+			func() (WriteResult, error) { return store.Register(0, testInstance("b", 2), nil) },
+			func() (WriteResult, error) { return store.Renew(0, "a", 1) },
+			func() (WriteResult, error) { return store.Leave(0, "c", 1, nil) },
 		} {
 			if _, err := do(); err != errPending {
-				t.Errorf("of one that is being changed: %v", err)
+				t.Errorf("write to an instance with a staged change: %v", err)
 			}
 		}
-		if after, _ := s.Read(0, -1, ""); string(after.Body) != string(before.Body) || len(s.StagedRecords()) != 3 {
-			t.Errorf("told before it lasts: %s, %d staged", after.Body, len(s.StagedRecords()))
+		if after, _ := store.Read(0, -1, ""); string(after.Body) != string(before.Body) || len(store.StagedRecords()) != 3 {
+			t.Errorf("staged change is visible: %s, %d staged", after.Body, len(store.StagedRecords()))
 		}
 	}
 	stage()
-	s.DropStaged()
-	if after, _ := s.Read(0, -1, ""); string(after.Body) != string(before.Body) || len(s.StagedRecords()) != 0 {
-		t.Errorf("dropped, but %s", after.Body)
+	store.DropStaged()
+	if after, _ := store.Read(0, -1, ""); string(after.Body) != string(before.Body) || len(store.StagedRecords()) != 0 {
+		t.Errorf("after the staged changes were dropped: %s", after.Body)
 	}
 	stage()
-	s.CommitStaged(0)
-	if a, err := s.Read(0, 1001, "h1"); err != nil || a.Full || strings.Count(string(a.Body), "instanceId") != 3 || s.version != 1004 {
-		t.Errorf("settled: %s, %v, version %d", a.Body, err, s.version)
+	store.CommitStaged(0)
+	if a, err := store.Read(0, 1001, "h1"); err != nil || a.Full || strings.Count(string(a.Body), "instanceId") != 3 || store.version != 1004 {
+		t.Errorf("after the commit: %s, %v, version %d", a.Body, err, store.version)
 	}
 }
 
-// A lease that runs out makes its instance Gone, and many at once go slowly.
+// Instances with expired leases become Gone, many at a limited rate.
 func TestLeaseExpiryIsRateLimited(t *testing.T) {
-	s := newTestStore(testLimits, 0)
+	store := newTestStore(testLimits, 0)
 	for n := range 40 {
-		s.Register(0, testInstance(fmt.Sprintf("i%02d", n), 1), nil)
+		store.Register(0, testInstance(fmt.Sprintf("i%02d", n), 1), nil)
 	}
-	remaining := len(s.entries)
+	remaining := len(store.entries)
 	for now := time.Duration(0); now < 30*time.Second; now += tickInterval {
 		if now < 9*time.Second {
-			s.Renew(now, "i00", 1)
+			store.Renew(now, "i00", 1)
 		}
-		if err := s.Tick(now); err != nil {
+		if err := store.Tick(now); err != nil {
 			t.Fatal(err)
 		}
-		if now < testLimits.Lease && len(s.entries) < 40 {
-			t.Fatalf("%d left at %v", len(s.entries), now)
+		if now < testLimits.Lease && len(store.entries) < 40 {
+			t.Fatalf("%d left at %v", len(store.entries), now)
 		}
-		if gone := remaining - len(s.entries); gone > 4 {
-			t.Fatalf("%d gone at once", gone)
+		if gone := remaining - len(store.entries); gone > 4 {
+			t.Fatalf("%d instances gone in one tick", gone)
 		}
-		remaining = len(s.entries)
+		remaining = len(store.entries)
 		if now == 11*time.Second {
-			if st := s.Stats(); st.Overdue == 0 || remaining < 40-4-3 {
-				t.Errorf("%d left, %d overdue a second after all ran out", remaining, st.Overdue)
+			if st := store.Stats(); st.Overdue == 0 || remaining < 40-4-3 {
+				t.Errorf("%d left, %d overdue a second after all leases expired", remaining, st.Overdue)
 			}
-			s.Renew(now, "i39", 1) // one that comes late is not too late
+			store.Renew(now, "i39", 1) // renews an expired lease that has not lapsed
 		}
-		if now > 11*time.Second && now < 21*time.Second && s.entries["i39"] == nil {
-			t.Fatalf("one that was renewed late has gone at %v", now)
+		if now > 11*time.Second && now < 21*time.Second && store.entries["i39"] == nil {
+			t.Fatalf("an instance renewed after its expiry is gone at %v", now)
 		}
-		if now == 15*time.Second && s.entries["i00"] == nil {
-			t.Error("one that was renewed has gone")
+		if now == 15*time.Second && store.entries["i00"] == nil {
+			t.Error("a renewed instance is gone")
 		}
 	}
-	if len(s.entries) > 20 {
-		t.Errorf("%d left at the end", len(s.entries))
+	if len(store.entries) > 20 {
+		t.Errorf("%d left at the end", len(store.entries))
 	}
-	if st := s.Stats(); int(st.Lapsed) != 40-remaining || st.Pauses != 0 {
+	if st := store.Stats(); int(st.Lapsed) != 40-remaining || st.Pauses != 0 {
 		t.Errorf("%+v", st)
 	}
 }
 
-// After a start, or a time in which the service stood still, nobody goes before a
-// full lease has passed.
+// After a restart or a pause of the process no lease lapses before its full duration.
 func TestPauseRenewsAllLeases(t *testing.T) {
-	s := newTestStore(testLimits, 0)
+	store := newTestStore(testLimits, 0)
 	for n := range 10 {
-		s.Register(0, testInstance(fmt.Sprint(n), 1), nil)
+		store.Register(0, testInstance(fmt.Sprint(n), 1), nil)
 	}
-	s.Tick(tickInterval)
-	now := time.Hour // it stood still, past every lease
+	store.Tick(tickInterval)
+	now := time.Hour // a pause longer than every lease
 	for end := now + testLimits.Lease; now < end; now += tickInterval {
-		if s.Tick(now); len(s.entries) < 10 {
-			t.Fatalf("%d left, %v after the pause", len(s.entries), now-time.Hour)
+		if store.Tick(now); len(store.entries) < 10 {
+			t.Fatalf("%d left, %v after the pause", len(store.entries), now-time.Hour)
 		}
 	}
-	if s.Tick(now + tickInterval); len(s.entries) == 10 {
-		t.Error("nobody goes at all")
+	if store.Tick(now + tickInterval); len(store.entries) == 10 {
+		t.Error("no lease lapses after the pause")
 	}
-	if s.Stats().Pauses != 1 {
-		t.Errorf("%d pauses", s.Stats().Pauses)
+	if store.Stats().Pauses != 1 {
+		t.Errorf("%d pauses", store.Stats().Pauses)
 	}
-	restored := restoredStore(t, s, 0) // with a clock of its own
-	if restored.history != "h1" || restored.version != s.version || len(restored.entries) != len(s.entries) {
+	restored := restoredStore(t, store, 0) // its clock starts at 0
+	if restored.history != "h1" || restored.version != store.version || len(restored.entries) != len(store.entries) {
 		t.Errorf("history %s, version %d, %d instances after a restart", restored.history, restored.version, len(restored.entries))
 	}
-	if a, err := restored.Read(0, s.version, "h1"); err != nil || !a.Unchanged {
+	if a, err := restored.Read(0, store.version, "h1"); err != nil || !a.Unchanged {
 		t.Errorf("at the last version: %+v, %v", a, err)
 	}
 	remaining := len(restored.entries)
@@ -346,7 +343,7 @@
 	}
 }
 
-// A service that begins with nothing tells no list until all could register.
+// A store with a new history rejects reads for one lease, in which all instances can register.
 func TestNewHistoryRejectsReadsForOneLease(t *testing.T) {
 	s := NewStore(testLimits, "h1", 1000, time.Second)
 	s.Register(time.Second, testInstance("a", 1), nil)
@@ -358,28 +355,28 @@
 	}
 }
 
-// Changes are joined for one that lags, encoded once, and kept within bounds.
+// The history stays within its limits, and changes for a lagging reader are encoded once.
 func TestHistoryIsBounded(t *testing.T) {
 	limits := testLimits
-	s := newTestStore(limits, 0)
+	store := newTestStore(limits, 0)
 	for n := range int64(100) {
-		if _, err := s.Register(0, testInstance("a", n), nil); err != nil {
+		if _, err := store.Register(0, testInstance("a", n), nil); err != nil {
 			t.Fatal(err)
 		}
-		if st := s.Stats(); st.History > limits.History || st.Bytes > limits.HistoryBytes {
+		if st := store.Stats(); st.History > limits.History || st.Bytes > limits.HistoryBytes {
 			t.Fatalf("%+v", st)
 		}
 	}
-	if s.Stats().ChangesEncoded != 100 {
-		t.Errorf("%d encoded", s.Stats().ChangesEncoded)
+	if store.Stats().ChangesEncoded != 100 {
+		t.Errorf("%d changes encoded, expected 100", store.Stats().ChangesEncoded)
 	}
 	for range 300 {
-		if a, err := s.Read(0, 1080, "h1"); err != nil || a.Full || strings.Count(string(a.Body), "instanceId") != 1 {
+		if a, err := store.Read(0, 1080, "h1"); err != nil || a.Full || strings.Count(string(a.Body), "instanceId") != 1 {
 			t.Fatalf("%s %v", a.Body, err)
 		}
 	}
-	if s.Stats().AnswersEncoded != 1 {
-		t.Errorf("%d joined", s.Stats().AnswersEncoded)
+	if store.Stats().AnswersEncoded != 1 {
+		t.Errorf("%d answers encoded, expected 1", store.Stats().AnswersEncoded)
 	}
 	for _, c := range []struct {
 		since   int64
@@ -387,8 +384,8 @@
 		whole   bool
 		status  int
 	}{{1060, "", false, 0}, {1059, "", true, 0}, {1100, "", false, 0}, {1080, "other", true, 0}, {1101, "", false, 400}, {-1, "", true, 0}} {
-		if a, err := s.Read(0, c.since, c.history); statusOf(err) != c.status || a.Full != c.whole {
-			t.Errorf("since %d of %q: whole %t, %v", c.since, c.history, a.Full, err)
+		if a, err := store.Read(0, c.since, c.history); statusOf(err) != c.status || a.Full != c.whole {
+			t.Errorf("since %d of %q: full %t, %v", c.since, c.history, a.Full, err)
 		}
 	}
 	limits.HistoryBytes = 2000
@@ -403,28 +400,28 @@
 	}
 }
 
-// A follower forgets a version of several changes as one, so that its snapshot can be read
-// back, and reads one of before, which has some of them.
+// A follower trims all changes of a version together, so that its snapshot can be restored, and
+// restores snapshots of earlier builds, which contain part of a version.
 func TestFollowerHistoryTrimsWholeVersions(t *testing.T) {
 	limits := testLimits
 	limits.History = 3
-	s := newStore(limits, 0)
-	if err := s.ApplyListing(0, fullList(10), "h"); err != nil {
+	follower := newStore(limits, 0)
+	if err := follower.ApplyListing(0, fullList(10), "h"); err != nil {
 		t.Fatal(err)
 	}
-	for n, changed := range []Listing{{Generation: 12, Instances: []Instance{testInstance("a", 1), testInstance("b", 1)}}, {Generation: 14, Instances: []Instance{testInstance("c", 1), testInstance("d", 1)}},
+	for update, changed := range []Listing{{Generation: 12, Instances: []Instance{testInstance("a", 1), testInstance("b", 1)}}, {Generation: 14, Instances: []Instance{testInstance("c", 1), testInstance("d", 1)}},
 		{Generation: 20, Instances: []Instance{testInstance("a", 2), testInstance("b", 2), testInstance("c", 2), testInstance("d", 2), testInstance("e", 2)}}} {
-		if err := s.ApplyListing(0, changed, "h"); err != nil {
+		if err := follower.ApplyListing(0, changed, "h"); err != nil {
 			t.Fatal(err)
 		}
-		for _, c := range s.changes {
-			if c.version <= s.baseVersion {
-				t.Errorf("copy %d: version %d is kept, and changes are from %d on", n, c.version, s.baseVersion)
+		for _, c := range follower.changes {
+			if c.version <= follower.baseVersion {
+				t.Errorf("update %d: the change to version %d is kept at base version %d", update, c.version, follower.baseVersion)
 			}
 		}
-		restored := restoredStore(t, s, 0)
-		if restored.version != s.version || restored.baseVersion != s.baseVersion || len(restored.changes) != len(s.changes) || restored.bytes != s.bytes {
-			t.Errorf("copy %d: %+v after a restart, %+v before", n, restored.Stats(), s.Stats())
+		restored := restoredStore(t, follower, 0)
+		if restored.version != follower.version || restored.baseVersion != follower.baseVersion || len(restored.changes) != len(follower.changes) || restored.bytes != follower.bytes {
+			t.Errorf("update %d: %+v after a restart, %+v before", update, restored.Stats(), follower.Stats())
 		}
 	}
 	text, err := json.Marshal(testInstance("a", 2))
@@ -438,15 +435,15 @@
 		}
 	}
 	if len(before.changes) != 1 || before.baseVersion != 14 {
-		t.Errorf("%d changes from %d on", len(before.changes), before.baseVersion)
+		t.Errorf("%d changes with base version %d", len(before.changes), before.baseVersion)
 	}
 	if err := before.Restore(0, Record{Change: &InstanceRecord{Version: 13, Instance: text}}); err == nil {
-		t.Error("a change from before the history was taken")
+		t.Error("accepted a change from before the history")
 	}
 }
 
-// world is a writer, a follower, readers of both, and what the list was at each
-// version of each history.
+// storeModel is a writer, a follower, readers of both, and the recorded list at each version of
+// each history.
 type storeModel struct {
 	t              *testing.T
 	random         *rand.Rand
@@ -456,7 +453,7 @@
 	followerFeed   *Feed
 	readers        []*Feed
 	listsByVersion map[string]map[string]Instance // by history and version
-	lastVersions   map[*Feed]map[string]int64     // the version a reader was at, by history
+	lastVersions   map[*Feed]map[string]int64     // last version of a reader by history
 	histories      int
 }
 
@@ -480,7 +477,7 @@
 	w.recordList()
 }
 
-// read makes one call for a reader, whose answer may be lost.
+// step makes one request for a reader. The answer may be lost or truncated.
 func (w *storeModel) step(feed *Feed) {
 	request := feed.Next()
 	source := w.writer
@@ -498,7 +495,7 @@
 	}
 	text := answer.Body
 	if w.random.IntN(10) == 0 {
-		text = text[:w.random.IntN(len(text))] // cut short
+		text = text[:w.random.IntN(len(text))] // truncated
 	}
 	listing, err := ParseListing(text)
 	if err != nil {
@@ -519,20 +516,20 @@
 	if want := w.listsByVersion[versionKey(history, listing.Generation)]; !maps.Equal(feed.instances, want) {
 		w.t.Fatalf("at %s/%d a reader has %v, the list was %v", history, listing.Generation, feed.instances, want)
 	}
-	// What the reader tells on leads to the same list.
+	// The changes of the reader lead to the same list.
 	if changes.Reset {
 		clear(applied)
 	}
 	for _, i := range changes.Instances {
 		if applied[i.ID] == i {
-			w.t.Fatalf("told as news: %v", i)
+			w.t.Fatalf("reported without a change: %v", i)
 		}
 		if applied[i.ID] = i; i.Lifecycle == Gone {
 			delete(applied, i.ID)
 		}
 	}
 	if !maps.Equal(applied, feed.instances) {
-		w.t.Fatalf("the news lead to %v, the list is %v", applied, feed.instances)
+		w.t.Fatalf("the changes lead to %v, the list is %v", applied, feed.instances)
 	}
 	if feed == w.followerFeed {
 		w.follower.gatheringUntil = 0
@@ -545,8 +542,8 @@
 	}
 }
 
-// Whatever happens, and whatever gets lost, every reader has the list as it was at
-// the version that it is at, never goes back, and comes to the last in the end.
+// Despite lost answers and restarts every reader has the list of its version, never goes back, and
+// reaches the last version.
 func TestReadersMatchModel(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 7))
@@ -586,7 +583,7 @@
 					model.writer.Renew(model.now, id, existing.StartedAtMs)
 				}
 			case 6:
-				// One at a time, so that the list at each version is known.
+				// One lapse at a time, so that the list at each version is recorded.
 				model.writer.lapseCredit = 0
 				model.writer.Tick(model.now)
 			case 7:
@@ -594,11 +591,11 @@
 			case 8:
 				if random.IntN(40) == 0 {
 					switch random.IntN(3) {
-					case 0: // the writer starts again with what lasts
+					case 0: // the writer restarts with its durable state
 						model.writer = restoredStore(t, model.writer, model.now)
-					case 1: // or from nothing
+					case 1: // or with an empty store
 						model.beginHistory()
-					case 2: // it stands still
+					case 2: // or pauses
 						model.now += time.Minute
 					}
 				}
