--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// patience bounds every wait of a test; none is expected to last so long.
-const patience = 30 * time.Second
+// waitTimeout limits each wait in the tests.
+const waitTimeout = 30 * time.Second
 
-// team is agents on loopback sockets.
-type team struct {
-	t     *testing.T
-	peers []netip.AddrPort
-	all   []*Agent
-	stop  []context.CancelFunc
-	ended []chan struct{}
-	mu    sync.Mutex
-	told  [][]bool
+// agentFleet is a fleet of agents on loopback sockets.
+type agentFleet struct {
+	t               *testing.T
+	peers           []netip.AddrPort
+	agents          []*Agent
+	stop            []context.CancelFunc
+	ended           []chan struct{}
+	mu              sync.Mutex
+	reportedPresent [][]bool // latest report of each agent
 }
 
-func newTeam(t *testing.T, n int) *team {
-	x := &team{t: t, all: make([]*Agent, n), stop: make([]context.CancelFunc, n), ended: make([]chan struct{}, n), told: make([][]bool, n)}
+// newAgentFleet reserves n loopback addresses. The agents are not started yet.
+func newAgentFleet(t *testing.T, n int) *agentFleet {
+	x := &agentFleet{t: t, agents: make([]*Agent, n), stop: make([]context.CancelFunc, n), ended: make([]chan struct{}, n), reportedPresent: make([][]bool, n)}
 	for range n {
 		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 		if err != nil {
@@ -37,87 +38,89 @@
 	return x
 }
 
-func (x *team) start(i int) *Agent {
+// start starts an agent as member i until the test ends.
+func (x *agentFleet) start(i int) *Agent {
 	x.t.Helper()
 	a, err := NewAgent(AgentConfig{Self: i, Listen: x.peers[i], Peers: x.peers, Start: time.Now(), MaxReceiveRate: 50}, rand.New(rand.NewPCG(uint64(i), 1)), func(present []bool) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.told[i] = present
+		x.reportedPresent[i] = present
 	})
 	if err != nil {
 		x.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	x.all[i], x.stop[i], x.ended[i] = a, stop, ended
+	x.agents[i], x.stop[i], x.ended[i] = a, stop, ended
 	go func() { defer close(ended); a.Run(ctx) }()
 	x.t.Cleanup(func() { stop(); <-ended })
 	return a
 }
 
-// until waits until all of those given hold a member in a state.
-func (x *team) until(who []int, member int, s State) {
+// waitForState waits until all observers have a member in a state.
+func (x *agentFleet) waitForState(observers []int, member int, state State) {
 	x.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		same := true
-		for _, i := range who {
-			v := x.all[i].View()
-			same = same && len(v.Members) > member && v.Members[member].State == s
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
+		agreed := true
+		for _, i := range observers {
+			v := x.agents[i].View()
+			agreed = agreed && len(v.Members) > member && v.Members[member].State == state
 		}
-		if same {
+		if agreed {
 			return
 		}
 		if time.Now().After(end) {
-			for _, i := range who {
-				x.t.Logf("%d holds %v", i, x.all[i].View().Members)
+			for _, i := range observers {
+				x.t.Logf("member %d has %v", i, x.agents[i].View().Members)
 			}
-			x.t.Fatalf("member %d is never %v", member, s)
+			x.t.Fatalf("member %d did not become %v within %v", member, state, waitTimeout)
 		}
 	}
 }
 
-// Agents on sockets find each other, hear that one leaves, and of its next
-// process; a second process waits for the address.
-func TestAgents(t *testing.T) {
-	x := newTeam(t, 3)
+// Agents discover each other and detect that one leaves or is restarted. A second process of a
+// member must wait for its address.
+func TestAgentsJoinLeaveAndRestart(t *testing.T) {
+	cluster := newAgentFleet(t, 3)
 	for i := range 3 {
-		x.start(i)
+		cluster.start(i)
 	}
 	for i := range 3 {
-		x.until([]int{0, 1, 2}, i, Alive)
+		cluster.waitForState([]int{0, 1, 2}, i, Alive)
 	}
-	old := x.all[2]
-	stop, ended := x.stop[2], x.ended[2]
-	next := x.start(2) // beside it, as in an upgrade
+	previous := cluster.agents[2]
+	stop, ended := cluster.stop[2], cluster.ended[2]
+	next := cluster.start(2) // a sibling process, as in an upgrade
 	if v := next.View(); v.Active {
-		t.Error("two processes have one address")
+		t.Error("a second process is active while the first one holds its address")
 	}
 	stop()
 	<-ended
-	x.until([]int{0, 1}, 2, Alive)
-	for end := time.Now().Add(patience); !next.View().Active || x.all[0].View().Members[2].Start == old.c.Start.UnixMilli(); time.Sleep(time.Millisecond) {
+	cluster.waitForState([]int{0, 1}, 2, Alive)
+	for end := time.Now().Add(waitTimeout); !next.View().Active || cluster.agents[0].View().Members[2].Start == previous.config.Start.UnixMilli(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the next process never takes part")
+			t.Fatal("the second process did not take over the address")
 		}
 	}
-	x.stop[2]()
-	<-x.ended[2]
-	x.until([]int{0, 1}, 2, Left)
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if told := x.told[0]; len(told) != 3 || told[2] || !told[1] {
-		t.Errorf("told %v", told)
+	cluster.stop[2]()
+	<-cluster.ended[2]
+	cluster.waitForState([]int{0, 1}, 2, Left)
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	if present := cluster.reportedPresent[0]; len(present) != 3 || present[2] || !present[1] {
+		t.Errorf("reported present %v, want members 0 and 1", present)
 	}
-	if st := x.all[0].View().Stats; st.Sent == 0 || st.Received == 0 || st.Malformed > 0 {
-		t.Errorf("%+v", st)
+	if st := cluster.agents[0].View().Stats; st.Sent == 0 || st.Received == 0 || st.Malformed > 0 {
+		t.Errorf("statistics %+v", st)
 	}
 }
 
-func TestBadAgents(t *testing.T) {
+// A member number beyond the peers, a duplicate address and a rate of zero are errors.
+func TestNewAgentRejectsInvalidConfig(t *testing.T) {
 	a := netip.MustParseAddrPort("127.0.0.1:1")
 	for _, c := range []AgentConfig{{Self: 1, Peers: []netip.AddrPort{a}, MaxReceiveRate: 9}, {Peers: []netip.AddrPort{a, a}, MaxReceiveRate: 9}, {Peers: []netip.AddrPort{a}}} {
 		if _, err := NewAgent(c, nil, nil); err == nil {
-			t.Errorf("%+v", c)
+			t.Errorf("no error for %+v", c)
 		}
 	}
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -1,6 +1,6 @@
 // Package membership detects which members of a fleet are present. It implements SWIM with
-// suspicion, and Lifeguard's local health, by which a slow member judges others later.
-// Node is a pure state machine; Agent runs it on datagrams.
+// suspicion, and Lifeguard's local health, by which a slow member waits longer for the others.
+// Node is a state machine without I/O; Agent runs it over UDP.
 package membership
 
 import (
@@ -13,131 +13,133 @@
 // Config is the configuration of a node.
 type Config struct {
 	Self           int     // this member's number
-	Start          int64   // when its process began, in Unix milliseconds; a later process replaces an earlier one
+	Start          int64   // start of its process in Unix milliseconds; a later process replaces an earlier one
 	Members        int     // size of the fleet; members are numbered from 0
-	MaxReceiveRate float64 // datagrams a second that this node processes; more are dropped
+	MaxReceiveRate float64 // datagrams per second that this node processes; it drops more
 }
 
 // Parameters of the protocol. A node whose health is h stretches its intervals by the
-// factor h+1.
+// factor h+1. logScale is the decimal logarithm of the size of the fleet, at least 1.
 const (
-	Period       = 400 * time.Millisecond // one member is probed in each
-	askWait      = 120 * time.Millisecond // time for the ack of a direct probe, before helpers probe indirectly
-	askAgain     = 40 * time.Millisecond  // from then on, between two more direct pings
-	helpers      = 3                      // members that are asked to probe indirectly
-	mostHealth   = 8                      // the worst health
-	suspectLeast = 4.0                    // shortest suspicion in periods, times the decimal logarithm of the fleet
-	suspectMost  = 4.0                    // the longest, as a multiple of the shortest: without confirmations
-	confirms     = 3                      // confirmations that make it the shortest
-	carryFactor  = 3.0                    // how often an entry is sent, times the same logarithm
-	denyFactor   = 3                      // as a multiple of that, for an entry that refutes a suspicion
-	elsewhere    = 4                      // one period in so many probes a member that is not present
-	warnings     = 3                      // limit of warnings to one suspect, and to all suspects in one period
-	partOfOne    = 4                      // a sender may use this fraction, 1/partOfOne, of InPerS
-	syncEvery    = 5                      // periods between two comparisons of views that are not known to differ
-	partsAtOnce  = 3                      // parts of a view that are sent in answer to one comparison, at most
-	floodPart    = 4                      // gossip beside the probes may use this fraction, 1/floodPart, of InPerS
+	// Period is the protocol period: a node probes one member in each.
+	Period = 400 * time.Millisecond
+
+	directProbeTimeout  = 120 * time.Millisecond // until the indirect probe begins
+	pingRetryInterval   = 40 * time.Millisecond  // between direct pings during the indirect probe
+	indirectProbers     = 3                      // helpers of one indirect probe
+	maxHealth           = 8                      // the worst health
+	minSuspicionPeriods = 4.0                    // shortest suspicion, in periods times logScale
+	maxSuspicionFactor  = 4.0                    // longest suspicion, as a multiple of the shortest
+	maxConfirmations    = 3                      // confirmations after which the suspicion is the shortest
+	retransmitFactor    = 3.0                    // transmissions of an update, times logScale
+	refutationFactor    = 3                      // multiplies the transmissions of a refutation
+	absentProbePeriods  = 4                      // one of so many periods probes a member that is not present
+	maxWarnings         = 3                      // to one suspect, and to all suspects in one period
+	senderRateDivisor   = 4                      // one sender may use MaxReceiveRate divided by this
+	syncPeriods         = 5                      // periods between two comparisons of views
+	maxPartsPerAnswer   = 3                      // parts of a view in answer to one comparison
+	gossipRateDivisor   = 4                      // gossip may use MaxReceiveRate divided by this
 )
 
-// Member is what a node knows of one member.
+// Member is a node's state of one member.
 type Member struct {
 	Number      int
 	State       State
 	Incarnation uint32
-	Start       int64         // of its process, in Unix milliseconds
-	Since       time.Duration // when it came into its state
+	Start       int64         // start of its process in Unix milliseconds
+	Since       time.Duration // when it entered its state
 }
 
-// Present reports whether the member counts as present. A suspect does, until its time-out.
+// Present reports whether the member is alive or suspect.
 func (m Member) Present() bool { return m.State == Alive || m.State == Suspect }
 
-// Actions is what the caller has to do after a step.
+// Actions is the output of one step of a Node, which the caller carries out.
 type Actions struct {
 	Send    []Outgoing
-	Changed []Member // members whose state has changed
+	Changed []Member // members whose state or process has changed
 }
 
 // Outgoing is a datagram to send.
 type Outgoing struct {
-	To   int
+	To   int // number of the receiver
 	Data []byte
 }
 
-// Stats are the counters of a node.
+// Stats are the counters and gauges of a node.
 type Stats struct {
-	Sent, Received, Dropped, Malformed, Stale int64 // datagrams
+	Sent, Received, Dropped, Malformed, Stale int64 // datagrams; Stale: from an earlier process of their sender
 	SentBytes, ReceivedBytes                  int64
-	Refuted, Suspected, DeclaredDead          int64
-	Health                                    int // 0: best; see mostHealth
-	Differing                                 int // present members whose last view differs from this node's
+	Refuted, Suspected, DeclaredDead          int64 // refutations of this node; suspicions and declarations of death by it
+	Health                                    int   // from 0, the best, to 8
+	Differing                                 int   // present members whose latest digest differs from this node's
 }
 
-// member is the state of one member.
+// member is a node's state of one member, with its suspicion and its token bucket.
 type member struct {
 	Member
-	by        int           // the member that suspected it first
-	confirmed map[int]bool  // others that suspect it independently
-	suspected time.Duration // when it was first suspected, in this incarnation
-	until     time.Duration // a suspect is declared dead at this time
-	warned    int           // how often it was warned of the suspicion
-	digest    uint64        // digest of its view, as it sent last
-	credit    float64       // token bucket of datagrams from it
-	creditAt  time.Duration
-	heard     bool          // whether its present process has been heard
-	last      time.Duration // when it was heard last
+	suspectedBy       int           // the first member that suspected it
+	confirmations     map[int]bool  // other members that suspect it independently
+	suspectedAt       time.Duration // start of the suspicion, in this incarnation
+	suspicionDeadline time.Duration // when this node declares a suspect dead
+	warnings          int           // pings that warned it of the suspicion
+	digest            uint64        // latest digest of its view
+	tokens            float64       // token bucket of datagrams from it
+	tokensAt          time.Duration // when tokens was updated
+	digestKnown       bool          // its current process has sent a digest
+	receivedAt        time.Duration // when its latest datagram arrived
 }
 
 // Node is the state machine of one member. It is not safe for concurrent use.
 type Node struct {
-	c           Config
+	config      Config
 	random      *rand.Rand
 	members     []member
 	incarnation uint32 // of this member
-	left        bool
-	superseded  bool // a later process has this member's number
+	left        bool   // Leave has been called
+	superseded  bool   // a later process has this member's number
 
-	order    []int         // members still to probe in this round
-	period   int           // number of the present period
-	warned   int           // warnings sent in this period
-	next     time.Duration // when the next period begins
-	probe    *probe        // the probe under way, or nil
-	relays   []relay
-	sequence uint32        // of the last ping
-	health   int           // 0: best; see mostHealth
-	lastIn   time.Duration // when any member was heard last
-	suspects int           // number of members that are suspect
-	updates  []update      // entries that are still to be disseminated
-	flood    time.Duration // when the next gossip beside the probes may be sent
-	digest   uint64        // of the members present, over their hashes
-	page     int           // first member of the next sums to send
-	compared time.Duration // when views were last compared
-	credit   float64       // token bucket of all datagrams
-	creditAt time.Duration
-	stats    Stats
-	out      Actions
-	now      time.Duration
-	began    time.Duration
+	probeOrder    []int         // members still to probe in this round
+	period        int           // number of the current period
+	warningsSent  int           // in this period
+	nextPeriod    time.Duration // when the next period begins
+	probe         *probe        // the probe in progress, or nil
+	relays        []relay
+	sequence      uint32        // of the last ping
+	health        int           // from 0, the best, to maxHealth
+	receivedAt    time.Duration // when the latest datagram of any member arrived
+	suspectCount  int           // members that are suspect
+	updates       []update      // entries to disseminate
+	nextGossip    time.Duration // when the next gossip may be sent
+	digest        uint64        // exclusive or of the hashes of the present members
+	nextSumMember int           // first member of the next sums to send
+	comparedAt    time.Duration // when this node last sent sums
+	tokens        float64       // token bucket of all datagrams
+	tokensAt      time.Duration // when tokens was updated
+	stats         Stats
+	actions       Actions
+	now           time.Duration
+	startedAt     time.Duration
 }
 
-// New returns a node that knows no other member yet.
-func New(c Config, now time.Duration, random *rand.Rand) *Node {
-	n := &Node{c: c, random: random, members: make([]member, c.Members), now: now, began: now, creditAt: now, credit: c.MaxReceiveRate}
+// New returns a node that knows no other member yet. The clock of now may begin at any value.
+func New(config Config, now time.Duration, random *rand.Rand) *Node {
+	n := &Node{config: config, random: random, members: make([]member, config.Members), now: now, startedAt: now, tokensAt: now, tokens: config.MaxReceiveRate}
 	for i := range n.members {
-		n.members[i].Number, n.members[i].creditAt, n.members[i].credit = i, now, max(2, c.MaxReceiveRate/partOfOne)
+		n.members[i].Number, n.members[i].tokensAt, n.members[i].tokens = i, now, max(2, config.MaxReceiveRate/senderRateDivisor)
 	}
-	me := &n.members[c.Self]
-	me.State, me.Start, me.Since = Alive, c.Start, now
-	n.digest = n.hash(me.Member)
-	n.pass(n.entryOf(c.Self))
-	n.next = now + time.Duration(random.Int64N(int64(Period)))
+	self := &n.members[config.Self]
+	self.State, self.Start, self.Since = Alive, config.Start, now
+	n.digest = n.memberHash(self.Member)
+	n.enqueue(n.entryOf(config.Self))
+	n.nextPeriod = now + time.Duration(random.Int64N(int64(Period)))
 	return n
 }
 
-// scale is the factor by which dissemination in this fleet takes longer than among ten
+// logScale returns the factor by which dissemination takes longer in this fleet than among ten
 // members.
-func (n *Node) scale() float64 { return max(1, math.Log10(float64(n.c.Members))) }
+func (n *Node) logScale() float64 { return max(1, math.Log10(float64(n.config.Members))) }
 
-// Members returns the view of this node, indexed by number.
+// Members returns a copy of this node's view, indexed by number.
 func (n *Node) Members() []Member {
 	all := make([]Member, len(n.members))
 	for i := range n.members {
@@ -146,30 +148,31 @@
 	return all
 }
 
-// Digest returns a hash of the members that this node holds to be present.
+// Digest returns a hash of the members that this node considers present. Nodes with equal views
+// have equal digests.
 func (n *Node) Digest() uint64 { return n.digest }
 
-// CountAgreeing counts the present members whose digest is known, and those among them whose
-// digest equals this node's.
-func (n *Node) CountAgreeing() (same, of int) {
+// CountAgreeing counts the other present members whose digest is known (reporting) and those
+// among them whose digest equals this node's (agreeing).
+func (n *Node) CountAgreeing() (agreeing, reporting int) {
 	for i := range n.members {
-		if m := &n.members[i]; i != n.c.Self && m.Present() && m.heard {
-			of++
+		if m := &n.members[i]; i != n.config.Self && m.Present() && m.digestKnown {
+			reporting++
 			if m.digest == n.digest {
-				same++
+				agreeing++
 			}
 		}
 	}
-	return same, of
+	return agreeing, reporting
 }
 
-// Stats returns the counters.
+// Stats returns the current statistics.
 func (n *Node) Stats() Stats {
-	st := n.stats
-	st.Health = n.health
-	same, of := n.CountAgreeing()
-	st.Differing = of - same
-	return st
+	stats := n.stats
+	stats.Health = n.health
+	agreeing, reporting := n.CountAgreeing()
+	stats.Differing = reporting - agreeing
+	return stats
 }
 
 // Superseded reports whether a later process has taken this member's number.
@@ -177,114 +180,113 @@
 
 // Next returns when Tick has to be called next.
 func (n *Node) Next() time.Duration {
-	next := n.next
+	next := n.nextPeriod
 	if p := n.probe; p != nil {
-		if !p.helped {
-			next = min(next, p.asked+n.stretch(askWait))
+		if !p.indirect {
+			next = min(next, p.startedAt+n.stretch(directProbeTimeout))
 		} else {
-			next = min(next, p.again)
+			next = min(next, p.nextPing)
 		}
-		next = min(next, p.ends)
+		next = min(next, p.deadline)
 	}
-	if n.much() {
-		next = min(next, n.flood)
+	if n.hasBacklog() {
+		next = min(next, n.nextGossip)
 	}
 	for _, r := range n.relays {
-		next = min(next, r.until)
+		next = min(next, r.deadline)
 	}
-	for i := 0; i < len(n.members) && n.suspects > 0; i++ {
+	for i := 0; i < len(n.members) && n.suspectCount > 0; i++ {
 		if n.members[i].State == Suspect {
-			next = min(next, n.members[i].until)
+			next = min(next, n.members[i].suspicionDeadline)
 		}
 	}
 	return next
 }
 
-// stretch lengthens an interval while this node is slow itself.
+// stretch lengthens an interval by the health of this node.
 func (n *Node) stretch(d time.Duration) time.Duration { return d * time.Duration(n.health+1) }
 
-// take returns the actions that have been collected.
-func (n *Node) take() Actions {
-	out := n.out
-	n.out = Actions{}
-	return out
+// takeActions returns the actions of this step and clears them.
+func (n *Node) takeActions() Actions {
+	actions := n.actions
+	n.actions = Actions{}
+	return actions
 }
 
-// Tick does what is due at now.
+// Tick performs the steps that are due at now.
 func (n *Node) Tick(now time.Duration) Actions {
 	n.now = now
 	if n.left || n.superseded {
-		n.next = now + time.Hour
-		return n.take()
+		n.nextPeriod = now + time.Hour
+		return n.takeActions()
 	}
 	switch p := n.probe; {
 	case p == nil:
-	case !p.helped && now >= p.asked+n.stretch(askWait):
-		n.askOthers(p)
-	case p.helped && now >= p.again && now < p.ends:
-		// With three in ten datagrams lost, two pings and three helpers fail one time in
-		// nine, and with six more pings one time in 500. At the higher rate suspicions
-		// would outrun their refutations.
-		p.again += n.stretch(askAgain)
-		n.sendBare(p.target, datagram{kind: ping, sequence: p.sequence, about: p.target}, n.word(p.target))
+	case !p.indirect && now >= p.startedAt+n.stretch(directProbeTimeout):
+		n.probeIndirectly(p)
+	case p.indirect && now >= p.nextPing && now < p.deadline:
+		// The additional pings keep false suspicions rare under heavy loss. Frequent ones
+		// would spread faster than their refutations.
+		p.nextPing += n.stretch(pingRetryInterval)
+		n.sendEntries(p.target, datagram{kind: ping, sequence: p.sequence, subject: p.target}, n.entryToRefute(p.target))
 	}
-	if p := n.probe; p != nil && now >= p.ends {
-		n.unanswered(p)
+	if p := n.probe; p != nil && now >= p.deadline {
+		n.failProbe(p)
 	}
 	n.relays = slices.DeleteFunc(n.relays, func(r relay) bool {
-		if now < r.until {
+		if now < r.deadline {
 			return false
 		}
-		n.send(r.for_, datagram{kind: nack, sequence: r.sequence, about: r.target}, nil)
+		n.send(r.requester, datagram{kind: nack, sequence: r.requesterSequence, subject: r.target}, nil)
 		return true
 	})
 	for i := range n.members {
 		switch m := &n.members[i]; {
 		case m.State != Suspect:
-		case now >= m.until:
+		case now >= m.suspicionDeadline:
 			n.stats.DeclaredDead++
-			n.become(i, Dead, m.Incarnation, m.Start)
-		case n.warned < warnings && m.warned < warnings && now >= m.suspected+(m.until-m.suspected)*time.Duration(m.warned+1)/(warnings+1):
-			// The suspect may have refuted the suspicion and reached all but this node.
-			// The ping has it refute again.
-			m.warned++
-			n.warned++
+			n.setState(i, Dead, m.Incarnation, m.Start)
+		case n.warningsSent < maxWarnings && m.warnings < maxWarnings && now >= m.suspectedAt+(m.suspicionDeadline-m.suspectedAt)*time.Duration(m.warnings+1)/(maxWarnings+1):
+			// The refutation of the suspect may not have reached this node. The ping makes
+			// the suspect refute again.
+			m.warnings++
+			n.warningsSent++
 			n.sequence++
-			n.send(i, datagram{kind: ping, sequence: n.sequence, about: i}, n.word(i))
+			n.send(i, datagram{kind: ping, sequence: n.sequence, subject: i}, n.entryToRefute(i))
 		}
 	}
-	if n.much() && now >= n.flood {
+	if n.hasBacklog() && now >= n.nextGossip {
 		n.gossip()
 	}
-	if now >= n.next {
-		n.next = now + n.stretch(Period)
+	if now >= n.nextPeriod {
+		n.nextPeriod = now + n.stretch(Period)
 		n.period++
-		n.warned = 0
-		n.ask()
-		if n.period%syncEvery == 0 {
+		n.warningsSent = 0
+		n.startProbe()
+		if n.period%syncPeriods == 0 {
 			n.sync()
 		}
 	}
-	return n.take()
+	return n.takeActions()
 }
 
-// Leave announces to some members that this one leaves. Afterwards the node is silent.
+// Leave announces to some members that this one leaves. The node sends nothing afterwards.
 func (n *Node) Leave(now time.Duration) Actions {
 	n.now = now
 	if n.left || n.superseded {
-		return n.take()
+		return n.takeActions()
 	}
-	n.become(n.c.Self, Left, n.incarnation, n.c.Start)
-	tell := int(math.Ceil(carryFactor * n.scale()))
-	told := map[int]bool{}
-	for range tell {
-		to := n.some(func(m *member) bool { return m.Present() && !told[m.Number] })
+	n.setState(n.config.Self, Left, n.incarnation, n.config.Start)
+	recipients := int(math.Ceil(retransmitFactor * n.logScale()))
+	notified := map[int]bool{}
+	for range recipients {
+		to := n.randomMember(func(m *member) bool { return m.Present() && !notified[m.Number] })
 		if to < 0 {
 			break
 		}
-		told[to] = true
-		n.send(to, datagram{kind: gossip}, []entry{n.entryOf(n.c.Self)})
+		notified[to] = true
+		n.send(to, datagram{kind: gossip}, []entry{n.entryOf(n.config.Self)})
 	}
 	n.left = true
-	return n.take()
+	return n.takeActions()
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -5,122 +5,122 @@
 	"time"
 )
 
-// Receive processes a datagram that came from a member's address.
+// Receive processes a datagram that arrived from the address of the member with number from. It
+// drops datagrams beyond MaxReceiveRate, and malformed ones.
 func (n *Node) Receive(now time.Duration, from int, data []byte) Actions {
 	n.now = now
-	n.credit = min(n.c.MaxReceiveRate, n.credit+n.c.MaxReceiveRate*(now-n.creditAt).Seconds())
-	n.creditAt = now
-	if from < 0 || from >= len(n.members) || n.credit < 1 {
+	n.tokens = min(n.config.MaxReceiveRate, n.tokens+n.config.MaxReceiveRate*(now-n.tokensAt).Seconds())
+	n.tokensAt = now
+	if from < 0 || from >= len(n.members) || n.tokens < 1 {
 		n.stats.Dropped++
-		return n.take()
+		return n.takeActions()
 	}
-	// A sender has a bucket of its own, so that a flood by one member hides no other.
-	s := &n.members[from]
-	most := max(2, n.c.MaxReceiveRate/partOfOne)
-	s.credit = min(most, s.credit+most*(now-s.creditAt).Seconds())
-	if s.creditAt = now; s.credit < 1 {
+	// Each sender has its own token bucket, so that a flood by one does not displace the others.
+	bucket := &n.members[from]
+	senderRate := max(2, n.config.MaxReceiveRate/senderRateDivisor)
+	bucket.tokens = min(senderRate, bucket.tokens+senderRate*(now-bucket.tokensAt).Seconds())
+	if bucket.tokensAt = now; bucket.tokens < 1 {
 		n.stats.Dropped++
-		return n.take()
+		return n.takeActions()
 	}
-	s.credit--
-	n.credit--
+	bucket.tokens--
+	n.tokens--
 	n.stats.Received++
 	n.stats.ReceivedBytes += int64(len(data))
-	d, err := decode(data, n.c.Members)
-	if err != nil || d.from != from || from == n.c.Self || !n.plausible(d) {
+	d, err := decode(data, n.config.Members)
+	if err != nil || d.from != from || from == n.config.Self || !n.plausible(d) {
 		n.stats.Malformed++
-		return n.take()
+		return n.takeActions()
 	}
 	if n.left || n.superseded {
-		return n.take()
+		return n.takeActions()
 	}
-	m := &n.members[from]
-	if d.start < m.Start {
-		// The datagram is of an earlier process, delayed or still running, which has to know.
+	sender := &n.members[from]
+	if d.start < sender.Start {
+		// An earlier process sent the datagram. If it still runs, it must learn of the later one.
 		n.stats.Stale++
 		n.send(from, datagram{kind: gossip}, []entry{n.entryOf(from)})
-		return n.take()
+		return n.takeActions()
 	}
 	for _, e := range d.entries {
-		n.learn(e)
+		n.applyEntry(e)
 	}
 	if n.superseded {
-		return n.take()
+		return n.takeActions()
 	}
-	if m.Start != d.start && !(m.State == Left && m.Start >= d.start) {
-		n.become(from, Alive, 0, d.start) // a member that sends is alive
+	if sender.Start != d.start && !(sender.State == Left && sender.Start >= d.start) {
+		n.setState(from, Alive, 0, d.start) // a member that sends is alive
 	}
-	m.digest, m.heard, m.last, n.lastIn = d.digest, true, n.now, n.now
-	n.answer(from, d)
-	// If no update is pending here, dissemination alone would never make differing views
-	// equal.
-	if d.digest != n.digest && len(n.updates) == 0 && n.now-n.compared >= n.stretch(Period) {
-		n.compare(from)
+	sender.digest, sender.digestKnown, sender.receivedAt, n.receivedAt = d.digest, true, n.now, n.now
+	n.handle(from, d)
+	// Without a pending update, dissemination alone would not make the two views equal.
+	if d.digest != n.digest && len(n.updates) == 0 && n.now-n.comparedAt >= n.stretch(Period) {
+		n.sendSums(from)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
-// plausible reports whether all process starts in a datagram can be true. One from the far
-// future would exclude its member for good.
+// plausible reports whether no process start in a datagram lies in the future. Such a start would
+// exclude the real process of its member permanently.
 func (n *Node) plausible(d datagram) bool {
-	const skew = time.Hour // between the clocks of two machines
-	latest := n.c.Start + (n.now - n.began + skew).Milliseconds()
+	const skew = time.Hour // allowed between the clocks of two machines
+	latest := n.config.Start + (n.now - n.startedAt + skew).Milliseconds()
 	return d.start <= latest && !slices.ContainsFunc(d.entries, func(e entry) bool { return e.start > latest })
 }
 
-// answer handles a datagram by its kind.
-func (n *Node) answer(from int, d datagram) {
+// handle answers a datagram and applies its effect on probes, depending on its kind.
+func (n *Node) handle(from int, d datagram) {
 	switch d.kind {
 	case ping:
-		if d.about == n.c.Self {
-			n.send(from, datagram{kind: ack, sequence: d.sequence, about: n.c.Self}, n.word(from))
+		if d.subject == n.config.Self {
+			n.send(from, datagram{kind: ack, sequence: d.sequence, subject: n.config.Self}, n.entryToRefute(from))
 		}
-	case pingFor:
-		if len(n.relays) >= n.c.Members || d.about == n.c.Self {
+	case pingRequest:
+		if len(n.relays) >= n.config.Members || d.subject == n.config.Self {
 			return
 		}
 		n.sequence++
-		n.relays = append(n.relays, relay{from, d.sequence, d.about, n.sequence, n.now + askWait})
-		n.send(d.about, datagram{kind: ping, sequence: n.sequence, about: d.about}, n.word(d.about))
+		n.relays = append(n.relays, relay{from, d.sequence, d.subject, n.sequence, n.now + directProbeTimeout})
+		n.send(d.subject, datagram{kind: ping, sequence: n.sequence, subject: d.subject}, n.entryToRefute(d.subject))
 	case ack:
-		if p := n.probe; p != nil && p.sequence == d.sequence && d.about == p.target {
+		if p := n.probe; p != nil && p.sequence == d.sequence && d.subject == p.target {
 			n.probe = nil
 			n.health = max(n.health-1, 0)
 			return
 		}
 		n.relays = slices.DeleteFunc(n.relays, func(r relay) bool {
-			if r.own != d.sequence || r.target != from {
+			if r.pingSequence != d.sequence || r.target != from {
 				return false
 			}
-			n.send(r.for_, datagram{kind: ack, sequence: r.sequence, about: from}, nil)
+			n.send(r.requester, datagram{kind: ack, sequence: r.requesterSequence, subject: from}, nil)
 			return true
 		})
 	case nack:
-		if p := n.probe; p != nil && p.sequence == d.sequence && d.about == p.target {
-			p.silent = slices.DeleteFunc(p.silent, func(h int) bool { return h == from })
+		if p := n.probe; p != nil && p.sequence == d.sequence && d.subject == p.target {
+			p.awaitingNack = slices.DeleteFunc(p.awaitingNack, func(helper int) bool { return helper == from })
 		}
-	case sums:
+	case viewSums:
 		sent := 0
-		for i, s := range d.sums {
-			first := d.about + i*mostCarry
-			if first >= n.c.Members || sent == partsAtOnce {
+		for i, sum := range d.sums {
+			first := d.subject + i*maxEntries
+			if first >= n.config.Members || sent == maxPartsPerAnswer {
 				break
 			}
-			if s != n.sum(first) {
+			if sum != n.checksum(first) {
 				sent++
-				n.sendBare(from, datagram{kind: part, about: first}, n.partOf(first))
+				n.sendEntries(from, datagram{kind: viewPart, subject: first}, n.partEntries(first))
 			}
 		}
-	case part:
-		// The entries that the sender lacks or has older go back in one datagram.
-		var back []entry
+	case viewPart:
+		// Return the entries that are missing or older at the sender, in one datagram.
+		var newer []entry
 		for _, e := range d.entries {
-			if m := &n.members[e.member]; m.State != Unknown && newer(n.entryOf(e.member), &member{Member: Member{e.member, e.state, e.incarnation, e.start, 0}}) {
-				back = append(back, n.entryOf(e.member))
+			if m := &n.members[e.member]; m.State != Unknown && supersedes(n.entryOf(e.member), &member{Member: Member{e.member, e.state, e.incarnation, e.start, 0}}) {
+				newer = append(newer, n.entryOf(e.member))
 			}
 		}
-		if len(back) > 0 {
-			n.send(from, datagram{kind: gossip}, back)
+		if len(newer) > 0 {
+			n.send(from, datagram{kind: gossip}, newer)
 		}
 	}
 }
--- a/internal/membership/slopes_test.go
+++ b/internal/membership/slopes_test.go
@@ -16,30 +16,31 @@
 	capacityPage  = "../../docs/CAPACITY.md"
 	slopesCommand = "CAPACITY_FULL=1 go test -run TestSlopes -v ./internal/membership"
 	datagramDelay = time.Millisecond
-	keptNodes     = 100 // whose memory is measured together
-	settleFor     = 5 * time.Second
-	countFor      = 10 * time.Second // of the clock that the members are told
+	measuredNodes = 100              // nodes in one measurement of memory
+	warmUp        = 5 * time.Second  // simulated time
+	measuredSpan  = 10 * time.Second // simulated time
 )
 
-// slopeSizes are fleets; each run of the tests measures the first fewSizes.
+// slopeSizes are the measured sizes of a fleet.
 var slopeSizes = []int{107, 322, 967, 2_900, 8_700}
 
-const fewSizes = 2
+// defaultSizes is how many of slopeSizes TestSlopes measures unless CAPACITY_FULL is set.
+const defaultSizes = 2
 
-// slopeEvent is a datagram that comes, or a node that wants to be called.
+// slopeEvent is the arrival of a datagram, or a tick of a node.
 type slopeEvent struct {
 	at       time.Duration
 	tick     bool
 	from, to int
 	data     []byte
-	turn     int // events of one moment keep their order
+	order    int // of pushing; breaks ties in time
 }
 
 type slopeQueue []slopeEvent
 
 func (q slopeQueue) Len() int { return len(q) }
 func (q slopeQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].turn < q[j].turn
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q slopeQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *slopeQueue) Push(x any)   { *q = append(*q, x.(slopeEvent)) }
@@ -50,7 +51,7 @@
 	return last
 }
 
-// slopeFleet is members that know each other from the start, and whose datagrams all come.
+// slopeFleet simulates members that know each other from the start, on a network without loss.
 type slopeFleet struct {
 	nodes []*Node
 	queue slopeQueue
@@ -60,19 +61,19 @@
 func newSlopeFleet(members int) *slopeFleet {
 	f := &slopeFleet{}
 	for n := range members {
-		f.nodes = append(f.nodes, acquainted(n, members))
+		f.nodes = append(f.nodes, convergedNode(n, members))
 		f.push(slopeEvent{at: f.nodes[n].Next(), tick: true, to: n})
 	}
 	return f
 }
 
-// acquainted is a node that holds all members for alive and has nothing to pass on.
-func acquainted(self, members int) *Node {
+// convergedNode returns a node that considers all members alive and has no pending update.
+func convergedNode(self, members int) *Node {
 	n := New(Config{Self: self, Start: 1, Members: members, MaxReceiveRate: 100}, 0, rand.New(rand.NewPCG(uint64(self), 1)))
 	for i := range n.members {
 		if m := &n.members[i]; i != self {
 			m.State, m.Start = Alive, 1
-			n.digest ^= n.hash(m.Member)
+			n.digest ^= n.memberHash(m.Member)
 		}
 	}
 	n.updates = nil
@@ -81,7 +82,7 @@
 
 func (f *slopeFleet) push(e slopeEvent) {
 	f.turn++
-	e.turn = f.turn
+	e.order = f.turn
 	heap.Push(&f.queue, e)
 }
 
@@ -109,45 +110,45 @@
 	return bytes, datagrams
 }
 
-// TestSlopes holds what a member keeps and sends in steady state to docs/CAPACITY.md.
+// TestSlopes compares the memory and traffic of a member in steady state with docs/CAPACITY.md.
 func TestSlopes(t *testing.T) {
 	update := os.Getenv("CAPACITY_UPDATE") != ""
 	sizes := slopeSizes
 	if !update && os.Getenv("CAPACITY_FULL") == "" {
-		sizes = sizes[:fewSizes]
+		sizes = sizes[:defaultSizes]
 	}
-	kept := capacity.Measured{Name: "member_bytes", Unit: "B of memory by members", Within: 1.25, Command: slopesCommand}
+	memory := capacity.Measured{Name: "member_bytes", Unit: "B of memory by members", Within: 1.25, Command: slopesCommand}
 	bytes := capacity.Measured{Name: "member_bytes_sent", Unit: "B of datagrams that a member sends in a second, by members", Within: 1.3, Command: slopesCommand}
 	datagrams := capacity.Measured{Name: "member_datagrams_sent", Unit: "datagrams that a member sends in a second, by members", Within: 1.3, Command: slopesCommand}
-	took := capacity.Measured{Name: "member_us", Unit: "us of a second of a member without its socket, by members", Command: slopesCommand}
+	processorUse := capacity.Measured{Name: "member_us", Unit: "us of a second of a member without its socket, by members", Command: slopesCommand}
 	for _, size := range sizes {
-		nodes := make([]*Node, keptNodes)
+		nodes := make([]*Node, measuredNodes)
 		before := heapInUse()
 		for n := range nodes {
-			nodes[n] = acquainted(1, size)
+			nodes[n] = convergedNode(1, size)
 		}
-		kept.Points = append(kept.Points, capacity.Point{Size: size, Value: float64(heapInUse()-before) / keptNodes})
+		memory.Points = append(memory.Points, capacity.Point{Size: size, Value: float64(heapInUse()-before) / measuredNodes})
 		runtime.KeepAlive(nodes)
 
-		f := newSlopeFleet(size)
-		f.run(settleFor)
-		bytesBefore, sentBefore := f.sent()
-		began := processorTime(t)
-		f.run(settleFor + countFor)
-		spent := processorTime(t) - began
-		bytesAfter, sentAfter := f.sent()
-		each := countFor.Seconds() * float64(size)
-		bytes.Points = append(bytes.Points, capacity.Point{Size: size, Value: float64(bytesAfter-bytesBefore) / each})
-		datagrams.Points = append(datagrams.Points, capacity.Point{Size: size, Value: float64(sentAfter-sentBefore) / each})
-		took.Points = append(took.Points, capacity.Point{Size: size, Value: float64(spent.Nanoseconds()) / 1e3 / each})
+		fleet := newSlopeFleet(size)
+		fleet.run(warmUp)
+		bytesBefore, sentBefore := fleet.sent()
+		processorBefore := processorTime(t)
+		fleet.run(warmUp + measuredSpan)
+		spent := processorTime(t) - processorBefore
+		bytesAfter, sentAfter := fleet.sent()
+		memberSeconds := measuredSpan.Seconds() * float64(size)
+		bytes.Points = append(bytes.Points, capacity.Point{Size: size, Value: float64(bytesAfter-bytesBefore) / memberSeconds})
+		datagrams.Points = append(datagrams.Points, capacity.Point{Size: size, Value: float64(sentAfter-sentBefore) / memberSeconds})
+		processorUse.Points = append(processorUse.Points, capacity.Point{Size: size, Value: float64(spent.Nanoseconds()) / 1e3 / memberSeconds})
 	}
-	t.Log(took.Row())
+	t.Log(processorUse.Row())
 	if update {
-		if err := took.Hold(capacityPage, true); err != nil {
+		if err := processorUse.Hold(capacityPage, true); err != nil {
 			t.Error(err)
 		}
 	}
-	for _, m := range []capacity.Measured{kept, bytes, datagrams} {
+	for _, m := range []capacity.Measured{memory, bytes, datagrams} {
 		t.Log(m.Row())
 		if err := m.Hold(capacityPage, update); err != nil {
 			t.Error(err)
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// become changes the state of a member and disseminates it.
-func (n *Node) become(i int, s State, incarnation uint32, start int64) {
+// setState changes the state of a member and queues it for dissemination.
+func (n *Node) setState(i int, state State, incarnation uint32, start int64) {
 	m := &n.members[i]
-	n.digest ^= n.hash(m.Member)
-	changed := m.State != s || m.Start != start
+	n.digest ^= n.memberHash(m.Member)
+	changed := m.State != state || m.Start != start
 	if changed {
 		m.Since = n.now
 	}
 	if m.Start != start {
-		m.heard = false
+		m.digestKnown = false
 	}
 	if m.State == Suspect {
-		n.suspects--
+		n.suspectCount--
 	}
-	m.State, m.Incarnation, m.Start = s, incarnation, start
-	m.confirmed = nil
-	if s == Suspect {
-		n.suspects++
-		m.confirmed, m.suspected, m.warned = map[int]bool{}, n.now, 0
-		n.deadline(m)
+	m.State, m.Incarnation, m.Start = state, incarnation, start
+	m.confirmations = nil
+	if state == Suspect {
+		n.suspectCount++
+		m.confirmations, m.suspectedAt, m.warnings = map[int]bool{}, n.now, 0
+		n.setSuspicionDeadline(m)
 	}
-	n.digest ^= n.hash(m.Member)
-	n.pass(n.entryOf(i))
+	n.digest ^= n.memberHash(m.Member)
+	n.enqueue(n.entryOf(i))
 	if changed {
-		n.out.Changed = append(n.out.Changed, m.Member)
+		n.actions.Changed = append(n.actions.Changed, m.Member)
 	}
 }
 
-// deadline sets when a suspect is declared dead: the sooner, the more members suspect it,
-// and later if this node is slow itself.
-func (n *Node) deadline(m *member) {
-	least := time.Duration(suspectLeast * n.scale() * float64(Period))
-	most := time.Duration(suspectMost * float64(least))
-	of := math.Log(float64(len(m.confirmed)+1)) / math.Log(confirms+1)
-	wait := most - time.Duration(of*float64(most-least))
-	m.until = m.suspected + n.stretch(max(wait, least))
+// setSuspicionDeadline sets when this node declares a suspect dead: sooner with more
+// confirmations, later if the health of this node is bad.
+func (n *Node) setSuspicionDeadline(m *member) {
+	shortest := time.Duration(minSuspicionPeriods * n.logScale() * float64(Period))
+	longest := time.Duration(maxSuspicionFactor * float64(shortest))
+	confirmedFraction := math.Log(float64(len(m.confirmations)+1)) / math.Log(maxConfirmations+1)
+	wait := longest - time.Duration(confirmedFraction*float64(longest-shortest))
+	m.suspicionDeadline = m.suspectedAt + n.stretch(max(wait, shortest))
 }
 
-// newer reports whether an entry supersedes what is known of its member.
-func newer(e entry, m *member) bool {
+// supersedes reports whether an entry is newer than the state of its member.
+func supersedes(e entry, m *member) bool {
 	switch {
 	case e.start != m.Start || m.State == Unknown:
 		return e.start > m.Start || m.State == Unknown
 	case m.State == Left:
-		return false // final for that process
+		return false // a process that has left does not return
 	case e.state == Left:
 		return true
 	case e.incarnation != m.Incarnation:
@@ -58,52 +58,53 @@
 	return e.state > m.State
 }
 
-// learn applies an entry if it is newer than what is known.
-func (n *Node) learn(e entry) {
-	if e.member == n.c.Self {
-		n.aboutMe(e)
+// applyEntry applies an entry that is newer than the state of its member, or counts it as a
+// confirmation of a suspicion.
+func (n *Node) applyEntry(e entry) {
+	if e.member == n.config.Self {
+		n.applyOwnEntry(e)
 		return
 	}
 	m := &n.members[e.member]
-	if newer(e, m) {
-		m.by = e.by
-		n.become(e.member, e.state, e.incarnation, e.start)
+	if supersedes(e, m) {
+		m.suspectedBy = e.suspectedBy
+		n.setState(e.member, e.state, e.incarnation, e.start)
 		return
 	}
-	if e.state == Suspect && m.State == Suspect && e.start == m.Start && e.incarnation == m.Incarnation && e.by != m.by {
-		n.confirm(m, e.by)
+	if e.state == Suspect && m.State == Suspect && e.start == m.Start && e.incarnation == m.Incarnation && e.suspectedBy != m.suspectedBy {
+		n.addConfirmation(m, e.suspectedBy)
 	}
 }
 
-// confirm counts one more member that suspects a member independently, and disseminates it,
-// which shortens the suspicion at others too.
-func (n *Node) confirm(m *member, by int) {
-	if m.confirmed[by] || len(m.confirmed) >= confirms {
+// addConfirmation records another member that suspects m independently, and disseminates it, so
+// that the suspicion ends sooner at other nodes too.
+func (n *Node) addConfirmation(m *member, by int) {
+	if m.confirmations[by] || len(m.confirmations) >= maxConfirmations {
 		return
 	}
-	m.confirmed[by] = true
-	n.deadline(m)
+	m.confirmations[by] = true
+	n.setSuspicionDeadline(m)
 	e := n.entryOf(m.Number)
-	e.by = by
-	n.pass(e)
+	e.suspectedBy = by
+	n.enqueue(e)
 }
 
-// aboutMe handles an entry about this node: it refutes a suspicion or a death by a higher
-// incarnation.
-func (n *Node) aboutMe(e entry) {
+// applyOwnEntry handles an entry about this node. It refutes a suspicion or a declaration of death
+// with a higher incarnation, and detects a later process with this node's number.
+func (n *Node) applyOwnEntry(e entry) {
 	switch {
-	case e.start > n.c.Start:
+	case e.start > n.config.Start:
 		n.superseded = true
-		n.out.Changed = append(n.out.Changed, Member{e.member, e.state, e.incarnation, e.start, n.now})
-	case e.start < n.c.Start || e.state == Alive:
+		n.actions.Changed = append(n.actions.Changed, Member{e.member, e.state, e.incarnation, e.start, n.now})
+	case e.start < n.config.Start || e.state == Alive:
 	default:
 		if e.incarnation >= n.incarnation {
 			n.incarnation = e.incarnation + 1
 			n.stats.Refuted++
-			n.health = min(n.health+1, mostHealth)
-			n.members[n.c.Self].Incarnation = n.incarnation
+			n.health = min(n.health+1, maxHealth)
+			n.members[n.config.Self].Incarnation = n.incarnation
 		}
-		// Sent again even if it was sent before, since it may have reached nobody.
-		n.pass(n.entryOf(n.c.Self))
+		// Send a refutation again even if it was sent before, since it may have been lost.
+		n.enqueue(n.entryOf(n.config.Self))
 	}
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -6,41 +6,43 @@
 	"hash/crc32"
 )
 
-// A datagram is a head, entries or sums, and a checksum. All numbers are
-// little-endian.
+// A datagram is a header, entries or sums, and a checksum. All numbers are little-endian.
 //
-//	head:  magic u8 | kind u8 | from u16 | start of from u48 | sequence u32 | about u16 | digest u64 | entries, or sums, u8
-//	entry: member u16 | state u8 | incarnation u32 | start u48 | by u16
-//	sum:   u32 of mostCarry members in a row, the first of which is the one it is about
-//	end:   CRC32C u32 of what stands before
+//	header:   magic u8 | kind u8 | from u16 | start of from u48 | sequence u32 | subject u16 | digest u64 | number of entries or sums u8
+//	entry:    member u16 | state u8 | incarnation u32 | start u48 | suspectedBy u16
+//	sum:      u32 over maxEntries consecutive members; the first sum begins at subject
+//	checksum: CRC32C u32 of all preceding bytes
 const (
+	// MaxDatagramBytes is the size of the largest datagram.
 	MaxDatagramBytes = 256
-	magic            = 0xd7
-	headBytes        = 25
-	entryBytes       = 15
-	sumBytes         = 4 // of the checksum, and of one of several members
-	mostSums         = (MaxDatagramBytes - headBytes - sumBytes) / sumBytes
-	mostCarry        = (MaxDatagramBytes - headBytes - sumBytes) / entryBytes
-	mostStart        = 1<<48 - 1
+
+	magic      = 0xd7
+	headBytes  = 25
+	entryBytes = 15
+	sumBytes   = 4 // of the checksum, and of one sum
+	maxSums    = (MaxDatagramBytes - headBytes - sumBytes) / sumBytes
+	maxEntries = (MaxDatagramBytes - headBytes - sumBytes) / entryBytes
+	maxStart   = 1<<48 - 1
 )
 
-// kind is what a datagram wants.
+// kind is the type of a datagram.
 type kind uint8
 
 const (
-	ping    kind = iota + 1 // to be answered with an ack
-	pingFor                 // to be answered after asking the member that it is about
-	ack                     // of a ping, or about a member that has answered
-	nack                    // about a member that has not answered in time
-	part                    // a part of a whole view; answered with what differs
-	gossip                  // nothing but entries
-	sums                    // sums of parts of a view; answered with the parts that differ
+	ping        kind = iota + 1 // answered with an ack
+	pingRequest                 // asks for an indirect probe of the subject; answered with an ack or a nack
+	ack                         // the subject has answered a ping
+	nack                        // the subject has not answered a relayed ping in time
+	viewPart                    // entries of consecutive members; answered with newer ones
+	gossip                      // carries entries only
+	viewSums                    // checksums of parts of a view; answered with the parts that differ
 )
 
-// State is what is held of a member.
+// State is the state of a member in a node's view. Its values are sent in datagrams.
 type State uint8
 
-// The states. A member that was never heard of is Unknown.
+// The states of a member. Unknown: no entry about it has been received; Left: it has announced
+// that it leaves.
 const (
 	Unknown State = iota
 	Alive
@@ -51,23 +53,25 @@
 
 var stateNames = [...]string{"unknown", "alive", "suspect", "dead", "left"}
 
+// String returns the name of the state in lower case.
 func (s State) String() string { return stateNames[s] }
 
-// entry is what one member says of another, or of itself.
+// entry is the state of a member as another member, or that member itself, disseminates it.
 type entry struct {
 	member      int
 	state       State
 	incarnation uint32
-	start       int64 // Unix milliseconds; a later one is another process
-	by          int   // who suspects it, on its own account
+	start       int64 // start of the member's process in Unix milliseconds
+	suspectedBy int   // the member that suspects it independently
 }
 
+// datagram is a decoded datagram. It has entries or, if its kind is viewSums, sums.
 type datagram struct {
 	kind     kind
 	from     int
-	start    int64 // of the sender
+	start    int64 // start of the sender's process in Unix milliseconds
 	sequence uint32
-	about    int
+	subject  int
 	digest   uint64
 	entries  []entry
 	sums     []uint32
@@ -75,14 +79,16 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-var errGarbled = errors.New("no datagram of a member")
+var errMalformed = errors.New("membership: malformed datagram")
 
-func put48(b []byte, v int64) []byte {
+// appendUint48 appends the low 48 bits of v to b.
+func appendUint48(b []byte, v int64) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(v))
 	return binary.LittleEndian.AppendUint16(b, uint16(v>>32))
 }
 
-func get48(b []byte) int64 {
+// uint48 decodes the first six bytes of b.
+func uint48(b []byte) int64 {
 	return int64(binary.LittleEndian.Uint32(b)) | int64(binary.LittleEndian.Uint16(b[4:]))<<32
 }
 
@@ -90,9 +96,9 @@
 	b := make([]byte, 0, headBytes+len(d.entries)*entryBytes+sumBytes)
 	b = append(b, magic, byte(d.kind))
 	b = binary.LittleEndian.AppendUint16(b, uint16(d.from))
-	b = put48(b, d.start)
+	b = appendUint48(b, d.start)
 	b = binary.LittleEndian.AppendUint32(b, d.sequence)
-	b = binary.LittleEndian.AppendUint16(b, uint16(d.about))
+	b = binary.LittleEndian.AppendUint16(b, uint16(d.subject))
 	b = binary.LittleEndian.AppendUint64(b, d.digest)
 	b = append(b, byte(len(d.entries)+len(d.sums)))
 	for _, s := range d.sums {
@@ -102,45 +108,46 @@
 		b = binary.LittleEndian.AppendUint16(b, uint16(e.member))
 		b = append(b, byte(e.state))
 		b = binary.LittleEndian.AppendUint32(b, e.incarnation)
-		b = put48(b, e.start)
-		b = binary.LittleEndian.AppendUint16(b, uint16(e.by))
+		b = appendUint48(b, e.start)
+		b = binary.LittleEndian.AppendUint16(b, uint16(e.suspectedBy))
 	}
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decode reads a datagram of a fleet with so many members.
-func decode(b []byte, members int) (datagram, error) {
+// decode decodes a datagram. It returns errMalformed for a wrong size or checksum, an unknown kind
+// or state, and a member number that is not below members.
+func decode(data []byte, members int) (datagram, error) {
 	var d datagram
-	if len(b) < headBytes+sumBytes || len(b) > MaxDatagramBytes || b[0] != magic {
-		return d, errGarbled
+	if len(data) < headBytes+sumBytes || len(data) > MaxDatagramBytes || data[0] != magic {
+		return d, errMalformed
 	}
-	body := b[:len(b)-sumBytes]
-	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(b[len(body):]) {
-		return d, errGarbled
+	body := data[:len(data)-sumBytes]
+	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(data[len(body):]) {
+		return d, errMalformed
 	}
-	d = datagram{kind: kind(b[1]), from: int(binary.LittleEndian.Uint16(b[2:])), start: get48(b[4:]), sequence: binary.LittleEndian.Uint32(b[10:]),
-		about: int(binary.LittleEndian.Uint16(b[14:])), digest: binary.LittleEndian.Uint64(b[16:])}
-	n := int(b[24])
-	if d.kind < ping || d.kind > sums || d.from >= members || d.about >= members {
-		return d, errGarbled
+	d = datagram{kind: kind(data[1]), from: int(binary.LittleEndian.Uint16(data[2:])), start: uint48(data[4:]), sequence: binary.LittleEndian.Uint32(data[10:]),
+		subject: int(binary.LittleEndian.Uint16(data[14:])), digest: binary.LittleEndian.Uint64(data[16:])}
+	count := int(data[24])
+	if d.kind < ping || d.kind > viewSums || d.from >= members || d.subject >= members {
+		return d, errMalformed
 	}
-	if d.kind == sums {
-		if n > mostSums || len(body) != headBytes+n*sumBytes {
-			return d, errGarbled
+	if d.kind == viewSums {
+		if count > maxSums || len(body) != headBytes+count*sumBytes {
+			return d, errMalformed
 		}
-		for at := headBytes; at < len(body); at += sumBytes {
-			d.sums = append(d.sums, binary.LittleEndian.Uint32(body[at:]))
+		for offset := headBytes; offset < len(body); offset += sumBytes {
+			d.sums = append(d.sums, binary.LittleEndian.Uint32(body[offset:]))
 		}
 		return d, nil
 	}
-	if len(body) != headBytes+n*entryBytes {
-		return d, errGarbled
+	if len(body) != headBytes+count*entryBytes {
+		return d, errMalformed
 	}
-	for at := headBytes; at < len(body); at += entryBytes {
-		e := entry{member: int(binary.LittleEndian.Uint16(body[at:])), state: State(body[at+2]), incarnation: binary.LittleEndian.Uint32(body[at+3:]), start: get48(body[at+7:]),
-			by: int(binary.LittleEndian.Uint16(body[at+13:]))}
-		if e.member >= members || e.by >= members || e.state < Alive || e.state > Left {
-			return d, errGarbled
+	for offset := headBytes; offset < len(body); offset += entryBytes {
+		e := entry{member: int(binary.LittleEndian.Uint16(body[offset:])), state: State(body[offset+2]), incarnation: binary.LittleEndian.Uint32(body[offset+3:]), start: uint48(body[offset+7:]),
+			suspectedBy: int(binary.LittleEndian.Uint16(body[offset+13:]))}
+		if e.member >= members || e.suspectedBy >= members || e.state < Alive || e.state > Left {
+			return d, errMalformed
 		}
 		d.entries = append(d.entries, e)
 	}
