--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func TestParse(t *testing.T) {
+func TestParseValidatesFlags(t *testing.T) {
 	t.Setenv("SOME_CONFIG", "env.json")
 	for _, c := range []struct {
 		args   string
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestLog(t *testing.T) {
+func TestLogFollowsFlags(t *testing.T) {
 	t.Setenv("SOME_CONFIG", "env.json")
 	before := slog.Default()
 	defer slog.SetDefault(before)
--- a/internal/link/datagram.go
+++ b/internal/link/datagram.go
@@ -6,7 +6,7 @@
 )
 
 // reorderMost is how much behind its time a datagram comes that is overtaken.
-const reorderMost = 250 * time.Millisecond
+const maxReorderDelay = 250 * time.Millisecond
 
 // Datagram tells what becomes of one datagram: by how much later than without a
 // fault it comes, for each time that it does. What is drawn is from 0 to 1.
@@ -17,9 +17,9 @@
 	case h.Kind == Delayed:
 		return []time.Duration{h.Delay + time.Duration(draw()*float64(h.Jitter))}
 	case h.Kind == Repeated && hit:
-		return []time.Duration{0, time.Duration(draw() * float64(reorderMost))}
+		return []time.Duration{0, time.Duration(draw() * float64(maxReorderDelay))}
 	case h.Kind == Reordered && hit:
-		return []time.Duration{time.Duration(draw() * float64(reorderMost))}
+		return []time.Duration{time.Duration(draw() * float64(maxReorderDelay))}
 	}
 	return []time.Duration{0}
 }
--- a/internal/link/exchange.go
+++ b/internal/link/exchange.go
@@ -8,7 +8,7 @@
 )
 
 // mostDatagram is the longest that an Exchange reads.
-const mostDatagram = 64 << 10
+const maxDatagramBytes = 64 << 10
 
 // Exchange is the network of datagrams between members: it has one address for each,
 // at which the others send to it and from which they hear it, and one at which a
@@ -18,9 +18,9 @@
 	sockets []*net.UDPConn // by member; the last is that of all
 	wg      sync.WaitGroup
 
-	mu   sync.Mutex
-	from map[netip.AddrPort]int // whose process sends from there
-	to   []netip.AddrPort
+	mu             sync.Mutex
+	memberBySource map[netip.AddrPort]int // whose process sends from there
+	addresses      []netip.AddrPort
 }
 
 // ToAll stands for all members as those whom a datagram is for.
@@ -33,9 +33,9 @@
 	if len(addresses) != len(members)+1 {
 		return nil, fmt.Errorf("link: %d addresses for %d members and all", len(addresses), len(members))
 	}
-	x := &DatagramRelay{from: map[netip.AddrPort]int{}, to: append([]netip.AddrPort(nil), members...)}
+	x := &DatagramRelay{memberBySource: map[netip.AddrPort]int{}, addresses: append([]netip.AddrPort(nil), members...)}
 	for n, at := range members {
-		x.from[at] = n
+		x.memberBySource[at] = n
 	}
 	for _, text := range addresses {
 		at, err := netip.ParseAddrPort(text)
@@ -63,14 +63,14 @@
 func (x *DatagramRelay) Address(n int) string { return x.sockets[n].LocalAddr().String() }
 
 func (x *DatagramRelay) read(c *net.UDPConn, to int, take func(from, to int, data []byte)) {
-	buf := make([]byte, mostDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, source, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
 		x.mu.Lock()
-		from, known := x.from[source]
+		from, known := x.memberBySource[source]
 		x.mu.Unlock()
 		if known {
 			take(from, to, append([]byte(nil), buf[:n]...))
@@ -83,21 +83,21 @@
 func (x *DatagramRelay) AddSource(n int, at netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.from[at] = n
+	x.memberBySource[at] = n
 }
 
 // Move delivers what is for a member to another address from now on.
 func (x *DatagramRelay) SetAddress(n int, at netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.from[at], x.to[n] = n, at
+	x.memberBySource[at], x.addresses[n] = n, at
 }
 
 // Deliver sends a member what another has sent. One that fails is lost, as datagrams
 // may be.
 func (x *DatagramRelay) Deliver(from, to int, data []byte) {
 	x.mu.Lock()
-	at := x.to[to]
+	at := x.addresses[to]
 	x.mu.Unlock()
 	x.sockets[from].WriteToUDPAddrPort(data, at)
 }
--- a/internal/link/flow.go
+++ b/internal/link/flow.go
@@ -68,59 +68,61 @@
 // Flow is one direction of one connection: it says what becomes of the pieces that
 // are read, in their order. It is pure; the time comes in.
 type Flow struct {
-	how    Condition
-	random *rand.Rand
-	passed int64         // bytes, since the present fault began
-	free   time.Duration // when the last piece has passed
-	over   bool
+	condition   Condition
+	random      *rand.Rand
+	passedBytes int64         // bytes, since the present fault began
+	freeAt      time.Duration // when the last piece has passed
+	reset       bool
 }
 
 // NewFlow returns a flow that begins as the link is.
-func NewFlow(how Condition, random *rand.Rand) *Flow { return &Flow{how: how, random: random} }
+func NewFlow(how Condition, random *rand.Rand) *Flow { return &Flow{condition: how, random: random} }
 
 // Set changes how it flows from now on. Pieces taken before keep their time.
-func (f *Flow) Set(now time.Duration, how Condition) { f.how, f.passed, f.free = how, 0, now }
+func (f *Flow) Set(now time.Duration, how Condition) {
+	f.condition, f.passedBytes, f.freeAt = how, 0, now
+}
 
 // Holds says whether nothing passes now, also not what was taken before.
 func (f *Flow) Blocked() bool {
-	return f.how.Kind == Dropped || f.how.Kind == Stalled
+	return f.condition.Kind == Dropped || f.condition.Kind == Stalled
 }
 
 const (
-	mostPiece  = 16 << 10
-	slowPieces = 20 // in a second, so that a slow link drips
+	maxReadBytes       = 16 << 10
+	slowReadsPerSecond = 20 // in a second, so that a slow link drips
 )
 
 // Piece is how many bytes may be read at once.
 func (f *Flow) ReadSize() int {
-	if f.how.Kind == Slow {
-		return int(min(max(f.how.Bytes/slowPieces, 1), mostPiece))
+	if f.condition.Kind == Slow {
+		return int(min(max(f.condition.Bytes/slowReadsPerSecond, 1), maxReadBytes))
 	}
-	return mostPiece
+	return maxReadBytes
 }
 
 // Take takes in a piece of n bytes, and says how many of them pass, when, and
 // whether the connection is reset behind them.
 func (f *Flow) Schedule(now time.Duration, n int) (pass int, due time.Duration, reset bool) {
-	if f.over {
+	if f.reset {
 		return 0, now, true
 	}
 	pass, due = n, now
-	switch f.how.Kind {
+	switch f.condition.Kind {
 	case Cut:
-		if left := f.how.Bytes - f.passed; int64(n) >= left {
+		if left := f.condition.Bytes - f.passedBytes; int64(n) >= left {
 			pass, reset = int(left), true
-			f.over = true
+			f.reset = true
 		}
 	case Slow:
-		due = max(now, f.free) + time.Duration(float64(n)/float64(f.how.Bytes)*float64(time.Second))
+		due = max(now, f.freeAt) + time.Duration(float64(n)/float64(f.condition.Bytes)*float64(time.Second))
 	case Delayed:
-		due = now + f.how.Delay
-		if f.how.Jitter > 0 {
-			due += time.Duration(f.random.Int64N(int64(f.how.Jitter) + 1))
+		due = now + f.condition.Delay
+		if f.condition.Jitter > 0 {
+			due += time.Duration(f.random.Int64N(int64(f.condition.Jitter) + 1))
 		}
 	}
-	due = max(due, f.free)
-	f.passed, f.free = f.passed+int64(pass), due
+	due = max(due, f.freeAt)
+	f.passedBytes, f.freeAt = f.passedBytes+int64(pass), due
 	return pass, due, reset
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -16,11 +16,11 @@
 )
 
 // patience bounds every wait; none is expected to last so long.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // Whatever a flow is set to, pieces keep their order, none is passed before it was
 // read, a cut lets its bytes pass and no more, and a slow one takes its time.
-func TestFlow(t *testing.T) {
+func TestFlowKeepsOrderAndLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFlow(Condition{Kind: Up}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		how, now, since, passed, last := Condition{Kind: Up}, time.Duration(0), time.Duration(0), int64(0), time.Duration(0)
@@ -41,7 +41,7 @@
 				f.Set(now, how)
 				since, passed, last = now, 0, now
 			}
-			if f.Blocked() != (how.Kind == Dropped || how.Kind == Stalled) || f.ReadSize() < 1 || f.ReadSize() > mostPiece {
+			if f.Blocked() != (how.Kind == Dropped || how.Kind == Stalled) || f.ReadSize() < 1 || f.ReadSize() > maxReadBytes {
 				t.Fatalf("%+v: holds %v, pieces of %d", how, f.Blocked(), f.ReadSize())
 			}
 			n := rapid.IntRange(0, f.ReadSize()).Draw(t, "n")
@@ -69,7 +69,7 @@
 }
 
 // far is whom a relay leads to: it takes one connection at a time from a channel.
-func far(t *testing.T) (string, chan *net.TCPConn) {
+func acceptingTarget(t *testing.T) (string, chan *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,7 +83,7 @@
 			if err != nil {
 				return
 			}
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(waitTimeout))
 			taken <- c.(*net.TCPConn)
 		}
 	}()
@@ -92,7 +92,7 @@
 
 func newRelay(t *testing.T, limits Limits) (*Relay, chan *net.TCPConn) {
 	t.Helper()
-	target, taken := far(t)
+	target, taken := acceptingTarget(t)
 	r, err := NewRelay("127.0.0.1:0", target, limits, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -103,23 +103,23 @@
 
 func dial(t *testing.T, r *Relay) *net.TCPConn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", r.Address(), patience)
+	c, err := net.DialTimeout("tcp", r.Address(), waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	return c.(*net.TCPConn)
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func write(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func hear(t *testing.T, c net.Conn, want string) {
+func expect(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
 	if n, err := io.ReadFull(c, got); err != nil || string(got) != want {
@@ -131,7 +131,7 @@
 
 // Each kind of fault, on each way of a link, does to a connection that stands and to
 // a new one what it says, and not to the other way; when it is over all goes on.
-func TestRelay(t *testing.T) {
+func TestRelayAppliesEachFault(t *testing.T) {
 	for _, way := range []Direction{Forward, Reverse} {
 		for _, kind := range Kinds {
 			t.Run(string(kind)+[]string{" there", " back"}[way], func(t *testing.T) {
@@ -140,8 +140,8 @@
 				near := dial(t, r)
 				ends := [2]net.Conn{near, <-taken}
 				from, to := ends[way], ends[1-way]
-				say(t, near, "up")
-				hear(t, ends[1], "up")
+				write(t, near, "up")
+				expect(t, ends[1], "up")
 				for r.Stats().Bytes[Forward] != 2 { // they are counted behind the write that they were heard by
 					runtime.Gosched()
 				}
@@ -161,9 +161,9 @@
 				switch kind {
 				case Dropped, Stalled:
 					before := r.Stats().Bytes[way]
-					say(t, from, "held")
-					say(t, to, "passes") // the other way
-					hear(t, from, "passes")
+					write(t, from, "held")
+					write(t, to, "passes") // the other way
+					expect(t, from, "passes")
 					if now := r.Stats().Bytes[way]; now != before {
 						t.Errorf("%d bytes passed", now-before)
 					}
@@ -187,14 +187,14 @@
 						c.Close()
 					}
 					r.Set(way, Condition{Kind: Up})
-					hear(t, to, "held")
+					expect(t, to, "held")
 				case Refused, Reset:
 					for _, end := range ends {
 						if _, err := end.Read(make([]byte, 1)); !isReset(err) {
 							t.Errorf("a standing connection: %v", err)
 						}
 					}
-					c, err := net.DialTimeout("tcp", r.Address(), patience)
+					c, err := net.DialTimeout("tcp", r.Address(), waitTimeout)
 					if errors.Is(err, syscall.ECONNREFUSED) != (kind == Refused) || (err == nil) != (kind == Reset) && !isReset(err) {
 						t.Fatalf("a new connection: %v", err)
 					}
@@ -206,21 +206,21 @@
 					}
 					r.Set(way, Condition{Kind: Up})
 				case Cut:
-					say(t, from, "whole")
+					write(t, from, "whole")
 					got, err := io.ReadAll(to)
 					if !isReset(err) || len(got) > 3 {
 						t.Errorf("%q, then %v", got, err)
 					}
 					r.Set(way, Condition{Kind: Up})
 				case Slow:
-					say(t, from, "0123456789012345")
-					hear(t, to, "0123456789012345")
+					write(t, from, "0123456789012345")
+					expect(t, to, "0123456789012345")
 					if took := time.Since(began); took < 150*time.Millisecond {
 						t.Errorf("16 bytes at 100 a second took %v", took)
 					}
 				case Delayed:
-					say(t, from, "late")
-					hear(t, to, "late")
+					write(t, from, "late")
+					expect(t, to, "late")
 					if took := time.Since(began); took < how.Delay {
 						t.Errorf("delayed by %v it took %v", how.Delay, took)
 					}
@@ -229,15 +229,15 @@
 					near = dial(t, r)
 					ends = [2]net.Conn{near, <-taken}
 				}
-				say(t, near, "again")
-				hear(t, ends[1], "again")
+				write(t, near, "again")
+				expect(t, ends[1], "again")
 				// The end of each way passes by itself.
 				near.CloseWrite()
 				if _, err := ends[1].Read(make([]byte, 1)); err != io.EOF {
 					t.Errorf("the end: %v", err)
 				}
-				say(t, ends[1], "and back")
-				hear(t, near, "and back")
+				write(t, ends[1], "and back")
+				expect(t, near, "and back")
 				ends[1].Close()
 				if _, err := near.Read(make([]byte, 1)); err != io.EOF {
 					t.Errorf("the other end: %v", err)
@@ -253,11 +253,11 @@
 
 // Connections beyond the limit are reset, faults that can't be are refused, and
 // nothing is left of a relay that was closed.
-func TestRelayBounds(t *testing.T) {
+func TestRelayEnforcesLimits(t *testing.T) {
 	r, taken := newRelay(t, Limits{MaxConnections: 1, BufferBytes: 1 << 10})
 	first := dial(t, r)
 	end := <-taken
-	second, err := net.DialTimeout("tcp", r.Address(), patience)
+	second, err := net.DialTimeout("tcp", r.Address(), waitTimeout)
 	if err == nil { // the reset may come first
 		_, err = second.Read(make([]byte, 1))
 		second.Close()
@@ -276,16 +276,16 @@
 		n, _ := io.Copy(first, io.LimitReader(zeros{}, 1<<30))
 		written.Store(n)
 	}()
-	if _, err := io.CopyN(io.Discard, end, 4<<20+2*mostPiece); err != nil { // a piece is counted when it has passed
+	if _, err := io.CopyN(io.Discard, end, 4<<20+2*maxReadBytes); err != nil { // a piece is counted when it has passed
 		t.Fatal(err)
 	}
 	if s := r.Stats(); s.Connections != 1 || s.MaxConnections != 1 || s.Rejected != 1 || s.Bytes[Forward] < 4<<20 {
 		t.Errorf("%+v", s)
 	}
 	r.mu.Lock()
-	for c := range r.conns {
-		if c.bytes[Forward] > 1<<10 {
-			t.Errorf("%d bytes are held", c.bytes[Forward])
+	for c := range r.connections {
+		if c.queuedBytes[Forward] > 1<<10 {
+			t.Errorf("%d bytes are held", c.queuedBytes[Forward])
 		}
 	}
 	r.mu.Unlock()
@@ -293,7 +293,7 @@
 	if _, err := end.Read(make([]byte, 1)); err == nil {
 		io.Copy(io.Discard, end)
 	}
-	if c, err := net.DialTimeout("tcp", r.Address(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
+	if c, err := net.DialTimeout("tcp", r.Address(), waitTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("after the end: %v %v", c, err)
 	}
 }
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -21,21 +21,21 @@
 // machine does. It is safe for concurrent use.
 type Listener struct {
 	address string
-	take    func(net.Conn)
+	handle  func(net.Conn)
 
-	mu       sync.Mutex
-	state    ListenerState
-	listener *net.TCPListener
-	stuffing net.Conn // fills the backlog of a silent listener
-	wg       sync.WaitGroup
+	mu            sync.Mutex
+	state         ListenerState
+	listener      *net.TCPListener
+	backlogFiller net.Conn // fills the backlog of a silent listener
+	wg            sync.WaitGroup
 }
 
 // stuffWait bounds the dial of the connection that fills a backlog.
-const stuffWait = 50 * time.Millisecond
+const fillerDialTimeout = 50 * time.Millisecond
 
 // NewListener listens at an address and calls take with each connection, from one goroutine.
 func NewListener(address string, take func(net.Conn)) (*Listener, error) {
-	l := &Listener{address: address, take: take}
+	l := &Listener{address: address, handle: take}
 	return l, l.open()
 }
 
@@ -69,7 +69,7 @@
 			Abort(c)
 			continue
 		}
-		l.take(c)
+		l.handle(c)
 	}
 }
 
@@ -90,9 +90,9 @@
 		return nil
 	}
 	l.state = state
-	if l.stuffing != nil {
-		l.stuffing.Close()
-		l.stuffing = nil
+	if l.backlogFiller != nil {
+		l.backlogFiller.Close()
+		l.backlogFiller = nil
 	}
 	if state == Silent {
 		if l.listener == nil {
@@ -109,7 +109,7 @@
 		// follows. A connection that is accepted later still leaves room for one, which is
 		// established and never answered.
 		for range 2 {
-			if l.stuffing, _ = net.DialTimeout("tcp", l.address, stuffWait); l.stuffing != nil {
+			if l.backlogFiller, _ = net.DialTimeout("tcp", l.address, fillerDialTimeout); l.backlogFiller != nil {
 				break
 			}
 		}
@@ -145,8 +145,8 @@
 		l.listener.Close()
 		l.listener = nil
 	}
-	if l.stuffing != nil {
-		l.stuffing.Close()
+	if l.backlogFiller != nil {
+		l.backlogFiller.Close()
 	}
 	l.mu.Unlock()
 	l.wg.Wait()
--- a/internal/link/relay.go
+++ b/internal/link/relay.go
@@ -36,47 +36,47 @@
 
 // Relay carries the connections of one link.
 type Relay struct {
-	listener *Listener
-	target   string
-	limits   Limits
-	began    time.Time
-	wg       sync.WaitGroup
+	listener  *Listener
+	target    string
+	limits    Limits
+	startedAt time.Time
+	wg        sync.WaitGroup
 
-	mu      sync.Mutex
-	changed sync.Cond // a fault, a queue, or an end; on mu
-	hows    [2]Condition
-	conns   map[*conn]bool
-	closed  bool
-	random  *rand.Rand
-	stats   Stats
+	mu           sync.Mutex
+	stateChanged sync.Cond // a fault, a queue, or an end; on mu
+	conditions   [2]Condition
+	connections  map[*connection]bool
+	closed       bool
+	random       *rand.Rand
+	stats        Stats
 }
 
 // conn is a connection with both its sides. All but the ends is under the relay's
 // lock.
-type conn struct {
-	ends  [2]*net.TCPConn // who connected, and whom it is for
-	flows [2]*Flow
-	queue [2][]piece
-	bytes [2]int // in the queue
-	over  bool
+type connection struct {
+	ends        [2]*net.TCPConn // who connected, and whom it is for
+	flows       [2]*Flow
+	queue       [2][]piece
+	queuedBytes [2]int // in the queue
+	closed      bool
 }
 
 // piece is what was read at once, or an end.
 type piece struct {
-	text  []byte
-	due   time.Duration
-	end   bool // its sender says no more
-	reset bool // the connection is reset behind it
+	data        []byte
+	due         time.Duration
+	endOfStream bool // its sender says no more
+	reset       bool // the connection is reset behind it
 }
 
 // dialWait is for a connection to whom the link leads.
-const dialWait = 2 * time.Second
+const dialTimeout = 2 * time.Second
 
 // NewRelay carries what comes to an address to another.
 func NewRelay(address, target string, limits Limits, seed uint64) (*Relay, error) {
-	r := &Relay{target: target, limits: limits, began: time.Now(), hows: [2]Condition{{Kind: Up}, {Kind: Up}}, conns: map[*conn]bool{},
+	r := &Relay{target: target, limits: limits, startedAt: time.Now(), conditions: [2]Condition{{Kind: Up}, {Kind: Up}}, connections: map[*connection]bool{},
 		random: rand.New(rand.NewPCG(seed, 1))}
-	r.changed.L = &r.mu
+	r.stateChanged.L = &r.mu
 	listener, err := NewListener(address, func(c net.Conn) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -94,7 +94,7 @@
 // Address is where it listens.
 func (r *Relay) Address() string { return r.listener.Address() }
 
-func (r *Relay) now() time.Duration { return time.Since(r.began) }
+func (r *Relay) now() time.Duration { return time.Since(r.startedAt) }
 
 // Set changes how one way of the link carries what is sent from now on. Refused and
 // Reset end the connections that stand; whichever way has them, the link has.
@@ -107,9 +107,9 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hows[way] = how
+	r.conditions[way] = how
 	step := Open
-	for _, h := range r.hows {
+	for _, h := range r.conditions {
 		switch h.Kind {
 		case Dropped:
 			step = max(step, Silent)
@@ -117,13 +117,13 @@
 			step = max(step, Refusing)
 		}
 	}
-	for c := range r.conns {
+	for c := range r.connections {
 		c.flows[way].Set(r.now(), how)
 		if how.Kind == Refused || how.Kind == Reset {
 			c.abort()
 		}
 	}
-	r.changed.Broadcast()
+	r.stateChanged.Broadcast()
 	return r.listener.Set(step)
 }
 
@@ -132,7 +132,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.stats
-	s.Connections = len(r.conns)
+	s.Connections = len(r.connections)
 	return s
 }
 
@@ -140,10 +140,10 @@
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
-	for c := range r.conns {
+	for c := range r.connections {
 		c.abort()
 	}
-	r.changed.Broadcast()
+	r.stateChanged.Broadcast()
 	r.mu.Unlock()
 	r.listener.Close()
 	r.wg.Wait()
@@ -151,28 +151,28 @@
 
 // connect finds the other side for a connection, and carries it until it ends.
 func (r *Relay) connect(from *net.TCPConn) {
-	c := &conn{ends: [2]*net.TCPConn{from, nil}}
+	c := &connection{ends: [2]*net.TCPConn{from, nil}}
 	r.mu.Lock()
-	full := len(r.conns) >= r.limits.MaxConnections
+	full := len(r.connections) >= r.limits.MaxConnections
 	if full {
 		r.stats.Rejected++
 	}
 	ends := func(h Condition) bool { return h.Kind == Reset || h.Kind == Refused } // it may have come in the moment of the change
-	if full || r.closed || ends(r.hows[Forward]) || ends(r.hows[Reverse]) {
+	if full || r.closed || ends(r.conditions[Forward]) || ends(r.conditions[Reverse]) {
 		r.mu.Unlock()
 		Abort(from)
 		return
 	}
 	for way := range c.flows {
-		c.flows[way] = NewFlow(r.hows[way], rand.New(rand.NewPCG(r.random.Uint64(), 2)))
+		c.flows[way] = NewFlow(r.conditions[way], rand.New(rand.NewPCG(r.random.Uint64(), 2)))
 	}
-	r.conns[c] = true // also while its other side is sought
-	r.stats.MaxConnections = max(r.stats.MaxConnections, len(r.conns))
+	r.connections[c] = true // also while its other side is sought
+	r.stats.MaxConnections = max(r.stats.MaxConnections, len(r.connections))
 	r.mu.Unlock()
-	to, err := net.DialTimeout("tcp", r.target, dialWait)
+	to, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	r.mu.Lock()
-	if err != nil || c.over {
-		delete(r.conns, c)
+	if err != nil || c.closed {
+		delete(r.connections, c)
 		c.abort()
 		r.mu.Unlock()
 		if err == nil {
@@ -190,20 +190,20 @@
 	wg.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.conns, c)
-	if !c.over { // both sides have said their last, which may still be on its way
-		c.over = true
+	delete(r.connections, c)
+	if !c.closed { // both sides have said their last, which may still be on its way
+		c.closed = true
 		c.ends[0].Close()
 		c.ends[1].Close()
 	}
 }
 
 // abort resets both sides. The caller has the lock.
-func (c *conn) abort() {
-	if c.over {
+func (c *connection) abort() {
+	if c.closed {
 		return
 	}
-	c.over = true
+	c.closed = true
 	for _, end := range c.ends {
 		if end != nil {
 			Abort(end)
@@ -213,15 +213,15 @@
 
 // read takes in what one side sends, as far as there is room for it and the link
 // does not hold it.
-func (r *Relay) read(c *conn, way Direction) {
+func (r *Relay) read(c *connection, way Direction) {
 	from := c.ends[way]
 	for {
 		r.mu.Lock()
-		for !c.over && (c.flows[way].Blocked() || c.bytes[way] >= r.limits.BufferBytes) {
-			r.changed.Wait()
+		for !c.closed && (c.flows[way].Blocked() || c.queuedBytes[way] >= r.limits.BufferBytes) {
+			r.stateChanged.Wait()
 		}
-		text := make([]byte, min(c.flows[way].ReadSize(), max(r.limits.BufferBytes-c.bytes[way], 1)))
-		over := c.over
+		text := make([]byte, min(c.flows[way].ReadSize(), max(r.limits.BufferBytes-c.queuedBytes[way], 1)))
+		over := c.closed
 		r.mu.Unlock()
 		if over {
 			return
@@ -230,14 +230,14 @@
 		r.mu.Lock()
 		if n > 0 {
 			pass, due, reset := c.flows[way].Schedule(r.now(), n)
-			c.queue[way] = append(c.queue[way], piece{text: text[:pass], due: due, reset: reset})
-			c.bytes[way] += pass
+			c.queue[way] = append(c.queue[way], piece{data: text[:pass], due: due, reset: reset})
+			c.queuedBytes[way] += pass
 		}
 		if err != nil {
 			_, due, _ := c.flows[way].Schedule(r.now(), 0)
-			c.queue[way] = append(c.queue[way], piece{due: due, end: errors.Is(err, io.EOF), reset: !errors.Is(err, io.EOF)})
+			c.queue[way] = append(c.queue[way], piece{due: due, endOfStream: errors.Is(err, io.EOF), reset: !errors.Is(err, io.EOF)})
 		}
-		r.changed.Broadcast()
+		r.stateChanged.Broadcast()
 		r.mu.Unlock()
 		if err != nil {
 			return
@@ -246,42 +246,42 @@
 }
 
 // write passes on what was read, each piece at its time, unless the link holds it.
-func (r *Relay) write(c *conn, way Direction) {
+func (r *Relay) write(c *connection, way Direction) {
 	to := c.ends[1-way]
 	for {
 		p, ok := r.next(c, way)
 		if !ok {
 			return
 		}
-		_, err := to.Write(p.text)
+		_, err := to.Write(p.data)
 		switch {
 		case err != nil || p.reset:
 			r.mu.Lock()
 			c.abort()
-			r.changed.Broadcast()
+			r.stateChanged.Broadcast()
 			r.mu.Unlock()
 			return
-		case p.end:
+		case p.endOfStream:
 			to.CloseWrite()
 			return
 		}
 		r.mu.Lock()
-		c.bytes[way] -= len(p.text)
-		r.stats.Bytes[way] += int64(len(p.text))
-		r.changed.Broadcast()
+		c.queuedBytes[way] -= len(p.data)
+		r.stats.Bytes[way] += int64(len(p.data))
+		r.stateChanged.Broadcast()
 		r.mu.Unlock()
 	}
 }
 
 // next waits for the next piece to be passed on.
-func (r *Relay) next(c *conn, way Direction) (piece, bool) {
+func (r *Relay) next(c *connection, way Direction) (piece, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waited := false
-	for !c.over {
+	for !c.closed {
 		if len(c.queue[way]) == 0 || c.flows[way].Blocked() {
 			waited = false
-			r.changed.Wait()
+			r.stateChanged.Wait()
 			continue
 		}
 		p := c.queue[way][0]
@@ -290,9 +290,9 @@
 			alarm := time.AfterFunc(in, func() {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				r.changed.Broadcast()
+				r.stateChanged.Broadcast()
 			})
-			r.changed.Wait()
+			r.stateChanged.Wait()
 			alarm.Stop()
 			continue
 		} else if waited {
--- a/internal/shipped/shipped.go
+++ b/internal/shipped/shipped.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-const ending = ".toml"
+const extension = ".toml"
 
 // Files are embedded TOML files, each called by its name without the ending.
 type Files struct{ FS embed.FS }
@@ -20,10 +20,10 @@
 		return nil // of an embedded folder
 	}
 	for _, e := range entries {
-		all = append(all, strings.TrimSuffix(e.Name(), ending))
+		all = append(all, strings.TrimSuffix(e.Name(), extension))
 	}
 	return all
 }
 
 // Text returns the text of the file called name.
-func (f Files) Text(name string) ([]byte, error) { return f.FS.ReadFile(name + ending) }
+func (f Files) Text(name string) ([]byte, error) { return f.FS.ReadFile(name + extension) }
--- a/internal/world/body.go
+++ b/internal/world/body.go
@@ -14,36 +14,36 @@
 	Size int64
 }
 
-const cell = 17 // bytes of the number and the space behind it
+const blockBytes = 17 // bytes of the number and the space behind it
 
 // Reader reads the body.
 func (b Body) Reader() io.Reader {
-	r := &bodyReader{left: b.Size}
-	r.text = fmt.Appendf(nil, "%016x ", b.Seed)
+	r := &bodyReader{remaining: b.Size}
+	r.block = fmt.Appendf(nil, "%016x ", b.Seed)
 	return r
 }
 
 type bodyReader struct {
-	text []byte
-	at   int
-	left int64
+	block     []byte
+	offset    int
+	remaining int64
 }
 
 func (r *bodyReader) Read(p []byte) (int, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		return 0, io.EOF
 	}
 	n := 0
-	for n < len(p) && r.left > 0 {
-		c := copy(p[n:], r.text[r.at:min(int64(cell), int64(r.at)+r.left)])
+	for n < len(p) && r.remaining > 0 {
+		c := copy(p[n:], r.block[r.offset:min(int64(blockBytes), int64(r.offset)+r.remaining)])
 		n += c
-		r.left -= int64(c)
-		r.at = (r.at + c) % cell
+		r.remaining -= int64(c)
+		r.offset = (r.offset + c) % blockBytes
 	}
 	return n, nil
 }
 
-var errBody = errors.New("not a body of the emulation's")
+var errNotEmulatedBody = errors.New("not a body of the emulation's")
 
 // ReadBody reads a body to its end and tells what it is made of. One of under 16
 // bytes has no number that could be told.
@@ -54,23 +54,23 @@
 	for {
 		n, err := r.Read(buf[:])
 		for _, c := range buf[:n] {
-			at := int(b.Size % cell)
+			at := int(b.Size % blockBytes)
 			b.Size++
-			if len(first) < cell {
-				if first = append(first, c); len(first) == cell-1 {
+			if len(first) < blockBytes {
+				if first = append(first, c); len(first) == blockBytes-1 {
 					seed, err := strconv.ParseUint(string(first), 16, 64)
 					if err != nil {
-						return b, errBody
+						return b, errNotEmulatedBody
 					}
 					b.Seed = seed
 				}
-				if len(first) == cell && c != ' ' {
-					return b, errBody
+				if len(first) == blockBytes && c != ' ' {
+					return b, errNotEmulatedBody
 				}
 				continue
 			}
 			if first[at] != c {
-				return b, errBody
+				return b, errNotEmulatedBody
 			}
 		}
 		if err == io.EOF {
--- a/internal/world/double_test.go
+++ b/internal/world/double_test.go
@@ -10,98 +10,98 @@
 
 // harness drives a world in time of its own, with doubles in the gateways' place.
 type harness struct {
-	w        *Emulator
-	s        *scenario.Scenario
-	now      time.Duration
-	queue    timers
-	order    uint64
-	next     Conn
-	conns    map[Conn]*doubleConn
-	links    map[edge]LinkState
-	doubles  []*double
-	defect   string
-	planted  int // times that the defect has been acted out
-	maxSteps int
+	emulator       *Emulator
+	scenario       *scenario.Scenario
+	now            time.Duration
+	queue          timers
+	sequence       uint64
+	lastConnection Conn
+	connections    map[Conn]*testConnection
+	links          map[gatewayLink]LinkState
+	gateways       []*testGateway
+	defect         string
+	planted        int // times that the defect has been acted out
+	maxSteps       int
 }
 
-type doubleConn struct {
+type testConnection struct {
 	id      Conn
 	gateway int
 	backend int
-	x       *held
+	request *acceptedRequest
 }
 
 // double is a gateway that keeps the rules, but for its defect.
-type double struct {
-	h     *harness
-	n     int
-	alive bool
-	told  map[int]Entry
-	turn  int
-	open  map[uint64]*held
-	out   map[int]int // attempts by backend
+type testGateway struct {
+	harness           *harness
+	number            int
+	alive             bool
+	entries           map[int]Entry
+	turn              int
+	inProgress        map[uint64]*acceptedRequest
+	attemptsByBackend map[int]int // attempts by backend
 }
 
 // A double has so many attempts out at a backend at most.
 const (
-	mostWarm = 4
-	mostCold = 1
+	maxWarmAttempts = 4
+	maxColdAttempts = 1
 )
 
-func (d *double) room(b int, e Entry) bool {
-	if d.h.plant("floods the cold") {
+func (d *testGateway) hasRoom(b int, e Entry) bool {
+	if d.harness.hasDefect("floods the cold") {
 		return true
 	}
-	if e.Started > 0 && d.h.now-e.Started < d.h.s.Backend.Cold.D() {
-		return d.out[b] < mostCold
+	if e.Started > 0 && d.harness.now-e.Started < d.harness.scenario.Backend.Cold.D() {
+		return d.attemptsByBackend[b] < maxColdAttempts
 	}
-	return d.out[b] < mostWarm
+	return d.attemptsByBackend[b] < maxWarmAttempts
 }
 
 // held is a request that a double has taken.
-type held struct {
+type acceptedRequest struct {
 	Request
-	d       *double
-	due     time.Duration
-	tries   int
-	mayRun  bool
-	conn    *doubleConn
-	done    bool
-	refused map[int]bool
+	gateway    *testGateway
+	deadline   time.Duration
+	attempts   int
+	mayRun     bool
+	connection *testConnection
+	done       bool
+	refused    map[int]bool
 }
 
 func (h *harness) after(d time.Duration, do func()) {
-	h.order++
-	heap.Push(&h.queue, timer{h.now + d, h.order, do})
+	h.sequence++
+	heap.Push(&h.queue, timer{h.now + d, h.sequence, do})
 }
 
 func (h *harness) step(e Event) {
-	for _, a := range h.w.Step(h.now, e) {
-		h.do(a.Operation)
+	for _, a := range h.emulator.Step(h.now, e) {
+		h.perform(a.Operation)
 	}
 }
 
 // play plays a scenario with doubles that have the defect.
-func playDoubles(s *scenario.Scenario, defect string) *harness {
-	h := &harness{w: New(s), s: s, conns: map[Conn]*doubleConn{}, links: map[edge]LinkState{}, defect: defect, maxSteps: 10_000_000}
+func runTestGateways(s *scenario.Scenario, defect string) *harness {
+	h := &harness{emulator: New(s), scenario: s, connections: map[Conn]*testConnection{}, links: map[gatewayLink]LinkState{}, defect: defect, maxSteps: 10_000_000}
 	for g := range s.Fleet.Gateways {
-		d := &double{h: h, n: g, alive: true, told: map[int]Entry{}, open: map[uint64]*held{}, out: map[int]int{}}
-		h.doubles = append(h.doubles, d)
-		h.tell(d, h.w.Entries())
+		d := &testGateway{harness: h, number: g, alive: true, entries: map[int]Entry{}, inProgress: map[uint64]*acceptedRequest{}, attemptsByBackend: map[int]int{}}
+		h.gateways = append(h.gateways, d)
+		h.deliverList(d, h.emulator.Entries())
 		h.step(Ready{g})
 	}
-	for _, a := range h.w.Begin(h.now) {
-		h.do(a.Operation)
+	for _, a := range h.emulator.Begin(h.now) {
+		h.perform(a.Operation)
 	}
 	for range h.maxSteps {
-		if h.w.Done() {
+		if h.emulator.Done() {
 			break
 		}
-		next, ok := h.w.Next()
+		next, ok := h.emulator.Next()
 		if len(h.queue) > 0 && (!ok || h.queue[0].at <= next) {
 			t := heap.Pop(&h.queue).(timer)
 			h.now = max(h.now, t.at)
-			t.do()
+			t.run()
 			continue
 		}
 		if !ok {
@@ -110,79 +110,79 @@
 		h.now = max(h.now, next)
 		h.step(Tick{})
 	}
-	h.w.End(h.now)
+	h.emulator.End(h.now)
 	return h
 }
 
-func (h *harness) tell(d *double, entries []Entry) {
+func (h *harness) deliverList(d *testGateway, entries []Entry) {
 	if !d.alive {
 		return
 	}
-	h.step(ListDelivered{Gateway: d.n, Full: true, Entries: entries})
-	clear(d.told)
+	h.step(ListDelivered{Gateway: d.number, Full: true, Entries: entries})
+	clear(d.entries)
 	for _, e := range entries {
-		d.told[e.Backend] = e
+		d.entries[e.Backend] = e
 	}
 }
 
-func (h *harness) do(action any) {
+func (h *harness) perform(action any) {
 	switch a := action.(type) {
 	case Send:
-		d := h.doubles[a.Gateway]
+		d := h.gateways[a.Gateway]
 		h.after(0, func() {
 			if !d.alive {
 				h.step(Unanswered{ID: a.ID})
 				return
 			}
 			h.step(RequestWritten{a.ID})
-			d.take(a.Request)
+			d.accept(a.Request)
 		})
 	case Abandon:
-		for _, d := range h.doubles {
-			if x := d.open[a.ID]; x != nil {
-				h.after(0, func() { d.drop(x) })
+		for _, d := range h.gateways {
+			if x := d.inProgress[a.ID]; x != nil {
+				h.after(0, func() { d.abandon(x) })
 			}
 		}
 	case Reply:
-		if c := h.conns[a.Conn]; c != nil {
+		if c := h.connections[a.Conn]; c != nil {
 			h.after(0, func() { h.replied(c, a) })
 		}
 	case CheckConnections: // what a double ends has ended at once
 		h.after(0, func() { h.step(ConnectionsChecked{ID: a.ID}) })
 	case Reset:
-		if c := h.conns[a.Conn]; c != nil {
-			h.gone(c)
-			h.after(0, func() { h.broke(c) })
+		if c := h.connections[a.Conn]; c != nil {
+			h.removeConnection(c)
+			h.after(0, func() { h.connectionReset(c) })
 		}
 	case SetLinkState:
-		h.links[edge{a.Gateway, a.Peer}] = a.State
+		h.links[gatewayLink{a.Gateway, a.Peer}] = a.State
 		if a.State != Silent {
-			for _, id := range sortedConns(h.conns) {
-				if c := h.conns[id]; c.gateway == a.Gateway && c.backend == a.Peer {
-					h.gone(c)
-					h.after(0, func() { h.broke(c) })
+			for _, id := range sortedConnections(h.connections) {
+				if c := h.connections[id]; c.gateway == a.Gateway && c.backend == a.Peer {
+					h.removeConnection(c)
+					h.after(0, func() { h.connectionReset(c) })
 				}
 			}
 		}
 	case SendList:
-		h.after(0, func() { h.tell(h.doubles[a.Gateway], a.Entries) })
+		h.after(0, func() { h.deliverList(h.gateways[a.Gateway], a.Entries) })
 	case Kill:
-		d := h.doubles[a.Gateway]
+		d := h.gateways[a.Gateway]
 		d.alive = false
-		h.after(0, func() { h.died(d) })
+		h.after(0, func() { h.gatewayExited(d) })
 	case Stop:
-		h.after(0, func() { h.leave(h.doubles[a.Gateway]) })
+		h.after(0, func() { h.stopGateway(h.gateways[a.Gateway]) })
 	case Start:
 		h.after(200*time.Millisecond, func() {
-			d := h.doubles[a.Gateway]
+			d := h.gateways[a.Gateway]
 			d.alive = true
-			h.tell(d, h.w.Entries())
+			h.deliverList(d, h.emulator.Entries())
 			h.step(Ready(a))
 		})
 	}
 }
 
-func sortedConns(conns map[Conn]*doubleConn) []Conn {
+func sortedConnections(conns map[Conn]*testConnection) []Conn {
 	var all []Conn
 	for id := range conns {
 		all = append(all, id)
@@ -191,76 +191,76 @@
 	return all
 }
 
-func (h *harness) died(d *double) {
-	for _, id := range sortedConns(h.conns) {
-		if c := h.conns[id]; c.gateway == d.n {
-			h.hangUp(c)
+func (h *harness) gatewayExited(d *testGateway) {
+	for _, id := range sortedConnections(h.connections) {
+		if c := h.connections[id]; c.gateway == d.number {
+			h.closeConnection(c)
 		}
 	}
 	var ids []uint64
-	for id := range d.open {
+	for id := range d.inProgress {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		d.open[id].done = true
-		delete(d.open, id)
+		d.inProgress[id].done = true
+		delete(d.inProgress, id)
 		h.step(Unanswered{ID: id, Reused: true, Sent: true})
 	}
-	h.step(Exited{d.n, "killed"})
+	h.step(Exited{d.number, "killed"})
 }
 
-func (h *harness) leave(d *double) {
-	if len(d.open) > 0 || h.defect == "never ends" {
+func (h *harness) stopGateway(d *testGateway) {
+	if len(d.inProgress) > 0 || h.defect == "never ends" {
 		if h.defect == "never ends" {
 			h.planted++
 			return
 		}
-		h.after(50*time.Millisecond, func() { h.leave(d) })
+		h.after(50*time.Millisecond, func() { h.stopGateway(d) })
 		return
 	}
 	d.alive = false
-	h.died(d)
+	h.gatewayExited(d)
 }
 
-func (d *double) take(r Request) {
-	x := &held{Request: r, d: d, due: d.h.now + r.Remaining, refused: map[int]bool{}}
-	d.open[r.ID] = x
-	d.h.after(r.Remaining-10*time.Millisecond, func() { x.answer(504, Body{}) })
+func (d *testGateway) accept(r Request) {
+	x := &acceptedRequest{Request: r, gateway: d, deadline: d.harness.now + r.Remaining, refused: map[int]bool{}}
+	d.inProgress[r.ID] = x
+	d.harness.after(r.Remaining-10*time.Millisecond, func() { x.answer(504, Body{}) })
 	switch {
-	case d.h.plant("holds") && r.ID%64 == 0:
+	case d.harness.hasDefect("holds") && r.ID%64 == 0:
 		x.done = true // and nothing more
-		d.h.planted++
-	case d.h.plant("makes up") && r.ID%64 == 0:
-		d.h.planted++
-		x.answer(200, Body{Seed: 7, Size: d.h.s.Classes[r.Class].AnswerBytes})
-	case d.h.plant("ends") && d.h.now > 2*time.Second && d.n == 0 && d.h.planted == 0:
-		d.h.planted++
+		d.harness.planted++
+	case d.harness.hasDefect("makes up") && r.ID%64 == 0:
+		d.harness.planted++
+		x.answer(200, Body{Seed: 7, Size: d.harness.scenario.Classes[r.Class].AnswerBytes})
+	case d.harness.hasDefect("ends") && d.harness.now > 2*time.Second && d.number == 0 && d.harness.planted == 0:
+		d.harness.planted++
 		d.alive = false
-		d.h.died(d)
-	case d.h.plant("shuts the door") && r.ID%16 == 0:
-		d.h.planted++
+		d.harness.gatewayExited(d)
+	case d.harness.hasDefect("shuts the door") && r.ID%16 == 0:
+		d.harness.planted++
 		x.done = true
-		delete(d.open, r.ID)
-		d.h.step(Unanswered{ID: r.ID, Sent: true})
+		delete(d.inProgress, r.ID)
+		d.harness.step(Unanswered{ID: r.ID, Sent: true})
 	default:
 		x.attempt()
 	}
 }
 
-func (h *harness) plant(defect string) bool { return h.defect == defect }
+func (h *harness) hasDefect(defect string) bool { return h.defect == defect }
 
 // pick picks the next backend in turn that is ready and has not refused.
-func (x *held) pick() int {
-	d := x.d
+func (x *acceptedRequest) pickBackend() int {
+	d := x.gateway
 	var fit []int
-	for b, e := range d.told {
+	for b, e := range d.entries {
 		ready := e.Lifecycle == Serving
-		if d.h.plant("ignores drains") && e.Lifecycle == Draining {
+		if d.harness.hasDefect("ignores drains") && e.Lifecycle == Draining {
 			ready = true
-			d.h.planted++
+			d.harness.planted++
 		}
-		if ready && !x.refused[b] && d.room(b, e) {
+		if ready && !x.refused[b] && d.hasRoom(b, e) {
 			fit = append(fit, b)
 		}
 	}
@@ -268,107 +268,107 @@
 		return -1
 	}
 	slices.Sort(fit)
-	if last := fit[len(fit)-1]; d.h.plant("floods the cold") && d.told[last].Started > 0 && d.h.now-d.told[last].Started < d.h.s.Backend.Cold.D() {
-		d.h.planted++
+	if last := fit[len(fit)-1]; d.harness.hasDefect("floods the cold") && d.entries[last].Started > 0 && d.harness.now-d.entries[last].Started < d.harness.scenario.Backend.Cold.D() {
+		d.harness.planted++
 		return last
 	}
 	d.turn++
 	return fit[d.turn%len(fit)]
 }
 
-func (x *held) attempt() {
-	d, h := x.d, x.d.h
+func (x *acceptedRequest) attempt() {
+	d, h := x.gateway, x.gateway.harness
 	if x.done || !d.alive {
 		return
 	}
-	b := x.pick()
-	if b < 0 || x.tries >= h.s.Rules.Attempts+1 || x.tries >= h.s.Rules.Attempts && !h.plant("tries on") {
-		x.end()
+	b := x.pickBackend()
+	if b < 0 || x.attempts >= h.scenario.Rules.Attempts+1 || x.attempts >= h.scenario.Rules.Attempts && !h.hasDefect("tries on") {
+		x.reject()
 		return
 	}
-	if x.tries >= h.s.Rules.Attempts {
+	if x.attempts >= h.scenario.Rules.Attempts {
 		h.planted++
 	}
-	switch h.links[edge{d.n, b}] {
+	switch h.links[gatewayLink{d.number, b}] {
 	case Refusing:
 		x.refused[b] = true
 		x.attempt()
 		return
 	case Silent:
 		x.refused[b] = true
-		h.after(h.s.Network.ConnectTimeout.D(), x.attempt)
+		h.after(h.scenario.Network.ConnectTimeout.D(), x.attempt)
 		return
 	}
-	x.tries++
-	c := h.connect(d.n, b, x)
-	h.arrive(c, x.Request)
-	if h.plant("sends twice") && x.ID%64 == 0 && len(d.told) > 1 {
+	x.attempts++
+	c := h.connect(d.number, b, x)
+	h.sendAttempt(c, x.Request)
+	if h.hasDefect("sends twice") && x.ID%64 == 0 && len(d.entries) > 1 {
 		h.planted++
-		h.arrive(h.connect(d.n, b, nil), x.Request)
+		h.sendAttempt(h.connect(d.number, b, nil), x.Request)
 	}
 	h.after(700*time.Millisecond, func() { // it gives up
-		if h.conns[c.id] == c && c.x == x {
-			h.hangUp(c)
+		if h.connections[c.id] == c && c.request == x {
+			h.closeConnection(c)
 			x.mayRun = true
-			x.again()
+			x.retryOrEnd()
 		}
 	})
 }
 
-func (h *harness) connect(g, b int, x *held) *doubleConn {
-	h.next++
-	c := &doubleConn{id: h.next, gateway: g, backend: b, x: x}
-	h.conns[c.id] = c
-	h.doubles[g].out[b]++
+func (h *harness) connect(g, b int, x *acceptedRequest) *testConnection {
+	h.lastConnection++
+	c := &testConnection{id: h.lastConnection, gateway: g, backend: b, request: x}
+	h.connections[c.id] = c
+	h.gateways[g].attemptsByBackend[b]++
 	h.step(Opened{c.id, g, b})
 	if x != nil {
-		x.conn = c
+		x.connection = c
 	}
 	return c
 }
 
-func (h *harness) gone(c *doubleConn) {
-	delete(h.conns, c.id)
-	h.doubles[c.gateway].out[c.backend]--
+func (h *harness) removeConnection(c *testConnection) {
+	delete(h.connections, c.id)
+	h.gateways[c.gateway].attemptsByBackend[c.backend]--
 }
 
-func (h *harness) hangUp(c *doubleConn) {
-	h.gone(c)
+func (h *harness) closeConnection(c *testConnection) {
+	h.removeConnection(c)
 	h.step(Closed{c.id})
 }
 
-func (h *harness) arrive(c *doubleConn, r Request) {
-	a := Arrived{Conn: c.id, ID: r.ID, FirstByte: h.now, Class: h.s.Classes[r.Class].Name, Key: r.Key, Body: r.Body, Unchanged: true}
-	if h.plant("sends its own") && r.ID%64 == 0 {
+func (h *harness) sendAttempt(c *testConnection, r Request) {
+	a := Arrived{Conn: c.id, ID: r.ID, FirstByte: h.now, Class: h.scenario.Classes[r.Class].Name, Key: r.Key, Body: r.Body, Unchanged: true}
+	if h.hasDefect("sends its own") && r.ID%64 == 0 {
 		h.planted++
 		a.ID++
 	}
-	if h.plant("changes") && r.ID%64 == 0 {
+	if h.hasDefect("changes") && r.ID%64 == 0 {
 		h.planted++
 		a.Class = "other"
 	}
 	h.step(a)
 }
 
-func (x *held) again() {
-	class := x.d.h.s.Classes[x.Class]
+func (x *acceptedRequest) retryOrEnd() {
+	class := x.gateway.harness.scenario.Classes[x.Class]
 	may := !x.mayRun || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all"
-	if x.d.h.plant("sends once again") && !may {
-		x.d.h.planted++
+	if x.gateway.harness.hasDefect("sends once again") && !may {
+		x.gateway.harness.planted++
 		may = true
 	}
 	if !may {
-		x.end()
+		x.reject()
 		return
 	}
 	x.attempt()
 }
 
 // end answers a request that is not served.
-func (x *held) end() {
-	class := x.d.h.s.Classes[x.Class]
-	if x.mayRun && x.d.h.plant("refuses what ran") && class.Effect == "once" {
-		x.d.h.planted++
+func (x *acceptedRequest) reject() {
+	class := x.gateway.harness.scenario.Classes[x.Class]
+	if x.mayRun && x.gateway.harness.hasDefect("refuses what ran") && class.Effect == "once" {
+		x.gateway.harness.planted++
 		x.answer(503, Body{})
 		return
 	}
@@ -379,44 +379,44 @@
 	x.answer(503, Body{})
 }
 
-func (x *held) answer(status int, body Body) {
+func (x *acceptedRequest) answer(status int, body Body) {
 	if x.done {
 		return
 	}
-	h := x.d.h
+	h := x.gateway.harness
 	x.done = true
-	delete(x.d.open, x.ID)
-	if x.conn != nil && h.conns[x.conn.id] == x.conn {
-		h.hangUp(x.conn)
+	delete(x.gateway.inProgress, x.ID)
+	if x.connection != nil && h.connections[x.connection.id] == x.connection {
+		h.closeConnection(x.connection)
 	}
 	h.step(Answered{ID: x.ID, Status: status, Complete: true, Body: body})
-	if h.plant("answers twice") && x.ID%64 == 0 {
+	if h.hasDefect("answers twice") && x.ID%64 == 0 {
 		h.planted++
-		h.step(UnexpectedData{x.d.n, x.ID})
+		h.step(UnexpectedData{x.gateway.number, x.ID})
 	}
 }
 
-func (d *double) drop(x *held) {
+func (d *testGateway) abandon(x *acceptedRequest) {
 	x.done = true
-	delete(d.open, x.ID)
-	if x.conn != nil && d.h.conns[x.conn.id] == x.conn {
-		d.h.hangUp(x.conn)
+	delete(d.inProgress, x.ID)
+	if x.connection != nil && d.harness.connections[x.connection.id] == x.connection {
+		d.harness.closeConnection(x.connection)
 	}
 }
 
-func (h *harness) replied(c *doubleConn, r Reply) {
-	if h.conns[c.id] != c {
+func (h *harness) replied(c *testConnection, r Reply) {
+	if h.connections[c.id] != c {
 		return
 	}
-	x := c.x
-	h.hangUp(c) // each connection serves once
-	if x == nil || x.done || x.conn != c {
+	x := c.request
+	h.closeConnection(c) // each connection serves once
+	if x == nil || x.done || x.connection != c {
 		return
 	}
 	switch {
 	case r.Truncated || r.Status == 500:
 		x.mayRun = true
-		x.again()
+		x.retryOrEnd()
 	case r.NotStarted:
 		x.refused[c.backend] = true
 		x.attempt()
@@ -424,13 +424,13 @@
 		x.answer(200, r.Body)
 	default:
 		x.mayRun = true
-		x.end()
+		x.reject()
 	}
 }
 
-func (h *harness) broke(c *doubleConn) {
-	if x := c.x; x != nil && !x.done && x.conn == c {
+func (h *harness) connectionReset(c *testConnection) {
+	if x := c.request; x != nil && !x.done && x.connection == c {
 		x.mayRun = true
-		x.again()
+		x.retryOrEnd()
 	}
 }
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -11,7 +11,7 @@
 )
 
 // strike begins a fault, and plans its end.
-func (w *Emulator) strike(f *scenario.Fault) {
+func (w *Emulator) beginFault(f *scenario.Fault) {
 	text := fmt.Sprintf("%s for %v", f.Kind, f.For)
 	if f.Zone != "" {
 		text += " in zone " + f.Zone
@@ -20,190 +20,190 @@
 	switch f.Kind {
 	case "kill", "gone", "restart", "freeze", "slow_start", "crash_loop":
 		if f.Who != "" {
-			w.onWhom(f)
+			w.applyToNamed(f)
 			return
 		}
-		struck := w.struck(len(w.gateways), f.Part, f.Zone, w.Zone, func(g int) bool { return w.gateways[g].state == up })
+		struck := w.selectTargets(len(w.gateways), f.Part, f.Zone, w.Zone, func(g int) bool { return w.gateways[g].state == up })
 		text += fmt.Sprintf(": gateways %d", struck)
-		w.do(Mark{text})
-		w.onGateways(f, struck)
+		w.emit(Mark{text})
+		w.applyToGateways(f, struck)
 		return
 	case "crash", "vanish", "replace", "slow", "errors", "spoilt", "resets":
-		struck := w.struck(len(w.backends), f.Part, f.Zone, w.zoneOf, func(b int) bool { return w.backends[b].state == running && !w.backends[b].draining })
+		struck := w.selectTargets(len(w.backends), f.Part, f.Zone, w.peerZone, func(b int) bool { return w.backends[b].state == running && !w.backends[b].draining })
 		text += fmt.Sprintf(": backends %d", struck)
-		w.do(Mark{text})
-		w.onBackends(f, struck)
+		w.emit(Mark{text})
+		w.applyToBackends(f, struck)
 		return
 	case "cut":
-		w.cut([]int{slices.Index(w.s.Fleet.Zones, f.Zone)}, f.For.D())
+		w.cutZones([]int{slices.Index(w.scenario.Fleet.Zones, f.Zone)}, f.For.D())
 	case "apart":
-		all := make([]int, len(w.s.Fleet.Zones))
+		all := make([]int, len(w.scenario.Fleet.Zones))
 		for z := range all {
 			all[z] = z
 		}
-		w.cut(all, f.For.D())
+		w.cutZones(all, f.For.D())
 	case "counter_silent":
-		w.counter.silent++
-		w.ground()
+		w.counter.silentFaults++
+		w.reportReachability()
 		w.Referee.Counter(w.now, referee.CounterSilent)
-		w.relink()
+		w.updateLinks()
 		end(func() {
-			w.counter.silent--
-			w.ground()
-			w.counter.empty()
+			w.counter.silentFaults--
+			w.reportReachability()
+			w.counter.clear()
 			w.Referee.Counter(w.now, referee.CounterEmpty)
-			w.relink()
+			w.updateLinks()
 		})
 	case "counter_empty":
-		w.counter.empty()
+		w.counter.clear()
 		w.Referee.Counter(w.now, referee.CounterEmpty)
 	case "counter_slow":
-		w.counter.slow = f.Size
+		w.counter.slowdown = f.Size
 		w.Referee.Counter(w.now, referee.CounterSlow)
 		end(func() {
-			w.counter.slow = 0
+			w.counter.slowdown = 0
 			w.Referee.Counter(w.now, referee.CounterUp)
 		})
 	case "list_late":
-		w.hushed++
-		w.lists()
-		w.ground()
-		end(func() { w.hushed--; w.lists(); w.ground() })
+		w.pausedLists++
+		w.updateListDelivery()
+		w.reportReachability()
+		end(func() { w.pausedLists--; w.updateListDelivery(); w.reportReachability() })
 	case "list_stale":
-		w.stale++
-		w.lists()
-		end(func() { w.stale--; w.lists() })
+		w.staleLists++
+		w.updateListDelivery()
+		end(func() { w.staleLists--; w.updateListDelivery() })
 	case "writer_killed":
-		w.onWhom(&scenario.Fault{Kind: "kill", For: f.For, Who: "list0"})
+		w.applyToNamed(&scenario.Fault{Kind: "kill", For: f.For, Who: "list0"})
 		return
 	case "link":
-		w.do(Mark{fmt.Sprintf("links from %s to %s, %s: %s for %v", f.From, f.To, cmp.Or(f.Way, "both"), f.How, f.For)})
-		w.breakLink(f)
+		w.emit(Mark{fmt.Sprintf("links from %s to %s, %s: %s for %v", f.From, f.To, cmp.Or(f.Way, "both"), f.How, f.For)})
+		w.beginLinkFault(f)
 		return
 	case "burst": // in load
 	case "rude":
 		for g := range w.gateways {
-			if int(f.Size) > w.s.Fleet.Sockets/2 {
+			if int(f.Size) > w.scenario.Fleet.Sockets/2 {
 				w.Referee.Crowded(g, w.now+f.For.D())
 			}
-			w.do(HoldConnections{Gateway: g, Connections: int(f.Size), Duration: f.For.D()})
+			w.emit(HoldConnections{Gateway: g, Connections: int(f.Size), Duration: f.For.D()})
 		}
 	}
-	w.do(Mark{text})
+	w.emit(Mark{text})
 }
 
-func (w *Emulator) onGateways(f *scenario.Fault, struck []int) {
+func (w *Emulator) applyToGateways(f *scenario.Fault, struck []int) {
 	for i, g := range struck {
 		switch f.Kind {
 		case "kill":
-			w.kill(g)
-			w.after(f.For.D(), func() { w.boot(g) })
+			w.killGateway(g)
+			w.after(f.For.D(), func() { w.startGateway(g) })
 		case "freeze":
-			w.freeze(g, f.For.D())
+			w.freezeGateway(g, f.For.D())
 		case "gone":
-			w.vanish(g, f.For.D())
+			w.loseMachine(g, f.For.D())
 		case "slow_start":
-			w.startSlowly(g, f.For.D())
+			w.restartSlowly(g, f.For.D())
 		case "crash_loop":
-			w.loop(g, f.Flap.D(), w.now+f.For.D())
+			w.crashLoopGateway(g, f.Flap.D(), w.now+f.For.D())
 		case "restart": // a tenth at a time
 			step := (i * 10 / len(struck))
-			w.after(f.For.D()*time.Duration(step)/10, func() { w.stop(g) })
+			w.after(f.For.D()*time.Duration(step)/10, func() { w.stopGateway(g) })
 		}
 	}
 }
 
 // onWhom strikes the processes that a fault names.
-func (w *Emulator) onWhom(f *scenario.Fault) {
-	who, _ := w.s.ParseActor(f.Who) // Check has read it
-	w.do(Mark{fmt.Sprintf("%s of %s for %v", f.Kind, f.Who, f.For)})
+func (w *Emulator) applyToNamed(f *scenario.Fault) {
+	who, _ := w.scenario.ParseActor(f.Who) // Check has read it
+	w.emit(Mark{fmt.Sprintf("%s of %s for %v", f.Kind, f.Who, f.For)})
 	if who.Kind == scenario.Gateways {
 		var struck []int
 		for g := range w.gateways {
-			if w.has(who, Endpoint{who.Kind, g}) && w.gateways[g].state == up {
+			if w.matches(who, Endpoint{who.Kind, g}) && w.gateways[g].state == up {
 				struck = append(struck, g)
 			}
 		}
-		w.onGateways(f, struck)
+		w.applyToGateways(f, struck)
 		return
 	}
-	for k := range w.s.Fleet.ListServices {
-		if !w.has(who, Endpoint{who.Kind, k}) || w.struckServices[k] {
+	for k := range w.scenario.Fleet.ListServices {
+		if !w.matches(who, Endpoint{who.Kind, k}) || w.faultyServices[k] {
 			continue
 		}
-		w.struckServices[k] = true
-		w.ground()
+		w.faultyServices[k] = true
+		w.reportReachability()
 		back := func() {
-			delete(w.struckServices, k)
-			w.ground()
+			delete(w.faultyServices, k)
+			w.reportReachability()
 		}
 		switch f.Kind {
 		case "kill":
-			w.do(KillService{k})
+			w.emit(KillService{k})
 		case "restart":
-			w.do(StopService{k})
+			w.emit(StopService{k})
 		case "slow_start":
-			w.do(KillService{k})
-			w.after(bootAfter, func() { w.do(StartService{k}); w.do(FreezeService{k}) })
+			w.emit(KillService{k})
+			w.after(restartDelay, func() { w.emit(StartService{k}); w.emit(FreezeService{k}) })
 		case "crash_loop":
-			w.serviceLoop(k, f.Flap.D(), w.now+f.For.D(), back)
+			w.crashLoopService(k, f.Flap.D(), w.now+f.For.D(), back)
 			continue
 		default:
-			w.do(FreezeService{k})
+			w.emit(FreezeService{k})
 		}
 		w.after(f.For.D(), func() {
 			back()
 			switch f.Kind {
 			case "freeze", "slow_start":
-				w.do(ThawService{k})
+				w.emit(ThawService{k})
 				return
 			case "gone": // its connections have stood till now, in silence
-				w.do(KillService{k})
+				w.emit(KillService{k})
 			}
-			w.do(StartService{k})
+			w.emit(StartService{k})
 		})
 	}
 }
 
 // serviceLoop kills a list service each life until a moment, starts it again each
 // time, and says when it is over.
-func (w *Emulator) serviceLoop(k int, life, end time.Duration, over func()) {
-	w.do(KillService{k})
-	w.after(bootAfter, func() {
-		w.do(StartService{k})
+func (w *Emulator) crashLoopService(k int, life, end time.Duration, over func()) {
+	w.emit(KillService{k})
+	w.after(restartDelay, func() {
+		w.emit(StartService{k})
 		if w.now+life >= end {
 			over()
 			return
 		}
-		w.after(life, func() { w.serviceLoop(k, life, end, over) })
+		w.after(life, func() { w.crashLoopService(k, life, end, over) })
 	})
 }
 
-func (w *Emulator) onBackends(f *scenario.Fault, struck []int) {
+func (w *Emulator) applyToBackends(f *scenario.Fault, struck []int) {
 	for i, n := range struck {
 		b := w.backends[n]
 		var trouble *float64
 		switch f.Kind {
 		case "crash":
-			w.crash(b)
-			w.list(b, true)
-			w.after(f.For.D(), func() { w.start(b) })
+			w.crashBackend(b)
+			w.publishBackend(b, true)
+			w.after(f.For.D(), func() { w.restartBackend(b) })
 		case "vanish":
 			b.state = vanished
-			w.stopped(b)
-			w.relink()
-			w.list(b, true)
-			w.after(f.For.D(), func() { w.start(b) })
+			w.discardWork(b)
+			w.updateLinks()
+			w.publishBackend(b, true)
+			w.after(f.For.D(), func() { w.restartBackend(b) })
 		case "replace":
-			w.after(f.For.D()*time.Duration(i)/time.Duration(len(struck)), func() { w.replace(b) })
+			w.after(f.For.D()*time.Duration(i)/time.Duration(len(struck)), func() { w.replaceBackend(b) })
 		case "slow":
-			trouble = &b.slow
+			trouble = &b.slowdown
 		case "errors":
-			trouble = &b.errors
+			trouble = &b.errorRate
 		case "spoilt":
-			trouble = &b.spoilt
+			trouble = &b.truncationRate
 		case "resets":
-			trouble = &b.resets
+			trouble = &b.resetRate
 		}
 		if trouble != nil {
 			*trouble = f.Size
@@ -213,39 +213,39 @@
 }
 
 // replace drains a backend, and brings another in its place.
-func (w *Emulator) replace(b *backend) {
+func (w *Emulator) replaceBackend(b *backend) {
 	if b.state != running || b.draining {
 		return
 	}
 	b.draining = true
-	b.drainAt = w.now
-	w.list(b, false)
-	next := w.add(w.now)
-	next.asOf = w.now
-	w.list(next, false)
+	b.drainingSince = w.now
+	w.publishBackend(b, false)
+	next := w.addBackend(w.now)
+	next.updatedAt = w.now
+	w.publishBackend(next, false)
 	longest := time.Duration(0)
-	for _, c := range w.s.Classes {
+	for _, c := range w.scenario.Classes {
 		longest = max(longest, c.Deadline.D())
 	}
-	w.after(longest+w.s.Rules.DrainGrace.D()+2*w.s.Network.ListDelay.D()+time.Second, func() {
+	w.after(longest+w.scenario.Rules.DrainGrace.D()+2*w.scenario.Network.ListDelay.D()+time.Second, func() {
 		b.state = ended
 		b.listed = false
-		w.stopped(b)
-		w.relink()
+		w.discardWork(b)
+		w.updateLinks()
 		e := b.entry()
 		e.Lifecycle = Gone
-		w.do(Register{Entry: e})
-		if w.s.Fleet.ListServices == 0 {
-			w.tell()
+		w.emit(Register{Entry: e})
+		if w.scenario.Fleet.ListServices == 0 {
+			w.sendLists()
 		}
 	})
 }
 
 // lists tells the driver what each gateway can hear of lists. They stand in the
 // first zone.
-func (w *Emulator) lists() {
+func (w *Emulator) updateListDelivery() {
 	for n, g := range w.gateways {
-		held := w.hushed > 0 || g.zone != 0 && (w.cuts[g.zone] > 0 || w.cuts[0] > 0)
-		w.do(SetListDelivery{Gateway: n, Paused: held, Stale: w.stale > 0})
+		held := w.pausedLists > 0 || g.zone != 0 && (w.zoneCuts[g.zone] > 0 || w.zoneCuts[0] > 0)
+		w.emit(SetListDelivery{Gateway: n, Paused: held, Stale: w.staleLists > 0})
 	}
 }
--- a/internal/world/gateways.go
+++ b/internal/world/gateways.go
@@ -18,136 +18,136 @@
 
 // gateway is one process as the platform sees it.
 type gateway struct {
-	zone    int
-	state   gatewayState
-	process bool          // there is one
-	wanted  bool          // another is to be started once it has ended
-	slow    time.Duration // for so long it is to stand still at its start
-	front   bool          // the front sends clients to it
-	lives   int
-	calls   int // connections to the counter
-	frozen  bool
+	zone               int
+	state              gatewayState
+	hasProcess         bool          // there is one
+	restartPending     bool          // another is to be started once it has ended
+	startDelay         time.Duration // for so long it is to stand still at its start
+	inRotation         bool          // the front sends clients to it
+	incarnation        int
+	counterConnections int // connections to the counter
+	frozen             bool
 }
 
 // stopSends is how long a front still sends to a gateway that was told to end.
-const stopSends = 300 * time.Millisecond
+const rotationDelay = 300 * time.Millisecond
 
-func (w *Emulator) ready(n int) {
+func (w *Emulator) gatewayReady(n int) {
 	g := &w.gateways[n]
 	if g.state == starting {
 		g.state = up
-		g.front = true
-		w.ground()
+		g.inRotation = true
+		w.reportReachability()
 	}
 }
 
-func (w *Emulator) exited(e Exited) {
+func (w *Emulator) gatewayExited(e Exited) {
 	g := &w.gateways[e.Gateway]
-	g.process = false
-	defer w.ground()
+	g.hasProcess = false
+	defer w.reportReachability()
 	switch g.state {
 	case up, starting:
 		w.Referee.Crashed(w.now, e.Gateway, e.Cause)
-		w.do(Mark{fmt.Sprintf("gateway n%d ended: %s", e.Gateway, e.Cause)})
-		g.front = false
+		w.emit(Mark{fmt.Sprintf("gateway n%d ended: %s", e.Gateway, e.Cause)})
+		g.inRotation = false
 		g.state = down
 		return
 	case stopping:
 		g.state = down
-		g.wanted = true
+		g.restartPending = true
 	}
-	if lives := g.lives; g.wanted {
-		w.after(bootAfter, func() {
-			if g.lives == lives {
-				w.boot(e.Gateway)
+	if lives := g.incarnation; g.restartPending {
+		w.after(restartDelay, func() {
+			if g.incarnation == lives {
+				w.startGateway(e.Gateway)
 			}
 		})
 	}
 }
 
 // bootAfter is how long after its end a gateway's next process is started.
-const bootAfter = 100 * time.Millisecond
+const restartDelay = 100 * time.Millisecond
 
 // kill ends a gateway's process at once.
-func (w *Emulator) kill(n int) {
-	w.do(Kill{n})
-	w.lose(n)
+func (w *Emulator) killGateway(n int) {
+	w.emit(Kill{n})
+	w.markGatewayLost(n)
 }
 
 // lose takes note that a gateway is gone, which the front sees late.
-func (w *Emulator) lose(n int) {
+func (w *Emulator) markGatewayLost(n int) {
 	g := &w.gateways[n]
 	g.state = down
-	g.lives++
+	g.incarnation++
 	g.frozen = false
 	w.Referee.Excuse(w.now, n)
-	w.ground()
-	lives := g.lives
-	w.after(w.s.Network.Notice.D(), func() {
-		if g.lives == lives && g.state != up {
-			g.front = false
+	w.reportReachability()
+	lives := g.incarnation
+	w.after(w.scenario.Network.Notice.D(), func() {
+		if g.incarnation == lives && g.state != up {
+			g.inRotation = false
 		}
 	})
 }
 
 // vanish takes a gateway's machine away: the process says nothing, and what is
 // connected to it stands, until another is started.
-func (w *Emulator) vanish(n int, d time.Duration) {
+func (w *Emulator) loseMachine(n int, d time.Duration) {
 	g := &w.gateways[n]
 	if g.state != up {
 		return
 	}
-	w.do(Freeze{n})
-	w.lose(n)
-	lives := g.lives
+	w.emit(Freeze{n})
+	w.markGatewayLost(n)
+	lives := g.incarnation
 	w.after(d, func() {
-		if g.lives == lives {
-			w.do(Kill{n})
-			w.boot(n)
+		if g.incarnation == lives {
+			w.emit(Kill{n})
+			w.startGateway(n)
 		}
 	})
 }
 
 // loop kills a gateway each life, until a moment.
-func (w *Emulator) loop(n int, life time.Duration, end time.Duration) {
+func (w *Emulator) crashLoopGateway(n int, life time.Duration, end time.Duration) {
 	if g := &w.gateways[n]; g.state == up || g.state == starting {
-		w.kill(n)
-		w.after(bootAfter, func() { w.boot(n) })
+		w.killGateway(n)
+		w.after(restartDelay, func() { w.startGateway(n) })
 	}
-	if next := w.now + bootAfter + life; next < end {
-		w.at(next, func() { w.loop(n, life, end) })
+	if next := w.now + restartDelay + life; next < end {
+		w.schedule(next, func() { w.crashLoopGateway(n, life, end) })
 	}
 }
 
 // startSlowly kills a gateway, and lets its next process stand still at its start.
-func (w *Emulator) startSlowly(n int, d time.Duration) {
+func (w *Emulator) restartSlowly(n int, d time.Duration) {
 	g := &w.gateways[n]
-	w.kill(n)
-	g.slow = d
-	w.after(bootAfter, func() { w.boot(n) })
+	w.killGateway(n)
+	g.startDelay = d
+	w.after(restartDelay, func() { w.startGateway(n) })
 }
 
 // boot starts its next process, once the last has ended.
-func (w *Emulator) boot(n int) {
+func (w *Emulator) startGateway(n int) {
 	g := &w.gateways[n]
 	if g.state != down {
 		return
 	}
-	if g.wanted = g.process; g.wanted {
+	if g.restartPending = g.hasProcess; g.restartPending {
 		return
 	}
-	g.lives++
+	g.incarnation++
 	g.state = starting
-	g.process, g.frozen = true, false
+	g.hasProcess, g.frozen = true, false
 	w.Referee.Back(w.now, n, true)
-	w.do(Start{n})
-	if slow := g.slow; slow > 0 {
-		g.slow = 0
-		w.do(Freeze{n})
-		lives := g.lives
+	w.emit(Start{n})
+	if slow := g.startDelay; slow > 0 {
+		g.startDelay = 0
+		w.emit(Freeze{n})
+		lives := g.incarnation
 		w.after(slow, func() {
-			if g.lives == lives {
-				w.do(Thaw{n})
+			if g.incarnation == lives {
+				w.emit(Thaw{n})
 			}
 		})
 	}
@@ -155,48 +155,48 @@
 
 // stop tells a gateway to end, and starts it again when it has, or has been made
 // to.
-func (w *Emulator) stop(n int) {
+func (w *Emulator) stopGateway(n int) {
 	g := &w.gateways[n]
 	if g.state != up {
 		return
 	}
 	g.state = stopping
-	g.lives++
-	lives := g.lives
+	g.incarnation++
+	lives := g.incarnation
 	w.Referee.Stopping(w.now, n)
-	w.ground()
-	w.do(Stop{n})
-	w.after(stopSends, func() {
-		if g.lives == lives {
-			g.front = false
+	w.reportReachability()
+	w.emit(Stop{n})
+	w.after(rotationDelay, func() {
+		if g.incarnation == lives {
+			g.inRotation = false
 		}
 	})
-	w.after(w.s.KillAfter(), func() {
-		if g.lives == lives && g.state == stopping {
+	w.after(w.scenario.KillAfter(), func() {
+		if g.incarnation == lives && g.state == stopping {
 			w.Referee.Hung(w.now, n)
-			w.do(Kill{n})
+			w.emit(Kill{n})
 		}
 	})
 }
 
-func (w *Emulator) freeze(n int, d time.Duration) {
+func (w *Emulator) freezeGateway(n int, d time.Duration) {
 	g := &w.gateways[n]
 	if g.state != up {
 		return
 	}
-	lives := g.lives
+	lives := g.incarnation
 	w.Referee.Excuse(w.now, n)
-	w.do(Freeze{n})
+	w.emit(Freeze{n})
 	g.frozen = true
-	w.ground()
+	w.reportReachability()
 	w.after(d, func() {
-		if g.lives == lives {
-			w.do(Thaw{n})
+		if g.incarnation == lives {
+			w.emit(Thaw{n})
 			g.frozen = false
-			w.ground()
+			w.reportReachability()
 			// What was on its way while it stood still is answered late.
-			w.after(w.s.Rules.Observe.D(), func() {
-				if g.lives == lives {
+			w.after(w.scenario.Rules.Observe.D(), func() {
+				if g.incarnation == lives {
 					w.Referee.Back(w.now, n, false)
 				}
 			})
@@ -206,52 +206,52 @@
 
 // heardOf measures how long after it began a gateway is told of what a backend does
 // now.
-func (w *Emulator) heardOf(g int, e Entry) {
+func (w *Emulator) recordListLag(g int, e Entry) {
 	if e.Backend >= len(w.backends) {
 		return
 	}
-	b, at := w.backends[e.Backend], edge{g, e.Backend}
-	before, known := w.heard[at]
-	w.heard[at] = e
+	b, at := w.backends[e.Backend], gatewayLink{g, e.Backend}
+	before, known := w.delivered[at]
+	w.delivered[at] = e
 	same := func(a, b time.Duration) bool { return a-b <= time.Millisecond && b-a <= time.Millisecond }
-	if b.changed > 0 && e.Lifecycle == b.entry().Lifecycle && same(e.Started, b.started) &&
+	if b.changedAt > 0 && e.Lifecycle == b.entry().Lifecycle && same(e.Started, b.startedAt) &&
 		(!known || before.Lifecycle != e.Lifecycle || !same(before.Started, e.Started)) {
-		w.Tally.Heard(w.now - b.changed)
+		w.Tally.Heard(w.now - b.changedAt)
 	}
 }
 
 // list tells discovery of a backend, and gateways late.
-func (w *Emulator) list(b *backend, lost bool) {
-	b.changed = w.now
-	w.do(Register{Entry: b.entry(), Lost: lost})
-	if w.s.Fleet.ListServices > 0 {
+func (w *Emulator) publishBackend(b *backend, lost bool) {
+	b.changedAt = w.now
+	w.emit(Register{Entry: b.entry(), Lost: lost})
+	if w.scenario.Fleet.ListServices > 0 {
 		return // they tell it
 	}
 	if !lost {
-		w.tell()
+		w.sendLists()
 		return
 	}
-	lives := b.lives
-	w.after(lostAfter, func() {
-		if b.lives == lives {
+	lives := b.incarnation
+	w.after(lossDetectionDelay, func() {
+		if b.incarnation == lives {
 			b.listed = false
-			w.tell()
+			w.sendLists()
 		}
 	})
 }
 
 // tell every gateway the list, each with its own delay.
-func (w *Emulator) tell() {
+func (w *Emulator) sendLists() {
 	for g := range w.gateways {
-		late := time.Duration(share(mix(w.s.Seed, uint64(w.now), uint64(g))) * float64(w.s.Network.ListDelay))
-		w.after(late, func() { w.do(SendList{g, w.Entries()}) })
+		late := time.Duration(unitFraction(hash(w.scenario.Seed, uint64(w.now), uint64(g))) * float64(w.scenario.Network.ListDelay))
+		w.after(late, func() { w.emit(SendList{g, w.Entries()}) })
 	}
 }
 
 // lostAfter is when a discovery finds out by itself that a backend is gone.
-const lostAfter = 2 * time.Second
+const lossDetectionDelay = 2 * time.Second
 
-func (w *Emulator) told(e ListDelivered) {
+func (w *Emulator) listDelivered(e ListDelivered) {
 	if e.Full {
 		// What the list leaves out is gone.
 		listed := map[int]bool{}
@@ -265,11 +265,11 @@
 		}
 	}
 	for _, entry := range e.Entries {
-		w.heardOf(e.Gateway, entry)
-		w.Referee.Told(w.now, e.Gateway, entry.Backend, states[entry.Lifecycle], entry.Started)
+		w.recordListLag(e.Gateway, entry)
+		w.Referee.Told(w.now, e.Gateway, entry.Backend, refereeStates[entry.Lifecycle], entry.Started)
 	}
 	w.Referee.Version(w.now, e.Gateway, e.Version)
 }
 
 // states are the lifecycles as the referee has them.
-var states = map[Lifecycle]referee.State{Serving: referee.Ready, Draining: referee.Draining, Gone: referee.Gone}
+var refereeStates = map[Lifecycle]referee.State{Serving: referee.Ready, Draining: referee.Draining, Gone: referee.Gone}
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -33,13 +33,13 @@
 func (w ProcessLink) String() string { return w.From.String() + " to " + w.To.String() }
 
 // broken is a link's fault that has begun.
-type broken struct {
+type linkFault struct {
 	scenario.LinkFault
-	off bool // one that flaps, for the moment
+	inactive bool // one that flaps, for the moment
 }
 
 // has reports whether a process belongs to an actor.
-func (w *Emulator) has(p scenario.Actor, e Endpoint) bool {
+func (w *Emulator) matches(p scenario.Actor, e Endpoint) bool {
 	if p.Kind != e.Kind || p.N >= 0 && p.N != e.Number {
 		return false
 	}
@@ -53,10 +53,10 @@
 }
 
 // how a link carries what goes one way of it now: of several faults the last.
-func (w *Emulator) how(at ProcessLink, way link.Direction) link.Condition {
+func (w *Emulator) condition(at ProcessLink, way link.Direction) link.Condition {
 	how := link.Condition{Kind: link.Up}
-	for _, b := range w.broken {
-		if !b.off && w.has(b.From, at.From) && w.has(b.To, at.To) && (way == link.Forward && b.There || way == link.Reverse && b.Back) {
+	for _, b := range w.linkFaults {
+		if !b.inactive && w.matches(b.From, at.From) && w.matches(b.To, at.To) && (way == link.Forward && b.There || way == link.Reverse && b.Back) {
 			how = b.How
 		}
 	}
@@ -66,18 +66,18 @@
 // Wires are the links that need a relay in the scenario: those between processes
 // that a fault is to befall.
 func RelayedLinks(s *scenario.Scenario) (all []ProcessLink) {
-	w := &Emulator{s: s, gateways: make([]gateway, s.Fleet.Gateways)}
+	w := &Emulator{scenario: s, gateways: make([]gateway, s.Fleet.Gateways)}
 	for g := range w.gateways {
 		w.gateways[g].zone = g % len(s.Fleet.Zones)
 	}
 	for i := range s.Faults {
 		if scenario.Kinds[s.Faults[i].Kind].Link {
 			l, _, _ := s.Link(&s.Faults[i]) // Check has read it
-			w.broken = append(w.broken, &broken{LinkFault: l})
+			w.linkFaults = append(w.linkFaults, &linkFault{LinkFault: l})
 		}
 	}
-	for _, at := range w.wires() {
-		if w.how(at, link.Forward).Kind != link.Up || w.how(at, link.Reverse).Kind != link.Up {
+	for _, at := range w.processLinks() {
+		if w.condition(at, link.Forward).Kind != link.Up || w.condition(at, link.Reverse).Kind != link.Up {
 			all = append(all, at)
 		}
 	}
@@ -85,18 +85,18 @@
 }
 
 // wires are all links between processes on which a relay can stand.
-func (w *Emulator) wires() (all []ProcessLink) {
+func (w *Emulator) processLinks() (all []ProcessLink) {
 	for g := range w.gateways {
 		all = append(all, ProcessLink{Endpoint{scenario.Operators, 0}, Endpoint{scenario.Gateways, g}})
 	}
-	for k := range w.s.Fleet.ListServices {
+	for k := range w.scenario.Fleet.ListServices {
 		to := Endpoint{scenario.Lists, k}
 		for g := range w.gateways {
 			all = append(all, ProcessLink{Endpoint{scenario.Gateways, g}, to})
 		}
-		if w.s.Fleet.Group {
+		if w.scenario.Fleet.Group {
 			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
-			for other := range w.s.Fleet.ListServices {
+			for other := range w.scenario.Fleet.ListServices {
 				if other != k {
 					all = append(all, ProcessLink{Endpoint{scenario.Lists, other}, to})
 				}
@@ -105,7 +105,7 @@
 		}
 		if k == 0 {
 			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
-			for other := 1; other < w.s.Fleet.ListServices; other++ {
+			for other := 1; other < w.scenario.Fleet.ListServices; other++ {
 				all = append(all, ProcessLink{Endpoint{scenario.Lists, other}, to})
 			}
 		}
@@ -114,21 +114,21 @@
 }
 
 // breakLink begins a link's fault, and plans its end.
-func (w *Emulator) breakLink(f *scenario.Fault) {
-	l, _, _ := w.s.Link(f) // Check has read it
-	b := &broken{LinkFault: l}
-	w.broken = append(w.broken, b)
+func (w *Emulator) beginLinkFault(f *scenario.Fault) {
+	l, _, _ := w.scenario.Link(f) // Check has read it
+	b := &linkFault{LinkFault: l}
+	w.linkFaults = append(w.linkFaults, b)
 	end := w.now + f.For.D()
-	w.rewire()
-	w.at(end, func() {
-		for i := range w.broken {
-			if w.broken[i] == b {
-				w.broken = append(w.broken[:i:i], w.broken[i+1:]...)
+	w.updateRelays()
+	w.schedule(end, func() {
+		for i := range w.linkFaults {
+			if w.linkFaults[i] == b {
+				w.linkFaults = append(w.linkFaults[:i:i], w.linkFaults[i+1:]...)
 				break
 			}
 		}
-		w.do(Mark{fmt.Sprintf("links from %s to %s are up again", f.From, f.To)})
-		w.rewire()
+		w.emit(Mark{fmt.Sprintf("links from %s to %s are up again", f.From, f.To)})
+		w.updateRelays()
 	})
 	if f.Flap == 0 {
 		return
@@ -136,8 +136,8 @@
 	var swing func()
 	swing = func() {
 		if w.now < end {
-			b.off = !b.off
-			w.rewire()
+			b.inactive = !b.inactive
+			w.updateRelays()
 			w.after(f.Flap.D(), swing)
 		}
 	}
@@ -145,23 +145,23 @@
 }
 
 // rewire tells the driver of every link that carries otherwise than before.
-func (w *Emulator) rewire() {
-	for _, at := range w.wires() {
+func (w *Emulator) updateRelays() {
+	for _, at := range w.processLinks() {
 		for _, way := range []link.Direction{link.Forward, link.Reverse} {
-			how := w.how(at, way)
-			before, known := w.wired[wiredWay{at, way}]
+			how := w.condition(at, way)
+			before, known := w.relayConditions[relayDirection{at, way}]
 			if known && before == how || !known && how.Kind == link.Up {
 				continue
 			}
-			w.wired[wiredWay{at, way}] = how
-			w.do(SetRelayCondition{ProcessLink: at, Direction: way, Condition: how})
+			w.relayConditions[relayDirection{at, way}] = how
+			w.emit(SetRelayCondition{ProcessLink: at, Direction: way, Condition: how})
 		}
 	}
-	w.relink()
-	w.ground()
+	w.updateLinks()
+	w.reportReachability()
 }
 
-type wiredWay struct {
+type relayDirection struct {
 	ProcessLink
-	way link.Direction
+	direction link.Direction
 }
--- a/internal/world/links_test.go
+++ b/internal/world/links_test.go
@@ -10,7 +10,7 @@
 
 // linked is a quiet fleet of four gateways in two zones with three list services, and
 // the faults given.
-func linked(t *testing.T, faults ...scenario.Fault) *scenario.Scenario {
+func quietScenario(t *testing.T, faults ...scenario.Fault) *scenario.Scenario {
 	t.Helper()
 	s := scenario.Default()
 	s.Fleet.Gateways, s.Fleet.ListServices, s.Load.RequestsPerS, s.Duration = 4, 3, 1e-9, 60*second
@@ -26,15 +26,15 @@
 }
 
 // follow plays a world to a moment, and takes note of how relays carry.
-func follow(w *Emulator, until time.Duration, as map[wiredWay]link.Condition) (other []any) {
+func runUntil(w *Emulator, until time.Duration, as map[relayDirection]link.Condition) (other []any) {
 	for next, ok := w.Next(); ok && next <= until; next, ok = w.Next() {
 		for _, a := range w.Step(next, Tick{}) {
 			switch do := a.Operation.(type) {
 			case SetRelayCondition:
-				if before := as[wiredWay{do.ProcessLink, do.Direction}]; before == do.Condition {
+				if before := as[relayDirection{do.ProcessLink, do.Direction}]; before == do.Condition {
 					other = append(other, "told twice")
 				}
-				as[wiredWay{do.ProcessLink, do.Direction}] = do.Condition
+				as[relayDirection{do.ProcessLink, do.Direction}] = do.Condition
 			case SetLinkState, Deliver:
 				other = append(other, do)
 			}
@@ -45,8 +45,8 @@
 
 // Faults of links befall whom they name, on the way they name, for their time; of
 // two the later holds, one that flaps comes and goes, and all is up at the end.
-func TestLinkFaults(t *testing.T) {
-	s := linked(t,
+func TestLinkFaultsApplyToNamedLinks(t *testing.T) {
+	s := quietScenario(t,
 		scenario.Fault{At: 1 * second, For: 10 * second, From: "lists", To: "list0", How: "dropped"},
 		scenario.Fault{At: 2 * second, For: 4 * second, From: "gateways of b", To: "lists", Way: "back", How: "slow", Size: 10},
 		scenario.Fault{At: 3 * second, For: 1 * second, From: "n1", To: "list2", How: "stalled"},
@@ -60,7 +60,7 @@
 	}
 	w := New(s)
 	w.Begin(0)
-	as := map[wiredWay]link.Condition{}
+	as := map[relayDirection]link.Condition{}
 	list := func(k int) Endpoint { return Endpoint{scenario.Lists, k} }
 	gateway := func(n int) Endpoint { return Endpoint{scenario.Gateways, n} }
 	backends := ProcessLink{Endpoint{scenario.Backends, 0}, list(0)}
@@ -92,10 +92,10 @@
 		{21200 * time.Millisecond, backends, link.Forward, link.Cut},
 		{30 * time.Second, backends, link.Forward, link.Up},
 	} {
-		if other := follow(w, c.at, as); len(other) > 0 {
+		if other := runUntil(w, c.at, as); len(other) > 0 {
 			t.Errorf("%v: %v", c.at, other)
 		}
-		if got := as[wiredWay{c.wire, c.way}].Kind; got != c.want {
+		if got := as[relayDirection{c.wire, c.way}].Kind; got != c.want {
 			t.Errorf("at %v, %v, way %d: %q, not %q", c.at, c.wire, c.way, got, c.want)
 		}
 	}
@@ -108,19 +108,19 @@
 
 // One way between two gateways may be lost or late and the other not, and a gateway's
 // links to backends and the counter fail as they are told to.
-func TestLinksOfGateways(t *testing.T) {
-	w := New(linked(t,
+func TestFaultsOnGatewayLinks(t *testing.T) {
+	w := New(quietScenario(t,
 		scenario.Fault{At: 1 * second, For: 2 * second, From: "n0", To: "n1", Way: "there", How: "dropped"},
 		scenario.Fault{At: 4 * second, For: 1 * second, From: "n0", To: "n1", Way: "back", How: "delayed", Delay: second / 2},
 		scenario.Fault{At: 6 * second, For: 1 * second, From: "n2", To: "backends of a", How: "dropped"},
 		scenario.Fault{At: 6 * second, For: 1 * second, From: "n2", To: "counter", How: "refused"},
 	))
 	w.Begin(0)
-	as := map[wiredWay]link.Condition{}
+	as := map[relayDirection]link.Condition{}
 	number := uint64(0)
 	// passes sends a datagram, and tells how long it took; below 0: it was lost.
 	passes := func(at time.Duration, from, to int) time.Duration {
-		follow(w, at, as)
+		runUntil(w, at, as)
 		number++
 		actions := w.Step(at, Datagram{Number: number, From: from, To: to, Bytes: 100})
 		for next, ok := w.Next(); ok && next < at+650*time.Millisecond; next, ok = w.Next() {
@@ -145,18 +145,18 @@
 			t.Errorf("at %v from n%d to n%d: %v", c.at, c.from, c.to, took)
 		}
 	}
-	links := map[edge]LinkState{}
-	for _, do := range follow(w, 6500*time.Millisecond, as) {
+	links := map[gatewayLink]LinkState{}
+	for _, do := range runUntil(w, 6500*time.Millisecond, as) {
 		if l, ok := do.(SetLinkState); ok {
-			links[edge{l.Gateway, l.Peer}] = l.State
+			links[gatewayLink{l.Gateway, l.Peer}] = l.State
 		}
 	}
-	if len(links) != 4 || links[edge{2, 0}] != Silent || links[edge{2, 2}] != Silent || links[edge{2, 4}] != Silent || links[edge{2, Counter}] != Refusing {
+	if len(links) != 4 || links[gatewayLink{2, 0}] != Silent || links[gatewayLink{2, 2}] != Silent || links[gatewayLink{2, 4}] != Silent || links[gatewayLink{2, Counter}] != Refusing {
 		t.Errorf("%v", links)
 	}
-	for _, do := range follow(w, 8*time.Second, as) {
+	for _, do := range runUntil(w, 8*time.Second, as) {
 		if l, ok := do.(SetLinkState); ok {
-			links[edge{l.Gateway, l.Peer}] = l.State
+			links[gatewayLink{l.Gateway, l.Peer}] = l.State
 		}
 	}
 	for at, state := range links {
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -16,59 +16,59 @@
 	Referee *referee.Referee
 	Tally   *results.Tally
 
-	s        *scenario.Scenario
-	now      time.Duration
-	timers   timers
-	order    uint64 // of timers due at the same moment
-	out      []Action
-	begun    bool
-	gateways []gateway
-	backends []*backend
-	groups   map[group]map[string]time.Duration // keys seen, until when
-	conns    map[Conn]*conn
-	links    map[edge]LinkState
-	counter  counter
-	clients  clients
-	peers    peers
-	faults   *rand.Rand
-	cuts     map[int]int // zones that are cut off, by how many faults
-	heard    map[edge]Entry
-	hushed   int      // faults that hold all lists
-	said     []string // connectivity that each gateway reported last
-	broken   []*broken
-
-	struckServices map[int]bool                // list services that a fault has
-	wired          map[wiredWay]link.Condition // as the driver was told
-	stale          int
+	scenario      *scenario.Scenario
+	now           time.Duration
+	timers        timers
+	timerSequence uint64 // of timers due at the same moment
+	actions       []Action
+	started       bool
+	gateways      []gateway
+	backends      []*backend
+	seenKeys      map[keyScope]map[string]time.Duration // keys seen, until when
+	connections   map[Conn]*connection
+	links         map[gatewayLink]LinkState
+	counter       counter
+	clients       clients
+	peers         peers
+	faultRandom   *rand.Rand
+	zoneCuts      map[int]int // zones that are cut off, by how many faults
+	delivered     map[gatewayLink]Entry
+	pausedLists   int      // faults that hold all lists
+	reported      []string // connectivity that each gateway reported last
+	linkFaults    []*linkFault
+
+	faultyServices  map[int]bool                      // list services that a fault has
+	relayConditions map[relayDirection]link.Condition // as the driver was told
+	staleLists      int
 }
 
-type edge struct{ gateway, peer int }
+type gatewayLink struct{ gateway, peer int }
 
-type group struct{ kind, n int }
+type keyScope struct{ kind, number int }
 
 // conn is a connection from a gateway to a backend or the counter.
-type conn struct {
-	id      Conn
-	gateway int
-	peer    int
-	over    bool // the backend has no room for it
-	worked  bool // its handshake has been paid
-	attempt *work
-	idle    time.Duration // since when it has been
-	last    time.Duration // of the counter's answers on it
+type connection struct {
+	id            Conn
+	gateway       int
+	peer          int
+	overLimit     bool // the backend has no room for it
+	handshakeDone bool // its handshake has been paid
+	attempt       *attempt
+	idleSince     time.Duration // since when it has been
+	lastReply     time.Duration // of the counter's answers on it
 }
 
 type timer struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
 func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].order < t[j].order
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].sequence < t[j].sequence
 }
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
@@ -90,18 +90,18 @@
 // New returns the world of a scenario, which begins with Begin. The scenario has
 // to be one that Check finds no fault with.
 func New(s *scenario.Scenario) *Emulator {
-	w := &Emulator{s: s, Referee: referee.New(s), Tally: results.New(s), groups: map[group]map[string]time.Duration{}, conns: map[Conn]*conn{},
-		links: map[edge]LinkState{}, faults: rand.New(rand.NewPCG(s.Seed, streamFaults)), cuts: map[int]int{}, heard: map[edge]Entry{}, wired: map[wiredWay]link.Condition{}, struckServices: map[int]bool{}}
-	w.counter.names = map[string]*number{}
+	w := &Emulator{scenario: s, Referee: referee.New(s), Tally: results.New(s), seenKeys: map[keyScope]map[string]time.Duration{}, connections: map[Conn]*connection{},
+		links: map[gatewayLink]LinkState{}, faultRandom: rand.New(rand.NewPCG(s.Seed, streamFaults)), zoneCuts: map[int]int{}, delivered: map[gatewayLink]Entry{}, relayConditions: map[relayDirection]link.Condition{}, faultyServices: map[int]bool{}}
+	w.counter.counts = map[string]*count{}
 	w.gateways = make([]gateway, s.Fleet.Gateways)
 	for g := range w.gateways {
-		w.gateways[g] = gateway{zone: g % len(s.Fleet.Zones), state: starting, process: true}
+		w.gateways[g] = gateway{zone: g % len(s.Fleet.Zones), state: starting, hasProcess: true}
 	}
 	for range s.Fleet.Backends {
-		w.add(-1)
+		w.addBackend(-1)
 	}
-	w.peers.inbox = make([]quota, s.Fleet.Gateways)
-	w.said = make([]string, s.Fleet.Gateways)
+	w.peers.receiveQuotas = make([]quota, s.Fleet.Gateways)
+	w.reported = make([]string, s.Fleet.Gateways)
 	w.newClients()
 	return w
 }
@@ -123,14 +123,14 @@
 // Begin starts the day; gateways have been started and are ready, or will be.
 func (w *Emulator) Begin(now time.Duration) []Action {
 	w.now = now
-	w.begun = true
-	w.ground()
-	for i := range w.s.Faults {
-		f := &w.s.Faults[i]
-		w.at(now+f.At.D(), func() { w.strike(f) })
+	w.started = true
+	w.reportReachability()
+	for i := range w.scenario.Faults {
+		f := &w.scenario.Faults[i]
+		w.schedule(now+f.At.D(), func() { w.beginFault(f) })
 	}
 	w.clients.begin(w)
-	return w.take()
+	return w.takeActions()
 }
 
 // Step tells the world of an event, and of the time. An event's time is never
@@ -139,23 +139,23 @@
 	for len(w.timers) > 0 && w.timers[0].at <= now {
 		t := heap.Pop(&w.timers).(timer)
 		w.now = max(w.now, t.at)
-		t.do()
+		t.run()
 	}
 	w.now = max(w.now, now)
 	switch e := e.(type) {
 	case Tick:
 	case Opened:
-		w.opened(e)
+		w.connectionOpened(e)
 	case Closed:
-		w.closed(e.Conn)
+		w.connectionClosed(e.Conn)
 	case Arrived:
-		w.arrived(e)
+		w.requestArrived(e)
 	case Probed:
 		w.probed(e)
 	case Called:
-		w.called(e)
+		w.counterCalled(e)
 	case ConnectionsChecked:
-		w.looked(e)
+		w.connectionsChecked(e)
 	case RequestWritten:
 		w.Referee.Taken(w.now, e.ID)
 	case Answered:
@@ -165,21 +165,21 @@
 	case UnexpectedData:
 		w.Referee.Extra(w.now, e.Gateway, e.ID)
 	case ListDelivered:
-		w.told(e)
+		w.listDelivered(e)
 	case Registered:
-		w.Referee.Enlisted(w.now, e.Backend, states[e.Lifecycle], e.Started, e.Version)
+		w.Referee.Enlisted(w.now, e.Backend, refereeStates[e.Lifecycle], e.Started, e.Version)
 	case Datagram:
-		w.datagram(e)
+		w.datagramSent(e)
 	case Connectivity:
-		w.connectivity(e)
+		w.connectivityReported(e)
 	case Ready:
-		w.ready(e.Gateway)
+		w.gatewayReady(e.Gateway)
 	case Exited:
-		w.exited(e)
+		w.gatewayExited(e)
 	default:
 		panic("world: an event of no known kind")
 	}
-	return w.take()
+	return w.takeActions()
 }
 
 // Next is when something is due that no event brings.
@@ -192,30 +192,30 @@
 
 // Done says whether the day is over and all requests have ended.
 func (w *Emulator) Done() bool {
-	return w.begun && w.clients.over && len(w.clients.open) == 0 && w.clients.pauses == 0
+	return w.started && w.clients.ended && len(w.clients.inProgress) == 0 && w.clients.pendingRetries == 0
 }
 
 // End judges what only the whole day shows.
 func (w *Emulator) End(now time.Duration) { w.Referee.End(now) }
 
-func (w *Emulator) take() []Action {
-	out := w.out
-	w.out = nil
+func (w *Emulator) takeActions() []Action {
+	out := w.actions
+	w.actions = nil
 	return out
 }
 
-func (w *Emulator) do(action any) { w.out = append(w.out, Action{w.now, action}) }
+func (w *Emulator) emit(action any) { w.actions = append(w.actions, Action{w.now, action}) }
 
-func (w *Emulator) at(at time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.timers, timer{at, w.order, do})
+func (w *Emulator) schedule(schedule time.Duration, do func()) {
+	w.timerSequence++
+	heap.Push(&w.timers, timer{schedule, w.timerSequence, do})
 }
 
-func (w *Emulator) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (w *Emulator) after(d time.Duration, do func()) { w.schedule(w.now+d, do) }
 
 // mix spreads the bits of its arguments, so that what is drawn for a request
 // depends on nothing but the request.
-func mix(parts ...uint64) uint64 {
+func hash(parts ...uint64) uint64 {
 	h := uint64(0x9e3779b97f4a7c15)
 	for _, p := range parts {
 		h ^= p
@@ -227,4 +227,4 @@
 }
 
 // share is a number from 0 to 1 out of such bits.
-func share(bits uint64) float64 { return float64(bits>>11) / (1 << 53) }
+func unitFraction(bits uint64) float64 { return float64(bits>>11) / (1 << 53) }
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -19,7 +19,7 @@
 
 // troubled is a fleet on which everything goes wrong that doubles can live
 // through. Ceilings are left out: the doubles hold none.
-func troubled(seed uint64) *scenario.Scenario {
+func faultyScenario(seed uint64) *scenario.Scenario {
 	s := scenario.Default()
 	s.Seed, s.Duration = seed, 12*second
 	s.Fleet.ListServices = 0
@@ -41,33 +41,33 @@
 	return &s
 }
 
-func TestSoundGatewaysBreakNoRule(t *testing.T) {
+func TestCorrectGatewaysBreakNoRule(t *testing.T) {
 	for seed := range uint64(20) {
-		h := playDoubles(troubled(seed), "")
-		violations, counts := h.w.Referee.Violations()
+		h := runTestGateways(faultyScenario(seed), "")
+		violations, counts := h.emulator.Referee.Violations()
 		if len(counts) > 0 {
 			t.Errorf("seed %d: %v\n%v", seed, counts, violations[0])
 		}
-		if !h.w.Done() || h.w.Tally.Share() < 0.5 {
-			t.Errorf("seed %d: done %v, worth %.3f", seed, h.w.Done(), h.w.Tally.Share())
+		if !h.emulator.Done() || h.emulator.Tally.Share() < 0.5 {
+			t.Errorf("seed %d: done %v, worth %.3f", seed, h.emulator.Done(), h.emulator.Tally.Share())
 		}
 	}
 }
 
 // Nor do they under faults that are drawn.
-func TestSoundGatewaysUnderDrawnFaults(t *testing.T) {
+func TestCorrectGatewaysBreakNoRuleUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(20) {
-		s := troubled(seed)
+		s := faultyScenario(seed)
 		s.Draw()
-		h := playDoubles(s, "")
-		if violations, counts := h.w.Referee.Violations(); len(counts) > 0 || !h.w.Done() {
-			t.Errorf("seed %d: done %v, %v\n%v\n%+v", seed, h.w.Done(), counts, violations, s.Faults)
+		h := runTestGateways(s, "")
+		if violations, counts := h.emulator.Referee.Violations(); len(counts) > 0 || !h.emulator.Done() {
+			t.Errorf("seed %d: done %v, %v\n%v\n%+v", seed, h.emulator.Done(), counts, violations, s.Faults)
 		}
 	}
 }
 
 // Processes that a fault names are struck, and no others, and come back.
-func TestStruckByName(t *testing.T) {
+func TestNamedProcessesAreFaultedAndRestored(t *testing.T) {
 	s := scenario.Default()
 	s.Fleet.ListServices, s.Load.RequestsPerS, s.Duration = 3, 1e-9, 20*second
 	s.Faults = []scenario.Fault{{Kind: "gone", At: second, For: 2 * second, Who: "list1"}, {Kind: "kill", At: 2 * second, For: 2 * second, Who: "lists"},
@@ -113,20 +113,20 @@
 
 // Each planted defect is named by the rule that it breaks, and by no other that
 // it does not lead to.
-func TestDefectsAreNamed(t *testing.T) {
+func TestEachDefectBreaksItsRule(t *testing.T) {
 	for defect, rule := range map[string]string{
 		"holds": referee.Answer, "makes up": referee.Answer, "answers twice": referee.Twice, "sends twice": referee.Copy,
 		"sends once again": referee.Resend, "refuses what ran": referee.Refusal, "tries on": referee.Most, "ignores drains": referee.Drain,
 		"floods the cold": referee.Cold, "sends its own": referee.Unknown, "changes": referee.Changed, "ends": referee.Crash,
 		"never ends": referee.Stop, "shuts the door": referee.Door,
 	} {
-		s := troubled(3)
+		s := faultyScenario(3)
 		if defect == "tries on" {
 			s.Faults[0].Size = 1
 			s.Faults[0].Part = 1
 		}
-		h := playDoubles(s, defect)
-		violations, counts := h.w.Referee.Violations()
+		h := runTestGateways(s, defect)
+		violations, counts := h.emulator.Referee.Violations()
 		if h.planted == 0 || counts[rule] == 0 {
 			t.Errorf("%s: acted out %d times, told as %v, not as %s", defect, h.planted, counts, rule)
 			continue
@@ -151,16 +151,16 @@
 // A rule counts as tried only where gateways could have been seen to break it. The
 // sound ones of the day on which all goes wrong try every rule whose defect that day
 // names, and a day on which nothing happens tries none but those of every request.
-func TestTrials(t *testing.T) {
+func TestRuleCountsAsTriedOnlyWhenBreakable(t *testing.T) {
 	untried := func(s *scenario.Scenario) []string {
-		h := playDoubles(s, "")
-		if _, counts := h.w.Referee.Violations(); len(counts) > 0 {
+		h := runTestGateways(s, "")
+		if _, counts := h.emulator.Referee.Violations(); len(counts) > 0 {
 			t.Errorf("broken: %v", counts)
 		}
-		return referee.Untried(h.w.Referee.Trials(), referee.Rules())
+		return referee.Untried(h.emulator.Referee.Trials(), referee.Rules())
 	}
 	pressed := func(change func(s *scenario.Scenario)) *scenario.Scenario {
-		s := troubled(3)
+		s := faultyScenario(3)
 		s.Faults = nil
 		change(s)
 		return s
@@ -171,7 +171,7 @@
 		tries []string // beside answers, attempts and processes
 	}{
 		"quiet":    {pressed(func(*scenario.Scenario) {}), nil},
-		"troubled": {troubled(3), []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most, referee.Drain, referee.Stop}},
+		"troubled": {faultyScenario(3), []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most, referee.Drain, referee.Stop}},
 		"replaced": {pressed(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "replace", At: second, For: second, Part: 0.3}}
 		}), []string{referee.Drain}},
@@ -201,7 +201,7 @@
 
 // What a list service took has to be in the lists from that version on, and is no
 // more to be judged by once a later process has registered.
-func TestListsAreHeldToTheirWord(t *testing.T) {
+func TestDeliveredListsContainRegisteredChanges(t *testing.T) {
 	const draining, started = 3, 5 * time.Second
 	list := func(version int64, whole bool, l Lifecycle, at time.Duration) ListDelivered {
 		return ListDelivered{Gateway: 0, Version: version, Full: whole, Entries: []Entry{{Backend: draining, Lifecycle: l, Started: at}}}
@@ -219,7 +219,7 @@
 		"a later process is told": {[]Event{list(9, true, Serving, 2*started)}, false, false},
 	} {
 		for _, early := range []bool{false, true} {
-			s := troubled(1)
+			s := faultyScenario(1)
 			w := New(s)
 			word := Registered{Entry{Backend: draining, Lifecycle: Draining, Started: started}, 7}
 			if early {
@@ -241,31 +241,31 @@
 }
 
 // A customer that is let over its ceiling is told, with the slack that it has.
-func TestCeiling(t *testing.T) {
-	s := troubled(1)
+func TestExceededCeilingIsReported(t *testing.T) {
+	s := faultyScenario(1)
 	s.Faults = nil
 	for i := range s.Plans {
 		s.Plans[i].Rate, s.Plans[i].Burst = 1, 4
 		s.Plans[i].CeilingRate, s.Plans[i].CeilingBurst, s.Plans[i].CeilingSlack = 1, 12, 2
 	}
-	h := playDoubles(s, "")
-	if _, counts := h.w.Referee.Violations(); counts[referee.Ceiling] == 0 || len(counts) != 1 {
+	h := runTestGateways(s, "")
+	if _, counts := h.emulator.Referee.Violations(); counts[referee.Ceiling] == 0 || len(counts) != 1 {
 		t.Errorf("told as %v", counts)
 	}
-	if len(referee.Untried(h.w.Referee.Trials(), []string{"ceiling/up"})) > 0 || h.w.Referee.Low() == 0 {
-		t.Errorf("tried: %v", h.w.Referee.Trials())
+	if len(referee.Untried(h.emulator.Referee.Trials(), []string{"ceiling/up"})) > 0 || h.emulator.Referee.Low() == 0 {
+		t.Errorf("tried: %v", h.emulator.Referee.Trials())
 	}
 }
 
 // The same seed gives the same day, to the byte.
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedGivesSameRun(t *testing.T) {
 	text := func(seed uint64, defect string) string {
-		h := playDoubles(troubled(seed), defect)
+		h := runTestGateways(faultyScenario(seed), defect)
 		var out bytes.Buffer
-		if err := h.w.Tally.JSON(&out); err != nil {
+		if err := h.emulator.Tally.JSON(&out); err != nil {
 			t.Fatal(err)
 		}
-		violations, _ := h.w.Referee.Violations()
+		violations, _ := h.emulator.Referee.Violations()
 		for _, v := range violations {
 			out.WriteString(v.String())
 		}
@@ -282,9 +282,9 @@
 }
 
 // What clients want, and when, does not depend on what gateways do.
-func TestArrivalsAreOpenLoop(t *testing.T) {
+func TestArrivalsAreIndependentOfAnswers(t *testing.T) {
 	arrivals := func(defect string) (all []Request) {
-		s := troubled(2)
+		s := faultyScenario(2)
 		s.Load.Retries = 0
 		w := New(s)
 		for g := range s.Fleet.Gateways {
@@ -320,7 +320,7 @@
 
 // A backend's throughput is that of its cores, and less when it is cold or too
 // full; a full one turns away.
-func TestBackendCapacity(t *testing.T) {
+func TestBackendThroughputFollowsCapacity(t *testing.T) {
 	const work, span, cores = 0.1, 10 * time.Second, 2
 	// As many requests as atOnce are kept at the backend.
 	served := func(started time.Duration, atOnce int, overfull float64) (done, turned int) {
@@ -332,11 +332,11 @@
 		s.Duration, s.Load.RequestsPerS, s.Load.ShiftEvery = 3600*second, 1e-9, 0
 		w := New(&s)
 		w.Begin(0)
-		w.backends[0].started = started
+		w.backends[0].startedAt = started
 		n := uint64(0)
 		send := func(now time.Duration) []Action {
 			n++
-			w.clients.open[n] = &try{wish: &wish{at: now, work: work, worth: 1}, id: n, due: now + time.Hour}
+			w.clients.inProgress[n] = &clientRequest{operation: &operation{startedAt: now, workSeconds: work, worth: 1}, id: n, deadline: now + time.Hour}
 			return append(w.Step(now, Opened{Conn(n), 0, 0}), w.Step(now, Arrived{Conn: Conn(n), ID: n, FirstByte: now, Class: s.Classes[0].Name, Unchanged: true})...)
 		}
 		var queue []Action
@@ -377,7 +377,7 @@
 	}
 }
 
-func TestBodies(t *testing.T) {
+func TestBodyRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Body{Seed: rapid.Uint64().Draw(t, "seed"), Size: rapid.Int64Range(17, 20_000).Draw(t, "size")}
 		text, err := io.ReadAll(b.Reader())
@@ -397,7 +397,7 @@
 
 // The counter adds in turn, turns away what would wait too long, forgets names
 // when their life is over, and everything when it is lost.
-func TestCounter(t *testing.T) {
+func TestCounterQueuesAndForgets(t *testing.T) {
 	s := scenario.Default()
 	s.Fleet.ListServices, s.Duration, s.Load.RequestsPerS = 0, 60*second, 1e-9
 	s.Counter.CallsPerS, s.Counter.Queue = 100, 5
