--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -1,6 +1,6 @@
-// Package reach tells whether a gateway stands with its fleet, by what it can and
-// can't reach: other gateways, list services, the counter. It is pure. Nothing is
-// safe only if what it says is true; it is for people, and for caution.
+// Package reach derives the partition state of a gateway from what it can reach: other gateways,
+// service registries and the counter. The state is for operators and for precautions; correctness
+// must not depend on it.
 package reach
 
 import (
@@ -8,111 +8,109 @@
 	"time"
 )
 
-// State is how a gateway stands.
+// State is the partition state of a gateway.
 type State int
 
-// The states, each worse than the one before.
+// The partition states, from best to worst.
 const (
 	Connected   State = iota
-	Partitioned       // it reaches some of what it should, or the lesser part of the others
-	Isolated          // it reaches nothing
+	Partitioned       // some gateways or services are unreachable, or membership views differ
+	Isolated          // nothing is reachable
 )
 
+// String returns the name of the state on the wire and in logs.
 func (s State) String() string { return [...]string{"whole", "divided", "alone"}[s] }
 
-// Contact is with something that there may be one of.
+// Contact is the reachability of a service.
 type Contact int
 
-// The contacts.
+// The values of Contact.
 const (
-	Unknown Contact = iota // there is none, or it was not asked of late
-	Answering
-	Silent
+	Unknown   Contact = iota // not configured, or not called recently
+	Answering                // has answered recently
+	Silent                   // has been called and has not answered recently
 )
 
-// Observation is what a gateway sees at a moment.
+// Observation is what a gateway can reach at one time.
 type Observation struct {
-	OtherGateways int // other gateways that there are
-	Known         int // of these, that were heard in this life and have not left
-	Present       int // of these, that answer
-	Differing     int // that hold another view
-	Registries    Contact
+	OtherGateways int     // gateways of the fleet without this one
+	Known         int     // other gateways that membership knows and that have not left
+	Present       int     // known gateways that answer
+	Differing     int     // present gateways with a different membership view
+	Registries    Contact // service registries
 	Counter       Contact
 }
 
-// classify is how a gateway stands by one sight alone.
-func (s Observation) classify() (State, string) {
+// classify returns the state and its reason for a single observation.
+func (o Observation) classify() (State, string) {
 	switch {
-	case s.OtherGateways > 0 && s.Present == 0 && s.Registries != Answering && s.Counter != Answering:
+	case o.OtherGateways > 0 && o.Present == 0 && o.Registries != Answering && o.Counter != Answering:
 		return Isolated, "reaches no other gateway, no list service and no counter"
-	case s.OtherGateways > 0 && s.Present == 0:
-		return Partitioned, fmt.Sprintf("reaches none of %d other gateways", s.OtherGateways)
-	case 2*s.Present < s.Known:
-		return Partitioned, fmt.Sprintf("reaches %d of %d gateways that it has heard", s.Present, s.Known)
-	case s.Registries == Silent:
+	case o.OtherGateways > 0 && o.Present == 0:
+		return Partitioned, fmt.Sprintf("reaches none of %d other gateways", o.OtherGateways)
+	case 2*o.Present < o.Known:
+		return Partitioned, fmt.Sprintf("reaches %d of %d gateways that it has heard", o.Present, o.Known)
+	case o.Registries == Silent:
 		return Partitioned, "hears no list service"
-	case s.Differing > 0:
-		return Partitioned, fmt.Sprintf("%d of %d gateways present hold another view", s.Differing, s.Present)
+	case o.Differing > 0:
+		return Partitioned, fmt.Sprintf("%d of %d gateways present hold another view", o.Differing, o.Present)
 	}
-	return Connected, fmt.Sprintf("reaches %d of %d gateways that it has heard", s.Present, s.Known)
+	return Connected, fmt.Sprintf("reaches %d of %d gateways that it has heard", o.Present, o.Known)
 }
 
-// How long a gateway has to have stood otherwise before it says so. A link that
-// flaps faster swings nothing, and the way back is the longer.
+// Delays before a change of state, during which all observations must be worse (DegradeDelay) or
+// better (RecoverDelay) than the state. They keep a flapping link from changing it.
 const (
 	DegradeDelay = 3 * time.Second
 	RecoverDelay = 6 * time.Second
 )
 
-// Machine holds how a gateway stands.
+// Machine is the partition state of a gateway, with hysteresis. It is not safe for concurrent use.
 type Machine struct {
 	state  State
 	since  time.Duration
 	reason string
 
-	// Since when all sights were worse, or better, than the state; and the least of
-	// that difference, with its reason.
-	direction       int // 1: worse, -1: better, 0: neither
-	directionSince  time.Duration
-	candidate       State
+	direction       int           // of the latest observations against state; 1: worse, -1: better, 0: equal
+	directionSince  time.Duration // all observations since then have this direction
+	candidate       State         // the one among them that is closest to state
 	candidateReason string
 }
 
-// New returns a gateway's that has just begun, which stands whole until it has had
-// the time to find out.
+// New returns a Machine that is Connected since now.
 func New(now time.Duration) *Machine { return &Machine{since: now, reason: "has begun"} }
 
-// Observe takes a sight in, and says whether the state has changed by it.
-func (m *Machine) Observe(now time.Duration, s Observation) (changed bool) {
-	state, why := s.classify()
-	if s.Counter == Silent {
-		why += "; the counter is silent"
+// Observe adds an observation and reports whether the state has changed.
+func (m *Machine) Observe(now time.Duration, observation Observation) (changed bool) {
+	state, reason := observation.classify()
+	if observation.Counter == Silent {
+		reason += "; the counter is silent"
 	}
-	turn, after := 0, DegradeDelay
+	direction, delay := 0, DegradeDelay
 	switch {
 	case state > m.state:
-		turn = 1
+		direction = 1
 	case state < m.state:
-		turn, after = -1, RecoverDelay
+		direction, delay = -1, RecoverDelay
 	}
 	switch {
-	case turn == 0:
-		m.reason = why
+	case direction == 0:
+		m.reason = reason
 		m.direction = 0
 		return false
-	case turn != m.direction:
-		m.direction, m.directionSince, m.candidate, m.candidateReason = turn, now, state, why
-	case turn > 0 && state <= m.candidate, turn < 0 && state >= m.candidate:
-		m.candidate, m.candidateReason = state, why // no further than all of them say
+	case direction != m.direction:
+		m.direction, m.directionSince, m.candidate, m.candidateReason = direction, now, state, reason
+	case direction > 0 && state <= m.candidate, direction < 0 && state >= m.candidate:
+		m.candidate, m.candidateReason = state, reason
 	}
-	if now-m.directionSince < after {
+	if now-m.directionSince < delay {
 		return false
 	}
 	m.state, m.since, m.reason, m.direction = m.candidate, now, m.candidateReason, 0
 	return true
 }
 
-// State is how the gateway stands, since when, and why.
-func (m *Machine) State() (state State, since time.Duration, why string) {
+// State returns the state, the time of its latest change and its reason.
+func (m *Machine) State() (state State, since time.Duration, reason string) {
 	return m.state, m.since, m.reason
 }
--- a/internal/views/views_test.go
+++ b/internal/views/views_test.go
@@ -9,28 +9,29 @@
 	"pgregory.net/rapid"
 )
 
-// view is that of a gateway which holds those named for present.
-func view(self, members int, present ...int) View {
+// view returns the view of a gateway that considers the others present.
+func view(self, members int, others ...int) View {
 	v := View{Self: self, Present: make([]bool, members)}
-	for _, n := range present {
+	for _, n := range others {
 		v.Present[n] = true
 	}
 	return v
 }
 
-func TestCompare(t *testing.T) {
+// The text of a report names missing members, disagreements, partitions and bridges.
+func TestCompareReportsPartitionsAndBridges(t *testing.T) {
 	for name, c := range map[string]struct {
 		views []View
 		lines []string
 	}{
-		"all there":           {[]View{view(0, 3, 0, 1, 2), view(1, 3, 0, 1, 2), view(2, 3, 0, 1, 2)}, []string{"all 3 agree"}},
-		"one died":            {[]View{view(0, 3, 0, 1), view(1, 3, 0, 1)}, []string{"present to none: n2", "all 2 agree"}},
-		"one view is behind":  {[]View{view(0, 3, 0, 1, 2), view(1, 3, 0, 1)}, []string{"n2: present to n0; absent to n1", "no cut"}},
-		"cut in two":          {[]View{view(0, 4, 0, 1), view(1, 4, 0, 1), view(2, 4, 2, 3), view(3, 4, 2, 3)}, []string{"n0: present to n0 n1; absent to n2 n3", "likely cut: n0 n1 | n2 n3"}},
-		"cut, and one asked":  {[]View{view(0, 4, 0, 1), view(3, 4, 2, 3)}, []string{"likely cut: n0 | n3"}},
-		"heard by none":       {[]View{view(0, 3, 0, 1), view(1, 3, 0, 1), view(2, 3, 0, 1, 2)}, []string{"n2 holds n0 for present, but n0 does not hold n2", "likely cut: n0 n1 | n2", "on both sides: n0 n1"}},
-		"a bridge is asked":   {[]View{view(0, 3, 0, 2), view(1, 3, 1, 2), view(2, 3, 0, 1, 2)}, []string{"n0: present to n0 n2; absent to n1", "no cut among those asked"}},
-		"a bridge, not asked": {[]View{view(0, 3, 0, 2), view(1, 3, 1, 2)}, []string{"likely cut: n0 | n1", "on both sides: n2"}},
+		"all present":                    {[]View{view(0, 3, 0, 1, 2), view(1, 3, 0, 1, 2), view(2, 3, 0, 1, 2)}, []string{"all 3 agree"}},
+		"one died":                       {[]View{view(0, 3, 0, 1), view(1, 3, 0, 1)}, []string{"present in no view: n2", "all 2 agree"}},
+		"one view is older":              {[]View{view(0, 3, 0, 1, 2), view(1, 3, 0, 1)}, []string{"n2: present in the views of n0; absent in the views of n1", "no partition"}},
+		"partitioned in two":             {[]View{view(0, 4, 0, 1), view(1, 4, 0, 1), view(2, 4, 2, 3), view(3, 4, 2, 3)}, []string{"n0: present in the views of n0 n1; absent in the views of n2 n3", "likely partition: n0 n1 | n2 n3"}},
+		"partitioned, one view a side":   {[]View{view(0, 4, 0, 1), view(3, 4, 2, 3)}, []string{"likely partition: n0 | n3"}},
+		"considered present by no other": {[]View{view(0, 3, 0, 1), view(1, 3, 0, 1), view(2, 3, 0, 1, 2)}, []string{"n2 considers n0 present, but n0 does not consider n2 present", "likely partition: n0 n1 | n2", "on both sides: n0 n1"}},
+		"with the view of a bridge":      {[]View{view(0, 3, 0, 2), view(1, 3, 1, 2), view(2, 3, 0, 1, 2)}, []string{"n0: present in the views of n0 n2; absent in the views of n1", "no partition among the compared gateways"}},
+		"without the view of a bridge":   {[]View{view(0, 3, 0, 2), view(1, 3, 1, 2)}, []string{"likely partition: n0 | n1", "on both sides: n2"}},
 	} {
 		var out strings.Builder
 		Compare(c.views).Write(&out)
@@ -39,23 +40,23 @@
 				t.Errorf("%s: %q is not in\n%s", name, line, &out)
 			}
 		}
-		if strings.Contains(out.String(), "likely cut") != strings.Contains(strings.Join(c.lines, "\n"), "likely cut") {
-			t.Errorf("%s:\n%s", name, &out)
+		if strings.Contains(out.String(), "likely partition") != strings.Contains(strings.Join(c.lines, "\n"), "likely partition") {
+			t.Errorf("%s: a likely partition is missing or not expected in\n%s", name, &out)
 		}
 	}
 }
 
-// Whatever the cut, the groups are its sides as far as they were asked, in any order
-// of asking, and whoever two sides hold stands on both.
-func TestCutsAreFound(t *testing.T) {
+// For any partition, the groups are the compared gateways of each side, whatever the order of the
+// views.
+func TestGroupsAreSidesOfPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 30).Draw(t, "members")
 		side := rapid.SliceOfN(rapid.IntRange(0, 3), members, members).Draw(t, "sides")
 		dead := rapid.SliceOfN(rapid.Bool(), members, members).Draw(t, "dead")
 		asked := rapid.SliceOfN(rapid.Bool(), members, members).Draw(t, "asked")
-		var all []View
+		var views []View
 		want := map[int][]int{}
-		var gone []int
+		var missing []int
 		for a := range members {
 			if dead[a] || !asked[a] {
 				continue
@@ -64,29 +65,29 @@
 			for b := range members {
 				v.Present[b] = !dead[b] && side[a] == side[b]
 			}
-			all = append(all, v)
+			views = append(views, v)
 			want[side[a]] = append(want[side[a]], a)
 		}
-		if len(all) == 0 {
+		if len(views) == 0 {
 			return
 		}
 		for n := range members {
-			if !slices.ContainsFunc(all, func(v View) bool { return v.holdsPresent(n) }) {
-				gone = append(gone, n)
+			if !slices.ContainsFunc(views, func(v View) bool { return v.holdsPresent(n) }) {
+				missing = append(missing, n)
 			}
 		}
-		order := rapid.Permutation(all).Draw(t, "order")
-		r := Compare(order)
-		if len(r.Groups) != len(want) || len(r.OneWay) > 0 || len(r.Bridges) > 0 || !slices.Equal(r.Missing, gone) || r.Consistent() != (len(want) == 1) {
-			t.Fatalf("%+v; want %v, gone %v", r, want, gone)
+		shuffled := rapid.Permutation(views).Draw(t, "order")
+		report := Compare(shuffled)
+		if len(report.Groups) != len(want) || len(report.OneWay) > 0 || len(report.Bridges) > 0 || !slices.Equal(report.Missing, missing) || report.Consistent() != (len(want) == 1) {
+			t.Fatalf("%+v; want the groups %v and missing %v", report, want, missing)
 		}
-		for i, g := range r.Groups {
-			if !slices.Equal(g, want[side[g[0]]]) || i > 0 && len(g) > len(r.Groups[i-1]) {
-				t.Fatalf("%v of %v", g, want)
+		for i, g := range report.Groups {
+			if !slices.Equal(g, want[side[g[0]]]) || i > 0 && len(g) > len(report.Groups[i-1]) {
+				t.Fatalf("group %v; want the groups %v, largest first", g, want)
 			}
 		}
-		if again := Compare(all); !reflect.DeepEqual(again, r) {
-			t.Fatalf("in another order: %+v and %+v", r, again)
+		if again := Compare(views); !reflect.DeepEqual(again, report) {
+			t.Fatalf("reports of the same views in two orders: %+v and %+v", report, again)
 		}
 	})
 }
