--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -33,6 +33,7 @@
 	ID   string `json:"id"`
 }
 
+// String returns the kind and the id.
 func (n Name) String() string { return string(n.Kind) + " " + n.ID }
 
 // Unit is a unit of the fleet.
@@ -79,6 +80,7 @@
 	MinReady               *int     `json:"leastReady,omitempty"`
 }
 
+// String describes the rule for messages.
 func (r *Rule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%ss", r.Kind)
@@ -171,7 +173,7 @@
 func (c *Command) Check() error {
 	for _, text := range []string{c.Unit.ID, c.Unit.Zone, c.Unit.Incarnation, c.Permit.Holder, c.Permit.Reason} {
 		if len(text) > maxTextBytes {
-			return fmt.Errorf("text %.40q... has more than %d bytes", text, maxTextBytes)
+			return fmt.Errorf("text %.40q... has %d bytes, limit %d", text, len(text), maxTextBytes)
 		}
 	}
 	if c.Op == SetRules {
@@ -193,7 +195,7 @@
 	case c.Op == Observe && (c.Unit.Session == 0 || c.Unit.Kind == Backend):
 		return errors.New("unit: only the list reports backends, and observers of other units need a session")
 	case !(c.Unit.Weight >= 0 && c.Unit.Weight <= maxWeight):
-		return fmt.Errorf("unit: weight %g is out of range", c.Unit.Weight)
+		return fmt.Errorf("unit: weight %g is not between 0 and %g", c.Unit.Weight, maxWeight)
 	case c.Op == Acquire && (c.Permit.Holder == "" || c.Permit.Reason == ""):
 		return errors.New("permit: holder and reason are required")
 	case c.Op == Acquire && (c.Permit.TermMs < 1 || c.Permit.TermMs > maxTermMs):
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -185,55 +185,55 @@
 // A unit that a holder took down counts as unavailable, grants satisfy the rules, and permit numbers
 // increase, for random failures, delays and changes of rules. Planted defects are detected.
 func TestUnitsTakenDownCountAsUnavailable(t *testing.T) {
-	simulate := func(t *testing.T, seed uint64, units, steps int, defect string) (f *fleet, err error) {
-		f = newFleet(t, seed, units, defect)
-		f.setRules()
-		for _, unit := range f.units {
-			f.report(unit)
+	simulate := func(t *testing.T, seed uint64, units, steps int, defect string) (result *fleet, err error) {
+		result = newFleet(t, seed, units, defect)
+		result.setRules()
+		for _, unit := range result.units {
+			result.report(unit)
 		}
 		for step := range steps {
 			if step%500 == 499 {
-				f.setRules()
+				result.setRules()
 				restored := New()
-				for _, line := range f.state.Save() {
+				for _, line := range result.state.Save() {
 					if err := restored.Restore(line); err != nil {
-						return f, err
+						return result, err
 					}
 				}
-				if !bytes.Equal(bytes.Join(restored.Save(), nil), bytes.Join(f.state.Save(), nil)) {
-					return f, fmt.Errorf("restored snapshot differs from its original")
+				if !bytes.Equal(bytes.Join(restored.Save(), nil), bytes.Join(result.state.Save(), nil)) {
+					return result, fmt.Errorf("restored snapshot differs from its original")
 				}
-				f.state = restored
+				result.state = restored
 			}
-			f.step()
-			switch unit := f.units[f.random.IntN(units)]; defect {
+			result.step()
+			switch unit := result.units[result.random.IntN(units)]; defect {
 			case "permits end with their holder":
-				if stored := f.state.units[unit.name]; stored != nil && stored.Permit != nil && stored.Permit.Lost {
+				if stored := result.state.units[unit.name]; stored != nil && stored.Permit != nil && stored.Permit.Lost {
 					stored.Permit = nil
 				}
 			case "permits end when they are returned":
-				if stored := f.state.units[unit.name]; stored != nil && stored.Permit != nil && stored.Permit.ReturnedAt != 0 {
+				if stored := result.state.units[unit.name]; stored != nil && stored.Permit != nil && stored.Permit.ReturnedAt != 0 {
 					stored.Permit, stored.Ready = nil, true
 				}
 			case "any observation ends a returned permit":
 				if unit.delayed != nil {
-					unit.delayed.ObservedIndex = f.index
+					unit.delayed.ObservedIndex = result.index
 				}
 			}
-			if err := f.findViolation(); err != nil {
-				return f, err
+			if err := result.findViolation(); err != nil {
+				return result, err
 			}
 		}
-		return f, nil
+		return result, nil
 	}
 	for _, scenario := range []struct{ units, steps, seeds int }{{9, 4000, 40}, {30, 4000, 20}, {1000, 10_000, 2}} {
 		requested, granted, takenOver := 0, 0, 0
 		for seed := range uint64(scenario.seeds) {
-			f, err := simulate(t, seed, scenario.units, scenario.steps, "")
+			result, err := simulate(t, seed, scenario.units, scenario.steps, "")
 			if err != nil {
 				t.Fatalf("%d units, seed %d: %v", scenario.units, seed, err)
 			}
-			requested, granted, takenOver = requested+f.requested, granted+f.granted, takenOver+f.takenOver
+			requested, granted, takenOver = requested+result.requested, granted+result.granted, takenOver+result.takenOver
 		}
 		t.Logf("%d units: %d permits requested, %d granted, %d of them taken over from lost holders", scenario.units, requested, granted, takenOver)
 		if granted*20 < requested || granted == requested || takenOver == 0 {
@@ -271,7 +271,7 @@
 	returnPermit := func(id, holder string, number uint64) Command {
 		return Command{Op: Return, Unit: Unit{Name: Name{Gateway, id}}, Permit: Permit{Number: number, Holder: holder}}
 	}
-	for n, testCase := range []struct {
+	for number, testCase := range []struct {
 		command Command
 		want    string // of the error, or the permit's number
 	}{
@@ -314,7 +314,7 @@
 			got = fmt.Sprint("permit ", permit.Number)
 		}
 		if got != testCase.want && (testCase.want == "" || !bytes.Contains([]byte(got), []byte(testCase.want))) {
-			t.Errorf("%d: %+v: got %q, want %q", n, testCase.command, got, testCase.want)
+			t.Errorf("%d: %+v: got %q, want %q", number, testCase.command, got, testCase.want)
 		}
 	}
 	if unsatisfiable := state.UnsatisfiableRules(); len(unsatisfiable) != 1 {
--- a/internal/group/book.go
+++ b/internal/group/book.go
@@ -28,6 +28,7 @@
 	Name   string `json:"name,omitempty"` // random; empty for the first generation
 }
 
+// String returns the number followed by the name.
 func (g Generation) String() string { return fmt.Sprintf("%d%s", g.Number, g.Name) }
 
 // memberTable is the replicated configuration of the group: its members and its generation.
--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -178,7 +178,7 @@
 		case !slices.Contains(g.core.confState.GetVoters(), to):
 			rejected = refusedf("member %d is no voter", to)
 		case !g.recentlyActive(to):
-			rejected = refusedf("member %d does not answer", to)
+			rejected = refusedf("no message from member %d within %v", to, activityTimeout)
 		default:
 			lost = g.leadershipLost
 			g.core.raw.TransferLeader(to)
@@ -192,7 +192,7 @@
 	case <-lost:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("%w: member %d did not become the writer in time", ErrUnknown, to)
+		return fmt.Errorf("%w: member %d did not become the writer within %v", ErrUnknown, to, transferTimeout)
 	case <-g.stopped:
 		return errStopped
 	}
@@ -230,7 +230,7 @@
 		}
 	}
 	if g.members.wasRemoved(g.config.Self) {
-		g.core.terminate(fmt.Sprintf("member %d was taken out of the group", g.config.Self))
+		g.core.terminate(fmt.Sprintf("member %d was removed from the group", g.config.Self))
 	}
 	if g.config.List != nil && g.role != raft.StateLeader {
 		g.config.List.SetWriter(false, g.members.Members[g.leader].RegistryAddress)
--- a/internal/group/client.go
+++ b/internal/group/client.go
@@ -48,20 +48,20 @@
 func NewClient(addresses []string) *Client {
 	var callerID [12]byte
 	crand.Read(callerID[:])
-	c := &Client{caller: hex.EncodeToString(callerID[:]), memberCount: len(addresses), addresses: append([]string(nil), addresses...), unresponsive: map[string]time.Time{}}
-	c.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}, Timeout: clientTimeout,
+	client := &Client{caller: hex.EncodeToString(callerID[:]), memberCount: len(addresses), addresses: append([]string(nil), addresses...), unresponsive: map[string]time.Time{}}
+	client.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}, Timeout: clientTimeout,
 		CheckRedirect: func(req *http.Request, via []*http.Request) error {
 			if len(via) > maxRedirects {
-				return errors.New("redirect loop between the members of the group")
+				return fmt.Errorf("more than %d redirects between the members of the group", maxRedirects)
 			}
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if time.Since(c.unresponsive[req.URL.Host]) < unresponsivePeriod {
+			client.mu.Lock()
+			defer client.mu.Unlock()
+			if time.Since(client.unresponsive[req.URL.Host]) < unresponsivePeriod {
 				return errUnresponsive // the redirecting member has not noticed the failure yet
 			}
 			return nil
 		}}
-	return c
+	return client
 }
 
 var errUnresponsive = errors.New("redirected to a member that did not respond")
@@ -144,7 +144,7 @@
 
 // Do commits a command and returns its result. After an error the command may or may not have
 // been applied; if it has not, the next command of this client rules out that it ever is.
-func (c *Client) Do(ctx context.Context, command ledger.Command) (r ledger.Result, err error) {
+func (c *Client) Do(ctx context.Context, command ledger.Command) (result ledger.Result, err error) {
 	if err := command.Check(ledger.DefaultLimits); err != nil {
 		return ledger.Result{Code: ledger.Invalid, Text: err.Error()}, nil
 	}
@@ -154,54 +154,54 @@
 	command.Caller, command.Request = c.caller, c.request
 	body, err := json.Marshal(command)
 	if err != nil {
-		return r, err
+		return result, err
 	}
 	status, text, err := c.call(ctx, http.MethodPost, CommandsPath, body)
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	if err := json.Unmarshal(text, &r); err != nil {
-		return r, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+	if err := json.Unmarshal(text, &result); err != nil {
+		return result, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
 	}
-	return r, nil
+	return result, nil
 }
 
 // Get returns a record by a linearizable read, and whether it exists.
-func (c *Client) Get(ctx context.Context, name string) (r ledger.Record, found bool, err error) {
+func (c *Client) Get(ctx context.Context, name string) (record ledger.Record, found bool, err error) {
 	status, text, err := c.call(ctx, http.MethodGet, RecordsPath+"/"+url.PathEscape(name)+"?current=1", nil)
 	switch {
 	case err != nil:
-		return r, false, err
+		return record, false, err
 	case status == http.StatusNotFound:
-		return r, false, nil
+		return record, false, nil
 	case status != http.StatusOK:
-		return r, false, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+		return record, false, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
 	}
-	return r, true, json.Unmarshal(text, &r)
+	return record, true, json.Unmarshal(text, &record)
 }
 
 // List returns all records whose names start with prefix, by a linearizable read.
-func (c *Client) List(ctx context.Context, prefix string) (l Listing, err error) {
+func (c *Client) List(ctx context.Context, prefix string) (listing Listing, err error) {
 	status, text, err := c.call(ctx, http.MethodGet, RecordsPath+"?current=1&prefix="+url.QueryEscape(prefix), nil)
 	switch {
 	case err != nil:
-		return l, err
+		return listing, err
 	case status != http.StatusOK:
-		return l, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+		return listing, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
 	}
-	return l, json.Unmarshal(text, &l)
+	return listing, json.Unmarshal(text, &listing)
 }
 
 // Units returns all units of the fleet and the rules for them, by a linearizable read.
-func (c *Client) Units(ctx context.Context) (u Units, err error) {
+func (c *Client) Units(ctx context.Context) (units Units, err error) {
 	status, text, err := c.call(ctx, http.MethodGet, UnitsPath+"?current=1", nil)
 	switch {
 	case err != nil:
-		return u, err
+		return units, err
 	case status != http.StatusOK:
-		return u, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+		return units, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
 	}
-	return u, json.Unmarshal(text, &u)
+	return units, json.Unmarshal(text, &units)
 }
 
 // Add adds a member to the group. Repeating the call has no further effect.
@@ -232,15 +232,15 @@
 }
 
 // Status returns the state of the member at the address. It does not retry.
-func (c *Client) Status(ctx context.Context, address string) (s Status, err error) {
-	status, text, err := c.doRequest(ctx, http.MethodGet, "http://"+address+StatusPath, nil)
+func (c *Client) Status(ctx context.Context, address string) (status Status, err error) {
+	code, text, err := c.doRequest(ctx, http.MethodGet, "http://"+address+StatusPath, nil)
 	switch {
 	case err != nil:
-		return s, err
-	case status != http.StatusOK:
-		return s, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+		return status, err
+	case code != http.StatusOK:
+		return status, fmt.Errorf("%d: %s", code, bytes.TrimSpace(text))
 	}
-	return s, json.Unmarshal(text, &s)
+	return status, json.Unmarshal(text, &status)
 }
 
 // renewalsPerTTL is the number of renewals within a session's time to live.
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -20,19 +20,27 @@
 
 // DurableLog is the durable storage of a member; *wal.Log implements it.
 type DurableLog interface {
+	// Append appends records durably and returns the sequence of the first.
 	Append(records [][]byte) (first uint64, err error)
+	// SnapshotDue reports whether a snapshot should be written.
 	SnapshotDue() bool
+	// LastSequence returns the sequence of the last record.
 	LastSequence() uint64
+	// Snapshot replaces the records up to the sequence by a snapshot.
 	Snapshot(sequence uint64, records func(emit func(record []byte) error) error) error
 }
 
-// StateMachine is the replicated state. Apply is called once for each committed entry, in the
-// order of the log.
+// StateMachine is the replicated state. Its methods are called in the order of the log.
 type StateMachine interface {
+	// Apply applies a committed entry and returns its result.
 	Apply(index uint64, data []byte) any
-	Add(number uint64, at Member)
+	// Add adds or replaces a member.
+	Add(number uint64, member Member)
+	// Remove removes a member.
 	Remove(number uint64)
+	// Save returns a snapshot as lines.
 	Save() [][]byte
+	// Restore replaces the state by a snapshot that Save returned.
 	Restore(lines [][]byte) error
 }
 
@@ -119,15 +127,15 @@
 		r.hardState = &raftpb.HardState{}
 		return proto.Unmarshal(body, r.hardState)
 	case kindIncarnation:
-		var l incarnation
-		if err := json.Unmarshal(body, &l); err != nil {
+		var started incarnation
+		if err := json.Unmarshal(body, &started); err != nil {
 			return err
 		}
 		if r.incarnations == nil {
 			r.incarnations = map[uint64]incarnation{}
 		}
-		if l.Number >= r.incarnations[l.Member].Number {
-			r.incarnations[l.Member] = l
+		if started.Number >= r.incarnations[started.Member].Number {
+			r.incarnations[started.Member] = started
 		}
 	case kindTermination:
 		r.termination = string(body)
@@ -237,15 +245,15 @@
 }
 
 // saveIncarnation persists the incarnation of another member.
-func (c *core) saveIncarnation(l incarnation) error {
-	if c.incarnations[l.Member] == l {
+func (c *core) saveIncarnation(other incarnation) error {
+	if c.incarnations[other.Member] == other {
 		return nil
 	}
-	if _, err := c.log.Append([][]byte{l.encode()}); err != nil {
+	if _, err := c.log.Append([][]byte{other.encode()}); err != nil {
 		c.err = fmt.Errorf("group: persist to the log: %w", err)
 		return c.err
 	}
-	c.incarnations[l.Member] = l
+	c.incarnations[other.Member] = other
 	return nil
 }
 
--- a/internal/group/handshake.go
+++ b/internal/group/handshake.go
@@ -77,7 +77,7 @@
 	case request.LastIndex > 0 && request.Generation != generation:
 		reply.Verdict, reply.Reason = verdictCrossed, fmt.Sprintf("two members were each made a group of their own: this one is of generation %s", generation)
 	case g.members.wasRemoved(request.Self):
-		reply.Verdict, reply.Reason = verdictRefused, fmt.Sprintf("member %d was taken out of the group", request.Self)
+		reply.Verdict, reply.Reason = verdictRefused, fmt.Sprintf("member %d was removed from the group", request.Self)
 	case g.members.Members[request.Self].Address == "":
 		reply.Reason = fmt.Sprintf("member %d was not added yet", request.Self)
 	case request.Incarnation < known.Number || request.Incarnation == known.Number && request.Process != known.Process:
--- a/internal/group/loop.go
+++ b/internal/group/loop.go
@@ -136,8 +136,8 @@
 	}
 	for _, r := range out.reads {
 		if len(r.RequestCtx) == keyBytes {
-			if w := g.reads[binary.BigEndian.Uint64(r.RequestCtx)]; w != nil {
-				w.index = max(r.Index, 1)
+			if pending := g.reads[binary.BigEndian.Uint64(r.RequestCtx)]; pending != nil {
+				pending.index = max(r.Index, 1)
 			}
 		}
 	}
@@ -147,10 +147,10 @@
 			g.config.List.SetWriter(true, g.members.Members[g.config.Self].RegistryAddress)
 		}
 	}
-	for key, w := range g.reads {
-		if w.index > 0 && g.core.applied >= w.index {
+	for key, pending := range g.reads {
+		if pending.index > 0 && g.core.applied >= pending.index {
 			delete(g.reads, key)
-			close(w.done)
+			close(pending.done)
 		}
 	}
 	if len(out.applied) > 0 {
@@ -235,7 +235,7 @@
 			rejected = ErrBusy
 			return
 		case g.members.wasRemoved(sender):
-			rejected = refusedf("member %d was taken out of the group", sender)
+			rejected = refusedf("member %d was removed from the group", sender)
 			return
 		}
 		var messages []*raftpb.Message
--- a/internal/group/offline.go
+++ b/internal/group/offline.go
@@ -80,7 +80,7 @@
 	}
 	self := members.Members[config.Self]
 	if self.Address == "" {
-		return result, fmt.Errorf("group: member %d was taken out of the group", config.Self)
+		return result, fmt.Errorf("group: member %d was removed from the group", config.Self)
 	}
 	result = RecoveryResult{Generation: Generation{members.Generation.Number + 1, randomName()}, LastIndex: index, Term: term, CommitIndex: max(recovered.snapshotMeta.GetIndex(), recovered.hardState.GetCommit()), Former: maps.Clone(members.Members)}
 	delete(result.Former, config.Self)
--- a/internal/group/server.go
+++ b/internal/group/server.go
@@ -39,7 +39,7 @@
 	maxWatchDuration  = time.Minute
 	writeMargin       = 10 * time.Second // added to maxWatchDuration to write the response
 	shutdownTimeout   = 2 * time.Second
-	snapshotDivisor   = 4 // fraction of data_mb that one snapshot may take, as its divisor
+	snapshotDivisor   = 4 // data_mb divided by it is the limit of one snapshot
 	retryAfterSeconds = "1"
 )
 
@@ -70,8 +70,8 @@
 	return mux
 }
 
-// Serve serves HTTP on the listener until ctx ends and Run has returned. It cancels pending
-// watches then.
+// Serve serves HTTP on the listener until ctx ends. It then waits briefly for Run to return, cancels
+// pending watches and shuts down.
 func (g *Group) Serve(ctx context.Context, listener net.Listener) error {
 	requestCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
--- a/internal/group/simulation_test.go
+++ b/internal/group/simulation_test.go
@@ -184,16 +184,16 @@
 	s.completedCalls++
 }
 
-func (s *simulation) completeWrite(client *simulatedClient, r ledger.Result) {
+func (s *simulation) completeWrite(client *simulatedClient, result ledger.Result) {
 	input := client.input()
-	switch r.Code {
+	switch result.Code {
 	case ledger.OK:
-		client.known[input.Name] = lastRead{r.Version, input.Value}
+		client.known[input.Name] = lastRead{result.Version, input.Value}
 		s.finish(client, input, linear.Got{Known: true})
 	case ledger.Conflict:
 		s.finish(client, input, linear.Got{Known: true, Conflict: true})
 	default:
-		s.t.Fatalf("%+v: %+v", client.call.command, r)
+		s.t.Fatalf("%+v: %+v", client.call.command, result)
 	}
 }
 
@@ -358,8 +358,8 @@
 			case 2: // only one member is connected to the others
 				sim.blocked = func(from, to uint64) bool { return from != target && to != target }
 			case 3: // all members crash
-				for n := range sim.members {
-					sim.members[n].core = nil
+				for index := range sim.members {
+					sim.members[index].core = nil
 				}
 			case 4: // one disk is full
 				sim.members[target-1].log.failing = true
@@ -367,10 +367,10 @@
 		}
 		if step%97 == 0 {
 			n := sim.pickMember()
-			if m := sim.members[n]; m.core == nil && !m.log.failing {
+			if member := sim.members[n]; member.core == nil && !member.log.failing {
 				sim.start(n)
 			} else if sim.random.IntN(4) == 0 {
-				m.core = nil
+				member.core = nil
 			}
 		}
 		if size > 1 && step%701 == 0 {
--- a/internal/group/status.go
+++ b/internal/group/status.go
@@ -31,7 +31,7 @@
 	TransfersReceived int64             `json:"handed"`        // elections that it started because the leader transferred its role
 	ElectionsWon      int64             `json:"won"`
 	ProposalsRefused  int64             `json:"refused"`
-	MessagesDropped   int64             `json:"dropped"` // messages to peers, dropped because of a full queue
+	MessagesDropped   int64             `json:"dropped"` // because of a full queue to a peer
 	Ledger            ledger.Stats      `json:"ledger"`
 	CommitP50Us       int64             `json:"commitP50Us"` // from a call to its result, for proposals of this member
 	CommitP99Us       int64             `json:"commitP99Us"`
@@ -56,30 +56,30 @@
 }
 
 // Status returns the state of the member.
-func (g *Group) Status(ctx context.Context) (s Status, err error) {
+func (g *Group) Status(ctx context.Context) (status Status, err error) {
 	err = g.call(ctx, func() {
 		raftStatus := g.core.raw.Status()
-		s = Status{Group: g.config.Name, Self: g.config.Self, Term: raftStatus.GetTerm(), Writer: raftStatus.Lead, Address: g.members.Members[raftStatus.Lead].Address, TakesPart: g.participating, Incarnation: g.core.incarnations[g.config.Self].Number,
+		status = Status{Group: g.config.Name, Self: g.config.Self, Term: raftStatus.GetTerm(), Writer: raftStatus.Lead, Address: g.members.Members[raftStatus.Lead].Address, TakesPart: g.participating, Incarnation: g.core.incarnations[g.config.Self].Number,
 			Generation: g.members.Generation, Members: maps.Clone(g.members.Members), Voters: g.core.confState.GetVoters(), Learners: g.core.confState.GetLearners(), Applied: g.core.applied, Committed: raftStatus.GetCommit(),
 			Elections: g.elections, TransfersReceived: g.transfersReceived, ElectionsWon: g.electionsWon, ProposalsRefused: g.proposalsRefused, Ledger: g.state.Stats(),
 			CommitP50Us: g.commitLatency.ValueAtQuantile(50), CommitP99Us: g.commitLatency.ValueAtQuantile(99), CommitMaxUs: g.commitLatency.Max()}
 		for _, n := range slices.Sorted(maps.Keys(g.members.Members)) {
 			if g.recentlyActive(n) {
-				s.Answering = append(s.Answering, n)
+				status.Answering = append(status.Answering, n)
 			}
 		}
 		if raftStatus.RaftState == raft.StateLeader {
-			s.Lag = map[uint64]uint64{}
+			status.Lag = map[uint64]uint64{}
 			last, _ := g.core.storage.LastIndex() // MemoryStorage returns no error
 			for n, p := range raftStatus.Progress {
-				s.Lag[n] = last - min(last, p.Match)
+				status.Lag[n] = last - min(last, p.Match)
 			}
 		}
 		for _, p := range g.peers {
-			s.MessagesDropped += p.dropped.Load()
+			status.MessagesDropped += p.dropped.Load()
 		}
 		log := g.log.Stats()
-		s.LogBytes, s.SnapshotBytes = log.Bytes, log.SnapshotBytes
+		status.LogBytes, status.SnapshotBytes = log.Bytes, log.SnapshotBytes
 	})
-	return s, err
+	return status, err
 }
--- a/internal/ledger/lease.go
+++ b/internal/ledger/lease.go
@@ -11,7 +11,8 @@
 const MaxClockDrift = 0.01
 
 // Leases holds the leader's deadlines of sessions. They are not replicated: a new leader restarts
-// all of them, so that no lease ends early. Leases is not safe for concurrent use.
+// all of them, so that no lease ends early. Reset must be called first. Leases is not safe for
+// concurrent use.
 type Leases struct {
 	deadlines map[uint64]time.Duration
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -406,10 +406,10 @@
 // Restore replaces the state by a snapshot that Save returned.
 func (s *State) Restore(lines [][]byte) error {
 	next := New(s.limits)
-	for n, text := range lines {
+	for number, text := range lines {
 		var line snapshotLine
 		if err := json.Unmarshal(text, &line); err != nil {
-			return fmt.Errorf("ledger: decode line %d of a snapshot: %w", n+1, err)
+			return fmt.Errorf("ledger: decode line %d of a snapshot: %w", number+1, err)
 		}
 		switch {
 		case line.Index != nil:
@@ -425,7 +425,7 @@
 				return err
 			}
 		default:
-			return fmt.Errorf("ledger: line %d of a snapshot has no content", n+1)
+			return fmt.Errorf("ledger: line %d of a snapshot has no content", number+1)
 		}
 	}
 	*s = *next
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -61,7 +61,7 @@
 // another format or kind, and another error for an incomplete or damaged one.
 func parseHeader(header []byte, magic [8]byte, kind string) (number uint64, err error) {
 	if len(header) < headerBytes {
-		return 0, errors.New("header truncated")
+		return 0, fmt.Errorf("header truncated: got %d of %d bytes", len(header), headerBytes)
 	}
 	if crc32.Checksum(header[:headerBytes-4], castagnoli) != binary.LittleEndian.Uint32(header[headerBytes-4:]) {
 		return 0, errors.New("header checksum mismatch")
@@ -142,19 +142,19 @@
 	if sum != binary.LittleEndian.Uint32(header[frameHeaderBytes-4:]) {
 		return frame{}, errInvalidFrame
 	}
-	f := frame{first: binary.LittleEndian.Uint64(header[4:]), size: frameHeaderBytes + int64(length)}
+	decoded := frame{first: binary.LittleEndian.Uint64(header[4:]), size: frameHeaderBytes + int64(length)}
 	for range count {
 		if len(body) < 4 || uint32(len(body)-4) < binary.LittleEndian.Uint32(body) {
 			return frame{}, errInvalidFrame
 		}
 		n := 4 + binary.LittleEndian.Uint32(body)
-		f.records = append(f.records, body[4:n:n])
+		decoded.records = append(decoded.records, body[4:n:n])
 		body = body[n:]
 	}
 	if len(body) > 0 {
 		return frame{}, errInvalidFrame
 	}
-	return f, nil
+	return decoded, nil
 }
 
 // containsFrame reports whether a valid frame with a first sequence of at least sequence starts
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -19,7 +19,9 @@
 	Create(name string) (File, error)
 	// Append truncates a file to size bytes and opens it for writing at its end.
 	Append(name string, size int64) (File, error)
+	// Rename renames a file. It replaces a file that has the new name.
 	Rename(old, new string) error
+	// Remove removes a file.
 	Remove(name string) error
 	// SyncDir makes creations, renames and removals of files durable.
 	SyncDir() error
@@ -68,15 +70,15 @@
 
 // Append truncates a file to size bytes and opens it for writing at its end.
 func (d Dir) Append(name string, size int64) (File, error) {
-	f, err := os.OpenFile(d.path(name), os.O_WRONLY, 0)
+	file, err := os.OpenFile(d.path(name), os.O_WRONLY, 0)
 	if err != nil {
 		return nil, err
 	}
-	if err := (osFile{f}).Truncate(size); err != nil {
-		f.Close()
+	if err := (osFile{file}).Truncate(size); err != nil {
+		file.Close()
 		return nil, err
 	}
-	return osFile{f}, nil
+	return osFile{file}, nil
 }
 
 // Rename renames a file. It replaces a file that has the new name.
@@ -96,28 +98,28 @@
 
 // Lock locks the file with the name and writes the process ID to it.
 func (d Dir) Lock(name string) (io.Closer, error) {
-	f, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_RDWR, 0o600)
+	file, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		defer f.Close()
+	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		defer file.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			var owner [16]byte
-			n, _ := f.Read(owner[:]) // best effort, for the message only
+			n, _ := file.Read(owner[:]) // best effort, for the message only
 			return nil, fmt.Errorf("%s: in use by process %s", d, owner[:n])
 		}
 		return nil, err
 	}
-	if err := f.Truncate(0); err != nil {
-		f.Close()
+	if err := file.Truncate(0); err != nil {
+		file.Close()
 		return nil, err
 	}
-	if _, err := fmt.Fprint(f, os.Getpid()); err != nil {
-		f.Close()
+	if _, err := fmt.Fprint(file, os.Getpid()); err != nil {
+		file.Close()
 		return nil, err
 	}
-	return f, nil // closing it releases the lock
+	return file, nil // closing it releases the lock
 }
 
 type osFile struct{ *os.File }
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -24,15 +24,15 @@
 
 // parseName returns the number in a name that logName or snapshotName returned.
 func parseName(name, suffix string) (uint64, bool) {
-	var n uint64
+	var parsed uint64
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(digits) != 16 {
 		return 0, false
 	}
-	if _, err := fmt.Sscanf(digits, "%016x", &n); err != nil || fmt.Sprintf("%016x", n) != digits {
+	if _, err := fmt.Sscanf(digits, "%016x", &parsed); err != nil || fmt.Sprintf("%016x", parsed) != digits {
 		return 0, false
 	}
-	return n, true
+	return parsed, true
 }
 
 // Visitor receives the records of a folder in order: those of the newest snapshot, and then those of
@@ -130,12 +130,12 @@
 	defer file.Close()
 	reader := bufio.NewReaderSize(file, 1<<16)
 	var header [headerBytes]byte
-	if n, err := io.ReadFull(reader, header[:]); err != nil && err != io.EOF && err != io.ErrUnexpectedEOF {
+	if headerLength, err := io.ReadFull(reader, header[:]); err != nil && err != io.EOF && err != io.ErrUnexpectedEOF {
 		return err
-	} else if sequence, err := parseHeader(header[:n], snapshotMagic, kind); err != nil {
+	} else if sequence, err := parseHeader(header[:headerLength], snapshotMagic, kind); err != nil {
 		return headerError(name, err)
 	} else if sequence != r.Snapshot {
-		return &DamageError{name, 20, "its name is of another snapshot"}
+		return &DamageError{name, 20, fmt.Sprintf("its name is of another snapshot: the header has the sequence %d", sequence)}
 	}
 	r.SnapshotBytes = headerBytes
 	for {
@@ -180,12 +180,12 @@
 	defer file.Close()
 	reader := bufio.NewReaderSize(file, 1<<16)
 	var header [headerBytes]byte
-	n, err := io.ReadFull(reader, header[:])
+	headerLength, err := io.ReadFull(reader, header[:])
 	if err != nil && err != io.EOF && err != io.ErrUnexpectedEOF {
 		return err
 	}
 	current := segment{first: first, last: first - 1, size: headerBytes}
-	number, err := parseHeader(header[:n], logMagic, kind)
+	number, err := parseHeader(header[:headerLength], logMagic, kind)
 	if err != nil {
 		var kindErr *wrongKindError
 		if !newest || errors.As(err, &kindErr) || errors.Is(err, errNewerFormat) {
@@ -193,7 +193,7 @@
 		}
 		// The header is synced before the first frame is written. Without a frame, the crash came
 		// while the file was created.
-		rest, err := io.ReadAll(io.MultiReader(bytes.NewReader(header[:n]), reader))
+		rest, err := io.ReadAll(io.MultiReader(bytes.NewReader(header[:headerLength]), reader))
 		if err != nil {
 			return err
 		}
@@ -205,7 +205,7 @@
 		return nil
 	}
 	if number != first {
-		return &DamageError{name, 20, "its name is of another segment"}
+		return &DamageError{name, 20, fmt.Sprintf("its name is of another segment: the header has the sequence %d", number)}
 	}
 	for {
 		next, err := readFrame(reader)
@@ -219,7 +219,7 @@
 			return err
 		}
 		if err == nil && (current.ended || next.first != current.last+1) {
-			return &DamageError{name, current.size, "frame is out of sequence, or follows the end mark"}
+			return &DamageError{name, current.size, fmt.Sprintf("frame at sequence %d, want %d, or frame after the end mark", next.first, current.last+1)}
 		}
 		if err == errInvalidFrame {
 			if err := r.checkTornEnd(fs, name, newest, &current); err != nil {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -44,7 +44,7 @@
 	Snapshot                uint64 // sequence of the newest snapshot
 	SnapshotBytes           int64
 	SnapshotAt              time.Time // zero: none since the log was opened
-	NoSpace                 int64
+	NoSpace                 int64     // appends that failed with ErrNoSpace
 	Recovery                Recovery
 }
 
@@ -269,7 +269,7 @@
 }
 
 // Snapshot writes a snapshot that replaces the records up to the sequence. Those records and older
-// snapshots are removed once the new snapshot is durable. After an error they are still there.
+// snapshots are removed once the new snapshot is durable; if writing it fails, nothing is removed.
 func (l *Log) Snapshot(sequence uint64, records func(emit func(record []byte) error) error) error {
 	if err := l.prepareSnapshot(sequence); err != nil {
 		return err
@@ -338,7 +338,7 @@
 	}
 	err = records(func(record []byte) error {
 		if len(record) > maxFrameBytes-4 {
-			return fmt.Errorf("wal: snapshot record of %d bytes is too large", len(record))
+			return fmt.Errorf("wal: snapshot record of %d bytes exceeds the limit of %d", len(record), maxFrameBytes-4)
 		}
 		if pendingBytes+len(record)+4 > batch {
 			if err := flush(); err != nil {
