--- a/internal/gateway/scopes.go
+++ b/internal/gateway/scopes.go
@@ -32,8 +32,8 @@
 	case texts == nil:
 	case len(texts) == 0:
 		return config, errors.New("scopes: the list is empty; without the key all backends are read")
-	case len(texts) > registry.MostScopes:
-		return config, fmt.Errorf("scopes: %d entries, more than the maximum of %d", len(texts), registry.MostScopes)
+	case len(texts) > registry.MaxScopes:
+		return config, fmt.Errorf("scopes: %d entries, more than the maximum of %d", len(texts), registry.MaxScopes)
 	default:
 		if config.scopes, err = registry.ParseScopes(texts); err != nil {
 			return config, err
@@ -209,7 +209,7 @@
 	s.metrics.chosen.Store(int64(stats.Chosen))
 	s.metrics.widened.Store(int64(stats.Widened))
 	if stats.Widened != s.widened {
-		slog.Warn("subset widening changed", "widened", stats.Widened, "before", s.widened, "size", stats.Size, "chosen", stats.Chosen, "candidates", stats.Candidates)
+		slog.Warn("subset", "widened", stats.Widened, "before", s.widened, "size", stats.Size, "chosen", stats.Chosen, "candidates", stats.Candidates)
 		s.widened = stats.Widened
 	}
 	if stats.Candidates == 0 {
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -20,291 +20,290 @@
 )
 
 const (
-	// watchWait is how long a reader's watch may stay open, and followerWatchWait how long
-	// that of a follower may. Both are part of the sum of docs/design.md that keeps a reader
-	// from missing a change for 6 s: a follower answers at least so often, or its age tells
-	// its readers that it hears nothing from its writer.
+	// watchWait and followerWatchWait bound the duration of a watch by a reader and by a
+	// follower. Together with staleAge they keep a reader from missing a change for 6 s.
 	watchWait         = 1500 * time.Millisecond
 	followerWatchWait = time.Second
 
-	watchGrace  = 500 * time.Millisecond // how much longer than that the answer may take
-	scopeGap    = 100 * time.Millisecond // between two watches that are ended for other scopes, each with its connection
-	listTimeout = 3 * time.Second
-	mostReply   = 4 << 10          // bytes of an answer that is no list
-	complainGap = 10 * time.Second // between lines about services that stay down
+	watchGrace             = 500 * time.Millisecond // time for the answer beyond the duration of a watch
+	minScopeChangeInterval = 100 * time.Millisecond // between watches ended by scope changes, each of which costs a connection
+	listTimeout            = 3 * time.Second
+	maxReplyBytes          = 4 << 10          // of a reply to a subscription
+	warningInterval        = 10 * time.Second // between log lines about failed requests
 )
 
-// DefaultAnswerLimit is how many bytes an answer may have, unless SetAnswerLimit says
-// otherwise. A list of 200,000 instances has 33 MB.
+// DefaultAnswerLimit is the maximum size of an answer in bytes unless SetAnswerLimit changes
+// it. A list of 200,000 instances has 33 MB.
 const DefaultAnswerLimit = 64 << 20
 
-// errNoScopes says that a list service is of a build that does not know scopes: it has
-// answered with the whole list where a part of it was asked for.
-var errNoScopes = errors.New("the list service does not know scopes: upgrade it, or take the scopes out of this reader's configuration")
+// errScopesUnsupported is returned if a server of a build without scopes answers a scoped
+// read with the full list.
+var errScopesUnsupported = errors.New("the list service does not know scopes: upgrade it, or take the scopes out of this reader's configuration")
 
-// Client keeps a list, or the part of it that scopes select, up to date from several
-// services. It has one connection, over which all of its scopes come.
+// Client watches the list, or the part of it that scopes select, at one of several registry
+// addresses. It uses one connection for all of its scopes.
 type Client struct {
-	feed  *Feed // of Run
-	heard func(Told)
-	http  *http.Client
+	feed     *Feed // used only by Run
+	onUpdate func(Update)
+	http     *http.Client
 
 	watchWait   time.Duration
 	answerLimit int64        // bytes
-	heardAt     atomic.Int64 // Unix nanoseconds at which the last answer was current; 0: none
+	currentAt   atomic.Int64 // Unix time in nanoseconds at which the last answer was current; 0: none
 
-	mu       sync.Mutex // of what follows
-	wanted   []Scope
-	rescoped bool          // wanted has changed, and the feed does not know
-	rescope  chan struct{} // says so to a Run that waits
+	mu            sync.Mutex // guards the fields below
+	wanted        []Scope
+	scopesChanged bool          // wanted has not been passed to the feed yet
+	scopesSignal  chan struct{} // wakes Run after a change of wanted
 }
 
-// Told is an answer that tells something new, or the first one to other scopes.
-type Told struct {
-	Listing         // as it came
-	News    Listing // what of it is news for this reader; the instances of dropped scopes are Gone
+// Update is an answer with changes, or the first answer for new scopes.
+type Update struct {
+	Listing         // the answer as received
+	Changes Listing // the changes for this reader; instances of dropped scopes are Gone
 	History string
-	Epoch   int64 // of the writer; 0: not told
+	Epoch   int64 // of the writer; 0 if unknown
 	Scopes  *ScopeSet
-	Unknown []Scope // of Scopes, those whose service the list service does not know
+	Unknown []Scope // the elements of Scopes whose service is unknown
 }
 
-// NewClient calls heard, one at a time, with each answer that tells something new.
-func NewClient(addresses []string, random *rand.Rand, heard func(Told)) *Client {
-	return &Client{feed: NewFeed(addresses, random), heard: heard, rescope: make(chan struct{}, 1), watchWait: watchWait, answerLimit: DefaultAnswerLimit,
+// NewClient returns a Client that calls onUpdate from Run with each Update.
+func NewClient(addresses []string, random *rand.Rand, onUpdate func(Update)) *Client {
+	return &Client{feed: NewFeed(addresses, random), onUpdate: onUpdate, scopesSignal: make(chan struct{}, 1), watchWait: watchWait, answerLimit: DefaultAnswerLimit,
 		http: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// SetAnswerLimit bounds the bytes of an answer. A longer one is refused, and the last good
-// list stays. It is called before Run.
+// SetAnswerLimit sets the maximum size of an answer in bytes. The client rejects a longer
+// answer and keeps its list. Call it before Run.
 func (c *Client) SetAnswerLimit(bytes int64) { c.answerLimit = bytes }
 
-// SetScopes changes the part of the list that is read; without scopes it is the whole
-// list. It may be called before Run and during it, from any goroutine. Of several calls in
-// a row the last counts.
+// SetScopes changes the part of the list that is read; no scopes means the full list. It may
+// be called before and during Run from any goroutine. The last call wins.
 func (c *Client) SetScopes(scopes []Scope) {
 	c.mu.Lock()
-	c.wanted, c.rescoped = slices.Clone(scopes), true
+	c.wanted, c.scopesChanged = slices.Clone(scopes), true
 	c.mu.Unlock()
 	select {
-	case c.rescope <- struct{}{}:
-	default: // it has been said
+	case c.scopesSignal <- struct{}{}:
+	default: // already signalled
 	}
 }
 
-// takeScopes puts the scopes that SetScopes has named in force.
-func (c *Client) takeScopes() {
+// applyScopes passes the scopes of SetScopes to the feed.
+func (c *Client) applyScopes() {
 	c.mu.Lock()
-	wanted, rescoped := c.wanted, c.rescoped
-	c.rescoped = false
+	wanted, scopesChanged := c.wanted, c.scopesChanged
+	c.scopesChanged = false
 	c.mu.Unlock()
-	if !rescoped {
+	if !scopesChanged {
 		return
 	}
-	news := c.feed.SetScopes(wanted)
-	if len(news.Instances) > 0 {
-		c.heard(Told{Listing: Listing{Generation: news.Generation}, News: news, History: c.feed.history, Unknown: c.feed.Unknown()})
+	changes := c.feed.SetScopes(wanted)
+	if len(changes.Instances) > 0 {
+		c.onUpdate(Update{Listing: Listing{Generation: changes.Generation}, Changes: changes, History: c.feed.history, Unknown: c.feed.Unknown()})
 	}
 }
 
-// answer is what a call came to.
-type answer struct {
-	listing Listing
-	history string
-	epoch   int64
-	age     time.Duration
-	advised time.Duration // a pause that the service asks for
-	err     error
+// readResult is the outcome of a request.
+type readResult struct {
+	listing    Listing
+	history    string
+	epoch      int64
+	age        time.Duration
+	retryAfter time.Duration // delay requested by the server
+	err        error
 }
 
-// Run follows the list until ctx ends, from other addresses when moves has some.
-func (c *Client) Run(ctx context.Context, moves <-chan []string) {
+// Run watches the list until ctx ends. It switches to the addresses that it receives from
+// addressChanges.
+func (c *Client) Run(ctx context.Context, addressChanges <-chan []string) {
 	defer c.http.CloseIdleConnections()
-	var complained, rescopedAt time.Time
+	var lastWarning, scopesChangedAt time.Time
 	for ctx.Err() == nil {
-		c.takeScopes()
-		ask := c.feed.Next()
-		calling, cancel := context.WithCancel(ctx)
-		ended := make(chan answer, 1)
-		go func() { ended <- c.ask(calling, ask) }()
-		var a answer
-		var moved []string
-		var rescope chan struct{}
-		if ask.Waits() {
-			rescope = c.rescope // other calls are answered soon, and scopes that change often must not keep them from that
+		c.applyScopes()
+		request := c.feed.Next()
+		callContext, cancel := context.WithCancel(ctx)
+		results := make(chan readResult, 1)
+		go func() { results <- c.read(callContext, request) }()
+		var result readResult
+		var addresses []string
+		var scopesSignal chan struct{}
+		if request.IsLongPoll() {
+			scopesSignal = c.scopesSignal // frequent scope changes must not interrupt other requests
 		}
 		select {
-		case a = <-ended:
-		case moved = <-moves:
+		case result = <-results:
+		case addresses = <-addressChanges:
 			cancel()
-			<-ended
-		case <-rescope:
+			<-results
+		case <-scopesSignal:
 			cancel()
-			<-ended
-			c.pause(ctx, scopeGap-time.Since(rescopedAt), moves)
-			rescopedAt = time.Now()
+			<-results
+			c.sleep(ctx, minScopeChangeInterval-time.Since(scopesChangedAt), addressChanges)
+			scopesChangedAt = time.Now()
 			continue
 		}
 		cancel()
 		switch {
 		case ctx.Err() != nil:
 			return
-		case moved != nil:
-			c.feed.Move(moved)
+		case addresses != nil:
+			c.feed.SetAddresses(addresses)
 			continue
-		case a.err == nil:
-			if a.err = c.take(ask, a); a.err == nil {
+		case result.err == nil:
+			if result.err = c.handleAnswer(request, result); result.err == nil {
 				continue
 			}
 		}
-		if time.Since(complained) > complainGap {
-			complained = time.Now()
-			slog.Warn("list service", "address", ask.Address, "error", a.err)
+		if time.Since(lastWarning) > warningInterval {
+			lastWarning = time.Now()
+			slog.Warn("list service", "address", request.Address, "error", result.err)
 		}
 		c.http.CloseIdleConnections()
-		c.pause(ctx, c.feed.Failed(a.advised), moves)
+		c.sleep(ctx, c.feed.Failed(result.retryAfter), addressChanges)
 	}
 }
 
-// pause waits for the next call, or until there are other addresses.
-func (c *Client) pause(ctx context.Context, pause time.Duration, moves <-chan []string) {
-	wait := time.NewTimer(pause)
-	defer wait.Stop()
+// sleep waits before the next request. It returns early if the addresses change.
+func (c *Client) sleep(ctx context.Context, delay time.Duration, addressChanges <-chan []string) {
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case moved := <-moves:
-			c.feed.Move(moved)
+		case addresses := <-addressChanges:
+			c.feed.SetAddresses(addresses)
 			return
-		case <-c.rescope:
-			c.takeScopes() // what is dropped is told at once; the call for what is new keeps to the pause
-		case <-wait.C:
+		case <-c.scopesSignal:
+			c.applyScopes() // dropped instances are reported immediately; the request for new scopes waits
+		case <-timer.C:
 			return
 		}
 	}
 }
 
-// take hands on what an answer tells.
-func (c *Client) take(ask Ask, a answer) error {
-	before := c.feed.Unknown()
-	news, err := c.feed.AnsweredTo(ask, a.listing, a.history, a.age)
+// handleAnswer applies an answer to the feed and passes on the update.
+func (c *Client) handleAnswer(request ReadRequest, result readResult) error {
+	unknownBefore := c.feed.Unknown()
+	changes, err := c.feed.AnsweredTo(request, result.listing, result.history, result.age)
 	if err != nil {
 		return err
 	}
-	c.heardAt.Store(time.Now().Add(-a.age).UnixNano())
+	c.currentAt.Store(time.Now().Add(-result.age).UnixNano())
 	unknown := c.feed.Unknown()
-	if news.Reset || len(news.Instances) > 0 || news.Generation != ask.Since || !ask.Waits() || !slices.Equal(before, unknown) {
-		c.heard(Told{a.listing, news, a.history, a.epoch, ask.Scopes, unknown})
+	if changes.Reset || len(changes.Instances) > 0 || changes.Generation != request.Since || !request.IsLongPoll() || !slices.Equal(unknownBefore, unknown) {
+		c.onUpdate(Update{result.listing, changes, result.history, result.epoch, request.Scopes, unknown})
 	}
 	return nil
 }
 
-// Age is how old the list may be: how long ago the last answer came and, of a follower's
-// answer, how old that was. Below 0: none has come.
+// Age returns the maximum age of the list: the time since the last answer plus the age that
+// a follower reported with it. It is negative before the first answer.
 func (c *Client) Age() time.Duration {
-	at := c.heardAt.Load()
-	if at == 0 {
+	currentAt := c.currentAt.Load()
+	if currentAt == 0 {
 		return -1
 	}
-	return time.Since(time.Unix(0, at))
+	return time.Since(time.Unix(0, currentAt))
 }
 
-// ask makes a call. A service that does not know its scopes by their id is told them.
-func (c *Client) ask(ctx context.Context, a Ask) answer {
-	limit := listTimeout
-	if a.Waits() {
-		limit = c.watchWait + watchGrace
+// read makes a request. If the server does not know the ids of the scopes, read registers
+// them and repeats the request.
+func (c *Client) read(ctx context.Context, request ReadRequest) readResult {
+	timeout := listTimeout
+	if request.IsLongPoll() {
+		timeout = c.watchWait + watchGrace
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	got, known := c.list(ctx, a)
+	result, known := c.fetch(ctx, request)
 	if known {
-		return got
+		return result
 	}
-	sets := []*ScopeSet{a.Scopes}
-	if a.Held != nil && !a.Held.same(a.Scopes) {
-		sets = append(sets, a.Held)
+	sets := []*ScopeSet{request.Scopes}
+	if request.Held != nil && !request.Held.equal(request.Scopes) {
+		sets = append(sets, request.Held)
 	}
 	for _, set := range sets {
-		if err := c.subscribe(ctx, a.Address, set); err != nil {
-			return answer{err: err}
+		if err := c.subscribe(ctx, request.Address, set); err != nil {
+			return readResult{err: err}
 		}
 	}
-	got, _ = c.list(ctx, a)
-	return got
+	result, _ = c.fetch(ctx, request)
+	return result
 }
 
-// list asks for a list, and says whether the service knows the scopes.
-func (c *Client) list(ctx context.Context, a Ask) (got answer, known bool) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.Address+Path+a.query(c.watchWait), nil)
+// fetch makes one request and reports whether the server knows the ids of the scopes.
+func (c *Client) fetch(ctx context.Context, request ReadRequest) (result readResult, known bool) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+request.Address+Path+request.queryString(c.watchWait), nil)
 	if err != nil {
-		return answer{err: err}, true
+		return readResult{err: err}, true
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return answer{err: err}, true
+		return readResult{err: err}, true
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode == http.StatusOK && resp.Header.Get(SubscriptionHeader) != a.Scopes.ID() {
-		return answer{err: errNoScopes}, true // its body is left, which may be all of a long list
+	if resp.StatusCode == http.StatusOK && resp.Header.Get(SubscriptionHeader) != request.Scopes.ID() {
+		return readResult{err: errScopesUnsupported}, true // skip the body, which may be a long full list
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.answerLimit+1))
 	switch {
 	case err != nil:
-		return answer{err: err}, true
+		return readResult{err: err}, true
 	case int64(len(body)) > c.answerLimit:
-		return answer{err: fmt.Errorf("the list has more than %d bytes", c.answerLimit)}, true
+		return readResult{err: fmt.Errorf("the answer has more than %d bytes", c.answerLimit)}, true
 	case resp.StatusCode != http.StatusOK:
-		return answer{advised: advisedPause(resp), err: fmt.Errorf("status %s: %.200s", resp.Status, body)},
-			a.Scopes == nil || resp.StatusCode != http.StatusNotFound
+		return readResult{retryAfter: parseRetryAfter(resp), err: fmt.Errorf("status %s: %.200s", resp.Status, body)},
+			request.Scopes == nil || resp.StatusCode != http.StatusNotFound
 	}
-	if got.listing, got.err = ParseListing(body); got.err != nil {
-		return answer{err: got.err}, true
+	if result.listing, result.err = ParseListing(body); result.err != nil {
+		return readResult{err: result.err}, true
 	}
-	if a.Whole {
-		got.listing.Reset = true // a call without a version is answered with all there are
+	if request.Full {
+		result.listing.Reset = true // an answer to a request without a version is a full list
 	}
 	if ms, err := strconv.ParseInt(resp.Header.Get(AgeHeader), 10, 64); err == nil && ms > 0 {
-		got.age = time.Duration(min(ms, mostAdvised.Milliseconds())) * time.Millisecond
+		result.age = time.Duration(min(ms, maxRetryAfterHonored.Milliseconds())) * time.Millisecond
 	}
 	if n, err := strconv.ParseInt(resp.Header.Get(EpochHeader), 10, 64); err == nil && n > 0 {
-		got.epoch = n
+		result.epoch = n
 	}
-	got.history = resp.Header.Get(HistoryHeader)
-	return got, true
+	result.history = resp.Header.Get(HistoryHeader)
+	return result, true
 }
 
-// query is the part of a call's address that says what is asked for, and for how long the
-// service may wait for it where the call waits.
-func (a Ask) query(wait time.Duration) string {
-	if !a.Waits() {
-		wait = 0
+// queryString encodes the request as a URL query, including "?". longPoll is how long the
+// server may wait for changes.
+func (r ReadRequest) queryString(longPoll time.Duration) string {
+	if !r.IsLongPoll() {
+		longPoll = 0
 	}
-	var parts []string
-	if a.Scopes != nil {
-		parts = append(parts, subscriptionParameter+"="+a.Scopes.ID())
+	var parameters []string
+	if r.Scopes != nil {
+		parameters = append(parameters, subscriptionParameter+"="+r.Scopes.ID())
 	}
-	if !a.Whole {
-		if a.Held != nil && !a.Held.same(a.Scopes) {
-			parts = append(parts, heldParameter+"="+a.Held.ID())
+	if !r.Full {
+		if r.Held != nil && !r.Held.equal(r.Scopes) {
+			parameters = append(parameters, heldParameter+"="+r.Held.ID())
 		}
-		parts = append(parts, fmt.Sprintf("since=%d&timeout_ms=%d&history=%s", a.Since, wait.Milliseconds(), url.QueryEscape(a.History)))
+		parameters = append(parameters, fmt.Sprintf("since=%d&timeout_ms=%d&history=%s", r.Since, longPoll.Milliseconds(), url.QueryEscape(r.History)))
 	}
-	if len(parts) == 0 {
+	if len(parameters) == 0 {
 		return ""
 	}
-	return "?" + strings.Join(parts, "&")
+	return "?" + strings.Join(parameters, "&")
 }
 
-// subscribe tells a service a set of scopes.
+// subscribe registers a set of scopes with a server.
 func (c *Client) subscribe(ctx context.Context, address string, set *ScopeSet) error {
-	text, err := json.Marshal(subscriptionCall{Scopes: set.Strings()})
+	payload, err := json.Marshal(subscriptionRequest{Scopes: set.Strings()})
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+SubscriptionsPath, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+SubscriptionsPath, bytes.NewReader(payload))
 	if err != nil {
 		return err
 	}
@@ -313,7 +312,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostReply))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return err
 	}
@@ -322,16 +321,17 @@
 	}
 	var reply subscriptionReply
 	if err := json.Unmarshal(body, &reply); err != nil || reply.Subscription != set.ID() {
-		return fmt.Errorf("%d scopes: the service calls them %.80q, which are %s", set.Len(), reply.Subscription, set.ID())
+		return fmt.Errorf("%d scopes: the server returned the id %.80q, expected %s", set.Len(), reply.Subscription, set.ID())
 	}
 	return nil
 }
 
-// advisedPause is how long a service asks a caller to wait.
-func advisedPause(resp *http.Response) time.Duration {
-	after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	if !(after > 0) {
+// parseRetryAfter returns the delay in the Retry-After header, at most
+// maxRetryAfterHonored; 0 if there is none.
+func parseRetryAfter(resp *http.Response) time.Duration {
+	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+	if !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(after, mostAdvised.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfterHonored.Seconds()) * float64(time.Second))
 }
--- a/internal/registry/keeper.go
+++ b/internal/registry/keeper.go
@@ -11,241 +11,242 @@
 	"dunlintray/internal/wal"
 )
 
-// WALKind names a list service's folder.
+// WALKind is the kind of write-ahead log in a registry's data directory.
 const WALKind = "registry"
 
 const (
-	mostBatch  = 1024             // calls that one sync is for
-	batchBytes = 1 << 20          // of their records, about
-	keptWithin = 5 * time.Second  // that a call waits
-	roomGap    = 10 * time.Second // between two lines about a full disk
-	snapAgain  = 5 * time.Second  // after a snapshot that failed
+	maxBatchWrites       = 1024    // writes that share one sync
+	maxBatchBytes        = 1 << 20 // approximate size of the records that share one sync
+	persistTimeout       = 5 * time.Second
+	diskErrorLogInterval = 10 * time.Second
+	snapshotRetryDelay   = 5 * time.Second
 )
 
-// keeper makes changes last before anybody is told of them. One goroutine applies
-// the calls that have come, makes what they change last with one sync, and answers
-// them all; what comes meanwhile is the next batch.
-type keeper struct {
-	s      *Server
-	log    *wal.Log                     // nil where a group keeps what is changed
-	append func(records [][]byte) error // makes records last
-	calls  chan *job
-	snap   chan error // the end of a snapshot under way
-	toldAt time.Time
-	again  time.Time // no snapshot before
+// persister makes changes durable before readers and writers see them. One goroutine applies
+// a batch of pending writes, persists their changes with one sync, and completes them all;
+// writes that arrive meanwhile form the next batch.
+type persister struct {
+	server            *Server
+	log               *wal.Log                     // nil if a group replicates the changes
+	appendRecords     func(records [][]byte) error // makes records durable
+	requests          chan *pendingWrite
+	snapshotDone      chan error // result of a snapshot in progress
+	diskErrorLoggedAt time.Time
+	nextSnapshotAt    time.Time // earliest start of the next snapshot
 }
 
-// job is a call that somebody waits for.
-type job struct {
-	f       func(now time.Duration) (Written, error)
-	written Written
-	err     error
-	done    chan struct{}
+// pendingWrite is a write whose caller is waiting.
+type pendingWrite struct {
+	apply  func(now time.Duration) (WriteResult, error)
+	result WriteResult
+	err    error
+	done   chan struct{}
 }
 
-// Open reads a folder and takes up what it has, or begins with nothing. The store
-// is nil where the folder is new.
-func Open(fs wal.FS, most int64, limits Limits, now time.Duration) (*wal.Log, *Store, error) {
+// Open opens the log in a data directory and restores the store from it. The store is nil
+// if the log is empty. maxBytes bounds the size of the log. The caller closes the log.
+func Open(fs wal.FS, maxBytes int64, limits Limits, now time.Duration) (*wal.Log, *Store, error) {
 	store := newStore(limits, now)
-	any := false
-	restore := func(text []byte) error {
-		r, err := ParseSaved(text)
+	found := false
+	restore := func(encoded []byte) error {
+		record, err := ParseRecord(encoded)
 		if err != nil {
 			return err
 		}
-		any = true
-		return store.Restore(now, r)
+		found = true
+		return store.Restore(now, record)
 	}
-	const segments = 16 // files that the log is in, about, when it is full
-	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(2*batchBytes, most/segments), MaxBytes: most},
-		wal.Visitor{Snapshot: restore, Record: func(_ uint64, text []byte) error { return restore(text) }})
+	const segments = 16 // approximate number of segment files of a full log
+	log, err := wal.Open(fs, wal.Options{Kind: WALKind, SegmentBytes: max(2*maxBatchBytes, maxBytes/segments), MaxBytes: maxBytes},
+		wal.Visitor{Snapshot: restore, Record: func(_ uint64, encoded []byte) error { return restore(encoded) }})
 	if err != nil {
 		return nil, nil, err
 	}
-	r := log.Stats().Recovery
-	slog.Info("data read", "took", r.Duration, "snapshot", r.Snapshot, "snapshot_records", r.SnapshotRecords, "records", r.Records, "bytes", r.Bytes+r.SnapshotBytes,
-		"history", store.history, "version", store.version, "instances", len(store.entries), "closed", r.Closed)
-	if r.TruncatedBytes > 0 {
-		slog.Warn("a torn end was cut", "file", r.TruncatedFile, "at", r.TruncatedAt, "bytes", r.TruncatedBytes)
+	recovery := log.Stats().Recovery
+	slog.Info("data read", "took", recovery.Duration, "snapshot", recovery.Snapshot, "snapshot_records", recovery.SnapshotRecords, "records", recovery.Records, "bytes", recovery.Bytes+recovery.SnapshotBytes,
+		"history", store.history, "version", store.version, "instances", len(store.entries), "closed", recovery.Closed)
+	if recovery.TruncatedBytes > 0 {
+		slog.Warn("a torn end was cut", "file", recovery.TruncatedFile, "at", recovery.TruncatedAt, "bytes", recovery.TruncatedBytes)
 	}
-	if !any {
+	if !found {
 		return log, nil, nil
 	}
 	return log, store, nil
 }
 
-// Keep makes the server's changes last in a log. A history that begins is kept at
-// once.
-func (s *Server) Keep(log *wal.Log, fresh bool) error {
+// Persist makes the server persist its changes in log, which it closes at the end of Serve.
+// If fresh is true, Persist records the beginning of the history. Call it before Serve.
+func (s *Server) Persist(log *wal.Log, fresh bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if fresh {
-		b := Begin{History: s.store.history, Version: s.store.version, From: s.store.from, Epoch: s.store.epoch, Writer: true}
-		if _, err := log.Append([][]byte{encodeSaved(Saved{Begin: &b})}); err != nil {
+		begin := Begin{History: s.store.history, Version: s.store.version, BaseVersion: s.store.baseVersion, Epoch: s.store.epoch, Writer: true}
+		if _, err := log.Append([][]byte{encodeRecord(Record{Begin: &begin})}); err != nil {
 			return err
 		}
 	}
-	s.keeper = &keeper{s: s, log: log, calls: make(chan *job), snap: make(chan error, 1), append: func(records [][]byte) error {
+	s.persister = &persister{server: s, log: log, requests: make(chan *pendingWrite), snapshotDone: make(chan error, 1), appendRecords: func(records [][]byte) error {
 		_, err := log.Append(records)
 		return err
 	}}
-	if s.store.writes {
-		s.store.Stage()
+	if s.store.isWriter {
+		s.store.EnableStaging()
 	}
 	return nil
 }
 
-// do makes a call and waits until what it changes lasts.
-func (k *keeper) do(f func(now time.Duration) (Written, error)) (Written, error) {
-	c := &job{f: f, done: make(chan struct{})}
-	late := time.NewTimer(keptWithin)
-	defer late.Stop()
+// submit queues a write and waits until its changes are durable, for at most persistTimeout.
+func (k *persister) submit(apply func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
+	write := &pendingWrite{apply: apply, done: make(chan struct{})}
+	timer := time.NewTimer(persistTimeout)
+	defer timer.Stop()
 	select {
-	case k.calls <- c:
-	case <-late.C:
-		return Written{}, refuse(http.StatusServiceUnavailable, "the disk does not keep up")
-	case <-k.s.ended:
-		return Written{}, refuse(http.StatusServiceUnavailable, "the service has ended")
+	case k.requests <- write:
+	case <-timer.C:
+		return WriteResult{}, refuse(http.StatusServiceUnavailable, "overloaded: the write was not accepted within %v", persistTimeout)
+	case <-k.server.persisterDone:
+		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the server has stopped")
 	}
 	select {
-	case <-c.done:
-		return c.written, c.err
-	case <-late.C:
-		return Written{}, refuse(http.StatusServiceUnavailable, "the disk does not answer; the change may be kept")
+	case <-write.done:
+		return write.result, write.err
+	case <-timer.C:
+		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the write was not persisted within %v; it may still take effect", persistTimeout)
 	}
 }
 
-// run keeps changes until ctx ends or the log fails.
-func (k *keeper) run(ctx context.Context) error {
-	tick := time.NewTicker(tickGap)
-	defer tick.Stop()
-	var waiting []*job
+// run persists changes until ctx ends or the log fails.
+func (k *persister) run(ctx context.Context) error {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	var pending []*pendingWrite
 	for {
-		if len(waiting) == 0 {
+		if len(pending) == 0 {
 			select {
 			case <-ctx.Done():
 				return nil
-			case err := <-k.snap:
-				k.snapped(err)
+			case err := <-k.snapshotDone:
+				k.finishSnapshot(err)
 				continue
-			case <-tick.C:
-				if k.s.agreed != nil {
-					k.s.begin()
+			case <-ticker.C:
+				if k.server.replicated != nil {
+					k.server.beginHistory()
 				}
-				waiting = append(waiting, k.tick())
-			case c := <-k.calls:
-				waiting = append(waiting, c)
+				pending = append(pending, k.tick())
+			case write := <-k.requests:
+				pending = append(pending, write)
 			}
 		}
 	more:
-		for len(waiting) < mostBatch {
+		for len(pending) < maxBatchWrites {
 			select {
-			case c := <-k.calls:
-				waiting = append(waiting, c)
+			case write := <-k.requests:
+				pending = append(pending, write)
 			default:
 				break more
 			}
 		}
 		var err error
-		if waiting, err = k.batch(waiting); err != nil {
+		if pending, err = k.batch(pending); err != nil {
 			return err
 		}
 	}
 }
 
-// tick is the call that lets leases lapse.
-func (k *keeper) tick() *job {
-	return &job{done: make(chan struct{}), f: func(now time.Duration) (Written, error) {
-		if !k.s.store.writes || k.s.store.fence != nil {
-			return Written{}, nil
+// tick returns the write that expires leases.
+func (k *persister) tick() *pendingWrite {
+	return &pendingWrite{done: make(chan struct{}), apply: func(now time.Duration) (WriteResult, error) {
+		if !k.server.store.isWriter || k.server.store.fence != nil {
+			return WriteResult{}, nil
 		}
-		return Written{}, k.s.store.Tick(now)
+		return WriteResult{}, k.server.store.Tick(now)
 	}}
 }
 
-// batch makes calls, makes what they change last, and answers them. It returns
-// those that have to wait for the changes of others.
-func (k *keeper) batch(calls []*job) (later []*job, err error) {
-	var made []*job
-	k.s.mu.Lock()
+// batch applies writes, persists their changes and completes them. It returns the writes
+// that depend on staged changes of others or exceed the batch size. An error means that
+// changes cannot be persisted any more.
+func (k *persister) batch(writes []*pendingWrite) (deferred []*pendingWrite, err error) {
+	var applied []*pendingWrite
+	k.server.mu.Lock()
 	bytes := 0
-	pauses := k.s.store.stats.Pauses
-	for i, c := range calls {
-		if bytes > batchBytes {
-			later = append(later, calls[i:]...)
+	pausesBefore := k.server.store.stats.Pauses
+	for i, write := range writes {
+		if bytes > maxBatchBytes {
+			deferred = append(deferred, writes[i:]...)
 			break
 		}
-		before := len(k.s.store.staged)
-		c.written, c.err = c.f(k.s.now())
-		for _, staged := range k.s.store.staged[before:] {
-			bytes += len(staged.text)
+		stagedBefore := len(k.server.store.staged)
+		write.result, write.err = write.apply(k.server.now())
+		for _, staged := range k.server.store.staged[stagedBefore:] {
+			bytes += len(staged.encoded)
 		}
-		if errors.Is(c.err, errPending) {
-			later = append(later, c)
+		if errors.Is(write.err, errPending) {
+			deferred = append(deferred, write)
 			continue
 		}
-		made = append(made, c)
+		applied = append(applied, write)
 	}
-	if k.s.store.stats.Pauses != pauses {
-		slog.Warn("the service stood still; all leases begin anew")
+	if k.server.store.stats.Pauses != pausesBefore {
+		slog.Warn("process pause detected; all leases renewed")
 	}
-	records := k.s.store.Staged()
-	k.s.mu.Unlock()
+	records := k.server.store.StagedRecords()
+	k.server.mu.Unlock()
 	if len(records) > 0 {
-		err = k.append(records) // while readers and renewals that wait are let be
-		k.s.mu.Lock()
+		err = k.appendRecords(records) // without the lock, so that reads continue
+		k.server.mu.Lock()
 		switch {
-		case err == nil && k.s.agreed != nil:
-			k.s.store.Drop() // they have come by the group
+		case err == nil && k.server.replicated != nil:
+			k.server.store.DropStaged() // the group has applied them through ApplyList
 		case err == nil:
-			k.s.store.Settle(k.s.now())
-			k.s.wake()
+			k.server.store.CommitStaged(k.server.now())
+			k.server.wake()
 		default:
-			k.s.store.Drop()
-			for _, c := range made {
-				if c.err == nil {
-					c.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
+			k.server.store.DropStaged()
+			for _, write := range applied {
+				if write.err == nil {
+					write.err = refuse(http.StatusServiceUnavailable, "the change could not be persisted: %v", err)
 				}
 			}
 		}
-		k.s.mu.Unlock()
+		k.server.mu.Unlock()
 	}
-	for _, c := range made {
-		close(c.done)
+	for _, write := range applied {
+		close(write.done)
 	}
 	if err != nil {
-		if !errors.Is(err, wal.ErrNoSpace) && !errors.Is(err, errNotAgreed) {
-			for _, c := range later {
-				c.err = refuse(http.StatusServiceUnavailable, "the change could not be kept: %v", err)
-				close(c.done)
+		if !errors.Is(err, wal.ErrNoSpace) && !errors.Is(err, errOutcomeUnknown) {
+			for _, write := range deferred {
+				write.err = refuse(http.StatusServiceUnavailable, "the change could not be persisted: %v", err)
+				close(write.done)
 			}
 			return nil, fmt.Errorf("changes can't be kept any more: %w", err)
 		}
-		if time.Since(k.toldAt) > roomGap {
-			k.toldAt = time.Now()
-			slog.Error("writes are turned away, reads go on", "error", err)
+		if time.Since(k.diskErrorLoggedAt) > diskErrorLogInterval {
+			k.diskErrorLoggedAt = time.Now()
+			slog.Error("writes rejected; reads continue", "error", err)
 		}
 	}
 	k.snapshot()
-	return later, nil
+	return deferred, nil
 }
 
-// snapshot begins to write one, if it is due and none is being written.
-func (k *keeper) snapshot() {
-	if k.log == nil || !k.log.SnapshotDue() || time.Now().Before(k.again) {
+// snapshot starts writing a snapshot if one is due and none is in progress.
+func (k *persister) snapshot() {
+	if k.log == nil || !k.log.SnapshotDue() || time.Now().Before(k.nextSnapshotAt) {
 		return
 	}
-	k.again = time.Now().Add(time.Hour) // until this one has ended
-	k.s.mu.Lock()
-	all, sequence := k.s.store.Save(), k.log.LastSequence()
-	k.s.mu.Unlock()
-	k.s.wg.Go(func() { k.snap <- writeSnapshot(k.log, sequence, all) })
+	k.nextSnapshotAt = time.Now().Add(time.Hour) // finishSnapshot sets the actual time
+	k.server.mu.Lock()
+	records, sequence := k.server.store.SnapshotRecords(), k.log.LastSequence()
+	k.server.mu.Unlock()
+	k.server.snapshots.Go(func() { k.snapshotDone <- writeSnapshot(k.log, sequence, records) })
 }
 
-func writeSnapshot(log *wal.Log, sequence uint64, all []Saved) error {
+func writeSnapshot(log *wal.Log, sequence uint64, records []Record) error {
 	return log.Snapshot(sequence, func(emit func([]byte) error) error {
-		for _, r := range all {
-			if err := emit(encodeSaved(r)); err != nil {
+		for _, record := range records {
+			if err := emit(encodeRecord(record)); err != nil {
 				return err
 			}
 		}
@@ -253,30 +254,32 @@
 	})
 }
 
-func (k *keeper) snapped(err error) {
-	k.again = time.Now()
-	st := k.log.Stats()
+func (k *persister) finishSnapshot(err error) {
+	k.nextSnapshotAt = time.Now()
+	stats := k.log.Stats()
 	if err != nil {
-		k.again = k.again.Add(snapAgain)
-		slog.Error("snapshot", "error", err)
+		k.nextSnapshotAt = k.nextSnapshotAt.Add(snapshotRetryDelay)
+		slog.Error("snapshot failed", "error", err, "retry_in", snapshotRetryDelay)
 		return
 	}
-	slog.Info("snapshot", "sequence", st.Snapshot, "bytes", st.SnapshotBytes, "log_bytes", st.Bytes, "segments", st.Segments)
+	slog.Info("snapshot", "sequence", stats.Snapshot, "bytes", stats.SnapshotBytes, "log_bytes", stats.Bytes, "segments", stats.Segments)
 }
 
-// keep keeps a record of a follower, or of what befalls the service itself. The
-// caller has the server's lock.
-func (k *keeper) keep(r Saved) error { return k.append([][]byte{encodeSaved(r)}) }
+// persist appends one record outside of a batch. The caller holds the server's lock.
+func (k *persister) persist(record Record) error {
+	return k.appendRecords([][]byte{encodeRecord(record)})
+}
 
-// Compact writes a snapshot of a folder that no process has.
-func Compact(fs wal.FS, most int64) (wal.Stats, error) {
-	log, store, err := Open(fs, most, Limits{Lease: time.Second, Instances: 1 << 30, History: 1 << 30, HistoryBytes: 1 << 40, EmptyServices: 1 << 30}, 0)
+// Compact writes a snapshot of a data directory that no process uses, and returns the
+// statistics of its log. maxBytes bounds the size of the log.
+func Compact(fs wal.FS, maxBytes int64) (wal.Stats, error) {
+	log, store, err := Open(fs, maxBytes, Limits{Lease: time.Second, Instances: 1 << 30, History: 1 << 30, HistoryBytes: 1 << 40, EmptyServices: 1 << 30}, 0)
 	if err != nil {
 		return wal.Stats{}, err
 	}
 	if store != nil && log.LastSequence() > log.Stats().Snapshot {
-		err = writeSnapshot(log, log.LastSequence(), store.Save())
+		err = writeSnapshot(log, log.LastSequence(), store.SnapshotRecords())
 	}
-	st := log.Stats()
-	return st, errors.Join(err, log.Close())
+	stats := log.Stats()
+	return stats, errors.Join(err, log.Close())
 }
--- a/internal/registry/saved.go
+++ b/internal/registry/saved.go
@@ -9,206 +9,205 @@
 	"time"
 )
 
-// Saved is a record of a list service's log or of a snapshot. One of its parts is
-// set.
-type Saved struct {
-	Begin  *Begin         `json:"begin,omitempty"`
-	Entry  *SavedInstance `json:"entry,omitempty"`  // of a snapshot: an instance on the list
-	Change *SavedInstance `json:"change,omitempty"` // a change of the history
-	Copy   *SavedCopy     `json:"copy,omitempty"`   // what a follower's writer has told
-	Fence  *Fence         `json:"fence,omitempty"`  // another has taken this writer's place
-	Empty  *SavedServices `json:"empty,omitempty"`  // of a snapshot: services without instances
-}
-
-// Begin is where a history begins or, in a snapshot, where it is.
+// Record is a record of a registry's log or snapshot. Exactly one field is set.
+type Record struct {
+	Begin  *Begin          `json:"begin,omitempty"`
+	Entry  *InstanceRecord `json:"entry,omitempty"`  // in a snapshot: an instance of the list
+	Change *InstanceRecord `json:"change,omitempty"` // a change of the history
+	Copy   *CopyRecord     `json:"copy,omitempty"`   // an update that a follower received
+	Fence  *Fence          `json:"fence,omitempty"`  // another writer has replaced this one
+	Empty  *ServicesRecord `json:"empty,omitempty"`  // in a snapshot: known services without instances
+}
+
+// Begin is the beginning of a history or, in a snapshot, its current position.
 type Begin struct {
-	History string `json:"history"`
-	Version int64  `json:"version"`
-	From    int64  `json:"from"` // the version that the changes follow
-	Epoch   int64  `json:"epoch"`
-	Writer  bool   `json:"writer"` // of this service's own
+	History     string `json:"history"`
+	Version     int64  `json:"version"`
+	BaseVersion int64  `json:"from"` // version before the first change
+	Epoch       int64  `json:"epoch"`
+	Writer      bool   `json:"writer"` // this process writes the history
 }
 
 // SavedInstance is an instance at a version.
-type SavedInstance struct {
+type InstanceRecord struct {
 	Version  int64           `json:"version"`
 	Instance json.RawMessage `json:"instance"`
-	// Left are, of a change in a snapshot, the placements that the instance left with it.
-	Left []Placement `json:"left,omitempty"`
+	// Previous holds the placements that the instance left with the change. Only for changes
+	// in a snapshot.
+	Previous []Placement `json:"left,omitempty"`
 }
 
-// SavedServices are the services that have had instances and have none, the first to
-// become empty first.
-type SavedServices struct {
+// ServicesRecord names the known services without instances, in the order in which they
+// became empty.
+type ServicesRecord struct {
 	Names []string `json:"names"`
 }
 
-// SavedCopy is a list that a follower has copied.
-type SavedCopy struct {
+// CopyRecord is an update that a follower received from its writer.
+type CopyRecord struct {
 	History string  `json:"history"`
 	Epoch   int64   `json:"epoch"`
 	Listing Listing `json:"listing"`
 }
 
-// Fence names the writer that an operator has put in another's place. Of two
-// writers the one with the higher epoch is.
+// Fence identifies the writer that replaces another by promotion. Of two writers the one
+// with the higher epoch is valid.
 type Fence struct {
 	Epoch   int64  `json:"epoch"`
 	History string `json:"history"`
 	Writer  string `json:"writer"` // its address
 }
 
-func encodeSaved(s Saved) []byte {
-	text, err := json.Marshal(s)
+func encodeRecord(record Record) []byte {
+	encoded, err := json.Marshal(record)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // only plain fields, which always encode
 	}
-	return text
+	return encoded
 }
 
-// ParseSaved reads a record.
-func ParseSaved(text []byte) (Saved, error) {
-	var s Saved
-	if err := decode(text, &s); err != nil {
-		return s, err
+// ParseRecord decodes a record. It returns an error unless exactly one field is set.
+func ParseRecord(encoded []byte) (Record, error) {
+	var record Record
+	if err := decode(encoded, &record); err != nil {
+		return record, err
 	}
 	parts := 0
-	for _, set := range []bool{s.Begin != nil, s.Entry != nil, s.Change != nil, s.Copy != nil, s.Fence != nil, s.Empty != nil} {
+	for _, set := range []bool{record.Begin != nil, record.Entry != nil, record.Change != nil, record.Copy != nil, record.Fence != nil, record.Empty != nil} {
 		if set {
 			parts++
 		}
 	}
 	if parts != 1 {
-		return s, fmt.Errorf("a record has one part, not %d", parts)
+		return record, fmt.Errorf("record: %d fields are set, expected 1", parts)
 	}
-	return s, nil
+	return record, nil
 }
 
-// instance reads and checks the instance of a record.
-func (s *SavedInstance) instance() (Instance, error) {
-	var i Instance
-	if err := decode(s.Instance, &i); err != nil {
-		return i, err
+// instance decodes and validates the instance of a record.
+func (r *InstanceRecord) instance() (Instance, error) {
+	var instance Instance
+	if err := decode(r.Instance, &instance); err != nil {
+		return instance, err
 	}
-	return i, i.check()
+	return instance, instance.check()
 }
 
-// Restore takes a record in, as it was read from a log or a snapshot. All leases
-// begin anew.
-func (s *Store) Restore(now time.Duration, r Saved) error {
+// Restore applies a record from a log or snapshot. Restored instances get a new lease.
+func (s *Store) Restore(now time.Duration, record Record) error {
 	switch {
-	case r.Begin != nil:
-		b := r.Begin
-		if b.Version < s.version || b.From > b.Version || b.History == "" {
-			return fmt.Errorf("a history %q from %d to %d behind version %d", b.History, b.From, b.Version, s.version)
+	case record.Begin != nil:
+		begin := record.Begin
+		if begin.Version < s.version || begin.BaseVersion > begin.Version || begin.History == "" {
+			return fmt.Errorf("record: history %q with base %d and version %d cannot follow version %d", begin.History, begin.BaseVersion, begin.Version, s.version)
 		}
-		s.forget()
-		s.history, s.version, s.from, s.epoch, s.writes = b.History, b.Version, b.From, b.Epoch, b.Writer
+		s.clearHistory()
+		s.history, s.version, s.baseVersion, s.epoch, s.isWriter = begin.History, begin.Version, begin.BaseVersion, begin.Epoch, begin.Writer
 		s.fence = nil
-	case r.Entry != nil:
-		i, err := r.Entry.instance()
+	case record.Entry != nil:
+		instance, err := record.Entry.instance()
 		if err != nil {
 			return err
 		}
-		s.enter(&entry{Instance: i, version: r.Entry.Version, text: r.Entry.Instance, expires: now + s.limits.Lease})
-	case r.Change != nil:
-		i, err := r.Change.instance()
+		s.putEntry(&entry{Instance: instance, version: record.Entry.Version, encoded: record.Entry.Instance, expires: now + s.limits.Lease})
+	case record.Change != nil:
+		instance, err := record.Change.instance()
 		if err != nil {
 			return err
 		}
-		if r.Change.Version <= s.version {
-			// Of a snapshot, which has what it led to beside it.
-			if r.Change.Version == s.from {
-				return nil // a follower's; earlier builds kept some of a version that was forgotten
+		if record.Change.Version <= s.version {
+			// The record is from a snapshot, whose entries already reflect the change.
+			if record.Change.Version == s.baseVersion {
+				return nil // followers of earlier builds kept part of a trimmed version
 			}
-			if r.Change.Version < s.from {
-				return fmt.Errorf("version %d is not behind %d", r.Change.Version, s.from)
+			if record.Change.Version < s.baseVersion {
+				return fmt.Errorf("record: change to version %d is below the base version %d of the history", record.Change.Version, s.baseVersion)
 			}
-			c := newChange(i, r.Change.Version, r.Change.Instance, r.Change.Left)
-			s.remember(c, c.gone && s.entries[i.ID] == nil)
+			c := newChange(instance, record.Change.Version, record.Change.Instance, record.Change.Previous)
+			s.appendChange(c, c.gone && s.entries[instance.ID] == nil)
 			return nil
 		}
-		s.putText(i, r.Change.Instance, r.Change.Version, now, r.Change.Left)
-		s.forgetServices()
-	case r.Copy != nil:
-		s.epoch, s.writes = max(s.epoch, r.Copy.Epoch), false
-		return s.Copy(now, r.Copy.Listing, r.Copy.History)
-	case r.Fence != nil:
-		s.fence = r.Fence
-	case r.Empty != nil:
-		for _, name := range r.Empty.Names {
-			s.services.mention(name)
+		s.applyEncoded(instance, record.Change.Instance, record.Change.Version, now, record.Change.Previous)
+		s.trimServices()
+	case record.Copy != nil:
+		s.epoch, s.isWriter = max(s.epoch, record.Copy.Epoch), false
+		return s.ApplyListing(now, record.Copy.Listing, record.Copy.History)
+	case record.Fence != nil:
+		s.fence = record.Fence
+	case record.Empty != nil:
+		for _, name := range record.Empty.Names {
+			s.services.addKnown(name)
 		}
-		s.forgetServices()
+		s.trimServices()
 	}
 	return nil
 }
 
-// Save tells all that a snapshot has to hold, as it is now. The texts may be used
-// after others have changed the store.
-func (s *Store) Save() []Saved {
-	all := []Saved{{Begin: &Begin{History: s.history, Version: s.version, From: s.from, Epoch: s.epoch, Writer: s.writes}}}
+// SnapshotRecords returns the records of a snapshot of the store. They stay valid when the
+// store changes.
+func (s *Store) SnapshotRecords() []Record {
+	records := []Record{{Begin: &Begin{History: s.history, Version: s.version, BaseVersion: s.baseVersion, Epoch: s.epoch, Writer: s.isWriter}}}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 		e := s.entries[id]
-		all = append(all, Saved{Entry: &SavedInstance{Version: e.version, Instance: e.text}})
+		records = append(records, Record{Entry: &InstanceRecord{Version: e.version, Instance: e.encoded}})
 	}
 	if names := s.services.emptyNames(); len(names) > 0 {
-		all = append(all, Saved{Empty: &SavedServices{names}})
+		records = append(records, Record{Empty: &ServicesRecord{names}})
 	}
 	for _, c := range s.changes {
-		all = append(all, Saved{Change: &SavedInstance{c.version, c.text, c.left()}})
+		records = append(records, Record{Change: &InstanceRecord{c.version, c.encoded, c.previousPlacements()}})
 	}
 	if s.fence != nil {
-		all = append(all, Saved{Fence: s.fence})
+		records = append(records, Record{Fence: s.fence})
 	}
-	return all
+	return records
 }
 
-// errPending says that the instance is in a change that does not last yet. The
-// call can be made again when it does.
-var errPending = errors.New("a change of the instance is being kept")
+// errPending is returned for a write to an instance with a staged change. The write can be
+// repeated when the change is durable.
+var errPending = errors.New("a change of the instance is being persisted")
 
-// Writes says whether the history is this service's own.
-func (s *Store) Writes() bool { return s.writes }
+// IsWriter reports whether this process writes the history.
+func (s *Store) IsWriter() bool { return s.isWriter }
 
-// Stage makes changes wait: from now on they are not told before Settle.
-func (s *Store) Stage() { s.staging = true }
+// EnableStaging makes writes stage their changes: readers see them only after CommitStaged.
+func (s *Store) EnableStaging() { s.staging = true }
 
-// Staged are the changes that have to last, as records.
-func (s *Store) Staged() [][]byte {
-	var all [][]byte
+// StagedRecords returns the staged changes as encoded records.
+func (s *Store) StagedRecords() [][]byte {
+	var records [][]byte
 	for _, c := range s.staged {
-		all = append(all, encodeSaved(Saved{Change: &SavedInstance{Version: c.version, Instance: c.text}}))
+		records = append(records, encodeRecord(Record{Change: &InstanceRecord{Version: c.version, Instance: c.encoded}}))
 	}
-	return all
+	return records
 }
 
-// Settle takes the staged changes in: they last.
-func (s *Store) Settle(now time.Duration) {
+// CommitStaged applies the staged changes. Call it when they are durable.
+func (s *Store) CommitStaged(now time.Duration) {
 	staged := s.staged
-	s.Drop()
+	s.DropStaged()
 	for _, c := range staged {
-		s.putText(c.instance, c.text, c.version, now, nil)
+		s.applyEncoded(c.instance, c.encoded, c.version, now, nil)
 	}
-	s.forgetServices()
+	s.trimServices()
 }
 
-// Drop forgets the staged changes: they have not happened.
-func (s *Store) Drop() {
+// DropStaged discards the staged changes.
+func (s *Store) DropStaged() {
 	s.staged = nil
 	clear(s.pending)
 }
 
-// Promote makes the copy of a follower a list that is written here, under a new
-// history with a version that is higher than all before. The record has to last
-// before it is told.
-func (s *Store) Promote(now time.Duration, name string, unixMs int64) Saved {
-	b := &Begin{History: name, Version: max(unixMs, s.version+1), Epoch: s.epoch + 1, Writer: true}
-	b.From = b.Version
-	return Saved{Begin: b}
+// PromotionRecord returns the record that makes a follower's copy a list written by this
+// process, under a new history whose version is above all earlier ones. unixMs is the
+// current time. The caller persists the record and then passes it to Restore.
+func (s *Store) PromotionRecord(now time.Duration, historyName string, unixMs int64) Record {
+	begin := &Begin{History: historyName, Version: max(unixMs, s.version+1), Epoch: s.epoch + 1, Writer: true}
+	begin.BaseVersion = begin.Version
+	return Record{Begin: begin}
 }
 
-// renewAll begins all leases anew.
+// renewAll renews all leases.
 func (s *Store) renewAll(now time.Duration) {
 	for _, e := range s.entries {
 		e.expires = max(e.expires, now+s.limits.Lease)
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -17,148 +17,153 @@
 )
 
 const (
-	tickGap     = 100 * time.Millisecond
-	wakeGap     = 50 * time.Millisecond // between two answers to all watchers
-	longestWait = time.Minute           // of a watch
-	writeWait   = 5 * time.Second       // for an answer to be taken; a watcher that does not is cut
-	readWait    = 3 * time.Second       // for a call to come whole
-	idleWait    = 90 * time.Second
-	mostCall    = 4 << 10 // bytes of a write's body
-	mostHead    = 8 << 10
-	leaveWithin = 2 * time.Second // in which watchers are told to move on, each at its own moment
-	mostAfter   = 3 * time.Second // of Retry-After
-	leastAfter  = time.Second
+	tickInterval     = 100 * time.Millisecond
+	wakeInterval     = 50 * time.Millisecond // minimum between two wake-ups of all watchers
+	maxWatchWait     = time.Minute
+	writeTimeout     = 5 * time.Second // for sending an answer
+	readTimeout      = 3 * time.Second // for receiving a request
+	idleTimeout      = 90 * time.Second
+	maxRequestBytes  = 4 << 10 // of the body of a write
+	maxHeaderBytes   = 8 << 10
+	watchDrainPeriod = 2 * time.Second // over which watches end at shutdown
+	maxRetryAfter    = 3 * time.Second
+	minRetryAfter    = time.Second
 )
 
-// Server answers readers and writers of one Store.
+// Server serves one Store to readers and writers.
 type Server struct {
-	limits ServerLimits
-	writer atomic.Pointer[string] // of a follower; nil: this is the writer
-	age    func() int64           // milliseconds since the writer was heard; nil for a writer
-	began  time.Time
-
-	mu         sync.Mutex // of the store and of what follows
-	store      *Store
-	news       chan struct{} // closed when there is something new
-	wokenAt    time.Time
-	waking     bool
-	toldLapsed int64
-	toldAt     time.Time
-	lists      float64 // that may be asked for now
-	listsAt    time.Time
-	random     *rand.Rand
-	subscribed *subscriptions
-	watches    map[*scopedWatch]struct{} // of scopes, that wait
-	passedOver int64                     // the version at which they were last looked at
-
-	keeper  *keeper        // makes changes last; nil: nothing does
-	agreed  *agreed        // of a list that a group agrees on; else nil
-	self    string         // this service's own address, for others
-	promote func() error   // of a follower
-	wg      sync.WaitGroup // of snapshots
-	leaving chan struct{}  // closed at the stop
-	ended   chan struct{}  // closed when no change is made any more
-	figures struct {
-		watchers, refused, turnedAway, answers, bytes, cut atomic.Int64
+	limits    ServerLimits
+	writer    atomic.Pointer[string] // the writer's address, empty if unknown; nil if this is the writer
+	ageMs     func() int64           // milliseconds since the last update from the writer, -1 for none; nil for a writer
+	startedAt time.Time
+
+	mu              sync.Mutex // guards limits, store and the fields down to watchesVersion
+	store           *Store
+	changed         chan struct{} // closed and replaced when watchers are woken
+	lastWake        time.Time
+	wakePending     bool
+	loggedLapses    int64
+	lapsesLoggedAt  time.Time
+	listingTokens   float64 // full listings that the rate limit admits now
+	listingTokensAt time.Time
+	random          *rand.Rand
+	subscriptions   *subscriptions
+	watches         map[*scopedWatch]struct{} // scoped watches that are waiting
+	watchesVersion  int64                     // version at which watches were last checked
+
+	persister     *persister   // nil if changes are not persisted
+	replicated    *replicated  // nil if no group replicates the list
+	selfAddress   string       // this server's address as other processes reach it
+	promote       func() error // nil unless this is a follower
+	snapshots     sync.WaitGroup
+	stopping      chan struct{} // closed at the beginning of shutdown
+	persisterDone chan struct{} // closed when the persister has stopped
+	metrics       struct {
+		watchers, refused, overloaded, answers, bytes, aborted atomic.Int64
 	}
 }
 
-// NewWriter serves a store of its own at an address that others know.
-func NewWriter(self string, store *Store, limits ServerLimits, began time.Time, random *rand.Rand) *Server {
+// NewWriter returns a Server that writes to store, which it owns from now on. selfAddress
+// is the address at which other processes reach it, and startedAt the origin of the store's
+// clock.
+func NewWriter(selfAddress string, store *Store, limits ServerLimits, startedAt time.Time, random *rand.Rand) *Server {
 	limits = limits.withDefaults()
-	return &Server{self: self, limits: limits, store: store, subscribed: newSubscriptions(), watches: map[*scopedWatch]struct{}{}, began: began, news: make(chan struct{}), random: random,
-		lists: limits.Lists, listsAt: began, leaving: make(chan struct{}), ended: make(chan struct{})}
+	return &Server{selfAddress: selfAddress, limits: limits, store: store, subscriptions: newSubscriptions(), watches: map[*scopedWatch]struct{}{}, startedAt: startedAt, changed: make(chan struct{}), random: random,
+		listingTokens: limits.ListingsPerSecond, listingTokensAt: startedAt, stopping: make(chan struct{}), persisterDone: make(chan struct{})}
 }
 
-// Retune puts other limits in force. Leases that run keep their end.
-func (s *Server) Retune(limits Limits, serves ServerLimits) {
+// SetLimits replaces the limits. Current leases keep their expiry.
+func (s *Server) SetLimits(limits Limits, serverLimits ServerLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.store.limits, s.limits = limits, serves.withDefaults()
+	s.store.limits, s.limits = limits, serverLimits.withDefaults()
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.began) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// tick lets leases lapse until ctx ends; where changes are kept, the keeper does.
+// tick expires leases until ctx ends. If there is a persister, it expires them instead.
 func (s *Server) tick(ctx context.Context) {
-	t := time.NewTicker(tickGap)
-	defer t.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		switch {
-		case s.keeper != nil:
-			s.tellLapses()
+		case s.persister != nil:
+			s.logLapses()
 			continue
 		case s.writer.Load() != nil:
-			continue // the writer's to say
+			continue // only the writer expires leases
 		}
-		if _, err := s.change(func(now time.Duration) (Written, error) { return Written{}, s.store.Tick(now) }); err != nil {
-			slog.Error("lapses", "error", err)
+		if _, err := s.change(func(now time.Duration) (WriteResult, error) { return WriteResult{}, s.store.Tick(now) }); err != nil {
+			slog.Error("expired leases could not be removed", "error", err)
 		}
-		s.tellLapses()
+		s.logLapses()
 	}
 }
 
-// tellLapses writes a line about leases that have run out, once a second at most.
-func (s *Server) tellLapses() {
+// logLapses logs the number of lapsed leases at most once a second.
+func (s *Server) logLapses() {
 	s.mu.Lock()
-	st := s.store.Stats()
+	stats := s.store.Stats()
 	now := time.Now()
-	tell := st.Lapsed != s.toldLapsed && now.Sub(s.toldAt) >= time.Second
-	lapsed := st.Lapsed - s.toldLapsed
-	if tell {
-		s.toldLapsed, s.toldAt = st.Lapsed, now
+	due := stats.Lapsed != s.loggedLapses && now.Sub(s.lapsesLoggedAt) >= time.Second
+	lapsed := stats.Lapsed - s.loggedLapses
+	if due {
+		s.loggedLapses, s.lapsesLoggedAt = stats.Lapsed, now
 	}
 	s.mu.Unlock()
-	if tell {
-		slog.Warn("leases have run out", "gone", lapsed, "overdue", st.Overdue, "instances", st.Instances)
+	if due {
+		slog.Warn("leases expired", "gone", lapsed, "overdue", stats.Overdue, "instances", stats.Instances)
 	}
 }
 
-// writeChange makes a change, which lasts when it returns where changes are kept.
-func (s *Server) writeChange(f func(now time.Duration) (Written, error)) (Written, error) {
-	fenced := func(now time.Duration) (Written, error) {
-		if err := cmp.Or(s.refuseFenced(), s.refuseElsewhere()); err != nil {
-			return Written{}, err
+// writeChange makes a change unless this server is fenced or not the writer. If there is a
+// persister, the change is durable when writeChange returns.
+func (s *Server) writeChange(write func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
+	fenced := func(now time.Duration) (WriteResult, error) {
+		if err := cmp.Or(s.checkFenced(), s.checkIsWriter()); err != nil {
+			return WriteResult{}, err
 		}
-		return f(now)
+		return write(now)
 	}
-	if s.keeper != nil {
-		return s.keeper.do(fenced)
+	if s.persister != nil {
+		return s.persister.submit(fenced)
 	}
 	return s.change(fenced)
 }
 
-// change does something with the store and wakes the watchers if that made news.
-func (s *Server) change(f func(now time.Duration) (Written, error)) (Written, error) {
+// change applies a function to the store and wakes the watchers if the version or history
+// has changed.
+func (s *Server) change(apply func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before, history, pauses := s.store.version, s.store.history, s.store.stats.Pauses
-	written, err := f(s.now())
-	if s.store.version != before || s.store.history != history {
+	versionBefore, historyBefore, pausesBefore := s.store.version, s.store.history, s.store.stats.Pauses
+	result, err := apply(s.now())
+	if s.store.version != versionBefore || s.store.history != historyBefore {
 		s.wake()
 	}
-	if s.store.stats.Pauses != pauses {
-		slog.Warn("the service stood still; all leases begin anew")
+	if s.store.stats.Pauses != pausesBefore {
+		slog.Warn("process pause detected; all leases renewed")
 	}
-	return written, err
+	return result, err
 }
 
-// wake lets the watchers look. Changes that come close together are told at once.
+// wake wakes the watchers, at most once per wakeInterval, so that changes in quick
+// succession share an answer. The caller holds s.mu.
 func (s *Server) wake() {
-	if s.waking {
+	if s.wakePending {
 		return
 	}
-	if wait := wakeGap - time.Since(s.wokenAt); wait > 0 {
-		s.waking = true
-		time.AfterFunc(wait, func() {
+	if delay := wakeInterval - time.Since(s.lastWake); delay > 0 {
+		s.wakePending = true
+		time.AfterFunc(delay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.waking = false
+			s.wakePending = false
 			s.wakeNow()
 		})
 		return
@@ -167,16 +172,16 @@
 }
 
 func (s *Server) wakeNow() {
-	s.wokenAt = time.Now()
-	close(s.news)
-	s.news = make(chan struct{})
-	s.passOver()
+	s.lastWake = time.Now()
+	close(s.changed)
+	s.changed = make(chan struct{})
+	s.advanceWatches()
 }
 
-func (s *Server) between(least, most time.Duration) time.Duration {
+func (s *Server) randomBetween(low, high time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return least + time.Duration(s.random.Int64N(int64(most-least)))
+	return low + time.Duration(s.random.Int64N(int64(high-low)))
 }
 
 func (s *Server) lease() time.Duration {
@@ -185,66 +190,68 @@
 	return s.store.limits.Lease
 }
 
-func (s *Server) left() bool {
+func (s *Server) isStopping() bool {
 	select {
-	case <-s.leaving:
+	case <-s.stopping:
 		return true
 	default:
 		return false
 	}
 }
 
-// Serve answers on a listener, and operators on another, until ctx ends; then
-// it lets watchers move on, at differing moments, and returns.
-func (s *Server) Serve(ctx context.Context, l, operators net.Listener) error {
-	inner, stop := context.WithCancel(context.Background())
+// Serve serves readers and writers on listener, and the control endpoints on
+// operatorListener unless that is nil, until ctx ends. Then it ends the watches spread over
+// watchDrainPeriod, so that the readers do not reconnect elsewhere all at once. It returns
+// an error if a listener or the persister fails, or if shutdown times out.
+func (s *Server) Serve(ctx context.Context, listener, operatorListener net.Listener) error {
+	tickContext, stopTicks := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer stop()
-	wg.Go(func() { s.tick(inner) })
-	kept := make(chan error, 1)
-	if s.keeper != nil {
-		keeping, end := context.WithCancel(context.Background())
+	defer stopTicks()
+	wg.Go(func() { s.tick(tickContext) })
+	persisterResult := make(chan error, 1)
+	if s.persister != nil {
+		persisterContext, stopPersister := context.WithCancel(context.Background())
 		defer func() { // after the last write
-			end()
-			<-s.ended
-			s.wg.Wait()
-			if err := s.keeper.closeLog(); err != nil {
-				slog.Error("data", "error", err)
+			stopPersister()
+			<-s.persisterDone
+			s.snapshots.Wait()
+			if err := s.persister.closeLog(); err != nil {
+				slog.Error("log could not be closed", "error", err)
 			}
 		}()
 		go func() {
-			err := s.keeper.run(keeping)
-			close(s.ended)
-			kept <- err
+			err := s.persister.run(persisterContext)
+			close(s.persisterDone)
+			persisterResult <- err
 		}()
 	}
-	server := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: readWait, IdleTimeout: idleWait, MaxHeaderBytes: mostHead}
-	failed := make(chan error, 2)
+	server := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
+	serveErrors := make(chan error, 2)
 	s.mu.Lock()
 	connections := s.limits.Connections
 	s.mu.Unlock()
-	wg.Go(func() { failed <- server.Serve(netutil.LimitListener(l, connections)) })
-	if operators != nil {
-		control := &http.Server{Handler: s.control(), ReadTimeout: readWait, WriteTimeout: writeWait, MaxHeaderBytes: mostHead}
-		wg.Go(func() { failed <- control.Serve(netutil.LimitListener(operators, 16)) })
+	wg.Go(func() { serveErrors <- server.Serve(netutil.LimitListener(listener, connections)) })
+	if operatorListener != nil {
+		control := &http.Server{Handler: s.controlHandler(), ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes}
+		wg.Go(func() { serveErrors <- control.Serve(netutil.LimitListener(operatorListener, 16)) })
 		defer control.Close()
 	}
-	var broken error
+	var persistErr error
 	select {
-	case err := <-failed:
+	case err := <-serveErrors:
 		server.Close()
 		return err
-	case broken = <-kept: // nobody may believe any more in what this process has
+	case persistErr = <-persisterResult: // changes can no longer be persisted, so stop serving
 	case <-ctx.Done():
 	}
-	slog.Info("leaving", "watchers", s.figures.watchers.Load())
-	close(s.leaving)
-	end, cancel := context.WithTimeout(context.Background(), leaveWithin+writeWait)
+	slog.Info("shutting down", "watchers", s.metrics.watchers.Load())
+	close(s.stopping)
+	shutdownContext, cancel := context.WithTimeout(context.Background(), watchDrainPeriod+writeTimeout)
 	defer cancel()
-	if err := server.Shutdown(end); err != nil {
+	if err := server.Shutdown(shutdownContext); err != nil {
 		server.Close()
-		return errors.Join(broken, fmt.Errorf("calls that were still open at the end: %w", err))
+		return errors.Join(persistErr, fmt.Errorf("requests still in progress at shutdown: %w", err))
 	}
-	return broken
+	return persistErr
 }
