--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -206,9 +206,9 @@
 
 func (w *Emulator) emit(action any) { w.actions = append(w.actions, Action{w.now, action}) }
 
-func (w *Emulator) schedule(schedule time.Duration, do func()) {
+func (w *Emulator) schedule(at time.Duration, do func()) {
 	w.timerSequence++
-	heap.Push(&w.timers, timer{schedule, w.timerSequence, do})
+	heap.Push(&w.timers, timer{at, w.timerSequence, do})
 }
 
 func (w *Emulator) after(d time.Duration, do func()) { w.schedule(w.now+d, do) }
