--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -24,41 +24,41 @@
 // names the configuration where no flag does. Help was printed where the error
 // is flag.ErrHelp.
 func Parse(name, env string, args []string, out io.Writer) (Options, error) {
-	o := Options{level: slog.LevelInfo}
+	options := Options{level: slog.LevelInfo}
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(out)
 	flags.Usage = func() {
 		fmt.Fprintf(out, "Usage: %s [flags]\n", name)
 		flags.PrintDefaults()
 	}
-	flags.StringVar(&o.Config, "config", os.Getenv(env), "`path` of the configuration; without it, $"+env)
-	flags.BoolVar(&o.Check, "check", false, "check the configuration and end")
-	flags.TextVar(&o.level, "log-level", o.level, "least `level` to log: debug, info, warn or error")
-	flags.StringVar(&o.format, "log-format", "", "`form` of the log: text or json")
+	flags.StringVar(&options.Config, "config", os.Getenv(env), "`path` of the configuration; without it, $"+env)
+	flags.BoolVar(&options.Check, "check", false, "check the configuration and end")
+	flags.TextVar(&options.level, "log-level", options.level, "least `level` to log: debug, info, warn or error")
+	flags.StringVar(&options.format, "log-format", "", "`form` of the log: text or json")
 	if err := flags.Parse(args); err != nil {
-		return o, err
+		return options, err
 	}
 	switch {
 	case flags.NArg() > 0:
-		return o, fmt.Errorf("%q: only flags are taken", flags.Arg(0))
-	case o.format != "" && o.format != "text" && o.format != "json":
-		return o, fmt.Errorf("--log-format: %q is neither text nor json", o.format)
-	case o.Config == "":
-		return o, errors.New(env + " is not set, nor --config")
+		return options, fmt.Errorf("%q: only flags are taken", flags.Arg(0))
+	case options.format != "" && options.format != "text" && options.format != "json":
+		return options, fmt.Errorf("--log-format: %q is neither text nor json", options.format)
+	case options.Config == "":
+		return options, errors.New(env + " is not set, nor --config")
 	}
-	return o, nil
+	return options, nil
 }
 
 // Log makes slog's default logger write to out as the flags ask, each record
 // with the attributes given. Without flags the lines stay what they are.
-func (o Options) Log(out io.Writer, attributes ...any) {
-	handler := &slog.HandlerOptions{Level: o.level}
-	switch o.format {
+func (options Options) Log(out io.Writer, attributes ...any) {
+	handler := &slog.HandlerOptions{Level: options.level}
+	switch options.format {
 	case "json":
 		slog.SetDefault(slog.New(slog.NewJSONHandler(out, handler)).With(attributes...))
 	case "text":
 		slog.SetDefault(slog.New(slog.NewTextHandler(out, handler)).With(attributes...))
 	default:
-		slog.SetLogLoggerLevel(o.level)
+		slog.SetLogLoggerLevel(options.level)
 	}
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -27,12 +27,12 @@
 		{"--config=", "", false, "SOME_CONFIG is not set"},
 		{"--colour", "", false, "colour"},
 	} {
-		o, err := Parse("some", "SOME_CONFIG", strings.Fields(c.args), &bytes.Buffer{})
+		options, err := Parse("some", "SOME_CONFIG", strings.Fields(c.args), &bytes.Buffer{})
 		switch {
 		case c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)):
 			t.Errorf("%q: %v", c.args, err)
-		case c.err == "" && (err != nil || o.Config != c.config || o.Check != c.check):
-			t.Errorf("%q: %+v %v", c.args, o, err)
+		case c.err == "" && (err != nil || options.Config != c.config || options.Check != c.check):
+			t.Errorf("%q: %+v %v", c.args, options, err)
 		}
 	}
 	var out bytes.Buffer
@@ -47,11 +47,11 @@
 	defer slog.SetDefault(before)
 	for format, want := range map[string]string{"json": `"gateway":"n1"`, "text": "gateway=n1"} {
 		var out bytes.Buffer
-		o, err := Parse("some", "SOME_CONFIG", []string{"--log-format", format, "--log-level", "warn"}, &out)
+		options, err := Parse("some", "SOME_CONFIG", []string{"--log-format", format, "--log-level", "warn"}, &out)
 		if err != nil {
 			t.Fatal(err)
 		}
-		o.Log(&out, "gateway", "n1")
+		options.Log(&out, "gateway", "n1")
 		slog.Info("quiet")
 		slog.Warn("loud")
 		if text := out.String(); strings.Contains(text, "quiet") || !strings.Contains(text, want) || format == "json" && !json.Valid(out.Bytes()) {
--- a/internal/link/exchange.go
+++ b/internal/link/exchange.go
@@ -29,43 +29,43 @@
 // NewExchange listens at an address for each member, and at one more for all of them.
 // It hands on what comes from the members' own addresses; each socket has a goroutine
 // that calls take.
-func NewDatagramRelay(addresses []string, members []netip.AddrPort, take func(from, to int, data []byte)) (*DatagramRelay, error) {
+func NewDatagramRelay(addresses []string, members []netip.AddrPort, handle func(from, to int, data []byte)) (*DatagramRelay, error) {
 	if len(addresses) != len(members)+1 {
 		return nil, fmt.Errorf("link: %d addresses for %d members and all", len(addresses), len(members))
 	}
 	x := &DatagramRelay{memberBySource: map[netip.AddrPort]int{}, addresses: append([]netip.AddrPort(nil), members...)}
-	for n, at := range members {
-		x.memberBySource[at] = n
+	for member, address := range members {
+		x.memberBySource[address] = member
 	}
 	for _, text := range addresses {
-		at, err := netip.ParseAddrPort(text)
-		var c *net.UDPConn
+		address, err := netip.ParseAddrPort(text)
+		var socket *net.UDPConn
 		if err == nil {
-			c, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
+			socket, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 		}
 		if err != nil {
 			x.Close()
 			return nil, err
 		}
-		x.sockets = append(x.sockets, c)
+		x.sockets = append(x.sockets, socket)
 	}
-	for n, c := range x.sockets {
-		to := n
-		if n == len(members) {
+	for member, socket := range x.sockets {
+		to := member
+		if member == len(members) {
 			to = Broadcast
 		}
-		x.wg.Go(func() { x.read(c, to, take) })
+		x.wg.Go(func() { x.read(socket, to, handle) })
 	}
 	return x, nil
 }
 
 // Address is where others send to a member.
-func (x *DatagramRelay) Address(n int) string { return x.sockets[n].LocalAddr().String() }
+func (x *DatagramRelay) Address(member int) string { return x.sockets[member].LocalAddr().String() }
 
-func (x *DatagramRelay) read(c *net.UDPConn, to int, take func(from, to int, data []byte)) {
+func (x *DatagramRelay) read(socket *net.UDPConn, to int, handle func(from, to int, data []byte)) {
 	buf := make([]byte, maxDatagramBytes)
 	for {
-		n, source, err := c.ReadFromUDPAddrPort(buf)
+		size, source, err := socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
@@ -73,33 +73,33 @@
 		from, known := x.memberBySource[source]
 		x.mu.Unlock()
 		if known {
-			take(from, to, append([]byte(nil), buf[:n]...))
+			handle(from, to, append([]byte(nil), buf[:size]...))
 		}
 	}
 }
 
 // Also takes what comes from one more address for a member's, as of a second process
 // that has its number.
-func (x *DatagramRelay) AddSource(n int, at netip.AddrPort) {
+func (x *DatagramRelay) AddSource(member int, address netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.memberBySource[at] = n
+	x.memberBySource[address] = member
 }
 
 // Move delivers what is for a member to another address from now on.
-func (x *DatagramRelay) SetAddress(n int, at netip.AddrPort) {
+func (x *DatagramRelay) SetAddress(member int, address netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.memberBySource[at], x.addresses[n] = n, at
+	x.memberBySource[address], x.addresses[member] = member, address
 }
 
 // Deliver sends a member what another has sent. One that fails is lost, as datagrams
 // may be.
 func (x *DatagramRelay) Deliver(from, to int, data []byte) {
 	x.mu.Lock()
-	at := x.addresses[to]
+	address := x.addresses[to]
 	x.mu.Unlock()
-	x.sockets[from].WriteToUDPAddrPort(data, at)
+	x.sockets[from].WriteToUDPAddrPort(data, address)
 }
 
 // Close ends it; nothing is taken when it has returned.
--- a/internal/link/flow.go
+++ b/internal/link/flow.go
@@ -45,22 +45,22 @@
 }
 
 // Check finds what can't be.
-func (h Condition) Check() error {
+func (c Condition) Check() error {
 	switch {
-	case h.Kind != Up && !slices.Contains(Kinds, h.Kind) && !slices.Contains(DatagramKinds, h.Kind):
-		return fmt.Errorf("%q is not one of %v or %v", h.Kind, Kinds, DatagramKinds)
-	case slices.Contains([]Kind{Lost, Repeated, Reordered}, h.Kind) != (h.Fraction > 0) || h.Fraction < 0 || h.Fraction > 1:
-		return fmt.Errorf("%s of a share of %g can't be", h.Kind, h.Fraction)
-	case h.Kind == Slow && h.Bytes < 1:
-		return fmt.Errorf("%d bytes a second is no speed", h.Bytes)
-	case h.Kind == Cut && h.Bytes < 0:
-		return fmt.Errorf("a cut after %d bytes can't be", h.Bytes)
-	case h.Kind != Slow && h.Kind != Cut && h.Bytes != 0:
-		return fmt.Errorf("%s takes no bytes", h.Kind)
-	case h.Kind == Delayed && (h.Delay < 0 || h.Jitter < 0 || h.Delay+h.Jitter == 0):
-		return fmt.Errorf("a delay of %v and up to %v more is none", h.Delay, h.Jitter)
-	case h.Kind != Delayed && (h.Delay != 0 || h.Jitter != 0):
-		return fmt.Errorf("%s takes no delay", h.Kind)
+	case c.Kind != Up && !slices.Contains(Kinds, c.Kind) && !slices.Contains(DatagramKinds, c.Kind):
+		return fmt.Errorf("%q is not one of %v or %v", c.Kind, Kinds, DatagramKinds)
+	case slices.Contains([]Kind{Lost, Repeated, Reordered}, c.Kind) != (c.Fraction > 0) || c.Fraction < 0 || c.Fraction > 1:
+		return fmt.Errorf("%s of a share of %g can't be", c.Kind, c.Fraction)
+	case c.Kind == Slow && c.Bytes < 1:
+		return fmt.Errorf("%d bytes a second is no speed", c.Bytes)
+	case c.Kind == Cut && c.Bytes < 0:
+		return fmt.Errorf("a cut after %d bytes can't be", c.Bytes)
+	case c.Kind != Slow && c.Kind != Cut && c.Bytes != 0:
+		return fmt.Errorf("%s takes no bytes", c.Kind)
+	case c.Kind == Delayed && (c.Delay < 0 || c.Jitter < 0 || c.Delay+c.Jitter == 0):
+		return fmt.Errorf("a delay of %v and up to %v more is none", c.Delay, c.Jitter)
+	case c.Kind != Delayed && (c.Delay != 0 || c.Jitter != 0):
+		return fmt.Errorf("%s takes no delay", c.Kind)
 	}
 	return nil
 }
@@ -76,11 +76,13 @@
 }
 
 // NewFlow returns a flow that begins as the link is.
-func NewFlow(how Condition, random *rand.Rand) *Flow { return &Flow{condition: how, random: random} }
+func NewFlow(condition Condition, random *rand.Rand) *Flow {
+	return &Flow{condition: condition, random: random}
+}
 
 // Set changes how it flows from now on. Pieces taken before keep their time.
-func (f *Flow) Set(now time.Duration, how Condition) {
-	f.condition, f.passedBytes, f.freeAt = how, 0, now
+func (f *Flow) Set(now time.Duration, condition Condition) {
+	f.condition, f.passedBytes, f.freeAt = condition, 0, now
 }
 
 // Holds says whether nothing passes now, also not what was taken before.
@@ -103,19 +105,19 @@
 
 // Take takes in a piece of n bytes, and says how many of them pass, when, and
 // whether the connection is reset behind them.
-func (f *Flow) Schedule(now time.Duration, n int) (pass int, due time.Duration, reset bool) {
+func (f *Flow) Schedule(now time.Duration, size int) (pass int, due time.Duration, reset bool) {
 	if f.reset {
 		return 0, now, true
 	}
-	pass, due = n, now
+	pass, due = size, now
 	switch f.condition.Kind {
 	case Cut:
-		if left := f.condition.Bytes - f.passedBytes; int64(n) >= left {
-			pass, reset = int(left), true
+		if remaining := f.condition.Bytes - f.passedBytes; int64(size) >= remaining {
+			pass, reset = int(remaining), true
 			f.reset = true
 		}
 	case Slow:
-		due = max(now, f.freeAt) + time.Duration(float64(n)/float64(f.condition.Bytes)*float64(time.Second))
+		due = max(now, f.freeAt) + time.Duration(float64(size)/float64(f.condition.Bytes)*float64(time.Second))
 	case Delayed:
 		due = now + f.condition.Delay
 		if f.condition.Jitter > 0 {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -22,30 +22,30 @@
 // read, a cut lets its bytes pass and no more, and a slow one takes its time.
 func TestFlowKeepsOrderAndLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFlow(Condition{Kind: Up}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
-		how, now, since, passed, last := Condition{Kind: Up}, time.Duration(0), time.Duration(0), int64(0), time.Duration(0)
+		flow := NewFlow(Condition{Kind: Up}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
+		condition, now, since, passed, lastDue := Condition{Kind: Up}, time.Duration(0), time.Duration(0), int64(0), time.Duration(0)
 		ended := false
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond
 			if rapid.IntRange(0, 3).Draw(t, "change") == 0 {
-				how = Condition{Kind: append(Kinds, Up)[rapid.IntRange(0, len(Kinds)).Draw(t, "kind")]}
-				switch how.Kind {
+				condition = Condition{Kind: append(Kinds, Up)[rapid.IntRange(0, len(Kinds)).Draw(t, "kind")]}
+				switch condition.Kind {
 				case Slow, Cut:
-					how.Bytes = rapid.Int64Range(1, 5000).Draw(t, "bytes")
+					condition.Bytes = rapid.Int64Range(1, 5000).Draw(t, "bytes")
 				case Delayed:
-					how.Delay, how.Jitter = time.Duration(rapid.IntRange(1, 500).Draw(t, "delay"))*time.Millisecond, time.Duration(rapid.IntRange(0, 500).Draw(t, "jitter"))*time.Millisecond
+					condition.Delay, condition.Jitter = time.Duration(rapid.IntRange(1, 500).Draw(t, "delay"))*time.Millisecond, time.Duration(rapid.IntRange(0, 500).Draw(t, "jitter"))*time.Millisecond
 				}
-				if err := how.Check(); err != nil {
+				if err := condition.Check(); err != nil {
 					t.Fatal(err)
 				}
-				f.Set(now, how)
-				since, passed, last = now, 0, now
+				flow.Set(now, condition)
+				since, passed, lastDue = now, 0, now
 			}
-			if f.Blocked() != (how.Kind == Dropped || how.Kind == Stalled) || f.ReadSize() < 1 || f.ReadSize() > maxReadBytes {
-				t.Fatalf("%+v: holds %v, pieces of %d", how, f.Blocked(), f.ReadSize())
+			if flow.Blocked() != (condition.Kind == Dropped || condition.Kind == Stalled) || flow.ReadSize() < 1 || flow.ReadSize() > maxReadBytes {
+				t.Fatalf("%+v: holds %v, pieces of %d", condition, flow.Blocked(), flow.ReadSize())
 			}
-			n := rapid.IntRange(0, f.ReadSize()).Draw(t, "n")
-			pass, due, reset := f.Schedule(now, n)
+			n := rapid.IntRange(0, flow.ReadSize()).Draw(t, "n")
+			pass, due, reset := flow.Schedule(now, n)
 			if ended {
 				if pass != 0 || !reset {
 					t.Fatalf("behind its end %d bytes pass, reset %v", pass, reset)
@@ -54,16 +54,16 @@
 			}
 			passed += int64(pass)
 			switch {
-			case due < now || due < last:
-				t.Fatalf("%+v: due at %v, read at %v, the last at %v", how, due, now, last)
-			case !reset && pass != n, reset && how.Kind != Cut, how.Kind == Cut && (passed > how.Bytes || reset != (passed == how.Bytes)):
-				t.Fatalf("%+v: %d of %d bytes pass, %d by now, reset %v", how, pass, n, passed, reset)
-			case how.Kind == Slow && float64(passed) > (due-since).Seconds()*float64(how.Bytes)+1:
-				t.Fatalf("%+v: %d bytes in %v", how, passed, due-since)
-			case how.Kind == Delayed && (due < now+how.Delay || due > max(last, now+how.Delay+how.Jitter)):
-				t.Fatalf("%+v: read at %v, due at %v", how, now, due)
+			case due < now || due < lastDue:
+				t.Fatalf("%+v: due at %v, read at %v, the last at %v", condition, due, now, lastDue)
+			case !reset && pass != n, reset && condition.Kind != Cut, condition.Kind == Cut && (passed > condition.Bytes || reset != (passed == condition.Bytes)):
+				t.Fatalf("%+v: %d of %d bytes pass, %d by now, reset %v", condition, pass, n, passed, reset)
+			case condition.Kind == Slow && float64(passed) > (due-since).Seconds()*float64(condition.Bytes)+1:
+				t.Fatalf("%+v: %d bytes in %v", condition, passed, due-since)
+			case condition.Kind == Delayed && (due < now+condition.Delay || due > max(lastDue, now+condition.Delay+condition.Jitter)):
+				t.Fatalf("%+v: read at %v, due at %v", condition, now, due)
 			}
-			ended, last = reset, due
+			ended, lastDue = reset, due
 		}
 	})
 }
@@ -71,39 +71,39 @@
 // far is whom a relay leads to: it takes one connection at a time from a channel.
 func acceptingTarget(t *testing.T) (string, chan *net.TCPConn) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	taken := make(chan *net.TCPConn, 64)
+	t.Cleanup(func() { listener.Close() })
+	accepted := make(chan *net.TCPConn, 64)
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			c.SetDeadline(time.Now().Add(waitTimeout))
-			taken <- c.(*net.TCPConn)
+			accepted <- c.(*net.TCPConn)
 		}
 	}()
-	return l.Addr().String(), taken
+	return listener.Addr().String(), accepted
 }
 
 func newRelay(t *testing.T, limits Limits) (*Relay, chan *net.TCPConn) {
 	t.Helper()
-	target, taken := acceptingTarget(t)
-	r, err := NewRelay("127.0.0.1:0", target, limits, 1)
+	target, accepted := acceptingTarget(t)
+	relay, err := NewRelay("127.0.0.1:0", target, limits, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	return r, taken
+	t.Cleanup(relay.Close)
+	return relay, accepted
 }
 
-func dial(t *testing.T, r *Relay) *net.TCPConn {
+func dial(t *testing.T, relay *Relay) *net.TCPConn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", r.Address(), waitTimeout)
+	c, err := net.DialTimeout("tcp", relay.Address(), waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,61 +132,61 @@
 // Each kind of fault, on each way of a link, does to a connection that stands and to
 // a new one what it says, and not to the other way; when it is over all goes on.
 func TestRelayAppliesEachFault(t *testing.T) {
-	for _, way := range []Direction{Forward, Reverse} {
+	for _, direction := range []Direction{Forward, Reverse} {
 		for _, kind := range Kinds {
-			t.Run(string(kind)+[]string{" there", " back"}[way], func(t *testing.T) {
+			t.Run(string(kind)+[]string{" there", " back"}[direction], func(t *testing.T) {
 				t.Parallel()
-				r, taken := newRelay(t, Limits{MaxConnections: 8, BufferBytes: 64 << 10})
-				near := dial(t, r)
-				ends := [2]net.Conn{near, <-taken}
-				from, to := ends[way], ends[1-way]
-				write(t, near, "up")
+				relay, accepted := newRelay(t, Limits{MaxConnections: 8, BufferBytes: 64 << 10})
+				client := dial(t, relay)
+				ends := [2]net.Conn{client, <-accepted}
+				from, to := ends[direction], ends[1-direction]
+				write(t, client, "up")
 				expect(t, ends[1], "up")
-				for r.Stats().Bytes[Forward] != 2 { // they are counted behind the write that they were heard by
+				for relay.Stats().Bytes[Forward] != 2 { // they are counted behind the write that they were heard by
 					runtime.Gosched()
 				}
-				how := Condition{Kind: kind}
+				condition := Condition{Kind: kind}
 				switch kind {
 				case Cut:
-					how.Bytes = 3
+					condition.Bytes = 3
 				case Slow:
-					how.Bytes = 100
+					condition.Bytes = 100
 				case Delayed:
-					how.Delay, how.Jitter = 100*time.Millisecond, time.Millisecond
+					condition.Delay, condition.Jitter = 100*time.Millisecond, time.Millisecond
 				}
-				if err := r.Set(way, how); err != nil {
+				if err := relay.Set(direction, condition); err != nil {
 					t.Fatal(err)
 				}
 				began := time.Now()
 				switch kind {
 				case Dropped, Stalled:
-					before := r.Stats().Bytes[way]
+					before := relay.Stats().Bytes[direction]
 					write(t, from, "held")
 					write(t, to, "passes") // the other way
 					expect(t, from, "passes")
-					if now := r.Stats().Bytes[way]; now != before {
+					if now := relay.Stats().Bytes[direction]; now != before {
 						t.Errorf("%d bytes passed", now-before)
 					}
-					c, err := net.DialTimeout("tcp", r.Address(), 200*time.Millisecond)
-					for tries := 0; kind == Dropped && err == nil && tries < 2; tries++ {
+					c, err := net.DialTimeout("tcp", relay.Address(), 200*time.Millisecond)
+					for attempts := 0; kind == Dropped && err == nil && attempts < 2; attempts++ {
 						// One more fits in where another was being accepted in the moment of the change.
 						defer c.Close()
-						c, err = net.DialTimeout("tcp", r.Address(), 200*time.Millisecond)
+						c, err = net.DialTimeout("tcp", relay.Address(), 200*time.Millisecond)
 					}
 					if (err == nil) != (kind == Stalled) {
 						t.Errorf("a new connection: %v", err)
 					}
 					if kind == Stalled {
 						// What is sent fills the buffers, and no more is taken.
-						ends := [2]net.Conn{c, <-taken}
-						ends[way].SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
-						n, err := io.Copy(ends[way], io.LimitReader(zeros{}, 1<<30))
+						ends := [2]net.Conn{c, <-accepted}
+						ends[direction].SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
+						n, err := io.Copy(ends[direction], io.LimitReader(zeros{}, 1<<30))
 						if !errors.Is(err, os.ErrDeadlineExceeded) || n > 64<<20 {
 							t.Errorf("%d bytes were taken, then %v", n, err)
 						}
 						c.Close()
 					}
-					r.Set(way, Condition{Kind: Up})
+					relay.Set(direction, Condition{Kind: Up})
 					expect(t, to, "held")
 				case Refused, Reset:
 					for _, end := range ends {
@@ -194,7 +194,7 @@
 							t.Errorf("a standing connection: %v", err)
 						}
 					}
-					c, err := net.DialTimeout("tcp", r.Address(), waitTimeout)
+					c, err := net.DialTimeout("tcp", relay.Address(), waitTimeout)
 					if errors.Is(err, syscall.ECONNREFUSED) != (kind == Refused) || (err == nil) != (kind == Reset) && !isReset(err) {
 						t.Fatalf("a new connection: %v", err)
 					}
@@ -204,14 +204,14 @@
 						}
 						c.Close()
 					}
-					r.Set(way, Condition{Kind: Up})
+					relay.Set(direction, Condition{Kind: Up})
 				case Cut:
 					write(t, from, "whole")
 					got, err := io.ReadAll(to)
 					if !isReset(err) || len(got) > 3 {
 						t.Errorf("%q, then %v", got, err)
 					}
-					r.Set(way, Condition{Kind: Up})
+					relay.Set(direction, Condition{Kind: Up})
 				case Slow:
 					write(t, from, "0123456789012345")
 					expect(t, to, "0123456789012345")
@@ -221,25 +221,25 @@
 				case Delayed:
 					write(t, from, "late")
 					expect(t, to, "late")
-					if took := time.Since(began); took < how.Delay {
-						t.Errorf("delayed by %v it took %v", how.Delay, took)
+					if took := time.Since(began); took < condition.Delay {
+						t.Errorf("delayed by %v it took %v", condition.Delay, took)
 					}
 				}
 				if kind == Refused || kind == Reset || kind == Cut {
-					near = dial(t, r)
-					ends = [2]net.Conn{near, <-taken}
+					client = dial(t, relay)
+					ends = [2]net.Conn{client, <-accepted}
 				}
-				write(t, near, "again")
+				write(t, client, "again")
 				expect(t, ends[1], "again")
 				// The end of each way passes by itself.
-				near.CloseWrite()
+				client.CloseWrite()
 				if _, err := ends[1].Read(make([]byte, 1)); err != io.EOF {
 					t.Errorf("the end: %v", err)
 				}
 				write(t, ends[1], "and back")
-				expect(t, near, "and back")
+				expect(t, client, "and back")
 				ends[1].Close()
-				if _, err := near.Read(make([]byte, 1)); err != io.EOF {
+				if _, err := client.Read(make([]byte, 1)); err != io.EOF {
 					t.Errorf("the other end: %v", err)
 				}
 			})
@@ -254,10 +254,10 @@
 // Connections beyond the limit are reset, faults that can't be are refused, and
 // nothing is left of a relay that was closed.
 func TestRelayEnforcesLimits(t *testing.T) {
-	r, taken := newRelay(t, Limits{MaxConnections: 1, BufferBytes: 1 << 10})
-	first := dial(t, r)
-	end := <-taken
-	second, err := net.DialTimeout("tcp", r.Address(), waitTimeout)
+	relay, accepted := newRelay(t, Limits{MaxConnections: 1, BufferBytes: 1 << 10})
+	first := dial(t, relay)
+	end := <-accepted
+	second, err := net.DialTimeout("tcp", relay.Address(), waitTimeout)
 	if err == nil { // the reset may come first
 		_, err = second.Read(make([]byte, 1))
 		second.Close()
@@ -265,9 +265,9 @@
 	if !isReset(err) {
 		t.Errorf("the second: %v", err)
 	}
-	for _, how := range []Condition{{}, {Kind: "asleep"}, {Kind: Slow}, {Kind: Cut, Bytes: -1}, {Kind: Delayed}, {Kind: Dropped, Bytes: 1}, {Kind: Up, Delay: 1}, {Kind: Up, Fraction: 0.5}, {Kind: Lost, Fraction: 0.5}, {Kind: Lost}} {
-		if err := r.Set(Forward, how); err == nil {
-			t.Errorf("%+v was taken", how)
+	for _, condition := range []Condition{{}, {Kind: "asleep"}, {Kind: Slow}, {Kind: Cut, Bytes: -1}, {Kind: Delayed}, {Kind: Dropped, Bytes: 1}, {Kind: Up, Delay: 1}, {Kind: Up, Fraction: 0.5}, {Kind: Lost, Fraction: 0.5}, {Kind: Lost}} {
+		if err := relay.Set(Forward, condition); err == nil {
+			t.Errorf("%+v was taken", condition)
 		}
 	}
 	// However much is sent, a reader that stops keeps no more than the buffer here.
@@ -279,21 +279,21 @@
 	if _, err := io.CopyN(io.Discard, end, 4<<20+2*maxReadBytes); err != nil { // a piece is counted when it has passed
 		t.Fatal(err)
 	}
-	if s := r.Stats(); s.Connections != 1 || s.MaxConnections != 1 || s.Rejected != 1 || s.Bytes[Forward] < 4<<20 {
-		t.Errorf("%+v", s)
+	if stats := relay.Stats(); stats.Connections != 1 || stats.MaxConnections != 1 || stats.Rejected != 1 || stats.Bytes[Forward] < 4<<20 {
+		t.Errorf("%+v", stats)
 	}
-	r.mu.Lock()
-	for c := range r.connections {
-		if c.queuedBytes[Forward] > 1<<10 {
-			t.Errorf("%d bytes are held", c.queuedBytes[Forward])
+	relay.mu.Lock()
+	for connection := range relay.connections {
+		if connection.queuedBytes[Forward] > 1<<10 {
+			t.Errorf("%d bytes are held", connection.queuedBytes[Forward])
 		}
 	}
-	r.mu.Unlock()
-	r.Close()
+	relay.mu.Unlock()
+	relay.Close()
 	if _, err := end.Read(make([]byte, 1)); err == nil {
 		io.Copy(io.Discard, end)
 	}
-	if c, err := net.DialTimeout("tcp", r.Address(), waitTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("after the end: %v %v", c, err)
+	if connection, err := net.DialTimeout("tcp", relay.Address(), waitTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("after the end: %v %v", connection, err)
 	}
 }
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -34,8 +34,8 @@
 const fillerDialTimeout = 50 * time.Millisecond
 
 // NewListener listens at an address and calls take with each connection, from one goroutine.
-func NewListener(address string, take func(net.Conn)) (*Listener, error) {
-	l := &Listener{address: address, handle: take}
+func NewListener(address string, handle func(net.Conn)) (*Listener, error) {
+	l := &Listener{address: address, handle: handle}
 	return l, l.open()
 }
 
@@ -63,9 +63,9 @@
 			return // closed or silent; Set and Close do the rest
 		}
 		l.mu.Lock()
-		out := l.state != Open || l.listener != tcp
+		rejected := l.state != Open || l.listener != tcp
 		l.mu.Unlock()
-		if out {
+		if rejected {
 			Abort(c)
 			continue
 		}
--- a/internal/link/relay.go
+++ b/internal/link/relay.go
@@ -45,7 +45,7 @@
 	mu           sync.Mutex
 	stateChanged sync.Cond // a fault, a queue, or an end; on mu
 	conditions   [2]Condition
-	connections  map[*connection]bool
+	connections  map[*relayedConnection]bool
 	closed       bool
 	random       *rand.Rand
 	stats        Stats
@@ -53,7 +53,7 @@
 
 // conn is a connection with both its sides. All but the ends is under the relay's
 // lock.
-type connection struct {
+type relayedConnection struct {
 	ends        [2]*net.TCPConn // who connected, and whom it is for
 	flows       [2]*Flow
 	queue       [2][]piece
@@ -74,7 +74,7 @@
 
 // NewRelay carries what comes to an address to another.
 func NewRelay(address, target string, limits Limits, seed uint64) (*Relay, error) {
-	r := &Relay{target: target, limits: limits, startedAt: time.Now(), conditions: [2]Condition{{Kind: Up}, {Kind: Up}}, connections: map[*connection]bool{},
+	r := &Relay{target: target, limits: limits, startedAt: time.Now(), conditions: [2]Condition{{Kind: Up}, {Kind: Up}}, connections: map[*relayedConnection]bool{},
 		random: rand.New(rand.NewPCG(seed, 1))}
 	r.stateChanged.L = &r.mu
 	listener, err := NewListener(address, func(c net.Conn) {
@@ -98,50 +98,50 @@
 
 // Set changes how one way of the link carries what is sent from now on. Refused and
 // Reset end the connections that stand; whichever way has them, the link has.
-func (r *Relay) Set(way Direction, how Condition) error {
-	if err := how.Check(); err != nil {
+func (r *Relay) Set(direction Direction, condition Condition) error {
+	if err := condition.Check(); err != nil {
 		return err
 	}
-	if !how.AppliesToStreams() {
-		return fmt.Errorf("%s is of datagrams, and this relay carries streams", how.Kind)
+	if !condition.AppliesToStreams() {
+		return fmt.Errorf("%s is of datagrams, and this relay carries streams", condition.Kind)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.conditions[way] = how
-	step := Open
+	r.conditions[direction] = condition
+	state := Open
 	for _, h := range r.conditions {
 		switch h.Kind {
 		case Dropped:
-			step = max(step, Silent)
+			state = max(state, Silent)
 		case Refused:
-			step = max(step, Refusing)
+			state = max(state, Refusing)
 		}
 	}
-	for c := range r.connections {
-		c.flows[way].Set(r.now(), how)
-		if how.Kind == Refused || how.Kind == Reset {
-			c.abort()
+	for connection := range r.connections {
+		connection.flows[direction].Set(r.now(), condition)
+		if condition.Kind == Refused || condition.Kind == Reset {
+			connection.abort()
 		}
 	}
 	r.stateChanged.Broadcast()
-	return r.listener.Set(step)
+	return r.listener.Set(state)
 }
 
 // Stats returns the figures.
 func (r *Relay) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.stats
-	s.Connections = len(r.connections)
-	return s
+	stats := r.stats
+	stats.Connections = len(r.connections)
+	return stats
 }
 
 // Close ends the relay and all its connections. Nothing of it is left.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
-	for c := range r.connections {
-		c.abort()
+	for connection := range r.connections {
+		connection.abort()
 	}
 	r.stateChanged.Broadcast()
 	r.mu.Unlock()
@@ -150,61 +150,61 @@
 }
 
 // connect finds the other side for a connection, and carries it until it ends.
-func (r *Relay) connect(from *net.TCPConn) {
-	c := &connection{ends: [2]*net.TCPConn{from, nil}}
+func (r *Relay) connect(client *net.TCPConn) {
+	connection := &relayedConnection{ends: [2]*net.TCPConn{client, nil}}
 	r.mu.Lock()
 	full := len(r.connections) >= r.limits.MaxConnections
 	if full {
 		r.stats.Rejected++
 	}
-	ends := func(h Condition) bool { return h.Kind == Reset || h.Kind == Refused } // it may have come in the moment of the change
-	if full || r.closed || ends(r.conditions[Forward]) || ends(r.conditions[Reverse]) {
+	endsConnections := func(h Condition) bool { return h.Kind == Reset || h.Kind == Refused } // it may have come in the moment of the change
+	if full || r.closed || endsConnections(r.conditions[Forward]) || endsConnections(r.conditions[Reverse]) {
 		r.mu.Unlock()
-		Abort(from)
+		Abort(client)
 		return
 	}
-	for way := range c.flows {
-		c.flows[way] = NewFlow(r.conditions[way], rand.New(rand.NewPCG(r.random.Uint64(), 2)))
+	for direction := range connection.flows {
+		connection.flows[direction] = NewFlow(r.conditions[direction], rand.New(rand.NewPCG(r.random.Uint64(), 2)))
 	}
-	r.connections[c] = true // also while its other side is sought
+	r.connections[connection] = true // also while its other side is sought
 	r.stats.MaxConnections = max(r.stats.MaxConnections, len(r.connections))
 	r.mu.Unlock()
-	to, err := net.DialTimeout("tcp", r.target, dialTimeout)
+	server, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	r.mu.Lock()
-	if err != nil || c.closed {
-		delete(r.connections, c)
-		c.abort()
+	if err != nil || connection.closed {
+		delete(r.connections, connection)
+		connection.abort()
 		r.mu.Unlock()
 		if err == nil {
-			Abort(to)
+			Abort(server)
 		}
 		return
 	}
-	c.ends[1] = to.(*net.TCPConn)
+	connection.ends[1] = server.(*net.TCPConn)
 	r.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, way := range []Direction{Forward, Reverse} {
-		wg.Go(func() { r.read(c, way) })
-		wg.Go(func() { r.write(c, way) })
+	for _, direction := range []Direction{Forward, Reverse} {
+		wg.Go(func() { r.read(connection, direction) })
+		wg.Go(func() { r.write(connection, direction) })
 	}
 	wg.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.connections, c)
-	if !c.closed { // both sides have said their last, which may still be on its way
-		c.closed = true
-		c.ends[0].Close()
-		c.ends[1].Close()
+	delete(r.connections, connection)
+	if !connection.closed { // both sides have said their last, which may still be on its way
+		connection.closed = true
+		connection.ends[0].Close()
+		connection.ends[1].Close()
 	}
 }
 
 // abort resets both sides. The caller has the lock.
-func (c *connection) abort() {
-	if c.closed {
+func (connection *relayedConnection) abort() {
+	if connection.closed {
 		return
 	}
-	c.closed = true
-	for _, end := range c.ends {
+	connection.closed = true
+	for _, end := range connection.ends {
 		if end != nil {
 			Abort(end)
 		}
@@ -213,29 +213,29 @@
 
 // read takes in what one side sends, as far as there is room for it and the link
 // does not hold it.
-func (r *Relay) read(c *connection, way Direction) {
-	from := c.ends[way]
+func (r *Relay) read(connection *relayedConnection, direction Direction) {
+	source := connection.ends[direction]
 	for {
 		r.mu.Lock()
-		for !c.closed && (c.flows[way].Blocked() || c.queuedBytes[way] >= r.limits.BufferBytes) {
+		for !connection.closed && (connection.flows[direction].Blocked() || connection.queuedBytes[direction] >= r.limits.BufferBytes) {
 			r.stateChanged.Wait()
 		}
-		text := make([]byte, min(c.flows[way].ReadSize(), max(r.limits.BufferBytes-c.queuedBytes[way], 1)))
-		over := c.closed
+		buffer := make([]byte, min(connection.flows[direction].ReadSize(), max(r.limits.BufferBytes-connection.queuedBytes[direction], 1)))
+		over := connection.closed
 		r.mu.Unlock()
 		if over {
 			return
 		}
-		n, err := from.Read(text)
+		n, err := source.Read(buffer)
 		r.mu.Lock()
 		if n > 0 {
-			pass, due, reset := c.flows[way].Schedule(r.now(), n)
-			c.queue[way] = append(c.queue[way], piece{data: text[:pass], due: due, reset: reset})
-			c.queuedBytes[way] += pass
+			pass, due, reset := connection.flows[direction].Schedule(r.now(), n)
+			connection.queue[direction] = append(connection.queue[direction], piece{data: buffer[:pass], due: due, reset: reset})
+			connection.queuedBytes[direction] += pass
 		}
 		if err != nil {
-			_, due, _ := c.flows[way].Schedule(r.now(), 0)
-			c.queue[way] = append(c.queue[way], piece{due: due, endOfStream: errors.Is(err, io.EOF), reset: !errors.Is(err, io.EOF)})
+			_, due, _ := connection.flows[direction].Schedule(r.now(), 0)
+			connection.queue[direction] = append(connection.queue[direction], piece{due: due, endOfStream: errors.Is(err, io.EOF), reset: !errors.Is(err, io.EOF)})
 		}
 		r.stateChanged.Broadcast()
 		r.mu.Unlock()
@@ -246,60 +246,60 @@
 }
 
 // write passes on what was read, each piece at its time, unless the link holds it.
-func (r *Relay) write(c *connection, way Direction) {
-	to := c.ends[1-way]
+func (r *Relay) write(connection *relayedConnection, direction Direction) {
+	destination := connection.ends[1-direction]
 	for {
-		p, ok := r.next(c, way)
+		p, ok := r.next(connection, direction)
 		if !ok {
 			return
 		}
-		_, err := to.Write(p.data)
+		_, err := destination.Write(p.data)
 		switch {
 		case err != nil || p.reset:
 			r.mu.Lock()
-			c.abort()
+			connection.abort()
 			r.stateChanged.Broadcast()
 			r.mu.Unlock()
 			return
 		case p.endOfStream:
-			to.CloseWrite()
+			destination.CloseWrite()
 			return
 		}
 		r.mu.Lock()
-		c.queuedBytes[way] -= len(p.data)
-		r.stats.Bytes[way] += int64(len(p.data))
+		connection.queuedBytes[direction] -= len(p.data)
+		r.stats.Bytes[direction] += int64(len(p.data))
 		r.stateChanged.Broadcast()
 		r.mu.Unlock()
 	}
 }
 
 // next waits for the next piece to be passed on.
-func (r *Relay) next(c *connection, way Direction) (piece, bool) {
+func (r *Relay) next(connection *relayedConnection, direction Direction) (piece, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waited := false
-	for !c.closed {
-		if len(c.queue[way]) == 0 || c.flows[way].Blocked() {
+	for !connection.closed {
+		if len(connection.queue[direction]) == 0 || connection.flows[direction].Blocked() {
 			waited = false
 			r.stateChanged.Wait()
 			continue
 		}
-		p := c.queue[way][0]
-		if in := p.due - r.now(); in > 0 {
+		p := connection.queue[direction][0]
+		if wait := p.due - r.now(); wait > 0 {
 			waited = true
-			alarm := time.AfterFunc(in, func() {
+			timer := time.AfterFunc(wait, func() {
 				r.mu.Lock()
 				defer r.mu.Unlock()
 				r.stateChanged.Broadcast()
 			})
 			r.stateChanged.Wait()
-			alarm.Stop()
+			timer.Stop()
 			continue
 		} else if waited {
-			r.stats.MaxLateness = max(r.stats.MaxLateness, -in)
+			r.stats.MaxLateness = max(r.stats.MaxLateness, -wait)
 		}
-		c.queue[way][0] = piece{}
-		c.queue[way] = c.queue[way][1:]
+		connection.queue[direction][0] = piece{}
+		connection.queue[direction] = connection.queue[direction][1:]
 		return p, true
 	}
 	return piece{}, false
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -22,7 +22,7 @@
 
 // backend serves requests on its cores, all that are in work at an even share.
 // Work is counted in seconds of one core.
-type backend struct {
+type emulatedBackend struct {
 	number, zone, cell int
 	state              backendState
 	collapsed          bool
@@ -38,17 +38,17 @@
 
 	connections int
 	active      attemptHeap
-	queued      []*attempt
+	queued      []*backendAttempt
 	servedWork  float64 // what each request in work has got since the backend is busy
 	updatedAt   time.Duration
 	timerNumber uint64 // the newest of its timers
 }
 
 // work is an attempt at a backend.
-type attempt struct {
+type backendAttempt struct {
 	number     uint64
 	requestID  uint64
-	connection *connection // nil once the gateway has given it up
+	connection *gatewayConnection // nil once the gateway has given it up
 	class      int
 	key        string
 	cost       float64
@@ -57,12 +57,12 @@
 }
 
 // workHeap is a heap of the work in progress by the time at which it ends.
-type attemptHeap []*attempt
+type attemptHeap []*backendAttempt
 
 func (h attemptHeap) Len() int           { return len(h) }
 func (h attemptHeap) Less(a, b int) bool { return h[a].finishAt < h[b].finishAt }
 func (h attemptHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
-func (h *attemptHeap) Push(x any)        { *h = append(*h, x.(*attempt)) }
+func (h *attemptHeap) Push(x any)        { *h = append(*h, x.(*backendAttempt)) }
 func (h *attemptHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -71,50 +71,50 @@
 }
 
 // add brings a backend; started is below 0 where it has run for long.
-func (w *Emulator) addBackend(started time.Duration) *backend {
-	n := len(w.backends)
-	b := &backend{number: n, zone: n % len(w.scenario.Fleet.Zones), cell: n % w.scenario.Backend.Cells, startedAt: started, listed: true}
-	w.backends = append(w.backends, b)
-	w.Referee.Backend(w.now, n, b.zone, b.cell, started >= 0)
-	return b
+func (em *Emulator) addBackend(startedAt time.Duration) *emulatedBackend {
+	number := len(em.backends)
+	backend := &emulatedBackend{number: number, zone: number % len(em.scenario.Fleet.Zones), cell: number % em.scenario.Backend.Cells, startedAt: startedAt, listed: true}
+	em.backends = append(em.backends, backend)
+	em.Referee.Backend(em.now, number, backend.zone, backend.cell, startedAt >= 0)
+	return backend
 }
 
-func (b *backend) entry() Entry {
-	e := Entry{Backend: b.number, Zone: b.zone, Cell: b.cell, Started: b.startedAt}
-	if b.draining {
-		e.Lifecycle = Draining
+func (backend *emulatedBackend) entry() Entry {
+	entry := Entry{Backend: backend.number, Zone: backend.zone, Cell: backend.cell, Started: backend.startedAt}
+	if backend.draining {
+		entry.Lifecycle = Draining
 	}
-	return e
+	return entry
 }
 
 // capacity is in cores.
-func (w *Emulator) capacity(b *backend) float64 {
-	c := w.scenario.Backend.Cores
-	if b.startedAt >= 0 {
-		warm := (w.now - b.startedAt).Seconds() / w.scenario.Backend.Cold.Seconds()
-		c *= min(1, w.scenario.Backend.ColdFrom+(1-w.scenario.Backend.ColdFrom)*warm)
+func (em *Emulator) capacity(backend *emulatedBackend) float64 {
+	cores := em.scenario.Backend.Cores
+	if backend.startedAt >= 0 {
+		warmth := (em.now - backend.startedAt).Seconds() / em.scenario.Backend.Cold.Seconds()
+		cores *= min(1, em.scenario.Backend.ColdFrom+(1-em.scenario.Backend.ColdFrom)*warmth)
 	}
 	// The fuller it is beyond its cores, the more is lost.
-	if beyond := float64(len(b.active)) - w.scenario.Backend.Cores; beyond > 0 {
-		c *= 1 - w.scenario.Backend.Overfull*min(1, beyond/max(1, float64(w.scenario.Backend.Slots)-w.scenario.Backend.Cores))
+	if excess := float64(len(backend.active)) - em.scenario.Backend.Cores; excess > 0 {
+		cores *= 1 - em.scenario.Backend.Overfull*min(1, excess/max(1, float64(em.scenario.Backend.Slots)-em.scenario.Backend.Cores))
 	}
-	return c
+	return cores
 }
 
 // rate is how fast each request in work is served.
-func (w *Emulator) serviceRate(b *backend) float64 {
-	if len(b.active) == 0 {
+func (em *Emulator) serviceRate(backend *emulatedBackend) float64 {
+	if len(backend.active) == 0 {
 		return 0
 	}
-	return min(1, w.capacity(b)/float64(len(b.active)))
+	return min(1, em.capacity(backend)/float64(len(backend.active)))
 }
 
 // advance serves what is in work up to now.
-func (w *Emulator) advance(b *backend) {
-	b.servedWork += w.serviceRate(b) * (w.now - b.updatedAt).Seconds()
-	b.updatedAt = w.now
-	if len(b.active) == 0 {
-		b.servedWork = 0
+func (em *Emulator) advance(backend *emulatedBackend) {
+	backend.servedWork += em.serviceRate(backend) * (em.now - backend.updatedAt).Seconds()
+	backend.updatedAt = em.now
+	if len(backend.active) == 0 {
+		backend.servedWork = 0
 	}
 }
 
@@ -122,89 +122,89 @@
 const warmUpStep = 20 * time.Millisecond
 
 // plan sets the timer for the next request to be served.
-func (w *Emulator) scheduleCompletion(b *backend) {
-	b.timerNumber++
-	if len(b.active) == 0 || b.state != running {
+func (em *Emulator) scheduleCompletion(backend *emulatedBackend) {
+	backend.timerNumber++
+	if len(backend.active) == 0 || backend.state != running {
 		return
 	}
-	in := time.Duration((b.active[0].finishAt - b.servedWork) / w.serviceRate(b) * 1e9)
-	if b.startedAt >= 0 && w.now-b.startedAt < w.scenario.Backend.Cold.D() {
-		in = min(in, warmUpStep)
+	delay := time.Duration((backend.active[0].finishAt - backend.servedWork) / em.serviceRate(backend) * 1e9)
+	if backend.startedAt >= 0 && em.now-backend.startedAt < em.scenario.Backend.Cold.D() {
+		delay = min(delay, warmUpStep)
 	}
-	wake := b.timerNumber
-	w.after(max(in, time.Microsecond), func() {
-		if b.timerNumber == wake {
-			w.completeFinished(b)
+	timerNumber := backend.timerNumber
+	em.after(max(delay, time.Microsecond), func() {
+		if backend.timerNumber == timerNumber {
+			em.completeFinished(backend)
 		}
 	})
 }
 
 // serve ends the requests that have got their work, and takes up others.
-func (w *Emulator) completeFinished(b *backend) {
-	w.advance(b)
-	const close = 1e-9 // seconds; the timer's rounding
-	for len(b.active) > 0 && b.active[0].finishAt <= b.servedWork+close {
-		w.finishAttempt(b, heap.Pop(&b.active).(*attempt))
+func (em *Emulator) completeFinished(backend *emulatedBackend) {
+	em.advance(backend)
+	const tolerance = 1e-9 // seconds; the timer's rounding
+	for len(backend.active) > 0 && backend.active[0].finishAt <= backend.servedWork+tolerance {
+		em.finishAttempt(backend, heap.Pop(&backend.active).(*backendAttempt))
 	}
-	for len(b.queued) > 0 && len(b.active) < w.scenario.Backend.Slots {
-		j := b.queued[0]
-		b.queued = b.queued[1:]
-		j.finishAt = b.servedWork + j.cost
-		heap.Push(&b.active, j)
+	for len(backend.queued) > 0 && len(backend.active) < em.scenario.Backend.Slots {
+		attempt := backend.queued[0]
+		backend.queued = backend.queued[1:]
+		attempt.finishAt = backend.servedWork + attempt.cost
+		heap.Push(&backend.active, attempt)
 	}
-	w.scheduleCompletion(b)
+	em.scheduleCompletion(backend)
 }
 
-func (w *Emulator) finishAttempt(b *backend, j *attempt) {
-	if j.key != "" {
-		w.recordKey(b, j)
+func (em *Emulator) finishAttempt(backend *emulatedBackend, attempt *backendAttempt) {
+	if attempt.key != "" {
+		em.recordKey(backend, attempt)
 	}
-	w.replyToAttempt(b, j, referee.Whole)
+	em.replyToAttempt(backend, attempt, referee.Whole)
 }
 
 // reply answers on the attempt's connection, one way through the network later.
-func (w *Emulator) replyToAttempt(b *backend, j *attempt, how referee.How) {
-	c := j.connection
-	if c == nil {
+func (em *Emulator) replyToAttempt(backend *emulatedBackend, attempt *backendAttempt, outcome referee.How) {
+	connection := attempt.connection
+	if connection == nil {
 		return
 	}
-	if w.scenario.Backend.LoadReports {
-		busy := min(1, float64(len(b.active))/w.scenario.Backend.Cores)
-		j.reply.Load = &LoadReport{Outstanding: len(b.active) + len(b.queued), Queued: len(b.queued), Utilization: busy}
+	if em.scenario.Backend.LoadReports {
+		utilization := min(1, float64(len(backend.active))/em.scenario.Backend.Cores)
+		attempt.reply.Load = &LoadReport{Outstanding: len(backend.active) + len(backend.queued), Queued: len(backend.queued), Utilization: utilization}
 	}
-	lives := b.incarnation
-	w.after(w.networkDelay(c), func() {
-		if j.connection == nil || b.incarnation != lives || w.links[gatewayLink{c.gateway, c.peer}] != Up {
+	incarnation := backend.incarnation
+	em.after(em.networkDelay(connection), func() {
+		if attempt.connection == nil || backend.incarnation != incarnation || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
 			return
 		}
-		if j.reply.Truncated {
-			how = referee.Broken
+		if attempt.reply.Truncated {
+			outcome = referee.Broken
 		}
-		w.Referee.Over(w.now, j.requestID, j.number, how)
-		w.emit(j.reply)
-		c.attempt = nil
-		w.markIdle(c)
-		if j.reply.Truncated || j.reply.Close {
-			w.dropConnection(c)
+		em.Referee.Over(em.now, attempt.requestID, attempt.number, outcome)
+		em.emit(attempt.reply)
+		connection.attempt = nil
+		em.markIdle(connection)
+		if attempt.reply.Truncated || attempt.reply.Close {
+			em.dropConnection(connection)
 		}
 	})
 }
 
 // delay is one way between a gateway and what it speaks to.
-func (w *Emulator) networkDelay(c *connection) time.Duration {
-	d := w.scenario.Network.Delay.D()
-	if w.gateways[c.gateway].zone != w.peerZone(c.peer) {
-		d += w.scenario.Network.CrossZone.D()
+func (em *Emulator) networkDelay(connection *gatewayConnection) time.Duration {
+	delay := em.scenario.Network.Delay.D()
+	if em.gateways[connection.gateway].zone != em.peerZone(connection.peer) {
+		delay += em.scenario.Network.CrossZone.D()
 	}
-	return d
+	return delay
 }
 
 // zoneOf is where a peer stands; the counter and the lists stand in the first.
-func (w *Emulator) peerZone(peer int) int {
+func (em *Emulator) peerZone(peer int) int {
 	if peer == Counter {
 		return 0
 	}
-	return w.backends[peer].zone
+	return em.backends[peer].zone
 }
 
 // counterConnections is how many the counter holds for one gateway, and
@@ -214,319 +214,319 @@
 	counterIdleTimeout    = 10 * time.Second
 )
 
-func (w *Emulator) connectionOpened(e Opened) {
-	c := &connection{id: e.Conn, gateway: e.Gateway, peer: e.Peer}
-	if w.links[gatewayLink{c.gateway, c.peer}] != Up {
+func (em *Emulator) connectionOpened(event Opened) {
+	connection := &gatewayConnection{id: event.Conn, gateway: event.Gateway, peer: event.Peer}
+	if em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
 		return // what comes on it is not heard
 	}
-	w.connections[c.id] = c
-	if c.peer == Counter {
-		g := &w.gateways[c.gateway]
-		if g.counterConnections++; g.counterConnections > maxCounterConnections {
-			w.resetConnection(c)
+	em.connections[connection.id] = connection
+	if connection.peer == Counter {
+		gateway := &em.gateways[connection.gateway]
+		if gateway.counterConnections++; gateway.counterConnections > maxCounterConnections {
+			em.resetConnection(connection)
 			return
 		}
 	} else {
-		b := w.backends[c.peer]
-		b.connections++
-		w.Tally.Costs.Handshakes++
-		c.overLimit = b.connections > w.scenario.Backend.Connections
+		backend := em.backends[connection.peer]
+		backend.connections++
+		em.Tally.Costs.Handshakes++
+		connection.overLimit = backend.connections > em.scenario.Backend.Connections
 	}
-	w.markIdle(c)
+	em.markIdle(connection)
 }
 
 // rests notes that a connection is idle, and closes it when it has been for long.
-func (w *Emulator) markIdle(c *connection) {
-	c.idleSince = w.now
-	keep := w.scenario.Backend.KeepAlive.D()
-	if c.peer == Counter {
-		keep = counterIdleTimeout
-	}
-	w.after(keep, func() {
-		if w.connections[c.id] == c && c.attempt == nil && c.idleSince+keep <= w.now {
-			w.resetConnection(c)
+func (em *Emulator) markIdle(connection *gatewayConnection) {
+	connection.idleSince = em.now
+	timeout := em.scenario.Backend.KeepAlive.D()
+	if connection.peer == Counter {
+		timeout = counterIdleTimeout
+	}
+	em.after(timeout, func() {
+		if em.connections[connection.id] == connection && connection.attempt == nil && connection.idleSince+timeout <= em.now {
+			em.resetConnection(connection)
 		}
 	})
 }
 
-func (w *Emulator) resetConnection(c *connection) {
-	w.emit(Reset{c.id})
-	w.dropConnection(c)
+func (em *Emulator) resetConnection(connection *gatewayConnection) {
+	em.emit(Reset{connection.id})
+	em.dropConnection(connection)
 }
 
 // drop forgets a connection; what is out on it is over.
-func (w *Emulator) dropConnection(c *connection) {
-	if w.connections[c.id] == nil {
+func (em *Emulator) dropConnection(connection *gatewayConnection) {
+	if em.connections[connection.id] == nil {
 		return
 	}
-	delete(w.connections, c.id)
-	if c.peer == Counter {
-		w.gateways[c.gateway].counterConnections--
+	delete(em.connections, connection.id)
+	if connection.peer == Counter {
+		em.gateways[connection.gateway].counterConnections--
 		return
 	}
-	w.backends[c.peer].connections--
-	if j := c.attempt; j != nil {
-		w.Referee.Over(w.now, j.requestID, j.number, referee.Broken)
-		w.abandonAttempt(j)
+	em.backends[connection.peer].connections--
+	if attempt := connection.attempt; attempt != nil {
+		em.Referee.Over(em.now, attempt.requestID, attempt.number, referee.Broken)
+		em.abandonAttempt(attempt)
 	}
 }
 
 // giveUp stops what waits for a place; what is in work goes on for nothing.
-func (w *Emulator) abandonAttempt(j *attempt) {
-	b := w.backends[j.connection.peer]
-	j.connection.attempt = nil
-	j.connection = nil
-	if i := slices.Index(b.queued, j); i >= 0 {
-		b.queued = slices.Delete(b.queued, i, i+1)
+func (em *Emulator) abandonAttempt(attempt *backendAttempt) {
+	backend := em.backends[attempt.connection.peer]
+	attempt.connection.attempt = nil
+	attempt.connection = nil
+	if i := slices.Index(backend.queued, attempt); i >= 0 {
+		backend.queued = slices.Delete(backend.queued, i, i+1)
 	}
 }
 
-func (w *Emulator) connectionClosed(id Conn) {
-	c := w.connections[id]
-	if c == nil {
+func (em *Emulator) connectionClosed(id Conn) {
+	connection := em.connections[id]
+	if connection == nil {
 		return
 	}
-	if j := c.attempt; j != nil {
-		w.Referee.Over(w.now, j.requestID, j.number, referee.Left)
-		w.abandonAttempt(j)
+	if attempt := connection.attempt; attempt != nil {
+		em.Referee.Over(em.now, attempt.requestID, attempt.number, referee.Left)
+		em.abandonAttempt(attempt)
 	}
-	w.dropConnection(c)
+	em.dropConnection(connection)
 }
 
-func (w *Emulator) probed(e Probed) {
-	c := w.connections[e.Conn]
-	if c == nil || c.peer == Counter || w.links[gatewayLink{c.gateway, c.peer}] != Up {
+func (em *Emulator) probed(event Probed) {
+	connection := em.connections[event.Conn]
+	if connection == nil || connection.peer == Counter || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
 		return
 	}
-	w.Tally.Costs.Probes++
-	b := w.backends[c.peer]
-	r := Reply{Conn: c.id, Status: 200, Body: Body{Seed: 1, Size: 32}, Load: &LoadReport{Outstanding: len(b.active) + len(b.queued), Queued: len(b.queued)}}
-	w.after(2*w.networkDelay(c), func() {
-		if w.connections[c.id] == c && w.links[gatewayLink{c.gateway, c.peer}] == Up {
-			w.emit(r)
-			w.markIdle(c)
+	em.Tally.Costs.Probes++
+	backend := em.backends[connection.peer]
+	reply := Reply{Conn: connection.id, Status: 200, Body: Body{Seed: 1, Size: 32}, Load: &LoadReport{Outstanding: len(backend.active) + len(backend.queued), Queued: len(backend.queued)}}
+	em.after(2*em.networkDelay(connection), func() {
+		if em.connections[connection.id] == connection && em.links[gatewayLink{connection.gateway, connection.peer}] == Up {
+			em.emit(reply)
+			em.markIdle(connection)
 		}
 	})
 }
 
 // settle has the attempts of a request looked at before they are judged: that a
 // gateway has given one up may still wait at the driver to be read.
-func (w *Emulator) checkAttempts(id uint64) {
-	var out []Conn
-	for _, c := range w.connections {
-		if c.attempt != nil && c.attempt.requestID == id {
-			out = append(out, c.id)
+func (em *Emulator) checkAttempts(id uint64) {
+	var connections []Conn
+	for _, connection := range em.connections {
+		if connection.attempt != nil && connection.attempt.requestID == id {
+			connections = append(connections, connection.id)
 		}
 	}
-	slices.Sort(out)
-	w.emit(CheckConnections{ID: id, Connections: out})
+	slices.Sort(connections)
+	em.emit(CheckConnections{ID: id, Connections: connections})
 }
 
-func (w *Emulator) connectionsChecked(e ConnectionsChecked) {
-	for _, c := range e.Closed {
-		w.connectionClosed(c)
+func (em *Emulator) connectionsChecked(event ConnectionsChecked) {
+	for _, conn := range event.Closed {
+		em.connectionClosed(conn)
 	}
-	w.Referee.Settle(w.now, e.ID)
+	em.Referee.Settle(em.now, event.ID)
 }
 
-func (w *Emulator) requestArrived(e Arrived) {
-	c := w.connections[e.Conn]
-	if c == nil || c.peer == Counter || w.links[gatewayLink{c.gateway, c.peer}] != Up {
+func (em *Emulator) requestArrived(event Arrived) {
+	connection := em.connections[event.Conn]
+	if connection == nil || connection.peer == Counter || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
 		return // it never came
 	}
-	b := w.backends[c.peer]
-	number := hash(e.ID, uint64(e.Conn), uint64(w.now))
-	j := &attempt{number: number, requestID: e.ID, connection: c, key: e.Key}
-	j.reply = Reply{Conn: c.id, Status: 200, Body: Body{Seed: hash(number, e.ID)}}
-	t := w.clients.inProgress[e.ID]
-	same := e.Unchanged && t != nil && e.Class == w.scenario.Classes[t.class].Name && e.Key == t.key && e.Body.Size == t.bodyBytes &&
-		(t.bodyBytes == 0 || e.Body == t.message().Body)
-	if w.Referee.Arrived(w.now, referee.Attempt{ID: e.ID, Number: number, Gateway: c.gateway, Backend: b.number, First: e.FirstByte, Same: same || t == nil, Answer: j.reply.Body.Seed}) {
-		w.after(w.scenario.Rules.Observe.D(), func() { w.checkAttempts(e.ID) })
-	}
-	c.attempt = j
-	w.Tally.Costs.Attempts++
-	if w.gateways[c.gateway].zone != b.zone {
-		w.Tally.Costs.CrossZone++
-	}
-	if t == nil {
-		w.failAttempt(b, j, 400)
+	backend := em.backends[connection.peer]
+	number := hash(event.ID, uint64(event.Conn), uint64(em.now))
+	attempt := &backendAttempt{number: number, requestID: event.ID, connection: connection, key: event.Key}
+	attempt.reply = Reply{Conn: connection.id, Status: 200, Body: Body{Seed: hash(number, event.ID)}}
+	request := em.clients.inProgress[event.ID]
+	unchanged := event.Unchanged && request != nil && event.Class == em.scenario.Classes[request.class].Name && event.Key == request.key && event.Body.Size == request.bodyBytes &&
+		(request.bodyBytes == 0 || event.Body == request.message().Body)
+	if em.Referee.Arrived(em.now, referee.Attempt{ID: event.ID, Number: number, Gateway: connection.gateway, Backend: backend.number, First: event.FirstByte, Same: unchanged || request == nil, Answer: attempt.reply.Body.Seed}) {
+		em.after(em.scenario.Rules.Observe.D(), func() { em.checkAttempts(event.ID) })
+	}
+	connection.attempt = attempt
+	em.Tally.Costs.Attempts++
+	if em.gateways[connection.gateway].zone != backend.zone {
+		em.Tally.Costs.CrossZone++
+	}
+	if request == nil {
+		em.failAttempt(backend, attempt, 400)
 		return
 	}
-	w.reachedBackend(t)
-	class := &w.scenario.Classes[t.class]
-	j.class = t.class
-	j.cost = t.operation.workSeconds
-	if b.slowdown > 0 {
-		j.cost *= b.slowdown
-	}
-	if !c.handshakeDone {
-		c.handshakeDone = true
-		j.cost += w.scenario.Backend.Handshake.Seconds()
-	}
-	j.reply.Body.Size = class.AnswerBytes
-	if w.Referee.Pressed(w.now, c.gateway, b.number, w.runningBackends(), j.cost, class.Work.Seconds(), w.capacity(b)) {
-		w.Tally.Costs.Cold++
-		w.emit(Mark{fmt.Sprintf("backend b-%d falls over", b.number)})
-		b.collapsed = true
-		w.crashBackend(b)
-		w.publishBackend(b, true)
+	em.reachedBackend(request)
+	class := &em.scenario.Classes[request.class]
+	attempt.class = request.class
+	attempt.cost = request.clientOperation.workSeconds
+	if backend.slowdown > 0 {
+		attempt.cost *= backend.slowdown
+	}
+	if !connection.handshakeDone {
+		connection.handshakeDone = true
+		attempt.cost += em.scenario.Backend.Handshake.Seconds()
+	}
+	attempt.reply.Body.Size = class.AnswerBytes
+	if em.Referee.Pressed(em.now, connection.gateway, backend.number, em.runningBackends(), attempt.cost, class.Work.Seconds(), em.capacity(backend)) {
+		em.Tally.Costs.Cold++
+		em.emit(Mark{fmt.Sprintf("backend b-%d falls over", backend.number)})
+		backend.collapsed = true
+		em.crashBackend(backend)
+		em.publishBackend(backend, true)
 		return
 	}
-	w.after(w.networkDelay(c), func() { w.admit(b, j) })
+	em.after(em.networkDelay(connection), func() { em.admit(backend, attempt) })
 }
 
 // running counts the backends that take requests.
-func (w *Emulator) runningBackends() (n int) {
-	for _, b := range w.backends {
-		if b.state == running && !b.draining {
-			n++
+func (em *Emulator) runningBackends() (count int) {
+	for _, backend := range em.backends {
+		if backend.state == running && !backend.draining {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // enter is a request's coming to the backend's program.
-func (w *Emulator) admit(b *backend, j *attempt) {
-	if j.connection == nil || b.state != running {
+func (em *Emulator) admit(backend *emulatedBackend, attempt *backendAttempt) {
+	if attempt.connection == nil || backend.state != running {
 		return
 	}
-	w.advance(b)
-	draw := func(salt uint64) float64 { return unitFraction(hash(j.number, salt)) }
+	em.advance(backend)
+	draw := func(salt uint64) float64 { return unitFraction(hash(attempt.number, salt)) }
 	switch {
-	case b.resetRate > 0 && draw(1) < b.resetRate:
-		w.resetConnection(j.connection)
-	case b.errorRate > 0 && draw(2) < b.errorRate:
-		w.failAttempt(b, j, 500)
-	case j.connection.overLimit, b.draining && w.now-b.drainingSince > w.scenario.Rules.DrainGrace.D()+w.scenario.Network.ListDelay.D(),
-		len(b.active) >= w.scenario.Backend.Slots && len(b.queued) >= w.scenario.Backend.Queue:
-		w.reject(b, j)
-	case j.key != "" && w.keySeen(b, j):
-		w.replyToAttempt(b, j, referee.Whole) // another attempt has done the work
+	case backend.resetRate > 0 && draw(1) < backend.resetRate:
+		em.resetConnection(attempt.connection)
+	case backend.errorRate > 0 && draw(2) < backend.errorRate:
+		em.failAttempt(backend, attempt, 500)
+	case attempt.connection.overLimit, backend.draining && em.now-backend.drainingSince > em.scenario.Rules.DrainGrace.D()+em.scenario.Network.ListDelay.D(),
+		len(backend.active) >= em.scenario.Backend.Slots && len(backend.queued) >= em.scenario.Backend.Queue:
+		em.reject(backend, attempt)
+	case attempt.key != "" && em.keySeen(backend, attempt):
+		em.replyToAttempt(backend, attempt, referee.Whole) // another attempt has done the work
 	default:
-		j.reply.Truncated = b.truncationRate > 0 && draw(3) < b.truncationRate
-		j.finishAt = b.servedWork + j.cost
-		if len(b.active) < w.scenario.Backend.Slots {
-			heap.Push(&b.active, j)
+		attempt.reply.Truncated = backend.truncationRate > 0 && draw(3) < backend.truncationRate
+		attempt.finishAt = backend.servedWork + attempt.cost
+		if len(backend.active) < em.scenario.Backend.Slots {
+			heap.Push(&backend.active, attempt)
 		} else {
-			b.queued = append(b.queued, j)
+			backend.queued = append(backend.queued, attempt)
 		}
 	}
-	w.scheduleCompletion(b)
+	em.scheduleCompletion(backend)
 }
 
-func (w *Emulator) reject(b *backend, j *attempt) {
-	w.Tally.Costs.Turned++
-	j.reply.Status, j.reply.NotStarted, j.reply.Body.Size = 503, true, 32
-	j.reply.Close = j.connection.overLimit
-	w.replyToAttempt(b, j, referee.Turned)
+func (em *Emulator) reject(backend *emulatedBackend, attempt *backendAttempt) {
+	em.Tally.Costs.Turned++
+	attempt.reply.Status, attempt.reply.NotStarted, attempt.reply.Body.Size = 503, true, 32
+	attempt.reply.Close = attempt.connection.overLimit
+	em.replyToAttempt(backend, attempt, referee.Turned)
 }
 
-func (w *Emulator) failAttempt(b *backend, j *attempt, status int) {
-	j.reply.Status, j.reply.Body.Size = status, 32
-	w.replyToAttempt(b, j, referee.Failed)
+func (em *Emulator) failAttempt(backend *emulatedBackend, attempt *backendAttempt, status int) {
+	attempt.reply.Status, attempt.reply.Body.Size = status, 32
+	em.replyToAttempt(backend, attempt, referee.Failed)
 }
 
-func (w *Emulator) keyScopeOf(b *backend, class int) keyScope {
-	switch w.scenario.Classes[class].Scope {
+func (em *Emulator) keyScopeOf(backend *emulatedBackend, class int) keyScope {
+	switch em.scenario.Classes[class].Scope {
 	case "zone":
-		return keyScope{1, b.zone}
+		return keyScope{1, backend.zone}
 	case "cell":
-		return keyScope{2, b.cell}
+		return keyScope{2, backend.cell}
 	}
 	return keyScope{0, 0}
 }
 
-func (w *Emulator) keySeen(b *backend, j *attempt) bool {
-	return w.seenKeys[w.keyScopeOf(b, j.class)][j.key] > w.now
+func (em *Emulator) keySeen(backend *emulatedBackend, attempt *backendAttempt) bool {
+	return em.seenKeys[em.keyScopeOf(backend, attempt.class)][attempt.key] > em.now
 }
 
-func (w *Emulator) recordKey(b *backend, j *attempt) {
-	at := w.keyScopeOf(b, j.class)
-	keys := w.seenKeys[at]
+func (em *Emulator) recordKey(backend *emulatedBackend, attempt *backendAttempt) {
+	scope := em.keyScopeOf(backend, attempt.class)
+	keys := em.seenKeys[scope]
 	if keys == nil {
 		keys = map[string]time.Duration{}
-		w.seenKeys[at] = keys
+		em.seenKeys[scope] = keys
 	}
-	if _, seen := keys[j.key]; seen {
+	if _, seen := keys[attempt.key]; seen {
 		return
 	}
-	window := w.scenario.Classes[j.class].Window.D()
-	keys[j.key] = w.now + window
-	w.after(window, func() { delete(keys, j.key) })
+	window := em.scenario.Classes[attempt.class].Window.D()
+	keys[attempt.key] = em.now + window
+	em.after(window, func() { delete(keys, attempt.key) })
 }
 
 // crash ends the backend's process.
-func (w *Emulator) crashBackend(b *backend) {
-	b.state = crashed
-	w.discardWork(b)
-	w.updateLinks()
+func (em *Emulator) crashBackend(backend *emulatedBackend) {
+	backend.state = crashed
+	em.discardWork(backend)
+	em.updateLinks()
 }
 
 // stopped drops all that a backend that stops has had.
-func (w *Emulator) discardWork(b *backend) {
-	b.incarnation++
-	b.timerNumber++
-	b.active, b.queued, b.servedWork = nil, nil, 0
+func (em *Emulator) discardWork(backend *emulatedBackend) {
+	backend.incarnation++
+	backend.timerNumber++
+	backend.active, backend.queued, backend.servedWork = nil, nil, 0
 }
 
 // start brings a backend back, cold.
-func (w *Emulator) restartBackend(b *backend) {
-	if b.collapsed || b.state == ended {
+func (em *Emulator) restartBackend(backend *emulatedBackend) {
+	if backend.collapsed || backend.state == ended {
 		return
 	}
-	w.discardWork(b)
-	b.state = running
-	b.startedAt = w.now
-	b.updatedAt = w.now
-	b.draining = false
-	b.listed = true
-	w.Referee.Backend(w.now, b.number, b.zone, b.cell, true)
-	w.updateLinks()
-	w.publishBackend(b, false)
+	em.discardWork(backend)
+	backend.state = running
+	backend.startedAt = em.now
+	backend.updatedAt = em.now
+	backend.draining = false
+	backend.listed = true
+	em.Referee.Backend(em.now, backend.number, backend.zone, backend.cell, true)
+	em.updateLinks()
+	em.publishBackend(backend, false)
 }
 
 // relink tells the driver of every link that has changed, and ends the
 // connections along those that have.
-func (w *Emulator) updateLinks() {
+func (em *Emulator) updateLinks() {
 	ended := map[gatewayLink]bool{}
-	for g := range w.gateways {
-		for peer := Counter; peer < len(w.backends); peer++ {
-			at := gatewayLink{g, peer}
-			state := w.linkState(g, peer)
-			if w.links[at] == state {
+	for g := range em.gateways {
+		for peer := Counter; peer < len(em.backends); peer++ {
+			key := gatewayLink{g, peer}
+			state := em.linkState(g, peer)
+			if em.links[key] == state {
 				continue
 			}
-			w.links[at] = state
-			w.emit(SetLinkState{g, peer, state})
-			ended[at] = state != Silent // what stands on a silent one goes on standing, unheard
+			em.links[key] = state
+			em.emit(SetLinkState{g, peer, state})
+			ended[key] = state != Silent // what stands on a silent one goes on standing, unheard
 		}
 	}
-	for _, c := range w.connections {
-		if ended[gatewayLink{c.gateway, c.peer}] {
-			w.dropConnection(c) // in any order: nothing is done for it but bookkeeping
+	for _, connection := range em.connections {
+		if ended[gatewayLink{connection.gateway, connection.peer}] {
+			em.dropConnection(connection) // in any order: nothing is done for it but bookkeeping
 		}
 	}
 }
 
-func (w *Emulator) linkState(g, peer int) LinkState {
-	here, there := w.gateways[g].zone, w.peerZone(peer)
-	if here != there && (w.zoneCuts[here] > 0 || w.zoneCuts[there] > 0) {
+func (em *Emulator) linkState(gateway, peer int) LinkState {
+	gatewayZone, zoneOfPeer := em.gateways[gateway].zone, em.peerZone(peer)
+	if gatewayZone != zoneOfPeer && (em.zoneCuts[gatewayZone] > 0 || em.zoneCuts[zoneOfPeer] > 0) {
 		return Silent
 	}
-	to := Endpoint{scenario.Backends, peer}
+	endpoint := Endpoint{scenario.Backends, peer}
 	if peer == Counter {
-		to = Endpoint{scenario.CounterActor, 0}
+		endpoint = Endpoint{scenario.CounterActor, 0}
 	}
-	switch how := w.condition(ProcessLink{Endpoint{scenario.Gateways, g}, to}, link.Forward); {
-	case how.Kind == link.Dropped, peer == Counter && w.counter.silentFaults > 0:
+	switch condition := em.condition(ProcessLink{Endpoint{scenario.Gateways, gateway}, endpoint}, link.Forward); {
+	case condition.Kind == link.Dropped, peer == Counter && em.counter.silentFaults > 0:
 		return Silent
-	case how.Kind == link.Refused:
+	case condition.Kind == link.Refused:
 		return Refusing
 	case peer == Counter:
 		return Up
 	}
-	switch w.backends[peer].state {
+	switch em.backends[peer].state {
 	case running:
 		return Up
 	case vanished:
--- a/internal/world/body.go
+++ b/internal/world/body.go
@@ -29,16 +29,16 @@
 	remaining int64
 }
 
-func (r *bodyReader) Read(p []byte) (int, error) {
+func (r *bodyReader) Read(buffer []byte) (int, error) {
 	if r.remaining == 0 {
 		return 0, io.EOF
 	}
 	n := 0
-	for n < len(p) && r.remaining > 0 {
-		c := copy(p[n:], r.block[r.offset:min(int64(blockBytes), int64(r.offset)+r.remaining)])
-		n += c
-		r.remaining -= int64(c)
-		r.offset = (r.offset + c) % blockBytes
+	for n < len(buffer) && r.remaining > 0 {
+		copied := copy(buffer[n:], r.block[r.offset:min(int64(blockBytes), int64(r.offset)+r.remaining)])
+		n += copied
+		r.remaining -= int64(copied)
+		r.offset = (r.offset + copied) % blockBytes
 	}
 	return n, nil
 }
@@ -48,36 +48,36 @@
 // ReadBody reads a body to its end and tells what it is made of. One of under 16
 // bytes has no number that could be told.
 func ReadBody(r io.Reader) (Body, error) {
-	var b Body
+	var body Body
 	var buf [4096]byte
 	var first []byte
 	for {
 		n, err := r.Read(buf[:])
 		for _, c := range buf[:n] {
-			at := int(b.Size % blockBytes)
-			b.Size++
+			offset := int(body.Size % blockBytes)
+			body.Size++
 			if len(first) < blockBytes {
 				if first = append(first, c); len(first) == blockBytes-1 {
 					seed, err := strconv.ParseUint(string(first), 16, 64)
 					if err != nil {
-						return b, errNotEmulatedBody
+						return body, errNotEmulatedBody
 					}
-					b.Seed = seed
+					body.Seed = seed
 				}
 				if len(first) == blockBytes && c != ' ' {
-					return b, errNotEmulatedBody
+					return body, errNotEmulatedBody
 				}
 				continue
 			}
-			if first[at] != c {
-				return b, errNotEmulatedBody
+			if first[offset] != c {
+				return body, errNotEmulatedBody
 			}
 		}
 		if err == io.EOF {
-			return b, nil
+			return body, nil
 		}
 		if err != nil {
-			return b, err
+			return body, err
 		}
 	}
 }
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -14,11 +14,11 @@
 
 // clients are all who call. What they want, and when, is drawn from a stream of
 // its own, and so it is the same whatever gateways do.
-type clients struct {
+type emulatedClients struct {
 	arrivalRandom     *rand.Rand
 	shiftRandom       *rand.Rand
-	customers         [][]customer // by plan
-	cumulativeWeights [][]float64  // by plan: sums of the customers' weights
+	customers         [][]emulatedCustomer // by plan
+	cumulativeWeights [][]float64          // by plan: sums of the customers' weights
 	offeredQuotas     map[uint64]*quota
 	acceptedQuotas    map[uint64]*quota
 	inProgress        map[uint64]*clientRequest
@@ -28,7 +28,7 @@
 	requestCount      uint64
 }
 
-type customer struct {
+type emulatedCustomer struct {
 	id               uint64
 	firstGateway     int       // gateway of its set
 	cumulativeShares []float64 // sums over the set's gateways
@@ -52,7 +52,7 @@
 }
 
 // wish is what a client wants, over all its tries.
-type operation struct {
+type clientOperation struct {
 	startedAt   time.Duration
 	class       int
 	plan        int
@@ -67,7 +67,7 @@
 
 // try is one request.
 type clientRequest struct {
-	*operation
+	*clientOperation
 	id             uint64
 	gateway        int
 	firstGateway   int
@@ -80,260 +80,260 @@
 	answered       bool
 }
 
-func (w *Emulator) newClients() {
-	c := &w.clients
-	c.arrivalRandom = rand.New(rand.NewPCG(w.scenario.Seed, streamArrivals))
-	c.shiftRandom = rand.New(rand.NewPCG(w.scenario.Seed, streamShifts))
-	c.offeredQuotas, c.acceptedQuotas, c.inProgress = map[uint64]*quota{}, map[uint64]*quota{}, map[uint64]*clientRequest{}
-	c.customers = make([][]customer, len(w.scenario.Plans))
-	c.cumulativeWeights = make([][]float64, len(w.scenario.Plans))
-	for p, plan := range w.scenario.Plans {
+func (em *Emulator) newClients() {
+	clients := &em.clients
+	clients.arrivalRandom = rand.New(rand.NewPCG(em.scenario.Seed, streamArrivals))
+	clients.shiftRandom = rand.New(rand.NewPCG(em.scenario.Seed, streamShifts))
+	clients.offeredQuotas, clients.acceptedQuotas, clients.inProgress = map[uint64]*quota{}, map[uint64]*quota{}, map[uint64]*clientRequest{}
+	clients.customers = make([][]emulatedCustomer, len(em.scenario.Plans))
+	clients.cumulativeWeights = make([][]float64, len(em.scenario.Plans))
+	for p, plan := range em.scenario.Plans {
 		for n := range plan.Customers {
-			id := hash(w.scenario.Seed, uint64(p), uint64(n)) & (1<<33 - 1)
-			c.customers[p] = append(c.customers[p], customer{id: id, firstGateway: c.shiftRandom.IntN(w.scenario.Fleet.Gateways)})
+			id := hash(em.scenario.Seed, uint64(p), uint64(n)) & (1<<33 - 1)
+			clients.customers[p] = append(clients.customers[p], emulatedCustomer{id: id, firstGateway: clients.shiftRandom.IntN(em.scenario.Fleet.Gateways)})
 		}
 	}
-	w.redrawCustomers()
+	em.redrawCustomers()
 }
 
 // shift draws anew how much each customer asks, and through which gateways.
-func (w *Emulator) redrawCustomers() {
-	c := &w.clients
-	for p := range c.customers {
-		c.cumulativeWeights[p] = c.cumulativeWeights[p][:0]
+func (em *Emulator) redrawCustomers() {
+	clients := &em.clients
+	for p := range clients.customers {
+		clients.cumulativeWeights[p] = clients.cumulativeWeights[p][:0]
 		sum := 0.0
-		for i := range c.customers[p] {
-			sum += math.Exp(w.scenario.Load.Skew * c.shiftRandom.NormFloat64())
-			c.cumulativeWeights[p] = append(c.cumulativeWeights[p], sum)
-			k := &c.customers[p][i]
-			k.cumulativeShares = k.cumulativeShares[:0]
-			part := 0.0
-			for range w.scenario.Plans[p].Spread {
-				part += 0.2 + c.shiftRandom.Float64()
-				k.cumulativeShares = append(k.cumulativeShares, part)
+		for i := range clients.customers[p] {
+			sum += math.Exp(em.scenario.Load.Skew * clients.shiftRandom.NormFloat64())
+			clients.cumulativeWeights[p] = append(clients.cumulativeWeights[p], sum)
+			customer := &clients.customers[p][i]
+			customer.cumulativeShares = customer.cumulativeShares[:0]
+			cumulative := 0.0
+			for range em.scenario.Plans[p].Spread {
+				cumulative += 0.2 + clients.shiftRandom.Float64()
+				customer.cumulativeShares = append(customer.cumulativeShares, cumulative)
 			}
 		}
 	}
 }
 
-func (c *clients) begin(w *Emulator) {
-	c.endAt = w.now + w.scenario.Duration.D()
-	if every := w.scenario.Load.ShiftEvery.D(); every > 0 {
-		var again func()
-		again = func() {
-			w.redrawCustomers()
-			if w.now+every < c.endAt {
-				w.after(every, again)
+func (clients *emulatedClients) begin(em *Emulator) {
+	clients.endAt = em.now + em.scenario.Duration.D()
+	if interval := em.scenario.Load.ShiftEvery.D(); interval > 0 {
+		var redraw func()
+		redraw = func() {
+			em.redrawCustomers()
+			if em.now+interval < clients.endAt {
+				em.after(interval, redraw)
 			}
 		}
-		w.after(every, again)
+		em.after(interval, redraw)
 	}
-	w.schedule(c.endAt, func() { c.ended = true })
-	c.scheduleArrival(w, w.now, w.now)
+	em.schedule(clients.endAt, func() { clients.ended = true })
+	clients.scheduleArrival(em, em.now, em.now)
 }
 
 // arrive plans the next arrival. They come at random at the highest rate, and
 // those are passed over that the rate of the moment has no room for.
-func (c *clients) scheduleArrival(w *Emulator, begin, from time.Duration) {
-	at := from
+func (clients *emulatedClients) scheduleArrival(em *Emulator, startTime, previous time.Duration) {
+	next := previous
 	for {
-		highest := w.scenario.Load.RequestsPerS * w.maxLoadFactor()
-		if highest <= 0 {
+		maxRate := em.scenario.Load.RequestsPerS * em.maxLoadFactor()
+		if maxRate <= 0 {
 			return
 		}
-		at += time.Duration(c.arrivalRandom.ExpFloat64() / highest * 1e9)
-		if at >= c.endAt {
+		next += time.Duration(clients.arrivalRandom.ExpFloat64() / maxRate * 1e9)
+		if next >= clients.endAt {
 			return
 		}
-		if c.arrivalRandom.Float64()*w.maxLoadFactor() <= w.loadFactor(at-begin) {
+		if clients.arrivalRandom.Float64()*em.maxLoadFactor() <= em.loadFactor(next-startTime) {
 			break
 		}
 	}
-	w.schedule(at, func() {
-		w.startOperation()
-		c.scheduleArrival(w, begin, w.now)
+	em.schedule(next, func() {
+		em.startOperation()
+		clients.scheduleArrival(em, startTime, em.now)
 	})
 }
 
 // load is the factor on the rate at a moment of the day.
-func (w *Emulator) loadFactor(at time.Duration) float64 {
+func (em *Emulator) loadFactor(elapsed time.Duration) float64 {
 	factor := 1.0
-	if shape := w.scenario.Load.Shape; len(shape) > 0 {
-		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.D() > at })
+	if shape := em.scenario.Load.Shape; len(shape) > 0 {
+		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.D() > elapsed })
 		switch {
 		case i == 0:
 			factor = shape[0].Times
 		case i == len(shape):
 			factor = shape[i-1].Times
 		default:
-			a, b := shape[i-1], shape[i]
-			factor = a.Times + (b.Times-a.Times)*float64(at-a.At.D())/float64(b.At-a.At)
+			before, after := shape[i-1], shape[i]
+			factor = before.Times + (after.Times-before.Times)*float64(elapsed-before.At.D())/float64(after.At-before.At)
 		}
 	}
-	for _, f := range w.scenario.Faults {
-		if f.Kind == "burst" && at >= f.At.D() && at < (f.At+f.For).D() {
-			factor *= f.Size
+	for _, fault := range em.scenario.Faults {
+		if fault.Kind == "burst" && elapsed >= fault.At.D() && elapsed < (fault.At+fault.For).D() {
+			factor *= fault.Size
 		}
 	}
 	return factor
 }
 
 // mostLoad is a bound on load.
-func (w *Emulator) maxLoadFactor() float64 {
-	most := 1.0
-	if len(w.scenario.Load.Shape) > 0 {
-		most = 0
-		for _, step := range w.scenario.Load.Shape {
-			most = max(most, step.Times)
+func (em *Emulator) maxLoadFactor() float64 {
+	maxFactor := 1.0
+	if len(em.scenario.Load.Shape) > 0 {
+		maxFactor = 0
+		for _, step := range em.scenario.Load.Shape {
+			maxFactor = max(maxFactor, step.Times)
 		}
 	}
-	for _, f := range w.scenario.Faults {
-		if f.Kind == "burst" {
-			most *= max(1, f.Size)
+	for _, fault := range em.scenario.Faults {
+		if fault.Kind == "burst" {
+			maxFactor *= max(1, fault.Size)
 		}
 	}
-	return most
+	return maxFactor
 }
 
 // pick draws a place by shares that come to about 1.
-func pickWeighted(of float64, n int, share func(int) float64) int {
-	for i := range n {
-		if of -= share(i); of < 0 {
+func pickWeighted(point float64, count int, weight func(int) float64) int {
+	for i := range count {
+		if point -= weight(i); point < 0 {
 			return i
 		}
 	}
-	return n - 1
+	return count - 1
 }
 
 // wish is a client's beginning to want something.
-func (w *Emulator) startOperation() {
-	c := &w.clients
-	draw := c.arrivalRandom
-	v := &operation{startedAt: w.now}
-	v.class = pickWeighted(draw.Float64(), len(w.scenario.Classes), func(i int) float64 { return w.scenario.Classes[i].Share })
-	v.plan = pickWeighted(draw.Float64(), len(w.scenario.Plans), func(i int) float64 { return w.scenario.Plans[i].Share })
-	reach := c.cumulativeWeights[v.plan]
-	v.customer = min(sort.SearchFloat64s(reach, draw.Float64()*reach[len(reach)-1]), len(reach)-1)
+func (em *Emulator) startOperation() {
+	clients := &em.clients
+	random := clients.arrivalRandom
+	operation := &clientOperation{startedAt: em.now}
+	operation.class = pickWeighted(random.Float64(), len(em.scenario.Classes), func(i int) float64 { return em.scenario.Classes[i].Share })
+	operation.plan = pickWeighted(random.Float64(), len(em.scenario.Plans), func(i int) float64 { return em.scenario.Plans[i].Share })
+	weights := clients.cumulativeWeights[operation.plan]
+	operation.customer = min(sort.SearchFloat64s(weights, random.Float64()*weights[len(weights)-1]), len(weights)-1)
 	// The work of a request varies by half of its mean.
 	const spread = 0.472 // of the logarithm, for that
-	v.workSeconds = w.scenario.Classes[v.class].Work.Seconds() * math.Exp(spread*draw.NormFloat64()-spread*spread/2)
-	key := fmt.Sprintf("%016x%016x", draw.Uint64(), draw.Uint64())
-	class, plan := &w.scenario.Classes[v.class], &w.scenario.Plans[v.plan]
+	operation.workSeconds = em.scenario.Classes[operation.class].Work.Seconds() * math.Exp(spread*random.NormFloat64()-spread*spread/2)
+	key := fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64())
+	class, plan := &em.scenario.Classes[operation.class], &em.scenario.Plans[operation.plan]
 	if class.Effect == "by_key" {
-		v.key = key
+		operation.key = key
 	}
-	v.bodyBytes = class.BodyBytes
-	v.worth = class.Worth * plan.Price * float64(class.Units)
-	offered := v.worth
-	if !w.quotaOf(c.offeredQuotas, v).take(w.now, float64(class.Units), plan.Rate, plan.Burst) {
+	operation.bodyBytes = class.BodyBytes
+	operation.worth = class.Worth * plan.Price * float64(class.Units)
+	offered := operation.worth
+	if !em.quotaOf(clients.offeredQuotas, operation).take(em.now, float64(class.Units), plan.Rate, plan.Burst) {
 		offered *= plan.OverWorth
 	}
-	w.Tally.Offered(v.startedAt-w.startTime(), v.class, v.plan, offered)
-	w.sendRequest(v)
+	em.Tally.Offered(operation.startedAt-em.startTime(), operation.class, operation.plan, offered)
+	em.sendRequest(operation)
 }
 
-func (w *Emulator) startTime() time.Duration { return w.clients.endAt - w.scenario.Duration.D() }
+func (em *Emulator) startTime() time.Duration { return em.clients.endAt - em.scenario.Duration.D() }
 
-func (w *Emulator) quotaOf(stores map[uint64]*quota, v *operation) *quota {
-	id := w.clients.customers[v.plan][v.customer].id
+func (em *Emulator) quotaOf(stores map[uint64]*quota, operation *clientOperation) *quota {
+	id := em.clients.customers[operation.plan][operation.customer].id
 	q := stores[id]
 	if q == nil {
-		q = &quota{units: w.scenario.Plans[v.plan].Burst, updatedAt: w.now}
+		q = &quota{units: em.scenario.Plans[operation.plan].Burst, updatedAt: em.now}
 		stores[id] = q
 	}
 	return q
 }
 
 // try sends a wish once more, or for the first time.
-func (w *Emulator) sendRequest(v *operation) {
-	c := &w.clients
-	c.requestCount++
-	v.requests++
-	class := &w.scenario.Classes[v.class]
-	k := &c.customers[v.plan][v.customer]
-	t := &clientRequest{operation: v, id: hash(w.scenario.Seed, c.requestCount), firstGateway: k.firstGateway, customerID: k.id}
-	t.deadline = v.startedAt + class.Deadline.D()
-	t.remaining = t.deadline - w.now
-	draw := func(salt uint64) float64 { return unitFraction(hash(t.id, salt)) }
+func (em *Emulator) sendRequest(operation *clientOperation) {
+	clients := &em.clients
+	clients.requestCount++
+	operation.requests++
+	class := &em.scenario.Classes[operation.class]
+	customer := &clients.customers[operation.plan][operation.customer]
+	request := &clientRequest{clientOperation: operation, id: hash(em.scenario.Seed, clients.requestCount), firstGateway: customer.firstGateway, customerID: customer.id}
+	request.deadline = operation.startedAt + class.Deadline.D()
+	request.remaining = request.deadline - em.now
+	draw := func(salt uint64) float64 { return unitFraction(hash(request.id, salt)) }
 	// Through the front: a gateway of the customer's set that it takes for up.
-	part := draw(1) * k.cumulativeShares[len(k.cumulativeShares)-1]
-	at := sort.SearchFloat64s(k.cumulativeShares, part)
-	for step := range k.cumulativeShares {
-		t.gateway = (k.firstGateway + (at+step)%len(k.cumulativeShares)) % len(w.gateways)
-		if w.gateways[t.gateway].inRotation {
+	point := draw(1) * customer.cumulativeShares[len(customer.cumulativeShares)-1]
+	index := sort.SearchFloat64s(customer.cumulativeShares, point)
+	for step := range customer.cumulativeShares {
+		request.gateway = (customer.firstGateway + (index+step)%len(customer.cumulativeShares)) % len(em.gateways)
+		if em.gateways[request.gateway].inRotation {
 			break
 		}
 	}
-	c.inProgress[t.id] = t
-	w.Tally.Costs.Tries++
-	w.Referee.Sent(w.now, referee.Request{ID: t.id, Gateway: t.gateway, Class: t.class, Plan: t.plan, Customer: t.customerID, Units: float64(class.Units), Due: t.deadline})
-	w.emit(Send{Request: t.message()})
-	if draw(2) < w.scenario.Load.Impatient {
-		w.after(t.remaining/4, func() {
-			if c.inProgress[t.id] == t && !t.answered {
-				w.Referee.Abandoned(w.now, t.id)
-				w.emit(Abandon{t.id})
-				w.endOperation(t, results.Left, 0)
+	clients.inProgress[request.id] = request
+	em.Tally.Costs.Tries++
+	em.Referee.Sent(em.now, referee.Request{ID: request.id, Gateway: request.gateway, Class: request.class, Plan: request.plan, Customer: request.customerID, Units: float64(class.Units), Due: request.deadline})
+	em.emit(Send{Request: request.message()})
+	if draw(2) < em.scenario.Load.Impatient {
+		em.after(request.remaining/4, func() {
+			if clients.inProgress[request.id] == request && !request.answered {
+				em.Referee.Abandoned(em.now, request.id)
+				em.emit(Abandon{request.id})
+				em.endOperation(request, results.Left, 0)
 			}
 		})
 	}
-	last := t.deadline + w.scenario.Rules.LostAfter.D() + 2*w.scenario.Rules.Observe.D()
-	w.schedule(last, func() {
-		if c.inProgress[t.id] == t && !t.answered {
-			w.Referee.Overdue(w.now, t.id)
-			w.emit(Abandon{t.id})
-			w.endOperation(t, results.Lost, 0)
+	overdueAt := request.deadline + em.scenario.Rules.LostAfter.D() + 2*em.scenario.Rules.Observe.D()
+	em.schedule(overdueAt, func() {
+		if clients.inProgress[request.id] == request && !request.answered {
+			em.Referee.Overdue(em.now, request.id)
+			em.emit(Abandon{request.id})
+			em.endOperation(request, results.Lost, 0)
 		}
 	})
-	w.schedule(last+requestRetention, func() { w.Referee.Forget(t.id) })
+	em.schedule(overdueAt+requestRetention, func() { em.Referee.Forget(request.id) })
 }
 
 // keptFor is how long the referee knows a request that is over.
 const requestRetention = 5 * time.Second
 
-func (t *clientRequest) message() Request {
-	return Request{ID: t.id, Gateway: t.gateway, Class: t.class, Plan: t.plan, Customer: t.customerID, FirstGateway: t.firstGateway, Remaining: t.remaining, Key: t.key,
-		Body: Body{Seed: hash(t.id, 3), Size: t.bodyBytes}, Retry: t.requests > 1}
+func (request *clientRequest) message() Request {
+	return Request{ID: request.id, Gateway: request.gateway, Class: request.class, Plan: request.plan, Customer: request.customerID, FirstGateway: request.firstGateway, Remaining: request.remaining, Key: request.key,
+		Body: Body{Seed: hash(request.id, 3), Size: request.bodyBytes}, Retry: request.requests > 1}
 }
 
-func (w *Emulator) reachedBackend(t *clientRequest) {
-	if t.reachedBackend {
+func (em *Emulator) reachedBackend(request *clientRequest) {
+	if request.reachedBackend {
 		return
 	}
-	t.reachedBackend = true
-	class, plan := &w.scenario.Classes[t.class], &w.scenario.Plans[t.plan]
-	t.withinQuota = w.quotaOf(w.clients.acceptedQuotas, t.operation).take(w.now, float64(class.Units), plan.Rate, plan.Burst)
-	if !t.withinQuota {
-		w.Tally.Costs.Beyond += plan.OverCost * t.worth
+	request.reachedBackend = true
+	class, plan := &em.scenario.Classes[request.class], &em.scenario.Plans[request.plan]
+	request.withinQuota = em.quotaOf(em.clients.acceptedQuotas, request.clientOperation).take(em.now, float64(class.Units), plan.Rate, plan.Burst)
+	if !request.withinQuota {
+		em.Tally.Costs.Beyond += plan.OverCost * request.worth
 	}
 }
 
-func (w *Emulator) answered(e Answered) {
-	t := w.clients.inProgress[e.ID]
-	wrong := errorText(e.BodyErr)
-	if t != nil && e.Status == 200 && e.Complete && e.Body.Size != w.scenario.Classes[t.class].AnswerBytes {
-		wrong = fmt.Sprintf("(%d bytes)", e.Body.Size)
+func (em *Emulator) answered(event Answered) {
+	request := em.clients.inProgress[event.ID]
+	problem := errorText(event.BodyErr)
+	if request != nil && event.Status == 200 && event.Complete && event.Body.Size != em.scenario.Classes[request.class].AnswerBytes {
+		problem = fmt.Sprintf("(%d bytes)", event.Body.Size)
 	}
-	w.Referee.Answered(w.now, e.ID, e.Status, e.Complete, e.Body.Seed, wrong)
-	if t == nil || t.answered {
+	em.Referee.Answered(em.now, event.ID, event.Status, event.Complete, event.Body.Seed, problem)
+	if request == nil || request.answered {
 		return
 	}
-	t.answered = true
-	class := &w.scenario.Classes[t.class]
-	worth := t.worth
-	if !t.withinQuota {
-		worth *= w.scenario.Plans[t.plan].OverWorth
+	request.answered = true
+	class := &em.scenario.Classes[request.class]
+	worth := request.worth
+	if !request.withinQuota {
+		worth *= em.scenario.Plans[request.plan].OverWorth
 	}
-	after := w.now - t.startedAt
+	latency := em.now - request.startedAt
 	switch {
-	case e.Status == 200 && e.Complete && after <= class.Aim.D():
-		w.endOperation(t, results.Served, worth)
-	case e.Status == 200 && e.Complete && w.now <= t.deadline:
-		w.endOperation(t, results.Late, worth*class.LateWorth)
-	case e.Status == 429 || e.Status == 503:
-		w.retryOrEnd(t, results.Refused, true, e.RetryAfter)
+	case event.Status == 200 && event.Complete && latency <= class.Aim.D():
+		em.endOperation(request, results.Served, worth)
+	case event.Status == 200 && event.Complete && em.now <= request.deadline:
+		em.endOperation(request, results.Late, worth*class.LateWorth)
+	case event.Status == 429 || event.Status == 503:
+		em.retryOrEnd(request, results.Refused, true, event.RetryAfter)
 	default:
-		w.retryOrEnd(t, results.Failed, false, 0)
+		em.retryOrEnd(request, results.Failed, false, 0)
 	}
 }
 
@@ -344,43 +344,43 @@
 	return err.Error()
 }
 
-func (w *Emulator) unanswered(e Unanswered) {
-	t := w.clients.inProgress[e.ID]
-	if t == nil || t.answered {
+func (em *Emulator) unanswered(event Unanswered) {
+	request := em.clients.inProgress[event.ID]
+	if request == nil || request.answered {
 		return
 	}
-	if e.Reused && !t.resent && !w.Referee.Seen(e.ID) {
+	if event.Reused && !request.resent && !em.Referee.Seen(event.ID) {
 		// Its connection was closed while it was idle: the gateway has not read it.
-		t.resent = true
-		r := t.message()
-		r.Remaining = max(0, t.deadline-w.now)
-		w.emit(Send{Request: r, NewConnection: true})
+		request.resent = true
+		message := request.message()
+		message.Remaining = max(0, request.deadline-em.now)
+		em.emit(Send{Request: message, NewConnection: true})
 		return
 	}
-	if e.Sent {
-		w.Referee.Taken(w.now, e.ID)
+	if event.Sent {
+		em.Referee.Taken(em.now, event.ID)
 	}
-	w.Referee.Closed(w.now, e.ID, !e.Reused)
-	t.answered = true
-	w.retryOrEnd(t, results.Failed, !e.Sent, 0)
+	em.Referee.Closed(em.now, event.ID, !event.Reused)
+	request.answered = true
+	em.retryOrEnd(request, results.Failed, !event.Sent, 0)
 }
 
 // again lets the client try once more if it may and has the time.
-func (w *Emulator) retryOrEnd(t *clientRequest, o results.Outcome, harmless bool, advice time.Duration) {
-	class := &w.scenario.Classes[t.class]
-	pause := w.scenario.Load.RetryAfter.D() << min(t.requests-1, 10)
-	pause = max(pause, min(advice, maxRetryAfter))
-	may := harmless || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all" && w.now+pause < t.startedAt+class.Window.D()
-	if may && t.requests <= w.scenario.Load.Retries && w.now+pause < t.deadline-minRetryTime {
-		delete(w.clients.inProgress, t.id)
-		w.clients.pendingRetries++
-		w.after(pause, func() {
-			w.clients.pendingRetries--
-			w.sendRequest(t.operation)
+func (em *Emulator) retryOrEnd(request *clientRequest, outcome results.Outcome, notStarted bool, retryAfter time.Duration) {
+	class := &em.scenario.Classes[request.class]
+	pause := em.scenario.Load.RetryAfter.D() << min(request.requests-1, 10)
+	pause = max(pause, min(retryAfter, maxRetryAfter))
+	allowed := notStarted || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all" && em.now+pause < request.startedAt+class.Window.D()
+	if allowed && request.requests <= em.scenario.Load.Retries && em.now+pause < request.deadline-minRetryTime {
+		delete(em.clients.inProgress, request.id)
+		em.clients.pendingRetries++
+		em.after(pause, func() {
+			em.clients.pendingRetries--
+			em.sendRequest(request.clientOperation)
 		})
 		return
 	}
-	w.endOperation(t, o, 0)
+	em.endOperation(request, outcome, 0)
 }
 
 const (
@@ -388,29 +388,29 @@
 	minRetryTime  = 50 * time.Millisecond // for another try
 )
 
-func (w *Emulator) endOperation(t *clientRequest, o results.Outcome, worth float64) {
-	t.answered = true
-	delete(w.clients.inProgress, t.id)
-	if t.operation.ended {
+func (em *Emulator) endOperation(request *clientRequest, outcome results.Outcome, worth float64) {
+	request.answered = true
+	delete(em.clients.inProgress, request.id)
+	if request.clientOperation.ended {
 		return
 	}
-	t.operation.ended = true
-	w.Tally.Ended(t.startedAt-w.startTime(), t.class, t.plan, o, worth, w.now-t.startedAt)
+	request.clientOperation.ended = true
+	em.Tally.Ended(request.startedAt-em.startTime(), request.class, request.plan, outcome, worth, em.now-request.startedAt)
 }
 
 // struck picks the gateways or backends that a fault befalls.
-func (w *Emulator) selectTargets(n int, part float64, zone string, zoneOf func(int) int, fit func(int) bool) []int {
-	var all []int
-	at := slices.Index(w.scenario.Fleet.Zones, zone)
-	for i := range n {
-		if fit(i) && (zone == "" || zoneOf(i) == at) {
-			all = append(all, i)
+func (em *Emulator) selectTargets(count int, fraction float64, zone string, zoneOf func(int) int, eligible func(int) bool) []int {
+	var candidates []int
+	zoneIndex := slices.Index(em.scenario.Fleet.Zones, zone)
+	for i := range count {
+		if eligible(i) && (zone == "" || zoneOf(i) == zoneIndex) {
+			candidates = append(candidates, i)
 		}
 	}
 	if zone == "" {
-		w.faultRandom.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		all = all[:min(len(all), int(math.Ceil(part*float64(len(all))-1e-9)))]
-		slices.Sort(all)
+		em.faultRandom.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+		candidates = candidates[:min(len(candidates), int(math.Ceil(fraction*float64(len(candidates))-1e-9)))]
+		slices.Sort(candidates)
 	}
-	return all
+	return candidates
 }
--- a/internal/world/counter.go
+++ b/internal/world/counter.go
@@ -3,7 +3,7 @@
 import "time"
 
 // counter keeps numbers by name, and serves calls in turn.
-type counter struct {
+type emulatedCounter struct {
 	counts       map[string]*count
 	freeAt       time.Duration // when it has served all that wait
 	silentFaults int           // faults under which it says nothing
@@ -16,61 +16,61 @@
 // mostLife is how long a number is kept at most.
 const maxCountLifetime = time.Minute
 
-func (w *Emulator) counterCalled(e Called) {
-	c := w.connections[e.Conn]
-	if c == nil || w.links[gatewayLink{c.gateway, c.peer}] != Up {
+func (em *Emulator) counterCalled(event Called) {
+	connection := em.connections[event.Conn]
+	if connection == nil || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
 		return
 	}
-	w.Tally.Costs.Calls++
-	c.idleSince = w.now
-	n := &w.counter
-	each := time.Duration(1e9 / w.scenario.Counter.CallsPerS * max(w.counter.slowdown, 1))
-	delay := w.scenario.Counter.Delay.D()/2 + w.networkDelay(c)
-	n.freeAt = max(n.freeAt, w.now+delay) // the call's way there
-	answer := CounterReply{Conn: c.id, Status: 503}
-	if n.freeAt-w.now <= each*time.Duration(w.scenario.Counter.Queue) {
-		n.freeAt += each
-		answer.Status = 200
+	em.Tally.Costs.Calls++
+	connection.idleSince = em.now
+	counter := &em.counter
+	serviceTime := time.Duration(1e9 / em.scenario.Counter.CallsPerS * max(em.counter.slowdown, 1))
+	delay := em.scenario.Counter.Delay.D()/2 + em.networkDelay(connection)
+	counter.freeAt = max(counter.freeAt, em.now+delay) // the call's way there
+	reply := CounterReply{Conn: connection.id, Status: 503}
+	if counter.freeAt-em.now <= serviceTime*time.Duration(em.scenario.Counter.Queue) {
+		counter.freeAt += serviceTime
+		reply.Status = 200
 	} else {
-		w.Tally.Costs.CallsTurned++
+		em.Tally.Costs.CallsTurned++
 	}
-	lives := n.incarnation
-	w.schedule(n.freeAt, func() {
-		if n.incarnation != lives {
+	incarnation := counter.incarnation
+	em.schedule(counter.freeAt, func() {
+		if counter.incarnation != incarnation {
 			return // it was lost with all that waited
 		}
-		if answer.Status == 200 {
-			answer.Total = n.add(w, e)
+		if reply.Status == 200 {
+			reply.Total = counter.add(em, event)
 		}
 		// Answers on a connection come in the order of the calls.
-		c.lastReply = max(c.lastReply, w.now+delay)
-		w.schedule(c.lastReply, func() {
-			if w.connections[c.id] == c && w.links[gatewayLink{c.gateway, c.peer}] == Up {
-				w.emit(answer)
-				w.markIdle(c)
+		connection.lastReply = max(connection.lastReply, em.now+delay)
+		em.schedule(connection.lastReply, func() {
+			if em.connections[connection.id] == connection && em.links[gatewayLink{connection.gateway, connection.peer}] == Up {
+				em.emit(reply)
+				em.markIdle(connection)
 			}
 		})
 	})
 }
 
-func (n *counter) add(w *Emulator, e Called) float64 {
-	kept := n.counts[e.Name]
-	if kept == nil {
-		kept = &count{}
-		n.counts[e.Name] = kept
-		w.after(min(max(e.Lifetime, time.Millisecond), maxCountLifetime), func() {
-			if n.counts[e.Name] == kept {
-				delete(n.counts, e.Name)
+func (counter *emulatedCounter) add(em *Emulator, event Called) float64 {
+	stored := counter.counts[event.Name]
+	if stored == nil {
+		stored = &count{}
+		counter.counts[event.Name] = stored
+		em.after(min(max(event.Lifetime, time.Millisecond), maxCountLifetime), func() {
+			if counter.counts[event.Name] == stored {
+				delete(counter.counts, event.Name)
 			}
 		})
 	}
-	kept.value += e.Add
-	return kept.value
+	stored.value += event.Add
+	return stored.value
 }
 
 // empty loses all numbers.
-func (n *counter) clear() {
-	n.counts = map[string]*count{}
-	n.incarnation++
-	n.freeAt = 0
+func (counter *emulatedCounter) clear() {
+	counter.counts = map[string]*count{}
+	counter.incarnation++
+	counter.freeAt = 0
 }
--- a/internal/world/double_test.go
+++ b/internal/world/double_test.go
@@ -48,14 +48,14 @@
 	maxColdAttempts = 1
 )
 
-func (d *testGateway) hasRoom(b int, e Entry) bool {
-	if d.harness.hasDefect("floods the cold") {
+func (gateway *testGateway) hasRoom(backend int, entry Entry) bool {
+	if gateway.harness.hasDefect("floods the cold") {
 		return true
 	}
-	if e.Started > 0 && d.harness.now-e.Started < d.harness.scenario.Backend.Cold.D() {
-		return d.attemptsByBackend[b] < maxColdAttempts
+	if entry.Started > 0 && gateway.harness.now-entry.Started < gateway.harness.scenario.Backend.Cold.D() {
+		return gateway.attemptsByBackend[backend] < maxColdAttempts
 	}
-	return d.attemptsByBackend[b] < maxWarmAttempts
+	return gateway.attemptsByBackend[backend] < maxWarmAttempts
 }
 
 // held is a request that a double has taken.
@@ -70,13 +70,13 @@
 	refused    map[int]bool
 }
 
-func (h *harness) after(d time.Duration, do func()) {
+func (h *harness) after(delay time.Duration, run func()) {
 	h.sequence++
-	heap.Push(&h.queue, timer{h.now + d, h.sequence, do})
+	heap.Push(&h.queue, timer{h.now + delay, h.sequence, run})
 }
 
-func (h *harness) step(e Event) {
-	for _, a := range h.emulator.Step(h.now, e) {
+func (h *harness) step(event Event) {
+	for _, a := range h.emulator.Step(h.now, event) {
 		h.perform(a.Operation)
 	}
 }
@@ -85,9 +85,9 @@
 func runTestGateways(s *scenario.Scenario, defect string) *harness {
 	h := &harness{emulator: New(s), scenario: s, connections: map[Conn]*testConnection{}, links: map[gatewayLink]LinkState{}, defect: defect, maxSteps: 10_000_000}
 	for g := range s.Fleet.Gateways {
-		d := &testGateway{harness: h, number: g, alive: true, entries: map[int]Entry{}, inProgress: map[uint64]*acceptedRequest{}, attemptsByBackend: map[int]int{}}
-		h.gateways = append(h.gateways, d)
-		h.deliverList(d, h.emulator.Entries())
+		gateway := &testGateway{harness: h, number: g, alive: true, entries: map[int]Entry{}, inProgress: map[uint64]*acceptedRequest{}, attemptsByBackend: map[int]int{}}
+		h.gateways = append(h.gateways, gateway)
+		h.deliverList(gateway, h.emulator.Entries())
 		h.step(Ready{g})
 	}
 	for _, a := range h.emulator.Begin(h.now) {
@@ -114,70 +114,70 @@
 	return h
 }
 
-func (h *harness) deliverList(d *testGateway, entries []Entry) {
-	if !d.alive {
+func (h *harness) deliverList(gateway *testGateway, entries []Entry) {
+	if !gateway.alive {
 		return
 	}
-	h.step(ListDelivered{Gateway: d.number, Full: true, Entries: entries})
-	clear(d.entries)
-	for _, e := range entries {
-		d.entries[e.Backend] = e
+	h.step(ListDelivered{Gateway: gateway.number, Full: true, Entries: entries})
+	clear(gateway.entries)
+	for _, entry := range entries {
+		gateway.entries[entry.Backend] = entry
 	}
 }
 
 func (h *harness) perform(action any) {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case Send:
-		d := h.gateways[a.Gateway]
+		gateway := h.gateways[action.Gateway]
 		h.after(0, func() {
-			if !d.alive {
-				h.step(Unanswered{ID: a.ID})
+			if !gateway.alive {
+				h.step(Unanswered{ID: action.ID})
 				return
 			}
-			h.step(RequestWritten{a.ID})
-			d.accept(a.Request)
+			h.step(RequestWritten{action.ID})
+			gateway.accept(action.Request)
 		})
 	case Abandon:
-		for _, d := range h.gateways {
-			if x := d.inProgress[a.ID]; x != nil {
-				h.after(0, func() { d.abandon(x) })
+		for _, gateway := range h.gateways {
+			if accepted := gateway.inProgress[action.ID]; accepted != nil {
+				h.after(0, func() { gateway.abandon(accepted) })
 			}
 		}
 	case Reply:
-		if c := h.connections[a.Conn]; c != nil {
-			h.after(0, func() { h.replied(c, a) })
+		if connection := h.connections[action.Conn]; connection != nil {
+			h.after(0, func() { h.replied(connection, action) })
 		}
 	case CheckConnections: // what a double ends has ended at once
-		h.after(0, func() { h.step(ConnectionsChecked{ID: a.ID}) })
+		h.after(0, func() { h.step(ConnectionsChecked{ID: action.ID}) })
 	case Reset:
-		if c := h.connections[a.Conn]; c != nil {
-			h.removeConnection(c)
-			h.after(0, func() { h.connectionReset(c) })
+		if connection := h.connections[action.Conn]; connection != nil {
+			h.removeConnection(connection)
+			h.after(0, func() { h.connectionReset(connection) })
 		}
 	case SetLinkState:
-		h.links[gatewayLink{a.Gateway, a.Peer}] = a.State
-		if a.State != Silent {
+		h.links[gatewayLink{action.Gateway, action.Peer}] = action.State
+		if action.State != Silent {
 			for _, id := range sortedConnections(h.connections) {
-				if c := h.connections[id]; c.gateway == a.Gateway && c.backend == a.Peer {
-					h.removeConnection(c)
-					h.after(0, func() { h.connectionReset(c) })
+				if connection := h.connections[id]; connection.gateway == action.Gateway && connection.backend == action.Peer {
+					h.removeConnection(connection)
+					h.after(0, func() { h.connectionReset(connection) })
 				}
 			}
 		}
 	case SendList:
-		h.after(0, func() { h.deliverList(h.gateways[a.Gateway], a.Entries) })
+		h.after(0, func() { h.deliverList(h.gateways[action.Gateway], action.Entries) })
 	case Kill:
-		d := h.gateways[a.Gateway]
-		d.alive = false
-		h.after(0, func() { h.gatewayExited(d) })
+		gateway := h.gateways[action.Gateway]
+		gateway.alive = false
+		h.after(0, func() { h.gatewayExited(gateway) })
 	case Stop:
-		h.after(0, func() { h.stopGateway(h.gateways[a.Gateway]) })
+		h.after(0, func() { h.stopGateway(h.gateways[action.Gateway]) })
 	case Start:
 		h.after(200*time.Millisecond, func() {
-			d := h.gateways[a.Gateway]
-			d.alive = true
-			h.deliverList(d, h.emulator.Entries())
-			h.step(Ready(a))
+			gateway := h.gateways[action.Gateway]
+			gateway.alive = true
+			h.deliverList(gateway, h.emulator.Entries())
+			h.step(Ready(action))
 		})
 	}
 }
@@ -191,246 +191,246 @@
 	return all
 }
 
-func (h *harness) gatewayExited(d *testGateway) {
+func (h *harness) gatewayExited(gateway *testGateway) {
 	for _, id := range sortedConnections(h.connections) {
-		if c := h.connections[id]; c.gateway == d.number {
-			h.closeConnection(c)
+		if connection := h.connections[id]; connection.gateway == gateway.number {
+			h.closeConnection(connection)
 		}
 	}
 	var ids []uint64
-	for id := range d.inProgress {
+	for id := range gateway.inProgress {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		d.inProgress[id].done = true
-		delete(d.inProgress, id)
+		gateway.inProgress[id].done = true
+		delete(gateway.inProgress, id)
 		h.step(Unanswered{ID: id, Reused: true, Sent: true})
 	}
-	h.step(Exited{d.number, "killed"})
+	h.step(Exited{gateway.number, "killed"})
 }
 
-func (h *harness) stopGateway(d *testGateway) {
-	if len(d.inProgress) > 0 || h.defect == "never ends" {
+func (h *harness) stopGateway(gateway *testGateway) {
+	if len(gateway.inProgress) > 0 || h.defect == "never ends" {
 		if h.defect == "never ends" {
 			h.planted++
 			return
 		}
-		h.after(50*time.Millisecond, func() { h.stopGateway(d) })
+		h.after(50*time.Millisecond, func() { h.stopGateway(gateway) })
 		return
 	}
-	d.alive = false
-	h.gatewayExited(d)
+	gateway.alive = false
+	h.gatewayExited(gateway)
 }
 
-func (d *testGateway) accept(r Request) {
-	x := &acceptedRequest{Request: r, gateway: d, deadline: d.harness.now + r.Remaining, refused: map[int]bool{}}
-	d.inProgress[r.ID] = x
-	d.harness.after(r.Remaining-10*time.Millisecond, func() { x.answer(504, Body{}) })
+func (gateway *testGateway) accept(request Request) {
+	accepted := &acceptedRequest{Request: request, gateway: gateway, deadline: gateway.harness.now + request.Remaining, refused: map[int]bool{}}
+	gateway.inProgress[request.ID] = accepted
+	gateway.harness.after(request.Remaining-10*time.Millisecond, func() { accepted.answer(504, Body{}) })
 	switch {
-	case d.harness.hasDefect("holds") && r.ID%64 == 0:
-		x.done = true // and nothing more
-		d.harness.planted++
-	case d.harness.hasDefect("makes up") && r.ID%64 == 0:
-		d.harness.planted++
-		x.answer(200, Body{Seed: 7, Size: d.harness.scenario.Classes[r.Class].AnswerBytes})
-	case d.harness.hasDefect("ends") && d.harness.now > 2*time.Second && d.number == 0 && d.harness.planted == 0:
-		d.harness.planted++
-		d.alive = false
-		d.harness.gatewayExited(d)
-	case d.harness.hasDefect("shuts the door") && r.ID%16 == 0:
-		d.harness.planted++
-		x.done = true
-		delete(d.inProgress, r.ID)
-		d.harness.step(Unanswered{ID: r.ID, Sent: true})
+	case gateway.harness.hasDefect("holds") && request.ID%64 == 0:
+		accepted.done = true // and nothing more
+		gateway.harness.planted++
+	case gateway.harness.hasDefect("makes up") && request.ID%64 == 0:
+		gateway.harness.planted++
+		accepted.answer(200, Body{Seed: 7, Size: gateway.harness.scenario.Classes[request.Class].AnswerBytes})
+	case gateway.harness.hasDefect("ends") && gateway.harness.now > 2*time.Second && gateway.number == 0 && gateway.harness.planted == 0:
+		gateway.harness.planted++
+		gateway.alive = false
+		gateway.harness.gatewayExited(gateway)
+	case gateway.harness.hasDefect("shuts the door") && request.ID%16 == 0:
+		gateway.harness.planted++
+		accepted.done = true
+		delete(gateway.inProgress, request.ID)
+		gateway.harness.step(Unanswered{ID: request.ID, Sent: true})
 	default:
-		x.attempt()
+		accepted.attempt()
 	}
 }
 
 func (h *harness) hasDefect(defect string) bool { return h.defect == defect }
 
 // pick picks the next backend in turn that is ready and has not refused.
-func (x *acceptedRequest) pickBackend() int {
-	d := x.gateway
-	var fit []int
-	for b, e := range d.entries {
-		ready := e.Lifecycle == Serving
-		if d.harness.hasDefect("ignores drains") && e.Lifecycle == Draining {
+func (accepted *acceptedRequest) pickBackend() int {
+	gateway := accepted.gateway
+	var eligible []int
+	for backend, entry := range gateway.entries {
+		ready := entry.Lifecycle == Serving
+		if gateway.harness.hasDefect("ignores drains") && entry.Lifecycle == Draining {
 			ready = true
-			d.harness.planted++
+			gateway.harness.planted++
 		}
-		if ready && !x.refused[b] && d.hasRoom(b, e) {
-			fit = append(fit, b)
+		if ready && !accepted.refused[backend] && gateway.hasRoom(backend, entry) {
+			eligible = append(eligible, backend)
 		}
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		return -1
 	}
-	slices.Sort(fit)
-	if last := fit[len(fit)-1]; d.harness.hasDefect("floods the cold") && d.entries[last].Started > 0 && d.harness.now-d.entries[last].Started < d.harness.scenario.Backend.Cold.D() {
-		d.harness.planted++
+	slices.Sort(eligible)
+	if last := eligible[len(eligible)-1]; gateway.harness.hasDefect("floods the cold") && gateway.entries[last].Started > 0 && gateway.harness.now-gateway.entries[last].Started < gateway.harness.scenario.Backend.Cold.D() {
+		gateway.harness.planted++
 		return last
 	}
-	d.turn++
-	return fit[d.turn%len(fit)]
+	gateway.turn++
+	return eligible[gateway.turn%len(eligible)]
 }
 
-func (x *acceptedRequest) attempt() {
-	d, h := x.gateway, x.gateway.harness
-	if x.done || !d.alive {
+func (accepted *acceptedRequest) attempt() {
+	gateway, h := accepted.gateway, accepted.gateway.harness
+	if accepted.done || !gateway.alive {
 		return
 	}
-	b := x.pickBackend()
-	if b < 0 || x.attempts >= h.scenario.Rules.Attempts+1 || x.attempts >= h.scenario.Rules.Attempts && !h.hasDefect("tries on") {
-		x.reject()
+	backend := accepted.pickBackend()
+	if backend < 0 || accepted.attempts >= h.scenario.Rules.Attempts+1 || accepted.attempts >= h.scenario.Rules.Attempts && !h.hasDefect("tries on") {
+		accepted.reject()
 		return
 	}
-	if x.attempts >= h.scenario.Rules.Attempts {
+	if accepted.attempts >= h.scenario.Rules.Attempts {
 		h.planted++
 	}
-	switch h.links[gatewayLink{d.number, b}] {
+	switch h.links[gatewayLink{gateway.number, backend}] {
 	case Refusing:
-		x.refused[b] = true
-		x.attempt()
+		accepted.refused[backend] = true
+		accepted.attempt()
 		return
 	case Silent:
-		x.refused[b] = true
-		h.after(h.scenario.Network.ConnectTimeout.D(), x.attempt)
+		accepted.refused[backend] = true
+		h.after(h.scenario.Network.ConnectTimeout.D(), accepted.attempt)
 		return
 	}
-	x.attempts++
-	c := h.connect(d.number, b, x)
-	h.sendAttempt(c, x.Request)
-	if h.hasDefect("sends twice") && x.ID%64 == 0 && len(d.entries) > 1 {
+	accepted.attempts++
+	connection := h.connect(gateway.number, backend, accepted)
+	h.sendAttempt(connection, accepted.Request)
+	if h.hasDefect("sends twice") && accepted.ID%64 == 0 && len(gateway.entries) > 1 {
 		h.planted++
-		h.sendAttempt(h.connect(d.number, b, nil), x.Request)
+		h.sendAttempt(h.connect(gateway.number, backend, nil), accepted.Request)
 	}
 	h.after(700*time.Millisecond, func() { // it gives up
-		if h.connections[c.id] == c && c.request == x {
-			h.closeConnection(c)
-			x.mayRun = true
-			x.retryOrEnd()
+		if h.connections[connection.id] == connection && connection.request == accepted {
+			h.closeConnection(connection)
+			accepted.mayRun = true
+			accepted.retryOrEnd()
 		}
 	})
 }
 
-func (h *harness) connect(g, b int, x *acceptedRequest) *testConnection {
+func (h *harness) connect(gateway, backend int, accepted *acceptedRequest) *testConnection {
 	h.lastConnection++
-	c := &testConnection{id: h.lastConnection, gateway: g, backend: b, request: x}
-	h.connections[c.id] = c
-	h.gateways[g].attemptsByBackend[b]++
-	h.step(Opened{c.id, g, b})
-	if x != nil {
-		x.connection = c
-	}
-	return c
+	connection := &testConnection{id: h.lastConnection, gateway: gateway, backend: backend, request: accepted}
+	h.connections[connection.id] = connection
+	h.gateways[gateway].attemptsByBackend[backend]++
+	h.step(Opened{connection.id, gateway, backend})
+	if accepted != nil {
+		accepted.connection = connection
+	}
+	return connection
 }
 
-func (h *harness) removeConnection(c *testConnection) {
-	delete(h.connections, c.id)
-	h.gateways[c.gateway].attemptsByBackend[c.backend]--
+func (h *harness) removeConnection(connection *testConnection) {
+	delete(h.connections, connection.id)
+	h.gateways[connection.gateway].attemptsByBackend[connection.backend]--
 }
 
-func (h *harness) closeConnection(c *testConnection) {
-	h.removeConnection(c)
-	h.step(Closed{c.id})
+func (h *harness) closeConnection(connection *testConnection) {
+	h.removeConnection(connection)
+	h.step(Closed{connection.id})
 }
 
-func (h *harness) sendAttempt(c *testConnection, r Request) {
-	a := Arrived{Conn: c.id, ID: r.ID, FirstByte: h.now, Class: h.scenario.Classes[r.Class].Name, Key: r.Key, Body: r.Body, Unchanged: true}
-	if h.hasDefect("sends its own") && r.ID%64 == 0 {
+func (h *harness) sendAttempt(connection *testConnection, request Request) {
+	arrived := Arrived{Conn: connection.id, ID: request.ID, FirstByte: h.now, Class: h.scenario.Classes[request.Class].Name, Key: request.Key, Body: request.Body, Unchanged: true}
+	if h.hasDefect("sends its own") && request.ID%64 == 0 {
 		h.planted++
-		a.ID++
+		arrived.ID++
 	}
-	if h.hasDefect("changes") && r.ID%64 == 0 {
+	if h.hasDefect("changes") && request.ID%64 == 0 {
 		h.planted++
-		a.Class = "other"
+		arrived.Class = "other"
 	}
-	h.step(a)
+	h.step(arrived)
 }
 
-func (x *acceptedRequest) retryOrEnd() {
-	class := x.gateway.harness.scenario.Classes[x.Class]
-	may := !x.mayRun || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all"
-	if x.gateway.harness.hasDefect("sends once again") && !may {
-		x.gateway.harness.planted++
-		may = true
-	}
-	if !may {
-		x.reject()
+func (accepted *acceptedRequest) retryOrEnd() {
+	class := accepted.gateway.harness.scenario.Classes[accepted.Class]
+	allowed := !accepted.mayRun || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all"
+	if accepted.gateway.harness.hasDefect("sends once again") && !allowed {
+		accepted.gateway.harness.planted++
+		allowed = true
+	}
+	if !allowed {
+		accepted.reject()
 		return
 	}
-	x.attempt()
+	accepted.attempt()
 }
 
 // end answers a request that is not served.
-func (x *acceptedRequest) reject() {
-	class := x.gateway.harness.scenario.Classes[x.Class]
-	if x.mayRun && x.gateway.harness.hasDefect("refuses what ran") && class.Effect == "once" {
-		x.gateway.harness.planted++
-		x.answer(503, Body{})
+func (accepted *acceptedRequest) reject() {
+	class := accepted.gateway.harness.scenario.Classes[accepted.Class]
+	if accepted.mayRun && accepted.gateway.harness.hasDefect("refuses what ran") && class.Effect == "once" {
+		accepted.gateway.harness.planted++
+		accepted.answer(503, Body{})
 		return
 	}
-	if x.mayRun {
-		x.answer(502, Body{})
+	if accepted.mayRun {
+		accepted.answer(502, Body{})
 		return
 	}
-	x.answer(503, Body{})
+	accepted.answer(503, Body{})
 }
 
-func (x *acceptedRequest) answer(status int, body Body) {
-	if x.done {
+func (accepted *acceptedRequest) answer(status int, body Body) {
+	if accepted.done {
 		return
 	}
-	h := x.gateway.harness
-	x.done = true
-	delete(x.gateway.inProgress, x.ID)
-	if x.connection != nil && h.connections[x.connection.id] == x.connection {
-		h.closeConnection(x.connection)
+	h := accepted.gateway.harness
+	accepted.done = true
+	delete(accepted.gateway.inProgress, accepted.ID)
+	if accepted.connection != nil && h.connections[accepted.connection.id] == accepted.connection {
+		h.closeConnection(accepted.connection)
 	}
-	h.step(Answered{ID: x.ID, Status: status, Complete: true, Body: body})
-	if h.hasDefect("answers twice") && x.ID%64 == 0 {
+	h.step(Answered{ID: accepted.ID, Status: status, Complete: true, Body: body})
+	if h.hasDefect("answers twice") && accepted.ID%64 == 0 {
 		h.planted++
-		h.step(UnexpectedData{x.gateway.number, x.ID})
+		h.step(UnexpectedData{accepted.gateway.number, accepted.ID})
 	}
 }
 
-func (d *testGateway) abandon(x *acceptedRequest) {
-	x.done = true
-	delete(d.inProgress, x.ID)
-	if x.connection != nil && d.harness.connections[x.connection.id] == x.connection {
-		d.harness.closeConnection(x.connection)
+func (gateway *testGateway) abandon(accepted *acceptedRequest) {
+	accepted.done = true
+	delete(gateway.inProgress, accepted.ID)
+	if accepted.connection != nil && gateway.harness.connections[accepted.connection.id] == accepted.connection {
+		gateway.harness.closeConnection(accepted.connection)
 	}
 }
 
-func (h *harness) replied(c *testConnection, r Reply) {
-	if h.connections[c.id] != c {
+func (h *harness) replied(connection *testConnection, reply Reply) {
+	if h.connections[connection.id] != connection {
 		return
 	}
-	x := c.request
-	h.closeConnection(c) // each connection serves once
-	if x == nil || x.done || x.connection != c {
+	accepted := connection.request
+	h.closeConnection(connection) // each connection serves once
+	if accepted == nil || accepted.done || accepted.connection != connection {
 		return
 	}
 	switch {
-	case r.Truncated || r.Status == 500:
-		x.mayRun = true
-		x.retryOrEnd()
-	case r.NotStarted:
-		x.refused[c.backend] = true
-		x.attempt()
-	case r.Status == 200:
-		x.answer(200, r.Body)
+	case reply.Truncated || reply.Status == 500:
+		accepted.mayRun = true
+		accepted.retryOrEnd()
+	case reply.NotStarted:
+		accepted.refused[connection.backend] = true
+		accepted.attempt()
+	case reply.Status == 200:
+		accepted.answer(200, reply.Body)
 	default:
-		x.mayRun = true
-		x.reject()
+		accepted.mayRun = true
+		accepted.reject()
 	}
 }
 
-func (h *harness) connectionReset(c *testConnection) {
-	if x := c.request; x != nil && !x.done && x.connection == c {
-		x.mayRun = true
-		x.retryOrEnd()
+func (h *harness) connectionReset(connection *testConnection) {
+	if accepted := connection.request; accepted != nil && !accepted.done && accepted.connection == connection {
+		accepted.mayRun = true
+		accepted.retryOrEnd()
 	}
 }
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -11,241 +11,241 @@
 )
 
 // strike begins a fault, and plans its end.
-func (w *Emulator) beginFault(f *scenario.Fault) {
-	text := fmt.Sprintf("%s for %v", f.Kind, f.For)
-	if f.Zone != "" {
-		text += " in zone " + f.Zone
+func (em *Emulator) beginFault(fault *scenario.Fault) {
+	text := fmt.Sprintf("%s for %v", fault.Kind, fault.For)
+	if fault.Zone != "" {
+		text += " in zone " + fault.Zone
 	}
-	end := func(do func()) { w.after(f.For.D(), do) }
-	switch f.Kind {
+	atEnd := func(run func()) { em.after(fault.For.D(), run) }
+	switch fault.Kind {
 	case "kill", "gone", "restart", "freeze", "slow_start", "crash_loop":
-		if f.Who != "" {
-			w.applyToNamed(f)
+		if fault.Who != "" {
+			em.applyToNamed(fault)
 			return
 		}
-		struck := w.selectTargets(len(w.gateways), f.Part, f.Zone, w.Zone, func(g int) bool { return w.gateways[g].state == up })
-		text += fmt.Sprintf(": gateways %d", struck)
-		w.emit(Mark{text})
-		w.applyToGateways(f, struck)
+		targets := em.selectTargets(len(em.gateways), fault.Part, fault.Zone, em.Zone, func(g int) bool { return em.gateways[g].state == up })
+		text += fmt.Sprintf(": gateways %d", targets)
+		em.emit(Mark{text})
+		em.applyToGateways(fault, targets)
 		return
 	case "crash", "vanish", "replace", "slow", "errors", "spoilt", "resets":
-		struck := w.selectTargets(len(w.backends), f.Part, f.Zone, w.peerZone, func(b int) bool { return w.backends[b].state == running && !w.backends[b].draining })
-		text += fmt.Sprintf(": backends %d", struck)
-		w.emit(Mark{text})
-		w.applyToBackends(f, struck)
+		targets := em.selectTargets(len(em.backends), fault.Part, fault.Zone, em.peerZone, func(b int) bool { return em.backends[b].state == running && !em.backends[b].draining })
+		text += fmt.Sprintf(": backends %d", targets)
+		em.emit(Mark{text})
+		em.applyToBackends(fault, targets)
 		return
 	case "cut":
-		w.cutZones([]int{slices.Index(w.scenario.Fleet.Zones, f.Zone)}, f.For.D())
+		em.cutZones([]int{slices.Index(em.scenario.Fleet.Zones, fault.Zone)}, fault.For.D())
 	case "apart":
-		all := make([]int, len(w.scenario.Fleet.Zones))
+		all := make([]int, len(em.scenario.Fleet.Zones))
 		for z := range all {
 			all[z] = z
 		}
-		w.cutZones(all, f.For.D())
+		em.cutZones(all, fault.For.D())
 	case "counter_silent":
-		w.counter.silentFaults++
-		w.reportReachability()
-		w.Referee.Counter(w.now, referee.CounterSilent)
-		w.updateLinks()
-		end(func() {
-			w.counter.silentFaults--
-			w.reportReachability()
-			w.counter.clear()
-			w.Referee.Counter(w.now, referee.CounterEmpty)
-			w.updateLinks()
+		em.counter.silentFaults++
+		em.reportReachability()
+		em.Referee.Counter(em.now, referee.CounterSilent)
+		em.updateLinks()
+		atEnd(func() {
+			em.counter.silentFaults--
+			em.reportReachability()
+			em.counter.clear()
+			em.Referee.Counter(em.now, referee.CounterEmpty)
+			em.updateLinks()
 		})
 	case "counter_empty":
-		w.counter.clear()
-		w.Referee.Counter(w.now, referee.CounterEmpty)
+		em.counter.clear()
+		em.Referee.Counter(em.now, referee.CounterEmpty)
 	case "counter_slow":
-		w.counter.slowdown = f.Size
-		w.Referee.Counter(w.now, referee.CounterSlow)
-		end(func() {
-			w.counter.slowdown = 0
-			w.Referee.Counter(w.now, referee.CounterUp)
+		em.counter.slowdown = fault.Size
+		em.Referee.Counter(em.now, referee.CounterSlow)
+		atEnd(func() {
+			em.counter.slowdown = 0
+			em.Referee.Counter(em.now, referee.CounterUp)
 		})
 	case "list_late":
-		w.pausedLists++
-		w.updateListDelivery()
-		w.reportReachability()
-		end(func() { w.pausedLists--; w.updateListDelivery(); w.reportReachability() })
+		em.pausedLists++
+		em.updateListDelivery()
+		em.reportReachability()
+		atEnd(func() { em.pausedLists--; em.updateListDelivery(); em.reportReachability() })
 	case "list_stale":
-		w.staleLists++
-		w.updateListDelivery()
-		end(func() { w.staleLists--; w.updateListDelivery() })
+		em.staleLists++
+		em.updateListDelivery()
+		atEnd(func() { em.staleLists--; em.updateListDelivery() })
 	case "writer_killed":
-		w.applyToNamed(&scenario.Fault{Kind: "kill", For: f.For, Who: "list0"})
+		em.applyToNamed(&scenario.Fault{Kind: "kill", For: fault.For, Who: "list0"})
 		return
 	case "link":
-		w.emit(Mark{fmt.Sprintf("links from %s to %s, %s: %s for %v", f.From, f.To, cmp.Or(f.Way, "both"), f.How, f.For)})
-		w.beginLinkFault(f)
+		em.emit(Mark{fmt.Sprintf("links from %s to %s, %s: %s for %v", fault.From, fault.To, cmp.Or(fault.Way, "both"), fault.How, fault.For)})
+		em.beginLinkFault(fault)
 		return
 	case "burst": // in load
 	case "rude":
-		for g := range w.gateways {
-			if int(f.Size) > w.scenario.Fleet.Sockets/2 {
-				w.Referee.Crowded(g, w.now+f.For.D())
+		for g := range em.gateways {
+			if int(fault.Size) > em.scenario.Fleet.Sockets/2 {
+				em.Referee.Crowded(g, em.now+fault.For.D())
 			}
-			w.emit(HoldConnections{Gateway: g, Connections: int(f.Size), Duration: f.For.D()})
+			em.emit(HoldConnections{Gateway: g, Connections: int(fault.Size), Duration: fault.For.D()})
 		}
 	}
-	w.emit(Mark{text})
+	em.emit(Mark{text})
 }
 
-func (w *Emulator) applyToGateways(f *scenario.Fault, struck []int) {
-	for i, g := range struck {
-		switch f.Kind {
+func (em *Emulator) applyToGateways(fault *scenario.Fault, targets []int) {
+	for i, number := range targets {
+		switch fault.Kind {
 		case "kill":
-			w.killGateway(g)
-			w.after(f.For.D(), func() { w.startGateway(g) })
+			em.killGateway(number)
+			em.after(fault.For.D(), func() { em.startGateway(number) })
 		case "freeze":
-			w.freezeGateway(g, f.For.D())
+			em.freezeGateway(number, fault.For.D())
 		case "gone":
-			w.loseMachine(g, f.For.D())
+			em.loseMachine(number, fault.For.D())
 		case "slow_start":
-			w.restartSlowly(g, f.For.D())
+			em.restartSlowly(number, fault.For.D())
 		case "crash_loop":
-			w.crashLoopGateway(g, f.Flap.D(), w.now+f.For.D())
+			em.crashLoopGateway(number, fault.Flap.D(), em.now+fault.For.D())
 		case "restart": // a tenth at a time
-			step := (i * 10 / len(struck))
-			w.after(f.For.D()*time.Duration(step)/10, func() { w.stopGateway(g) })
+			step := (i * 10 / len(targets))
+			em.after(fault.For.D()*time.Duration(step)/10, func() { em.stopGateway(number) })
 		}
 	}
 }
 
 // onWhom strikes the processes that a fault names.
-func (w *Emulator) applyToNamed(f *scenario.Fault) {
-	who, _ := w.scenario.ParseActor(f.Who) // Check has read it
-	w.emit(Mark{fmt.Sprintf("%s of %s for %v", f.Kind, f.Who, f.For)})
-	if who.Kind == scenario.Gateways {
-		var struck []int
-		for g := range w.gateways {
-			if w.matches(who, Endpoint{who.Kind, g}) && w.gateways[g].state == up {
-				struck = append(struck, g)
+func (em *Emulator) applyToNamed(fault *scenario.Fault) {
+	actor, _ := em.scenario.ParseActor(fault.Who) // Check has read it
+	em.emit(Mark{fmt.Sprintf("%s of %s for %v", fault.Kind, fault.Who, fault.For)})
+	if actor.Kind == scenario.Gateways {
+		var targets []int
+		for g := range em.gateways {
+			if em.matches(actor, Endpoint{actor.Kind, g}) && em.gateways[g].state == up {
+				targets = append(targets, g)
 			}
 		}
-		w.applyToGateways(f, struck)
+		em.applyToGateways(fault, targets)
 		return
 	}
-	for k := range w.scenario.Fleet.ListServices {
-		if !w.matches(who, Endpoint{who.Kind, k}) || w.faultyServices[k] {
+	for service := range em.scenario.Fleet.ListServices {
+		if !em.matches(actor, Endpoint{actor.Kind, service}) || em.faultyServices[service] {
 			continue
 		}
-		w.faultyServices[k] = true
-		w.reportReachability()
-		back := func() {
-			delete(w.faultyServices, k)
-			w.reportReachability()
+		em.faultyServices[service] = true
+		em.reportReachability()
+		restored := func() {
+			delete(em.faultyServices, service)
+			em.reportReachability()
 		}
-		switch f.Kind {
+		switch fault.Kind {
 		case "kill":
-			w.emit(KillService{k})
+			em.emit(KillService{service})
 		case "restart":
-			w.emit(StopService{k})
+			em.emit(StopService{service})
 		case "slow_start":
-			w.emit(KillService{k})
-			w.after(restartDelay, func() { w.emit(StartService{k}); w.emit(FreezeService{k}) })
+			em.emit(KillService{service})
+			em.after(restartDelay, func() { em.emit(StartService{service}); em.emit(FreezeService{service}) })
 		case "crash_loop":
-			w.crashLoopService(k, f.Flap.D(), w.now+f.For.D(), back)
+			em.crashLoopService(service, fault.Flap.D(), em.now+fault.For.D(), restored)
 			continue
 		default:
-			w.emit(FreezeService{k})
+			em.emit(FreezeService{service})
 		}
-		w.after(f.For.D(), func() {
-			back()
-			switch f.Kind {
+		em.after(fault.For.D(), func() {
+			restored()
+			switch fault.Kind {
 			case "freeze", "slow_start":
-				w.emit(ThawService{k})
+				em.emit(ThawService{service})
 				return
 			case "gone": // its connections have stood till now, in silence
-				w.emit(KillService{k})
+				em.emit(KillService{service})
 			}
-			w.emit(StartService{k})
+			em.emit(StartService{service})
 		})
 	}
 }
 
 // serviceLoop kills a list service each life until a moment, starts it again each
 // time, and says when it is over.
-func (w *Emulator) crashLoopService(k int, life, end time.Duration, over func()) {
-	w.emit(KillService{k})
-	w.after(restartDelay, func() {
-		w.emit(StartService{k})
-		if w.now+life >= end {
-			over()
+func (em *Emulator) crashLoopService(service int, interval, end time.Duration, done func()) {
+	em.emit(KillService{service})
+	em.after(restartDelay, func() {
+		em.emit(StartService{service})
+		if em.now+interval >= end {
+			done()
 			return
 		}
-		w.after(life, func() { w.crashLoopService(k, life, end, over) })
+		em.after(interval, func() { em.crashLoopService(service, interval, end, done) })
 	})
 }
 
-func (w *Emulator) applyToBackends(f *scenario.Fault, struck []int) {
-	for i, n := range struck {
-		b := w.backends[n]
-		var trouble *float64
-		switch f.Kind {
+func (em *Emulator) applyToBackends(fault *scenario.Fault, targets []int) {
+	for i, number := range targets {
+		backend := em.backends[number]
+		var setting *float64
+		switch fault.Kind {
 		case "crash":
-			w.crashBackend(b)
-			w.publishBackend(b, true)
-			w.after(f.For.D(), func() { w.restartBackend(b) })
+			em.crashBackend(backend)
+			em.publishBackend(backend, true)
+			em.after(fault.For.D(), func() { em.restartBackend(backend) })
 		case "vanish":
-			b.state = vanished
-			w.discardWork(b)
-			w.updateLinks()
-			w.publishBackend(b, true)
-			w.after(f.For.D(), func() { w.restartBackend(b) })
+			backend.state = vanished
+			em.discardWork(backend)
+			em.updateLinks()
+			em.publishBackend(backend, true)
+			em.after(fault.For.D(), func() { em.restartBackend(backend) })
 		case "replace":
-			w.after(f.For.D()*time.Duration(i)/time.Duration(len(struck)), func() { w.replaceBackend(b) })
+			em.after(fault.For.D()*time.Duration(i)/time.Duration(len(targets)), func() { em.replaceBackend(backend) })
 		case "slow":
-			trouble = &b.slowdown
+			setting = &backend.slowdown
 		case "errors":
-			trouble = &b.errorRate
+			setting = &backend.errorRate
 		case "spoilt":
-			trouble = &b.truncationRate
+			setting = &backend.truncationRate
 		case "resets":
-			trouble = &b.resetRate
+			setting = &backend.resetRate
 		}
-		if trouble != nil {
-			*trouble = f.Size
-			w.after(f.For.D(), func() { *trouble = 0 })
+		if setting != nil {
+			*setting = fault.Size
+			em.after(fault.For.D(), func() { *setting = 0 })
 		}
 	}
 }
 
 // replace drains a backend, and brings another in its place.
-func (w *Emulator) replaceBackend(b *backend) {
-	if b.state != running || b.draining {
+func (em *Emulator) replaceBackend(backend *emulatedBackend) {
+	if backend.state != running || backend.draining {
 		return
 	}
-	b.draining = true
-	b.drainingSince = w.now
-	w.publishBackend(b, false)
-	next := w.addBackend(w.now)
-	next.updatedAt = w.now
-	w.publishBackend(next, false)
-	longest := time.Duration(0)
-	for _, c := range w.scenario.Classes {
-		longest = max(longest, c.Deadline.D())
+	backend.draining = true
+	backend.drainingSince = em.now
+	em.publishBackend(backend, false)
+	replacement := em.addBackend(em.now)
+	replacement.updatedAt = em.now
+	em.publishBackend(replacement, false)
+	maxDeadline := time.Duration(0)
+	for _, class := range em.scenario.Classes {
+		maxDeadline = max(maxDeadline, class.Deadline.D())
 	}
-	w.after(longest+w.scenario.Rules.DrainGrace.D()+2*w.scenario.Network.ListDelay.D()+time.Second, func() {
-		b.state = ended
-		b.listed = false
-		w.discardWork(b)
-		w.updateLinks()
-		e := b.entry()
-		e.Lifecycle = Gone
-		w.emit(Register{Entry: e})
-		if w.scenario.Fleet.ListServices == 0 {
-			w.sendLists()
+	em.after(maxDeadline+em.scenario.Rules.DrainGrace.D()+2*em.scenario.Network.ListDelay.D()+time.Second, func() {
+		backend.state = ended
+		backend.listed = false
+		em.discardWork(backend)
+		em.updateLinks()
+		entry := backend.entry()
+		entry.Lifecycle = Gone
+		em.emit(Register{Entry: entry})
+		if em.scenario.Fleet.ListServices == 0 {
+			em.sendLists()
 		}
 	})
 }
 
 // lists tells the driver what each gateway can hear of lists. They stand in the
 // first zone.
-func (w *Emulator) updateListDelivery() {
-	for n, g := range w.gateways {
-		held := w.pausedLists > 0 || g.zone != 0 && (w.zoneCuts[g.zone] > 0 || w.zoneCuts[0] > 0)
-		w.emit(SetListDelivery{Gateway: n, Paused: held, Stale: w.staleLists > 0})
+func (em *Emulator) updateListDelivery() {
+	for number, gateway := range em.gateways {
+		paused := em.pausedLists > 0 || gateway.zone != 0 && (em.zoneCuts[gateway.zone] > 0 || em.zoneCuts[0] > 0)
+		em.emit(SetListDelivery{Gateway: number, Paused: paused, Stale: em.staleLists > 0})
 	}
 }
--- a/internal/world/fleet.go
+++ b/internal/world/fleet.go
@@ -11,35 +11,35 @@
 
 // ground tells the referee what gateways can reach of each other from now on. It has
 // to be called after each change of that.
-func (w *Emulator) reportReachability() {
-	if !w.scenario.Fleet.Membership || !w.started {
+func (em *Emulator) reportReachability() {
+	if !em.scenario.Fleet.Membership || !em.started {
 		return
 	}
-	g := referee.Ground{Running: make([]bool, len(w.gateways)), Between: w.reachability}
-	for n := range w.gateways {
-		g.Running[n] = w.gateways[n].state == up && !w.gateways[n].frozen
+	report := referee.Ground{Running: make([]bool, len(em.gateways)), Between: em.reachability}
+	for n := range em.gateways {
+		report.Running[n] = em.gateways[n].state == up && !em.gateways[n].frozen
 	}
-	g.Well = len(w.zoneCuts) == 0 && len(w.linkFaults) == 0 && len(w.faultyServices) == 0 && w.counter.silentFaults == 0 && w.pausedLists == 0
-	w.Referee.Ground(w.now, g)
+	report.Well = len(em.zoneCuts) == 0 && len(em.linkFaults) == 0 && len(em.faultyServices) == 0 && em.counter.silentFaults == 0 && em.pausedLists == 0
+	em.Referee.Ground(em.now, report)
 }
 
 // between is what datagrams do between two gateways.
-func (w *Emulator) reachability(a, b int) referee.Reach {
-	if w.separated(a, b) {
+func (em *Emulator) reachability(a, b int) referee.Reach {
+	if em.separated(a, b) {
 		return referee.Apart
 	}
-	there, back := w.oneWayReachability(a, b), w.oneWayReachability(b, a)
-	if there == back {
-		return there
+	forward, reverse := em.oneWayReachability(a, b), em.oneWayReachability(b, a)
+	if forward == reverse {
+		return forward
 	}
 	return referee.Doubtful
 }
 
 // oneWay is what becomes of those from one to another.
-func (w *Emulator) oneWayReachability(from, to int) referee.Reach {
+func (em *Emulator) oneWayReachability(from, to int) referee.Reach {
 	worst := referee.Joined
-	for _, how := range w.gatewayConditions(from, to) {
-		switch how.Kind {
+	for _, condition := range em.gatewayConditions(from, to) {
+		switch condition.Kind {
 		case link.Up:
 		case link.Dropped:
 			return referee.Apart
@@ -51,56 +51,56 @@
 }
 
 // parted says whether two gateways stand in zones of which one is cut off.
-func (w *Emulator) separated(a, b int) bool {
-	here, there := w.gateways[a].zone, w.gateways[b].zone
-	return here != there && (w.zoneCuts[here] > 0 || w.zoneCuts[there] > 0)
+func (em *Emulator) separated(a, b int) bool {
+	zoneOfA, zoneOfB := em.gateways[a].zone, em.gateways[b].zone
+	return zoneOfA != zoneOfB && (em.zoneCuts[zoneOfA] > 0 || em.zoneCuts[zoneOfB] > 0)
 }
 
 // hows are what faults of links do to what one gateway sends another.
-func (w *Emulator) gatewayConditions(from, to int) [2]link.Condition {
-	if len(w.linkFaults) == 0 {
+func (em *Emulator) gatewayConditions(from, to int) [2]link.Condition {
+	if len(em.linkFaults) == 0 {
 		return [2]link.Condition{{Kind: link.Up}, {Kind: link.Up}}
 	}
 	return [2]link.Condition{
-		w.condition(ProcessLink{Endpoint{scenario.Gateways, from}, Endpoint{scenario.Gateways, to}}, link.Forward),
-		w.condition(ProcessLink{Endpoint{scenario.Gateways, to}, Endpoint{scenario.Gateways, from}}, link.Reverse),
+		em.condition(ProcessLink{Endpoint{scenario.Gateways, from}, Endpoint{scenario.Gateways, to}}, link.Forward),
+		em.condition(ProcessLink{Endpoint{scenario.Gateways, to}, Endpoint{scenario.Gateways, from}}, link.Reverse),
 	}
 }
 
 // betweenGateways is what those do to one datagram: how much later it comes, for
 // each time that it does.
-func (w *Emulator) datagramDelays(from, to int, draw func() float64) []time.Duration {
-	hows := w.gatewayConditions(from, to)
-	var all []time.Duration
-	for _, first := range hows[0].DatagramDelays(draw) {
-		for _, second := range hows[1].DatagramDelays(draw) {
-			all = append(all, first+second)
+func (em *Emulator) datagramDelays(from, to int, draw func() float64) []time.Duration {
+	conditions := em.gatewayConditions(from, to)
+	var delays []time.Duration
+	for _, outgoing := range conditions[0].DatagramDelays(draw) {
+		for _, incoming := range conditions[1].DatagramDelays(draw) {
+			delays = append(delays, outgoing+incoming)
 		}
 	}
-	return all
+	return delays
 }
 
 // cut cuts zones off, and plans their return.
-func (w *Emulator) cutZones(zones []int, d time.Duration) {
-	change := func(by int) {
+func (em *Emulator) cutZones(zones []int, duration time.Duration) {
+	adjust := func(delta int) {
 		for _, z := range zones {
-			if w.zoneCuts[z] += by; w.zoneCuts[z] == 0 {
-				delete(w.zoneCuts, z)
+			if em.zoneCuts[z] += delta; em.zoneCuts[z] == 0 {
+				delete(em.zoneCuts, z)
 			}
 		}
-		w.updateLinks()
-		w.updateListDelivery()
-		w.reportReachability()
+		em.updateLinks()
+		em.updateListDelivery()
+		em.reportReachability()
 	}
-	change(1)
-	w.after(d, func() { change(-1) })
+	adjust(1)
+	em.after(duration, func() { adjust(-1) })
 }
 
 // connectivity handles the connectivity that a gateway reports.
-func (w *Emulator) connectivityReported(e Connectivity) {
-	if before := w.reported[e.Gateway]; before != e.State && (before != "" || e.State != "whole") {
-		w.emit(Mark{fmt.Sprintf("n%d stands %s: %s", e.Gateway, e.State, e.Reason)})
+func (em *Emulator) connectivityReported(event Connectivity) {
+	if previous := em.reported[event.Gateway]; previous != event.State && (previous != "" || event.State != "whole") {
+		em.emit(Mark{fmt.Sprintf("n%d stands %s: %s", event.Gateway, event.State, event.Reason)})
 	}
-	w.reported[e.Gateway] = e.State
-	w.Referee.Connectivity(w.now, e.Gateway, e.State, e.Present)
+	em.reported[event.Gateway] = event.State
+	em.Referee.Connectivity(em.now, event.Gateway, event.State, event.Present)
 }
--- a/internal/world/gateways.go
+++ b/internal/world/gateways.go
@@ -17,7 +17,7 @@
 )
 
 // gateway is one process as the platform sees it.
-type gateway struct {
+type emulatedGateway struct {
 	zone               int
 	state              gatewayState
 	hasProcess         bool          // there is one
@@ -32,34 +32,34 @@
 // stopSends is how long a front still sends to a gateway that was told to end.
 const rotationDelay = 300 * time.Millisecond
 
-func (w *Emulator) gatewayReady(n int) {
-	g := &w.gateways[n]
-	if g.state == starting {
-		g.state = up
-		g.inRotation = true
-		w.reportReachability()
+func (em *Emulator) gatewayReady(number int) {
+	gateway := &em.gateways[number]
+	if gateway.state == starting {
+		gateway.state = up
+		gateway.inRotation = true
+		em.reportReachability()
 	}
 }
 
-func (w *Emulator) gatewayExited(e Exited) {
-	g := &w.gateways[e.Gateway]
-	g.hasProcess = false
-	defer w.reportReachability()
-	switch g.state {
+func (em *Emulator) gatewayExited(event Exited) {
+	gateway := &em.gateways[event.Gateway]
+	gateway.hasProcess = false
+	defer em.reportReachability()
+	switch gateway.state {
 	case up, starting:
-		w.Referee.Crashed(w.now, e.Gateway, e.Cause)
-		w.emit(Mark{fmt.Sprintf("gateway n%d ended: %s", e.Gateway, e.Cause)})
-		g.inRotation = false
-		g.state = down
+		em.Referee.Crashed(em.now, event.Gateway, event.Cause)
+		em.emit(Mark{fmt.Sprintf("gateway n%d ended: %s", event.Gateway, event.Cause)})
+		gateway.inRotation = false
+		gateway.state = down
 		return
 	case stopping:
-		g.state = down
-		g.restartPending = true
+		gateway.state = down
+		gateway.restartPending = true
 	}
-	if lives := g.incarnation; g.restartPending {
-		w.after(restartDelay, func() {
-			if g.incarnation == lives {
-				w.startGateway(e.Gateway)
+	if incarnation := gateway.incarnation; gateway.restartPending {
+		em.after(restartDelay, func() {
+			if gateway.incarnation == incarnation {
+				em.startGateway(event.Gateway)
 			}
 		})
 	}
@@ -69,85 +69,85 @@
 const restartDelay = 100 * time.Millisecond
 
 // kill ends a gateway's process at once.
-func (w *Emulator) killGateway(n int) {
-	w.emit(Kill{n})
-	w.markGatewayLost(n)
+func (em *Emulator) killGateway(number int) {
+	em.emit(Kill{number})
+	em.markGatewayLost(number)
 }
 
 // lose takes note that a gateway is gone, which the front sees late.
-func (w *Emulator) markGatewayLost(n int) {
-	g := &w.gateways[n]
-	g.state = down
-	g.incarnation++
-	g.frozen = false
-	w.Referee.Excuse(w.now, n)
-	w.reportReachability()
-	lives := g.incarnation
-	w.after(w.scenario.Network.Notice.D(), func() {
-		if g.incarnation == lives && g.state != up {
-			g.inRotation = false
+func (em *Emulator) markGatewayLost(number int) {
+	gateway := &em.gateways[number]
+	gateway.state = down
+	gateway.incarnation++
+	gateway.frozen = false
+	em.Referee.Excuse(em.now, number)
+	em.reportReachability()
+	incarnation := gateway.incarnation
+	em.after(em.scenario.Network.Notice.D(), func() {
+		if gateway.incarnation == incarnation && gateway.state != up {
+			gateway.inRotation = false
 		}
 	})
 }
 
 // vanish takes a gateway's machine away: the process says nothing, and what is
 // connected to it stands, until another is started.
-func (w *Emulator) loseMachine(n int, d time.Duration) {
-	g := &w.gateways[n]
-	if g.state != up {
+func (em *Emulator) loseMachine(number int, duration time.Duration) {
+	gateway := &em.gateways[number]
+	if gateway.state != up {
 		return
 	}
-	w.emit(Freeze{n})
-	w.markGatewayLost(n)
-	lives := g.incarnation
-	w.after(d, func() {
-		if g.incarnation == lives {
-			w.emit(Kill{n})
-			w.startGateway(n)
+	em.emit(Freeze{number})
+	em.markGatewayLost(number)
+	incarnation := gateway.incarnation
+	em.after(duration, func() {
+		if gateway.incarnation == incarnation {
+			em.emit(Kill{number})
+			em.startGateway(number)
 		}
 	})
 }
 
 // loop kills a gateway each life, until a moment.
-func (w *Emulator) crashLoopGateway(n int, life time.Duration, end time.Duration) {
-	if g := &w.gateways[n]; g.state == up || g.state == starting {
-		w.killGateway(n)
-		w.after(restartDelay, func() { w.startGateway(n) })
+func (em *Emulator) crashLoopGateway(number int, interval time.Duration, end time.Duration) {
+	if gateway := &em.gateways[number]; gateway.state == up || gateway.state == starting {
+		em.killGateway(number)
+		em.after(restartDelay, func() { em.startGateway(number) })
 	}
-	if next := w.now + restartDelay + life; next < end {
-		w.schedule(next, func() { w.crashLoopGateway(n, life, end) })
+	if next := em.now + restartDelay + interval; next < end {
+		em.schedule(next, func() { em.crashLoopGateway(number, interval, end) })
 	}
 }
 
 // startSlowly kills a gateway, and lets its next process stand still at its start.
-func (w *Emulator) restartSlowly(n int, d time.Duration) {
-	g := &w.gateways[n]
-	w.killGateway(n)
-	g.startDelay = d
-	w.after(restartDelay, func() { w.startGateway(n) })
+func (em *Emulator) restartSlowly(number int, delay time.Duration) {
+	gateway := &em.gateways[number]
+	em.killGateway(number)
+	gateway.startDelay = delay
+	em.after(restartDelay, func() { em.startGateway(number) })
 }
 
 // boot starts its next process, once the last has ended.
-func (w *Emulator) startGateway(n int) {
-	g := &w.gateways[n]
-	if g.state != down {
+func (em *Emulator) startGateway(number int) {
+	gateway := &em.gateways[number]
+	if gateway.state != down {
 		return
 	}
-	if g.restartPending = g.hasProcess; g.restartPending {
+	if gateway.restartPending = gateway.hasProcess; gateway.restartPending {
 		return
 	}
-	g.incarnation++
-	g.state = starting
-	g.hasProcess, g.frozen = true, false
-	w.Referee.Back(w.now, n, true)
-	w.emit(Start{n})
-	if slow := g.startDelay; slow > 0 {
-		g.startDelay = 0
-		w.emit(Freeze{n})
-		lives := g.incarnation
-		w.after(slow, func() {
-			if g.incarnation == lives {
-				w.emit(Thaw{n})
+	gateway.incarnation++
+	gateway.state = starting
+	gateway.hasProcess, gateway.frozen = true, false
+	em.Referee.Back(em.now, number, true)
+	em.emit(Start{number})
+	if delay := gateway.startDelay; delay > 0 {
+		gateway.startDelay = 0
+		em.emit(Freeze{number})
+		incarnation := gateway.incarnation
+		em.after(delay, func() {
+			if gateway.incarnation == incarnation {
+				em.emit(Thaw{number})
 			}
 		})
 	}
@@ -155,49 +155,49 @@
 
 // stop tells a gateway to end, and starts it again when it has, or has been made
 // to.
-func (w *Emulator) stopGateway(n int) {
-	g := &w.gateways[n]
-	if g.state != up {
+func (em *Emulator) stopGateway(number int) {
+	gateway := &em.gateways[number]
+	if gateway.state != up {
 		return
 	}
-	g.state = stopping
-	g.incarnation++
-	lives := g.incarnation
-	w.Referee.Stopping(w.now, n)
-	w.reportReachability()
-	w.emit(Stop{n})
-	w.after(rotationDelay, func() {
-		if g.incarnation == lives {
-			g.inRotation = false
+	gateway.state = stopping
+	gateway.incarnation++
+	incarnation := gateway.incarnation
+	em.Referee.Stopping(em.now, number)
+	em.reportReachability()
+	em.emit(Stop{number})
+	em.after(rotationDelay, func() {
+		if gateway.incarnation == incarnation {
+			gateway.inRotation = false
 		}
 	})
-	w.after(w.scenario.KillAfter(), func() {
-		if g.incarnation == lives && g.state == stopping {
-			w.Referee.Hung(w.now, n)
-			w.emit(Kill{n})
+	em.after(em.scenario.KillAfter(), func() {
+		if gateway.incarnation == incarnation && gateway.state == stopping {
+			em.Referee.Hung(em.now, number)
+			em.emit(Kill{number})
 		}
 	})
 }
 
-func (w *Emulator) freezeGateway(n int, d time.Duration) {
-	g := &w.gateways[n]
-	if g.state != up {
+func (em *Emulator) freezeGateway(number int, duration time.Duration) {
+	gateway := &em.gateways[number]
+	if gateway.state != up {
 		return
 	}
-	lives := g.incarnation
-	w.Referee.Excuse(w.now, n)
-	w.emit(Freeze{n})
-	g.frozen = true
-	w.reportReachability()
-	w.after(d, func() {
-		if g.incarnation == lives {
-			w.emit(Thaw{n})
-			g.frozen = false
-			w.reportReachability()
+	incarnation := gateway.incarnation
+	em.Referee.Excuse(em.now, number)
+	em.emit(Freeze{number})
+	gateway.frozen = true
+	em.reportReachability()
+	em.after(duration, func() {
+		if gateway.incarnation == incarnation {
+			em.emit(Thaw{number})
+			gateway.frozen = false
+			em.reportReachability()
 			// What was on its way while it stood still is answered late.
-			w.after(w.scenario.Rules.Observe.D(), func() {
-				if g.incarnation == lives {
-					w.Referee.Back(w.now, n, false)
+			em.after(em.scenario.Rules.Observe.D(), func() {
+				if gateway.incarnation == incarnation {
+					em.Referee.Back(em.now, number, false)
 				}
 			})
 		}
@@ -206,69 +206,69 @@
 
 // heardOf measures how long after it began a gateway is told of what a backend does
 // now.
-func (w *Emulator) recordListLag(g int, e Entry) {
-	if e.Backend >= len(w.backends) {
+func (em *Emulator) recordListLag(gateway int, entry Entry) {
+	if entry.Backend >= len(em.backends) {
 		return
 	}
-	b, at := w.backends[e.Backend], gatewayLink{g, e.Backend}
-	before, known := w.delivered[at]
-	w.delivered[at] = e
-	same := func(a, b time.Duration) bool { return a-b <= time.Millisecond && b-a <= time.Millisecond }
-	if b.changedAt > 0 && e.Lifecycle == b.entry().Lifecycle && same(e.Started, b.startedAt) &&
-		(!known || before.Lifecycle != e.Lifecycle || !same(before.Started, e.Started)) {
-		w.Tally.Heard(w.now - b.changedAt)
+	backend, key := em.backends[entry.Backend], gatewayLink{gateway, entry.Backend}
+	previous, known := em.delivered[key]
+	em.delivered[key] = entry
+	equal := func(a, b time.Duration) bool { return a-b <= time.Millisecond && b-a <= time.Millisecond }
+	if backend.changedAt > 0 && entry.Lifecycle == backend.entry().Lifecycle && equal(entry.Started, backend.startedAt) &&
+		(!known || previous.Lifecycle != entry.Lifecycle || !equal(previous.Started, entry.Started)) {
+		em.Tally.Heard(em.now - backend.changedAt)
 	}
 }
 
 // list tells discovery of a backend, and gateways late.
-func (w *Emulator) publishBackend(b *backend, lost bool) {
-	b.changedAt = w.now
-	w.emit(Register{Entry: b.entry(), Lost: lost})
-	if w.scenario.Fleet.ListServices > 0 {
+func (em *Emulator) publishBackend(backend *emulatedBackend, lost bool) {
+	backend.changedAt = em.now
+	em.emit(Register{Entry: backend.entry(), Lost: lost})
+	if em.scenario.Fleet.ListServices > 0 {
 		return // they tell it
 	}
 	if !lost {
-		w.sendLists()
+		em.sendLists()
 		return
 	}
-	lives := b.incarnation
-	w.after(lossDetectionDelay, func() {
-		if b.incarnation == lives {
-			b.listed = false
-			w.sendLists()
+	incarnation := backend.incarnation
+	em.after(lossDetectionDelay, func() {
+		if backend.incarnation == incarnation {
+			backend.listed = false
+			em.sendLists()
 		}
 	})
 }
 
 // tell every gateway the list, each with its own delay.
-func (w *Emulator) sendLists() {
-	for g := range w.gateways {
-		late := time.Duration(unitFraction(hash(w.scenario.Seed, uint64(w.now), uint64(g))) * float64(w.scenario.Network.ListDelay))
-		w.after(late, func() { w.emit(SendList{g, w.Entries()}) })
+func (em *Emulator) sendLists() {
+	for g := range em.gateways {
+		delay := time.Duration(unitFraction(hash(em.scenario.Seed, uint64(em.now), uint64(g))) * float64(em.scenario.Network.ListDelay))
+		em.after(delay, func() { em.emit(SendList{g, em.Entries()}) })
 	}
 }
 
 // lostAfter is when a discovery finds out by itself that a backend is gone.
 const lossDetectionDelay = 2 * time.Second
 
-func (w *Emulator) listDelivered(e ListDelivered) {
-	if e.Full {
+func (em *Emulator) listDelivered(event ListDelivered) {
+	if event.Full {
 		// What the list leaves out is gone.
 		listed := map[int]bool{}
-		for _, entry := range e.Entries {
+		for _, entry := range event.Entries {
 			listed[entry.Backend] = true
 		}
-		for _, b := range w.Referee.Named(e.Gateway) {
+		for _, b := range em.Referee.Named(event.Gateway) {
 			if !listed[b] {
-				w.Referee.Told(w.now, e.Gateway, b, referee.Gone, -1)
+				em.Referee.Told(em.now, event.Gateway, b, referee.Gone, -1)
 			}
 		}
 	}
-	for _, entry := range e.Entries {
-		w.recordListLag(e.Gateway, entry)
-		w.Referee.Told(w.now, e.Gateway, entry.Backend, refereeStates[entry.Lifecycle], entry.Started)
+	for _, entry := range event.Entries {
+		em.recordListLag(event.Gateway, entry)
+		em.Referee.Told(em.now, event.Gateway, entry.Backend, refereeStates[entry.Lifecycle], entry.Started)
 	}
-	w.Referee.Version(w.now, e.Gateway, e.Version)
+	em.Referee.Version(em.now, event.Gateway, event.Version)
 }
 
 // states are the lifecycles as the referee has them.
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -39,73 +39,73 @@
 }
 
 // has reports whether a process belongs to an actor.
-func (w *Emulator) matches(p scenario.Actor, e Endpoint) bool {
-	if p.Kind != e.Kind || p.N >= 0 && p.N != e.Number {
+func (em *Emulator) matches(actor scenario.Actor, endpoint Endpoint) bool {
+	if actor.Kind != endpoint.Kind || actor.N >= 0 && actor.N != endpoint.Number {
 		return false
 	}
 	switch {
-	case p.Zone < 0:
+	case actor.Zone < 0:
 		return true
-	case e.Kind == scenario.Gateways:
-		return w.gateways[e.Number].zone == p.Zone
+	case endpoint.Kind == scenario.Gateways:
+		return em.gateways[endpoint.Number].zone == actor.Zone
 	}
-	return w.backends[e.Number].zone == p.Zone
+	return em.backends[endpoint.Number].zone == actor.Zone
 }
 
 // how a link carries what goes one way of it now: of several faults the last.
-func (w *Emulator) condition(at ProcessLink, way link.Direction) link.Condition {
-	how := link.Condition{Kind: link.Up}
-	for _, b := range w.linkFaults {
-		if !b.inactive && w.matches(b.From, at.From) && w.matches(b.To, at.To) && (way == link.Forward && b.There || way == link.Reverse && b.Back) {
-			how = b.How
+func (em *Emulator) condition(processLink ProcessLink, direction link.Direction) link.Condition {
+	condition := link.Condition{Kind: link.Up}
+	for _, fault := range em.linkFaults {
+		if !fault.inactive && em.matches(fault.From, processLink.From) && em.matches(fault.To, processLink.To) && (direction == link.Forward && fault.There || direction == link.Reverse && fault.Back) {
+			condition = fault.How
 		}
 	}
-	return how
+	return condition
 }
 
 // Wires are the links that need a relay in the scenario: those between processes
 // that a fault is to befall.
 func RelayedLinks(s *scenario.Scenario) (all []ProcessLink) {
-	w := &Emulator{scenario: s, gateways: make([]gateway, s.Fleet.Gateways)}
-	for g := range w.gateways {
-		w.gateways[g].zone = g % len(s.Fleet.Zones)
+	em := &Emulator{scenario: s, gateways: make([]emulatedGateway, s.Fleet.Gateways)}
+	for g := range em.gateways {
+		em.gateways[g].zone = g % len(s.Fleet.Zones)
 	}
 	for i := range s.Faults {
 		if scenario.Kinds[s.Faults[i].Kind].Link {
-			l, _, _ := s.Link(&s.Faults[i]) // Check has read it
-			w.linkFaults = append(w.linkFaults, &linkFault{LinkFault: l})
+			parsed, _, _ := s.Link(&s.Faults[i]) // Check has read it
+			em.linkFaults = append(em.linkFaults, &linkFault{LinkFault: parsed})
 		}
 	}
-	for _, at := range w.processLinks() {
-		if w.condition(at, link.Forward).Kind != link.Up || w.condition(at, link.Reverse).Kind != link.Up {
-			all = append(all, at)
+	for _, processLink := range em.processLinks() {
+		if em.condition(processLink, link.Forward).Kind != link.Up || em.condition(processLink, link.Reverse).Kind != link.Up {
+			all = append(all, processLink)
 		}
 	}
 	return all
 }
 
 // wires are all links between processes on which a relay can stand.
-func (w *Emulator) processLinks() (all []ProcessLink) {
-	for g := range w.gateways {
+func (em *Emulator) processLinks() (all []ProcessLink) {
+	for g := range em.gateways {
 		all = append(all, ProcessLink{Endpoint{scenario.Operators, 0}, Endpoint{scenario.Gateways, g}})
 	}
-	for k := range w.scenario.Fleet.ListServices {
-		to := Endpoint{scenario.Lists, k}
-		for g := range w.gateways {
+	for service := range em.scenario.Fleet.ListServices {
+		to := Endpoint{scenario.Lists, service}
+		for g := range em.gateways {
 			all = append(all, ProcessLink{Endpoint{scenario.Gateways, g}, to})
 		}
-		if w.scenario.Fleet.Group {
+		if em.scenario.Fleet.Group {
 			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
-			for other := range w.scenario.Fleet.ListServices {
-				if other != k {
+			for other := range em.scenario.Fleet.ListServices {
+				if other != service {
 					all = append(all, ProcessLink{Endpoint{scenario.Lists, other}, to})
 				}
 			}
 			continue
 		}
-		if k == 0 {
+		if service == 0 {
 			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
-			for other := 1; other < w.scenario.Fleet.ListServices; other++ {
+			for other := 1; other < em.scenario.Fleet.ListServices; other++ {
 				all = append(all, ProcessLink{Endpoint{scenario.Lists, other}, to})
 			}
 		}
@@ -114,51 +114,51 @@
 }
 
 // breakLink begins a link's fault, and plans its end.
-func (w *Emulator) beginLinkFault(f *scenario.Fault) {
-	l, _, _ := w.scenario.Link(f) // Check has read it
-	b := &linkFault{LinkFault: l}
-	w.linkFaults = append(w.linkFaults, b)
-	end := w.now + f.For.D()
-	w.updateRelays()
-	w.schedule(end, func() {
-		for i := range w.linkFaults {
-			if w.linkFaults[i] == b {
-				w.linkFaults = append(w.linkFaults[:i:i], w.linkFaults[i+1:]...)
+func (em *Emulator) beginLinkFault(fault *scenario.Fault) {
+	parsed, _, _ := em.scenario.Link(fault) // Check has read it
+	active := &linkFault{LinkFault: parsed}
+	em.linkFaults = append(em.linkFaults, active)
+	end := em.now + fault.For.D()
+	em.updateRelays()
+	em.schedule(end, func() {
+		for i := range em.linkFaults {
+			if em.linkFaults[i] == active {
+				em.linkFaults = append(em.linkFaults[:i:i], em.linkFaults[i+1:]...)
 				break
 			}
 		}
-		w.emit(Mark{fmt.Sprintf("links from %s to %s are up again", f.From, f.To)})
-		w.updateRelays()
+		em.emit(Mark{fmt.Sprintf("links from %s to %s are up again", fault.From, fault.To)})
+		em.updateRelays()
 	})
-	if f.Flap == 0 {
+	if fault.Flap == 0 {
 		return
 	}
-	var swing func()
-	swing = func() {
-		if w.now < end {
-			b.inactive = !b.inactive
-			w.updateRelays()
-			w.after(f.Flap.D(), swing)
+	var toggle func()
+	toggle = func() {
+		if em.now < end {
+			active.inactive = !active.inactive
+			em.updateRelays()
+			em.after(fault.Flap.D(), toggle)
 		}
 	}
-	w.after(f.Flap.D(), swing)
+	em.after(fault.Flap.D(), toggle)
 }
 
 // rewire tells the driver of every link that carries otherwise than before.
-func (w *Emulator) updateRelays() {
-	for _, at := range w.processLinks() {
-		for _, way := range []link.Direction{link.Forward, link.Reverse} {
-			how := w.condition(at, way)
-			before, known := w.relayConditions[relayDirection{at, way}]
-			if known && before == how || !known && how.Kind == link.Up {
+func (em *Emulator) updateRelays() {
+	for _, processLink := range em.processLinks() {
+		for _, direction := range []link.Direction{link.Forward, link.Reverse} {
+			condition := em.condition(processLink, direction)
+			previous, known := em.relayConditions[relayDirection{processLink, direction}]
+			if known && previous == condition || !known && condition.Kind == link.Up {
 				continue
 			}
-			w.relayConditions[relayDirection{at, way}] = how
-			w.emit(SetRelayCondition{ProcessLink: at, Direction: way, Condition: how})
+			em.relayConditions[relayDirection{processLink, direction}] = condition
+			em.emit(SetRelayCondition{ProcessLink: processLink, Direction: direction, Condition: condition})
 		}
 	}
-	w.updateLinks()
-	w.reportReachability()
+	em.updateLinks()
+	em.reportReachability()
 }
 
 type relayDirection struct {
--- a/internal/world/links_test.go
+++ b/internal/world/links_test.go
@@ -26,17 +26,17 @@
 }
 
 // follow plays a world to a moment, and takes note of how relays carry.
-func runUntil(w *Emulator, until time.Duration, as map[relayDirection]link.Condition) (other []any) {
-	for next, ok := w.Next(); ok && next <= until; next, ok = w.Next() {
-		for _, a := range w.Step(next, Tick{}) {
-			switch do := a.Operation.(type) {
+func runUntil(em *Emulator, until time.Duration, conditions map[relayDirection]link.Condition) (other []any) {
+	for next, ok := em.Next(); ok && next <= until; next, ok = em.Next() {
+		for _, a := range em.Step(next, Tick{}) {
+			switch operation := a.Operation.(type) {
 			case SetRelayCondition:
-				if before := as[relayDirection{do.ProcessLink, do.Direction}]; before == do.Condition {
+				if previous := conditions[relayDirection{operation.ProcessLink, operation.Direction}]; previous == operation.Condition {
 					other = append(other, "told twice")
 				}
-				as[relayDirection{do.ProcessLink, do.Direction}] = do.Condition
+				conditions[relayDirection{operation.ProcessLink, operation.Direction}] = operation.Condition
 			case SetLinkState, Deliver:
-				other = append(other, do)
+				other = append(other, operation)
 			}
 		}
 	}
@@ -58,48 +58,48 @@
 	if wires := RelayedLinks(s); len(wires) != 2*3+2+1+1 {
 		t.Errorf("relays on %v", wires)
 	}
-	w := New(s)
-	w.Begin(0)
-	as := map[relayDirection]link.Condition{}
-	list := func(k int) Endpoint { return Endpoint{scenario.Lists, k} }
+	em := New(s)
+	em.Begin(0)
+	conditions := map[relayDirection]link.Condition{}
+	service := func(k int) Endpoint { return Endpoint{scenario.Lists, k} }
 	gateway := func(n int) Endpoint { return Endpoint{scenario.Gateways, n} }
-	backends := ProcessLink{Endpoint{scenario.Backends, 0}, list(0)}
+	backends := ProcessLink{Endpoint{scenario.Backends, 0}, service(0)}
 	for _, c := range []struct {
 		at   time.Duration
 		wire ProcessLink
 		way  link.Direction
 		want link.Kind
 	}{
-		{900 * time.Millisecond, ProcessLink{list(1), list(0)}, link.Forward, ""},
-		{1500 * time.Millisecond, ProcessLink{list(1), list(0)}, link.Forward, link.Dropped},
-		{1500 * time.Millisecond, ProcessLink{list(2), list(0)}, link.Reverse, link.Dropped},
-		{2500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Reverse, link.Slow},
+		{900 * time.Millisecond, ProcessLink{service(1), service(0)}, link.Forward, ""},
+		{1500 * time.Millisecond, ProcessLink{service(1), service(0)}, link.Forward, link.Dropped},
+		{1500 * time.Millisecond, ProcessLink{service(2), service(0)}, link.Reverse, link.Dropped},
+		{2500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Reverse, link.Slow},
 		{2500 * time.Millisecond, ProcessLink{Endpoint{scenario.Operators, 0}, gateway(0)}, link.Forward, link.Refused},
 		{2500 * time.Millisecond, ProcessLink{Endpoint{scenario.Operators, 0}, gateway(1)}, link.Forward, ""},
-		{2500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Forward, ""},
-		{2500 * time.Millisecond, ProcessLink{gateway(0), list(2)}, link.Reverse, ""},
-		{3500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Reverse, link.Stalled},
-		{3500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Forward, link.Stalled},
-		{3500 * time.Millisecond, ProcessLink{gateway(1), list(1)}, link.Reverse, link.Slow},
-		{4500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Reverse, link.Slow},
-		{4500 * time.Millisecond, ProcessLink{gateway(1), list(2)}, link.Forward, link.Up},
-		{7 * time.Second, ProcessLink{gateway(1), list(2)}, link.Reverse, link.Up},
-		{7 * time.Second, ProcessLink{list(1), list(0)}, link.Forward, link.Dropped},
-		{12 * time.Second, ProcessLink{list(1), list(0)}, link.Forward, link.Up},
+		{2500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Forward, ""},
+		{2500 * time.Millisecond, ProcessLink{gateway(0), service(2)}, link.Reverse, ""},
+		{3500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Reverse, link.Stalled},
+		{3500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Forward, link.Stalled},
+		{3500 * time.Millisecond, ProcessLink{gateway(1), service(1)}, link.Reverse, link.Slow},
+		{4500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Reverse, link.Slow},
+		{4500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Forward, link.Up},
+		{7 * time.Second, ProcessLink{gateway(1), service(2)}, link.Reverse, link.Up},
+		{7 * time.Second, ProcessLink{service(1), service(0)}, link.Forward, link.Dropped},
+		{12 * time.Second, ProcessLink{service(1), service(0)}, link.Forward, link.Up},
 		{20200 * time.Millisecond, backends, link.Forward, link.Cut},
 		{20200 * time.Millisecond, backends, link.Reverse, ""},
 		{20700 * time.Millisecond, backends, link.Forward, link.Up},
 		{21200 * time.Millisecond, backends, link.Forward, link.Cut},
 		{30 * time.Second, backends, link.Forward, link.Up},
 	} {
-		if other := runUntil(w, c.at, as); len(other) > 0 {
+		if other := runUntil(em, c.at, conditions); len(other) > 0 {
 			t.Errorf("%v: %v", c.at, other)
 		}
-		if got := as[relayDirection{c.wire, c.way}].Kind; got != c.want {
+		if got := conditions[relayDirection{c.wire, c.way}].Kind; got != c.want {
 			t.Errorf("at %v, %v, way %d: %q, not %q", c.at, c.wire, c.way, got, c.want)
 		}
 	}
-	for at, how := range as {
+	for at, how := range conditions {
 		if how.Kind != link.Up {
 			t.Errorf("%v is %v at the end", at, how)
 		}
@@ -109,54 +109,54 @@
 // One way between two gateways may be lost or late and the other not, and a gateway's
 // links to backends and the counter fail as they are told to.
 func TestFaultsOnGatewayLinks(t *testing.T) {
-	w := New(quietScenario(t,
+	em := New(quietScenario(t,
 		scenario.Fault{At: 1 * second, For: 2 * second, From: "n0", To: "n1", Way: "there", How: "dropped"},
 		scenario.Fault{At: 4 * second, For: 1 * second, From: "n0", To: "n1", Way: "back", How: "delayed", Delay: second / 2},
 		scenario.Fault{At: 6 * second, For: 1 * second, From: "n2", To: "backends of a", How: "dropped"},
 		scenario.Fault{At: 6 * second, For: 1 * second, From: "n2", To: "counter", How: "refused"},
 	))
-	w.Begin(0)
-	as := map[relayDirection]link.Condition{}
+	em.Begin(0)
+	conditions := map[relayDirection]link.Condition{}
 	number := uint64(0)
 	// passes sends a datagram, and tells how long it took; below 0: it was lost.
-	passes := func(at time.Duration, from, to int) time.Duration {
-		runUntil(w, at, as)
+	transit := func(at time.Duration, from, to int) time.Duration {
+		runUntil(em, at, conditions)
 		number++
-		actions := w.Step(at, Datagram{Number: number, From: from, To: to, Bytes: 100})
-		for next, ok := w.Next(); ok && next < at+650*time.Millisecond; next, ok = w.Next() {
-			actions = append(actions, w.Step(next, Tick{})...)
+		actions := em.Step(at, Datagram{Number: number, From: from, To: to, Bytes: 100})
+		for next, ok := em.Next(); ok && next < at+650*time.Millisecond; next, ok = em.Next() {
+			actions = append(actions, em.Step(next, Tick{})...)
 		}
 		for _, a := range actions {
-			if d, ok := a.Operation.(Deliver); ok && d.Number == number {
+			if delivered, ok := a.Operation.(Deliver); ok && delivered.Number == number {
 				return a.Due - at
 			}
 		}
 		return -1
 	}
 	for _, c := range []struct {
-		at          time.Duration
-		from, to    int
-		least, most time.Duration
+		at                     time.Duration
+		from, to               int
+		minTransit, maxTransit time.Duration
 	}{
 		{500 * time.Millisecond, 0, 1, 0, 100 * time.Millisecond}, {1501 * time.Millisecond, 0, 1, -1, -1}, {2300 * time.Millisecond, 1, 0, 0, 100 * time.Millisecond},
 		{4100 * time.Millisecond, 1, 0, 500 * time.Millisecond, 600 * time.Millisecond}, {4900 * time.Millisecond, 0, 1, 0, 100 * time.Millisecond},
 	} {
-		if took := passes(c.at, c.from, c.to); took < c.least || took > c.most {
+		if took := transit(c.at, c.from, c.to); took < c.minTransit || took > c.maxTransit {
 			t.Errorf("at %v from n%d to n%d: %v", c.at, c.from, c.to, took)
 		}
 	}
 	links := map[gatewayLink]LinkState{}
-	for _, do := range runUntil(w, 6500*time.Millisecond, as) {
-		if l, ok := do.(SetLinkState); ok {
-			links[gatewayLink{l.Gateway, l.Peer}] = l.State
+	for _, operation := range runUntil(em, 6500*time.Millisecond, conditions) {
+		if change, ok := operation.(SetLinkState); ok {
+			links[gatewayLink{change.Gateway, change.Peer}] = change.State
 		}
 	}
 	if len(links) != 4 || links[gatewayLink{2, 0}] != Silent || links[gatewayLink{2, 2}] != Silent || links[gatewayLink{2, 4}] != Silent || links[gatewayLink{2, Counter}] != Refusing {
 		t.Errorf("%v", links)
 	}
-	for _, do := range runUntil(w, 8*time.Second, as) {
-		if l, ok := do.(SetLinkState); ok {
-			links[gatewayLink{l.Gateway, l.Peer}] = l.State
+	for _, operation := range runUntil(em, 8*time.Second, conditions) {
+		if change, ok := operation.(SetLinkState); ok {
+			links[gatewayLink{change.Gateway, change.Peer}] = change.State
 		}
 	}
 	for at, state := range links {
--- a/internal/world/peers.go
+++ b/internal/world/peers.go
@@ -11,29 +11,29 @@
 // Everyone stands for all gateways as the receiver of a datagram.
 const Broadcast = -1
 
-func (w *Emulator) datagramSent(e Datagram) {
-	w.peers.sent++
-	w.Tally.Costs.Datagrams++
-	if !w.Referee.Datagram(w.now, e.From, e.Bytes) {
+func (em *Emulator) datagramSent(event Datagram) {
+	em.peers.sent++
+	em.Tally.Costs.Datagrams++
+	if !em.Referee.Datagram(em.now, event.From, event.Bytes) {
 		return
 	}
-	for to := range w.gateways {
-		if to != e.To && (e.To != Broadcast || to == e.From) {
+	for to := range em.gateways {
+		if to != event.To && (event.To != Broadcast || to == event.From) {
 			continue
 		}
 		salt := uint64(0)
-		draw := func() float64 { salt++; return unitFraction(hash(w.scenario.Seed, w.peers.sent, uint64(to), salt)) }
-		if draw() < w.scenario.Network.PeerLoss || w.separated(e.From, to) {
+		draw := func() float64 { salt++; return unitFraction(hash(em.scenario.Seed, em.peers.sent, uint64(to), salt)) }
+		if draw() < em.scenario.Network.PeerLoss || em.separated(event.From, to) {
 			continue
 		}
-		late := w.scenario.Network.Delay.D() + time.Duration(draw()*float64(w.scenario.Network.PeerDelay))
-		if w.gateways[e.From].zone != w.gateways[to].zone {
-			late += w.scenario.Network.CrossZone.D()
+		delay := em.scenario.Network.Delay.D() + time.Duration(draw()*float64(em.scenario.Network.PeerDelay))
+		if em.gateways[event.From].zone != em.gateways[to].zone {
+			delay += em.scenario.Network.CrossZone.D()
 		}
-		for _, later := range w.datagramDelays(e.From, to, draw) {
-			w.after(late+later, func() {
-				if rate := w.scenario.Network.PeerInPerS; w.peers.receiveQuotas[to].take(w.now, 1, rate, max(1, rate)) {
-					w.emit(Deliver{Number: e.Number, From: e.From, To: to})
+		for _, extraDelay := range em.datagramDelays(event.From, to, draw) {
+			em.after(delay+extraDelay, func() {
+				if rate := em.scenario.Network.PeerInPerS; em.peers.receiveQuotas[to].take(em.now, 1, rate, max(1, rate)) {
+					em.emit(Deliver{Number: event.Number, From: event.From, To: to})
 				}
 			})
 		}
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -22,13 +22,13 @@
 	timerSequence uint64 // of timers due at the same moment
 	actions       []Action
 	started       bool
-	gateways      []gateway
-	backends      []*backend
+	gateways      []emulatedGateway
+	backends      []*emulatedBackend
 	seenKeys      map[keyScope]map[string]time.Duration // keys seen, until when
-	connections   map[Conn]*connection
+	connections   map[Conn]*gatewayConnection
 	links         map[gatewayLink]LinkState
-	counter       counter
-	clients       clients
+	counter       emulatedCounter
+	clients       emulatedClients
 	peers         peers
 	faultRandom   *rand.Rand
 	zoneCuts      map[int]int // zones that are cut off, by how many faults
@@ -47,13 +47,13 @@
 type keyScope struct{ kind, number int }
 
 // conn is a connection from a gateway to a backend or the counter.
-type connection struct {
+type gatewayConnection struct {
 	id            Conn
 	gateway       int
 	peer          int
 	overLimit     bool // the backend has no room for it
 	handshakeDone bool // its handshake has been paid
-	attempt       *attempt
+	attempt       *backendAttempt
 	idleSince     time.Duration // since when it has been
 	lastReply     time.Duration // of the counter's answers on it
 }
@@ -90,128 +90,128 @@
 // New returns the world of a scenario, which begins with Begin. The scenario has
 // to be one that Check finds no fault with.
 func New(s *scenario.Scenario) *Emulator {
-	w := &Emulator{scenario: s, Referee: referee.New(s), Tally: results.New(s), seenKeys: map[keyScope]map[string]time.Duration{}, connections: map[Conn]*connection{},
+	em := &Emulator{scenario: s, Referee: referee.New(s), Tally: results.New(s), seenKeys: map[keyScope]map[string]time.Duration{}, connections: map[Conn]*gatewayConnection{},
 		links: map[gatewayLink]LinkState{}, faultRandom: rand.New(rand.NewPCG(s.Seed, streamFaults)), zoneCuts: map[int]int{}, delivered: map[gatewayLink]Entry{}, relayConditions: map[relayDirection]link.Condition{}, faultyServices: map[int]bool{}}
-	w.counter.counts = map[string]*count{}
-	w.gateways = make([]gateway, s.Fleet.Gateways)
-	for g := range w.gateways {
-		w.gateways[g] = gateway{zone: g % len(s.Fleet.Zones), state: starting, hasProcess: true}
+	em.counter.counts = map[string]*count{}
+	em.gateways = make([]emulatedGateway, s.Fleet.Gateways)
+	for g := range em.gateways {
+		em.gateways[g] = emulatedGateway{zone: g % len(s.Fleet.Zones), state: starting, hasProcess: true}
 	}
 	for range s.Fleet.Backends {
-		w.addBackend(-1)
+		em.addBackend(-1)
 	}
-	w.peers.receiveQuotas = make([]quota, s.Fleet.Gateways)
-	w.reported = make([]string, s.Fleet.Gateways)
-	w.newClients()
-	return w
+	em.peers.receiveQuotas = make([]quota, s.Fleet.Gateways)
+	em.reported = make([]string, s.Fleet.Gateways)
+	em.newClients()
+	return em
 }
 
 // Zone is where a gateway stands.
-func (w *Emulator) Zone(g int) int { return w.gateways[g].zone }
+func (em *Emulator) Zone(g int) int { return em.gateways[g].zone }
 
 // Entries is the list as discovery has it.
-func (w *Emulator) Entries() []Entry {
+func (em *Emulator) Entries() []Entry {
 	var all []Entry
-	for _, b := range w.backends {
-		if b.listed {
-			all = append(all, b.entry())
+	for _, backend := range em.backends {
+		if backend.listed {
+			all = append(all, backend.entry())
 		}
 	}
 	return all
 }
 
 // Begin starts the day; gateways have been started and are ready, or will be.
-func (w *Emulator) Begin(now time.Duration) []Action {
-	w.now = now
-	w.started = true
-	w.reportReachability()
-	for i := range w.scenario.Faults {
-		f := &w.scenario.Faults[i]
-		w.schedule(now+f.At.D(), func() { w.beginFault(f) })
+func (em *Emulator) Begin(now time.Duration) []Action {
+	em.now = now
+	em.started = true
+	em.reportReachability()
+	for i := range em.scenario.Faults {
+		fault := &em.scenario.Faults[i]
+		em.schedule(now+fault.At.D(), func() { em.beginFault(fault) })
 	}
-	w.clients.begin(w)
-	return w.takeActions()
+	em.clients.begin(em)
+	return em.takeActions()
 }
 
 // Step tells the world of an event, and of the time. An event's time is never
 // before one that was told earlier.
-func (w *Emulator) Step(now time.Duration, e Event) []Action {
-	for len(w.timers) > 0 && w.timers[0].at <= now {
-		t := heap.Pop(&w.timers).(timer)
-		w.now = max(w.now, t.at)
-		t.run()
+func (em *Emulator) Step(now time.Duration, event Event) []Action {
+	for len(em.timers) > 0 && em.timers[0].at <= now {
+		due := heap.Pop(&em.timers).(timer)
+		em.now = max(em.now, due.at)
+		due.run()
 	}
-	w.now = max(w.now, now)
-	switch e := e.(type) {
+	em.now = max(em.now, now)
+	switch event := event.(type) {
 	case Tick:
 	case Opened:
-		w.connectionOpened(e)
+		em.connectionOpened(event)
 	case Closed:
-		w.connectionClosed(e.Conn)
+		em.connectionClosed(event.Conn)
 	case Arrived:
-		w.requestArrived(e)
+		em.requestArrived(event)
 	case Probed:
-		w.probed(e)
+		em.probed(event)
 	case Called:
-		w.counterCalled(e)
+		em.counterCalled(event)
 	case ConnectionsChecked:
-		w.connectionsChecked(e)
+		em.connectionsChecked(event)
 	case RequestWritten:
-		w.Referee.Taken(w.now, e.ID)
+		em.Referee.Taken(em.now, event.ID)
 	case Answered:
-		w.answered(e)
+		em.answered(event)
 	case Unanswered:
-		w.unanswered(e)
+		em.unanswered(event)
 	case UnexpectedData:
-		w.Referee.Extra(w.now, e.Gateway, e.ID)
+		em.Referee.Extra(em.now, event.Gateway, event.ID)
 	case ListDelivered:
-		w.listDelivered(e)
+		em.listDelivered(event)
 	case Registered:
-		w.Referee.Enlisted(w.now, e.Backend, refereeStates[e.Lifecycle], e.Started, e.Version)
+		em.Referee.Enlisted(em.now, event.Backend, refereeStates[event.Lifecycle], event.Started, event.Version)
 	case Datagram:
-		w.datagramSent(e)
+		em.datagramSent(event)
 	case Connectivity:
-		w.connectivityReported(e)
+		em.connectivityReported(event)
 	case Ready:
-		w.gatewayReady(e.Gateway)
+		em.gatewayReady(event.Gateway)
 	case Exited:
-		w.gatewayExited(e)
+		em.gatewayExited(event)
 	default:
 		panic("world: an event of no known kind")
 	}
-	return w.takeActions()
+	return em.takeActions()
 }
 
 // Next is when something is due that no event brings.
-func (w *Emulator) Next() (time.Duration, bool) {
-	if len(w.timers) == 0 {
+func (em *Emulator) Next() (time.Duration, bool) {
+	if len(em.timers) == 0 {
 		return 0, false
 	}
-	return w.timers[0].at, true
+	return em.timers[0].at, true
 }
 
 // Done says whether the day is over and all requests have ended.
-func (w *Emulator) Done() bool {
-	return w.started && w.clients.ended && len(w.clients.inProgress) == 0 && w.clients.pendingRetries == 0
+func (em *Emulator) Done() bool {
+	return em.started && em.clients.ended && len(em.clients.inProgress) == 0 && em.clients.pendingRetries == 0
 }
 
 // End judges what only the whole day shows.
-func (w *Emulator) End(now time.Duration) { w.Referee.End(now) }
+func (em *Emulator) End(now time.Duration) { em.Referee.End(now) }
 
-func (w *Emulator) takeActions() []Action {
-	out := w.actions
-	w.actions = nil
-	return out
+func (em *Emulator) takeActions() []Action {
+	taken := em.actions
+	em.actions = nil
+	return taken
 }
 
-func (w *Emulator) emit(action any) { w.actions = append(w.actions, Action{w.now, action}) }
+func (em *Emulator) emit(action any) { em.actions = append(em.actions, Action{em.now, action}) }
 
-func (w *Emulator) schedule(at time.Duration, do func()) {
-	w.timerSequence++
-	heap.Push(&w.timers, timer{at, w.timerSequence, do})
+func (em *Emulator) schedule(at time.Duration, run func()) {
+	em.timerSequence++
+	heap.Push(&em.timers, timer{at, em.timerSequence, run})
 }
 
-func (w *Emulator) after(d time.Duration, do func()) { w.schedule(w.now+d, do) }
+func (em *Emulator) after(delay time.Duration, run func()) { em.schedule(em.now+delay, run) }
 
 // mix spreads the bits of its arguments, so that what is drawn for a request
 // depends on nothing but the request.
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -75,20 +75,20 @@
 	if problems := s.Check(); len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	w := New(&s)
+	em := New(&s)
 	for g := range s.Fleet.Gateways {
-		w.Step(0, Ready{g})
+		em.Step(0, Ready{g})
 	}
-	w.Begin(0)
+	em.Begin(0)
 	var got []string
-	for next, ok := w.Next(); ok && next < 13*time.Second; next, ok = w.Next() {
-		for _, a := range w.Step(next, Tick{}) {
-			switch do := a.Operation.(type) {
+	for next, ok := em.Next(); ok && next < 13*time.Second; next, ok = em.Next() {
+		for _, a := range em.Step(next, Tick{}) {
+			switch operation := a.Operation.(type) {
 			case KillService, StartService, FreezeService, ThawService, Freeze, Start:
-				got = append(got, fmt.Sprintf("%v %T %v", a.Due, do, do))
+				got = append(got, fmt.Sprintf("%v %T %v", a.Due, operation, operation))
 			case Kill:
-				got = append(got, fmt.Sprintf("%v %T %v", a.Due, do, do))
-				w.Step(next, Exited{do.Gateway, "killed"})
+				got = append(got, fmt.Sprintf("%v %T %v", a.Due, operation, operation))
+				em.Step(next, Exited{operation.Gateway, "killed"})
 			}
 		}
 	}
@@ -138,10 +138,10 @@
 		}
 		// Two attempts at once may also be one after a possible run, a held answer
 		// makes others late at a stop; nothing else may come of a defect.
-		leads := map[string][]string{"sends twice": {referee.Resend, referee.Most}, "sends its own": {referee.Answer}, "never ends": {referee.Answer}, "holds": {referee.Stop},
+		sideEffects := map[string][]string{"sends twice": {referee.Resend, referee.Most}, "sends its own": {referee.Answer}, "never ends": {referee.Answer}, "holds": {referee.Stop},
 			"tries on": {referee.Resend}, "ends": {referee.Answer}}[defect]
 		for other := range counts {
-			if other != rule && !strings.Contains(strings.Join(leads, " "), other) {
+			if other != rule && !strings.Contains(strings.Join(sideEffects, " "), other) {
 				t.Errorf("%s: also told as %v", defect, counts)
 			}
 		}
@@ -159,7 +159,7 @@
 		}
 		return referee.Untried(h.emulator.Referee.Trials(), referee.Rules())
 	}
-	pressed := func(change func(s *scenario.Scenario)) *scenario.Scenario {
+	variant := func(change func(s *scenario.Scenario)) *scenario.Scenario {
 		s := faultyScenario(3)
 		s.Faults = nil
 		change(s)
@@ -170,29 +170,29 @@
 		s     *scenario.Scenario
 		tries []string // beside answers, attempts and processes
 	}{
-		"quiet":    {pressed(func(*scenario.Scenario) {}), nil},
+		"quiet":    {variant(func(*scenario.Scenario) {}), nil},
 		"troubled": {faultyScenario(3), []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most, referee.Drain, referee.Stop}},
-		"replaced": {pressed(func(s *scenario.Scenario) {
+		"replaced": {variant(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "replace", At: second, For: second, Part: 0.3}}
 		}), []string{referee.Drain}},
-		"restarted": {pressed(func(s *scenario.Scenario) {
+		"restarted": {variant(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "restart", At: second, For: second, Part: 1}}
 		}), []string{referee.Stop}},
-		"crowded": {pressed(func(s *scenario.Scenario) {
+		"crowded": {variant(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "rude", At: second, For: second, Size: float64(s.Fleet.Sockets)}}
 		}), []string{referee.Door}},
-		"few idle peers": {pressed(func(s *scenario.Scenario) {
+		"few idle peers": {variant(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "rude", At: second, For: second, Size: 10}}
 		}), nil},
-		"cold": {pressed(func(s *scenario.Scenario) {
+		"cold": {variant(func(s *scenario.Scenario) {
 			s.Backend.ColdFrom, s.Faults = 0.01, []scenario.Fault{{Kind: "crash", At: second, For: second, Part: 0.2}}
 		}), []string{referee.Cold}},
 	} {
 		// Attempts that a fault slows or breaks, as some of these may, try those rules too.
-		may := []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most}
+		possible := []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most}
 		without := untried(c.s)
 		for _, rule := range rules {
-			if tried := !slices.Contains(without, rule); tried != slices.Contains(c.tries, rule) && (name == "quiet" || !slices.Contains(may, rule)) {
+			if tried := !slices.Contains(without, rule); tried != slices.Contains(c.tries, rule) && (name == "quiet" || !slices.Contains(possible, rule)) {
 				t.Errorf("%s: %s tried: %v", name, rule, tried)
 			}
 		}
@@ -207,7 +207,7 @@
 		return ListDelivered{Gateway: 0, Version: version, Full: whole, Entries: []Entry{{Backend: draining, Lifecycle: l, Started: at}}}
 	}
 	for name, c := range map[string]struct {
-		told          []Event // before and after version 7 is known to drain it
+		events        []Event // before and after version 7 is known to drain it
 		broken, tried bool
 	}{
 		"told":                    {[]Event{list(7, true, Draining, started)}, false, true},
@@ -220,19 +220,19 @@
 	} {
 		for _, early := range []bool{false, true} {
 			s := faultyScenario(1)
-			w := New(s)
-			word := Registered{Entry{Backend: draining, Lifecycle: Draining, Started: started}, 7}
+			em := New(s)
+			registered := Registered{Entry{Backend: draining, Lifecycle: Draining, Started: started}, 7}
 			if early {
-				w.Step(0, word)
+				em.Step(0, registered)
 			}
-			for _, e := range c.told {
-				w.Step(0, e)
+			for _, e := range c.events {
+				em.Step(0, e)
 			}
 			if !early {
-				w.Step(0, word)
+				em.Step(0, registered)
 			}
-			_, counts := w.Referee.Violations()
-			untried := referee.Untried(w.Referee.Trials(), []string{referee.List})
+			_, counts := em.Referee.Violations()
+			untried := referee.Untried(em.Referee.Trials(), []string{referee.List})
 			if (counts[referee.List] > 0) != c.broken || (len(untried) == 0) != c.tried {
 				t.Errorf("%s, its word first %v: broken %v, untried %v", name, early, counts, untried)
 			}
@@ -286,24 +286,24 @@
 	arrivals := func(defect string) (all []Request) {
 		s := faultyScenario(2)
 		s.Load.Retries = 0
-		w := New(s)
+		em := New(s)
 		for g := range s.Fleet.Gateways {
-			w.Step(0, Ready{g})
+			em.Step(0, Ready{g})
 		}
-		take := func(actions []Action) {
+		collect := func(actions []Action) {
 			for _, a := range actions {
 				if send, ok := a.Operation.(Send); ok {
 					send.Gateway = 0 // the front's choice follows the gateways' states
 					all = append(all, send.Request)
 					if defect != "" {
-						w.Step(a.Due, Answered{ID: send.ID, Status: 503, Complete: true})
+						em.Step(a.Due, Answered{ID: send.ID, Status: 503, Complete: true})
 					}
 				}
 			}
 		}
-		take(w.Begin(0))
-		for next, ok := w.Next(); ok && !w.Done(); next, ok = w.Next() {
-			take(w.Step(next, Tick{}))
+		collect(em.Begin(0))
+		for next, ok := em.Next(); ok && !em.Done(); next, ok = em.Next() {
+			collect(em.Step(next, Tick{}))
 		}
 		return all
 	}
@@ -321,46 +321,46 @@
 // A backend's throughput is that of its cores, and less when it is cold or too
 // full; a full one turns away.
 func TestBackendThroughputFollowsCapacity(t *testing.T) {
-	const work, span, cores = 0.1, 10 * time.Second, 2
+	const work, duration, cores = 0.1, 10 * time.Second, 2
 	// As many requests as atOnce are kept at the backend.
-	served := func(started time.Duration, atOnce int, overfull float64) (done, turned int) {
+	served := func(started time.Duration, atOnce int, overfull float64) (done, rejected int) {
 		s := scenario.Default()
 		s.Backend.Cores, s.Backend.Slots, s.Backend.Queue, s.Backend.Overfull = cores, 8, 8, overfull
 		s.Backend.ColdFrom, s.Backend.Cold, s.Backend.ColdMultiple, s.Backend.Handshake = 0.25, 3600*second, 1000, 0
 		s.Network.Delay, s.Network.CrossZone = 0, 0
 		s.Fleet.Backends, s.Fleet.ListServices = 1, 0
 		s.Duration, s.Load.RequestsPerS, s.Load.ShiftEvery = 3600*second, 1e-9, 0
-		w := New(&s)
-		w.Begin(0)
-		w.backends[0].startedAt = started
-		n := uint64(0)
+		em := New(&s)
+		em.Begin(0)
+		em.backends[0].startedAt = started
+		lastID := uint64(0)
 		send := func(now time.Duration) []Action {
-			n++
-			w.clients.inProgress[n] = &clientRequest{operation: &operation{startedAt: now, workSeconds: work, worth: 1}, id: n, deadline: now + time.Hour}
-			return append(w.Step(now, Opened{Conn(n), 0, 0}), w.Step(now, Arrived{Conn: Conn(n), ID: n, FirstByte: now, Class: s.Classes[0].Name, Unchanged: true})...)
+			lastID++
+			em.clients.inProgress[lastID] = &clientRequest{clientOperation: &clientOperation{startedAt: now, workSeconds: work, worth: 1}, id: lastID, deadline: now + time.Hour}
+			return append(em.Step(now, Opened{Conn(lastID), 0, 0}), em.Step(now, Arrived{Conn: Conn(lastID), ID: lastID, FirstByte: now, Class: s.Classes[0].Name, Unchanged: true})...)
 		}
 		var queue []Action
 		for range atOnce {
 			queue = append(queue, send(0)...)
 		}
-		for next, ok := w.Next(); ok && next < span && turned < 20; next, ok = w.Next() {
-			queue = append(queue, w.Step(next, Tick{})...)
+		for next, ok := em.Next(); ok && next < duration && rejected < 20; next, ok = em.Next() {
+			queue = append(queue, em.Step(next, Tick{})...)
 			for len(queue) > 0 {
 				a := queue[0]
 				queue = queue[1:]
-				if r, ok := a.Operation.(Reply); ok {
-					if r.Status == 200 {
+				if reply, ok := a.Operation.(Reply); ok {
+					if reply.Status == 200 {
 						done++
 					} else {
-						turned++
+						rejected++
 					}
 					queue = append(queue, send(a.Due)...)
 				}
 			}
 		}
-		return done, turned
+		return done, rejected
 	}
-	full := cores * span.Seconds() / work
+	full := cores * duration.Seconds() / work
 	for _, c := range []struct {
 		name     string
 		started  time.Duration
@@ -368,28 +368,28 @@
 		overfull float64
 		want     float64
 	}{{"warm", -1, 2, 0, full}, {"one alone has one core", -1, 1, 0, full / 2}, {"cold", 0, 2, 0, full / 4}, {"overfull", -1, 8, 0.5, full / 2}} {
-		if done, turned := served(c.started, c.atOnce, c.overfull); float64(done) < c.want*0.95 || float64(done) > c.want*1.03 || turned > 0 {
-			t.Errorf("%s: %d served, %d turned away, not %.0f", c.name, done, turned, c.want)
+		if done, rejected := served(c.started, c.atOnce, c.overfull); float64(done) < c.want*0.95 || float64(done) > c.want*1.03 || rejected > 0 {
+			t.Errorf("%s: %d served, %d turned away, not %.0f", c.name, done, rejected, c.want)
 		}
 	}
-	if _, turned := served(-1, 17, 0); turned == 0 {
+	if _, rejected := served(-1, 17, 0); rejected == 0 {
 		t.Error("17 at once: none was turned away of 16 places")
 	}
 }
 
 func TestBodyRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Body{Seed: rapid.Uint64().Draw(t, "seed"), Size: rapid.Int64Range(17, 20_000).Draw(t, "size")}
-		text, err := io.ReadAll(b.Reader())
-		if err != nil || int64(len(text)) != b.Size {
+		body := Body{Seed: rapid.Uint64().Draw(t, "seed"), Size: rapid.Int64Range(17, 20_000).Draw(t, "size")}
+		text, err := io.ReadAll(body.Reader())
+		if err != nil || int64(len(text)) != body.Size {
 			t.Fatalf("%d bytes, %v", len(text), err)
 		}
-		if got, err := ReadBody(bytes.NewReader(text)); err != nil || got != b {
+		if got, err := ReadBody(bytes.NewReader(text)); err != nil || got != body {
 			t.Fatalf("%+v, %v", got, err)
 		}
 		at := rapid.IntRange(0, len(text)-1).Draw(t, "at")
 		text[at] ^= 1
-		if got, err := ReadBody(bytes.NewReader(text)); err == nil && got == b {
+		if got, err := ReadBody(bytes.NewReader(text)); err == nil && got == body {
 			t.Fatalf("byte %d was changed unseen", at)
 		}
 	})
@@ -402,28 +402,28 @@
 	s.Fleet.ListServices, s.Duration, s.Load.RequestsPerS = 0, 60*second, 1e-9
 	s.Counter.CallsPerS, s.Counter.Queue = 100, 5
 	s.Faults = []scenario.Fault{{Kind: "counter_silent", At: 10 * second, For: second}}
-	w := New(&s)
-	w.Begin(0)
-	w.Step(0, Opened{1, 0, Counter})
-	call := func(at time.Duration, n int) (totals []float64, turned int) {
+	em := New(&s)
+	em.Begin(0)
+	em.Step(0, Opened{1, 0, Counter})
+	call := func(at time.Duration, n int) (totals []float64, rejected int) {
 		var actions []Action
 		for range n {
-			actions = append(actions, w.Step(at, Called{1, "a", 2, 5 * time.Second})...)
+			actions = append(actions, em.Step(at, Called{1, "a", 2, 5 * time.Second})...)
 		}
-		for next, ok := w.Next(); ok && next < at+time.Second; next, ok = w.Next() {
-			actions = append(actions, w.Step(next, Tick{})...)
+		for next, ok := em.Next(); ok && next < at+time.Second; next, ok = em.Next() {
+			actions = append(actions, em.Step(next, Tick{})...)
 		}
 		for _, a := range actions {
 			if total, ok := a.Operation.(CounterReply); ok && total.Status == 200 {
 				totals = append(totals, total.Total)
 			} else if ok {
-				turned++
+				rejected++
 			}
 		}
 		return
 	}
-	if totals, turned := call(0, 10); len(totals) < 4 || len(totals) > 6 || turned != 10-len(totals) || totals[0] != 2 || totals[3] != 8 {
-		t.Errorf("at once: %v, %d turned away", totals, turned)
+	if totals, rejected := call(0, 10); len(totals) < 4 || len(totals) > 6 || rejected != 10-len(totals) || totals[0] != 2 || totals[3] != 8 {
+		t.Errorf("at once: %v, %d turned away", totals, rejected)
 	}
 	if totals, _ := call(4*time.Second, 1); len(totals) != 1 || totals[0] < 10 {
 		t.Errorf("within its life: %v", totals)
@@ -434,9 +434,9 @@
 	if totals, _ := call(10*time.Second+time.Millisecond, 1); len(totals) != 0 {
 		t.Errorf("silent: %v", totals)
 	}
-	w.Step(11*time.Second, Opened{2, 0, Counter})
+	em.Step(11*time.Second, Opened{2, 0, Counter})
 	var back []float64
-	for _, a := range append(w.Step(11*time.Second, Called{2, "a", 2, 5 * time.Second}), w.Step(11500*time.Millisecond, Tick{})...) {
+	for _, a := range append(em.Step(11*time.Second, Called{2, "a", 2, 5 * time.Second}), em.Step(11500*time.Millisecond, Tick{})...) {
 		if total, ok := a.Operation.(CounterReply); ok {
 			back = append(back, total.Total)
 		}
