--- a/cmd/dunlintray/defects_test.go
+++ b/cmd/dunlintray/defects_test.go
@@ -182,7 +182,7 @@
 				without := sound[key]
 				mu.Unlock()
 				for _, v := range without().Violations {
-					t.Errorf("%s, seed %d, without the defect (late: %q): %v", d.Scenario, seed+1, without().Late, v)
+					t.Errorf("%s, seed %d, without the defect (late: %q): %v", d.Scenario, seed+1, without().InvalidReason, v)
 				}
 				t.Logf("| %s | %s | %s %d | %d | %.3f | %.3f |", d.Name, d.Rule, d.Scenario, seed+1, r.Counts[d.Rule], without().Tally.Share(), r.Tally.Share())
 			}
@@ -207,13 +207,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if untried := referee.Untried(r.Trials, s.Tried); len(untried) > 0 {
+			if untried := referee.Untried(r.Trials, s.RequiredRules); len(untried) > 0 {
 				t.Errorf("%s, seed %d: not tried: %v", name, seed+1, untried)
 			}
 			for _, v := range r.Violations {
 				t.Errorf("%s, seed %d: %v", name, seed+1, v)
 			}
-			t.Logf("| %s %d | %.3f | %.2f | %.2f | %s |", name, seed+1, r.Tally.Share(), r.Nearest, r.ColdMost, r.Late)
+			t.Logf("| %s %d | %.3f | %.2f | %.2f | %s |", name, seed+1, r.Tally.Share(), r.MinCeilingRemaining, r.MaxColdBudgetUsed, r.InvalidReason)
 		}
 	}
 }
--- a/cmd/dunlintray/main.go
+++ b/cmd/dunlintray/main.go
@@ -128,7 +128,7 @@
 	if c.Faults == "random" {
 		// What was drawn can be played again by the seed, or from what is printed.
 		s.Draw()
-		s.Tried = nil
+		s.RequiredRules = nil
 		fmt.Fprintf(out, "# play %s --seed %d --faults random\n", c.Scenario, s.Seed)
 		if err := toml.NewEncoder(out).Encode(struct {
 			Faults []scenario.Fault `toml:"fault"`
@@ -137,19 +137,19 @@
 		}
 	}
 	if len(c.Tried) > 0 {
-		s.Tried = c.Tried
+		s.RequiredRules = c.Tried
 	}
-	if err := knownRules(s.Tried); err != nil {
+	if err := knownRules(s.RequiredRules); err != nil {
 		return err
 	}
-	c.must = s.Tried
+	c.must = s.RequiredRules
 	return c.run(ctx, s, out)
 }
 
 // knownRules finds rules that are to be tried and that there are not.
 func knownRules(names []string) error {
 	for _, name := range names {
-		if !referee.Known(name) {
+		if !referee.IsRule(name) {
 			return fmt.Errorf("tried: there is no rule %q; there are %s", name, strings.Join(referee.Rules(), ", "))
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 func (c *programs) run(ctx context.Context, s *scenario.Scenario, out io.Writer) (err error) {
-	if err := play.Fits(s); err != nil {
+	if err := play.CheckMachine(s); err != nil {
 		return err
 	}
 	if err := beside(&c.Gateway, "gateway"); err != nil {
@@ -215,7 +215,7 @@
 	}
 	o := play.Options{Gateway: c.Gateway, Registry: c.Registry, Dir: c.Dir}
 	if !c.Quiet {
-		o.Live = out
+		o.Progress = out
 	}
 	result, err := play.Run(ctx, s, o)
 	if errors.Is(err, context.Canceled) {
@@ -231,10 +231,10 @@
 	switch {
 	case len(result.Violations) > 0:
 		return ending{exitBroken, "rules were broken"}
-	case result.Late != "":
-		return ending{exitLate, "this play does not count: " + result.Late}
+	case result.InvalidReason != "":
+		return ending{exitLate, "this play does not count: " + result.InvalidReason}
 	}
-	if untried := referee.Untried(result.Trials, c.must); len(untried) > 0 && !result.Cut {
+	if untried := referee.Untried(result.Trials, c.must); len(untried) > 0 && !result.EndedEarly {
 		return ending{exitTried, "not tried: " + strings.Join(untried, ", ")}
 	}
 	return nil
@@ -268,7 +268,7 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(play.Fits(s), knownRules(s.Tried)); err != nil {
+	if err := errors.Join(play.CheckMachine(s), knownRules(s.RequiredRules)); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, c.File, "is good")
@@ -292,13 +292,13 @@
 	}
 	switch {
 	case c.Faults:
-		for _, name := range scenario.KindNames() {
-			k := scenario.Kinds[name]
+		for _, name := range scenario.FaultKindNames() {
+			k := scenario.FaultKinds[name]
 			size := ""
-			if k.Size != "" {
-				size = "; size: " + k.Size
+			if k.SizeMeaning != "" {
+				size = "; size: " + k.SizeMeaning
 			}
-			fmt.Fprintf(out, "%-15s %s%s\n", name, k.What, size)
+			fmt.Fprintf(out, "%-15s %s%s\n", name, k.Description, size)
 		}
 		return nil
 	case c.Gateway != nil:
--- a/cmd/dunlintray/main_test.go
+++ b/cmd/dunlintray/main_test.go
@@ -444,8 +444,8 @@
 	t.Parallel()
 	for range 2 {
 		r := playing(t, "mishaps", 1, nil)
-		if r.Late != "" {
-			t.Log(r.Late)
+		if r.InvalidReason != "" {
+			t.Log(r.InvalidReason)
 			continue
 		}
 		for _, v := range r.Violations {
--- a/internal/play/loop.go
+++ b/internal/play/loop.go
@@ -47,7 +47,7 @@
 
 // live writes the counts of the last second.
 func (e *engine) live() {
-	if e.o.Live == nil {
+	if e.o.Progress == nil {
 		return
 	}
 	r := e.w.Tally.Recent()
@@ -56,7 +56,7 @@
 	for _, n := range counts {
 		broken += n
 	}
-	fmt.Fprintf(e.o.Live, "%4.0f s  served %4d  late %3d  refused %4d  failed %3d  left %3d  lost %3d  worth so far %.3f  rules broken %d\n",
+	fmt.Fprintf(e.o.Progress, "%4.0f s  served %4d  late %3d  refused %4d  failed %3d  left %3d  lost %3d  worth so far %.3f  rules broken %d\n",
 		(e.now() - e.began).Seconds(), r["served"], r["late"], r["refused"], r["failed"], r["left"], r["lost"], e.w.Tally.Share(), broken)
 }
 
@@ -200,8 +200,8 @@
 	case world.Mark:
 		text := fmt.Sprintf("%.1f s: %s", (e.now() - e.began).Seconds(), a.Text)
 		e.marks = append(e.marks, text)
-		if e.o.Live != nil {
-			fmt.Fprintln(e.o.Live, text)
+		if e.o.Progress != nil {
+			fmt.Fprintln(e.o.Progress, text)
 		}
 	default:
 		return errors.New("play: an action of no known kind")
--- a/internal/play/machine.go
+++ b/internal/play/machine.go
@@ -56,8 +56,8 @@
 	return m, nil
 }
 
-// Fits says what a scenario asks that this machine has not.
-func Fits(s *scenario.Scenario) error {
+// CheckMachine says what a scenario asks that this machine has not.
+func CheckMachine(s *scenario.Scenario) error {
 	m, err := thisMachine()
 	if err != nil {
 		return fmt.Errorf("what this machine has can't be told: %w", err)
@@ -71,7 +71,7 @@
 		most = 0
 	}
 	for _, step := range s.Load.Shape {
-		most = max(most, step.Times)
+		most = max(most, step.Factor)
 	}
 	rude := 0
 	for _, f := range s.Faults {
--- a/internal/play/machine_test.go
+++ b/internal/play/machine_test.go
@@ -25,7 +25,7 @@
 		m := plenty
 		c.change(&m)
 		s := scenario.Default()
-		s.Load.Shape = []scenario.Step{{Times: 1}, {At: 1, Times: 1.5}}
+		s.Load.Shape = []scenario.Step{{Factor: 1}, {At: 1, Factor: 1.5}}
 		s.Faults = []scenario.Fault{{Kind: "burst", Size: 2}, {Kind: "rude", Size: 10}}
 		err := m.fits(&s)
 		if (c.want == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), c.want) {
--- a/internal/play/play.go
+++ b/internal/play/play.go
@@ -26,22 +26,22 @@
 	Gateway  string    // path of the gateway binary
 	Registry string    // path of the registry binary
 	Dir      string    // each process has a folder in it for its configuration and log
-	Live     io.Writer // receives a line each second; nil: none
+	Progress io.Writer // receives a line each second; nil: none
 	Args     []string  // arguments of a gateway, before --config
 }
 
 // Result is the result of a run.
 type Result struct {
-	Tally      *results.Tally
-	Violations []referee.Violation
-	Counts     map[string]int // of violations, by rule
-	Marks      []string       // log of the faults, in order
-	Late       string         // why the run is invalid; empty: it is valid
-	Cut        bool           // the context ended before the day was over
-	Trials     []referee.Trial
-	Nearest    float64 // smallest distance to a ceiling: 1 far, 0 at the limit
-	Low        int     // customers that came to under a third of their ceiling's store
-	ColdMost   float64 // largest used fraction of a cold backend's budget
+	Tally               *results.Tally
+	Violations          []referee.Violation
+	Counts              map[string]int // of violations, by rule
+	Marks               []string       // log of the faults, in order
+	InvalidReason       string         // why the run is invalid; empty: it is valid
+	EndedEarly          bool           // the context ended before the day was over
+	Trials              []referee.Trial
+	MinCeilingRemaining float64 // smallest distance to a ceiling: 1 far, 0 at the limit
+	LowCustomers        int     // customers that came to under a third of their ceiling's store
+	MaxColdBudgetUsed   float64 // largest used fraction of a cold backend's budget
 }
 
 // A run is invalid if the emulator itself was later than this.
@@ -155,7 +155,7 @@
 	stop()
 	e.close()
 	for _, g := range hung {
-		e.w.Referee.Hung(e.now(), g)
+		e.w.Referee.StopTimedOut(e.now(), g)
 	}
 	if err == nil {
 		err = e.failed
@@ -167,18 +167,18 @@
 	for _, p := range e.gateways {
 		e.w.Tally.Gateways = append(e.w.Tally.Gateways, p.use)
 	}
-	r := &Result{Tally: e.w.Tally, Marks: e.marks, Cut: ctx.Err() != nil, Nearest: e.w.Referee.Nearest(),
-		Trials: e.w.Referee.Trials(), Low: e.w.Referee.Low(), ColdMost: e.w.Referee.ColdMost()}
+	r := &Result{Tally: e.w.Tally, Marks: e.marks, EndedEarly: ctx.Err() != nil, MinCeilingRemaining: e.w.Referee.MinCeilingRemaining(),
+		Trials: e.w.Referee.Trials(), LowCustomers: e.w.Referee.LowCustomers(), MaxColdBudgetUsed: e.w.Referee.MaxColdBudgetUsed()}
 	r.Violations, r.Counts = e.w.Referee.Violations()
 	switch p99 := e.w.Tally.Lateness(99); {
 	case p99 > mostLateP99:
-		r.Late = fmt.Sprintf("the emulation did things %v late at p99, over %v: the machine is too small for this scenario", p99, mostLateP99)
+		r.InvalidReason = fmt.Sprintf("the emulation did things %v late at p99, over %v: the machine is too small for this scenario", p99, mostLateP99)
 	case e.gap > mostGap:
-		r.Late = fmt.Sprintf("the emulation stood still for %v", e.gap.Round(time.Millisecond))
+		r.InvalidReason = fmt.Sprintf("the emulation stood still for %v", e.gap.Round(time.Millisecond))
 	}
 	for at, relay := range e.wires {
 		if s := relay.Stats(); s.MaxLateness > mostGap || s.Rejected > 0 {
-			r.Late = fmt.Sprintf("the relay from %v was late by %v and turned %d connections away", at, s.MaxLateness.Round(time.Millisecond), s.Rejected)
+			r.InvalidReason = fmt.Sprintf("the relay from %v was late by %v and turned %d connections away", at, s.MaxLateness.Round(time.Millisecond), s.Rejected)
 		}
 	}
 	return r, nil
--- a/internal/play/report.go
+++ b/internal/play/report.go
@@ -17,7 +17,7 @@
 // Report writes the result for people.
 func (r *Result) Report(w io.Writer) {
 	r.Tally.Table(w)
-	fmt.Fprintf(w, "nearest to a ceiling: %.2f of a store was left, under a third of %d; the fullest cold backend used %.2f of its room\n", r.Nearest, r.Low, r.ColdMost)
+	fmt.Fprintf(w, "nearest to a ceiling: %.2f of a store was left, under a third of %d; the fullest cold backend used %.2f of its room\n", r.MinCeilingRemaining, r.LowCustomers, r.MaxColdBudgetUsed)
 	for i, v := range r.Violations {
 		if i == shown {
 			fmt.Fprintln(w, "and others, see the counts")
@@ -32,10 +32,10 @@
 		if t.Tried == 0 {
 			tried = "not tried"
 		}
-		fmt.Fprintf(tab, "%s\t%d\t%s\t%s\n", t.Name, r.Counts[t.Rule()], tried, t.What)
+		fmt.Fprintf(tab, "%s\t%d\t%s\t%s\n", t.Name, r.Counts[t.Rule()], tried, t.Description)
 	}
 	tab.Flush()
-	if r.Cut {
+	if r.EndedEarly {
 		fmt.Fprintln(w, "ended early")
 	}
 	if untried := referee.Untried(r.Trials, referee.Rules()); len(r.Counts) == 0 {
@@ -45,8 +45,8 @@
 		}
 		fmt.Fprintln(w)
 	}
-	if r.Late != "" {
-		fmt.Fprintln(w, "DOES NOT COUNT:", r.Late)
+	if r.InvalidReason != "" {
+		fmt.Fprintln(w, "DOES NOT COUNT:", r.InvalidReason)
 	}
 }
 
@@ -65,11 +65,11 @@
 		}
 	}
 	for _, t := range r.Trials {
-		err := e.Encode(map[string]any{"kind": "rule", "name": t.Name, "what": t.What, "tried": t.Tried, "broken": r.Counts[t.Rule()]})
+		err := e.Encode(map[string]any{"kind": "rule", "name": t.Name, "what": t.Description, "tried": t.Tried, "broken": r.Counts[t.Rule()]})
 		if err != nil {
 			return err
 		}
 	}
-	return e.Encode(map[string]any{"kind": "verdict", "worth": r.Tally.Share(), "nearest_to_ceiling": r.Nearest, "low_customers": r.Low, "cold_room_used": r.ColdMost,
-		"broken": r.Counts, "not_tried": referee.Untried(r.Trials, referee.Rules()), "counts": r.Late == "" && !r.Cut, "late": r.Late, "cut": r.Cut, "marks": r.Marks})
+	return e.Encode(map[string]any{"kind": "verdict", "worth": r.Tally.Share(), "nearest_to_ceiling": r.MinCeilingRemaining, "low_customers": r.LowCustomers, "cold_room_used": r.MaxColdBudgetUsed,
+		"broken": r.Counts, "not_tried": referee.Untried(r.Trials, referee.Rules()), "counts": r.InvalidReason == "" && !r.EndedEarly, "late": r.InvalidReason, "cut": r.EndedEarly, "marks": r.Marks})
 }
--- a/internal/play/start.go
+++ b/internal/play/start.go
@@ -25,7 +25,7 @@
 		switch {
 		case at.From.Kind == scenario.Operators:
 			target = e.place.control(at.To.Number)
-		case e.s.Fleet.Group && at.From.Kind == scenario.Lists:
+		case e.s.Fleet.Group && at.From.Kind == scenario.Registries:
 			target = e.place.registryGroup(at.To.Number)
 		}
 		r, err := link.NewRelay(e.place.wire(n), target, limits, e.s.Seed+uint64(n))
@@ -101,7 +101,7 @@
 		}
 		writer := ""
 		if k > 0 && !e.s.Fleet.Group {
-			writer = e.service(world.Endpoint{Kind: scenario.Lists, Number: k}, 0)
+			writer = e.service(world.Endpoint{Kind: scenario.Registries, Number: k}, 0)
 		}
 		config, err := e.s.RegistryConfig(k, e.place.registry(k), e.place.registryControl(k), writer, filepath.Join(p.dir, "data"), e.groupOf(k))
 		if err != nil {
@@ -130,7 +130,7 @@
 	at := scenario.GroupAddresses{Listen: e.place.registryGroup(k)}
 	for other := range e.s.Fleet.ListServices {
 		address := e.place.registryGroup(other)
-		if r := e.wires[world.ProcessLink{From: world.Endpoint{Kind: scenario.Lists, Number: k}, To: world.Endpoint{Kind: scenario.Lists, Number: other}}]; r != nil {
+		if r := e.wires[world.ProcessLink{From: world.Endpoint{Kind: scenario.Registries, Number: k}, To: world.Endpoint{Kind: scenario.Registries, Number: other}}]; r != nil {
 			address = r.Address()
 		}
 		at.Members, at.Lists = append(at.Members, address), append(at.Lists, e.place.registry(other))
@@ -181,7 +181,7 @@
 // service returns the address at which a process reaches a registry: that of the relay
 // between them, if there is one.
 func (e *engine) service(from world.Endpoint, k int) string {
-	if r := e.wires[world.ProcessLink{From: from, To: world.Endpoint{Kind: scenario.Lists, Number: k}}]; r != nil {
+	if r := e.wires[world.ProcessLink{From: from, To: world.Endpoint{Kind: scenario.Registries, Number: k}}]; r != nil {
 		return r.Address()
 	}
 	return e.place.registry(k)
@@ -203,7 +203,7 @@
 // process before it was told last.
 func (e *engine) launch(g int) error {
 	a := scenario.Addresses{Listen: e.place.gateway(g), Control: e.place.control(g), Counter: e.place.counter(g),
-		Discovery: e.place.agent(g, 0), PeerListen: e.place.peer(g), PeersAll: e.place.relay(e.s.Fleet.Gateways)}
+		Discovery: e.place.agent(g, 0), PeerListen: e.place.peer(g), Broadcast: e.place.relay(e.s.Fleet.Gateways)}
 	for other := range e.s.Fleet.Gateways {
 		a.Peers = append(a.Peers, e.place.relay(other))
 	}
--- a/internal/referee/backends.go
+++ b/internal/referee/backends.go
@@ -44,8 +44,8 @@
 	r.backends[b] = &backend{zone: zone, cell: cell, started: now, cold: cold}
 }
 
-// Told reports that a gateway has received the state of a backend.
-func (r *Referee) Told(now time.Duration, g, b int, state State, started time.Duration) {
+// BackendStateReceived reports that a gateway has received the state of a backend.
+func (r *Referee) BackendStateReceived(now time.Duration, g, b int, state State, started time.Duration) {
 	before, known := r.gateways[g].told[b]
 	t := told{state: state, at: now, started: started}
 	if known && before.state != Ready && state != Ready {
@@ -54,9 +54,9 @@
 	r.gateways[g].told[b] = t
 }
 
-// Named returns the backends that a gateway knows and that have not gone. A whole list that
+// KnownBackends returns the backends that a gateway knows and that have not gone. A whole list that
 // leaves one of them out says that it has gone.
-func (r *Referee) Named(g int) []int {
+func (r *Referee) KnownBackends(g int) []int {
 	var all []int
 	for b, t := range r.gateways[g].told {
 		if t.state != Gone {
@@ -67,17 +67,17 @@
 	return all
 }
 
-// Pressed judges work that arrives at a backend, rejected work included, and reports whether
+// WorkArrived judges work that arrives at a backend, rejected work included, and reports whether
 // the backend fails from overload. running is the number of backends that run.
-func (r *Referee) Pressed(now time.Duration, g, n, running int, work, mean, capacity float64) (falls bool) {
+func (r *Referee) WorkArrived(now time.Duration, g, n, running int, work, mean, capacity float64) (falls bool) {
 	b := r.backends[n]
-	even := r.load.add(now, work, r.s.Backend.OverloadFor.D()) / float64(max(running, 1))
-	if !b.cold || b.fallen || now-b.started > r.s.Backend.Cold.D() {
+	even := r.load.add(now, work, r.s.Backend.OverloadFor.Std()) / float64(max(running, 1))
+	if !b.cold || b.fallen || now-b.started > r.s.Backend.ColdDuration.Std() {
 		b.cold = false
 		b.window = nil
 		return false
 	}
-	length := r.s.Backend.OverloadFor.D()
+	length := r.s.Backend.OverloadFor.Std()
 	aware := r.gateways[g].told[n].started >= b.started-time.Millisecond
 	b.window = append(b.window, pressure{now, work, aware})
 	b.sum += work
--- a/internal/referee/fleet.go
+++ b/internal/referee/fleet.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Reach is what datagrams do between two gateways.
-type Reach int8
+// Reachability is what datagrams do between two gateways.
+type Reachability int8
 
 // The kinds.
 const (
-	Apart    Reach = iota // none passes, either way
-	Joined                // they pass both ways
-	Doubtful              // they pass one way, or some do, or late: who is present is open
+	Unreachable     Reachability = iota // none passes, either way
+	Reachable                           // they pass both ways
+	PartlyReachable                     // they pass one way, or some do, or late: who is present is open
 )
 
-// Ground is what a fleet of gateways stands on, as the faults that are played make
+// Topology is what a fleet of gateways stands on, as the faults that are played make
 // it: what its members would hold of each other if they knew everything.
-type Ground struct {
-	Running []bool // gateways that run and answer
-	Between func(a, b int) Reach
-	Well    bool // every gateway reaches the list services and the counter
+type Topology struct {
+	Running           []bool // gateways that run and answer
+	Between           func(a, b int) Reachability
+	ServicesReachable bool // every gateway reaches the list services and the counter
 }
 
 // ground is one as it is judged by.
@@ -43,10 +43,10 @@
 	stood   time.Duration // and its state
 }
 
-// Ground tells that what the fleet stands on is another from now on.
-func (r *Referee) Ground(now time.Duration, g Ground) {
+// TopologyChanged tells that what the fleet stands on is another from now on.
+func (r *Referee) TopologyChanged(now time.Duration, g Topology) {
 	n := len(g.Running)
-	at := &ground{since: now, well: g.Well, part: make([]int, n), size: map[int]int{}}
+	at := &ground{since: now, well: g.ServicesReachable, part: make([]int, n), size: map[int]int{}}
 	for a := range n {
 		at.part[a] = out
 		if g.Running[a] {
@@ -58,7 +58,7 @@
 		changed = false
 		for a := range n {
 			for b := range a {
-				if at.part[a] >= 0 && at.part[b] >= 0 && at.part[a] != at.part[b] && g.Between(a, b) == Joined {
+				if at.part[a] >= 0 && at.part[b] >= 0 && at.part[a] != at.part[b] && g.Between(a, b) == Reachable {
 					at.part[a], at.part[b] = min(at.part[a], at.part[b]), min(at.part[a], at.part[b])
 					changed = true
 				}
@@ -72,7 +72,7 @@
 			if at.part[a] < 0 || at.part[b] < 0 {
 				continue
 			}
-			if reach := g.Between(a, b); reach == Doubtful || (reach == Joined) != (at.part[a] == at.part[b]) {
+			if reach := g.Between(a, b); reach == PartlyReachable || (reach == Reachable) != (at.part[a] == at.part[b]) {
 				doubted[at.part[a]], doubted[at.part[b]] = true, true
 			}
 		}
@@ -120,7 +120,7 @@
 		s.state = state
 	}
 	at := r.ground
-	if at == nil || me.excused || me.stopping >= 0 || len(present) != len(at.part) || at.part[g] < 0 || now-at.since < r.s.Rules.Views.D() {
+	if at == nil || me.excused || me.stopping >= 0 || len(present) != len(at.part) || at.part[g] < 0 || now-at.since < r.s.Rules.ViewTimeout.Std() {
 		return
 	}
 	if s.viewed != at.since {
@@ -138,7 +138,7 @@
 			s.met[o] = s.met[o] || o != g && at.part[o] == at.part[g]
 		}
 	}
-	if s.stood == at.since || now-at.since < r.s.Rules.Views.D()+standAfter {
+	if s.stood == at.since || now-at.since < r.s.Rules.ViewTimeout.Std()+standAfter {
 		return
 	}
 	met := 0
--- a/internal/referee/processes.go
+++ b/internal/referee/processes.go
@@ -14,9 +14,9 @@
 	}
 }
 
-// Back reports the end of a gateway's fault. fresh says that the gateway is a new process,
+// FaultEnded reports the end of a gateway's fault. fresh says that the gateway is a new process,
 // which has received no list yet.
-func (r *Referee) Back(now time.Duration, g int, fresh bool) {
+func (r *Referee) FaultEnded(now time.Duration, g int, fresh bool) {
 	r.gateways[g].excused, r.gateways[g].stopping = false, -1
 	r.gateways[g].stand.changed = -1
 	if fresh {
@@ -32,8 +32,8 @@
 	r.gateways[g].stopping = now
 }
 
-// Hung reports that a gateway did not stop in time.
-func (r *Referee) Hung(now time.Duration, g int) {
+// StopTimedOut reports that a gateway did not stop in time.
+func (r *Referee) StopTimedOut(now time.Duration, g int) {
 	r.violate(now, Stop, g, nil, "it had not ended when it was killed, %v after it was told to", now-r.gateways[g].stopping)
 }
 
--- a/internal/referee/referee.go
+++ b/internal/referee/referee.go
@@ -79,7 +79,7 @@
 // New returns a referee for a fleet without backends yet.
 func New(s *scenario.Scenario) *Referee {
 	r := &Referee{s: s, counts: map[string]int{}, tried: map[string]int{Crash: s.Fleet.Gateways}, open: map[uint64]*record{}, gateways: make([]gateway, s.Fleet.Gateways),
-		backends: map[int]*backend{}, customers: map[uint64]*store{}, enlisted: map[int]enlisted{}, counter: CounterUp, nearest: 1}
+		backends: map[int]*backend{}, customers: map[uint64]*store{}, enlisted: map[int]enlisted{}, counter: CounterAvailable, nearest: 1}
 	for g := range r.gateways {
 		r.gateways[g] = gateway{told: map[int]told{}, checked: map[int]int64{}, stopping: -1}
 		r.gateways[g].stand.fresh()
@@ -99,7 +99,7 @@
 	v := Violation{At: now, Rule: rule, Gateway: gateway, Text: fmt.Sprintf(format, args...)}
 	if rec != nil {
 		v.Request = rec.ID
-		v.Text = fmt.Sprintf("class %s, due at %v: %s", rec.class.Name, rec.Due.Round(time.Millisecond), v.Text)
+		v.Text = fmt.Sprintf("class %s, due at %v: %s", rec.class.Name, rec.Deadline.Round(time.Millisecond), v.Text)
 		for _, e := range rec.history {
 			text := e.text
 			if strings.Contains(text, "%") {
@@ -111,15 +111,15 @@
 	r.violations = append(r.violations, v)
 }
 
-// Nearest returns the smallest fraction that any customer had left of its ceiling's bucket,
+// MinCeilingRemaining returns the smallest fraction that any customer had left of its ceiling's bucket,
 // slack included: 1 all, 0 nothing.
-func (r *Referee) Nearest() float64 { return r.nearest }
+func (r *Referee) MinCeilingRemaining() float64 { return r.nearest }
 
-// Low returns the number of customers that came to under a third of their bucket.
-func (r *Referee) Low() int { return r.low }
+// LowCustomers returns the number of customers that came to under a third of their bucket.
+func (r *Referee) LowCustomers() int { return r.low }
 
-// ColdMost returns the largest used fraction of a cold backend's budget.
-func (r *Referee) ColdMost() float64 { return r.coldMost }
+// MaxColdBudgetUsed returns the largest used fraction of a cold backend's budget.
+func (r *Referee) MaxColdBudgetUsed() float64 { return r.coldMost }
 
 // End judges the rules that apply to the whole run.
 func (r *Referee) End(now time.Duration) {
--- a/internal/referee/requests.go
+++ b/internal/referee/requests.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Sent reports that a client begins to send a request.
-func (r *Referee) Sent(now time.Duration, q Request) {
+// RequestStarted reports that a client begins to send a request.
+func (r *Referee) RequestStarted(now time.Duration, q Request) {
 	rec := &record{Request: q, class: &r.s.Classes[q.Class], excused: r.gateways[q.Gateway].excused}
 	rec.note(now, "sent to n%d", q.Gateway)
 	r.open[q.ID] = rec
@@ -44,8 +44,8 @@
 	r.asked(now, q)
 }
 
-// Taken reports that the last byte of a request has been written.
-func (r *Referee) Taken(now time.Duration, id uint64) {
+// RequestAccepted reports that the last byte of a request has been written.
+func (r *Referee) RequestAccepted(now time.Duration, id uint64) {
 	rec := r.open[id]
 	if rec == nil || rec.taken != 0 {
 		return
@@ -60,8 +60,10 @@
 	}
 }
 
-// Seen reports whether any attempt of the request has arrived at a backend.
-func (r *Referee) Seen(id uint64) bool { return r.open[id] != nil && len(r.open[id].attempts) > 0 }
+// ReachedBackend reports whether any attempt of the request has arrived at a backend.
+func (r *Referee) ReachedBackend(id uint64) bool {
+	return r.open[id] != nil && len(r.open[id].attempts) > 0
+}
 
 // Forget drops a request whose deadline has long passed. Attempts that still arrive count as
 // unknown.
@@ -80,7 +82,7 @@
 	}
 	rec.answered = true
 	rec.note(now, "answered with %d", status)
-	if late := now - rec.Due - r.s.Rules.LostAfter.D() - r.s.Rules.Observe.D(); late > 0 && !rec.excused {
+	if late := now - rec.Deadline - r.s.Rules.LostAfter.Std() - r.s.Rules.ObservationSlack.Std(); late > 0 && !rec.excused {
 		r.violate(now, Answer, rec.Gateway, rec, "answered with %d %v too late", status, late.Round(time.Millisecond))
 	}
 	r.tried[Twice]++
@@ -95,7 +97,7 @@
 			r.violate(now, Answer, rec.Gateway, rec, "the answer was cut short though no backend cut it")
 		}
 	case status == 200:
-		if !slices.ContainsFunc(rec.attempts, func(a attempt) bool { return a.whole && a.Answer == answer }) || body != "" {
+		if !slices.ContainsFunc(rec.attempts, func(a attempt) bool { return a.whole && a.ResponseID == answer }) || body != "" {
 			r.violate(now, Answer, rec.Gateway, rec, "served with something that no backend made for it %s", body)
 		}
 	case (status == 429 || status == 503) && mayRun && bound:
@@ -141,7 +143,7 @@
 	}
 }
 
-// Extra reports surplus bytes on a connection, after the response to its last request.
-func (r *Referee) Extra(now time.Duration, g int, id uint64) {
+// SurplusBytes reports surplus bytes on a connection, after the response to its last request.
+func (r *Referee) SurplusBytes(now time.Duration, g int, id uint64) {
 	r.violate(now, Twice, g, r.open[id], "more came behind its answer")
 }
--- a/internal/referee/trials.go
+++ b/internal/referee/trials.go
@@ -9,9 +9,9 @@
 // Trial is how often a rule was put to the test, in its own terms: how often a
 // gateway that does not keep it could have been seen to break it.
 type Trial struct {
-	Name  string // the rule's, or RULE/PART
-	What  string // is counted
-	Tried int
+	Name        string // the rule's, or RULE/PART
+	Description string // is counted
+	Tried       int
 }
 
 // Rule is the rule that is tried.
@@ -19,10 +19,10 @@
 
 // What the counter does while a customer asks for more than its ceiling bears.
 const (
-	CounterUp     = "up"
-	CounterSilent = "silent"
-	CounterEmpty  = "empty" // it has lost everything a moment ago
-	CounterSlow   = "slow"
+	CounterAvailable = "up"
+	CounterSilent    = "silent"
+	CounterEmpty     = "empty" // it has lost everything a moment ago
+	CounterSlow      = "slow"
 )
 
 const (
@@ -35,35 +35,35 @@
 
 // trials are all that is counted, in the order in which it is told.
 var trials = []Trial{
-	{Name: Answer, What: "requests taken that are owed an answer"},
-	{Name: Twice, What: "answers, behind which nothing more may come"},
-	{Name: Copy, What: "attempts that were out for half of the aim"},
-	{Name: tryOnce, What: "failures with time left of what may run once"},
-	{Name: tryZone, What: "and of what must stay in its zone"},
-	{Name: tryCell, What: "and of what must stay in its cell"},
-	{Name: tryWindow, What: "and of what had its key forgotten by then"},
-	{Name: Refusal, What: "requests that were not served though they may have run"},
-	{Name: Most, What: "last permitted attempts that failed with time left for another"},
-	{Name: Drain, What: "attempts of gateways that had been told of a drain"},
-	{Name: List, What: "drains and leaves that a list service took, in the lists of each gateway"},
-	{Name: Cold, What: "cold backends that an even part of the load would have pushed over"},
-	{Name: Ceiling + "/" + CounterUp, What: "customers that asked for more than their ceiling bears"},
-	{Name: Ceiling + "/" + CounterSilent, What: "and while the counter was silent"},
-	{Name: Ceiling + "/" + CounterEmpty, What: "and just after it had lost everything"},
-	{Name: Ceiling + "/" + CounterSlow, What: "and while it was slow"},
-	{Name: Unknown, What: "attempts"},
-	{Name: Changed, What: "attempts"},
-	{Name: Crash, What: "processes of gateways"},
-	{Name: Stop, What: "gateways told to end"},
-	{Name: Peer, What: "datagrams between gateways"},
-	{Name: Door, What: "requests to gateways with more idle peers than places"},
-	{Name: View, What: "gateways that had the time to hear who is present, after each change"},
-	{Name: Standing, What: "and to say how they stand"},
-	{Name: trySwing, What: "times that links came and went as fast"},
+	{Name: Answer, Description: "requests taken that are owed an answer"},
+	{Name: Twice, Description: "answers, behind which nothing more may come"},
+	{Name: Copy, Description: "attempts that were out for half of the aim"},
+	{Name: tryOnce, Description: "failures with time left of what may run once"},
+	{Name: tryZone, Description: "and of what must stay in its zone"},
+	{Name: tryCell, Description: "and of what must stay in its cell"},
+	{Name: tryWindow, Description: "and of what had its key forgotten by then"},
+	{Name: Refusal, Description: "requests that were not served though they may have run"},
+	{Name: Most, Description: "last permitted attempts that failed with time left for another"},
+	{Name: Drain, Description: "attempts of gateways that had been told of a drain"},
+	{Name: List, Description: "drains and leaves that a list service took, in the lists of each gateway"},
+	{Name: Cold, Description: "cold backends that an even part of the load would have pushed over"},
+	{Name: Ceiling + "/" + CounterAvailable, Description: "customers that asked for more than their ceiling bears"},
+	{Name: Ceiling + "/" + CounterSilent, Description: "and while the counter was silent"},
+	{Name: Ceiling + "/" + CounterEmpty, Description: "and just after it had lost everything"},
+	{Name: Ceiling + "/" + CounterSlow, Description: "and while it was slow"},
+	{Name: Unknown, Description: "attempts"},
+	{Name: Changed, Description: "attempts"},
+	{Name: Crash, Description: "processes of gateways"},
+	{Name: Stop, Description: "gateways told to end"},
+	{Name: Peer, Description: "datagrams between gateways"},
+	{Name: Door, Description: "requests to gateways with more idle peers than places"},
+	{Name: View, Description: "gateways that had the time to hear who is present, after each change"},
+	{Name: Standing, Description: "and to say how they stand"},
+	{Name: trySwing, Description: "times that links came and went as fast"},
 }
 
-// Known says whether there is such a rule, or such a part of one.
-func Known(name string) bool {
+// IsRule says whether there is such a rule, or such a part of one.
+func IsRule(name string) bool {
 	return slices.ContainsFunc(trials, func(t Trial) bool { return t.Name == name || t.Rule() == name })
 }
 
@@ -101,16 +101,16 @@
 const leastTime = 100 * time.Millisecond
 
 // tempted counts what an attempt's end could have led to.
-func (r *Referee) tempted(now time.Duration, rec *record, a *attempt, how How) {
-	if now-a.First >= rec.class.Aim.D()/2 {
+func (r *Referee) tempted(now time.Duration, rec *record, a *attempt, how Outcome) {
+	if now-a.FirstByteAt >= rec.class.Aim.Std()/2 {
 		r.tried[Copy]++
 	}
-	if how == Whole || rec.answered || rec.closed || rec.excused || rec.Due-now < leastTime {
+	if how == OutcomeCompleted || rec.answered || rec.closed || rec.excused || rec.Deadline-now < leastTime {
 		return
 	}
 	first, ran := rec.mayHaveRun()
 	c := rec.class
-	if len(rec.attempts) >= r.s.Rules.Attempts {
+	if len(rec.attempts) >= r.s.Rules.MaxAttempts {
 		if !ran || c.Effect == "repeatable" || c.Effect == "by_key" && c.Scope == "all" {
 			r.tried[Most]++
 		}
@@ -124,7 +124,7 @@
 		if name := Resend + "/" + c.Scope; c.Scope != "all" {
 			r.tried[name]++
 		}
-		if now-first.First > c.Window.D()+r.s.Rules.Observe.D() {
+		if now-first.FirstByteAt > c.Window.Std()+r.s.Rules.ObservationSlack.Std() {
 			r.tried[tryWindow]++
 		}
 	}
@@ -133,8 +133,8 @@
 // emptyFor is how long after the counter's loss its customers count as such.
 const emptyFor = 5 * time.Second
 
-// Counter tells what the counter does from now on.
-func (r *Referee) Counter(now time.Duration, state string) {
+// CounterChanged tells what the counter does from now on.
+func (r *Referee) CounterChanged(now time.Duration, state string) {
 	r.counter, r.counterAt = state, now
 }
 
@@ -147,7 +147,7 @@
 		return
 	}
 	if r.counter == CounterEmpty && now > r.counterAt+emptyFor {
-		r.Counter(now, CounterUp)
+		r.CounterChanged(now, CounterAvailable)
 	}
 	c := r.store(now, q)
 	if c.counterAt != r.counterAt || c.asked == nil {
@@ -162,24 +162,24 @@
 	}
 }
 
-// Crowded tells that until a moment more idle peers stand at a gateway than it has
+// ListenerSaturated tells that until a moment more idle peers stand at a gateway than it has
 // places.
-func (r *Referee) Crowded(g int, until time.Duration) {
+func (r *Referee) ListenerSaturated(g int, until time.Duration) {
 	r.gateways[g].crowded = max(r.gateways[g].crowded, until)
 }
 
-// Enlisted tells that a list service has answered a backend's word as done, at a
+// Registered tells that a list service has answered a backend's word as done, at a
 // version of its list. From that version on no list may say less.
-func (r *Referee) Enlisted(now time.Duration, b int, state State, started time.Duration, version int64) {
+func (r *Referee) Registered(now time.Duration, b int, state State, started time.Duration, version int64) {
 	r.enlisted[b] = enlisted{state, started, version}
 	for g := range r.gateways {
 		r.listed(now, g, b)
 	}
 }
 
-// Version tells of which version the list is that a gateway was told last, once
+// ListReceived tells of which version the list is that a gateway was told last, once
 // all that it says was.
-func (r *Referee) Version(now time.Duration, g int, version int64) {
+func (r *Referee) ListReceived(now time.Duration, g int, version int64) {
 	r.gateways[g].version = version
 	for b := range r.enlisted {
 		r.listed(now, g, b)
--- a/internal/referee/types.go
+++ b/internal/referee/types.go
@@ -14,18 +14,18 @@
 	Plan     int
 	Customer uint64
 	Units    float64
-	Due      time.Duration // when the client stops waiting
+	Deadline time.Duration // when the client stops waiting
 }
 
 // Attempt is one try of a request that has arrived completely at a backend.
 type Attempt struct {
-	ID      uint64 // of the request, as the attempt has it
-	Number  uint64 // of the attempt, unique
-	Gateway int
-	Backend int
-	First   time.Duration // when its first byte arrived
-	Same    bool          // method, path, key and body equal those of the client's request
-	Answer  uint64        // identifies the response that the backend gives
+	ID          uint64 // of the request, as the attempt has it
+	Number      uint64 // of the attempt, unique
+	Gateway     int
+	Backend     int
+	FirstByteAt time.Duration // when its first byte arrived
+	Unchanged   bool          // method, path, key and body equal those of the client's request
+	ResponseID  uint64        // identifies the response that the backend gives
 }
 
 // Violation is one breach of a rule.
--- a/internal/scale/config.go
+++ b/internal/scale/config.go
@@ -15,7 +15,7 @@
 // serviceConfig is the configuration of a list service.
 func (p *Plan) serviceConfig(n int, dir string) ([]byte, error) {
 	s := &p.Services[n]
-	config := object{"listen": s.Listen, "control": s.Control, "lease_ms": p.Scenario.Fleet.Lease.D().Milliseconds(),
+	config := object{"listen": s.Listen, "control": s.Control, "lease_ms": p.Scenario.Fleet.Lease.Std().Milliseconds(),
 		"limits": object{"instances": p.Scenario.Fleet.Backends + spareInstances, "connections": p.connections(), "watchers": p.watchers(),
 			"lists_per_s": listsPerS}}
 	if s := p.Scenario; s.Reading.Services > 0 {
@@ -111,8 +111,8 @@
 	}
 	for host := range p.BackendHosts {
 		c := HostConfig{Name: fmt.Sprintf("backends%d", host), Seed: s.Seed + uint64(host), Backends: &BackendsHost{
-			Members: p.Members(), Answers: p.answers(host), Connections: s.Hosts.Connections, Renew: s.Fleet.Lease.D() / renewals,
-			Drain: s.Changes.Drain.D(), Down: s.Changes.Down.D(), Register: s.Changes.Register / float64(p.BackendHosts)}}
+			Members: p.Members(), Answers: p.answers(host), Connections: s.Hosts.Connections, Renew: s.Fleet.Lease.Std() / renewals,
+			Drain: s.Changes.Drain.Std(), Down: s.Changes.Down.Std(), Register: s.Changes.Register / float64(p.BackendHosts)}}
 		for n := host; n < len(p.Backends); n += p.BackendHosts {
 			c.Backends.Backends = append(c.Backends.Backends, p.Backends[n])
 		}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -95,7 +95,7 @@
 	if err := Fits(s); err != nil {
 		return nil, err
 	}
-	deadline := s.Length.D() + s.Quiet.D() + startMargin + time.Duration(float64(s.Fleet.Backends)/s.Changes.Register*float64(time.Second))
+	deadline := s.Length.Std() + s.Quiet.Std() + startMargin + time.Duration(float64(s.Fleet.Backends)/s.Changes.Register*float64(time.Second))
 	ctx, end := context.WithTimeoutCause(ctx, deadline, fmt.Errorf("the run has not ended within its deadline of %v", deadline))
 	defer end()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -323,7 +323,7 @@
 
 // awaitReady waits until an address answers yes.
 func (r *runner) awaitReady(ctx context.Context, p *process, url string) error {
-	end := time.Now().Add(readyWait + r.s.Fleet.Lease.D())
+	end := time.Now().Add(readyWait + r.s.Fleet.Lease.Std())
 	for time.Now().Before(end) {
 		if resp, err := r.http.Get(url); err == nil {
 			resp.Body.Close()
@@ -416,7 +416,7 @@
 			return fmt.Errorf("%s: %w", step.fault.Kind, err)
 		}
 	}
-	if err := pause(ctx, time.Until(began.Add(r.s.Length.D()))); err != nil {
+	if err := pause(ctx, time.Until(began.Add(r.s.Length.Std()))); err != nil {
 		return err
 	}
 	if err := r.restarts(0); err != nil {
@@ -430,7 +430,7 @@
 
 // awaitSettled waits until every backend serves that was not stopped, or the time is over.
 func (r *runner) awaitSettled(ctx context.Context) error {
-	for end := time.Now().Add(r.s.Quiet.D()); time.Now().Before(end); {
+	for end := time.Now().Add(r.s.Quiet.Std()); time.Now().Before(end); {
 		settled := true
 		for _, h := range r.backends {
 			s, err := h.sample(false)
@@ -475,7 +475,7 @@
 // steps are those of all faults, in their order.
 func (s *Scenario) steps() (all []step) {
 	for _, f := range s.Faults {
-		all = append(all, step{f.At.D(), f, false}, step{(f.At + f.For).D(), f, true})
+		all = append(all, step{f.At.Std(), f, false}, step{(f.At + f.For).Std(), f, true})
 	}
 	slices.SortStableFunc(all, func(a, b step) int { return int(a.at - b.at) })
 	return all
@@ -621,7 +621,7 @@
 			return nil, err
 		}
 		f.Took = time.Since(began)
-		if f.Same == f.Of || !f.Checked || f.Took > r.s.Quiet.D() {
+		if f.Same == f.Of || !f.Checked || f.Took > r.s.Quiet.Std() {
 			return f, nil
 		}
 		if err := pause(ctx, viewPace); err != nil {
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -155,8 +155,8 @@
 		}
 	}
 	f := &s.Fleet
-	want(s.Length > 0 && s.Length.D() <= mostLength, "length: %v is not from 1ns to %v", s.Length, mostLength)
-	want(s.Quiet > 0 && s.Quiet.D() <= mostLength, "quiet: %v is not from 1ns to %v", s.Quiet, mostLength)
+	want(s.Length > 0 && s.Length.Std() <= mostLength, "length: %v is not from 1ns to %v", s.Length, mostLength)
+	want(s.Quiet > 0 && s.Quiet.Std() <= mostLength, "quiet: %v is not from 1ns to %v", s.Quiet, mostLength)
 	want(f.Members == 1 || f.Members == 3 || f.Members == 5, "fleet.members: %d is not 1, 3 or 5", f.Members)
 	want(f.Followers >= 0, "fleet.followers: %d is below 0", f.Followers)
 	want(f.Regions >= 1, "fleet.regions: %d is none", f.Regions)
@@ -165,7 +165,7 @@
 	want(f.RealGateways >= 0, "fleet.real_gateways: %d is below 0", f.RealGateways)
 	want(f.Backends >= 1 && f.Backends <= mostBackends, "fleet.backends: %d is not from 1 to %d", f.Backends, mostBackends)
 	want(f.Services >= 1 && f.Services <= f.Backends, "fleet.services: %d is not from 1 to the %d backends", f.Services, f.Backends)
-	want(f.Lease.D() >= leastLease && f.Lease.D() <= mostLease, "fleet.lease: %v is not from %v to %v", f.Lease, leastLease, mostLease)
+	want(f.Lease.Std() >= leastLease && f.Lease.Std() <= mostLease, "fleet.lease: %v is not from %v to %v", f.Lease, leastLease, mostLease)
 	c := &s.Changes
 	want(c.PerS >= 0, "changes.per_s: %g is below 0", c.PerS)
 	want(c.Drain >= 0 && c.Down >= 0, "changes: drain %v and down %v must not be below 0", c.Drain, c.Down)
--- a/internal/scenario/actor.go
+++ b/internal/scenario/actor.go
@@ -15,7 +15,7 @@
 // The kinds.
 const (
 	Gateways ActorKind = iota
-	Lists
+	Registries
 	Backends
 	CounterActor
 	Operators // callers of the gateways' control addresses
@@ -23,13 +23,13 @@
 
 // Actor names the processes at one end of links: one of a kind, all of a zone, or all.
 type Actor struct {
-	Kind ActorKind
-	N    int // -1: all
-	Zone int // -1: all
+	Kind   ActorKind
+	Number int // -1: all
+	Zone   int // -1: all
 }
 
 // actorNames has for each kind the name of all, and the prefix of the number of one.
-var actorNames = map[ActorKind][2]string{Gateways: {"gateways", "n"}, Lists: {"lists", "list"}, Backends: {"backends", "b-"}, CounterActor: {"counter", ""}, Operators: {"operators", ""}}
+var actorNames = map[ActorKind][2]string{Gateways: {"gateways", "n"}, Registries: {"lists", "list"}, Backends: {"backends", "b-"}, CounterActor: {"counter", ""}, Operators: {"operators", ""}}
 
 // ParseActor parses the name of an actor: gateways, n3, "gateways of b" (a zone),
 // lists, list0, backends, b-7, "backends of b", counter, operators.
@@ -48,7 +48,7 @@
 		case name == names[0]:
 			return Actor{kind, -1, -1}, nil
 		case one && names[1] != "" && err == nil && !inZone:
-			most := map[ActorKind]int{Gateways: s.Fleet.Gateways, Lists: s.Fleet.ListServices, Backends: s.Fleet.Backends}[kind]
+			most := map[ActorKind]int{Gateways: s.Fleet.Gateways, Registries: s.Fleet.ListServices, Backends: s.Fleet.Backends}[kind]
 			if n < 0 || n >= most {
 				return Actor{}, fmt.Errorf("%q: there are %d", text, most)
 			}
@@ -60,18 +60,18 @@
 
 // LinkFault is a link's fault as it is read.
 type LinkFault struct {
-	From, To    Actor
-	There, Back bool
-	How         link.Condition
+	From, To          Actor
+	Forward, Backward bool
+	Effect            link.Condition
 }
 
 // onLinks are the links that a play stands on, and what each can do.
 var onLinks = map[[2]ActorKind][]link.Kind{
 	{Gateways, Gateways}:     link.DatagramKinds,
-	{Gateways, Lists}:        link.Kinds,
+	{Gateways, Registries}:   link.Kinds,
 	{Operators, Gateways}:    link.Kinds,
-	{Lists, Lists}:           link.Kinds,
-	{Backends, Lists}:        link.Kinds,
+	{Registries, Registries}: link.Kinds,
+	{Backends, Registries}:   link.Kinds,
 	{Gateways, Backends}:     {link.Dropped, link.Refused},
 	{Gateways, CounterActor}: {link.Dropped, link.Refused},
 }
@@ -84,30 +84,30 @@
 	if l.To, err = s.ParseActor(f.To); err != nil {
 		return l, "to", err
 	}
-	l.There, l.Back = f.Way != "back", f.Way != "there"
-	l.How = link.Condition{Kind: link.Kind(f.How), Delay: f.Delay.D(), Jitter: f.Jitter.D()}
-	if slices.Contains(link.Kinds, l.How.Kind) {
-		l.How.Bytes = int64(f.Size)
+	l.Forward, l.Backward = f.Direction != "back", f.Direction != "there"
+	l.Effect = link.Condition{Kind: link.Kind(f.Effect), Delay: f.Delay.Std(), Jitter: f.Jitter.Std()}
+	if slices.Contains(link.Kinds, l.Effect.Kind) {
+		l.Effect.Bytes = int64(f.Size)
 	} else {
-		l.How.Fraction = f.Size
+		l.Effect.Fraction = f.Size
 	}
 	can := onLinks[[2]ActorKind{l.From.Kind, l.To.Kind}]
 	switch {
-	case !slices.Contains([]string{"", "there", "back", "both"}, f.Way):
-		return l, "way", fmt.Errorf("%q is not there, back or both", f.Way)
+	case !slices.Contains([]string{"", "there", "back", "both"}, f.Direction):
+		return l, "way", fmt.Errorf("%q is not there, back or both", f.Direction)
 	case can == nil:
 		return l, "to", fmt.Errorf("%s does not connect to %s", f.From, f.To)
-	case !slices.Contains(can, l.How.Kind):
-		return l, "how", fmt.Errorf("%q is not one of %v, which a play can do to this link", f.How, can)
-	case l.To.Kind != Gateways && l.To.Kind != Lists && l.There != l.Back:
+	case !slices.Contains(can, l.Effect.Kind):
+		return l, "how", fmt.Errorf("%q is not one of %v, which a play can do to this link", f.Effect, can)
+	case l.To.Kind != Gateways && l.To.Kind != Registries && l.Forward != l.Backward:
 		return l, "way", fmt.Errorf("this link fails both ways only")
 	case l.From.Kind == Backends && l.From != Actor{Backends, -1, -1}:
 		return l, "from", fmt.Errorf("one emulated registrar speaks for all backends")
-	case s.Fleet.Group && l.From.Kind == Lists:
-	case l.From.Kind == Lists && l.From.N == 0:
+	case s.Fleet.Group && l.From.Kind == Registries:
+	case l.From.Kind == Registries && l.From.Number == 0:
 		return l, "from", fmt.Errorf("the writer connects to no other list service")
-	case l.From.Kind != Gateways && l.To.Kind == Lists && l.To.N > 0:
+	case l.From.Kind != Gateways && l.To.Kind == Registries && l.To.Number > 0:
 		return l, "to", fmt.Errorf("only the writer, list0, is called by them")
 	}
-	return l, "how", l.How.Check()
+	return l, "how", l.Effect.Check()
 }
--- a/internal/scenario/draw.go
+++ b/internal/scenario/draw.go
@@ -26,32 +26,32 @@
 	if len(s.Fleet.Zones) > 1 {
 		kinds = append(kinds, "cut", "apart")
 	}
-	last := s.Duration.D() - s.Duration.D()/drawTail
+	last := s.Duration.Std() - s.Duration.Std()/drawTail
 	s.Faults = nil
 	if last <= drawNothing+drawLeast {
 		return
 	}
-	for range max(1, int(s.Duration.D()/drawEvery)) {
+	for range max(1, int(s.Duration.Std()/drawEvery)) {
 		f := Fault{Kind: kinds[random.IntN(len(kinds))]}
 		at := drawNothing + time.Duration(random.Int64N(int64(last-drawNothing-drawLeast)))
 		length := drawLeast + time.Duration(random.Int64N(int64(min(drawMost, last-at)-drawLeast)+1))
 		f.At, f.For = Duration(at.Round(time.Millisecond)), Duration(length.Round(time.Millisecond))
-		switch kind := Kinds[f.Kind]; {
-		case kind.Link:
+		switch kind := FaultKinds[f.Kind]; {
+		case kind.IsLink:
 			s.drawLink(&f, random)
-		case kind.Zone:
+		case kind.NeedsZone:
 			f.Zone = s.Fleet.Zones[random.IntN(len(s.Fleet.Zones))]
-		case kind.Who && s.Fleet.ListServices > 0 && (s.Fleet.KeepLists || f.Kind == "freeze") && random.IntN(3) == 0:
-			f.Who = "list" + string(rune('0'+random.IntN(s.Fleet.ListServices)))
-		case kind.Parts:
-			f.Part = 0.1 + 0.4*random.Float64()
+		case kind.AllowsTarget && s.Fleet.ListServices > 0 && (s.Fleet.KeepLists || f.Kind == "freeze") && random.IntN(3) == 0:
+			f.Target = "list" + string(rune('0'+random.IntN(s.Fleet.ListServices)))
+		case kind.ByPart:
+			f.Fraction = 0.1 + 0.4*random.Float64()
 		}
 		switch {
-		case Kinds[f.Kind].Flap:
+		case FaultKinds[f.Kind].NeedsFlap:
 			f.Flap = Duration(time.Duration(300+random.IntN(1500)) * time.Millisecond)
 		case f.Kind == "slow":
 			f.Size = 2 + 8*random.Float64()
-		case Kinds[f.Kind].Share:
+		case FaultKinds[f.Kind].SizeIsFraction:
 			f.Size = 0.1 + 0.5*random.Float64()
 		}
 		s.Faults = append(s.Faults, f)
@@ -78,11 +78,11 @@
 	from, _ := s.ParseActor(f.From)
 	to, _ := s.ParseActor(f.To)
 	can := onLinks[[2]ActorKind{from.Kind, to.Kind}]
-	f.How = string(can[random.IntN(len(can))])
-	if to.Kind == Gateways || to.Kind == Lists {
-		f.Way = []string{"both", "there", "back"}[random.IntN(3)]
+	f.Effect = string(can[random.IntN(len(can))])
+	if to.Kind == Gateways || to.Kind == Registries {
+		f.Direction = []string{"both", "there", "back"}[random.IntN(3)]
 	}
-	switch link.Kind(f.How) {
+	switch link.Kind(f.Effect) {
 	case link.Lost, link.Repeated, link.Reordered:
 		f.Size = 0.05 + 0.5*random.Float64()
 	case link.Cut:
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -14,7 +14,7 @@
 	Counter    string
 	PeerListen string   // where datagrams of other gateways come in
 	Peers      []string // the gateways' addresses for datagrams, by their numbers
-	PeersAll   string   // of all of them
+	Broadcast  string   // of all of them
 }
 
 // object is a JSON object; its keys are written in order, so that files can be
@@ -34,7 +34,7 @@
 		config["discovery"] = a.Discovery
 	}
 	if len(a.Peers) > 0 {
-		config["peer_listen"], config["peers"], config["peers_all"] = a.PeerListen, a.Peers, a.PeersAll
+		config["peer_listen"], config["peers"], config["peers_all"] = a.PeerListen, a.Peers, a.Broadcast
 	}
 	if s.Fleet.Membership {
 		config["membership"] = true
@@ -106,11 +106,11 @@
 		"family": "gate", "fleetSize": s.Fleet.Gateways, "rank": n, "kinds": []string{"std"}, "localities": s.Fleet.Zones,
 		"locality": n % len(s.Fleet.Zones), "tickS": 0.002, "weights": "off", "discovery": "push", "tier": 0, "layers": []string{"backends"},
 		"allowed": object{"cancel": true, "connectTimeoutS": s.Network.ConnectTimeout.Seconds(), "keepaliveS": s.Backend.KeepAlive.Seconds(),
-			"maxOpen": 20000, "maxRetryAfterS": 1.0, "mayDuplicate": false, "mostTries": s.Rules.Attempts, "peers": true, "probes": false, "retryAfter": true},
+			"maxOpen": 20000, "maxRetryAfterS": 1.0, "mayDuplicate": false, "mostTries": s.Rules.MaxAttempts, "peers": true, "probes": false, "retryAfter": true},
 		"classes": classes, "packages": packages, "loadReport": report,
 		"familyInfo": object{"hasCounter": true, "counterPrice": s.Counter.Price, "counterTimeoutS": s.Counter.Timeout.Seconds(),
 			"mostUnits": most, "truedUp": false, "inboxPerS": s.Network.PeerInPerS},
-		"obligations": object{"answerSlackS": s.Rules.AnswerSlack.Seconds(), "coldFrom": s.Backend.ColdFrom, "coldS": s.Backend.Cold.Seconds(),
+		"obligations": object{"answerSlackS": s.Rules.AnswerSlack.Seconds(), "coldFrom": s.Backend.ColdFrom, "coldS": s.Backend.ColdDuration.Seconds(),
 			"drainGraceS": s.Rules.DrainGrace.Seconds(), "fallMultiple": s.Backend.ColdMultiple, "overloadForS": s.Backend.OverloadFor.Seconds()},
 		"prices": object{"crossZone": 0.005, "waste": 0.03, "lateFail": 0.08, "probe": 0.01},
 	}
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -181,23 +181,23 @@
 	want(b.Queue >= 0, "backend.queue", "%d is below 0", b.Queue)
 	want(b.Connections >= 1, "backend.connections", "%d is not above 0", b.Connections)
 	want(b.Cells >= 1 && b.Cells <= 1000, "backend.cells", "%d is not from 1 to 1000", b.Cells)
-	want(b.Overfull >= 0 && b.Overfull < 1, "backend.overfull", "%g is not a share below 1", b.Overfull)
+	want(b.OverloadLoss >= 0 && b.OverloadLoss < 1, "backend.overfull", "%g is not a share below 1", b.OverloadLoss)
 	want(b.Handshake >= 0, "backend.handshake", "%v is below 0", b.Handshake)
 	want(b.ColdFrom > 0 && b.ColdFrom <= 1, "backend.cold_from", "%g is not a share above 0", b.ColdFrom)
 	want(b.ColdMultiple >= 1, "backend.cold_multiple", "%g is below 1", b.ColdMultiple)
-	for key, d := range map[string]Duration{"backend.keep_alive": b.KeepAlive, "backend.cold": b.Cold, "backend.overload_for": b.OverloadFor,
-		"counter.timeout": s.Counter.Timeout, "network.connect_timeout": s.Network.ConnectTimeout, "rules.drain_grace": s.Rules.DrainGrace, "rules.views": s.Rules.Views} {
+	for key, d := range map[string]Duration{"backend.keep_alive": b.KeepAlive, "backend.cold": b.ColdDuration, "backend.overload_for": b.OverloadFor,
+		"counter.timeout": s.Counter.Timeout, "network.connect_timeout": s.Network.ConnectTimeout, "rules.drain_grace": s.Rules.DrainGrace, "rules.views": s.Rules.ViewTimeout} {
 		positive(key, d)
 	}
 	for key, d := range map[string]Duration{"counter.delay": s.Counter.Delay, "network.delay": s.Network.Delay, "network.cross_zone": s.Network.CrossZone,
-		"network.list_delay": s.Network.ListDelay, "network.peer_delay": s.Network.PeerDelay, "network.notice": s.Network.Notice, "rules.answer_slack": s.Rules.AnswerSlack,
-		"rules.observe": s.Rules.Observe, "load.shift_every": s.Load.ShiftEvery, "load.retry_after": s.Load.RetryAfter} {
+		"network.list_delay": s.Network.ListDelay, "network.peer_delay": s.Network.PeerDelay, "network.notice": s.Network.FailureDetection, "rules.answer_slack": s.Rules.AnswerSlack,
+		"rules.observe": s.Rules.ObservationSlack, "load.shift_every": s.Load.ShiftEvery, "load.retry_after": s.Load.RetryAfter} {
 		want(d >= 0, key, "%v is below 0", d)
 	}
 	want(s.Counter.CallsPerS > 0, "counter.calls_per_s", "%g is not above 0", s.Counter.CallsPerS)
 	want(s.Counter.Queue >= 1, "counter.queue", "%d is not above 0", s.Counter.Queue)
 	want(s.Rules.LostAfter >= s.Rules.AnswerSlack, "rules.lost_after", "%v is under the answer_slack", s.Rules.LostAfter)
-	want(s.Rules.Attempts >= 1 && s.Rules.Attempts <= 16, "rules.attempts", "%d is not from 1 to 16", s.Rules.Attempts)
+	want(s.Rules.MaxAttempts >= 1 && s.Rules.MaxAttempts <= 16, "rules.attempts", "%d is not from 1 to 16", s.Rules.MaxAttempts)
 	share("network.peer_loss", s.Network.PeerLoss)
 	want(s.Network.PeerInPerS > 0, "network.peer_in_per_s", "%g is not above 0", s.Network.PeerInPerS)
 	s.checkLoad(want, share)
@@ -211,9 +211,9 @@
 	want(l.RequestsPerS > 0 && l.RequestsPerS <= 1e6, "load.requests_per_s", "%g is not from 0 to a million", l.RequestsPerS)
 	want(l.Skew >= 0 && l.Skew <= 3, "load.skew", "%g is not from 0 to 3", l.Skew)
 	want(l.Retries >= 0 && l.Retries <= 10, "load.retries", "%d is not from 0 to 10", l.Retries)
-	share("load.impatient", l.Impatient)
+	share("load.impatient", l.AbandonedFraction)
 	for i, step := range l.Shape {
-		want(step.Times >= 0, "load.shape", "step %d: %g times is below 0", i, step.Times)
+		want(step.Factor >= 0, "load.shape", "step %d: %g times is below 0", i, step.Factor)
 		want(step.At >= 0 && (i == 0 || step.At > l.Shape[i-1].At), "load.shape", "step %d: %v is not behind the step before", i, step.At)
 	}
 	want(len(s.Classes) > 0, "class", "there is none")
@@ -223,7 +223,7 @@
 		key := func(k string) string { return fmt.Sprintf("class[%d].%s", i, k) }
 		want(isName(c.Name) && !slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name }), key("name"),
 			"%q is not a name of a-z, 0-9 and -, or stands twice", c.Name)
-		share(key("share"), c.Share)
+		share(key("share"), c.RequestFraction)
 		share(key("late_worth"), c.LateWorth)
 		want(c.Worth > 0, key("worth"), "%g is not above 0", c.Worth)
 		want(c.Aim > 0 && c.Aim <= c.Deadline, key("aim"), "%v is not above 0 and within the deadline of %v", c.Aim, c.Deadline)
@@ -239,7 +239,7 @@
 		want(c.AnswerBytes >= 32 && c.AnswerBytes <= 1<<30, key("answer_bytes"), "%d is not from 32 to 1 GiB", c.AnswerBytes)
 		want(slices.ContainsFunc(s.Plans, func(p Plan) bool { return p.Burst >= float64(c.Units) }), key("units"),
 			"no plan's burst holds %d, so no customer can afford this class", c.Units)
-		total += c.Share
+		total += c.RequestFraction
 		most = max(most, float64(c.Units))
 	}
 	want(total > 0.999 && total < 1.001, "class", "the shares are %g together, not 1", total)
@@ -248,7 +248,7 @@
 		key := func(k string) string { return fmt.Sprintf("plan[%d].%s", i, k) }
 		want(isName(p.Name) && !slices.ContainsFunc(s.Plans[:i], func(o Plan) bool { return o.Name == p.Name }), key("name"),
 			"%q is not a name of a-z, 0-9 and -, or stands twice", p.Name)
-		share(key("share"), p.Share)
+		share(key("share"), p.RequestFraction)
 		want(p.Customers >= 1 && p.Customers <= 1_000_000, key("customers"), "%d is not from 1 to a million", p.Customers)
 		want(p.Price > 0, key("price"), "%g is not above 0", p.Price)
 		want(p.Rate > 0 && p.Burst > 0, key("rate"), "%g units a second and a burst of %g are no quota", p.Rate, p.Burst)
@@ -261,7 +261,7 @@
 				p.Spread, p.CeilingBurst, most)
 			want(p.CeilingSlack >= most, key("ceiling_slack"), "%g is less than the largest request, %g", p.CeilingSlack, most)
 		}
-		total += p.Share
+		total += p.RequestFraction
 	}
 	want(total > 0.999 && total < 1.001, "plan", "the shares are %g together, not 1", total)
 }
@@ -269,7 +269,7 @@
 func (s *Scenario) checkFaults(want func(bool, string, string, ...any), share func(string, float64)) {
 	for i, f := range s.Faults {
 		key := func(k string) string { return fmt.Sprintf("fault[%d].%s", i, k) }
-		kind, known := Kinds[f.Kind]
+		kind, known := FaultKinds[f.Kind]
 		want(known, key("kind"), "%q is not known", f.Kind)
 		if !known {
 			continue
@@ -277,42 +277,42 @@
 		want(f.At >= 0 && f.At < s.Duration, key("at"), "%v is not within the %v of the scenario", f.At, s.Duration)
 		want(f.Kind != "writer_killed" || s.Fleet.ListServices > 0, key("kind"), "there is no list service")
 		want(f.For >= 0 && (f.For > 0 || f.Kind == "counter_empty"), key("for"), "%v is not above 0", f.For)
-		share(key("part"), f.Part)
-		if kind.Link {
+		share(key("part"), f.Fraction)
+		if kind.IsLink {
 			_, where, err := s.Link(&f)
 			want(err == nil, key(where), "%v", err)
 			want(f.Flap >= 0, key("flap"), "%v is below 0", f.Flap)
-			want(f.Part == 0 && f.Zone == "", key("part"), "it takes neither part nor zone")
+			want(f.Fraction == 0 && f.Zone == "", key("part"), "it takes neither part nor zone")
 			continue
 		}
-		want(f.From == "" && f.To == "" && f.Way == "" && f.How == "" && f.Delay == 0 && f.Jitter == 0 && (f.Flap == 0 || kind.Flap), key("from"), "it is no link")
-		want(!kind.Flap || f.Flap >= Duration(100e6), key("flap"), "%v is under 100ms", f.Flap)
+		want(f.From == "" && f.To == "" && f.Direction == "" && f.Effect == "" && f.Delay == 0 && f.Jitter == 0 && (f.Flap == 0 || kind.NeedsFlap), key("from"), "it is no link")
+		want(!kind.NeedsFlap || f.Flap >= Duration(100e6), key("flap"), "%v is under 100ms", f.Flap)
 		want(f.Kind != "apart" || len(s.Fleet.Zones) > 1, key("kind"), "there is one zone")
-		if f.Who != "" {
-			who, err := s.ParseActor(f.Who)
-			want(kind.Who, key("who"), "it takes none")
+		if f.Target != "" {
+			who, err := s.ParseActor(f.Target)
+			want(kind.AllowsTarget, key("who"), "it takes none")
 			want(err == nil, key("who"), "%v", err)
-			want(err != nil || who.Kind == Gateways || who.Kind == Lists, key("who"), "%q are neither gateways nor list services", f.Who)
-			want(who.Kind != Lists || s.Fleet.KeepLists || f.Kind == "freeze", key("who"), "list services without keep_lists forget everything")
-			want(f.Part == 0 && f.Zone == "" && f.Size == 0, key("part"), "it takes neither part, zone nor size beside who")
+			want(err != nil || who.Kind == Gateways || who.Kind == Registries, key("who"), "%q are neither gateways nor list services", f.Target)
+			want(who.Kind != Registries || s.Fleet.KeepLists || f.Kind == "freeze", key("who"), "list services without keep_lists forget everything")
+			want(f.Fraction == 0 && f.Zone == "" && f.Size == 0, key("part"), "it takes neither part, zone nor size beside who")
 			continue
 		}
 		inZone := slices.Contains(s.Fleet.Zones, f.Zone)
 		want(f.Zone == "" || inZone, key("zone"), "%q is not a zone of the fleet", f.Zone)
 		switch {
-		case kind.Zone:
+		case kind.NeedsZone:
 			want(inZone, key("zone"), "it needs one")
 			want(len(s.Fleet.Zones) > 1, key("zone"), "there is no other zone")
-			want(f.Part == 0, key("part"), "it takes none")
-		case kind.Parts:
-			want((f.Part > 0) != inZone, key("part"), "it needs either a part or a zone")
+			want(f.Fraction == 0, key("part"), "it takes none")
+		case kind.ByPart:
+			want((f.Fraction > 0) != inZone, key("part"), "it needs either a part or a zone")
 		default:
-			want(f.Part == 0 && f.Zone == "", key("part"), "it takes neither part nor zone")
+			want(f.Fraction == 0 && f.Zone == "", key("part"), "it takes neither part nor zone")
 		}
 		switch {
-		case kind.Size == "":
+		case kind.SizeMeaning == "":
 			want(f.Size == 0, key("size"), "it takes none")
-		case kind.Share:
+		case kind.SizeIsFraction:
 			share(key("size"), f.Size)
 			want(f.Size > 0, key("size"), "0 does nothing")
 		default:
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -108,7 +108,7 @@
 			if f.At < Duration(drawNothing) || f.For > Duration(drawMost) || f.At+f.For > s.Duration*3/4+Duration(time.Millisecond) {
 				t.Errorf("seed %d: %+v in a day of %v", seed, f, s.Duration)
 			}
-			drawn[f.Kind], drawn[f.From+f.To], drawn[f.How], drawn[f.Who] = true, true, true, true
+			drawn[f.Kind], drawn[f.From+f.To], drawn[f.Effect], drawn[f.Target] = true, true, true, true
 		}
 		again := s
 		again.Draw()
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -91,12 +91,12 @@
 func (em *Emulator) capacity(backend *emulatedBackend) float64 {
 	cores := em.scenario.Backend.Cores
 	if backend.startedAt >= 0 {
-		warmth := (em.now - backend.startedAt).Seconds() / em.scenario.Backend.Cold.Seconds()
+		warmth := (em.now - backend.startedAt).Seconds() / em.scenario.Backend.ColdDuration.Seconds()
 		cores *= min(1, em.scenario.Backend.ColdFrom+(1-em.scenario.Backend.ColdFrom)*warmth)
 	}
 	// The fuller it is beyond its cores, the more is lost.
 	if excess := float64(len(backend.active)) - em.scenario.Backend.Cores; excess > 0 {
-		cores *= 1 - em.scenario.Backend.Overfull*min(1, excess/max(1, float64(em.scenario.Backend.Slots)-em.scenario.Backend.Cores))
+		cores *= 1 - em.scenario.Backend.OverloadLoss*min(1, excess/max(1, float64(em.scenario.Backend.Slots)-em.scenario.Backend.Cores))
 	}
 	return cores
 }
@@ -128,7 +128,7 @@
 		return
 	}
 	delay := time.Duration((backend.active[0].finishAt - backend.servedWork) / em.serviceRate(backend) * 1e9)
-	if backend.startedAt >= 0 && em.now-backend.startedAt < em.scenario.Backend.Cold.D() {
+	if backend.startedAt >= 0 && em.now-backend.startedAt < em.scenario.Backend.ColdDuration.Std() {
 		delay = min(delay, warmUpStep)
 	}
 	timerNumber := backend.timerNumber
@@ -159,11 +159,11 @@
 	if attempt.key != "" {
 		em.recordKey(backend, attempt)
 	}
-	em.replyToAttempt(backend, attempt, referee.Whole)
+	em.replyToAttempt(backend, attempt, referee.OutcomeCompleted)
 }
 
 // reply answers on the attempt's connection, one way through the network later.
-func (em *Emulator) replyToAttempt(backend *emulatedBackend, attempt *backendAttempt, outcome referee.How) {
+func (em *Emulator) replyToAttempt(backend *emulatedBackend, attempt *backendAttempt, outcome referee.Outcome) {
 	connection := attempt.connection
 	if connection == nil {
 		return
@@ -178,9 +178,9 @@
 			return
 		}
 		if attempt.reply.Truncated {
-			outcome = referee.Broken
+			outcome = referee.OutcomeBroken
 		}
-		em.Referee.Over(em.now, attempt.requestID, attempt.number, outcome)
+		em.Referee.AttemptEnded(em.now, attempt.requestID, attempt.number, outcome)
 		em.emit(attempt.reply)
 		connection.attempt = nil
 		em.markIdle(connection)
@@ -192,9 +192,9 @@
 
 // delay is one way between a gateway and what it speaks to.
 func (em *Emulator) networkDelay(connection *gatewayConnection) time.Duration {
-	delay := em.scenario.Network.Delay.D()
+	delay := em.scenario.Network.Delay.Std()
 	if em.gateways[connection.gateway].zone != em.peerZone(connection.peer) {
-		delay += em.scenario.Network.CrossZone.D()
+		delay += em.scenario.Network.CrossZone.Std()
 	}
 	return delay
 }
@@ -238,7 +238,7 @@
 // rests notes that a connection is idle, and closes it when it has been for long.
 func (em *Emulator) markIdle(connection *gatewayConnection) {
 	connection.idleSince = em.now
-	timeout := em.scenario.Backend.KeepAlive.D()
+	timeout := em.scenario.Backend.KeepAlive.Std()
 	if connection.peer == Counter {
 		timeout = counterIdleTimeout
 	}
@@ -266,7 +266,7 @@
 	}
 	em.backends[connection.peer].connections--
 	if attempt := connection.attempt; attempt != nil {
-		em.Referee.Over(em.now, attempt.requestID, attempt.number, referee.Broken)
+		em.Referee.AttemptEnded(em.now, attempt.requestID, attempt.number, referee.OutcomeBroken)
 		em.abandonAttempt(attempt)
 	}
 }
@@ -287,7 +287,7 @@
 		return
 	}
 	if attempt := connection.attempt; attempt != nil {
-		em.Referee.Over(em.now, attempt.requestID, attempt.number, referee.Left)
+		em.Referee.AttemptEnded(em.now, attempt.requestID, attempt.number, referee.OutcomeAbandoned)
 		em.abandonAttempt(attempt)
 	}
 	em.dropConnection(connection)
@@ -326,7 +326,7 @@
 	for _, conn := range event.Closed {
 		em.connectionClosed(conn)
 	}
-	em.Referee.Settle(em.now, event.ID)
+	em.Referee.CheckOverlap(em.now, event.ID)
 }
 
 func (em *Emulator) requestArrived(event Arrived) {
@@ -341,8 +341,8 @@
 	request := em.clients.inProgress[event.ID]
 	unchanged := event.Unchanged && request != nil && event.Class == em.scenario.Classes[request.class].Name && event.Key == request.key && event.Body.Size == request.bodyBytes &&
 		(request.bodyBytes == 0 || event.Body == request.message().Body)
-	if em.Referee.Arrived(em.now, referee.Attempt{ID: event.ID, Number: number, Gateway: connection.gateway, Backend: backend.number, First: event.FirstByte, Same: unchanged || request == nil, Answer: attempt.reply.Body.Seed}) {
-		em.after(em.scenario.Rules.Observe.D(), func() { em.checkAttempts(event.ID) })
+	if em.Referee.AttemptArrived(em.now, referee.Attempt{ID: event.ID, Number: number, Gateway: connection.gateway, Backend: backend.number, FirstByteAt: event.FirstByte, Unchanged: unchanged || request == nil, ResponseID: attempt.reply.Body.Seed}) {
+		em.after(em.scenario.Rules.ObservationSlack.Std(), func() { em.checkAttempts(event.ID) })
 	}
 	connection.attempt = attempt
 	em.Tally.Costs.Attempts++
@@ -365,7 +365,7 @@
 		attempt.cost += em.scenario.Backend.Handshake.Seconds()
 	}
 	attempt.reply.Body.Size = class.AnswerBytes
-	if em.Referee.Pressed(em.now, connection.gateway, backend.number, em.runningBackends(), attempt.cost, class.Work.Seconds(), em.capacity(backend)) {
+	if em.Referee.WorkArrived(em.now, connection.gateway, backend.number, em.runningBackends(), attempt.cost, class.Work.Seconds(), em.capacity(backend)) {
 		em.Tally.Costs.Cold++
 		em.emit(Mark{fmt.Sprintf("backend b-%d falls over", backend.number)})
 		backend.collapsed = true
@@ -398,11 +398,11 @@
 		em.resetConnection(attempt.connection)
 	case backend.errorRate > 0 && draw(2) < backend.errorRate:
 		em.failAttempt(backend, attempt, 500)
-	case attempt.connection.overLimit, backend.draining && em.now-backend.drainingSince > em.scenario.Rules.DrainGrace.D()+em.scenario.Network.ListDelay.D(),
+	case attempt.connection.overLimit, backend.draining && em.now-backend.drainingSince > em.scenario.Rules.DrainGrace.Std()+em.scenario.Network.ListDelay.Std(),
 		len(backend.active) >= em.scenario.Backend.Slots && len(backend.queued) >= em.scenario.Backend.Queue:
 		em.reject(backend, attempt)
 	case attempt.key != "" && em.keySeen(backend, attempt):
-		em.replyToAttempt(backend, attempt, referee.Whole) // another attempt has done the work
+		em.replyToAttempt(backend, attempt, referee.OutcomeCompleted) // another attempt has done the work
 	default:
 		attempt.reply.Truncated = backend.truncationRate > 0 && draw(3) < backend.truncationRate
 		attempt.finishAt = backend.servedWork + attempt.cost
@@ -419,12 +419,12 @@
 	em.Tally.Costs.Turned++
 	attempt.reply.Status, attempt.reply.NotStarted, attempt.reply.Body.Size = 503, true, 32
 	attempt.reply.Close = attempt.connection.overLimit
-	em.replyToAttempt(backend, attempt, referee.Turned)
+	em.replyToAttempt(backend, attempt, referee.OutcomeRejected)
 }
 
 func (em *Emulator) failAttempt(backend *emulatedBackend, attempt *backendAttempt, status int) {
 	attempt.reply.Status, attempt.reply.Body.Size = status, 32
-	em.replyToAttempt(backend, attempt, referee.Failed)
+	em.replyToAttempt(backend, attempt, referee.OutcomeFailed)
 }
 
 func (em *Emulator) keyScopeOf(backend *emulatedBackend, class int) keyScope {
@@ -451,7 +451,7 @@
 	if _, seen := keys[attempt.key]; seen {
 		return
 	}
-	window := em.scenario.Classes[attempt.class].Window.D()
+	window := em.scenario.Classes[attempt.class].Window.Std()
 	keys[attempt.key] = em.now + window
 	em.after(window, func() { delete(keys, attempt.key) })
 }
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -117,8 +117,8 @@
 }
 
 func (clients *emulatedClients) begin(em *Emulator) {
-	clients.endAt = em.now + em.scenario.Duration.D()
-	if interval := em.scenario.Load.ShiftEvery.D(); interval > 0 {
+	clients.endAt = em.now + em.scenario.Duration.Std()
+	if interval := em.scenario.Load.ShiftEvery.Std(); interval > 0 {
 		var redraw func()
 		redraw = func() {
 			em.redrawCustomers()
@@ -159,19 +159,19 @@
 func (em *Emulator) loadFactor(elapsed time.Duration) float64 {
 	factor := 1.0
 	if shape := em.scenario.Load.Shape; len(shape) > 0 {
-		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.D() > elapsed })
+		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.Std() > elapsed })
 		switch {
 		case i == 0:
-			factor = shape[0].Times
+			factor = shape[0].Factor
 		case i == len(shape):
-			factor = shape[i-1].Times
+			factor = shape[i-1].Factor
 		default:
 			before, after := shape[i-1], shape[i]
-			factor = before.Times + (after.Times-before.Times)*float64(elapsed-before.At.D())/float64(after.At-before.At)
+			factor = before.Factor + (after.Factor-before.Factor)*float64(elapsed-before.At.Std())/float64(after.At-before.At)
 		}
 	}
 	for _, fault := range em.scenario.Faults {
-		if fault.Kind == "burst" && elapsed >= fault.At.D() && elapsed < (fault.At+fault.For).D() {
+		if fault.Kind == "burst" && elapsed >= fault.At.Std() && elapsed < (fault.At+fault.For).Std() {
 			factor *= fault.Size
 		}
 	}
@@ -184,7 +184,7 @@
 	if len(em.scenario.Load.Shape) > 0 {
 		maxFactor = 0
 		for _, step := range em.scenario.Load.Shape {
-			maxFactor = max(maxFactor, step.Times)
+			maxFactor = max(maxFactor, step.Factor)
 		}
 	}
 	for _, fault := range em.scenario.Faults {
@@ -210,8 +210,8 @@
 	clients := &em.clients
 	random := clients.arrivalRandom
 	operation := &clientOperation{startedAt: em.now}
-	operation.class = pickWeighted(random.Float64(), len(em.scenario.Classes), func(i int) float64 { return em.scenario.Classes[i].Share })
-	operation.plan = pickWeighted(random.Float64(), len(em.scenario.Plans), func(i int) float64 { return em.scenario.Plans[i].Share })
+	operation.class = pickWeighted(random.Float64(), len(em.scenario.Classes), func(i int) float64 { return em.scenario.Classes[i].RequestFraction })
+	operation.plan = pickWeighted(random.Float64(), len(em.scenario.Plans), func(i int) float64 { return em.scenario.Plans[i].RequestFraction })
 	weights := clients.cumulativeWeights[operation.plan]
 	operation.customer = min(sort.SearchFloat64s(weights, random.Float64()*weights[len(weights)-1]), len(weights)-1)
 	// The work of a request varies by half of its mean.
@@ -232,7 +232,7 @@
 	em.sendRequest(operation)
 }
 
-func (em *Emulator) startTime() time.Duration { return em.clients.endAt - em.scenario.Duration.D() }
+func (em *Emulator) startTime() time.Duration { return em.clients.endAt - em.scenario.Duration.Std() }
 
 func (em *Emulator) quotaOf(stores map[uint64]*quota, operation *clientOperation) *quota {
 	id := em.clients.customers[operation.plan][operation.customer].id
@@ -252,7 +252,7 @@
 	class := &em.scenario.Classes[operation.class]
 	customer := &clients.customers[operation.plan][operation.customer]
 	request := &clientRequest{clientOperation: operation, id: hash(em.scenario.Seed, clients.requestCount), firstGateway: customer.firstGateway, customerID: customer.id}
-	request.deadline = operation.startedAt + class.Deadline.D()
+	request.deadline = operation.startedAt + class.Deadline.Std()
 	request.remaining = request.deadline - em.now
 	draw := func(salt uint64) float64 { return unitFraction(hash(request.id, salt)) }
 	// Through the front: a gateway of the customer's set that it takes for up.
@@ -266,9 +266,9 @@
 	}
 	clients.inProgress[request.id] = request
 	em.Tally.Costs.Tries++
-	em.Referee.Sent(em.now, referee.Request{ID: request.id, Gateway: request.gateway, Class: request.class, Plan: request.plan, Customer: request.customerID, Units: float64(class.Units), Due: request.deadline})
+	em.Referee.RequestStarted(em.now, referee.Request{ID: request.id, Gateway: request.gateway, Class: request.class, Plan: request.plan, Customer: request.customerID, Units: float64(class.Units), Deadline: request.deadline})
 	em.emit(Send{Request: request.message()})
-	if draw(2) < em.scenario.Load.Impatient {
+	if draw(2) < em.scenario.Load.AbandonedFraction {
 		em.after(request.remaining/4, func() {
 			if clients.inProgress[request.id] == request && !request.answered {
 				em.Referee.Abandoned(em.now, request.id)
@@ -277,7 +277,7 @@
 			}
 		})
 	}
-	overdueAt := request.deadline + em.scenario.Rules.LostAfter.D() + 2*em.scenario.Rules.Observe.D()
+	overdueAt := request.deadline + em.scenario.Rules.LostAfter.Std() + 2*em.scenario.Rules.ObservationSlack.Std()
 	em.schedule(overdueAt, func() {
 		if clients.inProgress[request.id] == request && !request.answered {
 			em.Referee.Overdue(em.now, request.id)
@@ -326,7 +326,7 @@
 	}
 	latency := em.now - request.startedAt
 	switch {
-	case event.Status == 200 && event.Complete && latency <= class.Aim.D():
+	case event.Status == 200 && event.Complete && latency <= class.Aim.Std():
 		em.endOperation(request, results.Served, worth)
 	case event.Status == 200 && event.Complete && em.now <= request.deadline:
 		em.endOperation(request, results.Late, worth*class.LateWorth)
@@ -349,7 +349,7 @@
 	if request == nil || request.answered {
 		return
 	}
-	if event.Reused && !request.resent && !em.Referee.Seen(event.ID) {
+	if event.Reused && !request.resent && !em.Referee.ReachedBackend(event.ID) {
 		// Its connection was closed while it was idle: the gateway has not read it.
 		request.resent = true
 		message := request.message()
@@ -358,7 +358,7 @@
 		return
 	}
 	if event.Sent {
-		em.Referee.Taken(em.now, event.ID)
+		em.Referee.RequestAccepted(em.now, event.ID)
 	}
 	em.Referee.Closed(em.now, event.ID, !event.Reused)
 	request.answered = true
@@ -368,9 +368,9 @@
 // again lets the client try once more if it may and has the time.
 func (em *Emulator) retryOrEnd(request *clientRequest, outcome results.Outcome, notStarted bool, retryAfter time.Duration) {
 	class := &em.scenario.Classes[request.class]
-	pause := em.scenario.Load.RetryAfter.D() << min(request.requests-1, 10)
+	pause := em.scenario.Load.RetryAfter.Std() << min(request.requests-1, 10)
 	pause = max(pause, min(retryAfter, maxRetryAfter))
-	allowed := notStarted || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all" && em.now+pause < request.startedAt+class.Window.D()
+	allowed := notStarted || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all" && em.now+pause < request.startedAt+class.Window.Std()
 	if allowed && request.requests <= em.scenario.Load.Retries && em.now+pause < request.deadline-minRetryTime {
 		delete(em.clients.inProgress, request.id)
 		em.clients.pendingRetries++
--- a/internal/world/counter.go
+++ b/internal/world/counter.go
@@ -25,7 +25,7 @@
 	connection.idleSince = em.now
 	counter := &em.counter
 	serviceTime := time.Duration(1e9 / em.scenario.Counter.CallsPerS * max(em.counter.slowdown, 1))
-	delay := em.scenario.Counter.Delay.D()/2 + em.networkDelay(connection)
+	delay := em.scenario.Counter.Delay.Std()/2 + em.networkDelay(connection)
 	counter.freeAt = max(counter.freeAt, em.now+delay) // the call's way there
 	reply := CounterReply{Conn: connection.id, Status: 503}
 	if counter.freeAt-em.now <= serviceTime*time.Duration(em.scenario.Counter.Queue) {
--- a/internal/world/double_test.go
+++ b/internal/world/double_test.go
@@ -52,7 +52,7 @@
 	if gateway.harness.hasDefect("floods the cold") {
 		return true
 	}
-	if entry.Started > 0 && gateway.harness.now-entry.Started < gateway.harness.scenario.Backend.Cold.D() {
+	if entry.Started > 0 && gateway.harness.now-entry.Started < gateway.harness.scenario.Backend.ColdDuration.Std() {
 		return gateway.attemptsByBackend[backend] < maxColdAttempts
 	}
 	return gateway.attemptsByBackend[backend] < maxWarmAttempts
@@ -268,7 +268,7 @@
 		return -1
 	}
 	slices.Sort(eligible)
-	if last := eligible[len(eligible)-1]; gateway.harness.hasDefect("floods the cold") && gateway.entries[last].Started > 0 && gateway.harness.now-gateway.entries[last].Started < gateway.harness.scenario.Backend.Cold.D() {
+	if last := eligible[len(eligible)-1]; gateway.harness.hasDefect("floods the cold") && gateway.entries[last].Started > 0 && gateway.harness.now-gateway.entries[last].Started < gateway.harness.scenario.Backend.ColdDuration.Std() {
 		gateway.harness.planted++
 		return last
 	}
@@ -282,11 +282,11 @@
 		return
 	}
 	backend := accepted.pickBackend()
-	if backend < 0 || accepted.attempts >= h.scenario.Rules.Attempts+1 || accepted.attempts >= h.scenario.Rules.Attempts && !h.hasDefect("tries on") {
+	if backend < 0 || accepted.attempts >= h.scenario.Rules.MaxAttempts+1 || accepted.attempts >= h.scenario.Rules.MaxAttempts && !h.hasDefect("tries on") {
 		accepted.reject()
 		return
 	}
-	if accepted.attempts >= h.scenario.Rules.Attempts {
+	if accepted.attempts >= h.scenario.Rules.MaxAttempts {
 		h.planted++
 	}
 	switch h.links[gatewayLink{gateway.number, backend}] {
@@ -296,7 +296,7 @@
 		return
 	case Silent:
 		accepted.refused[backend] = true
-		h.after(h.scenario.Network.ConnectTimeout.D(), accepted.attempt)
+		h.after(h.scenario.Network.ConnectTimeout.Std(), accepted.attempt)
 		return
 	}
 	accepted.attempts++
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -16,53 +16,53 @@
 	if fault.Zone != "" {
 		text += " in zone " + fault.Zone
 	}
-	atEnd := func(run func()) { em.after(fault.For.D(), run) }
+	atEnd := func(run func()) { em.after(fault.For.Std(), run) }
 	switch fault.Kind {
 	case "kill", "gone", "restart", "freeze", "slow_start", "crash_loop":
-		if fault.Who != "" {
+		if fault.Target != "" {
 			em.applyToNamed(fault)
 			return
 		}
-		targets := em.selectTargets(len(em.gateways), fault.Part, fault.Zone, em.Zone, func(g int) bool { return em.gateways[g].state == up })
+		targets := em.selectTargets(len(em.gateways), fault.Fraction, fault.Zone, em.Zone, func(g int) bool { return em.gateways[g].state == up })
 		text += fmt.Sprintf(": gateways %d", targets)
 		em.emit(Mark{text})
 		em.applyToGateways(fault, targets)
 		return
 	case "crash", "vanish", "replace", "slow", "errors", "spoilt", "resets":
-		targets := em.selectTargets(len(em.backends), fault.Part, fault.Zone, em.peerZone, func(b int) bool { return em.backends[b].state == running && !em.backends[b].draining })
+		targets := em.selectTargets(len(em.backends), fault.Fraction, fault.Zone, em.peerZone, func(b int) bool { return em.backends[b].state == running && !em.backends[b].draining })
 		text += fmt.Sprintf(": backends %d", targets)
 		em.emit(Mark{text})
 		em.applyToBackends(fault, targets)
 		return
 	case "cut":
-		em.cutZones([]int{slices.Index(em.scenario.Fleet.Zones, fault.Zone)}, fault.For.D())
+		em.cutZones([]int{slices.Index(em.scenario.Fleet.Zones, fault.Zone)}, fault.For.Std())
 	case "apart":
 		all := make([]int, len(em.scenario.Fleet.Zones))
 		for z := range all {
 			all[z] = z
 		}
-		em.cutZones(all, fault.For.D())
+		em.cutZones(all, fault.For.Std())
 	case "counter_silent":
 		em.counter.silentFaults++
 		em.reportReachability()
-		em.Referee.Counter(em.now, referee.CounterSilent)
+		em.Referee.CounterChanged(em.now, referee.CounterSilent)
 		em.updateLinks()
 		atEnd(func() {
 			em.counter.silentFaults--
 			em.reportReachability()
 			em.counter.clear()
-			em.Referee.Counter(em.now, referee.CounterEmpty)
+			em.Referee.CounterChanged(em.now, referee.CounterEmpty)
 			em.updateLinks()
 		})
 	case "counter_empty":
 		em.counter.clear()
-		em.Referee.Counter(em.now, referee.CounterEmpty)
+		em.Referee.CounterChanged(em.now, referee.CounterEmpty)
 	case "counter_slow":
 		em.counter.slowdown = fault.Size
-		em.Referee.Counter(em.now, referee.CounterSlow)
+		em.Referee.CounterChanged(em.now, referee.CounterSlow)
 		atEnd(func() {
 			em.counter.slowdown = 0
-			em.Referee.Counter(em.now, referee.CounterUp)
+			em.Referee.CounterChanged(em.now, referee.CounterAvailable)
 		})
 	case "list_late":
 		em.pausedLists++
@@ -74,19 +74,19 @@
 		em.updateListDelivery()
 		atEnd(func() { em.staleLists--; em.updateListDelivery() })
 	case "writer_killed":
-		em.applyToNamed(&scenario.Fault{Kind: "kill", For: fault.For, Who: "list0"})
+		em.applyToNamed(&scenario.Fault{Kind: "kill", For: fault.For, Target: "list0"})
 		return
 	case "link":
-		em.emit(Mark{fmt.Sprintf("links from %s to %s, %s: %s for %v", fault.From, fault.To, cmp.Or(fault.Way, "both"), fault.How, fault.For)})
+		em.emit(Mark{fmt.Sprintf("links from %s to %s, %s: %s for %v", fault.From, fault.To, cmp.Or(fault.Direction, "both"), fault.Effect, fault.For)})
 		em.beginLinkFault(fault)
 		return
 	case "burst": // in load
 	case "rude":
 		for g := range em.gateways {
 			if int(fault.Size) > em.scenario.Fleet.Sockets/2 {
-				em.Referee.Crowded(g, em.now+fault.For.D())
+				em.Referee.ListenerSaturated(g, em.now+fault.For.Std())
 			}
-			em.emit(HoldConnections{Gateway: g, Connections: int(fault.Size), Duration: fault.For.D()})
+			em.emit(HoldConnections{Gateway: g, Connections: int(fault.Size), Duration: fault.For.Std()})
 		}
 	}
 	em.emit(Mark{text})
@@ -97,26 +97,26 @@
 		switch fault.Kind {
 		case "kill":
 			em.killGateway(number)
-			em.after(fault.For.D(), func() { em.startGateway(number) })
+			em.after(fault.For.Std(), func() { em.startGateway(number) })
 		case "freeze":
-			em.freezeGateway(number, fault.For.D())
+			em.freezeGateway(number, fault.For.Std())
 		case "gone":
-			em.loseMachine(number, fault.For.D())
+			em.loseMachine(number, fault.For.Std())
 		case "slow_start":
-			em.restartSlowly(number, fault.For.D())
+			em.restartSlowly(number, fault.For.Std())
 		case "crash_loop":
-			em.crashLoopGateway(number, fault.Flap.D(), em.now+fault.For.D())
+			em.crashLoopGateway(number, fault.Flap.Std(), em.now+fault.For.Std())
 		case "restart": // a tenth at a time
 			step := (i * 10 / len(targets))
-			em.after(fault.For.D()*time.Duration(step)/10, func() { em.stopGateway(number) })
+			em.after(fault.For.Std()*time.Duration(step)/10, func() { em.stopGateway(number) })
 		}
 	}
 }
 
 // onWhom strikes the processes that a fault names.
 func (em *Emulator) applyToNamed(fault *scenario.Fault) {
-	actor, _ := em.scenario.ParseActor(fault.Who) // Check has read it
-	em.emit(Mark{fmt.Sprintf("%s of %s for %v", fault.Kind, fault.Who, fault.For)})
+	actor, _ := em.scenario.ParseActor(fault.Target) // Check has read it
+	em.emit(Mark{fmt.Sprintf("%s of %s for %v", fault.Kind, fault.Target, fault.For)})
 	if actor.Kind == scenario.Gateways {
 		var targets []int
 		for g := range em.gateways {
@@ -146,12 +146,12 @@
 			em.emit(KillService{service})
 			em.after(restartDelay, func() { em.emit(StartService{service}); em.emit(FreezeService{service}) })
 		case "crash_loop":
-			em.crashLoopService(service, fault.Flap.D(), em.now+fault.For.D(), restored)
+			em.crashLoopService(service, fault.Flap.Std(), em.now+fault.For.Std(), restored)
 			continue
 		default:
 			em.emit(FreezeService{service})
 		}
-		em.after(fault.For.D(), func() {
+		em.after(fault.For.Std(), func() {
 			restored()
 			switch fault.Kind {
 			case "freeze", "slow_start":
@@ -187,15 +187,15 @@
 		case "crash":
 			em.crashBackend(backend)
 			em.publishBackend(backend, true)
-			em.after(fault.For.D(), func() { em.restartBackend(backend) })
+			em.after(fault.For.Std(), func() { em.restartBackend(backend) })
 		case "vanish":
 			backend.state = vanished
 			em.discardWork(backend)
 			em.updateLinks()
 			em.publishBackend(backend, true)
-			em.after(fault.For.D(), func() { em.restartBackend(backend) })
+			em.after(fault.For.Std(), func() { em.restartBackend(backend) })
 		case "replace":
-			em.after(fault.For.D()*time.Duration(i)/time.Duration(len(targets)), func() { em.replaceBackend(backend) })
+			em.after(fault.For.Std()*time.Duration(i)/time.Duration(len(targets)), func() { em.replaceBackend(backend) })
 		case "slow":
 			setting = &backend.slowdown
 		case "errors":
@@ -207,7 +207,7 @@
 		}
 		if setting != nil {
 			*setting = fault.Size
-			em.after(fault.For.D(), func() { *setting = 0 })
+			em.after(fault.For.Std(), func() { *setting = 0 })
 		}
 	}
 }
@@ -225,9 +225,9 @@
 	em.publishBackend(replacement, false)
 	maxDeadline := time.Duration(0)
 	for _, class := range em.scenario.Classes {
-		maxDeadline = max(maxDeadline, class.Deadline.D())
+		maxDeadline = max(maxDeadline, class.Deadline.Std())
 	}
-	em.after(maxDeadline+em.scenario.Rules.DrainGrace.D()+2*em.scenario.Network.ListDelay.D()+time.Second, func() {
+	em.after(maxDeadline+em.scenario.Rules.DrainGrace.Std()+2*em.scenario.Network.ListDelay.Std()+time.Second, func() {
 		backend.state = ended
 		backend.listed = false
 		em.discardWork(backend)
--- a/internal/world/fleet.go
+++ b/internal/world/fleet.go
@@ -15,36 +15,36 @@
 	if !em.scenario.Fleet.Membership || !em.started {
 		return
 	}
-	report := referee.Ground{Running: make([]bool, len(em.gateways)), Between: em.reachability}
+	report := referee.Topology{Running: make([]bool, len(em.gateways)), Between: em.reachability}
 	for n := range em.gateways {
 		report.Running[n] = em.gateways[n].state == up && !em.gateways[n].frozen
 	}
-	report.Well = len(em.zoneCuts) == 0 && len(em.linkFaults) == 0 && len(em.faultyServices) == 0 && em.counter.silentFaults == 0 && em.pausedLists == 0
-	em.Referee.Ground(em.now, report)
+	report.ServicesReachable = len(em.zoneCuts) == 0 && len(em.linkFaults) == 0 && len(em.faultyServices) == 0 && em.counter.silentFaults == 0 && em.pausedLists == 0
+	em.Referee.TopologyChanged(em.now, report)
 }
 
 // between is what datagrams do between two gateways.
-func (em *Emulator) reachability(a, b int) referee.Reach {
+func (em *Emulator) reachability(a, b int) referee.Reachability {
 	if em.separated(a, b) {
-		return referee.Apart
+		return referee.Unreachable
 	}
 	forward, reverse := em.oneWayReachability(a, b), em.oneWayReachability(b, a)
 	if forward == reverse {
 		return forward
 	}
-	return referee.Doubtful
+	return referee.PartlyReachable
 }
 
 // oneWay is what becomes of those from one to another.
-func (em *Emulator) oneWayReachability(from, to int) referee.Reach {
-	worst := referee.Joined
+func (em *Emulator) oneWayReachability(from, to int) referee.Reachability {
+	worst := referee.Reachable
 	for _, condition := range em.gatewayConditions(from, to) {
 		switch condition.Kind {
 		case link.Up:
 		case link.Dropped:
-			return referee.Apart
+			return referee.Unreachable
 		default:
-			worst = referee.Doubtful
+			worst = referee.PartlyReachable
 		}
 	}
 	return worst
--- a/internal/world/gateways.go
+++ b/internal/world/gateways.go
@@ -83,7 +83,7 @@
 	em.Referee.Excuse(em.now, number)
 	em.reportReachability()
 	incarnation := gateway.incarnation
-	em.after(em.scenario.Network.Notice.D(), func() {
+	em.after(em.scenario.Network.FailureDetection.Std(), func() {
 		if gateway.incarnation == incarnation && gateway.state != up {
 			gateway.inRotation = false
 		}
@@ -139,7 +139,7 @@
 	gateway.incarnation++
 	gateway.state = starting
 	gateway.hasProcess, gateway.frozen = true, false
-	em.Referee.Back(em.now, number, true)
+	em.Referee.FaultEnded(em.now, number, true)
 	em.emit(Start{number})
 	if delay := gateway.startDelay; delay > 0 {
 		gateway.startDelay = 0
@@ -173,7 +173,7 @@
 	})
 	em.after(em.scenario.KillAfter(), func() {
 		if gateway.incarnation == incarnation && gateway.state == stopping {
-			em.Referee.Hung(em.now, number)
+			em.Referee.StopTimedOut(em.now, number)
 			em.emit(Kill{number})
 		}
 	})
@@ -195,9 +195,9 @@
 			gateway.frozen = false
 			em.reportReachability()
 			// What was on its way while it stood still is answered late.
-			em.after(em.scenario.Rules.Observe.D(), func() {
+			em.after(em.scenario.Rules.ObservationSlack.Std(), func() {
 				if gateway.incarnation == incarnation {
-					em.Referee.Back(em.now, number, false)
+					em.Referee.FaultEnded(em.now, number, false)
 				}
 			})
 		}
@@ -258,17 +258,17 @@
 		for _, entry := range event.Entries {
 			listed[entry.Backend] = true
 		}
-		for _, b := range em.Referee.Named(event.Gateway) {
+		for _, b := range em.Referee.KnownBackends(event.Gateway) {
 			if !listed[b] {
-				em.Referee.Told(em.now, event.Gateway, b, referee.Gone, -1)
+				em.Referee.BackendStateReceived(em.now, event.Gateway, b, referee.Gone, -1)
 			}
 		}
 	}
 	for _, entry := range event.Entries {
 		em.recordListLag(event.Gateway, entry)
-		em.Referee.Told(em.now, event.Gateway, entry.Backend, refereeStates[entry.Lifecycle], entry.Started)
+		em.Referee.BackendStateReceived(em.now, event.Gateway, entry.Backend, refereeStates[entry.Lifecycle], entry.Started)
 	}
-	em.Referee.Version(em.now, event.Gateway, event.Version)
+	em.Referee.ListReceived(em.now, event.Gateway, event.Version)
 }
 
 // states are the lifecycles as the referee has them.
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -20,7 +20,7 @@
 	switch e.Kind {
 	case scenario.Gateways:
 		return fmt.Sprintf("n%d", e.Number)
-	case scenario.Lists:
+	case scenario.Registries:
 		return fmt.Sprintf("list%d", e.Number)
 	case scenario.Backends:
 		return "backends"
@@ -40,7 +40,7 @@
 
 // has reports whether a process belongs to an actor.
 func (em *Emulator) matches(actor scenario.Actor, endpoint Endpoint) bool {
-	if actor.Kind != endpoint.Kind || actor.N >= 0 && actor.N != endpoint.Number {
+	if actor.Kind != endpoint.Kind || actor.Number >= 0 && actor.Number != endpoint.Number {
 		return false
 	}
 	switch {
@@ -56,8 +56,8 @@
 func (em *Emulator) condition(processLink ProcessLink, direction link.Direction) link.Condition {
 	condition := link.Condition{Kind: link.Up}
 	for _, fault := range em.linkFaults {
-		if !fault.inactive && em.matches(fault.From, processLink.From) && em.matches(fault.To, processLink.To) && (direction == link.Forward && fault.There || direction == link.Reverse && fault.Back) {
-			condition = fault.How
+		if !fault.inactive && em.matches(fault.From, processLink.From) && em.matches(fault.To, processLink.To) && (direction == link.Forward && fault.Forward || direction == link.Reverse && fault.Backward) {
+			condition = fault.Effect
 		}
 	}
 	return condition
@@ -71,7 +71,7 @@
 		em.gateways[g].zone = g % len(s.Fleet.Zones)
 	}
 	for i := range s.Faults {
-		if scenario.Kinds[s.Faults[i].Kind].Link {
+		if scenario.FaultKinds[s.Faults[i].Kind].IsLink {
 			parsed, _, _ := s.Link(&s.Faults[i]) // Check has read it
 			em.linkFaults = append(em.linkFaults, &linkFault{LinkFault: parsed})
 		}
@@ -90,7 +90,7 @@
 		all = append(all, ProcessLink{Endpoint{scenario.Operators, 0}, Endpoint{scenario.Gateways, g}})
 	}
 	for service := range em.scenario.Fleet.ListServices {
-		to := Endpoint{scenario.Lists, service}
+		to := Endpoint{scenario.Registries, service}
 		for g := range em.gateways {
 			all = append(all, ProcessLink{Endpoint{scenario.Gateways, g}, to})
 		}
@@ -98,7 +98,7 @@
 			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
 			for other := range em.scenario.Fleet.ListServices {
 				if other != service {
-					all = append(all, ProcessLink{Endpoint{scenario.Lists, other}, to})
+					all = append(all, ProcessLink{Endpoint{scenario.Registries, other}, to})
 				}
 			}
 			continue
@@ -106,7 +106,7 @@
 		if service == 0 {
 			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
 			for other := 1; other < em.scenario.Fleet.ListServices; other++ {
-				all = append(all, ProcessLink{Endpoint{scenario.Lists, other}, to})
+				all = append(all, ProcessLink{Endpoint{scenario.Registries, other}, to})
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 	parsed, _, _ := em.scenario.Link(fault) // Check has read it
 	active := &linkFault{LinkFault: parsed}
 	em.linkFaults = append(em.linkFaults, active)
-	end := em.now + fault.For.D()
+	end := em.now + fault.For.Std()
 	em.updateRelays()
 	em.schedule(end, func() {
 		for i := range em.linkFaults {
@@ -138,10 +138,10 @@
 		if em.now < end {
 			active.inactive = !active.inactive
 			em.updateRelays()
-			em.after(fault.Flap.D(), toggle)
+			em.after(fault.Flap.Std(), toggle)
 		}
 	}
-	em.after(fault.Flap.D(), toggle)
+	em.after(fault.Flap.Std(), toggle)
 }
 
 // rewire tells the driver of every link that carries otherwise than before.
--- a/internal/world/links_test.go
+++ b/internal/world/links_test.go
@@ -47,11 +47,11 @@
 // two the later holds, one that flaps comes and goes, and all is up at the end.
 func TestLinkFaultsApplyToNamedLinks(t *testing.T) {
 	s := quietScenario(t,
-		scenario.Fault{At: 1 * second, For: 10 * second, From: "lists", To: "list0", How: "dropped"},
-		scenario.Fault{At: 2 * second, For: 4 * second, From: "gateways of b", To: "lists", Way: "back", How: "slow", Size: 10},
-		scenario.Fault{At: 3 * second, For: 1 * second, From: "n1", To: "list2", How: "stalled"},
-		scenario.Fault{At: 20 * second, For: 2 * second, From: "backends", To: "list0", Way: "there", How: "cut", Size: 5, Flap: second / 2},
-		scenario.Fault{At: 2 * second, For: 1 * second, From: "operators", To: "n0", How: "refused"},
+		scenario.Fault{At: 1 * second, For: 10 * second, From: "lists", To: "list0", Effect: "dropped"},
+		scenario.Fault{At: 2 * second, For: 4 * second, From: "gateways of b", To: "lists", Direction: "back", Effect: "slow", Size: 10},
+		scenario.Fault{At: 3 * second, For: 1 * second, From: "n1", To: "list2", Effect: "stalled"},
+		scenario.Fault{At: 20 * second, For: 2 * second, From: "backends", To: "list0", Direction: "there", Effect: "cut", Size: 5, Flap: second / 2},
+		scenario.Fault{At: 2 * second, For: 1 * second, From: "operators", To: "n0", Effect: "refused"},
 	)
 	// n1 and n3 stand in b, each before three list services; two followers; the backends;
 	// operators before one gateway.
@@ -61,7 +61,7 @@
 	em := New(s)
 	em.Begin(0)
 	conditions := map[relayDirection]link.Condition{}
-	service := func(k int) Endpoint { return Endpoint{scenario.Lists, k} }
+	service := func(k int) Endpoint { return Endpoint{scenario.Registries, k} }
 	gateway := func(n int) Endpoint { return Endpoint{scenario.Gateways, n} }
 	backends := ProcessLink{Endpoint{scenario.Backends, 0}, service(0)}
 	for _, c := range []struct {
@@ -110,10 +110,10 @@
 // links to backends and the counter fail as they are told to.
 func TestFaultsOnGatewayLinks(t *testing.T) {
 	em := New(quietScenario(t,
-		scenario.Fault{At: 1 * second, For: 2 * second, From: "n0", To: "n1", Way: "there", How: "dropped"},
-		scenario.Fault{At: 4 * second, For: 1 * second, From: "n0", To: "n1", Way: "back", How: "delayed", Delay: second / 2},
-		scenario.Fault{At: 6 * second, For: 1 * second, From: "n2", To: "backends of a", How: "dropped"},
-		scenario.Fault{At: 6 * second, For: 1 * second, From: "n2", To: "counter", How: "refused"},
+		scenario.Fault{At: 1 * second, For: 2 * second, From: "n0", To: "n1", Direction: "there", Effect: "dropped"},
+		scenario.Fault{At: 4 * second, For: 1 * second, From: "n0", To: "n1", Direction: "back", Effect: "delayed", Delay: second / 2},
+		scenario.Fault{At: 6 * second, For: 1 * second, From: "n2", To: "backends of a", Effect: "dropped"},
+		scenario.Fault{At: 6 * second, For: 1 * second, From: "n2", To: "counter", Effect: "refused"},
 	))
 	em.Begin(0)
 	conditions := map[relayDirection]link.Condition{}
--- a/internal/world/peers.go
+++ b/internal/world/peers.go
@@ -26,9 +26,9 @@
 		if draw() < em.scenario.Network.PeerLoss || em.separated(event.From, to) {
 			continue
 		}
-		delay := em.scenario.Network.Delay.D() + time.Duration(draw()*float64(em.scenario.Network.PeerDelay))
+		delay := em.scenario.Network.Delay.Std() + time.Duration(draw()*float64(em.scenario.Network.PeerDelay))
 		if em.gateways[event.From].zone != em.gateways[to].zone {
-			delay += em.scenario.Network.CrossZone.D()
+			delay += em.scenario.Network.CrossZone.Std()
 		}
 		for _, extraDelay := range em.datagramDelays(event.From, to, draw) {
 			em.after(delay+extraDelay, func() {
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -127,7 +127,7 @@
 	em.reportReachability()
 	for i := range em.scenario.Faults {
 		fault := &em.scenario.Faults[i]
-		em.schedule(now+fault.At.D(), func() { em.beginFault(fault) })
+		em.schedule(now+fault.At.Std(), func() { em.beginFault(fault) })
 	}
 	em.clients.begin(em)
 	return em.takeActions()
@@ -157,17 +157,17 @@
 	case ConnectionsChecked:
 		em.connectionsChecked(event)
 	case RequestWritten:
-		em.Referee.Taken(em.now, event.ID)
+		em.Referee.RequestAccepted(em.now, event.ID)
 	case Answered:
 		em.answered(event)
 	case Unanswered:
 		em.unanswered(event)
 	case UnexpectedData:
-		em.Referee.Extra(em.now, event.Gateway, event.ID)
+		em.Referee.SurplusBytes(em.now, event.Gateway, event.ID)
 	case ListDelivered:
 		em.listDelivered(event)
 	case Registered:
-		em.Referee.Enlisted(em.now, event.Backend, refereeStates[event.Lifecycle], event.Started, event.Version)
+		em.Referee.Registered(em.now, event.Backend, refereeStates[event.Lifecycle], event.Started, event.Version)
 	case Datagram:
 		em.datagramSent(event)
 	case Connectivity:
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -27,14 +27,14 @@
 		s.Plans[i].CeilingRate, s.Plans[i].CeilingBurst = 0, 0
 	}
 	s.Faults = []scenario.Fault{
-		{Kind: "errors", At: 1 * second, For: 9 * second, Part: 0.3, Size: 0.3},
-		{Kind: "replace", At: 2 * second, For: 2 * second, Part: 0.5},
-		{Kind: "kill", At: 3 * second, For: second, Part: 0.3},
-		{Kind: "vanish", At: 5 * second, For: 2 * second, Part: 0.2},
-		{Kind: "spoilt", At: 5 * second, For: 5 * second, Part: 0.3, Size: 0.3},
-		{Kind: "restart", At: 7 * second, For: 2 * second, Part: 0.5},
-		{Kind: "resets", At: 8 * second, For: 3 * second, Part: 0.5, Size: 0.3},
-		{Kind: "crash", At: 9 * second, For: 1 * second, Part: 0.2},
+		{Kind: "errors", At: 1 * second, For: 9 * second, Fraction: 0.3, Size: 0.3},
+		{Kind: "replace", At: 2 * second, For: 2 * second, Fraction: 0.5},
+		{Kind: "kill", At: 3 * second, For: second, Fraction: 0.3},
+		{Kind: "vanish", At: 5 * second, For: 2 * second, Fraction: 0.2},
+		{Kind: "spoilt", At: 5 * second, For: 5 * second, Fraction: 0.3, Size: 0.3},
+		{Kind: "restart", At: 7 * second, For: 2 * second, Fraction: 0.5},
+		{Kind: "resets", At: 8 * second, For: 3 * second, Fraction: 0.5, Size: 0.3},
+		{Kind: "crash", At: 9 * second, For: 1 * second, Fraction: 0.2},
 		{Kind: "cut", At: 10 * second, For: 1 * second, Zone: "b"},
 		{Kind: "burst", At: 10 * second, For: 1 * second, Size: 1.5},
 	}
@@ -70,8 +70,8 @@
 func TestNamedProcessesAreFaultedAndRestored(t *testing.T) {
 	s := scenario.Default()
 	s.Fleet.ListServices, s.Load.RequestsPerS, s.Duration = 3, 1e-9, 20*second
-	s.Faults = []scenario.Fault{{Kind: "gone", At: second, For: 2 * second, Who: "list1"}, {Kind: "kill", At: 2 * second, For: 2 * second, Who: "lists"},
-		{Kind: "freeze", At: 6 * second, For: second, Who: "list0"}, {Kind: "gone", At: 8 * second, For: second, Who: "n2"}, {Kind: "kill", At: 10 * second, For: second, Who: "gateways of a"}}
+	s.Faults = []scenario.Fault{{Kind: "gone", At: second, For: 2 * second, Target: "list1"}, {Kind: "kill", At: 2 * second, For: 2 * second, Target: "lists"},
+		{Kind: "freeze", At: 6 * second, For: second, Target: "list0"}, {Kind: "gone", At: 8 * second, For: second, Target: "n2"}, {Kind: "kill", At: 10 * second, For: second, Target: "gateways of a"}}
 	if problems := s.Check(); len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -123,7 +123,7 @@
 		s := faultyScenario(3)
 		if defect == "tries on" {
 			s.Faults[0].Size = 1
-			s.Faults[0].Part = 1
+			s.Faults[0].Fraction = 1
 		}
 		h := runTestGateways(s, defect)
 		violations, counts := h.emulator.Referee.Violations()
@@ -173,10 +173,10 @@
 		"quiet":    {variant(func(*scenario.Scenario) {}), nil},
 		"troubled": {faultyScenario(3), []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most, referee.Drain, referee.Stop}},
 		"replaced": {variant(func(s *scenario.Scenario) {
-			s.Faults = []scenario.Fault{{Kind: "replace", At: second, For: second, Part: 0.3}}
+			s.Faults = []scenario.Fault{{Kind: "replace", At: second, For: second, Fraction: 0.3}}
 		}), []string{referee.Drain}},
 		"restarted": {variant(func(s *scenario.Scenario) {
-			s.Faults = []scenario.Fault{{Kind: "restart", At: second, For: second, Part: 1}}
+			s.Faults = []scenario.Fault{{Kind: "restart", At: second, For: second, Fraction: 1}}
 		}), []string{referee.Stop}},
 		"crowded": {variant(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "rude", At: second, For: second, Size: float64(s.Fleet.Sockets)}}
@@ -185,7 +185,7 @@
 			s.Faults = []scenario.Fault{{Kind: "rude", At: second, For: second, Size: 10}}
 		}), nil},
 		"cold": {variant(func(s *scenario.Scenario) {
-			s.Backend.ColdFrom, s.Faults = 0.01, []scenario.Fault{{Kind: "crash", At: second, For: second, Part: 0.2}}
+			s.Backend.ColdFrom, s.Faults = 0.01, []scenario.Fault{{Kind: "crash", At: second, For: second, Fraction: 0.2}}
 		}), []string{referee.Cold}},
 	} {
 		// Attempts that a fault slows or breaks, as some of these may, try those rules too.
@@ -252,7 +252,7 @@
 	if _, counts := h.emulator.Referee.Violations(); counts[referee.Ceiling] == 0 || len(counts) != 1 {
 		t.Errorf("told as %v", counts)
 	}
-	if len(referee.Untried(h.emulator.Referee.Trials(), []string{"ceiling/up"})) > 0 || h.emulator.Referee.Low() == 0 {
+	if len(referee.Untried(h.emulator.Referee.Trials(), []string{"ceiling/up"})) > 0 || h.emulator.Referee.LowCustomers() == 0 {
 		t.Errorf("tried: %v", h.emulator.Referee.Trials())
 	}
 }
@@ -325,8 +325,8 @@
 	// As many requests as atOnce are kept at the backend.
 	served := func(started time.Duration, atOnce int, overfull float64) (done, rejected int) {
 		s := scenario.Default()
-		s.Backend.Cores, s.Backend.Slots, s.Backend.Queue, s.Backend.Overfull = cores, 8, 8, overfull
-		s.Backend.ColdFrom, s.Backend.Cold, s.Backend.ColdMultiple, s.Backend.Handshake = 0.25, 3600*second, 1000, 0
+		s.Backend.Cores, s.Backend.Slots, s.Backend.Queue, s.Backend.OverloadLoss = cores, 8, 8, overfull
+		s.Backend.ColdFrom, s.Backend.ColdDuration, s.Backend.ColdMultiple, s.Backend.Handshake = 0.25, 3600*second, 1000, 0
 		s.Network.Delay, s.Network.CrossZone = 0, 0
 		s.Fleet.Backends, s.Fleet.ListServices = 1, 0
 		s.Duration, s.Load.RequestsPerS, s.Load.ShiftEvery = 3600*second, 1e-9, 0
