--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -11,52 +11,53 @@
 	"dunlintray/internal/scenario"
 )
 
+// backendState is the state of a backend's process and machine.
 type backendState int
 
 const (
 	running  backendState = iota
-	crashed               // its process has ended, or fell over
-	vanished              // its machine says nothing
-	ended                 // for good
+	crashed               // its process has ended
+	vanished              // its machine is lost: connections get no response
+	ended                 // it has been replaced
 )
 
-// backend serves requests on its cores, all that are in work at an even share.
-// Work is counted in seconds of one core.
+// emulatedBackend serves its active requests on its cores, each with an equal fraction. Work is in
+// seconds of one core.
 type emulatedBackend struct {
 	number, zone, cell int
 	state              backendState
-	collapsed          bool
+	collapsed          bool // it crashed from overload, and stays down
 	listed             bool
-	changedAt          time.Duration // when lists had to tell something new of it
+	changedAt          time.Duration // when its entry in the lists changed
 	draining           bool
 	drainingSince      time.Duration
-	startedAt          time.Duration // below 0: long ago
+	startedAt          time.Duration // negative if it started before the run and is warm
 	incarnation        int
 
-	// Troubles, as factors and shares; 0 is none.
+	// Effects of active faults, as a factor on its work and as fractions of its requests; 0 is none.
 	slowdown, errorRate, truncationRate, resetRate float64
 
 	connections int
 	active      attemptHeap
 	queued      []*backendAttempt
-	servedWork  float64 // what each request in work has got since the backend is busy
+	servedWork  float64 // work done for each active request since the backend was last idle
 	updatedAt   time.Duration
-	timerNumber uint64 // the newest of its timers
+	timerNumber uint64 // of its latest timer; earlier ones have no effect
 }
 
-// work is an attempt at a backend.
+// backendAttempt is a gateway's attempt at a backend.
 type backendAttempt struct {
 	number     uint64
 	requestID  uint64
-	connection *gatewayConnection // nil once the gateway has given it up
+	connection *gatewayConnection // nil once the gateway has abandoned it
 	class      int
 	key        string
 	cost       float64
-	finishAt   float64 // of the backend's done, when it is served
+	finishAt   float64 // the backend's servedWork at which it is complete
 	reply      Reply
 }
 
-// workHeap is a heap of the work in progress by the time at which it ends.
+// attemptHeap is a heap of active attempts by finishAt.
 type attemptHeap []*backendAttempt
 
 func (h attemptHeap) Len() int           { return len(h) }
@@ -70,7 +71,7 @@
 	return last
 }
 
-// add brings a backend; started is below 0 where it has run for long.
+// addBackend adds a backend. startedAt is negative if it is warm.
 func (em *Emulator) addBackend(startedAt time.Duration) *emulatedBackend {
 	number := len(em.backends)
 	backend := &emulatedBackend{number: number, zone: number % len(em.scenario.Fleet.Zones), cell: number % em.scenario.Backend.Cells, startedAt: startedAt, listed: true}
@@ -87,21 +88,21 @@
 	return entry
 }
 
-// capacity is in cores.
+// capacity returns a backend's current capacity in cores.
 func (em *Emulator) capacity(backend *emulatedBackend) float64 {
 	cores := em.scenario.Backend.Cores
 	if backend.startedAt >= 0 {
 		warmth := (em.now - backend.startedAt).Seconds() / em.scenario.Backend.Cold.Seconds()
 		cores *= min(1, em.scenario.Backend.ColdFrom+(1-em.scenario.Backend.ColdFrom)*warmth)
 	}
-	// The fuller it is beyond its cores, the more is lost.
+	// Capacity falls with the number of active requests beyond the cores.
 	if excess := float64(len(backend.active)) - em.scenario.Backend.Cores; excess > 0 {
 		cores *= 1 - em.scenario.Backend.Overfull*min(1, excess/max(1, float64(em.scenario.Backend.Slots)-em.scenario.Backend.Cores))
 	}
 	return cores
 }
 
-// rate is how fast each request in work is served.
+// serviceRate returns the cores that serve each active request.
 func (em *Emulator) serviceRate(backend *emulatedBackend) float64 {
 	if len(backend.active) == 0 {
 		return 0
@@ -109,7 +110,7 @@
 	return min(1, em.capacity(backend)/float64(len(backend.active)))
 }
 
-// advance serves what is in work up to now.
+// advance serves the active requests up to now.
 func (em *Emulator) advance(backend *emulatedBackend) {
 	backend.servedWork += em.serviceRate(backend) * (em.now - backend.updatedAt).Seconds()
 	backend.updatedAt = em.now
@@ -118,10 +119,10 @@
 	}
 }
 
-// warmStep is how long a cold backend's capacity is taken as even.
+// warmUpStep is the time step in which the capacity of a backend that warms up is updated.
 const warmUpStep = 20 * time.Millisecond
 
-// plan sets the timer for the next request to be served.
+// scheduleCompletion sets the timer for the next request to complete.
 func (em *Emulator) scheduleCompletion(backend *emulatedBackend) {
 	backend.timerNumber++
 	if len(backend.active) == 0 || backend.state != running {
@@ -139,10 +140,10 @@
 	})
 }
 
-// serve ends the requests that have got their work, and takes up others.
+// completeFinished replies to the requests that are complete and starts queued ones.
 func (em *Emulator) completeFinished(backend *emulatedBackend) {
 	em.advance(backend)
-	const tolerance = 1e-9 // seconds; the timer's rounding
+	const tolerance = 1e-9 // seconds; covers the rounding of the timer
 	for len(backend.active) > 0 && backend.active[0].finishAt <= backend.servedWork+tolerance {
 		em.finishAttempt(backend, heap.Pop(&backend.active).(*backendAttempt))
 	}
@@ -162,7 +163,7 @@
 	em.replyToAttempt(backend, attempt, referee.Whole)
 }
 
-// reply answers on the attempt's connection, one way through the network later.
+// replyToAttempt sends the attempt's reply, which arrives after the network delay.
 func (em *Emulator) replyToAttempt(backend *emulatedBackend, attempt *backendAttempt, outcome referee.How) {
 	connection := attempt.connection
 	if connection == nil {
@@ -190,7 +191,7 @@
 	})
 }
 
-// delay is one way between a gateway and what it speaks to.
+// networkDelay returns the one-way delay between a gateway and its peer.
 func (em *Emulator) networkDelay(connection *gatewayConnection) time.Duration {
 	delay := em.scenario.Network.Delay.D()
 	if em.gateways[connection.gateway].zone != em.peerZone(connection.peer) {
@@ -199,7 +200,7 @@
 	return delay
 }
 
-// zoneOf is where a peer stands; the counter and the lists stand in the first.
+// peerZone returns the zone of a peer. The counter is in the first zone.
 func (em *Emulator) peerZone(peer int) int {
 	if peer == Counter {
 		return 0
@@ -207,8 +208,7 @@
 	return em.backends[peer].zone
 }
 
-// counterConnections is how many the counter holds for one gateway, and
-// counterIdle how long one may stand idle there.
+// Limits of the counter: the connections of one gateway, and how long a connection may be idle.
 const (
 	maxCounterConnections = 32
 	counterIdleTimeout    = 10 * time.Second
@@ -217,7 +217,7 @@
 func (em *Emulator) connectionOpened(event Opened) {
 	connection := &gatewayConnection{id: event.Conn, gateway: event.Gateway, peer: event.Peer}
 	if em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
-		return // what comes on it is not heard
+		return // the peer does not see what arrives on it
 	}
 	em.connections[connection.id] = connection
 	if connection.peer == Counter {
@@ -235,7 +235,7 @@
 	em.markIdle(connection)
 }
 
-// rests notes that a connection is idle, and closes it when it has been for long.
+// markIdle records that a connection is idle, and resets it after the peer's idle timeout.
 func (em *Emulator) markIdle(connection *gatewayConnection) {
 	connection.idleSince = em.now
 	timeout := em.scenario.Backend.KeepAlive.D()
@@ -254,7 +254,7 @@
 	em.dropConnection(connection)
 }
 
-// drop forgets a connection; what is out on it is over.
+// dropConnection removes a connection and ends the attempt on it.
 func (em *Emulator) dropConnection(connection *gatewayConnection) {
 	if em.connections[connection.id] == nil {
 		return
@@ -271,7 +271,8 @@
 	}
 }
 
-// giveUp stops what waits for a place; what is in work goes on for nothing.
+// abandonAttempt removes an attempt from the backend's queue. An active one goes on, and its reply
+// is discarded.
 func (em *Emulator) abandonAttempt(attempt *backendAttempt) {
 	backend := em.backends[attempt.connection.peer]
 	attempt.connection.attempt = nil
@@ -309,8 +310,8 @@
 	})
 }
 
-// settle has the attempts of a request looked at before they are judged: that a
-// gateway has given one up may still wait at the driver to be read.
+// checkAttempts has the driver check the connections of a request's attempts before the referee
+// judges them, since the driver may not have read yet that the gateway closed one.
 func (em *Emulator) checkAttempts(id uint64) {
 	var connections []Conn
 	for _, connection := range em.connections {
@@ -332,7 +333,7 @@
 func (em *Emulator) requestArrived(event Arrived) {
 	connection := em.connections[event.Conn]
 	if connection == nil || connection.peer == Counter || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
-		return // it never came
+		return // the request never arrived
 	}
 	backend := em.backends[connection.peer]
 	number := hash(event.ID, uint64(event.Conn), uint64(em.now))
@@ -367,7 +368,7 @@
 	attempt.reply.Body.Size = class.AnswerBytes
 	if em.Referee.Pressed(em.now, connection.gateway, backend.number, em.runningBackends(), attempt.cost, class.Work.Seconds(), em.capacity(backend)) {
 		em.Tally.Costs.Cold++
-		em.emit(Mark{fmt.Sprintf("backend b-%d falls over", backend.number)})
+		em.emit(Mark{fmt.Sprintf("backend b-%d crashes from overload", backend.number)})
 		backend.collapsed = true
 		em.crashBackend(backend)
 		em.publishBackend(backend, true)
@@ -376,7 +377,7 @@
 	em.after(em.networkDelay(connection), func() { em.admit(backend, attempt) })
 }
 
-// running counts the backends that take requests.
+// runningBackends returns the number of backends that accept requests.
 func (em *Emulator) runningBackends() (count int) {
 	for _, backend := range em.backends {
 		if backend.state == running && !backend.draining {
@@ -386,7 +387,7 @@
 	return count
 }
 
-// enter is a request's coming to the backend's program.
+// admit handles an attempt once it reaches the backend: it fails, rejects, starts or queues it.
 func (em *Emulator) admit(backend *emulatedBackend, attempt *backendAttempt) {
 	if attempt.connection == nil || backend.state != running {
 		return
@@ -402,7 +403,7 @@
 		len(backend.active) >= em.scenario.Backend.Slots && len(backend.queued) >= em.scenario.Backend.Queue:
 		em.reject(backend, attempt)
 	case attempt.key != "" && em.keySeen(backend, attempt):
-		em.replyToAttempt(backend, attempt, referee.Whole) // another attempt has done the work
+		em.replyToAttempt(backend, attempt, referee.Whole) // another attempt has already had the effect
 	default:
 		attempt.reply.Truncated = backend.truncationRate > 0 && draw(3) < backend.truncationRate
 		attempt.finishAt = backend.servedWork + attempt.cost
@@ -456,21 +457,21 @@
 	em.after(window, func() { delete(keys, attempt.key) })
 }
 
-// crash ends the backend's process.
+// crashBackend ends a backend's process.
 func (em *Emulator) crashBackend(backend *emulatedBackend) {
 	backend.state = crashed
 	em.discardWork(backend)
 	em.updateLinks()
 }
 
-// stopped drops all that a backend that stops has had.
+// discardWork drops the attempts of a backend that stops.
 func (em *Emulator) discardWork(backend *emulatedBackend) {
 	backend.incarnation++
 	backend.timerNumber++
 	backend.active, backend.queued, backend.servedWork = nil, nil, 0
 }
 
-// start brings a backend back, cold.
+// restartBackend starts a backend again, cold. A collapsed or replaced one stays down.
 func (em *Emulator) restartBackend(backend *emulatedBackend) {
 	if backend.collapsed || backend.state == ended {
 		return
@@ -486,8 +487,8 @@
 	em.publishBackend(backend, false)
 }
 
-// relink tells the driver of every link that has changed, and ends the
-// connections along those that have.
+// updateLinks sends the driver the state of every link that has changed, and drops connections on
+// those links.
 func (em *Emulator) updateLinks() {
 	ended := map[gatewayLink]bool{}
 	for g := range em.gateways {
@@ -499,12 +500,12 @@
 			}
 			em.links[key] = state
 			em.emit(SetLinkState{g, peer, state})
-			ended[key] = state != Silent // what stands on a silent one goes on standing, unheard
+			ended[key] = state != Silent // connections stay established on a silent link
 		}
 	}
 	for _, connection := range em.connections {
 		if ended[gatewayLink{connection.gateway, connection.peer}] {
-			em.dropConnection(connection) // in any order: nothing is done for it but bookkeeping
+			em.dropConnection(connection) // the order has no effect: dropping emits no action
 		}
 	}
 }
--- a/internal/world/body.go
+++ b/internal/world/body.go
@@ -7,16 +7,16 @@
 	"strconv"
 )
 
-// Body is what a body is made of: a number, written over and over. So each end
-// can tell whether it got what the other made, of any length and in no memory.
+// Body describes the content of a body: the hexadecimal digits of Seed and a space, repeated up to
+// Size bytes. A receiver can verify a body of any size without storing it.
 type Body struct {
 	Seed uint64
 	Size int64
 }
 
-const blockBytes = 17 // bytes of the number and the space behind it
+const blockBytes = 17 // 16 digits and a space
 
-// Reader reads the body.
+// Reader returns a reader of the body's content.
 func (b Body) Reader() io.Reader {
 	r := &bodyReader{remaining: b.Size}
 	r.block = fmt.Appendf(nil, "%016x ", b.Seed)
@@ -43,10 +43,10 @@
 	return n, nil
 }
 
-var errNotEmulatedBody = errors.New("not a body of the emulation's")
+var errNotEmulatedBody = errors.New("body does not have the emulated content")
 
-// ReadBody reads a body to its end and tells what it is made of. One of under 16
-// bytes has no number that could be told.
+// ReadBody reads a body to its end and returns its description. The Seed of a body shorter than
+// 16 bytes is 0. It returns an error if r fails or the content is not that of a Body.
 func ReadBody(r io.Reader) (Body, error) {
 	var body Body
 	var buf [4096]byte
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -12,35 +12,36 @@
 	"dunlintray/internal/results"
 )
 
-// clients are all who call. What they want, and when, is drawn from a stream of
-// its own, and so it is the same whatever gateways do.
+// emulatedClients are all clients. Their arrivals come from a random stream of their own, so that
+// the gateways' behavior does not change them.
 type emulatedClients struct {
 	arrivalRandom     *rand.Rand
 	shiftRandom       *rand.Rand
 	customers         [][]emulatedCustomer // by plan
-	cumulativeWeights [][]float64          // by plan: sums of the customers' weights
+	cumulativeWeights [][]float64          // by plan: running sums of the customers' weights
 	offeredQuotas     map[uint64]*quota
 	acceptedQuotas    map[uint64]*quota
 	inProgress        map[uint64]*clientRequest
-	pendingRetries    int // of clients that will try again
+	pendingRetries    int // client retries that are scheduled
 	ended             bool
 	endAt             time.Duration
 	requestCount      uint64
 }
 
+// emulatedCustomer is a customer of a plan.
 type emulatedCustomer struct {
 	id               uint64
-	firstGateway     int       // gateway of its set
-	cumulativeShares []float64 // sums over the set's gateways
+	firstGateway     int       // of its set of gateways
+	cumulativeShares []float64 // running sums of the weights of the set's gateways
 }
 
-// quota is a customer's store of units.
+// quota is a token bucket of units.
 type quota struct {
 	units     float64
 	updatedAt time.Duration
 }
 
-// take takes units if the store holds them.
+// take refills the bucket at rate, in units per second and up to burst, and takes units if it holds them.
 func (q *quota) take(now time.Duration, units, rate, burst float64) bool {
 	q.units = min(burst, q.units+rate*(now-q.updatedAt).Seconds())
 	q.updatedAt = now
@@ -51,21 +52,21 @@
 	return true
 }
 
-// wish is what a client wants, over all its tries.
+// clientOperation is what a client wants done, over all its requests.
 type clientOperation struct {
 	startedAt   time.Duration
 	class       int
 	plan        int
 	customer    int
 	workSeconds float64 // seconds of one core
-	key         string  // of a keyed class
-	bodyBytes   int64   // of the body
-	requests    int
+	key         string  // empty unless the effect of its class is by key
+	bodyBytes   int64
+	requests    int // sent so far
 	worth       float64
 	ended       bool
 }
 
-// try is one request.
+// clientRequest is one request of an operation.
 type clientRequest struct {
 	*clientOperation
 	id             uint64
@@ -74,9 +75,9 @@
 	customerID     uint64
 	remaining      time.Duration
 	deadline       time.Duration
-	reachedBackend bool // its first attempt has come to a backend
-	withinQuota    bool // the quota held its units then
-	resent         bool // it has been sent once more after its connection was closed
+	reachedBackend bool // an attempt has arrived at a backend
+	withinQuota    bool // the customer's quota held its units when the first attempt arrived
+	resent         bool // it has been sent again since its connection was closed while idle
 	answered       bool
 }
 
@@ -96,7 +97,8 @@
 	em.redrawCustomers()
 }
 
-// shift draws anew how much each customer asks, and through which gateways.
+// redrawCustomers draws each customer's fraction of the requests, and through which gateways of its
+// set they go.
 func (em *Emulator) redrawCustomers() {
 	clients := &em.clients
 	for p := range clients.customers {
@@ -132,8 +134,8 @@
 	clients.scheduleArrival(em, em.now, em.now)
 }
 
-// arrive plans the next arrival. They come at random at the highest rate, and
-// those are passed over that the rate of the moment has no room for.
+// scheduleArrival schedules the next arrival: a Poisson process at the maximum rate, thinned to the
+// rate of the moment.
 func (clients *emulatedClients) scheduleArrival(em *Emulator, startTime, previous time.Duration) {
 	next := previous
 	for {
@@ -155,7 +157,7 @@
 	})
 }
 
-// load is the factor on the rate at a moment of the day.
+// loadFactor returns the factor on the request rate at a time since the start of the run.
 func (em *Emulator) loadFactor(elapsed time.Duration) float64 {
 	factor := 1.0
 	if shape := em.scenario.Load.Shape; len(shape) > 0 {
@@ -178,7 +180,7 @@
 	return factor
 }
 
-// mostLoad is a bound on load.
+// maxLoadFactor returns an upper bound of loadFactor.
 func (em *Emulator) maxLoadFactor() float64 {
 	maxFactor := 1.0
 	if len(em.scenario.Load.Shape) > 0 {
@@ -195,7 +197,8 @@
 	return maxFactor
 }
 
-// pick draws a place by shares that come to about 1.
+// pickWeighted returns the index at which the running sum of weights, which add up to about 1,
+// exceeds point.
 func pickWeighted(point float64, count int, weight func(int) float64) int {
 	for i := range count {
 		if point -= weight(i); point < 0 {
@@ -205,7 +208,7 @@
 	return count - 1
 }
 
-// wish is a client's beginning to want something.
+// startOperation draws an operation and sends its first request.
 func (em *Emulator) startOperation() {
 	clients := &em.clients
 	random := clients.arrivalRandom
@@ -214,8 +217,8 @@
 	operation.plan = pickWeighted(random.Float64(), len(em.scenario.Plans), func(i int) float64 { return em.scenario.Plans[i].Share })
 	weights := clients.cumulativeWeights[operation.plan]
 	operation.customer = min(sort.SearchFloat64s(weights, random.Float64()*weights[len(weights)-1]), len(weights)-1)
-	// The work of a request varies by half of its mean.
-	const spread = 0.472 // of the logarithm, for that
+	// Work is log-normal with a standard deviation of half its mean.
+	const spread = 0.472 // standard deviation of the logarithm
 	operation.workSeconds = em.scenario.Classes[operation.class].Work.Seconds() * math.Exp(spread*random.NormFloat64()-spread*spread/2)
 	key := fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64())
 	class, plan := &em.scenario.Classes[operation.class], &em.scenario.Plans[operation.plan]
@@ -244,7 +247,7 @@
 	return q
 }
 
-// try sends a wish once more, or for the first time.
+// sendRequest sends the first request of an operation, or a client retry.
 func (em *Emulator) sendRequest(operation *clientOperation) {
 	clients := &em.clients
 	clients.requestCount++
@@ -255,7 +258,7 @@
 	request.deadline = operation.startedAt + class.Deadline.D()
 	request.remaining = request.deadline - em.now
 	draw := func(salt uint64) float64 { return unitFraction(hash(request.id, salt)) }
-	// Through the front: a gateway of the customer's set that it takes for up.
+	// The load balancer takes a gateway of the customer's set that is in rotation.
 	point := draw(1) * customer.cumulativeShares[len(customer.cumulativeShares)-1]
 	index := sort.SearchFloat64s(customer.cumulativeShares, point)
 	for step := range customer.cumulativeShares {
@@ -288,7 +291,7 @@
 	em.schedule(overdueAt+requestRetention, func() { em.Referee.Forget(request.id) })
 }
 
-// keptFor is how long the referee knows a request that is over.
+// requestRetention is how long the referee keeps a request after it has ended.
 const requestRetention = 5 * time.Second
 
 func (request *clientRequest) message() Request {
@@ -296,6 +299,7 @@
 		Body: Body{Seed: hash(request.id, 3), Size: request.bodyBytes}, Retry: request.requests > 1}
 }
 
+// reachedBackend takes a request's units from the customer's quota when its first attempt arrives.
 func (em *Emulator) reachedBackend(request *clientRequest) {
 	if request.reachedBackend {
 		return
@@ -350,7 +354,7 @@
 		return
 	}
 	if event.Reused && !request.resent && !em.Referee.Seen(event.ID) {
-		// Its connection was closed while it was idle: the gateway has not read it.
+		// The gateway closed the connection while it was idle and has not read the request.
 		request.resent = true
 		message := request.message()
 		message.Remaining = max(0, request.deadline-em.now)
@@ -365,7 +369,8 @@
 	em.retryOrEnd(request, results.Failed, !event.Sent, 0)
 }
 
-// again lets the client try once more if it may and has the time.
+// retryOrEnd schedules a client retry if one is allowed and there is time for it, and ends the
+// operation otherwise.
 func (em *Emulator) retryOrEnd(request *clientRequest, outcome results.Outcome, notStarted bool, retryAfter time.Duration) {
 	class := &em.scenario.Classes[request.class]
 	pause := em.scenario.Load.RetryAfter.D() << min(request.requests-1, 10)
@@ -385,9 +390,10 @@
 
 const (
 	maxRetryAfter = time.Second           // the longest Retry-After that clients follow
-	minRetryTime  = 50 * time.Millisecond // for another try
+	minRetryTime  = 50 * time.Millisecond // the time that must remain for a client retry
 )
 
+// endOperation ends a request, and records the outcome of its operation once.
 func (em *Emulator) endOperation(request *clientRequest, outcome results.Outcome, worth float64) {
 	request.answered = true
 	delete(em.clients.inProgress, request.id)
@@ -398,7 +404,8 @@
 	em.Tally.Ended(request.startedAt-em.startTime(), request.class, request.plan, outcome, worth, em.now-request.startedAt)
 }
 
-// struck picks the gateways or backends that a fault befalls.
+// selectTargets returns the gateways or backends that a fault affects: those of a zone, or a random
+// fraction of all. Only eligible ones count.
 func (em *Emulator) selectTargets(count int, fraction float64, zone string, zoneOf func(int) int, eligible func(int) bool) []int {
 	var candidates []int
 	zoneIndex := slices.Index(em.scenario.Fleet.Zones, zone)
--- a/internal/world/counter.go
+++ b/internal/world/counter.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// counter keeps numbers by name, and serves calls in turn.
+// emulatedCounter keeps counts by name and serves calls in order of arrival.
 type emulatedCounter struct {
 	counts       map[string]*count
-	freeAt       time.Duration // when it has served all that wait
-	silentFaults int           // faults under which it says nothing
-	slowdown     float64       // times its usual time for a call; 0: 1
+	freeAt       time.Duration // when it will have served all queued calls
+	silentFaults int           // active faults under which it does not respond
+	slowdown     float64       // factor on its service time; 0 counts as 1
 	incarnation  int
 }
 
 type count struct{ value float64 }
 
-// mostLife is how long a number is kept at most.
 const maxCountLifetime = time.Minute
 
 func (em *Emulator) counterCalled(event Called) {
@@ -26,7 +25,7 @@
 	counter := &em.counter
 	serviceTime := time.Duration(1e9 / em.scenario.Counter.CallsPerS * max(em.counter.slowdown, 1))
 	delay := em.scenario.Counter.Delay.D()/2 + em.networkDelay(connection)
-	counter.freeAt = max(counter.freeAt, em.now+delay) // the call's way there
+	counter.freeAt = max(counter.freeAt, em.now+delay) // after the call has crossed the network
 	reply := CounterReply{Conn: connection.id, Status: 503}
 	if counter.freeAt-em.now <= serviceTime*time.Duration(em.scenario.Counter.Queue) {
 		counter.freeAt += serviceTime
@@ -37,12 +36,12 @@
 	incarnation := counter.incarnation
 	em.schedule(counter.freeAt, func() {
 		if counter.incarnation != incarnation {
-			return // it was lost with all that waited
+			return // the counter has lost its state since, and the queued calls with it
 		}
 		if reply.Status == 200 {
 			reply.Total = counter.add(em, event)
 		}
-		// Answers on a connection come in the order of the calls.
+		// Replies on a connection are in the order of the calls.
 		connection.lastReply = max(connection.lastReply, em.now+delay)
 		em.schedule(connection.lastReply, func() {
 			if em.connections[connection.id] == connection && em.links[gatewayLink{connection.gateway, connection.peer}] == Up {
@@ -68,7 +67,7 @@
 	return stored.value
 }
 
-// empty loses all numbers.
+// clear drops all counts and the queued calls.
 func (counter *emulatedCounter) clear() {
 	counter.counts = map[string]*count{}
 	counter.incarnation++
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -10,7 +10,7 @@
 	"dunlintray/internal/scenario"
 )
 
-// strike begins a fault, and plans its end.
+// beginFault starts a fault and schedules its end.
 func (em *Emulator) beginFault(fault *scenario.Fault) {
 	text := fmt.Sprintf("%s for %v", fault.Kind, fault.For)
 	if fault.Zone != "" {
@@ -80,7 +80,7 @@
 		em.emit(Mark{fmt.Sprintf("links from %s to %s, %s: %s for %v", fault.From, fault.To, cmp.Or(fault.Way, "both"), fault.How, fault.For)})
 		em.beginLinkFault(fault)
 		return
-	case "burst": // in load
+	case "burst": // part of loadFactor
 	case "rude":
 		for g := range em.gateways {
 			if int(fault.Size) > em.scenario.Fleet.Sockets/2 {
@@ -92,6 +92,7 @@
 	em.emit(Mark{text})
 }
 
+// applyToGateways applies a fault of processes to the gateways given.
 func (em *Emulator) applyToGateways(fault *scenario.Fault, targets []int) {
 	for i, number := range targets {
 		switch fault.Kind {
@@ -113,9 +114,9 @@
 	}
 }
 
-// onWhom strikes the processes that a fault names.
+// applyToNamed applies a fault to the gateways or service registries that it names.
 func (em *Emulator) applyToNamed(fault *scenario.Fault) {
-	actor, _ := em.scenario.ParseActor(fault.Who) // Check has read it
+	actor, _ := em.scenario.ParseActor(fault.Who) // Check has parsed it
 	em.emit(Mark{fmt.Sprintf("%s of %s for %v", fault.Kind, fault.Who, fault.For)})
 	if actor.Kind == scenario.Gateways {
 		var targets []int
@@ -157,7 +158,7 @@
 			case "freeze", "slow_start":
 				em.emit(ThawService{service})
 				return
-			case "gone": // its connections have stood till now, in silence
+			case "gone": // until now its connections stayed established without data
 				em.emit(KillService{service})
 			}
 			em.emit(StartService{service})
@@ -165,8 +166,8 @@
 	}
 }
 
-// serviceLoop kills a list service each life until a moment, starts it again each
-// time, and says when it is over.
+// crashLoopService kills and restarts a service registry at each interval until end, and then
+// calls done.
 func (em *Emulator) crashLoopService(service int, interval, end time.Duration, done func()) {
 	em.emit(KillService{service})
 	em.after(restartDelay, func() {
@@ -179,6 +180,7 @@
 	})
 }
 
+// applyToBackends applies a fault to the backends given.
 func (em *Emulator) applyToBackends(fault *scenario.Fault, targets []int) {
 	for i, number := range targets {
 		backend := em.backends[number]
@@ -212,7 +214,7 @@
 	}
 }
 
-// replace drains a backend, and brings another in its place.
+// replaceBackend drains a backend and adds another in its place.
 func (em *Emulator) replaceBackend(backend *emulatedBackend) {
 	if backend.state != running || backend.draining {
 		return
@@ -241,8 +243,8 @@
 	})
 }
 
-// lists tells the driver what each gateway can hear of lists. They stand in the
-// first zone.
+// updateListDelivery tells the driver which lists reach each gateway. The service registries are
+// in the first zone.
 func (em *Emulator) updateListDelivery() {
 	for number, gateway := range em.gateways {
 		paused := em.pausedLists > 0 || gateway.zone != 0 && (em.zoneCuts[gateway.zone] > 0 || em.zoneCuts[0] > 0)
--- a/internal/world/fleet.go
+++ b/internal/world/fleet.go
@@ -9,8 +9,8 @@
 	"dunlintray/internal/scenario"
 )
 
-// ground tells the referee what gateways can reach of each other from now on. It has
-// to be called after each change of that.
+// reportReachability tells the referee which gateways run and can reach one another from now on.
+// It must be called after each change of that.
 func (em *Emulator) reportReachability() {
 	if !em.scenario.Fleet.Membership || !em.started {
 		return
@@ -23,7 +23,7 @@
 	em.Referee.Ground(em.now, report)
 }
 
-// between is what datagrams do between two gateways.
+// reachability returns how two gateways can reach each other with datagrams.
 func (em *Emulator) reachability(a, b int) referee.Reach {
 	if em.separated(a, b) {
 		return referee.Apart
@@ -35,7 +35,7 @@
 	return referee.Doubtful
 }
 
-// oneWay is what becomes of those from one to another.
+// oneWayReachability returns how datagrams from one gateway can reach another.
 func (em *Emulator) oneWayReachability(from, to int) referee.Reach {
 	worst := referee.Joined
 	for _, condition := range em.gatewayConditions(from, to) {
@@ -50,13 +50,14 @@
 	return worst
 }
 
-// parted says whether two gateways stand in zones of which one is cut off.
+// separated reports whether two gateways are in different zones of which at least one is cut off.
 func (em *Emulator) separated(a, b int) bool {
 	zoneOfA, zoneOfB := em.gateways[a].zone, em.gateways[b].zone
 	return zoneOfA != zoneOfB && (em.zoneCuts[zoneOfA] > 0 || em.zoneCuts[zoneOfB] > 0)
 }
 
-// hows are what faults of links do to what one gateway sends another.
+// gatewayConditions returns the conditions that link faults put on datagrams from one gateway to
+// another: those of the link as seen from the sender and from the receiver.
 func (em *Emulator) gatewayConditions(from, to int) [2]link.Condition {
 	if len(em.linkFaults) == 0 {
 		return [2]link.Condition{{Kind: link.Up}, {Kind: link.Up}}
@@ -67,8 +68,7 @@
 	}
 }
 
-// betweenGateways is what those do to one datagram: how much later it comes, for
-// each time that it does.
+// datagramDelays returns the delay that link faults add to each copy of a datagram that arrives.
 func (em *Emulator) datagramDelays(from, to int, draw func() float64) []time.Duration {
 	conditions := em.gatewayConditions(from, to)
 	var delays []time.Duration
@@ -80,7 +80,7 @@
 	return delays
 }
 
-// cut cuts zones off, and plans their return.
+// cutZones cuts zones off from the others, and reconnects them after duration.
 func (em *Emulator) cutZones(zones []int, duration time.Duration) {
 	adjust := func(delta int) {
 		for _, z := range zones {
@@ -96,10 +96,10 @@
 	em.after(duration, func() { adjust(-1) })
 }
 
-// connectivity handles the connectivity that a gateway reports.
+// connectivityReported handles the connectivity that a gateway reports.
 func (em *Emulator) connectivityReported(event Connectivity) {
 	if previous := em.reported[event.Gateway]; previous != event.State && (previous != "" || event.State != "whole") {
-		em.emit(Mark{fmt.Sprintf("n%d stands %s: %s", event.Gateway, event.State, event.Reason)})
+		em.emit(Mark{fmt.Sprintf("n%d reports connectivity %s: %s", event.Gateway, event.State, event.Reason)})
 	}
 	em.reported[event.Gateway] = event.State
 	em.Referee.Connectivity(em.now, event.Gateway, event.State, event.Present)
--- a/internal/world/gateways.go
+++ b/internal/world/gateways.go
@@ -16,20 +16,20 @@
 	down
 )
 
-// gateway is one process as the platform sees it.
+// emulatedGateway is the state of one gateway's process as the platform sees it.
 type emulatedGateway struct {
 	zone               int
 	state              gatewayState
-	hasProcess         bool          // there is one
-	restartPending     bool          // another is to be started once it has ended
-	startDelay         time.Duration // for so long it is to stand still at its start
-	inRotation         bool          // the front sends clients to it
+	hasProcess         bool          // a process exists
+	restartPending     bool          // the next process starts once this one has ended
+	startDelay         time.Duration // how long the next process is suspended at its start
+	inRotation         bool          // the load balancer sends clients to it
 	incarnation        int
-	counterConnections int // connections to the counter
+	counterConnections int
 	frozen             bool
 }
 
-// stopSends is how long a front still sends to a gateway that was told to end.
+// rotationDelay is how long the load balancer still sends requests to a gateway that was asked to stop.
 const rotationDelay = 300 * time.Millisecond
 
 func (em *Emulator) gatewayReady(number int) {
@@ -65,16 +65,16 @@
 	}
 }
 
-// bootAfter is how long after its end a gateway's next process is started.
+// restartDelay is the time from the end of a process to the start of the next.
 const restartDelay = 100 * time.Millisecond
 
-// kill ends a gateway's process at once.
+// killGateway kills a gateway's process.
 func (em *Emulator) killGateway(number int) {
 	em.emit(Kill{number})
 	em.markGatewayLost(number)
 }
 
-// lose takes note that a gateway is gone, which the front sees late.
+// markGatewayLost records that a gateway is down. The load balancer notices it later.
 func (em *Emulator) markGatewayLost(number int) {
 	gateway := &em.gateways[number]
 	gateway.state = down
@@ -90,8 +90,8 @@
 	})
 }
 
-// vanish takes a gateway's machine away: the process says nothing, and what is
-// connected to it stands, until another is started.
+// loseMachine emulates the loss of a gateway's machine: its connections stay established without
+// data until another process starts after duration.
 func (em *Emulator) loseMachine(number int, duration time.Duration) {
 	gateway := &em.gateways[number]
 	if gateway.state != up {
@@ -108,7 +108,7 @@
 	})
 }
 
-// loop kills a gateway each life, until a moment.
+// crashLoopGateway kills and restarts a gateway at each interval until end.
 func (em *Emulator) crashLoopGateway(number int, interval time.Duration, end time.Duration) {
 	if gateway := &em.gateways[number]; gateway.state == up || gateway.state == starting {
 		em.killGateway(number)
@@ -119,7 +119,7 @@
 	}
 }
 
-// startSlowly kills a gateway, and lets its next process stand still at its start.
+// restartSlowly kills a gateway and suspends its next process for delay at its start.
 func (em *Emulator) restartSlowly(number int, delay time.Duration) {
 	gateway := &em.gateways[number]
 	em.killGateway(number)
@@ -127,7 +127,7 @@
 	em.after(restartDelay, func() { em.startGateway(number) })
 }
 
-// boot starts its next process, once the last has ended.
+// startGateway starts a gateway's next process once the previous one has ended.
 func (em *Emulator) startGateway(number int) {
 	gateway := &em.gateways[number]
 	if gateway.state != down {
@@ -153,8 +153,7 @@
 	}
 }
 
-// stop tells a gateway to end, and starts it again when it has, or has been made
-// to.
+// stopGateway asks a gateway to stop, kills it if it does not, and restarts it.
 func (em *Emulator) stopGateway(number int) {
 	gateway := &em.gateways[number]
 	if gateway.state != up {
@@ -179,6 +178,7 @@
 	})
 }
 
+// freezeGateway suspends a gateway's process for duration.
 func (em *Emulator) freezeGateway(number int, duration time.Duration) {
 	gateway := &em.gateways[number]
 	if gateway.state != up {
@@ -194,7 +194,7 @@
 			em.emit(Thaw{number})
 			gateway.frozen = false
 			em.reportReachability()
-			// What was on its way while it stood still is answered late.
+			// Responses to requests that arrived during the suspension are late.
 			em.after(em.scenario.Rules.Observe.D(), func() {
 				if gateway.incarnation == incarnation {
 					em.Referee.Back(em.now, number, false)
@@ -204,8 +204,8 @@
 	})
 }
 
-// heardOf measures how long after it began a gateway is told of what a backend does
-// now.
+// recordListLag records how long a backend's current state took to reach a gateway, when the
+// gateway receives it first.
 func (em *Emulator) recordListLag(gateway int, entry Entry) {
 	if entry.Backend >= len(em.backends) {
 		return
@@ -220,12 +220,13 @@
 	}
 }
 
-// list tells discovery of a backend, and gateways late.
+// publishBackend sends a backend's entry to discovery. Without a service registry it also sends
+// the gateways new lists; if the backend is lost, these follow after lossDetectionDelay.
 func (em *Emulator) publishBackend(backend *emulatedBackend, lost bool) {
 	backend.changedAt = em.now
 	em.emit(Register{Entry: backend.entry(), Lost: lost})
 	if em.scenario.Fleet.ListServices > 0 {
-		return // they tell it
+		return // the service registry informs the gateways
 	}
 	if !lost {
 		em.sendLists()
@@ -240,7 +241,7 @@
 	})
 }
 
-// tell every gateway the list, each with its own delay.
+// sendLists sends every gateway the list, each with its own delay.
 func (em *Emulator) sendLists() {
 	for g := range em.gateways {
 		delay := time.Duration(unitFraction(hash(em.scenario.Seed, uint64(em.now), uint64(g))) * float64(em.scenario.Network.ListDelay))
@@ -248,12 +249,12 @@
 	}
 }
 
-// lostAfter is when a discovery finds out by itself that a backend is gone.
+// lossDetectionDelay is the time after which discovery removes a lost backend.
 const lossDetectionDelay = 2 * time.Second
 
 func (em *Emulator) listDelivered(event ListDelivered) {
 	if event.Full {
-		// What the list leaves out is gone.
+		// A backend that a full list omits is gone.
 		listed := map[int]bool{}
 		for _, entry := range event.Entries {
 			listed[entry.Backend] = true
@@ -271,5 +272,5 @@
 	em.Referee.Version(em.now, event.Gateway, event.Version)
 }
 
-// states are the lifecycles as the referee has them.
+// refereeStates maps lifecycles to those of the referee.
 var refereeStates = map[Lifecycle]referee.State{Serving: referee.Ready, Draining: referee.Draining, Gone: referee.Gone}
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -7,13 +7,14 @@
 	"dunlintray/internal/scenario"
 )
 
-// Wire is a link on which the driver has a relay, from who connects.
+// ProcessLink is a link between two processes, on which the driver can run a relay. From is the
+// process that connects.
 type ProcessLink struct{ From, To Endpoint }
 
-// End is one process at the end of a link.
+// Endpoint is a process at one end of a link.
 type Endpoint struct {
 	Kind   scenario.ActorKind
-	Number int // backends: 0 stands for all
+	Number int // 0 for all backends together
 }
 
 func (e Endpoint) String() string {
@@ -32,13 +33,13 @@
 
 func (w ProcessLink) String() string { return w.From.String() + " to " + w.To.String() }
 
-// broken is a link's fault that has begun.
+// linkFault is an active fault of links.
 type linkFault struct {
 	scenario.LinkFault
-	inactive bool // one that flaps, for the moment
+	inactive bool // between the active phases of a flapping fault
 }
 
-// has reports whether a process belongs to an actor.
+// matches reports whether a process belongs to an actor.
 func (em *Emulator) matches(actor scenario.Actor, endpoint Endpoint) bool {
 	if actor.Kind != endpoint.Kind || actor.N >= 0 && actor.N != endpoint.Number {
 		return false
@@ -52,7 +53,8 @@
 	return em.backends[endpoint.Number].zone == actor.Zone
 }
 
-// how a link carries what goes one way of it now: of several faults the last.
+// condition returns the current condition of one direction of a link. Of several active faults
+// the latest applies.
 func (em *Emulator) condition(processLink ProcessLink, direction link.Direction) link.Condition {
 	condition := link.Condition{Kind: link.Up}
 	for _, fault := range em.linkFaults {
@@ -63,8 +65,8 @@
 	return condition
 }
 
-// Wires are the links that need a relay in the scenario: those between processes
-// that a fault is to befall.
+// RelayedLinks returns the links between processes that need a relay in a scenario, since one of
+// its faults affects them.
 func RelayedLinks(s *scenario.Scenario) (all []ProcessLink) {
 	em := &Emulator{scenario: s, gateways: make([]emulatedGateway, s.Fleet.Gateways)}
 	for g := range em.gateways {
@@ -72,7 +74,7 @@
 	}
 	for i := range s.Faults {
 		if scenario.Kinds[s.Faults[i].Kind].Link {
-			parsed, _, _ := s.Link(&s.Faults[i]) // Check has read it
+			parsed, _, _ := s.Link(&s.Faults[i]) // Check has parsed it
 			em.linkFaults = append(em.linkFaults, &linkFault{LinkFault: parsed})
 		}
 	}
@@ -84,7 +86,7 @@
 	return all
 }
 
-// wires are all links between processes on which a relay can stand.
+// processLinks returns all links between processes that can have a relay.
 func (em *Emulator) processLinks() (all []ProcessLink) {
 	for g := range em.gateways {
 		all = append(all, ProcessLink{Endpoint{scenario.Operators, 0}, Endpoint{scenario.Gateways, g}})
@@ -113,9 +115,9 @@
 	return all
 }
 
-// breakLink begins a link's fault, and plans its end.
+// beginLinkFault starts a fault of links and schedules its end.
 func (em *Emulator) beginLinkFault(fault *scenario.Fault) {
-	parsed, _, _ := em.scenario.Link(fault) // Check has read it
+	parsed, _, _ := em.scenario.Link(fault) // Check has parsed it
 	active := &linkFault{LinkFault: parsed}
 	em.linkFaults = append(em.linkFaults, active)
 	end := em.now + fault.For.D()
@@ -144,7 +146,7 @@
 	em.after(fault.Flap.D(), toggle)
 }
 
-// rewire tells the driver of every link that carries otherwise than before.
+// updateRelays sends the driver the condition of every link direction that has changed.
 func (em *Emulator) updateRelays() {
 	for _, processLink := range em.processLinks() {
 		for _, direction := range []link.Direction{link.Forward, link.Reverse} {
@@ -161,6 +163,7 @@
 	em.reportReachability()
 }
 
+// relayDirection is one direction of a link.
 type relayDirection struct {
 	ProcessLink
 	direction link.Direction
--- a/internal/world/peers.go
+++ b/internal/world/peers.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// peers is the network between gateways: datagrams come late or never.
+// peers is the datagram network between gateways.
 type peers struct {
 	sent          uint64
-	receiveQuotas []quota // what each gateway takes in a second
+	receiveQuotas []quota // by gateway, the datagrams that it can still receive
 }
 
-// Everyone stands for all gateways as the receiver of a datagram.
+// Broadcast addresses a datagram to all gateways but its sender.
 const Broadcast = -1
 
 func (em *Emulator) datagramSent(event Datagram) {
--- a/internal/world/types.go
+++ b/internal/world/types.go
@@ -1,7 +1,6 @@
-// Package world emulates all that gateways meet: clients, backends, the counter,
-// discovery, the network, and what goes wrong. It is a pure model: events and the
-// time go in, actions come out, and what is drawn comes from the scenario's seed.
-// A driver carries the actions out, on sockets or in simulated time.
+// Package world emulates the environment of a fleet of gateways: clients, backends, the counter,
+// discovery, the network and their faults. It does no I/O: a driver passes in events and the time
+// and carries out the actions that it gets back. All random draws follow from the scenario's seed.
 package world
 
 import (
@@ -10,118 +9,120 @@
 	"dunlintray/internal/link"
 )
 
-// Conn is a connection that a gateway has opened, numbered by the driver.
+// Conn identifies a connection that a gateway has opened. The driver assigns the numbers.
 type Conn uint64
 
-// Counter stands for the counter where a backend's number is asked for.
+// Counter is the peer number of the counter. All other peer numbers are those of backends.
 const Counter = -1
 
-// Event is something that happened. All but Tick come from the driver's watching.
+// Event is an observation of the driver, or a Tick.
 type Event any
 
-// The events.
+// The types of Event. Times are those of the driver's clock.
 type (
-	// Tick: time has passed.
+	// Tick only advances the time.
 	Tick struct{}
-	// Opened: a gateway has connected to a backend or the counter.
+	// Opened reports that a gateway has connected to a backend or to the Counter.
 	Opened struct {
 		Conn    Conn
 		Gateway int
 		Peer    int
 	}
-	// Closed: the gateway has ended a connection, or its sending on it.
+	// Closed reports that the gateway has closed a connection, or its sending side.
 	Closed struct{ Conn Conn }
-	// Arrived: a request has come whole at a backend.
+	// Arrived reports that a backend has received a complete request.
 	Arrived struct {
 		Conn      Conn
 		ID        uint64
-		FirstByte time.Duration // when its first byte came
-		Class     string        // of its path
+		FirstByte time.Duration // when its first byte arrived
+		Class     string        // as the request's path names it
 		Key       string
 		Body      Body
-		Unchanged bool // what the model does not know is as the client sent it
+		Unchanged bool // the parts that this event does not hold are as the client sent them
 	}
-	// Probed: a backend was asked for its health.
+	// Probed reports that a backend has received a health probe.
 	Probed struct{ Conn Conn }
-	// Called: the counter was called.
+	// Called reports that the counter has received a call that adds Add to the count Name.
+	// Lifetime applies if the call creates the count.
 	Called struct {
 		Conn     Conn
 		Name     string
 		Add      float64
 		Lifetime time.Duration
 	}
-	// Looked: these of the connections that were to be looked at have been ended by
-	// the gateway.
+	// ConnectionsChecked answers CheckConnections with the connections that the gateway has closed.
 	ConnectionsChecked struct {
 		ID     uint64
 		Closed []Conn
 	}
-	// Taken: a request's last byte has been written to a gateway.
+	// RequestWritten reports that the last byte of a request has been written to a gateway.
 	RequestWritten struct{ ID uint64 }
-	// Answered: a client got an answer, or the beginning of one.
+	// Answered reports that a client has received a response, or the beginning of one.
 	Answered struct {
 		ID         uint64
 		Status     int
 		Complete   bool
 		Body       Body
 		BodyErr    error
-		RetryAfter time.Duration // Retry-After
+		RetryAfter time.Duration
 	}
-	// Unanswered: the connection ended, or never came up, before any of an answer.
+	// Unanswered reports that the connection of a request failed or ended before any byte of a
+	// response.
 	Unanswered struct {
 		ID     uint64
-		Reused bool // others had been answered on it
-		Sent   bool // the request had gone out whole
+		Reused bool // the connection has carried earlier responses
+		Sent   bool // the request had been written completely
 	}
-	// Extra: more came on a client's connection than was asked for.
+	// UnexpectedData reports that a client's connection has received more than the responses to
+	// its requests.
 	UnexpectedData struct {
 		Gateway int
-		ID      uint64 // the last request on it
+		ID      uint64 // the last request on the connection
 	}
-	// Told: a list has been written to a gateway.
+	// ListDelivered reports that discovery has sent a gateway a list of backends, or changes to it.
 	ListDelivered struct {
 		Gateway int
 		Version int64
 		Full    bool
 		Entries []Entry
 	}
-	// Enlisted: a list service has taken a backend's word, at a version.
+	// Registered reports that the service registry has accepted an entry, in the version given.
 	Registered struct {
 		Entry
 		Version int64
 	}
-	// Datagram: a gateway has sent one to another, or to Everyone. The driver
-	// has its bytes.
+	// Datagram reports that a gateway has sent a datagram to another gateway, or to Broadcast. The
+	// driver keeps its content under Number.
 	Datagram struct {
 		Number   uint64
 		From, To int
 		Bytes    int
 	}
-	// Connectivity: a gateway reported its connectivity and the members that it holds present.
+	// Connectivity reports a gateway's view of its connectivity and of the members present.
 	Connectivity struct {
 		Gateway       int
 		State, Reason string
 		Present       []bool
 	}
-	// Ready: a gateway takes clients.
+	// Ready reports that a gateway accepts clients.
 	Ready struct{ Gateway int }
-	// Exited: a gateway's process has ended.
+	// Exited reports that a gateway's process has ended.
 	Exited struct {
 		Gateway int
 		Cause   string
 	}
 )
 
-// Entry is a backend as lists tell it.
+// Entry is a backend in a list.
 type Entry struct {
 	Backend   int
 	Zone      int
 	Cell      int
 	Lifecycle Lifecycle
-	Started   time.Duration // below 0: long ago
+	Started   time.Duration // negative if it started before the run and is warm
 }
 
-// Lifecycle is what lists tell of a backend.
+// Lifecycle is the state of a backend in a list.
 type Lifecycle int
 
 // The lifecycles.
@@ -131,124 +132,133 @@
 	Gone
 )
 
-// Action is something for the driver to do.
+// Action is an operation for the driver to carry out.
 type Action struct {
-	Due       time.Duration // when the model meant it to be done
-	Operation any
+	Due       time.Duration // the emulated time of the operation
+	Operation any           // one of the types below
 }
 
-// The actions.
+// The types of an Action's Operation.
 type (
-	// Send a request as a client, on a new connection if it says so.
+	// Send sends a request as a client.
 	Send struct {
 		Request
-		NewConnection bool
+		NewConnection bool // no open connection may be reused
 	}
-	// Abandon a request: its connection is closed.
+	// Abandon closes the connection of a request.
 	Abandon struct{ ID uint64 }
-	// Reply on a connection from a gateway.
+	// Reply answers a request or a probe on a gateway's connection.
 	Reply struct {
 		Conn       Conn
 		Status     int
-		NotStarted bool // the request was turned away unseen
+		NotStarted bool // the backend rejects the request without having started it
 		Body       Body
 		Truncated  bool        // the body ends early, and the connection with it
-		Load       *LoadReport // if told
+		Load       *LoadReport // nil if the backend reports no load
 		Close      bool
 	}
-	// Total is an answer of the counter; a status of 503 turns the call away.
+	// CounterReply answers a call of the counter. Status 503 rejects the call.
 	CounterReply struct {
 		Conn   Conn
 		Status int
 		Total  float64
 	}
-	// Reset a connection from a gateway.
+	// Reset resets a gateway's connection.
 	Reset struct{ Conn Conn }
-	// Look whether connections have been ended by the gateway, and say so by Looked
-	// for the request.
+	// CheckConnections asks which of the connections the gateway has closed. The driver answers
+	// with ConnectionsChecked for the same request ID.
 	CheckConnections struct {
 		ID          uint64
 		Connections []Conn
 	}
-	// Link changes what lies between a gateway and a backend or the counter.
+	// SetLinkState changes the link between a gateway and a backend or the Counter.
 	SetLinkState struct {
 		Gateway, Peer int
 		State         LinkState
 	}
-	// Rewire changes how one way of a link between processes carries.
+	// SetRelayCondition changes one direction of a link between processes.
 	SetRelayCondition struct {
 		ProcessLink
 		Direction link.Direction
 		Condition link.Condition
 	}
-	// Enlist tells discovery of a backend. Lost means that it says nothing more.
+	// Register sends a backend's entry to discovery. Lost means that the backend stops renewing it.
 	Register struct {
 		Entry
 		Lost bool
 	}
-	// Tell a gateway the whole list, where the world is the discovery.
+	// SendList sends a gateway the full list, in a scenario without a service registry.
 	SendList struct {
 		Gateway int
 		Entries []Entry
 	}
-	// Lists changes what a gateway can hear of lists.
+	// SetListDelivery changes which lists reach a gateway.
 	SetListDelivery struct {
 		Gateway int
-		Paused  bool // nothing is told
-		Stale   bool // a whole list is the one from when this began
+		Paused  bool // no list reaches the gateway
+		Stale   bool // a full list is the one from when this began
 	}
-	// Start, Kill, Stop, Freeze and Thaw a gateway's process.
-	Start  struct{ Gateway int }
-	Kill   struct{ Gateway int }
-	Stop   struct{ Gateway int }
+	// Start starts a gateway's process.
+	Start struct{ Gateway int }
+	// Kill kills a gateway's process.
+	Kill struct{ Gateway int }
+	// Stop asks a gateway's process to shut down.
+	Stop struct{ Gateway int }
+	// Freeze suspends a gateway's process.
 	Freeze struct{ Gateway int }
-	Thaw   struct{ Gateway int }
-	// These are of a list service's process.
-	KillService   struct{ Service int }
-	StopService   struct{ Service int }
-	StartService  struct{ Service int }
+	// Thaw resumes a gateway's process.
+	Thaw struct{ Gateway int }
+	// KillService kills a service registry's process.
+	KillService struct{ Service int }
+	// StopService asks a service registry's process to shut down.
+	StopService struct{ Service int }
+	// StartService starts a service registry's process.
+	StartService struct{ Service int }
+	// FreezeService suspends a service registry's process.
 	FreezeService struct{ Service int }
-	ThawService   struct{ Service int }
-	// Rude connections are opened to a gateway and end after a while.
+	// ThawService resumes a service registry's process.
+	ThawService struct{ Service int }
+	// HoldConnections opens connections to a gateway that never complete a request, and closes
+	// them after Duration.
 	HoldConnections struct {
 		Gateway, Connections int
 		Duration             time.Duration
 	}
-	// Deliver a datagram that came before.
+	// Deliver passes on the content of an earlier Datagram.
 	Deliver struct {
 		Number   uint64
 		From, To int
 	}
-	// Mark notes what befalls the fleet.
+	// Mark adds a line to the log of the run.
 	Mark struct{ Text string }
 )
 
-// LinkState is what connections along a link meet.
+// LinkState is how a link treats connections.
 type LinkState int
 
-// The states. Going up from Silent resets the connections that stood.
+// The states of a link. A change from Silent to Up resets the established connections.
 const (
-	Up LinkState = iota
-	Refusing
-	Silent
+	Up       LinkState = iota
+	Refusing           // new connections are refused
+	Silent             // nothing passes; new connections are neither accepted nor refused
 )
 
-// Request is one try of a client.
+// Request is one request of a client. A client retry is a further request.
 type Request struct {
 	ID           uint64
 	Gateway      int
 	Class        int
 	Plan         int
 	Customer     uint64
-	FirstGateway int // number of the first gateway of the customer's set
-	Remaining    time.Duration
-	Key          string // where its class is keyed
+	FirstGateway int           // the first gateway of the customer's set
+	Remaining    time.Duration // until its deadline
+	Key          string        // empty unless the effect of its class is by key
 	Body         Body
 	Retry        bool
 }
 
-// Report is what a backend tells of its load.
+// LoadReport is the load that a backend reports.
 type LoadReport struct {
-	Outstanding, Queued int
-	Utilization         float64
+	Outstanding, Queued int     // requests being served or queued; those that are queued
+	Utilization         float64 // of its cores, from 0 to 1
 }
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -11,7 +11,7 @@
 	"dunlintray/internal/scenario"
 )
 
-// World is one fleet's surroundings.
+// Emulator emulates the environment of one fleet. It is not safe for concurrent use.
 type Emulator struct {
 	Referee *referee.Referee
 	Tally   *results.Tally
@@ -19,51 +19,55 @@
 	scenario      *scenario.Scenario
 	now           time.Duration
 	timers        timers
-	timerSequence uint64 // of timers due at the same moment
+	timerSequence uint64 // orders timers that are due at the same time
 	actions       []Action
 	started       bool
 	gateways      []emulatedGateway
 	backends      []*emulatedBackend
-	seenKeys      map[keyScope]map[string]time.Duration // keys seen, until when
+	seenKeys      map[keyScope]map[string]time.Duration // by scope and key, until when duplicates are detected
 	connections   map[Conn]*gatewayConnection
 	links         map[gatewayLink]LinkState
 	counter       emulatedCounter
 	clients       emulatedClients
 	peers         peers
 	faultRandom   *rand.Rand
-	zoneCuts      map[int]int // zones that are cut off, by how many faults
-	delivered     map[gatewayLink]Entry
-	pausedLists   int      // faults that hold all lists
-	reported      []string // connectivity that each gateway reported last
+	zoneCuts      map[int]int           // by zone, the number of faults that cut it off
+	delivered     map[gatewayLink]Entry // the last entry of each backend that each gateway received
+	pausedLists   int                   // active faults that pause all lists
+	reported      []string              // by gateway, the connectivity that it reported last
 	linkFaults    []*linkFault
 
-	faultyServices  map[int]bool                      // list services that a fault has
-	relayConditions map[relayDirection]link.Condition // as the driver was told
-	staleLists      int
+	faultyServices  map[int]bool                      // service registries with an active fault
+	relayConditions map[relayDirection]link.Condition // as last sent to the driver
+	staleLists      int                               // active faults that make full lists stale
 }
 
+// gatewayLink is the link between a gateway and a backend or the counter.
 type gatewayLink struct{ gateway, peer int }
 
+// keyScope is the scope in which an idempotency key is unique: all backends, a zone or a cell.
 type keyScope struct{ kind, number int }
 
-// conn is a connection from a gateway to a backend or the counter.
+// gatewayConnection is a connection from a gateway to a backend or the counter.
 type gatewayConnection struct {
 	id            Conn
 	gateway       int
 	peer          int
-	overLimit     bool // the backend has no room for it
-	handshakeDone bool // its handshake has been paid
+	overLimit     bool // it exceeds the backend's connection limit
+	handshakeDone bool // the cost of its handshake has been charged
 	attempt       *backendAttempt
-	idleSince     time.Duration // since when it has been
-	lastReply     time.Duration // of the counter's answers on it
+	idleSince     time.Duration
+	lastReply     time.Duration // when the counter's latest reply on it is due
 }
 
+// timer runs a function at a time.
 type timer struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
 }
 
+// timers is a heap by due time.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
@@ -80,15 +84,14 @@
 	return last
 }
 
-// Streams of what is drawn, so that one does not shift another.
+// Random streams, one per purpose, so that draws of one do not change those of another.
 const (
 	streamArrivals = iota + 1
 	streamFaults
 	streamShifts
 )
 
-// New returns the world of a scenario, which begins with Begin. The scenario has
-// to be one that Check finds no fault with.
+// New returns an Emulator for a scenario, which must have passed Scenario.Check. Begin starts it.
 func New(s *scenario.Scenario) *Emulator {
 	em := &Emulator{scenario: s, Referee: referee.New(s), Tally: results.New(s), seenKeys: map[keyScope]map[string]time.Duration{}, connections: map[Conn]*gatewayConnection{},
 		links: map[gatewayLink]LinkState{}, faultRandom: rand.New(rand.NewPCG(s.Seed, streamFaults)), zoneCuts: map[int]int{}, delivered: map[gatewayLink]Entry{}, relayConditions: map[relayDirection]link.Condition{}, faultyServices: map[int]bool{}}
@@ -106,10 +109,10 @@
 	return em
 }
 
-// Zone is where a gateway stands.
+// Zone returns the zone of a gateway.
 func (em *Emulator) Zone(g int) int { return em.gateways[g].zone }
 
-// Entries is the list as discovery has it.
+// Entries returns the list of backends as discovery has it.
 func (em *Emulator) Entries() []Entry {
 	var all []Entry
 	for _, backend := range em.backends {
@@ -120,7 +123,8 @@
 	return all
 }
 
-// Begin starts the day; gateways have been started and are ready, or will be.
+// Begin starts the run and returns the first actions. The driver has started the gateways; they
+// need not be ready yet.
 func (em *Emulator) Begin(now time.Duration) []Action {
 	em.now = now
 	em.started = true
@@ -133,8 +137,8 @@
 	return em.takeActions()
 }
 
-// Step tells the world of an event, and of the time. An event's time is never
-// before one that was told earlier.
+// Step advances the time to now, handles an event and returns the resulting actions. Times must
+// not decrease from call to call. It panics on an event of an unknown type.
 func (em *Emulator) Step(now time.Duration, event Event) []Action {
 	for len(em.timers) > 0 && em.timers[0].at <= now {
 		due := heap.Pop(&em.timers).(timer)
@@ -177,12 +181,12 @@
 	case Exited:
 		em.gatewayExited(event)
 	default:
-		panic("world: an event of no known kind")
+		panic("world: unknown event type")
 	}
 	return em.takeActions()
 }
 
-// Next is when something is due that no event brings.
+// Next returns when the next timer is due, and false if there is none.
 func (em *Emulator) Next() (time.Duration, bool) {
 	if len(em.timers) == 0 {
 		return 0, false
@@ -190,12 +194,12 @@
 	return em.timers[0].at, true
 }
 
-// Done says whether the day is over and all requests have ended.
+// Done reports whether the scenario's duration is over and all requests have ended.
 func (em *Emulator) Done() bool {
 	return em.started && em.clients.ended && len(em.clients.inProgress) == 0 && em.clients.pendingRetries == 0
 }
 
-// End judges what only the whole day shows.
+// End has the Referee check the rules that apply to the run as a whole.
 func (em *Emulator) End(now time.Duration) { em.Referee.End(now) }
 
 func (em *Emulator) takeActions() []Action {
@@ -213,8 +217,7 @@
 
 func (em *Emulator) after(delay time.Duration, run func()) { em.schedule(em.now+delay, run) }
 
-// mix spreads the bits of its arguments, so that what is drawn for a request
-// depends on nothing but the request.
+// hash mixes its arguments into 64 bits. Draws that use it depend on the arguments alone.
 func hash(parts ...uint64) uint64 {
 	h := uint64(0x9e3779b97f4a7c15)
 	for _, p := range parts {
@@ -226,5 +229,5 @@
 	return h
 }
 
-// share is a number from 0 to 1 out of such bits.
+// unitFraction maps the bits of a hash to a number in [0, 1).
 func unitFraction(bits uint64) float64 { return float64(bits>>11) / (1 << 53) }
