--- a/internal/child/child.go
+++ b/internal/child/child.go
@@ -1,5 +1,5 @@
-// Package child starts processes that the system kills when the program that
-// started them ends, however it ends.
+// Package child starts processes that the system kills when the program that started them ends,
+// however it ends.
 package child
 
 import (
@@ -8,14 +8,14 @@
 	"syscall"
 )
 
-// Starter starts processes, all from one thread: the system kills them when the
-// thread that started them ends, so that none is left if this program is killed.
+// Starter starts processes from one thread, since the system kills them when the thread that
+// started them ends. It is safe for concurrent use until Close.
 type Starter struct {
 	calls chan func()
 	done  chan struct{}
 }
 
-// NewStarter begins the thread.
+// NewStarter returns a Starter with a running thread. The caller must Close it.
 func NewStarter() *Starter {
 	s := &Starter{calls: make(chan func()), done: make(chan struct{})}
 	go func() {
@@ -28,8 +28,8 @@
 	return s
 }
 
-// Start starts a command as a child of the thread, in a process group of its own: a
-// Ctrl-C is for the program that started it alone.
+// Start starts a command, as exec.Cmd.Start does. The process has its own process group, so that a
+// Ctrl-C in the terminal does not reach it. Start overwrites cmd.SysProcAttr.
 func (s *Starter) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	started := make(chan error, 1)
@@ -37,7 +37,7 @@
 	return <-started
 }
 
-// Close ends the thread, and so all processes that still run.
+// Close ends the thread, and so kills all processes that still run.
 func (s *Starter) Close() {
 	close(s.calls)
 	<-s.done
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command has what the project's daemons take on their command lines
-// alike: where the configuration is, whether only to check it, and how to log.
+// Package command parses the command-line flags that all daemons of the project have in common: the
+// path of the configuration, a check of it, and the level and format of the log.
 package command
 
 import (
@@ -11,18 +11,18 @@
 	"os"
 )
 
-// Options are what a daemon was started with.
+// Options are the command-line options of a daemon.
 type Options struct {
 	Config string // path of the configuration
-	Check  bool   // read the configuration, say whether it is good, and end
+	Check  bool   // check the configuration and exit
 
 	level  slog.Level
-	format string // "" where no flag asked for another than the platform's lines
+	format string // "" for the default format of package log
 }
 
-// Parse reads the command line of the daemon called name. The variable env
-// names the configuration where no flag does. Help was printed where the error
-// is flag.ErrHelp.
+// Parse parses the command line of the daemon called name. The environment variable env holds the
+// path of the configuration if no flag does. Usage and flag errors are written to out. The error is
+// flag.ErrHelp if the help was requested.
 func Parse(name, env string, args []string, out io.Writer) (Options, error) {
 	options := Options{level: slog.LevelInfo}
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
@@ -40,7 +40,7 @@
 	}
 	switch {
 	case flags.NArg() > 0:
-		return options, fmt.Errorf("%q: only flags are taken", flags.Arg(0))
+		return options, fmt.Errorf("%q: only flags are accepted", flags.Arg(0))
 	case options.format != "" && options.format != "text" && options.format != "json":
 		return options, fmt.Errorf("--log-format: %q is neither text nor json", options.format)
 	case options.Config == "":
@@ -49,8 +49,8 @@
 	return options, nil
 }
 
-// Log makes slog's default logger write to out as the flags ask, each record
-// with the attributes given. Without flags the lines stay what they are.
+// Log configures slog's default logger as the options say. With a format, it writes to out and adds
+// the attributes to each record; without one, only the level changes.
 func (options Options) Log(out io.Writer, attributes ...any) {
 	handler := &slog.HandlerOptions{Level: options.level}
 	switch options.format {
--- a/internal/linear/linear.go
+++ b/internal/linear/linear.go
@@ -1,59 +1,59 @@
-// Package linear checks histories of registers that change by compare-and-set: whether
-// what callers were told can be put in one order, in which each call stands between its
-// begin and its end.
+// Package linear is a porcupine model of compare-and-set registers, for checking whether histories
+// of calls are linearizable.
 package linear
 
 import "github.com/anishathalye/porcupine"
 
-// Asked is a call. What a caller expects is told by the value that it read.
+// Input is a call. A put expects the value that its caller read.
 type Input struct {
 	Name          string // of the register
-	Get           bool
-	Unconditional bool // a put that expects nothing
-	Expect        string
-	Value         string
+	Get           bool   // else a put
+	Unconditional bool   // a put that expects no value
+	Expect        string // of a put
+	Value         string // of a put
 }
 
-// Got is what it came to.
+// Output is the result of a call.
 type Output struct {
-	Known    bool // else it may have been done or not, and may yet be
-	Conflict bool
+	Known    bool   // if false, the call may have had its effect, may yet have it, or never
+	Conflict bool   // the register did not have the expected value
 	Value    string // of a get
 }
 
-// Registers are registers with empty values at first, each by itself.
+// RegisterModel models independent registers that are empty at first. Operations have an Input and
+// an Output.
 var RegisterModel = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) (all [][]porcupine.Operation) {
-		at := map[string]int{}
-		for _, o := range history {
-			name := o.Input.(Input).Name
-			if _, there := at[name]; !there {
-				at[name] = len(all)
+		index := map[string]int{}
+		for _, operation := range history {
+			name := operation.Input.(Input).Name
+			if _, known := index[name]; !known {
+				index[name] = len(all)
 				all = append(all, nil)
 			}
-			all[at[name]] = append(all[at[name]], o)
+			all[index[name]] = append(all[index[name]], operation)
 		}
 		return all
 	},
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		have, in, out := state.(string), input.(Input), output.(Output)
-		fits := in.Unconditional || in.Expect == have
+		current, call, result := state.(string), input.(Input), output.(Output)
+		matches := call.Unconditional || call.Expect == current
 		switch {
-		case in.Get && have == out.Value:
-			return []any{have}
-		case in.Get:
+		case call.Get && current == result.Value:
+			return []any{current}
+		case call.Get:
 			return nil
-		case !out.Known && fits:
-			return []any{have, in.Value}
-		case !out.Known:
-			return []any{have}
-		case out.Conflict == fits:
+		case !result.Known && matches:
+			return []any{current, call.Value}
+		case !result.Known:
+			return []any{current}
+		case result.Conflict == matches:
 			return nil
-		case out.Conflict:
-			return []any{have}
+		case result.Conflict:
+			return []any{current}
 		}
-		return []any{in.Value}
+		return []any{call.Value}
 	},
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
--- a/internal/link/datagram.go
+++ b/internal/link/datagram.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// reorderMost is how much behind its time a datagram comes that is overtaken.
+// maxReorderDelay is the maximum extra delay of a reordered or repeated datagram.
 const maxReorderDelay = 250 * time.Millisecond
 
-// Datagram tells what becomes of one datagram: by how much later than without a
-// fault it comes, for each time that it does. What is drawn is from 0 to 1.
+// DatagramDelays returns the extra delay of each copy of a datagram that arrives: none if it is
+// lost, two if it is repeated. draw must return random numbers in [0, 1).
 func (c Condition) DatagramDelays(draw func() float64) []time.Duration {
 	switch hit := c.Fraction > 0 && draw() < c.Fraction; {
 	case c.Kind == Dropped || c.Kind == Lost && hit:
@@ -24,5 +24,5 @@
 	return []time.Duration{0}
 }
 
-// Stream says whether a stream can be carried so.
+// AppliesToStreams reports whether the condition is one for TCP connections.
 func (c Condition) AppliesToStreams() bool { return c.Kind == Up || slices.Contains(Kinds, c.Kind) }
--- a/internal/link/exchange.go
+++ b/internal/link/exchange.go
@@ -7,31 +7,31 @@
 	"sync"
 )
 
-// mostDatagram is the longest that an Exchange reads.
+// maxDatagramBytes is the maximum size of a datagram that a DatagramRelay reads.
 const maxDatagramBytes = 64 << 10
 
-// Exchange is the network of datagrams between members: it has one address for each,
-// at which the others send to it and from which they hear it, and one at which a
-// datagram is for all. What comes is handed on, and whoever takes it decides what
-// becomes of it.
+// DatagramRelay relays UDP datagrams between members. It has one address per member, to which the
+// others send for that member and from which they receive what it sends, and one address for
+// broadcasts. Received datagrams go to a handler, which decides whether and when to deliver them.
 type DatagramRelay struct {
-	sockets []*net.UDPConn // by member; the last is that of all
+	sockets []*net.UDPConn // by member; the last is that for broadcasts
 	wg      sync.WaitGroup
 
 	mu             sync.Mutex
-	memberBySource map[netip.AddrPort]int // whose process sends from there
-	addresses      []netip.AddrPort
+	memberBySource map[netip.AddrPort]int // the member whose process sends from an address
+	addresses      []netip.AddrPort       // by member, where its process receives
 }
 
-// ToAll stands for all members as those whom a datagram is for.
+// Broadcast is the receiver of a datagram for all members.
 const Broadcast = -1
 
-// NewExchange listens at an address for each member, and at one more for all of them.
-// It hands on what comes from the members' own addresses; each socket has a goroutine
-// that calls take.
+// NewDatagramRelay listens at one address for each member and, last, one for broadcasts. members
+// holds the addresses of the members' processes. One goroutine per socket calls handle with each
+// datagram that comes from a member's process; handle owns data. It returns an error if it cannot
+// listen at an address.
 func NewDatagramRelay(addresses []string, members []netip.AddrPort, handle func(from, to int, data []byte)) (*DatagramRelay, error) {
 	if len(addresses) != len(members)+1 {
-		return nil, fmt.Errorf("link: %d addresses for %d members and all", len(addresses), len(members))
+		return nil, fmt.Errorf("link: %d addresses for %d members; want one per member and one for broadcasts", len(addresses), len(members))
 	}
 	x := &DatagramRelay{memberBySource: map[netip.AddrPort]int{}, addresses: append([]netip.AddrPort(nil), members...)}
 	for member, address := range members {
@@ -59,9 +59,10 @@
 	return x, nil
 }
 
-// Address is where others send to a member.
+// Address returns the address at which the others send to a member.
 func (x *DatagramRelay) Address(member int) string { return x.sockets[member].LocalAddr().String() }
 
+// read passes datagrams from members to handle until the socket is closed.
 func (x *DatagramRelay) read(socket *net.UDPConn, to int, handle func(from, to int, data []byte)) {
 	buf := make([]byte, maxDatagramBytes)
 	for {
@@ -78,23 +79,22 @@
 	}
 }
 
-// Also takes what comes from one more address for a member's, as of a second process
-// that has its number.
+// AddSource also accepts datagrams from another address as those of a member, such as from a
+// second process with the same member number.
 func (x *DatagramRelay) AddSource(member int, address netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.memberBySource[address] = member
 }
 
-// Move delivers what is for a member to another address from now on.
+// SetAddress changes the address of a member's process.
 func (x *DatagramRelay) SetAddress(member int, address netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.memberBySource[address], x.addresses[member] = member, address
 }
 
-// Deliver sends a member what another has sent. One that fails is lost, as datagrams
-// may be.
+// Deliver sends a datagram of one member to another. A failure to send is not reported.
 func (x *DatagramRelay) Deliver(from, to int, data []byte) {
 	x.mu.Lock()
 	address := x.addresses[to]
@@ -102,7 +102,7 @@
 	x.sockets[from].WriteToUDPAddrPort(data, address)
 }
 
-// Close ends it; nothing is taken when it has returned.
+// Close closes all sockets. After it has returned, the handler is not called.
 func (x *DatagramRelay) Close() {
 	for _, c := range x.sockets {
 		c.Close()
--- a/internal/link/flow.go
+++ b/internal/link/flow.go
@@ -1,5 +1,5 @@
-// Package link is the network between processes, made to fail: a relay stands on a
-// link and carries, in each direction by itself, what a fault lets through.
+// Package link is a fault injection proxy: its relays carry TCP connections and datagrams between
+// processes and drop, stall, cut, slow or delay them, in each direction independently.
 package link
 
 import (
@@ -9,93 +9,93 @@
 	"time"
 )
 
-// Kind is what a link, or one direction of it, does with what is sent along it.
+// Kind is the kind of a fault on a link or on one direction of it, or Up.
 type Kind string
 
-// The kinds.
+// The kinds of faults.
 const (
 	Up      Kind = "up"
-	Dropped Kind = "dropped" // silence, as of a lost machine: nothing passes, and new connections never come up
-	Refused Kind = "refused" // new connections are refused, and those that stood are reset
-	Reset   Kind = "reset"   // connections come up and are reset
-	Stalled Kind = "stalled" // connections come up, and nothing passes: buffers fill
-	Cut     Kind = "cut"     // each connection is reset once Bytes have passed
-	Slow    Kind = "slow"    // Bytes a second pass
-	Delayed Kind = "delayed" // everything comes Delay later, and up to Jitter more
+	Dropped Kind = "dropped" // nothing passes, and connection attempts get no response, as with a lost machine
+	Refused Kind = "refused" // new connections are refused, and established ones are reset
+	Reset   Kind = "reset"   // connections are established and reset at once
+	Stalled Kind = "stalled" // connections are established, and nothing passes: buffers fill up
+	Cut     Kind = "cut"     // each connection is reset after Bytes
+	Slow    Kind = "slow"    // at most Bytes per second pass
+	Delayed Kind = "delayed" // everything arrives later by Delay and up to Jitter
 
-	// Of datagrams alone:
-	Lost      Kind = "lost"      // a Share of them never comes
-	Repeated  Kind = "repeated"  // a Share of them comes twice
-	Reordered Kind = "reordered" // a Share of them comes behind later ones
+	// For datagrams only:
+	Lost      Kind = "lost"      // a Fraction of them is lost
+	Repeated  Kind = "repeated"  // a Fraction of them arrives twice
+	Reordered Kind = "reordered" // a Fraction of them arrives after later ones
 )
 
-// Kinds are all kinds of streams but Up, and DatagramKinds those of datagrams.
+// Kinds are the kinds of faults for TCP connections, and DatagramKinds those for datagrams.
 var (
 	Kinds         = []Kind{Dropped, Refused, Reset, Stalled, Cut, Slow, Delayed}
 	DatagramKinds = []Kind{Dropped, Delayed, Lost, Repeated, Reordered}
 )
 
-// How a link carries what is sent.
+// Condition is how a link, or one direction of it, treats traffic.
 type Condition struct {
 	Kind     Kind
-	Bytes    int64
-	Fraction float64
-	Delay    time.Duration
-	Jitter   time.Duration
+	Bytes    int64         // for Cut, bytes; for Slow, bytes per second
+	Fraction float64       // for Lost, Repeated and Reordered, of the datagrams
+	Delay    time.Duration // for Delayed
+	Jitter   time.Duration // for Delayed
 }
 
-// Check finds what can't be.
+// Check returns an error if the kind is unknown or a value does not fit it.
 func (c Condition) Check() error {
 	switch {
 	case c.Kind != Up && !slices.Contains(Kinds, c.Kind) && !slices.Contains(DatagramKinds, c.Kind):
 		return fmt.Errorf("%q is not one of %v or %v", c.Kind, Kinds, DatagramKinds)
 	case slices.Contains([]Kind{Lost, Repeated, Reordered}, c.Kind) != (c.Fraction > 0) || c.Fraction < 0 || c.Fraction > 1:
-		return fmt.Errorf("%s of a share of %g can't be", c.Kind, c.Fraction)
+		return fmt.Errorf("%s with a fraction of %g: lost, repeated and reordered take more than 0 and up to 1, others take 0", c.Kind, c.Fraction)
 	case c.Kind == Slow && c.Bytes < 1:
-		return fmt.Errorf("%d bytes a second is no speed", c.Bytes)
+		return fmt.Errorf("slow with %d bytes per second: it takes at least 1", c.Bytes)
 	case c.Kind == Cut && c.Bytes < 0:
-		return fmt.Errorf("a cut after %d bytes can't be", c.Bytes)
+		return fmt.Errorf("cut after %d bytes: it takes at least 0", c.Bytes)
 	case c.Kind != Slow && c.Kind != Cut && c.Bytes != 0:
-		return fmt.Errorf("%s takes no bytes", c.Kind)
+		return fmt.Errorf("%s takes no number of bytes", c.Kind)
 	case c.Kind == Delayed && (c.Delay < 0 || c.Jitter < 0 || c.Delay+c.Jitter == 0):
-		return fmt.Errorf("a delay of %v and up to %v more is none", c.Delay, c.Jitter)
+		return fmt.Errorf("delayed by %v with a jitter of %v: neither may be negative, and one must be more than 0", c.Delay, c.Jitter)
 	case c.Kind != Delayed && (c.Delay != 0 || c.Jitter != 0):
-		return fmt.Errorf("%s takes no delay", c.Kind)
+		return fmt.Errorf("%s takes no delay and no jitter", c.Kind)
 	}
 	return nil
 }
 
-// Flow is one direction of one connection: it says what becomes of the pieces that
-// are read, in their order. It is pure; the time comes in.
+// Flow schedules one direction of one connection under a Condition. It does no I/O; callers pass
+// in the time. It is not safe for concurrent use.
 type Flow struct {
 	condition   Condition
 	random      *rand.Rand
-	passedBytes int64         // bytes, since the present fault began
+	passedBytes int64         // since the condition was set
 	freeAt      time.Duration // when the last piece has passed
-	reset       bool
+	reset       bool          // by Cut; nothing more passes
 }
 
-// NewFlow returns a flow that begins as the link is.
+// NewFlow returns a Flow under a condition. random draws the jitter.
 func NewFlow(condition Condition, random *rand.Rand) *Flow {
 	return &Flow{condition: condition, random: random}
 }
 
-// Set changes how it flows from now on. Pieces taken before keep their time.
+// Set changes the condition from now on. Pieces that are scheduled keep their due times.
 func (f *Flow) Set(now time.Duration, condition Condition) {
 	f.condition, f.passedBytes, f.freeAt = condition, 0, now
 }
 
-// Holds says whether nothing passes now, also not what was taken before.
+// Blocked reports whether nothing passes now, not even pieces that are already scheduled.
 func (f *Flow) Blocked() bool {
 	return f.condition.Kind == Dropped || f.condition.Kind == Stalled
 }
 
 const (
 	maxReadBytes       = 16 << 10
-	slowReadsPerSecond = 20 // in a second, so that a slow link drips
+	slowReadsPerSecond = 20 // spreads the bytes of a slow link over the second
 )
 
-// Piece is how many bytes may be read at once.
+// ReadSize returns how many bytes may be read at once.
 func (f *Flow) ReadSize() int {
 	if f.condition.Kind == Slow {
 		return int(min(max(f.condition.Bytes/slowReadsPerSecond, 1), maxReadBytes))
@@ -103,8 +103,8 @@
 	return maxReadBytes
 }
 
-// Take takes in a piece of n bytes, and says how many of them pass, when, and
-// whether the connection is reset behind them.
+// Schedule accepts a piece of size bytes that was read at now. It returns how many of them pass,
+// when they are due, and whether the connection is reset after them.
 func (f *Flow) Schedule(now time.Duration, size int) (pass int, due time.Duration, reset bool) {
 	if f.reset {
 		return 0, now, true
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -279,7 +279,7 @@
 	if _, err := io.CopyN(io.Discard, end, 4<<20+2*maxReadBytes); err != nil { // a piece is counted when it has passed
 		t.Fatal(err)
 	}
-	if stats := relay.Stats(); stats.Connections != 1 || stats.MaxConnections != 1 || stats.Rejected != 1 || stats.Bytes[Forward] < 4<<20 {
+	if stats := relay.Stats(); stats.Connections != 1 || stats.PeakConnections != 1 || stats.Rejected != 1 || stats.Bytes[Forward] < 4<<20 {
 		t.Errorf("%+v", stats)
 	}
 	relay.mu.Lock()
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -52,13 +52,13 @@
 	return nil
 }
 
-// Address returns the address at which it listens.
+// Address returns the address at which the listener accepts connections, with the actual port.
 func (l *Listener) Address() string { return l.address }
 
 // accept hands on connections until tcp is closed or its deadline is set.
 func (l *Listener) accept(tcp *net.TCPListener) {
 	for {
-		c, err := tcp.Accept()
+		connection, err := tcp.Accept()
 		if err != nil {
 			return // closed or silent; Set and Close do the rest
 		}
@@ -66,19 +66,19 @@
 		rejected := l.state != Open || l.listener != tcp
 		l.mu.Unlock()
 		if rejected {
-			Abort(c)
+			Abort(connection)
 			continue
 		}
-		l.handle(c)
+		l.handle(connection)
 	}
 }
 
 // Abort closes a connection with a reset.
-func Abort(c net.Conn) {
-	if tcp, ok := c.(*net.TCPConn); ok {
+func Abort(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
 		tcp.SetLinger(0) // a reset in place of an orderly end
 	}
-	c.Close()
+	connection.Close()
 }
 
 // Set changes how the listener treats clients that connect from now on. Connections that were
--- a/internal/link/relay.go
+++ b/internal/link/relay.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// Way is a direction of a link.
+// Direction is a direction of a link.
 type Direction int
 
-// The ways, as seen by who connects.
+// The directions: Forward is from the process that connects to its target.
 const (
 	Forward Direction = iota
 	Reverse
 )
 
-// Limits bound a Relay.
+// Limits are the limits of a Relay.
 type Limits struct {
-	MaxConnections int // at once; more are reset
+	MaxConnections int // concurrent connections; further ones are reset
 	BufferBytes    int // bytes read ahead, in each direction of each connection
 }
 
-// Stats are a Relay's figures.
+// Stats are the statistics of a Relay.
 type Stats struct {
-	Connections    int           // that stand
-	MaxConnections int           // that stood at once
-	Rejected       int64         // connections beyond the limit
-	Bytes          [2]int64      // passed, by way
-	MaxLateness    time.Duration // the longest by which a piece was passed on behind its time
+	Connections     int           // open now
+	PeakConnections int           // the most that were open at once
+	Rejected        int64         // connections beyond the limit
+	Bytes           [2]int64      // sent, by Direction
+	MaxLateness     time.Duration // the longest time by which a piece was sent after it was due
 }
 
-// Relay carries the connections of one link.
+// Relay is a TCP proxy on one link that injects faults. It is safe for concurrent use.
 type Relay struct {
 	listener  *Listener
 	target    string
@@ -43,7 +43,7 @@
 	wg        sync.WaitGroup
 
 	mu           sync.Mutex
-	stateChanged sync.Cond // a fault, a queue, or an end; on mu
+	stateChanged sync.Cond // signals a change of a condition, a queue or a connection's state; uses mu
 	conditions   [2]Condition
 	connections  map[*relayedConnection]bool
 	closed       bool
@@ -51,28 +51,29 @@
 	stats        Stats
 }
 
-// conn is a connection with both its sides. All but the ends is under the relay's
-// lock.
+// relayedConnection is a client's connection and the one to the target. The relay's mu guards all
+// fields but ends.
 type relayedConnection struct {
-	ends        [2]*net.TCPConn // who connected, and whom it is for
-	flows       [2]*Flow
+	ends        [2]*net.TCPConn // of the client and of the target
+	flows       [2]*Flow        // this and the next two by Direction
 	queue       [2][]piece
 	queuedBytes [2]int // in the queue
 	closed      bool
 }
 
-// piece is what was read at once, or an end.
+// piece is the result of one read, or the end of a stream.
 type piece struct {
 	data        []byte
 	due         time.Duration
-	endOfStream bool // its sender says no more
-	reset       bool // the connection is reset behind it
+	endOfStream bool // the sender has closed its direction
+	reset       bool // the connection is reset after the piece
 }
 
-// dialWait is for a connection to whom the link leads.
+// dialTimeout bounds the connection attempt to the target.
 const dialTimeout = 2 * time.Second
 
-// NewRelay carries what comes to an address to another.
+// NewRelay returns a Relay that accepts connections at address and forwards them to target. seed
+// determines the jitter. It returns an error if it cannot listen at address.
 func NewRelay(address, target string, limits Limits, seed uint64) (*Relay, error) {
 	r := &Relay{target: target, limits: limits, startedAt: time.Now(), conditions: [2]Condition{{Kind: Up}, {Kind: Up}}, connections: map[*relayedConnection]bool{},
 		random: rand.New(rand.NewPCG(seed, 1))}
@@ -91,26 +92,27 @@
 	return r, nil
 }
 
-// Address is where it listens.
+// Address returns the address at which the relay accepts connections.
 func (r *Relay) Address() string { return r.listener.Address() }
 
 func (r *Relay) now() time.Duration { return time.Since(r.startedAt) }
 
-// Set changes how one way of the link carries what is sent from now on. Refused and
-// Reset end the connections that stand; whichever way has them, the link has.
+// Set changes the condition of one direction from now on. Refused and Reset reset the established
+// connections and, like Dropped for new ones, affect the link as a whole, whichever direction has
+// them. It returns an error if the condition is invalid or does not apply to TCP connections.
 func (r *Relay) Set(direction Direction, condition Condition) error {
 	if err := condition.Check(); err != nil {
 		return err
 	}
 	if !condition.AppliesToStreams() {
-		return fmt.Errorf("%s is of datagrams, and this relay carries streams", condition.Kind)
+		return fmt.Errorf("%s applies to datagrams alone, and this relay carries TCP connections", condition.Kind)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conditions[direction] = condition
 	state := Open
-	for _, h := range r.conditions {
-		switch h.Kind {
+	for _, current := range r.conditions {
+		switch current.Kind {
 		case Dropped:
 			state = max(state, Silent)
 		case Refused:
@@ -127,7 +129,7 @@
 	return r.listener.Set(state)
 }
 
-// Stats returns the figures.
+// Stats returns the current statistics.
 func (r *Relay) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +138,7 @@
 	return stats
 }
 
-// Close ends the relay and all its connections. Nothing of it is left.
+// Close stops listening, resets all connections and waits for the relay's goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -149,7 +151,7 @@
 	r.wg.Wait()
 }
 
-// connect finds the other side for a connection, and carries it until it ends.
+// connect dials the target for a client's connection and relays between both until they end.
 func (r *Relay) connect(client *net.TCPConn) {
 	connection := &relayedConnection{ends: [2]*net.TCPConn{client, nil}}
 	r.mu.Lock()
@@ -157,7 +159,7 @@
 	if full {
 		r.stats.Rejected++
 	}
-	endsConnections := func(h Condition) bool { return h.Kind == Reset || h.Kind == Refused } // it may have come in the moment of the change
+	endsConnections := func(condition Condition) bool { return condition.Kind == Reset || condition.Kind == Refused } // the client may have connected just before the condition changed
 	if full || r.closed || endsConnections(r.conditions[Forward]) || endsConnections(r.conditions[Reverse]) {
 		r.mu.Unlock()
 		Abort(client)
@@ -166,8 +168,8 @@
 	for direction := range connection.flows {
 		connection.flows[direction] = NewFlow(r.conditions[direction], rand.New(rand.NewPCG(r.random.Uint64(), 2)))
 	}
-	r.connections[connection] = true // also while its other side is sought
-	r.stats.MaxConnections = max(r.stats.MaxConnections, len(r.connections))
+	r.connections[connection] = true // counts while it dials, too
+	r.stats.PeakConnections = max(r.stats.PeakConnections, len(r.connections))
 	r.mu.Unlock()
 	server, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	r.mu.Lock()
@@ -191,14 +193,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.connections, connection)
-	if !connection.closed { // both sides have said their last, which may still be on its way
+	if !connection.closed { // both directions have ended in order; the last bytes may still be in flight
 		connection.closed = true
 		connection.ends[0].Close()
 		connection.ends[1].Close()
 	}
 }
 
-// abort resets both sides. The caller has the lock.
+// abort resets both sides. The caller holds the relay's mu.
 func (connection *relayedConnection) abort() {
 	if connection.closed {
 		return
@@ -211,8 +213,7 @@
 	}
 }
 
-// read takes in what one side sends, as far as there is room for it and the link
-// does not hold it.
+// read queues what one side sends, as long as the buffer has room and the flow is not blocked.
 func (r *Relay) read(connection *relayedConnection, direction Direction) {
 	source := connection.ends[direction]
 	for {
@@ -245,7 +246,7 @@
 	}
 }
 
-// write passes on what was read, each piece at its time, unless the link holds it.
+// write sends the queued pieces to the other side, each when it is due.
 func (r *Relay) write(connection *relayedConnection, direction Direction) {
 	destination := connection.ends[1-direction]
 	for {
@@ -273,7 +274,8 @@
 	}
 }
 
-// next waits for the next piece to be passed on.
+// next waits until a piece is due and not blocked, and removes it from the queue. It returns false
+// if the connection is closed.
 func (r *Relay) next(connection *relayedConnection, direction Direction) (piece, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testnet/testnet.go
+++ b/internal/testnet/testnet.go
@@ -1,5 +1,5 @@
-// Package testnet gives tests addresses that stay theirs while the process that
-// listens there is killed and started again.
+// Package testnet gives tests addresses that stay free while the process that listens there is
+// killed and restarted.
 package testnet
 
 import (
@@ -9,11 +9,10 @@
 	"testing"
 )
 
-// TCP returns an address that nobody listens at.
+// TCP returns an address at which nothing listens. It fails the test if there is none.
 //
-// Its host is drawn from 127.0.0.0/8. A port that is free on 127.0.0.1 is soon taken, by
-// another test or as the near end of any connection on this machine; connections start
-// from 127.0.0.1, whomever they are for.
+// The host is a random one of 127.0.0.0/8. A free port of 127.0.0.1 may soon be used by another
+// test, or as the local port of any connection on the machine, which starts from 127.0.0.1.
 func TCP(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", host()+":0")
@@ -24,7 +23,7 @@
 	return l.Addr().String()
 }
 
-// UDP returns an address that nobody receives datagrams at.
+// UDP returns an address at which no socket receives datagrams. It fails the test if there is none.
 func UDP(t testing.TB) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", host()+":0")
@@ -35,7 +34,8 @@
 	return c.LocalAddr().String()
 }
 
+// host returns a random loopback address.
 func host() string {
-	n := 1<<16 + rand.IntN(1<<24-1<<17) // neither 127.0 nor the last of the block
+	n := 1<<16 + rand.IntN(1<<24-1<<17) // from 127.1.0.0 to 127.254.255.255
 	return fmt.Sprintf("127.%d.%d.%d", n>>16, n>>8&0xff, n&0xff)
 }
