--- a/cmd/registry/group_test.go
+++ b/cmd/registry/group_test.go
@@ -21,270 +21,267 @@
 	"dunlintray/internal/registry"
 )
 
-// While callers count up a record by compare-and-set and hold a lock by sessions, the
-// writer is killed, frozen and woken, and cut off, and in the end all are killed at once:
-// no count that was answered is lost or given twice, nobody else has the lock while its
-// holder may act on it, and writes go on after each.
-func TestGroup(t *testing.T) {
+// When the writer is killed, terminated, frozen or partitioned, and when all members are killed, the
+// group loses and duplicates no acknowledged write, keeps a lock exclusive and continues to write.
+func TestGroupSurvivesWriterFailures(t *testing.T) {
 	t.Parallel()
-	m := newMembers(t, 3, false)
+	members := newGroupProcesses(t, 3, false)
 	var mu sync.Mutex
-	got := map[int]int{} // times that a count was answered
+	answersOf := map[int]int{} // answers by count
 	var answered, unknown atomic.Int64
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
-			c := group.NewClient(m.at)
-			defer c.Close()
+			client := group.NewClient(members.addresses)
+			defer client.Close()
 			for ctx.Err() == nil {
-				within, cancel := context.WithTimeout(ctx, patience)
-				r, _, err := c.Get(within, "count")
-				var n int
+				callCtx, cancel := context.WithTimeout(ctx, waitTimeout)
+				record, _, err := client.Get(callCtx, "count")
+				var count int
 				if err == nil {
-					json.Unmarshal(r.Value, &n)
+					json.Unmarshal(record.Value, &count)
 					var result ledger.Result
-					result, err = c.Do(within, ledger.Command{Op: ledger.Put, Name: "count", Value: fmt.Append(nil, n+1), Expect: &r.Version})
+					result, err = client.Do(callCtx, ledger.Command{Op: ledger.Put, Name: "count", Value: fmt.Append(nil, count+1), Expect: &record.Version})
 					switch {
 					case err == nil && result.Code == ledger.OK:
 						mu.Lock()
-						got[n+1]++
+						answersOf[count+1]++
 						mu.Unlock()
 						answered.Add(1)
 					case err != nil:
 						unknown.Add(1)
 					case result.Code != ledger.Conflict:
-						t.Errorf("%+v", result)
+						t.Errorf("compare-and-set: result %+v, want success or a conflict", result)
 					}
 				}
 				cancel()
 				if err != nil && ctx.Err() == nil {
-					t.Errorf("for %v no answer: %v", patience, err)
+					t.Errorf("no answer within %v: %v", waitTimeout, err)
 				}
 			}
 		})
 	}
-	// Two want the lock; each goes away without a word now and then.
-	var inside, locked atomic.Int64
+	// Two clients compete for the lock, and abandon their sessions.
+	var holders, acquisitions atomic.Int64
 	for n := range 2 {
 		wg.Go(func() {
-			c := group.NewClient(m.at)
-			defer c.Close()
+			client := group.NewClient(members.addresses)
+			defer client.Close()
 			for ctx.Err() == nil {
-				life, leave := context.WithCancel(ctx)
-				h, err := c.HoldSession(life, ledger.MinTTL)
+				sessionCtx, abandonSession := context.WithCancel(ctx)
+				session, err := client.HoldSession(sessionCtx, ledger.MinTTL)
 				if err != nil {
-					leave()
-					continue // ctx is over, or the answer came too late
+					abandonSession()
+					continue // ctx has ended, or the answer came too late
 				}
-				none := uint64(0)
-				r, err := c.Do(life, ledger.Command{Op: ledger.Put, Name: "lock", Value: fmt.Append(nil, n), Session: h.ID(), Expect: &none})
-				if err == nil && r.Code == ledger.OK && h.Valid() {
-					locked.Add(1)
-					if inside.Add(1) > 1 && h.Valid() {
-						t.Error("two have the lock")
+				noVersion := uint64(0)
+				result, err := client.Do(sessionCtx, ledger.Command{Op: ledger.Put, Name: "lock", Value: fmt.Append(nil, n), Session: session.ID(), Expect: &noVersion})
+				if err == nil && result.Code == ledger.OK && session.Valid() {
+					acquisitions.Add(1)
+					if holders.Add(1) > 1 && session.Valid() {
+						t.Error("two clients hold the lock")
 					}
 					for range 20 {
-						if !h.Valid() {
+						if !session.Valid() {
 							break
 						}
-						time.Sleep(5 * time.Millisecond) // it acts
+						time.Sleep(5 * time.Millisecond)
 					}
-					inside.Add(-1)
+					holders.Add(-1)
 				}
-				leave()
-				<-h.Lost()
+				abandonSession()
+				<-session.Lost()
 			}
 		})
 	}
-	more := func(what string) {
+	mustProgress := func(what string) {
 		t.Helper()
 		before := answered.Load()
-		until(t, "writes go on: "+what, func() bool { return answered.Load() > before+20 })
+		waitFor(t, "writes continue: "+what, func() bool { return answered.Load() > before+20 })
 	}
-	m.writer(0, 1, 2)
-	more("at the start")
+	members.waitForWriter(0, 1, 2)
+	mustProgress("at the start")
 
-	w := m.writer(0, 1, 2)
-	m.kill(w)
-	more("the writer is killed")
-	m.start(w)
+	writer := members.waitForWriter(0, 1, 2)
+	members.kill(writer)
+	mustProgress("the writer is killed")
+	members.start(writer)
 
-	// One that is told to end hands over: nobody has to miss its word.
-	w = m.writer(0, 1, 2)
-	m.end(w)
-	more("the writer was told to end")
-	c := group.NewClient(m.at)
-	defer c.Close()
-	next := m.writer((w+1)%3, (w+2)%3)
-	if s, err := c.Status(t.Context(), m.at[next]); err != nil || s.TransfersReceived == 0 {
-		t.Errorf("%+v, %v", s, err)
+	// A writer that is terminated transfers its role instead of letting an election time out.
+	writer = members.waitForWriter(0, 1, 2)
+	members.terminate(writer)
+	mustProgress("the writer is terminated")
+	client := group.NewClient(members.addresses)
+	defer client.Close()
+	successor := members.waitForWriter((writer+1)%3, (writer+2)%3)
+	if status, err := client.Status(t.Context(), members.addresses[successor]); err != nil || status.TransfersReceived == 0 {
+		t.Errorf("status %+v, %v; want a received transfer", status, err)
 	}
-	m.start(w)
+	members.start(writer)
 
-	w = m.writer(0, 1, 2)
-	m.signal(w, syscall.SIGSTOP)
-	more("the writer is frozen")
-	m.signal(w, syscall.SIGCONT)
-	more("it wakes")
+	writer = members.waitForWriter(0, 1, 2)
+	members.signal(writer, syscall.SIGSTOP)
+	mustProgress("the writer is frozen")
+	members.signal(writer, syscall.SIGCONT)
+	mustProgress("it wakes")
 
-	w = m.writer(0, 1, 2)
-	m.cut(w, link.Dropped)
-	m.writer((w+1)%3, (w+2)%3)
-	more("the writer is cut off")
-	m.cut(w, link.Up)
-	more("it is back")
+	writer = members.waitForWriter(0, 1, 2)
+	members.setLinks(writer, link.Dropped)
+	members.waitForWriter((writer+1)%3, (writer+2)%3)
+	mustProgress("the writer is partitioned")
+	members.setLinks(writer, link.Up)
+	mustProgress("the partition heals")
 
-	until(t, "the lock changes hands", func() bool { return locked.Load() > 3 })
+	waitFor(t, "the lock changes hands", func() bool { return acquisitions.Load() > 3 })
 	for n := range 3 {
-		m.kill(n)
+		members.kill(n)
 	}
 	for n := range 3 {
-		m.start(n)
+		members.start(n)
 	}
-	more("all were killed")
+	mustProgress("all were killed")
 	stop()
 	wg.Wait()
 
-	within, cancel := context.WithTimeout(t.Context(), patience)
+	callCtx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	r, _, err := c.Get(within, "count")
-	var n int
-	if err := errors.Join(err, json.Unmarshal(r.Value, &n)); err != nil {
+	record, _, err := client.Get(callCtx, "count")
+	var final int
+	if err := errors.Join(err, json.Unmarshal(record.Value, &final)); err != nil {
 		t.Fatal(err)
 	}
-	for count, times := range got {
-		if times != 1 || count > n {
-			t.Errorf("count %d was answered %d times, the record is at %d", count, times, n)
+	for count, times := range answersOf {
+		if times != 1 || count > final {
+			t.Errorf("count %d was answered %d times, the record is at %d", count, times, final)
 		}
 	}
-	if lost := n - len(got); lost < 0 || int64(lost) > unknown.Load() {
-		t.Errorf("the record is at %d with %d counts answered and %d not known", n, len(got), unknown.Load())
+	if lost := final - len(answersOf); lost < 0 || int64(lost) > unknown.Load() {
+		t.Errorf("the record is at %d with %d counts acknowledged and %d unknown", final, len(answersOf), unknown.Load())
 	}
-	t.Logf("%d counts, %d not known, the lock was had %d times", len(got), unknown.Load(), locked.Load())
+	t.Logf("%d counts acknowledged, %d unknown, the lock was acquired %d times", len(answersOf), unknown.Load(), acquisitions.Load())
 }
 
-// A list that a group agrees on: backends register by any member while the writer is
-// killed, frozen and cut off. What was answered is on the list of all members, in one
-// history, and a reader goes on from its version at any of them.
-func TestGroupList(t *testing.T) {
+// While the writer is killed, frozen or partitioned, acknowledged registrations reach the lists of
+// all members in one history, and a reader continues from its version at any member.
+func TestGroupListSurvivesWriterFailures(t *testing.T) {
 	t.Parallel()
-	m := newMembers(t, 3, true)
+	members := newGroupProcesses(t, 3, true)
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
-	kept := map[string]int64{}
-	var answered, tried atomic.Int64
+	acknowledged := map[string]int64{}
+	var answered, lastStart atomic.Int64
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var wg sync.WaitGroup
 	for n := range 4 {
 		wg.Go(func() {
-			for at := n; ctx.Err() == nil; {
-				id, started := fmt.Sprint("s-", n), tried.Add(1)
-				req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+m.lists[at%3]+registry.Path+"/"+id,
+			for member := n; ctx.Err() == nil; {
+				id, started := fmt.Sprint("s-", n), lastStart.Add(1)
+				req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+members.registryAddresses[member%3]+registry.Path+"/"+id,
 					strings.NewReader(fmt.Sprintf(`{"hostPort":"127.0.0.1:80","zone":"a","machineType":"m","startedAtMs":%d}`, started)))
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				resp, err := client.Do(req) // the writer's address is followed
+				resp, err := client.Do(req) // follows redirects to the writer
 				if err != nil {
-					at++
+					member++
 					continue
 				}
 				resp.Body.Close()
 				if resp.StatusCode == http.StatusOK {
 					mu.Lock()
-					kept[id] = started
+					acknowledged[id] = started
 					mu.Unlock()
 					answered.Add(1)
 				} else {
-					at++
-					time.Sleep(5 * time.Millisecond) // nobody writes now
+					member++
+					time.Sleep(5 * time.Millisecond) // no writer at present
 				}
 			}
 		})
 	}
 	feed := registry.NewFeed([]string{"any"}, rand.New(rand.NewPCG(1, 1)))
-	version, histories, have := int64(0), map[string]bool{}, map[string]int64{}
-	// look reads what has changed from one member, and says whether it has all that was
-	// kept before.
-	look := func(n int, want map[string]int64) bool {
-		ask := feed.Next()
-		url := "http://" + m.lists[n] + registry.Path
-		if !ask.Full {
-			url += fmt.Sprintf("?since=%d&history=%s", ask.Since, ask.History)
+	version, histories, starts := int64(0), map[string]bool{}, map[string]int64{}
+	// readChanges reads the changes from one member and reports whether the reader then has all
+	// registrations in want.
+	readChanges := func(n int, want map[string]int64) bool {
+		request := feed.Next()
+		url := "http://" + members.registryAddresses[n] + registry.Path
+		if !request.Full {
+			url += fmt.Sprintf("?since=%d&history=%s", request.Since, request.History)
 		}
 		status, text, header := get(url)
 		if status != http.StatusOK {
 			return false
 		}
-		l, err := registry.ParseListing([]byte(text))
+		listing, err := registry.ParseListing([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		news, err := feed.Answered(l, header.Get(registry.HistoryHeader), 0)
+		changes, err := feed.Answered(listing, header.Get(registry.HistoryHeader), 0)
 		if err != nil {
-			return false // of a member that is behind
+			return false // the member has an older list
 		}
-		if l.Reset && version > 0 {
-			t.Errorf("a reader at version %d is told everything anew", version)
+		if listing.Reset && version > 0 {
+			t.Errorf("a reader at version %d receives a full list", version)
 		}
-		version = l.Generation
+		version = listing.Generation
 		histories[header.Get(registry.HistoryHeader)] = true
-		for _, i := range news.Instances {
-			if have[i.ID] = i.StartedAtMs; i.Lifecycle == registry.Gone {
-				delete(have, i.ID)
+		for _, instance := range changes.Instances {
+			if starts[instance.ID] = instance.StartedAtMs; instance.Lifecycle == registry.Gone {
+				delete(starts, instance.ID)
 			}
 		}
 		for id, started := range want {
-			if have[id] < started {
+			if starts[id] < started {
 				return false
 			}
 		}
 		return true
 	}
-	more := func(what string) {
+	mustProgress := func(what string) {
 		t.Helper()
 		before := answered.Load()
-		until(t, "registrations go on: "+what, func() bool { return answered.Load() > before+20 })
+		waitFor(t, "registrations continue: "+what, func() bool { return answered.Load() > before+20 })
 		mu.Lock()
-		want := maps.Clone(kept)
+		want := maps.Clone(acknowledged)
 		mu.Unlock()
 		for n := range 3 {
-			if status, _, _ := get("http://" + m.lists[n] + registry.Path); status == http.StatusOK {
-				until(t, fmt.Sprintf("member %d has what was kept: %s", n+1, what), func() bool { return look(n, want) })
+			if status, _, _ := get("http://" + members.registryAddresses[n] + registry.Path); status == http.StatusOK {
+				waitFor(t, fmt.Sprintf("member %d has the acknowledged registrations: %s", n+1, what), func() bool { return readChanges(n, want) })
 			}
 		}
 	}
-	until(t, "the list is whole", func() bool {
-		status, _, _ := get("http://" + m.lists[0] + registry.Path)
+	waitFor(t, "the list is complete", func() bool {
+		status, _, _ := get("http://" + members.registryAddresses[0] + registry.Path)
 		return status == http.StatusOK
 	})
-	more("at the start")
-	w := m.writer(0, 1, 2)
-	m.kill(w)
-	more("the writer is killed")
-	m.start(w)
-	w = m.writer(0, 1, 2)
-	m.cut(w, link.Dropped)
-	m.writer((w+1)%3, (w+2)%3)
+	mustProgress("at the start")
+	writer := members.waitForWriter(0, 1, 2)
+	members.kill(writer)
+	mustProgress("the writer is killed")
+	members.start(writer)
+	writer = members.waitForWriter(0, 1, 2)
+	members.setLinks(writer, link.Dropped)
+	members.waitForWriter((writer+1)%3, (writer+2)%3)
 	before := answered.Load()
-	until(t, "registrations go on while the writer is cut off", func() bool { return answered.Load() > before+20 })
-	m.cut(w, link.Up)
-	more("it is back")
-	w = m.writer(0, 1, 2)
-	m.signal(w, syscall.SIGSTOP)
+	waitFor(t, "registrations continue while the writer is partitioned", func() bool { return answered.Load() > before+20 })
+	members.setLinks(writer, link.Up)
+	mustProgress("the partition heals")
+	writer = members.waitForWriter(0, 1, 2)
+	members.signal(writer, syscall.SIGSTOP)
 	before = answered.Load()
-	until(t, "registrations go on while the writer is frozen", func() bool { return answered.Load() > before+20 })
-	m.signal(w, syscall.SIGCONT)
-	more("it wakes")
+	waitFor(t, "registrations continue while the writer is frozen", func() bool { return answered.Load() > before+20 })
+	members.signal(writer, syscall.SIGCONT)
+	mustProgress("it wakes")
 	stop()
 	wg.Wait()
 	if len(histories) != 1 {
-		t.Errorf("histories %v", histories)
+		t.Errorf("histories %v, want one", histories)
 	}
-	t.Logf("%d registrations were answered", answered.Load())
+	t.Logf("%d registrations were acknowledged", answered.Load())
 }
--- a/cmd/registry/histories_test.go
+++ b/cmd/registry/histories_test.go
@@ -21,107 +21,106 @@
 	"dunlintray/internal/link"
 )
 
-// Callers put and read two registers at any members while a schedule drawn by seed kills,
-// freezes and cuts members off, one way too: what they were told can be put in one order.
-// GROUP_SEEDS asks for more schedules.
-func TestHistories(t *testing.T) {
+// Reads and writes of two registers are linearizable while a seeded schedule kills, freezes and
+// partitions members, also in one direction. GROUP_SEEDS sets the number of schedules.
+func TestHistoriesAreLinearizable(t *testing.T) {
 	t.Parallel()
 	seeds, err := strconv.Atoi(os.Getenv("GROUP_SEEDS"))
 	if err != nil {
 		seeds = 1
 	}
 	for seed := range uint64(seeds) {
-		m := newMembers(t, 3, false)
+		members := newGroupProcesses(t, 3, false)
 		random := rand.New(rand.NewPCG(seed, 1))
 		var mu sync.Mutex
 		var history []porcupine.Operation
-		var done atomic.Int64
-		began := time.Now()
+		var answered atomic.Int64
+		startedAt := time.Now()
 		ctx, stop := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		for n := range 4 {
 			random := rand.New(rand.NewPCG(seed, uint64(n+2)))
 			wg.Go(func() {
-				c := group.NewClient(m.at)
-				defer c.Close()
+				client := group.NewClient(members.addresses)
+				defer client.Close()
 				known := map[string]ledger.Record{}
-				for k := 0; ctx.Err() == nil; k++ {
-					in := linear.Asked{Name: []string{"a", "b"}[random.IntN(2)], Get: random.IntN(2) == 0, Any: random.IntN(3) == 0}
-					out := linear.Got{Known: true}
-					within, cancel := context.WithTimeout(ctx, 2*time.Second)
-					call := time.Since(began).Nanoseconds()
-					if in.Get {
-						r, _, err := c.Get(within, in.Name)
-						if out.Known = err == nil; out.Known {
-							json.Unmarshal(r.Value, &out.Value)
-							known[in.Name] = r
+				for number := 0; ctx.Err() == nil; number++ {
+					input := linear.Asked{Name: []string{"a", "b"}[random.IntN(2)], Get: random.IntN(2) == 0, Any: random.IntN(3) == 0}
+					output := linear.Got{Known: true}
+					callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+					calledAt := time.Since(startedAt).Nanoseconds()
+					if input.Get {
+						record, _, err := client.Get(callCtx, input.Name)
+						if output.Known = err == nil; output.Known {
+							json.Unmarshal(record.Value, &output.Value)
+							known[input.Name] = record
 						}
 					} else {
-						have := known[in.Name]
-						json.Unmarshal(have.Value, &in.Expect)
-						in.Value = fmt.Sprint(n, "-", k)
-						command := ledger.Command{Op: ledger.Put, Name: in.Name, Value: fmt.Appendf(nil, "%q", in.Value)}
-						if !in.Any {
-							command.Expect = &have.Version
+						expected := known[input.Name]
+						json.Unmarshal(expected.Value, &input.Expect)
+						input.Value = fmt.Sprint(n, "-", number)
+						command := ledger.Command{Op: ledger.Put, Name: input.Name, Value: fmt.Appendf(nil, "%q", input.Value)}
+						if !input.Any {
+							command.Expect = &expected.Version
 						}
-						r, err := c.Do(within, command)
-						out.Known, out.Conflict = err == nil, r.Code == ledger.Conflict
-						if err == nil && r.Code == ledger.OK {
-							known[in.Name] = ledger.Record{Name: in.Name, Version: r.Version, Value: command.Value}
+						result, err := client.Do(callCtx, command)
+						output.Known, output.Conflict = err == nil, result.Code == ledger.Conflict
+						if err == nil && result.Code == ledger.OK {
+							known[input.Name] = ledger.Record{Name: input.Name, Version: result.Version, Value: command.Value}
 						}
 					}
 					cancel()
-					end := time.Since(began).Nanoseconds()
-					if !out.Known {
-						if end = 1 << 60; in.Get {
+					returnedAt := time.Since(startedAt).Nanoseconds()
+					if !output.Known {
+						if returnedAt = 1 << 60; input.Get {
 							continue
 						}
 					}
 					mu.Lock()
-					history = append(history, porcupine.Operation{ClientId: n, Input: in, Call: call, Output: out, Return: end})
+					history = append(history, porcupine.Operation{ClientId: n, Input: input, Call: calledAt, Output: output, Return: returnedAt})
 					mu.Unlock()
-					if out.Known {
-						done.Add(1)
+					if output.Known {
+						answered.Add(1)
 					}
 				}
 			})
 		}
 		for range 6 {
-			w := m.writer(0, 1, 2)
-			one := []int{w, w, random.IntN(3)}[random.IntN(3)]
-			before := done.Load()
-			on := func() bool { return done.Load() > before+40 }
+			writer := members.waitForWriter(0, 1, 2)
+			target := []int{writer, writer, random.IntN(3)}[random.IntN(3)]
+			before := answered.Load()
+			progressed := func() bool { return answered.Load() > before+40 }
 			switch random.IntN(4) {
 			case 0:
-				m.kill(one)
-				until(t, "calls go on: one is killed", on)
-				m.start(one)
+				members.kill(target)
+				waitFor(t, "calls continue: a member is killed", progressed)
+				members.start(target)
 			case 1:
-				m.signal(one, syscall.SIGSTOP)
-				until(t, "calls go on: one is frozen", on)
-				m.signal(one, syscall.SIGCONT)
+				members.signal(target, syscall.SIGSTOP)
+				waitFor(t, "calls continue: a member is frozen", progressed)
+				members.signal(target, syscall.SIGCONT)
 			case 2:
-				m.cut(one, link.Dropped)
-				until(t, "calls go on: one is cut off", on)
-				m.cut(one, link.Up)
+				members.setLinks(target, link.Dropped)
+				waitFor(t, "calls continue: a member is partitioned", progressed)
+				members.setLinks(target, link.Up)
 			case 3:
 				for other := range 3 {
-					if r := m.relays[one][other]; r != nil {
-						r.Set(link.There, link.How{Kind: link.Stalled}) // it hears, and is not heard
+					if relay := members.relays[target][other]; relay != nil {
+						relay.Set(link.There, link.How{Kind: link.Stalled}) // the member can only receive
 					}
 				}
-				until(t, "calls go on: one is not heard", on)
-				m.cut(one, link.Up)
+				waitFor(t, "calls continue: a member can only receive", progressed)
+				members.setLinks(target, link.Up)
 			}
-			before = done.Load()
-			until(t, "calls go on: all are there", on)
+			before = answered.Load()
+			waitFor(t, "calls continue: all members are connected", progressed)
 		}
 		stop()
 		wg.Wait()
 		if result := porcupine.CheckOperationsTimeout(linear.Registers, history, time.Minute); result != porcupine.Ok {
-			t.Errorf("seed %d: %v", seed, result)
+			t.Errorf("seed %d: linearizability check: %v", seed, result)
 		}
-		t.Logf("seed %d: %d calls answered, %d in the history", seed, done.Load(), len(history))
-		m.killAll()
+		t.Logf("seed %d: %d calls answered, %d in the history", seed, answered.Load(), len(history))
+		members.killAll()
 	}
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,8 +1,9 @@
-// Registry is one list service: the writer, or a follower that copies it.
-// "registry promote ADDRESS" makes the follower with that control address the
-// writer.
-// REGISTRY_CONFIG or --config names its configuration; SIGHUP makes it read that again,
-// SIGTERM let its watchers move on and end.
+// Registry runs a service registry: the writer of the list of backends, a follower that copies a
+// writer, or a member of a group that replicates the list.
+//
+// REGISTRY_CONFIG or --config names its configuration file, which SIGHUP reloads. SIGTERM releases
+// its watchers and ends the process. The command "promote" makes a follower the writer; "recover"
+// and "takeover" work on the folder of a stopped process.
 package main
 
 import (
@@ -31,18 +32,18 @@
 	"dunlintray/internal/wal"
 )
 
-// config is what a list service is told.
+// config is the configuration of a service registry.
 type config struct {
-	Listen  string `json:"listen"`  // where readers and instances call
-	Control string `json:"control"` // where operators call; empty where they do not
-	Writer  string `json:"writer"`  // whom to copy; empty: this is the writer
+	Listen  string `json:"listen"`  // address for readers and instances
+	Control string `json:"control"` // address for operators; empty: none
+	Writer  string `json:"writer"`  // address of the writer to copy; empty: this is the writer
 	LeaseMs int    `json:"lease_ms"`
-	// DataDir is the folder that the list lasts in; empty: it does not.
+	// DataDir is the folder that the list is stored in; empty: the list is not stored.
 	DataDir string `json:"data_dir"`
-	// Peers are other list services that a writer asks, before it takes any write,
-	// whether one of them was put in its place.
+	// Peers are addresses of other service registries. A writer asks them, before it accepts
+	// writes, whether one of them has been promoted in its place.
 	Peers []string `json:"peers"`
-	// Group makes this service a member of a group that agrees on a ledger; absent: off.
+	// Group makes this process a member of a group that replicates a ledger; nil: it is none.
 	Group  *groupConfig `json:"group"`
 	Limits struct {
 		Instances    int     `json:"instances"`
@@ -52,82 +53,86 @@
 		Watchers     int     `json:"watchers"`
 		ListsPerS    float64 `json:"lists_per_s"`
 		DataMB       int     `json:"data_mb"`
-		// Of readers that read a part of the list.
-		Subscriptions      int   `json:"subscriptions"`       // sets of scopes that are kept
+		// Limits for readers of a part of the list, which subscribe to a set of scopes.
+		Subscriptions      int   `json:"subscriptions"`       // sets of scopes
 		SubscriptionScopes int   `json:"subscription_scopes"` // scopes of one set
 		SubscribedScopes   int   `json:"subscribed_scopes"`   // scopes of all sets
-		SubscriptionBytes  int64 `json:"subscription_bytes"`  // of a call that names a set
-		EmptyServices      int   `json:"empty_services"`      // services without instances that stay known
+		SubscriptionBytes  int64 `json:"subscription_bytes"`  // body of a request that defines a set
+		EmptyServices      int   `json:"empty_services"`      // remembered services without instances
 	} `json:"limits"`
 }
 
-// groupConfig is what a member of a group is told.
+// groupConfig is the configuration of a group member.
 type groupConfig struct {
 	Name    string            `json:"name"`
-	Self    uint64            `json:"self"`
-	Listen  string            `json:"listen"`  // where members and callers call
-	Members map[uint64]string `json:"members"` // addresses by number, this one's too
+	Self    uint64            `json:"self"`    // number of this member
+	Listen  string            `json:"listen"`  // address for members and clients of the group
+	Members map[uint64]string `json:"members"` // addresses by number, including this member's
 	DataDir string            `json:"data_dir"`
 	DataMB  int               `json:"data_mb"`
-	// Lists are the addresses of the members' list services: the group then agrees on
-	// the list too, and whoever writes in the group writes the list.
-	Lists map[uint64]string `json:"lists"`
-	// Join says that the group is there and this member is added to it ("dunlintray group
-	// add"). Members are then this one and some that it may ask.
+	// RegistryAddresses are the addresses of the members' service registries. If it is set, the
+	// group replicates the list too, and the leader of the group is the writer of the list.
+	RegistryAddresses map[uint64]string `json:"lists"`
+	// Join means that this member is added to an existing group ("dunlintray group add").
+	// Members are then this one and some others that it can ask.
 	Join bool `json:"join"`
 }
 
+// groupDataMB is the default of groupConfig.DataMB.
 const groupDataMB = 256
 
-func (c *groupConfig) group() group.Config {
-	g := group.Config{Name: c.Name, Self: c.Self, Members: c.Members, RegistryAddresses: c.Lists, Join: c.Join, Dir: c.DataDir, DataMB: c.DataMB, Limits: ledger.DefaultLimits}
-	if g.DataMB == 0 {
-		g.DataMB = groupDataMB
+// memberConfig returns the configuration for package group, with defaults applied.
+func (c *groupConfig) memberConfig() group.Config {
+	member := group.Config{Name: c.Name, Self: c.Self, Members: c.Members, RegistryAddresses: c.RegistryAddresses, Join: c.Join, Dir: c.DataDir, DataMB: c.DataMB, Limits: ledger.DefaultLimits}
+	if member.DataMB == 0 {
+		member.DataMB = groupDataMB
 	}
-	return g
+	return member
 }
 
-func (c *config) store() registry.Limits {
+func (c *config) storeLimits() registry.Limits {
 	return registry.Limits{Lease: time.Duration(c.LeaseMs) * time.Millisecond, Instances: c.Limits.Instances,
 		History: c.Limits.History, HistoryBytes: c.Limits.HistoryBytes, EmptyServices: c.Limits.EmptyServices}
 }
 
-func (c *config) serves() registry.ServerLimits {
+func (c *config) serverLimits() registry.ServerLimits {
 	return registry.ServerLimits{Connections: c.Limits.Connections, Watchers: c.Limits.Watchers, ListingsPerSecond: c.Limits.ListsPerS,
 		Subscriptions: c.Limits.Subscriptions, SubscriptionScopes: c.Limits.SubscriptionScopes,
 		SubscribedScopes: c.Limits.SubscribedScopes, SubscriptionBytes: c.Limits.SubscriptionBytes}
 }
 
+// readConfig reads, with defaults, and checks the configuration file.
 func readConfig(path string) (*config, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	defer f.Close()
-	c := &config{LeaseMs: 10_000}
-	c.Limits.Instances, c.Limits.History, c.Limits.HistoryBytes = 10_000, 20_000, 8<<20
-	c.Limits.Connections, c.Limits.Watchers, c.Limits.ListsPerS = 1024, 800, 100
-	c.Limits.DataMB = 512
-	c.Limits.Subscriptions, c.Limits.SubscriptionScopes, c.Limits.SubscribedScopes = 2000, 4096, 1<<18
-	c.Limits.SubscriptionBytes, c.Limits.EmptyServices = 1<<20, 4096
-	d := json.NewDecoder(f)
-	d.DisallowUnknownFields()
-	if err := d.Decode(c); err != nil {
+	defer file.Close()
+	parsed := &config{LeaseMs: 10_000}
+	parsed.Limits.Instances, parsed.Limits.History, parsed.Limits.HistoryBytes = 10_000, 20_000, 8<<20
+	parsed.Limits.Connections, parsed.Limits.Watchers, parsed.Limits.ListsPerS = 1024, 800, 100
+	parsed.Limits.DataMB = 512
+	parsed.Limits.Subscriptions, parsed.Limits.SubscriptionScopes, parsed.Limits.SubscribedScopes = 2000, 4096, 1<<18
+	parsed.Limits.SubscriptionBytes, parsed.Limits.EmptyServices = 1<<20, 4096
+	decoder := json.NewDecoder(file)
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(parsed); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if _, err := d.Token(); err != io.EOF {
-		return nil, fmt.Errorf("configuration %s: something stands behind it", path)
+	if _, err := decoder.Token(); err != io.EOF {
+		return nil, fmt.Errorf("configuration %s: unexpected data after the JSON object", path)
 	}
-	if err := c.check(); err != nil {
+	if err := parsed.check(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return c, nil
+	return parsed, nil
 }
 
+// check returns an error for the first invalid field.
 func (c *config) check() error {
 	addresses := map[string]string{"listen": c.Listen, "control": c.Control, "writer": c.Writer}
-	for n, peer := range c.Peers {
-		addresses[fmt.Sprintf("peers[%d]", n)] = peer
+	for index, peer := range c.Peers {
+		addresses[fmt.Sprintf("peers[%d]", index)] = peer
 	}
 	for key, address := range addresses {
 		if address == "" && (key == "control" || key == "writer") {
@@ -138,43 +143,43 @@
 		}
 	}
 	if c.Group != nil {
-		g := c.Group.group()
-		if err := g.Check(); err != nil {
+		member := c.Group.memberConfig()
+		if err := member.Check(); err != nil {
 			return fmt.Errorf("group: %w", err)
 		}
-		for n, at := range map[string]string{"listen": c.Group.Listen, "members, this one": c.Group.Members[c.Group.Self]} {
-			if _, port, err := net.SplitHostPort(at); err != nil || port == "" {
-				return fmt.Errorf("group: %s: %q is not an address with a port", n, at)
+		for key, address := range map[string]string{"listen": c.Group.Listen, "members, this one": c.Group.Members[c.Group.Self]} {
+			if _, port, err := net.SplitHostPort(address); err != nil || port == "" {
+				return fmt.Errorf("group: %s: %q is not an address with a port", key, address)
 			}
 		}
-		if lists := c.Group.Lists; lists != nil {
-			for n := range c.Group.Members {
-				if _, port, err := net.SplitHostPort(lists[n]); (err != nil || port == "") && !(c.Group.Join && n != c.Group.Self) {
-					return fmt.Errorf("group: lists: %q of member %d is not an address with a port", lists[n], n)
+		if registries := c.Group.RegistryAddresses; registries != nil {
+			for number := range c.Group.Members {
+				if _, port, err := net.SplitHostPort(registries[number]); (err != nil || port == "") && !(c.Group.Join && number != c.Group.Self) {
+					return fmt.Errorf("group: lists: %q of member %d is not an address with a port", registries[number], number)
 				}
 			}
 			if c.Writer != "" || c.DataDir != "" || len(c.Peers) > 0 {
-				return errors.New("group: lists: the group has the list, so there is no writer, data_dir or peers")
+				return errors.New("group: lists: writer, data_dir and peers must be empty, since the group replicates the list")
 			}
 		}
 		if c.Group.DataDir == c.DataDir {
-			return errors.New("group: data_dir is that of the list")
+			return fmt.Errorf("group: data_dir: %q is also the data_dir of the list", c.DataDir)
 		}
 	}
-	l := c.Limits
+	limits := c.Limits
 	switch {
 	case c.LeaseMs < 500 || c.LeaseMs > 600_000:
-		return fmt.Errorf("lease_ms: %d is not from 500 to 600000", c.LeaseMs)
-	case l.Instances < 1 || l.History < 1 || l.HistoryBytes < 1024 || l.Connections < 2 || l.Watchers < 1 || !(l.ListsPerS >= 1):
-		return errors.New("limits: each has to allow something")
-	case l.Subscriptions < 1 || l.SubscriptionScopes < 1 || l.SubscribedScopes < l.SubscriptionScopes || l.SubscriptionBytes < 1024 || l.EmptyServices < 1:
+		return fmt.Errorf("lease_ms: %d is not between 500 and 600000", c.LeaseMs)
+	case limits.Instances < 1 || limits.History < 1 || limits.HistoryBytes < 1024 || limits.Connections < 2 || limits.Watchers < 1 || !(limits.ListsPerS >= 1):
+		return errors.New("limits: instances, history, watchers and lists_per_s must be at least 1, connections at least 2, history_bytes at least 1024")
+	case limits.Subscriptions < 1 || limits.SubscriptionScopes < 1 || limits.SubscribedScopes < limits.SubscriptionScopes || limits.SubscriptionBytes < 1024 || limits.EmptyServices < 1:
 		return errors.New("limits: subscriptions: each has to allow something, and subscribed_scopes one whole subscription")
-	case l.SubscriptionScopes > registry.MaxScopes:
-		return fmt.Errorf("limits: subscription_scopes: %d is above %d", l.SubscriptionScopes, registry.MaxScopes)
-	case l.DataMB < 32:
-		return fmt.Errorf("limits: data_mb: %d is under 32", l.DataMB)
-	case l.Watchers >= l.Connections:
-		return fmt.Errorf("limits: %d watchers leave no room for writers among %d connections", l.Watchers, l.Connections)
+	case limits.SubscriptionScopes > registry.MaxScopes:
+		return fmt.Errorf("limits: subscription_scopes: %d is above %d", limits.SubscriptionScopes, registry.MaxScopes)
+	case limits.DataMB < 32:
+		return fmt.Errorf("limits: data_mb: %d is under 32", limits.DataMB)
+	case limits.Watchers >= limits.Connections:
+		return fmt.Errorf("limits: %d watchers leave no room for writers among %d connections", limits.Watchers, limits.Connections)
 	}
 	return nil
 }
@@ -182,13 +187,14 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if err := start(ctx); err != nil && !errors.Is(err, flag.ErrHelp) {
+	if err := runCommand(ctx); err != nil && !errors.Is(err, flag.ErrHelp) {
 		fmt.Fprintln(os.Stderr, "registry:", err)
 		os.Exit(1)
 	}
 }
 
-func start(ctx context.Context) error {
+// runCommand runs the command that the arguments name, by default the service registry.
+func runCommand(ctx context.Context) error {
 	if len(os.Args) > 1 {
 		switch args := os.Args[2:]; os.Args[1] {
 		case "promote":
@@ -214,219 +220,221 @@
 	return run(ctx, options.Config, func() {})
 }
 
-// run serves until ctx ends. It says when it has read its configuration.
-func run(ctx context.Context, path string, read func()) error {
+// run runs a service registry until ctx ends. It calls configRead once it has read its
+// configuration.
+func run(ctx context.Context, path string, configRead func()) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	c, err := readConfig(path)
+	current, err := readConfig(path)
 	if err != nil {
 		return err
 	}
-	read()
-	l, err := net.Listen("tcp", c.Listen)
+	configRead()
+	listener, err := net.Listen("tcp", current.Listen)
 	if err != nil {
 		return err
 	}
-	var operators net.Listener
-	if c.Control != "" {
-		if operators, err = net.Listen("tcp", c.Control); err != nil {
+	var controlListener net.Listener
+	if current.Control != "" {
+		if controlListener, err = net.Listen("tcp", current.Control); err != nil {
 			return err
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	var seed [32]byte
 	crand.Read(seed[:])
 	random := rand.New(rand.NewChaCha8(seed))
-	if c.Group != nil && c.Group.Lists != nil {
-		s := registry.NewGroupMember(c.Listen, c.store(), c.serves(), began, random)
-		go reload(ctx, path, c, hangups, func(next *config) { s.SetLimits(next.store(), next.serves()) })
-		return c.withGroup(ctx, s, func(ctx context.Context) error { return s.Serve(ctx, l, operators) })
-	}
-	var data *wal.Log
-	var kept *registry.Store
-	if c.DataDir != "" {
-		if err := os.MkdirAll(c.DataDir, 0o700); err != nil {
+	if current.Group != nil && current.Group.RegistryAddresses != nil {
+		server := registry.NewGroupMember(current.Listen, current.storeLimits(), current.serverLimits(), startedAt, random)
+		go reload(ctx, path, current, hangups, func(next *config) { server.SetLimits(next.storeLimits(), next.serverLimits()) })
+		return current.withGroup(ctx, server, func(ctx context.Context) error { return server.Serve(ctx, listener, controlListener) })
+	}
+	var log *wal.Log
+	var stored *registry.Store
+	if current.DataDir != "" {
+		if err := os.MkdirAll(current.DataDir, 0o700); err != nil {
 			return err
 		}
-		if data, kept, err = registry.Open(wal.Dir(c.DataDir), int64(c.Limits.DataMB)<<20, c.store(), 0); err != nil {
-			return fmt.Errorf("data_dir %s: %w", c.DataDir, err)
+		if log, stored, err = registry.Open(wal.Dir(current.DataDir), int64(current.Limits.DataMB)<<20, current.storeLimits(), 0); err != nil {
+			return fmt.Errorf("data_dir %s: %w", current.DataDir, err)
 		}
 	}
-	if c.Writer != "" {
-		slog.Info("starting", "listen", c.Listen, "writer", c.Writer)
-		f := registry.NewFollower(c.Listen, c.Writer, kept, c.store(), c.serves(), began, random)
-		if data != nil {
-			if err := f.Persist(data, false); err != nil {
+	if current.Writer != "" {
+		slog.Info("starting", "listen", current.Listen, "writer", current.Writer)
+		follower := registry.NewFollower(current.Listen, current.Writer, stored, current.storeLimits(), current.serverLimits(), startedAt, random)
+		if log != nil {
+			if err := follower.Persist(log, false); err != nil {
 				return err
 			}
 		}
-		if kept != nil && kept.IsWriter() {
-			slog.Warn("this follower was promoted and is the writer; its configuration still names another", "writer", c.Writer)
+		if stored != nil && stored.IsWriter() {
+			slog.Warn("this follower was promoted and is the writer; its configuration still names another", "writer", current.Writer)
 		}
-		go reload(ctx, path, c, hangups, func(next *config) {
-			f.SetLimits(next.store(), next.serves())
-			if next.Writer != c.Writer {
-				f.SetSource(ctx, next.Writer)
+		go reload(ctx, path, current, hangups, func(next *config) {
+			follower.SetLimits(next.storeLimits(), next.serverLimits())
+			if next.Writer != current.Writer {
+				follower.SetSource(ctx, next.Writer)
 			}
 		})
-		return c.withGroup(ctx, nil, func(ctx context.Context) error { return f.Serve(ctx, l, operators) })
+		return current.withGroup(ctx, nil, func(ctx context.Context) error { return follower.Serve(ctx, listener, controlListener) })
 	}
-	store := kept
+	store := stored
 	switch {
-	case kept == nil:
+	case stored == nil:
 		name := fmt.Sprintf("%016x", random.Uint64())
-		store = registry.NewStore(c.store(), name, began.UnixMilli(), 0)
-		slog.Info("starting a new history", "listen", c.Listen, "name", name, "version", began.UnixMilli(), "reads_in", c.store().Lease)
-	case !kept.IsWriter():
-		return fmt.Errorf("data_dir %s: it has a follower's copy; promote that follower, or begin in an empty folder", c.DataDir)
-	}
-	w := registry.NewWriter(c.Listen, store, c.serves(), began, random)
-	if data != nil {
-		if err := w.Persist(data, kept == nil); err != nil {
+		store = registry.NewStore(current.storeLimits(), name, startedAt.UnixMilli(), 0)
+		slog.Info("starting a new history", "listen", current.Listen, "name", name, "version", startedAt.UnixMilli(), "reads_in", current.storeLimits().Lease)
+	case !stored.IsWriter():
+		return fmt.Errorf("data_dir %s holds a follower's copy; promote that follower, or start in an empty folder", current.DataDir)
+	}
+	writer := registry.NewWriter(current.Listen, store, current.serverLimits(), startedAt, random)
+	if log != nil {
+		if err := writer.Persist(log, stored == nil); err != nil {
 			return err
 		}
 	}
-	w.QueryPeers(ctx, c.Peers)
-	if f := w.Fenced(); f != nil {
-		slog.Error("another writer was put in this one's place; make this one its follower", "writer", f.Writer, "epoch", f.Epoch)
+	writer.QueryPeers(ctx, current.Peers)
+	if fence := writer.Fenced(); fence != nil {
+		slog.Error("another writer was promoted in place of this one; configure this one as its follower", "writer", fence.Writer, "epoch", fence.Epoch)
 	}
-	go reload(ctx, path, c, hangups, func(next *config) { w.SetLimits(next.store(), next.serves()) })
-	return c.withGroup(ctx, nil, func(ctx context.Context) error { return w.Serve(ctx, l, operators) })
+	go reload(ctx, path, current, hangups, func(next *config) { writer.SetLimits(next.storeLimits(), next.serverLimits()) })
+	return current.withGroup(ctx, nil, func(ctx context.Context) error { return writer.Serve(ctx, listener, controlListener) })
 }
 
-// withGroup serves the list and, if this is a member of a group, that beside it, which
-// may agree on the list. If either ends, so does the other: a member whose disk has
-// failed is to be seen.
-func (c *config) withGroup(ctx context.Context, list *registry.Server, serve func(context.Context) error) error {
+// withGroup runs serve and, if Group is set, the group member until ctx ends. The group replicates
+// the list of server unless that is nil. If one of the two ends, withGroup ends the other, so that
+// a failed disk of the member becomes visible.
+func (c *config) withGroup(ctx context.Context, server *registry.Server, serve func(context.Context) error) error {
 	if c.Group == nil {
 		return serve(ctx)
 	}
 	if err := os.MkdirAll(c.Group.DataDir, 0o700); err != nil {
 		return err
 	}
-	of := c.Group.group()
-	if list != nil {
-		of.List = list
+	memberConfig := c.Group.memberConfig()
+	if server != nil {
+		memberConfig.List = server
 	}
-	g, err := group.Open(of, wal.Dir(c.Group.DataDir))
+	member, err := group.Open(memberConfig, wal.Dir(c.Group.DataDir))
 	if err != nil {
 		return fmt.Errorf("group: data_dir %s: %w", c.Group.DataDir, err)
 	}
-	l, err := net.Listen("tcp", c.Group.Listen)
+	listener, err := net.Listen("tcp", c.Group.Listen)
 	if err != nil {
 		return err
 	}
-	if list != nil {
-		list.SetGroup(g)
+	if server != nil {
+		server.SetGroup(member)
 	}
 	slog.Info("member of a group", "name", c.Group.Name, "self", c.Group.Self, "members", len(c.Group.Members), "listen", c.Group.Listen)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	parts := []func(context.Context) error{serve, g.Run, func(ctx context.Context) error { return g.Serve(ctx, l) }}
-	ended := make(chan error, len(parts))
-	for _, part := range parts {
-		go func() { ended <- part(ctx) }()
-	}
-	var all []error
-	for range parts {
-		all = append(all, <-ended)
+	tasks := []func(context.Context) error{serve, member.Run, func(ctx context.Context) error { return member.Serve(ctx, listener) }}
+	results := make(chan error, len(tasks))
+	for _, task := range tasks {
+		go func() { results <- task(ctx) }()
+	}
+	var failures []error
+	for range tasks {
+		failures = append(failures, <-results)
 		stop()
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
-// offline reads the configuration of a member that is stopped.
-func offline(path string) (*config, *registry.Server, group.Config, error) {
+// loadStoppedMember reads the configuration of a stopped group member. Its server is nil if the
+// group does not replicate the list.
+func loadStoppedMember(path string) (*config, *registry.Server, group.Config, error) {
 	c, err := readConfig(path)
 	if err != nil {
 		return nil, nil, group.Config{}, err
 	}
 	if c.Group == nil {
-		return nil, nil, group.Config{}, fmt.Errorf("%s: it is no member of a group", path)
+		return nil, nil, group.Config{}, fmt.Errorf("configuration %s: not of a group member: group is missing", path)
 	}
-	var list *registry.Server
-	if c.Group.Lists != nil {
+	var server *registry.Server
+	if c.Group.RegistryAddresses != nil {
 		var seed [32]byte
 		crand.Read(seed[:])
-		list = registry.NewGroupMember(c.Listen, c.store(), c.serves(), time.Now(), rand.New(rand.NewChaCha8(seed)))
+		server = registry.NewGroupMember(c.Listen, c.storeLimits(), c.serverLimits(), time.Now(), rand.New(rand.NewChaCha8(seed)))
 	}
-	return c, list, c.Group.group(), os.MkdirAll(c.Group.DataDir, 0o700)
+	return c, server, c.Group.memberConfig(), os.MkdirAll(c.Group.DataDir, 0o700)
 }
 
-// recoverGroup makes a group of the one member that is left.
+// recoverGroup turns the only remaining member into a group of one.
 func recoverGroup(args []string, out io.Writer) error {
 	if len(args) != 2 || args[1] != "--others-are-lost" {
-		return errors.New("recover CONFIG --others-are-lost: the configuration of the member that is to go on alone. What the others had agreed on without it is lost, and they refuse for good")
+		return errors.New("recover CONFIG --others-are-lost: CONFIG is the configuration of the only remaining member. Entries that the others committed without it are lost, and the others must not run again")
 	}
-	c, list, of, err := offline(args[0])
+	c, server, member, err := loadStoppedMember(args[0])
 	if err != nil {
 		return err
 	}
-	var lists group.RecoverableList
-	if list != nil {
-		lists = list
+	var list group.RecoverableList
+	if server != nil {
+		list = server
 	}
-	lost, err := group.Recover(of, wal.Dir(c.Group.DataDir), lists)
+	recovery, err := group.Recover(member, wal.Dir(c.Group.DataDir), list)
 	if err != nil {
 		return fmt.Errorf("recover: %w", err)
 	}
-	fmt.Fprintf(out, "member %d is the group from now on, as generation %s\n", c.Group.Self, lost.Generation)
-	fmt.Fprintf(out, "it has all up to entry %d of term %d; what was agreed on behind that, if anything, is lost though it was answered\n", lost.LastIndex, lost.Term)
-	if lost.LastIndex > lost.CommitIndex {
-		fmt.Fprintf(out, "entries %d to %d were not known to be agreed on; they are from now on\n", lost.CommitIndex+1, lost.LastIndex)
+	fmt.Fprintf(out, "member %d is now the only member of the group, with generation %s\n", c.Group.Self, recovery.Generation)
+	fmt.Fprintf(out, "its last entry is %d of term %d; entries committed after that, if any, are lost although they were answered\n", recovery.LastIndex, recovery.Term)
+	if recovery.LastIndex > recovery.CommitIndex {
+		fmt.Fprintf(out, "entries %d to %d were not known to be committed; they are committed now\n", recovery.CommitIndex+1, recovery.LastIndex)
 	}
-	for _, n := range group.MemberNumbers(lost.Former) {
-		fmt.Fprintf(out, "member %d at %s is left behind: it refuses once it hears of this; empty its folder and add it under a new number\n", n, lost.Former[n].Address)
+	for _, number := range group.MemberNumbers(recovery.Former) {
+		fmt.Fprintf(out, "member %d at %s is removed: it refuses to run once it learns of this; empty its folder and add it under a new number\n", number, recovery.Former[number].Address)
 	}
 	return nil
 }
 
-// takeOver begins a group of one with the list of a writer that is stopped.
+// takeOver starts a group of one with the list of a stopped writer or follower.
 func takeOver(args []string, out io.Writer) error {
 	if len(args) != 2 {
-		return errors.New("takeover CONFIG DATA_DIR: the configuration of a group of one, and the folder of the writer, or of a follower, whose list it is to have")
+		return errors.New("takeover CONFIG DATA_DIR: CONFIG is the configuration of a group of one, DATA_DIR the folder of the writer or follower whose list the group takes over")
 	}
-	c, list, of, err := offline(args[0])
+	c, server, member, err := loadStoppedMember(args[0])
 	switch {
 	case err != nil:
 		return err
-	case list == nil:
+	case server == nil:
 		return errors.New("takeover: the configuration has no group.lists, so the group would have no list")
 	}
 	if _, err := os.Stat(args[1]); err != nil {
 		return fmt.Errorf("takeover: %w", err)
 	}
-	log, store, err := registry.Open(wal.Dir(args[1]), int64(c.Limits.DataMB)<<20, c.store(), 0)
+	log, store, err := registry.Open(wal.Dir(args[1]), int64(c.Limits.DataMB)<<20, c.storeLimits(), 0)
 	if err != nil {
 		return fmt.Errorf("takeover: %s: %w", args[1], err)
 	}
 	defer log.Close()
 	if store == nil {
-		return fmt.Errorf("takeover: %s: there is nothing in it", args[1])
+		return fmt.Errorf("takeover: %s: the folder contains no list", args[1])
 	}
-	copied, err := list.TakeOver(store)
+	copied, err := server.TakeOver(store)
 	if err != nil {
 		return fmt.Errorf("takeover: %s: %w", args[1], err)
 	}
-	if err := group.Bootstrap(of, wal.Dir(c.Group.DataDir), list); err != nil {
+	if err := group.Bootstrap(member, wal.Dir(c.Group.DataDir), server); err != nil {
 		return fmt.Errorf("takeover: %w", err)
 	}
 	if copied {
-		fmt.Fprintln(out, "it is a follower's copy: what its writer took and it had not copied is lost, and the list has a new history")
+		fmt.Fprintln(out, "the folder holds a follower's copy: writes that the follower had not copied are lost, and the list has a new history")
 	}
 	fmt.Fprintln(out, "the list was taken over; start this member, and add others to it. Do not start the writer again")
 	return nil
 }
 
-const promoteWait = 10 * time.Second
+const promoteTimeout = 10 * time.Second
 
-// promote calls a follower's control address.
+// promote makes the follower with a control address the writer.
 func promote(ctx context.Context, args []string) error {
 	if len(args) != 1 {
-		return errors.New("promote: one control address")
+		return fmt.Errorf("promote ADDRESS: got %d arguments; ADDRESS is the control address of a follower", len(args))
 	}
-	ctx, cancel := context.WithTimeout(ctx, promoteWait)
+	ctx, cancel := context.WithTimeout(ctx, promoteTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+args[0]+"/control/promote", nil)
 	if err != nil {
@@ -438,17 +446,17 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		const most = 1 << 10
-		text, err := io.ReadAll(io.LimitReader(resp.Body, most))
+		const maxAnswerBytes = 1 << 10
+		text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 		return errors.Join(fmt.Errorf("promote: %s: %s", resp.Status, bytes.TrimSpace(text)), err)
 	}
 	fmt.Println(args[0], "is the writer; name it in the configurations of backends, followers and gateways")
 	return nil
 }
 
-// reload reads the configuration again at each hangup until ctx ends. What it
-// listens on, and whether it writes, needs a new start.
-func reload(ctx context.Context, path string, c *config, hangups <-chan os.Signal, take func(*config)) {
+// reload reads the configuration again at each hangup until ctx ends and passes it to apply. It
+// rejects changes that need a restart.
+func reload(ctx context.Context, path string, current *config, hangups <-chan os.Signal, apply func(*config)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -456,15 +464,15 @@
 		case <-hangups:
 		}
 		next, err := readConfig(path)
-		if err == nil && (next.Listen != c.Listen || next.Control != c.Control || next.DataDir != c.DataDir || (next.Writer == "") != (c.Writer == "") || !reflect.DeepEqual(next.Group, c.Group)) {
-			err = errors.New("listen, control, data_dir, group, and whether there is a writer to copy need a new start")
+		if err == nil && (next.Listen != current.Listen || next.Control != current.Control || next.DataDir != current.DataDir || (next.Writer == "") != (current.Writer == "") || !reflect.DeepEqual(next.Group, current.Group)) {
+			err = errors.New("changes of listen, control, data_dir or group, and between writer and follower, need a restart")
 		}
 		if err != nil {
 			slog.Error("not reloaded", "error", err)
 			continue
 		}
-		take(next)
-		*c = *next
-		slog.Info("reloaded", "config", fmt.Sprintf("%+v", *c))
+		apply(next)
+		*current = *next
+		slog.Info("reloaded", "config", fmt.Sprintf("%+v", *current))
 	}
 }
--- a/cmd/registry/main_test.go
+++ b/cmd/registry/main_test.go
@@ -20,10 +20,10 @@
 	"dunlintray/internal/testnet"
 )
 
-// patience bounds every wait of a test; none is expected to last so long.
-const patience = 20 * time.Second
+// waitTimeout limits each wait in the tests.
+const waitTimeout = 20 * time.Second
 
-// TestMain lets the test binary stand in for the command.
+// TestMain runs the command instead of the tests if REGISTRY_AS_COMMAND is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("REGISTRY_AS_COMMAND") != "" {
 		main()
@@ -32,18 +32,18 @@
 	os.Exit(m.Run())
 }
 
-// Killed a hundred times under writes, the service has each time all that it told
-// to be kept, in one history.
-func TestKilledUnderWrites(t *testing.T) {
+// After each of 100 kills during writes, the registry has all acknowledged writes, none that was
+// not sent, and the same history.
+func TestAcknowledgedWritesSurviveKills(t *testing.T) {
 	address, dir := testnet.TCP(t), t.TempDir()
 	path := filepath.Join(dir, "config.json")
 	os.WriteFile(path, fmt.Appendf(nil, `{"listen":%q,"data_dir":%q,"lease_ms":600000,"limits":{"data_mb":32}}`, address, filepath.Join(dir, "data")), 0o600)
-	kept := map[string]int64{} // the start that was told to be kept last
+	acknowledgedStarts := map[string]int64{} // latest acknowledged start by instance
 	var mu sync.Mutex
-	var tried atomic.Int64
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
-	history, acknowledged := "", 0
-	for life := range 100 {
+	var lastStart atomic.Int64
+	client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
+	history, acknowledgments := "", 0
+	for incarnation := range 100 {
 		cmd := exec.Command(os.Args[0], "--config", path, "--log-level", "error")
 		cmd.Env = append(os.Environ(), "REGISTRY_AS_COMMAND=1")
 		cmd.Stderr = os.Stderr
@@ -51,47 +51,47 @@
 			t.Fatal(err)
 		}
 		url := "http://" + address + "/registry/instances"
-		until(t, "it takes writes", func() bool {
+		waitFor(t, "the registry answers", func() bool {
 			resp, err := client.Get("http://" + address + "/registry/fence")
 			if err == nil {
 				resp.Body.Close()
 			}
 			return err == nil
 		})
-		if life > 0 {
+		if incarnation > 0 {
 			resp, err := client.Get(url)
 			if err != nil {
 				t.Fatal(err)
 			}
 			text, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
-			l, err := registry.ParseListing(text)
+			listing, err := registry.ParseListing(text)
 			if name := resp.Header.Get(registry.HistoryHeader); err != nil || history != "" && name != history {
-				t.Fatalf("life %d: history %s, before %s, %v: %s", life, name, history, err, text)
+				t.Fatalf("run %d: history %s, before %s, %v: %s", incarnation, name, history, err, text)
 			}
 			history = resp.Header.Get(registry.HistoryHeader)
-			have := map[string]int64{}
-			for _, i := range l.Instances {
-				have[i.ID] = i.StartedAtMs
+			starts := map[string]int64{}
+			for _, i := range listing.Instances {
+				starts[i.ID] = i.StartedAtMs
 			}
-			for id, started := range kept {
-				if have[id] < started {
-					t.Fatalf("life %d: %s is at %d, though %d was kept", life, id, have[id], started)
+			for id, started := range acknowledgedStarts {
+				if starts[id] < started {
+					t.Fatalf("run %d: %s has the start %d, but %d was acknowledged", incarnation, id, starts[id], started)
 				}
 			}
-			for id, started := range have {
-				if started > tried.Load() {
-					t.Fatalf("life %d: %s is at %d, which nobody wrote", life, id, started)
+			for id, started := range starts {
+				if started > lastStart.Load() {
+					t.Fatalf("run %d: %s has the start %d, which was never sent", incarnation, id, started)
 				}
 			}
 		}
-		// Writers go on until the process is gone; it goes after some of them were told.
-		enough := make(chan struct{}, 64)
+		// Writers continue until the process is killed, which happens after some acknowledgments.
+		writes := make(chan struct{}, 64)
 		var wg sync.WaitGroup
 		for n := range 4 {
 			wg.Go(func() {
 				for {
-					id, started := fmt.Sprintf("s-%d-%d", n, rand.IntN(10)), tried.Add(1)
+					id, started := fmt.Sprintf("s-%d-%d", n, rand.IntN(10)), lastStart.Add(1)
 					req, _ := http.NewRequest("PUT", url+"/"+id, strings.NewReader(fmt.Sprintf(`{"hostPort":"127.0.0.1:80","zone":"a","machineType":"m","startedAtMs":%d}`, started)))
 					resp, err := client.Do(req)
 					if err != nil {
@@ -100,11 +100,11 @@
 					resp.Body.Close()
 					if resp.StatusCode == 200 {
 						mu.Lock()
-						kept[id] = max(kept[id], started)
-						acknowledged++
+						acknowledgedStarts[id] = max(acknowledgedStarts[id], started)
+						acknowledgments++
 						mu.Unlock()
 						select {
-						case enough <- struct{}{}:
+						case writes <- struct{}{}:
 						default:
 						}
 					}
@@ -113,18 +113,19 @@
 		}
 		for range 1 + rand.IntN(40) {
 			select {
-			case <-enough:
-			case <-time.After(patience):
-				t.Fatal("no write was kept")
+			case <-writes:
+			case <-time.After(waitTimeout):
+				t.Fatalf("no write was acknowledged within %v", waitTimeout)
 			}
 		}
 		cmd.Process.Kill()
 		cmd.Wait()
 		wg.Wait()
 	}
-	t.Logf("%d writes were told to be kept", acknowledged)
+	t.Logf("%d writes were acknowledged", acknowledgments)
 }
 
+// get returns the status, body and header of a GET request; the status is 0 if there was no answer.
 func get(url string) (int, string, http.Header) {
 	resp, err := http.Get(url)
 	if err != nil {
@@ -135,16 +136,18 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits until the condition holds.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 	}
 }
 
-// launch runs the program with a configuration until the test ends.
+// launch runs a service registry in this process until the test ends, and returns the path of its
+// configuration.
 func launch(t *testing.T, config string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "config.json")
@@ -152,67 +155,69 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended, read := make(chan error, 1), make(chan struct{})
-	go func() { ended <- run(ctx, path, func() { close(read) }) }()
+	result, configRead := make(chan error, 1), make(chan struct{})
+	go func() { result <- run(ctx, path, func() { close(configRead) }) }()
 	t.Cleanup(func() {
 		stop()
-		if err := <-ended; err != nil {
+		if err := <-result; err != nil {
 			t.Error(err)
 		}
 	})
 	select {
-	case <-read:
-	case <-time.After(patience):
-		t.Fatal("never started")
+	case <-configRead:
+	case <-time.After(waitTimeout):
+		t.Fatalf("the configuration was not read within %v", waitTimeout)
 	}
 	return path
 }
 
-// An operator runs a writer and a follower, and points the follower elsewhere.
-func TestWriterAndFollower(t *testing.T) {
+// A follower copies the list of its writer and redirects writes to it. After a reload it redirects
+// them to the new writer.
+func TestFollowerCopiesAndRedirectsToWriter(t *testing.T) {
 	writer, control, follower := testnet.TCP(t), testnet.TCP(t), testnet.TCP(t)
 	launch(t, fmt.Sprintf(`{"listen":%q,"control":%q,"lease_ms":2000}`, writer, control))
 	path := launch(t, fmt.Sprintf(`{"listen":%q,"writer":%q}`, follower, writer))
-	// Both have read their configuration, and may not listen yet.
-	first := 0
-	until(t, "the writer answers", func() bool { first, _, _ = get("http://" + control + "/control/ready"); return first != 0 })
-	if first != 503 {
-		t.Errorf("ready before all could register: %d", first)
+	// Both have read their configuration, but may not listen yet.
+	firstStatus := 0
+	waitFor(t, "the writer answers", func() bool { firstStatus, _, _ = get("http://" + control + "/control/ready"); return firstStatus != 0 })
+	if firstStatus != 503 {
+		t.Errorf("status %d before all instances could register, want 503", firstStatus)
 	}
-	until(t, "the follower answers", func() bool { code, _, _ := get("http://" + follower + "/registry/instances"); return code != 0 })
+	waitFor(t, "the follower answers", func() bool { code, _, _ := get("http://" + follower + "/registry/instances"); return code != 0 })
 	register := func() {
 		t.Helper()
 		req, _ := http.NewRequest("PUT", "http://"+follower+"/registry/instances/s-1",
 			strings.NewReader(`{"hostPort":"127.0.0.1:80","zone":"a","machineType":"m","startedAtMs":5}`))
-		resp, err := http.DefaultClient.Do(req) // which goes on to the writer
+		resp, err := http.DefaultClient.Do(req) // follows the redirect to the writer
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v %v", resp, err)
+			t.Fatalf("registration: %v %v", resp, err)
 		}
 		resp.Body.Close()
 	}
 	register()
-	until(t, "ready", func() bool { code, _, _ := get("http://" + control + "/control/ready"); return code == 200 })
-	until(t, "the follower has the list", func() bool {
-		register() // the lease is short
+	waitFor(t, "ready", func() bool { code, _, _ := get("http://" + control + "/control/ready"); return code == 200 })
+	waitFor(t, "the follower has the list", func() bool {
+		register() // before its lease ends
 		code, text, _ := get("http://" + follower + "/registry/instances")
 		return code == 200 && strings.Contains(text, "s-1")
 	})
-	other := testnet.TCP(t)
-	os.WriteFile(path, fmt.Appendf(nil, `{"listen":%q,"writer":%q}`, follower, other), 0o600)
+	otherWriter := testnet.TCP(t)
+	os.WriteFile(path, fmt.Appendf(nil, `{"listen":%q,"writer":%q}`, follower, otherWriter), 0o600)
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	client := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	until(t, "writes go elsewhere", func() bool {
+	waitFor(t, "writes are redirected to the new writer", func() bool {
 		req, _ := http.NewRequest("DELETE", "http://"+follower+"/registry/instances/s-1?startedAtMs=5", nil)
 		resp, err := client.Do(req)
 		if err != nil {
 			return false
 		}
 		resp.Body.Close()
-		return strings.Contains(resp.Header.Get("Location"), other)
+		return strings.Contains(resp.Header.Get("Location"), otherWriter)
 	})
 }
 
-func TestBadConfigurations(t *testing.T) {
+// The example is valid; syntax errors, unknown keys, and values out of range are errors.
+func TestReadConfigRejectsInvalidConfigurations(t *testing.T) {
 	if _, err := readConfig("../../docs/examples/registry.json"); err != nil {
 		t.Error(err)
 	}
@@ -225,7 +230,7 @@
 		path := filepath.Join(t.TempDir(), "config.json")
 		os.WriteFile(path, []byte(text), 0o600)
 		if c, err := readConfig(path); err == nil {
-			t.Errorf("%s: %+v", text, c)
+			t.Errorf("no error for %s: %+v", text, c)
 		}
 	}
 }
--- a/cmd/registry/members_test.go
+++ b/cmd/registry/members_test.go
@@ -20,88 +20,87 @@
 	"dunlintray/internal/testnet"
 )
 
-// members are the processes of a group, with a relay on each link between two.
-type members struct {
+// groupProcesses are the processes of a group, with a relay on each link between two.
+type groupProcesses struct {
 	processes
-	at     []string // where callers reach each
-	lists  []string // and its list service
-	relays [][]*link.Relay
+	addresses         []string        // for clients of the group, by member
+	registryAddresses []string        // of the service registries, by member
+	relays            [][]*link.Relay // by sender and receiver
 }
 
-// newMembers starts them; the group may have the list too.
-func newMembers(t *testing.T, n int, withList bool) *members {
+// newGroupProcesses starts a group; withList makes it replicate the list.
+func newGroupProcesses(t *testing.T, count int, withList bool) *groupProcesses {
 	t.Helper()
-	m := &members{processes: newProcesses(t, n)}
-	lists := map[string]string{}
-	for k := range n {
-		m.at, m.lists = append(m.at, testnet.TCP(t)), append(m.lists, testnet.TCP(t))
-		lists[fmt.Sprint(k+1)] = m.lists[k]
+	members := &groupProcesses{processes: newProcesses(t, count)}
+	registriesByNumber := map[string]string{}
+	for member := range count {
+		members.addresses, members.registryAddresses = append(members.addresses, testnet.TCP(t)), append(members.registryAddresses, testnet.TCP(t))
+		registriesByNumber[fmt.Sprint(member+1)] = members.registryAddresses[member]
 	}
-	for from := range n {
-		m.relays = append(m.relays, make([]*link.Relay, n))
-		addresses := map[string]string{}
-		for to := range n {
-			if addresses[fmt.Sprint(to+1)] = m.at[to]; to == from {
+	for from := range count {
+		members.relays = append(members.relays, make([]*link.Relay, count))
+		peers := map[string]string{}
+		for to := range count {
+			if peers[fmt.Sprint(to+1)] = members.addresses[to]; to == from {
 				continue
 			}
-			r, err := link.NewRelay("127.0.0.1:0", m.at[to], link.Limits{Connections: 32, Buffer: 64 << 10}, uint64(from*n+to))
+			relay, err := link.NewRelay("127.0.0.1:0", members.addresses[to], link.Limits{Connections: 32, Buffer: 64 << 10}, uint64(from*count+to))
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(r.Close)
-			m.relays[from][to] = r
-			addresses[fmt.Sprint(to+1)] = r.Address()
+			t.Cleanup(relay.Close)
+			members.relays[from][to] = relay
+			peers[fmt.Sprint(to+1)] = relay.Address()
 		}
-		of := map[string]any{"name": "test", "self": from + 1, "listen": m.at[from], "members": addresses, "data_dir": m.folder(from)}
-		config := map[string]any{"listen": m.lists[from], "lease_ms": 1000, "group": of}
+		groupSettings := map[string]any{"name": "test", "self": from + 1, "listen": members.addresses[from], "members": peers, "data_dir": members.dataDir(from)}
+		settings := map[string]any{"listen": members.registryAddresses[from], "lease_ms": 1000, "group": groupSettings}
 		if withList {
-			of["lists"] = lists
+			groupSettings["lists"] = registriesByNumber
 		} else {
-			config["data_dir"] = filepath.Join(m.dir, fmt.Sprint("list", from))
+			settings["data_dir"] = filepath.Join(members.dir, fmt.Sprint("list", from))
 		}
-		m.write(from, config)
-		m.start(from)
+		members.write(from, settings)
+		members.start(from)
 	}
-	t.Cleanup(m.killAll)
-	return m
+	t.Cleanup(members.killAll)
+	return members
 }
 
-// join starts one that is to be added under a number, and knows the others; it returns
-// its place among those here.
-func (m *members) join(number uint64, withList bool) int {
+// join starts a member that is to be added to the group under a number, and returns its index.
+func (m *groupProcesses) join(number uint64, withList bool) int {
 	m.t.Helper()
-	n := len(m.at)
-	addresses := map[string]string{}
-	for k, at := range m.at {
-		addresses[fmt.Sprint(k+1)] = at
+	n := len(m.addresses)
+	peers := map[string]string{}
+	for index, address := range m.addresses {
+		peers[fmt.Sprint(index+1)] = address
 	}
-	m.at, m.lists, m.cmds = append(m.at, testnet.TCP(m.t)), append(m.lists, testnet.TCP(m.t)), append(m.cmds, nil)
-	addresses[fmt.Sprint(number)] = m.at[n]
-	of := map[string]any{"name": "test", "self": number, "join": true, "listen": m.at[n], "members": addresses, "data_dir": m.folder(n)}
+	m.addresses, m.registryAddresses, m.cmds = append(m.addresses, testnet.TCP(m.t)), append(m.registryAddresses, testnet.TCP(m.t)), append(m.cmds, nil)
+	peers[fmt.Sprint(number)] = m.addresses[n]
+	groupSettings := map[string]any{"name": "test", "self": number, "join": true, "listen": m.addresses[n], "members": peers, "data_dir": m.dataDir(n)}
 	if withList {
-		of["lists"] = map[string]string{fmt.Sprint(number): m.lists[n]}
+		groupSettings["lists"] = map[string]string{fmt.Sprint(number): m.registryAddresses[n]}
 	}
-	m.write(n, map[string]any{"listen": m.lists[n], "lease_ms": 1000, "group": of})
+	m.write(n, map[string]any{"listen": m.registryAddresses[n], "lease_ms": 1000, "group": groupSettings})
 	m.start(n)
 	return n
 }
 
-func (m *members) folder(n int) string { return filepath.Join(m.dir, fmt.Sprint("ledger", n)) }
+func (m *groupProcesses) dataDir(n int) string { return filepath.Join(m.dir, fmt.Sprint("ledger", n)) }
 
-// refuses waits until a member's process, started now, has ended and said why.
-func (m *members) refuses(n int, why string) {
+// mustRefuseToStart starts a member's process and waits until it fails with the reason.
+func (m *groupProcesses) mustRefuseToStart(n int, reason string) {
 	m.t.Helper()
-	ctx, cancel := context.WithTimeout(m.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(m.t.Context(), waitTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, os.Args[0], "--config", m.config(n), "--log-level", "error")
 	cmd.Env = append(os.Environ(), "REGISTRY_AS_COMMAND=1", "GORACE=halt_on_error=1")
-	if out, err := cmd.CombinedOutput(); err == nil || ctx.Err() != nil || !strings.Contains(string(out), why) {
-		m.t.Errorf("member at %s: %v: %s; not %q", m.at[n], err, out, why)
+	if out, err := cmd.CombinedOutput(); err == nil || ctx.Err() != nil || !strings.Contains(string(out), reason) {
+		m.t.Errorf("member at %s: %v: %s; want a failure with %q", m.addresses[n], err, out, reason)
 	}
 }
 
-// offline runs a command on the folder of a member that is stopped.
-func (m *members) offline(args ...string) string {
+// runOffline runs a command on the folder of a stopped member and returns its output.
+func (m *groupProcesses) runOffline(args ...string) string {
 	m.t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "REGISTRY_AS_COMMAND=1")
@@ -112,13 +111,13 @@
 	return string(out)
 }
 
-// votes waits until the members with these numbers vote, and no others.
-func (m *members) votes(c *group.Client, numbers ...uint64) {
+// waitForVoters waits until exactly the members with these sorted numbers are voters.
+func (m *groupProcesses) waitForVoters(client *group.Client, numbers ...uint64) {
 	m.t.Helper()
-	until(m.t, fmt.Sprint("these vote: ", numbers), func() bool {
-		for n, at := range m.at {
-			s, err := c.Status(m.t.Context(), at)
-			if m.cmds[n] != nil && err == nil && len(s.Lag) > 0 { // it writes
+	waitFor(m.t, fmt.Sprint("these members are voters: ", numbers), func() bool {
+		for n, address := range m.addresses {
+			s, err := client.Status(m.t.Context(), address)
+			if m.cmds[n] != nil && err == nil && len(s.Lag) > 0 { // it is the writer
 				slices.Sort(s.Voters)
 				return slices.Equal(s.Voters, numbers)
 			}
@@ -127,15 +126,15 @@
 	})
 }
 
-// cut has nothing pass between one and all others, or everything again.
-func (m *members) cut(n int, kind link.Kind) {
-	for other := range m.at {
+// setLinks sets the state of all links between a member and the others.
+func (m *groupProcesses) setLinks(n int, kind link.Kind) {
+	for other := range m.addresses {
 		if other == n {
 			continue
 		}
 		for _, r := range []*link.Relay{m.relays[n][other], m.relays[other][n]} {
-			for _, way := range []link.Way{link.There, link.Back} {
-				if err := r.Set(way, link.How{Kind: kind}); err != nil {
+			for _, direction := range []link.Way{link.There, link.Back} {
+				if err := r.Set(direction, link.How{Kind: kind}); err != nil {
 					m.t.Error(err)
 				}
 			}
@@ -143,14 +142,14 @@
 	}
 }
 
-// writer waits until one of these says that it is, and tells which.
-func (m *members) writer(among ...int) (number int) {
+// waitForWriter waits until one of the candidates is the writer and returns its index.
+func (m *groupProcesses) waitForWriter(candidates ...int) (number int) {
 	m.t.Helper()
-	c := group.NewClient(m.at)
-	defer c.Close()
-	until(m.t, "there is a writer", func() bool {
-		for _, n := range among {
-			s, err := c.Status(m.t.Context(), m.at[n])
+	client := group.NewClient(m.addresses)
+	defer client.Close()
+	waitFor(m.t, "there is a writer", func() bool {
+		for _, n := range candidates {
+			s, err := client.Status(m.t.Context(), m.addresses[n])
 			if err == nil && s.Writer == uint64(n+1) && len(s.Lag) > 0 {
 				number = n
 				return true
@@ -161,42 +160,44 @@
 	return number
 }
 
-// crowd registers a list's backends, 200 at a time, and says how many were not taken.
-func (m *members) crowd(client *http.Client, n int, each func(id int) (method, path, body string)) (failed int64) {
-	var next, lost atomic.Int64
+// callConcurrently makes calls to the service registries, 200 at a time, and returns how many
+// failed.
+func (m *groupProcesses) callConcurrently(client *http.Client, calls int, newCall func(id int) (method, path, body string)) (failed int64) {
+	var next, failures atomic.Int64
 	var wg sync.WaitGroup
 	for range 200 {
 		wg.Go(func() {
-			for id := int(next.Add(1)) - 1; id < n; id = int(next.Add(1)) - 1 {
-				method, path, body := each(id)
-				req, err := http.NewRequestWithContext(m.t.Context(), method, "http://"+m.lists[id%len(m.lists)]+registry.Path+path, strings.NewReader(body))
+			for id := int(next.Add(1)) - 1; id < calls; id = int(next.Add(1)) - 1 {
+				method, path, body := newCall(id)
+				req, err := http.NewRequestWithContext(m.t.Context(), method, "http://"+m.registryAddresses[id%len(m.registryAddresses)]+registry.Path+path, strings.NewReader(body))
 				if err != nil {
 					m.t.Error(err)
 					return
 				}
 				resp, err := client.Do(req)
 				if err != nil {
-					lost.Add(1)
+					failures.Add(1)
 					continue
 				}
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 				if resp.StatusCode != http.StatusOK {
-					lost.Add(1)
+					failures.Add(1)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	return lost.Load()
+	return failures.Load()
 }
 
+// registration returns the call that registers a backend.
 func registration(id int) (method, path, body string) {
 	return http.MethodPut, fmt.Sprint("/s-", id), fmt.Sprintf(`{"hostPort":"127.0.0.1:%d","zone":"a","machineType":"m","startedAtMs":5}`, 1024+id%60000)
 }
 
-// peak is the most memory that a member's process has had, in MB.
-func (m *members) peak(n int) (mb int) {
+// peakMemoryMB returns the peak resident memory of a member's process.
+func (m *groupProcesses) peakMemoryMB(n int) (mb int) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", m.cmds[n].Process.Pid))
 	if err != nil {
 		m.t.Fatal(err)
--- a/cmd/registry/membership_test.go
+++ b/cmd/registry/membership_test.go
@@ -19,16 +19,15 @@
 	"dunlintray/internal/wal"
 )
 
-// Members come and go while a writer counts: one whose folder is lost, or is an older one,
-// refuses, and others are added in its place; when most are lost, the one that is left
-// goes on alone, and those that come back refuse for good.
-func TestGroupMembers(t *testing.T) {
+// A member whose folder is lost or outdated refuses to start and can be replaced. After the loss of
+// the majority, the remaining member recovers alone, and former members refuse to start.
+func TestGroupMembersAreReplacedAndRecovered(t *testing.T) {
 	t.Parallel()
-	m := newMembers(t, 3, true)
-	c := group.NewClient(m.at)
-	defer func() { c.Close() }()
-	within := func() context.Context {
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+	members := newGroupProcesses(t, 3, true)
+	client := group.NewClient(members.addresses)
+	defer func() { client.Close() }()
+	callCtx := func() context.Context {
+		ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 		t.Cleanup(cancel)
 		return ctx
 	}
@@ -37,147 +36,149 @@
 		t.Helper()
 		for range times {
 			count++
-			if r, err := c.Do(within(), ledger.Command{Op: ledger.Put, Name: "count", Value: fmt.Append(nil, count)}); err != nil || r.Code != ledger.OK {
+			if r, err := client.Do(callCtx(), ledger.Command{Op: ledger.Put, Name: "count", Value: fmt.Append(nil, count)}); err != nil || r.Code != ledger.OK {
 				t.Fatal(r, err)
 			}
 		}
 	}
-	has := func() {
+	mustHaveCount := func() {
 		t.Helper()
-		if r, _, err := c.Get(within(), "count"); err != nil || string(r.Value) != fmt.Sprint(count) {
-			t.Fatalf("%s %v, not %d", r.Value, err, count)
+		if r, _, err := client.Get(callCtx(), "count"); err != nil || string(r.Value) != fmt.Sprint(count) {
+			t.Fatalf("count %s %v, want %d", r.Value, err, count)
 		}
 	}
-	// history registers a backend at a member, and waits until the member tells it.
-	history := func(n int) (name string) {
+	// registerAndReadHistory registers a backend at a member, waits until the backend is on the
+	// member's list and returns the history of the list.
+	registerAndReadHistory := func(n int) (name string) {
 		t.Helper()
-		until(t, "a registration is told", func() bool {
-			req, _ := http.NewRequest(http.MethodPut, "http://"+m.lists[n]+registry.Path+"/s-1", strings.NewReader(`{"hostPort":"127.0.0.1:80","zone":"a","machineType":"m","startedAtMs":5}`))
+		waitFor(t, "a registration is on the list", func() bool {
+			req, _ := http.NewRequest(http.MethodPut, "http://"+members.registryAddresses[n]+registry.Path+"/s-1", strings.NewReader(`{"hostPort":"127.0.0.1:80","zone":"a","machineType":"m","startedAtMs":5}`))
 			resp, err := http.DefaultClient.Do(req)
 			if err != nil {
 				return false
 			}
 			resp.Body.Close()
-			status, text, header := get("http://" + m.lists[n] + registry.Path)
+			status, text, header := get("http://" + members.registryAddresses[n] + registry.Path)
 			name = header.Get(registry.HistoryHeader)
 			return resp.StatusCode == http.StatusOK && status == http.StatusOK && strings.Contains(text, "s-1")
 		})
 		return name
 	}
-	refused := func(err error, why string) {
+	mustBeRefused := func(err error, reason string) {
 		t.Helper()
-		if err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("%v, not %q", err, why)
+		if err == nil || !strings.Contains(err.Error(), reason) {
+			t.Errorf("error %v, want one with %q", err, reason)
 		}
 	}
 	write(20)
-	w := m.writer(0, 1, 2)
-	first := history(w)
+	writer := members.waitForWriter(0, 1, 2)
+	firstHistory := registerAndReadHistory(writer)
 
-	// A folder that is lost.
-	lost := (w + 1) % 3
-	m.kill(lost)
-	os.RemoveAll(m.folder(lost))
-	m.refuses(lost, "its folder was lost")
-	other := (w + 2) % 3
-	m.kill(other)
-	m.start(other)
-	refused(c.Add(within(), uint64(lost+1), group.Member{Address: "127.0.0.1:1", RegistryAddress: "127.0.0.1:2"}), "was given before")
-	until(t, "it can be taken out", func() bool { return c.Remove(within(), uint64(lost+1)) == nil })
-	if err := c.Remove(within(), uint64(lost+1)); err != nil {
-		t.Errorf("once more: %v", err)
+	// A member that has lost its folder is replaced.
+	lost := (writer + 1) % 3
+	members.kill(lost)
+	os.RemoveAll(members.dataDir(lost))
+	members.mustRefuseToStart(lost, "its folder was lost")
+	other := (writer + 2) % 3
+	members.kill(other)
+	members.start(other)
+	mustBeRefused(client.Add(callCtx(), uint64(lost+1), group.Member{Address: "127.0.0.1:1", RegistryAddress: "127.0.0.1:2"}), "was given before")
+	waitFor(t, "the member can be removed", func() bool { return client.Remove(callCtx(), uint64(lost+1)) == nil })
+	if err := client.Remove(callCtx(), uint64(lost+1)); err != nil {
+		t.Errorf("second removal: %v", err)
 	}
-	refused(c.Add(within(), 4, group.Member{Address: m.at[w], RegistryAddress: "127.0.0.1:2"}), "is at that address")
-	refused(c.Add(within(), 4, group.Member{Address: "127.0.0.1:1"}), "has a list")
-	fourth := m.join(4, true)
-	if err := c.Add(within(), 4, group.Member{Address: m.at[fourth], RegistryAddress: m.lists[fourth]}); err != nil {
+	mustBeRefused(client.Add(callCtx(), 4, group.Member{Address: members.addresses[writer], RegistryAddress: "127.0.0.1:2"}), "is at that address")
+	mustBeRefused(client.Add(callCtx(), 4, group.Member{Address: "127.0.0.1:1"}), "has a list")
+	fourth := members.join(4, true)
+	if err := client.Add(callCtx(), 4, group.Member{Address: members.addresses[fourth], RegistryAddress: members.registryAddresses[fourth]}); err != nil {
 		t.Fatal(err)
 	}
-	m.votes(c, slices.Sorted(slices.Values([]uint64{uint64(w + 1), uint64(other + 1), 4}))...)
+	members.waitForVoters(client, slices.Sorted(slices.Values([]uint64{uint64(writer + 1), uint64(other + 1), 4}))...)
 	write(20)
-	if got := history(fourth); got != first {
-		t.Errorf("history %s after %s", got, first)
+	if got := registerAndReadHistory(fourth); got != firstHistory {
+		t.Errorf("history %s, want %s", got, firstHistory)
 	}
-	m.refuses(lost, "must not speak any more")
+	members.mustRefuseToStart(lost, "must not speak any more")
 
-	// A folder that is an older one. The writer has to be another.
-	until(t, "nobody takes out who writes", func() bool {
-		err := c.Remove(within(), uint64(m.writer(w, other, fourth)+1))
+	// A member with an older copy of its folder refuses to start. It must not be the writer.
+	waitFor(t, "the writer cannot be removed", func() bool {
+		err := client.Remove(callCtx(), uint64(members.waitForWriter(writer, other, fourth)+1))
 		return err != nil && strings.Contains(err.Error(), "is the writer")
 	})
-	until(t, "the writer is as before", func() bool { return c.Transfer(within(), uint64(w+1)) == nil })
-	m.end(fourth)
-	if err := os.CopyFS(m.folder(fourth)+"-old", os.DirFS(m.folder(fourth))); err != nil {
+	waitFor(t, "the first writer is the writer again", func() bool { return client.Transfer(callCtx(), uint64(writer+1)) == nil })
+	members.terminate(fourth)
+	if err := os.CopyFS(members.dataDir(fourth)+"-old", os.DirFS(members.dataDir(fourth))); err != nil {
 		t.Fatal(err)
 	}
-	m.start(fourth)
-	m.votes(c, slices.Sorted(slices.Values([]uint64{uint64(w + 1), uint64(other + 1), 4}))...)
-	until(t, "all have all", func() bool {
+	members.start(fourth)
+	members.waitForVoters(client, slices.Sorted(slices.Values([]uint64{uint64(writer + 1), uint64(other + 1), 4}))...)
+	waitFor(t, "all members have all entries", func() bool {
 		write(1)
-		s, err := c.Status(within(), m.at[w])
+		s, err := client.Status(callCtx(), members.addresses[writer])
 		return err == nil && s.Lag[4] == 0 && len(s.Lag) == 3
 	})
-	m.kill(fourth)
-	os.RemoveAll(m.folder(fourth))
-	if err := os.Rename(m.folder(fourth)+"-old", m.folder(fourth)); err != nil {
+	members.kill(fourth)
+	os.RemoveAll(members.dataDir(fourth))
+	if err := os.Rename(members.dataDir(fourth)+"-old", members.dataDir(fourth)); err != nil {
 		t.Fatal(err)
 	}
-	m.refuses(fourth, "older one")
-	has()
+	members.mustRefuseToStart(fourth, "older one")
+	mustHaveCount()
 
-	// A cut: who is cut off changes nothing.
-	until(t, "it can be taken out", func() bool { return c.Remove(within(), 4) == nil })
-	fifth := m.join(5, true)
-	if err := c.Add(within(), 5, group.Member{Address: m.at[fifth], RegistryAddress: m.lists[fifth]}); err != nil {
+	// Another member replaces it.
+	waitFor(t, "the member can be removed", func() bool { return client.Remove(callCtx(), 4) == nil })
+	fifth := members.join(5, true)
+	if err := client.Add(callCtx(), 5, group.Member{Address: members.addresses[fifth], RegistryAddress: members.registryAddresses[fifth]}); err != nil {
 		t.Fatal(err)
 	}
-	m.votes(c, slices.Sorted(slices.Values([]uint64{uint64(w + 1), uint64(other + 1), 5}))...)
+	members.waitForVoters(client, slices.Sorted(slices.Values([]uint64{uint64(writer + 1), uint64(other + 1), 5}))...)
 	write(20)
 
-	// Most are lost: the one that is left goes on, and says what it may have lost.
-	m.kill(other)
-	until(t, "the writer misses it", func() bool {
-		s, err := c.Status(within(), m.at[m.writer(w, fifth)])
+	// After the loss of the majority, recover reports which entries may be lost.
+	members.kill(other)
+	waitFor(t, "the writer notices the killed member", func() bool {
+		s, err := client.Status(callCtx(), members.addresses[members.waitForWriter(writer, fifth)])
 		return err == nil && !slices.Contains(s.Answering, uint64(other+1))
 	})
-	until(t, "the writer is as before", func() bool { return c.Transfer(within(), uint64(w+1)) == nil })
-	refused(c.Remove(within(), 5), "which are too few")
-	m.kill(fifth)
-	m.end(w)
-	if out := m.offline("recover", m.config(w), "--others-are-lost"); !strings.Contains(out, "is lost though it was answered") || strings.Count(out, "is left behind") != 2 {
-		t.Errorf("recover: %s", out)
+	waitFor(t, "the first writer is the writer again", func() bool { return client.Transfer(callCtx(), uint64(writer+1)) == nil })
+	mustBeRefused(client.Remove(callCtx(), 5), "which are too few")
+	members.kill(fifth)
+	members.terminate(writer)
+	if out := members.runOffline("recover", members.config(writer), "--others-are-lost"); !strings.Contains(out, "are lost although they were answered") || strings.Count(out, "is removed") != 2 {
+		t.Errorf("recover: %s, want lost entries and two removed members", out)
 	}
-	m.start(w)
-	c.Close()
-	c = group.NewClient([]string{m.at[w]})
-	has()
+	members.start(writer)
+	client.Close()
+	client = group.NewClient([]string{members.addresses[writer]})
+	mustHaveCount()
 	write(5)
-	if got := history(w); got == first {
-		t.Errorf("history %s goes on, though some of it may be lost", got)
+	if got := registerAndReadHistory(writer); got == firstHistory {
+		t.Errorf("history %s continues although changes may be lost", got)
 	}
-	m.refuses(other, "went on as generation")
-	m.end(w)
-	m.refuses(other, "went on as generation") // also where it reaches nobody
-	m.start(w)
-	m.refuses(fifth, "went on as generation")
-	sixth := m.join(6, true)
-	if err := c.Add(within(), 6, group.Member{Address: m.at[sixth], RegistryAddress: m.lists[sixth]}); err != nil {
+	members.mustRefuseToStart(other, "went on as generation")
+	members.terminate(writer)
+	members.mustRefuseToStart(other, "went on as generation") // also while it reaches no other member
+	members.start(writer)
+	members.mustRefuseToStart(fifth, "went on as generation")
+	sixth := members.join(6, true)
+	if err := client.Add(callCtx(), 6, group.Member{Address: members.addresses[sixth], RegistryAddress: members.registryAddresses[sixth]}); err != nil {
 		t.Fatal(err)
 	}
-	m.votes(c, uint64(w+1), 6)
-	has()
+	members.waitForVoters(client, uint64(writer+1), 6)
+	mustHaveCount()
 }
 
-// A group of one takes a writer's list over, with its history and versions, and grows.
-func TestTakeOver(t *testing.T) {
+// A group of one takes over a writer's list with its history and versions, and a member can be
+// added. The list of a follower gets a new history.
+func TestTakeOverKeepsHistoryAndVersions(t *testing.T) {
 	t.Parallel()
-	m := &members{processes: newProcesses(t, 1), at: []string{testnet.TCP(t)}, lists: []string{testnet.TCP(t)}}
-	t.Cleanup(m.killAll)
-	data := filepath.Join(m.dir, "list")
-	m.write(0, map[string]any{"listen": m.lists[0], "lease_ms": 3000, "data_dir": data}) // it is whole after a lease
-	m.start(0)
-	put := func(id string) bool {
-		req, _ := http.NewRequest(http.MethodPut, "http://"+m.lists[0]+registry.Path+"/"+id, strings.NewReader(`{"hostPort":"127.0.0.1:80","zone":"a","machineType":"m","startedAtMs":5}`))
+	member := &groupProcesses{processes: newProcesses(t, 1), addresses: []string{testnet.TCP(t)}, registryAddresses: []string{testnet.TCP(t)}}
+	t.Cleanup(member.killAll)
+	writerDir := filepath.Join(member.dir, "list")
+	member.write(0, map[string]any{"listen": member.registryAddresses[0], "lease_ms": 3000, "data_dir": writerDir}) // the list is complete after one lease
+	member.start(0)
+	register := func(id string) bool {
+		req, _ := http.NewRequest(http.MethodPut, "http://"+member.registryAddresses[0]+registry.Path+"/"+id, strings.NewReader(`{"hostPort":"127.0.0.1:80","zone":"a","machineType":"m","startedAtMs":5}`))
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			return false
@@ -185,89 +186,90 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	}
-	follower := &members{processes: newProcesses(t, 1), at: []string{testnet.TCP(t)}, lists: []string{testnet.TCP(t)}}
-	copied := filepath.Join(follower.dir, "list")
-	follower.write(0, map[string]any{"listen": follower.lists[0], "lease_ms": 3000, "data_dir": copied, "writer": m.lists[0]})
+	follower := &groupProcesses{processes: newProcesses(t, 1), addresses: []string{testnet.TCP(t)}, registryAddresses: []string{testnet.TCP(t)}}
+	followerDir := filepath.Join(follower.dir, "list")
+	follower.write(0, map[string]any{"listen": follower.registryAddresses[0], "lease_ms": 3000, "data_dir": followerDir, "writer": member.registryAddresses[0]})
 	follower.start(0)
 	t.Cleanup(func() { follower.kill(0) })
-	lists := func(at string) (instances int, history string) {
-		_, text, header := get("http://" + at + registry.Path)
+	readList := func(address string) (instances int, history string) {
+		_, text, header := get("http://" + address + registry.Path)
 		l, _ := registry.ParseListing([]byte(text))
 		return len(l.Instances), header.Get(registry.HistoryHeader)
 	}
-	until(t, "the follower has it", func() bool {
+	waitFor(t, "the follower has the list", func() bool {
 		for n := range 20 {
-			put(fmt.Sprint("s-", n))
+			register(fmt.Sprint("s-", n))
 		}
-		n, _ := lists(follower.lists[0])
+		n, _ := readList(follower.registryAddresses[0])
 		return n == 20
 	})
-	follower.end(0)
-	m.end(0)
-	of := map[string]any{"name": "test", "self": 1, "listen": m.at[0], "members": map[string]string{"1": m.at[0]}, "data_dir": m.folder(0), "lists": map[string]string{"1": m.lists[0]}}
-	m.write(0, map[string]any{"listen": m.lists[0], "lease_ms": 60000, "group": of})
-	m.offline("takeover", m.config(0), data)
-	m.start(0)
-	until(t, "one more", func() bool { return put("s-20") })
-	_, history := lists(m.lists[0])
-	of["listen"], of["members"], of["data_dir"], of["lists"] = follower.at[0], map[string]string{"1": follower.at[0]}, follower.folder(0), map[string]string{"1": follower.lists[0]}
-	follower.write(0, map[string]any{"listen": follower.lists[0], "lease_ms": 60000, "group": of})
-	if out := follower.offline("takeover", follower.config(0), copied); !strings.Contains(out, "is lost, and the list has a new history") {
-		t.Error(out)
+	follower.terminate(0)
+	member.terminate(0)
+	groupSettings := map[string]any{"name": "test", "self": 1, "listen": member.addresses[0], "members": map[string]string{"1": member.addresses[0]}, "data_dir": member.dataDir(0), "lists": map[string]string{"1": member.registryAddresses[0]}}
+	member.write(0, map[string]any{"listen": member.registryAddresses[0], "lease_ms": 60000, "group": groupSettings})
+	member.runOffline("takeover", member.config(0), writerDir)
+	member.start(0)
+	waitFor(t, "a registration succeeds after the takeover", func() bool { return register("s-20") })
+	_, history := readList(member.registryAddresses[0])
+	groupSettings["listen"], groupSettings["members"], groupSettings["data_dir"], groupSettings["lists"] = follower.addresses[0], map[string]string{"1": follower.addresses[0]}, follower.dataDir(0), map[string]string{"1": follower.registryAddresses[0]}
+	follower.write(0, map[string]any{"listen": follower.registryAddresses[0], "lease_ms": 60000, "group": groupSettings})
+	if out := follower.runOffline("takeover", follower.config(0), followerDir); !strings.Contains(out, "are lost, and the list has a new history") {
+		t.Errorf("takeover: %s, want lost writes and a new history", out)
 	}
 	follower.start(0)
-	until(t, "the copy is told under another history", func() bool {
-		n, name := lists(follower.lists[0])
+	waitFor(t, "the copied list has another history", func() bool {
+		n, name := readList(follower.registryAddresses[0])
 		return n == 20 && name != "" && name != history
 	})
-	units := group.NewClient(follower.at)
-	defer units.Close()
-	if u, err := units.Units(t.Context()); err != nil || len(u.Units) != 20 || u.Units[0].Unavailable() {
-		t.Errorf("%d units are known: %v", len(u.Units), err)
+	unitClient := group.NewClient(follower.addresses)
+	defer unitClient.Close()
+	if answer, err := unitClient.Units(t.Context()); err != nil || len(answer.Units) != 20 || answer.Units[0].Unavailable() {
+		t.Errorf("units %+v, %v; want 20 that are available", answer.Units, err)
 	}
-	second := m.join(2, true)
-	c := group.NewClient(m.at[:1])
-	defer c.Close()
-	if err := c.Add(t.Context(), 2, group.Member{Address: m.at[second], RegistryAddress: m.lists[second]}); err != nil {
+	second := member.join(2, true)
+	client := group.NewClient(member.addresses[:1])
+	defer client.Close()
+	if err := client.Add(t.Context(), 2, group.Member{Address: member.addresses[second], RegistryAddress: member.registryAddresses[second]}); err != nil {
 		t.Fatal(err)
 	}
-	m.votes(c, 1, 2)
-	log, store, err := registry.Open(wal.Dir(data), 64<<20, registry.Limits{Lease: time.Minute, Instances: 100, History: 1000, HistoryBytes: 1 << 20}, 0)
+	member.waitForVoters(client, 1, 2)
+	log, store, err := registry.Open(wal.Dir(writerDir), 64<<20, registry.Limits{Lease: time.Minute, Instances: 100, History: 1000, HistoryBytes: 1 << 20}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer log.Close()
-	was := store.SnapshotRecords()[0].Begin
-	for _, at := range m.lists {
-		until(t, "the list is there", func() bool {
-			status, text, header := get(fmt.Sprintf("http://%s%s?since=%d&history=%s", at, registry.Path, was.Version, was.History))
+	begin := store.SnapshotRecords()[0].Begin
+	for _, address := range member.registryAddresses {
+		waitFor(t, "the list continues the history of the writer", func() bool {
+			status, text, header := get(fmt.Sprintf("http://%s%s?since=%d&history=%s", address, registry.Path, begin.Version, begin.History))
 			l, err := registry.ParseListing([]byte(text))
-			return status == http.StatusOK && err == nil && !l.Reset && len(l.Instances) == 1 && l.Generation == was.Version+1 && header.Get(registry.HistoryHeader) == was.History
+			return status == http.StatusOK && err == nil && !l.Reset && len(l.Instances) == 1 && l.Generation == begin.Version+1 && header.Get(registry.HistoryHeader) == begin.History
 		})
 	}
 }
 
-// A member of another group, or with another's folder, does not get in, and says why.
-func TestCrossedGroups(t *testing.T) {
+// A member refuses to start with the folder of another group. Invalid group configurations are
+// errors.
+func TestMemberRejectsForeignDataDir(t *testing.T) {
 	t.Parallel()
-	m := newMembers(t, 1, false)
-	m.writer(0)
-	m.kill(0)
-	text, err := os.ReadFile(m.config(0))
+	members := newGroupProcesses(t, 1, false)
+	members.waitForWriter(0)
+	members.kill(0)
+	text, err := os.ReadFile(members.config(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	os.WriteFile(m.config(0), []byte(strings.Replace(string(text), `"name":"test"`, `"name":"other"`, 1)), 0o600)
-	cmd := exec.Command(os.Args[0], "--config", m.config(0))
+	os.WriteFile(members.config(0), []byte(strings.Replace(string(text), `"name":"test"`, `"name":"other"`, 1)), 0o600)
+	cmd := exec.Command(os.Args[0], "--config", members.config(0))
 	cmd.Env = append(os.Environ(), "REGISTRY_AS_COMMAND=1")
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), `the folder is of member 1 of group "test"`) {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("%v: %s; want a failure that names the owner of the folder", err, out)
 	}
 	for _, bad := range []string{`"self":2`, `"self":1,"data_mb":1`, `"self":1,"data_dir":""`, `"self":1,"members":{"1":"127.0.0.1:1","2":"127.0.0.1:2"}`, `"self":1,"listen":"x"`} {
 		path := filepath.Join(t.TempDir(), "bad.json")
 		os.WriteFile(path, []byte(strings.Replace(string(text), `"self":1`, bad, 1)), 0o600)
 		if _, err := readConfig(path); err == nil {
-			t.Errorf("%s is taken", bad)
+			t.Errorf("no error for %s", bad)
 		}
 	}
 }
--- a/cmd/registry/processes_test.go
+++ b/cmd/registry/processes_test.go
@@ -10,20 +10,22 @@
 	"testing"
 )
 
-// processes are list services, each in a process of its own, with their configurations in
-// a folder.
+// processes are service registries, each in its own process, with their configurations in one
+// folder.
 type processes struct {
 	t    *testing.T
 	dir  string
-	cmds []*exec.Cmd // nil: it does not run
+	cmds []*exec.Cmd // nil: not running
 }
 
 func newProcesses(t *testing.T, n int) processes {
 	return processes{t: t, dir: t.TempDir(), cmds: make([]*exec.Cmd, n)}
 }
 
+// config returns the path of a process's configuration.
 func (p *processes) config(n int) string { return filepath.Join(p.dir, fmt.Sprint(n, ".json")) }
 
+// write writes the configuration of a process.
 func (p *processes) write(n int, config map[string]any) {
 	p.t.Helper()
 	text, err := json.Marshal(config)
@@ -35,7 +37,7 @@
 	}
 }
 
-// start runs a list service with the configuration that was written for it.
+// start starts a service registry with the configuration that write has written.
 func (p *processes) start(n int) {
 	p.t.Helper()
 	cmd := exec.Command(os.Args[0], "--config", p.config(n), "--log-level", "error")
@@ -47,7 +49,7 @@
 	p.cmds[n] = cmd
 }
 
-// kill ends a process, which must not have ended before.
+// kill kills a process, if it is running. It is an error if the process has already exited.
 func (p *processes) kill(n int) {
 	if p.cmds[n] == nil {
 		return
@@ -55,7 +57,7 @@
 	p.cmds[n].Process.Kill()
 	p.cmds[n].Wait()
 	if status, ok := p.cmds[n].ProcessState.Sys().(syscall.WaitStatus); !ok || !status.Signaled() {
-		p.t.Errorf("process %d had ended: %v", n+1, p.cmds[n].ProcessState)
+		p.t.Errorf("process %d exited before it was killed: %v", n+1, p.cmds[n].ProcessState)
 	}
 	p.cmds[n] = nil
 }
@@ -66,11 +68,11 @@
 	}
 }
 
-// end tells a process to end, and waits until it has.
-func (p *processes) end(n int) {
+// terminate sends SIGTERM to a process and waits until it has exited without an error.
+func (p *processes) terminate(n int) {
 	p.signal(n, syscall.SIGTERM)
 	if err := p.cmds[n].Wait(); err != nil {
-		p.t.Errorf("process %d ended with %v", n+1, err)
+		p.t.Errorf("process %d exited with %v", n+1, err)
 	}
 	p.cmds[n] = nil
 }
--- a/cmd/registry/scoped_test.go
+++ b/cmd/registry/scoped_test.go
@@ -19,43 +19,42 @@
 	"dunlintray/internal/testnet"
 )
 
-// notifyWithin is how long after a change a reader may still hold the state before it.
-const notifyWithin = 6 * time.Second
+// notificationLimit is the longest allowed time from a change until all readers have it.
+const notificationLimit = 6 * time.Second
 
-// fleetLease is how long an instance stays on the list without a renewal. A writer that
-// starts answers no reads for as long.
+// fleetLease is the lease of an instance. A writer that starts without a stored list rejects reads
+// for one lease.
 const (
 	fleetLease    = 3 * time.Second
 	renewalPeriod = fleetLease / 6
 )
 
-// regionOutage is for how long a region is cut off from the writer.
+// regionOutage is how long the followers are partitioned from the writer.
 const regionOutage = 4 * time.Second
 
-// scopedReader is a client that reads some scopes from two followers, each over a relay
-// of its own.
+// scopedReader is a client that reads some scopes from two followers, each through its own relay.
 type scopedReader struct {
 	scopes []registry.Scope
 	relays []*link.Relay // to each follower
 
-	mu      sync.Mutex
-	view    map[string]registry.Instance
-	outside []string // instances that it was told of outside of its scopes
+	mu         sync.Mutex
+	view       map[string]registry.Instance
+	outOfScope []string // received instances outside its scopes
 }
 
-func (r *scopedReader) notify(told registry.Update) {
+func (r *scopedReader) notify(update registry.Update) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told.Changes.Reset {
+	if update.Changes.Reset {
 		clear(r.view)
 	}
-	for _, instance := range told.Changes.Instances {
+	for _, instance := range update.Changes.Instances {
 		if instance.Lifecycle == registry.Gone {
 			delete(r.view, instance.ID)
 			continue
 		}
 		if !r.covers(instance) {
-			r.outside = append(r.outside, instance.ID)
+			r.outOfScope = append(r.outOfScope, instance.ID)
 		}
 		r.view[instance.ID] = instance
 	}
@@ -65,21 +64,22 @@
 	return slices.ContainsFunc(r.scopes, func(s registry.Scope) bool { return s.Matches(instance) })
 }
 
-// holds returns what the reader takes an instance for; Gone if it does not have it.
-func (r *scopedReader) holds(id string) registry.Lifecycle {
+// lifecycleOf returns the lifecycle of an instance in the reader's view, or Gone if the view does
+// not contain it.
+func (r *scopedReader) lifecycleOf(id string) registry.Lifecycle {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	instance, there := r.view[id]
-	if !there {
+	instance, known := r.view[id]
+	if !known {
 		return registry.Gone
 	}
 	return instance.Lifecycle
 }
 
-// scopedFleet is a writer, two followers and readers, with a relay on each link.
+// scopedFleet is a writer, two followers and scoped readers, with a relay on each link.
 type scopedFleet struct {
 	processes        // the writer, then the followers
-	writer    string // its address
+	writer    string // address of the writer
 	addresses []string
 	upstream  []*link.Relay // of each follower, to the writer
 	readers   []*scopedReader
@@ -88,7 +88,7 @@
 	instances map[string]registry.Instance // on the list, by id
 }
 
-// fleetScopes are what the readers of a fleet read.
+// fleetScopes are the scopes of each reader of a fleet.
 var fleetScopes = [][]string{
 	{"checkout"},
 	{"checkout@region=north"},
@@ -98,26 +98,26 @@
 
 func newScopedFleet(t *testing.T) *scopedFleet {
 	t.Helper()
-	f := &scopedFleet{processes: newProcesses(t, 3), writer: testnet.TCP(t), instances: map[string]registry.Instance{}}
-	t.Cleanup(f.killAll)
+	fleet := &scopedFleet{processes: newProcesses(t, 3), writer: testnet.TCP(t), instances: map[string]registry.Instance{}}
+	t.Cleanup(fleet.killAll)
 	leaseMs := fleetLease.Milliseconds()
-	f.write(0, map[string]any{"listen": f.writer, "lease_ms": leaseMs, "data_dir": filepath.Join(f.dir, "writer")})
-	f.start(0)
+	fleet.write(0, map[string]any{"listen": fleet.writer, "lease_ms": leaseMs, "data_dir": filepath.Join(fleet.dir, "writer")})
+	fleet.start(0)
 	for n := range 2 {
-		f.upstream = append(f.upstream, f.relay(f.writer))
-		f.addresses = append(f.addresses, testnet.TCP(t))
-		f.write(n+1, map[string]any{"listen": f.addresses[n], "writer": f.upstream[n].Address(), "lease_ms": leaseMs})
-		f.start(n + 1)
+		fleet.upstream = append(fleet.upstream, fleet.relay(fleet.writer))
+		fleet.addresses = append(fleet.addresses, testnet.TCP(t))
+		fleet.write(n+1, map[string]any{"listen": fleet.addresses[n], "writer": fleet.upstream[n].Address(), "lease_ms": leaseMs})
+		fleet.start(n + 1)
 	}
-	f.renewAll()
-	f.register("checkout", "north", "north-a", 6)
-	f.register("checkout", "south", "south-a", 6)
-	f.register("search", "north", "north-b", 6)
+	fleet.renewAll()
+	fleet.register("checkout", "north", "north-a", 6)
+	fleet.register("checkout", "south", "south-a", 6)
+	fleet.register("search", "north", "north-b", 6)
 	for n, texts := range fleetScopes {
-		f.read(texts, uint64(n))
+		fleet.startReader(texts, uint64(n))
 	}
-	f.await("each reader has its part of the list", patience)
-	return f
+	fleet.waitUntilConsistent("each reader has its part of the list", waitTimeout)
+	return fleet
 }
 
 func (f *scopedFleet) relay(target string) *link.Relay {
@@ -130,8 +130,8 @@
 	return r
 }
 
-// read starts a reader of scopes.
-func (f *scopedFleet) read(texts []string, seed uint64) {
+// startReader starts a reader of scopes.
+func (f *scopedFleet) startReader(texts []string, seed uint64) {
 	f.t.Helper()
 	scopes, err := registry.ParseScopes(texts)
 	if err != nil {
@@ -155,17 +155,17 @@
 	f.t.Cleanup(func() {
 		stop()
 		<-ended
-		if len(r.outside) > 0 {
-			f.t.Errorf("the reader of %v was told of %v", texts, r.outside)
+		if len(r.outOfScope) > 0 {
+			f.t.Errorf("the reader of %v received %v outside its scopes", texts, r.outOfScope)
 		}
 	})
 	f.readers = append(f.readers, r)
 }
 
-// call makes a write at the writer, which has to take it.
+// call repeats a request to the writer until it succeeds.
 func (f *scopedFleet) call(method, path, body string) {
 	f.t.Helper()
-	until(f.t, method+" "+path+" is done", func() bool {
+	waitFor(f.t, method+" "+path+" is done", func() bool {
 		req, err := http.NewRequest(method, "http://"+f.writer+registry.Path+"/"+path, strings.NewReader(body))
 		if err != nil {
 			f.t.Fatal(err)
@@ -179,23 +179,23 @@
 	})
 }
 
-// register puts instances on the list, named by their zone and number.
+// register registers instances, whose ids consist of service, zone and number.
 func (f *scopedFleet) register(service, region, zone string, count int) {
 	f.t.Helper()
 	for n := range count {
 		id := fmt.Sprintf("%s-%s-%d", service, zone, n)
 		f.call(http.MethodPut, id, fmt.Sprintf(`{"hostPort":"127.0.0.1:80","zone":%q,"region":%q,"service":%q,"machineType":"m","startedAtMs":5}`, zone, region, service))
-		f.list(registry.Instance{ID: id, Service: service, Region: region, Zone: zone, Lifecycle: registry.Ready})
+		f.setInstance(registry.Instance{ID: id, Service: service, Region: region, Zone: zone, Lifecycle: registry.Ready})
 	}
 }
 
-func (f *scopedFleet) list(instance registry.Instance) {
+func (f *scopedFleet) setInstance(instance registry.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.instances[instance.ID] = instance
 }
 
-func (f *scopedFleet) unlist(id string) {
+func (f *scopedFleet) removeInstance(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.instances, id)
@@ -232,38 +232,39 @@
 	}()
 }
 
-// change drains the instance with this number in each service and zone, and takes the one
-// behind it off the list.
-func (f *scopedFleet) change(number int) {
+// drainAndRemove drains the instance with this number in each service and zone, and removes the
+// one with the next number.
+func (f *scopedFleet) drainAndRemove(number int) {
 	f.t.Helper()
 	for _, prefix := range []string{"checkout-north-a", "checkout-south-a", "search-north-b"} {
-		drains, leaves := fmt.Sprintf("%s-%d", prefix, number), fmt.Sprintf("%s-%d", prefix, number+1)
-		f.call(http.MethodPost, drains+"/lifecycle", `{"startedAtMs":5,"lifecycle":"Terminating"}`)
-		instance := f.instances[drains]
+		draining, removed := fmt.Sprintf("%s-%d", prefix, number), fmt.Sprintf("%s-%d", prefix, number+1)
+		f.call(http.MethodPost, draining+"/lifecycle", `{"startedAtMs":5,"lifecycle":"Terminating"}`)
+		instance := f.instances[draining]
 		instance.Lifecycle = registry.Terminating
-		f.list(instance)
-		f.unlist(leaves) // before a renewal can meet it gone
-		f.call(http.MethodDelete, leaves+"?startedAtMs=5", "")
+		f.setInstance(instance)
+		f.removeInstance(removed) // so that renewAll no longer renews it
+		f.call(http.MethodDelete, removed+"?startedAtMs=5", "")
 	}
 }
 
-// differs names an instance that a reader holds in another state than the list does.
-func (f *scopedFleet) differs() string {
+// firstDifference describes an instance whose state differs between a reader's view and the list.
+// It returns an empty string if there is none.
+func (f *scopedFleet) firstDifference() string {
 	for n, r := range f.readers {
 		for id, instance := range f.instances {
 			want := registry.Gone
 			if r.covers(instance) {
 				want = instance.Lifecycle
 			}
-			if got := r.holds(id); got != want {
-				return fmt.Sprintf("reader %d has %s as %s, not %s", n, id, got, want)
+			if got := r.lifecycleOf(id); got != want {
+				return fmt.Sprintf("reader %d has %s as %s, want %s", n, id, got, want)
 			}
 		}
 		r.mu.Lock()
 		for id := range r.view {
 			if _, there := f.instances[id]; !there {
 				r.mu.Unlock()
-				return fmt.Sprintf("reader %d has %s, which has left", n, id)
+				return fmt.Sprintf("reader %d has %s, which has been removed", n, id)
 			}
 		}
 		r.mu.Unlock()
@@ -271,62 +272,63 @@
 	return ""
 }
 
-// await waits until all readers have what the list has, and says how long that took.
-func (f *scopedFleet) await(what string, within time.Duration) {
+// waitUntilConsistent waits until the views of all readers match the list, and logs how long that
+// took.
+func (f *scopedFleet) waitUntilConsistent(what string, limit time.Duration) {
 	f.t.Helper()
 	began := time.Now()
 	for {
-		differs := f.differs()
-		if differs == "" {
+		difference := f.firstDifference()
+		if difference == "" {
 			f.t.Logf("%s: after %v", what, time.Since(began).Round(time.Millisecond))
 			return
 		}
-		if time.Since(began) > within {
-			f.t.Fatalf("%s: not within %v: %s", what, within, differs)
+		if time.Since(began) > limit {
+			f.t.Fatalf("%s: not within %v: %s", what, limit, difference)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (f *scopedFleet) set(r *link.Relay, way link.Way, kind link.Kind) {
+func (f *scopedFleet) setLink(r *link.Relay, way link.Way, kind link.Kind) {
 	f.t.Helper()
 	if err := r.Set(way, link.How{Kind: kind}); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// Readers of scopes hear within 6 s of backends that drain and leave, whatever happens to
-// one of two followers, and after an outage of both from its end on.
+// Scoped readers learn within 6 s that backends drain and leave, despite a failure of one of two
+// followers. If both followers are partitioned from the writer, the 6 s begin when that ends.
 func TestScopedReadersAreNotified(t *testing.T) {
 	faults := map[string]struct {
 		begin func(f *scopedFleet)
-		end   func(f *scopedFleet) // nil: the change can be heard while the fault lasts
+		end   func(f *scopedFleet) // nil: readers receive the change during the fault
 	}{
 		"follower killed": {begin: func(f *scopedFleet) { f.kill(1) }},
 		"follower killed and restarted empty": {begin: func(f *scopedFleet) {
 			f.kill(1)
 			f.start(1)
 		}},
-		"follower frozen":                        {begin: func(f *scopedFleet) { f.signal(1, syscall.SIGSTOP) }},
-		"follower hears nothing from the writer": {begin: func(f *scopedFleet) { f.set(f.upstream[0], link.Back, link.Stalled) }},
-		"follower's calls never arrive":          {begin: func(f *scopedFleet) { f.set(f.upstream[0], link.There, link.Dropped) }},
-		"readers hear nothing from a follower": {begin: func(f *scopedFleet) {
+		"follower frozen": {begin: func(f *scopedFleet) { f.signal(1, syscall.SIGSTOP) }},
+		"follower receives nothing from the writer": {begin: func(f *scopedFleet) { f.setLink(f.upstream[0], link.Back, link.Stalled) }},
+		"follower cannot send to the writer":        {begin: func(f *scopedFleet) { f.setLink(f.upstream[0], link.There, link.Dropped) }},
+		"readers receive nothing from a follower": {begin: func(f *scopedFleet) {
 			for _, r := range f.readers {
-				f.set(r.relays[0], link.Back, link.Dropped)
+				f.setLink(r.relays[0], link.Back, link.Dropped)
 			}
 		}},
-		"region cut and back": {
+		"followers partitioned for a time": {
 			begin: func(f *scopedFleet) {
 				for _, r := range f.upstream {
-					f.set(r, link.There, link.Dropped)
-					f.set(r, link.Back, link.Dropped)
+					f.setLink(r, link.There, link.Dropped)
+					f.setLink(r, link.Back, link.Dropped)
 				}
 			},
 			end: func(f *scopedFleet) {
 				time.Sleep(regionOutage)
 				for _, r := range f.upstream {
-					f.set(r, link.There, link.Up)
-					f.set(r, link.Back, link.Up)
+					f.setLink(r, link.There, link.Up)
+					f.setLink(r, link.Back, link.Up)
 				}
 			},
 		},
@@ -334,17 +336,17 @@
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newScopedFleet(t)
-			f.change(0)
-			f.await("without a fault", notifyWithin)
-			fault.begin(f)
-			f.change(2)
+			fleet := newScopedFleet(t)
+			fleet.drainAndRemove(0)
+			fleet.waitUntilConsistent("without a fault", notificationLimit)
+			fault.begin(fleet)
+			fleet.drainAndRemove(2)
 			if fault.end != nil {
-				fault.end(f)
+				fault.end(fleet)
 			}
-			f.await("with the fault", notifyWithin)
-			f.change(4)
-			f.await("once more", notifyWithin)
+			fleet.waitUntilConsistent("with the fault", notificationLimit)
+			fleet.drainAndRemove(4)
+			fleet.waitUntilConsistent("another change", notificationLimit)
 		})
 	}
 }
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -293,7 +293,7 @@
 // Views agree within 10 s when 300 members join at once and within 60 s when 70% are killed; within
 // 7 s of a partition each member no longer considers 80% of the other side alive.
 // MEMBERSHIP_SEEDS sets the number of seeds and adds a fleet of 1,000 members.
-func TestMassChangesDisseminateInTime(t *testing.T) {
+func TestManyAtOnceAreDetectedInTime(t *testing.T) {
 	sizes, seeds := []int{300}, intFromEnv("MEMBERSHIP_SEEDS", 0)
 	if seeds > 0 {
 		sizes = append(sizes, 1000)
