--- a/cmd/registry/histories_test.go
+++ b/cmd/registry/histories_test.go
@@ -45,8 +45,8 @@
 				defer client.Close()
 				known := map[string]ledger.Record{}
 				for number := 0; ctx.Err() == nil; number++ {
-					input := linear.Asked{Name: []string{"a", "b"}[random.IntN(2)], Get: random.IntN(2) == 0, Any: random.IntN(3) == 0}
-					output := linear.Got{Known: true}
+					input := linear.Input{Name: []string{"a", "b"}[random.IntN(2)], Get: random.IntN(2) == 0, Unconditional: random.IntN(3) == 0}
+					output := linear.Output{Known: true}
 					callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 					calledAt := time.Since(startedAt).Nanoseconds()
 					if input.Get {
@@ -60,7 +60,7 @@
 						json.Unmarshal(expected.Value, &input.Expect)
 						input.Value = fmt.Sprint(n, "-", number)
 						command := ledger.Command{Op: ledger.Put, Name: input.Name, Value: fmt.Appendf(nil, "%q", input.Value)}
-						if !input.Any {
+						if !input.Unconditional {
 							command.Expect = &expected.Version
 						}
 						result, err := client.Do(callCtx, command)
@@ -106,7 +106,7 @@
 			case 3:
 				for other := range 3 {
 					if relay := members.relays[target][other]; relay != nil {
-						relay.Set(link.There, link.How{Kind: link.Stalled}) // the member can only receive
+						relay.Set(link.Forward, link.Condition{Kind: link.Stalled}) // the member can only receive
 					}
 				}
 				waitFor(t, "calls continue: a member can only receive", progressed)
@@ -117,7 +117,7 @@
 		}
 		stop()
 		wg.Wait()
-		if result := porcupine.CheckOperationsTimeout(linear.Registers, history, time.Minute); result != porcupine.Ok {
+		if result := porcupine.CheckOperationsTimeout(linear.RegisterModel, history, time.Minute); result != porcupine.Ok {
 			t.Errorf("seed %d: linearizability check: %v", seed, result)
 		}
 		t.Logf("seed %d: %d calls answered, %d in the history", seed, answered.Load(), len(history))
--- a/cmd/registry/members_test.go
+++ b/cmd/registry/members_test.go
@@ -44,7 +44,7 @@
 			if peers[fmt.Sprint(to+1)] = members.addresses[to]; to == from {
 				continue
 			}
-			relay, err := link.NewRelay("127.0.0.1:0", members.addresses[to], link.Limits{Connections: 32, Buffer: 64 << 10}, uint64(from*count+to))
+			relay, err := link.NewRelay("127.0.0.1:0", members.addresses[to], link.Limits{MaxConnections: 32, BufferBytes: 64 << 10}, uint64(from*count+to))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -133,8 +133,8 @@
 			continue
 		}
 		for _, r := range []*link.Relay{m.relays[n][other], m.relays[other][n]} {
-			for _, direction := range []link.Way{link.There, link.Back} {
-				if err := r.Set(direction, link.How{Kind: kind}); err != nil {
+			for _, direction := range []link.Direction{link.Forward, link.Reverse} {
+				if err := r.Set(direction, link.Condition{Kind: kind}); err != nil {
 					m.t.Error(err)
 				}
 			}
--- a/internal/link/flow.go
+++ b/internal/link/flow.go
@@ -36,31 +36,31 @@
 )
 
 // How a link carries what is sent.
-type How struct {
-	Kind   Kind
-	Bytes  int64
-	Share  float64
-	Delay  time.Duration
-	Jitter time.Duration
+type Condition struct {
+	Kind     Kind
+	Bytes    int64
+	Fraction float64
+	Delay    time.Duration
+	Jitter   time.Duration
 }
 
 // Check finds what can't be.
-func (h How) Check() error {
+func (c Condition) Check() error {
 	switch {
-	case h.Kind != Up && !slices.Contains(Kinds, h.Kind) && !slices.Contains(DatagramKinds, h.Kind):
-		return fmt.Errorf("%q is not one of %v or %v", h.Kind, Kinds, DatagramKinds)
-	case slices.Contains([]Kind{Lost, Repeated, Reordered}, h.Kind) != (h.Share > 0) || h.Share < 0 || h.Share > 1:
-		return fmt.Errorf("%s of a share of %g can't be", h.Kind, h.Share)
-	case h.Kind == Slow && h.Bytes < 1:
-		return fmt.Errorf("%d bytes a second is no speed", h.Bytes)
-	case h.Kind == Cut && h.Bytes < 0:
-		return fmt.Errorf("a cut after %d bytes can't be", h.Bytes)
-	case h.Kind != Slow && h.Kind != Cut && h.Bytes != 0:
-		return fmt.Errorf("%s takes no bytes", h.Kind)
-	case h.Kind == Delayed && (h.Delay < 0 || h.Jitter < 0 || h.Delay+h.Jitter == 0):
-		return fmt.Errorf("a delay of %v and up to %v more is none", h.Delay, h.Jitter)
-	case h.Kind != Delayed && (h.Delay != 0 || h.Jitter != 0):
-		return fmt.Errorf("%s takes no delay", h.Kind)
+	case c.Kind != Up && !slices.Contains(Kinds, c.Kind) && !slices.Contains(DatagramKinds, c.Kind):
+		return fmt.Errorf("%q is not one of %v or %v", c.Kind, Kinds, DatagramKinds)
+	case slices.Contains([]Kind{Lost, Repeated, Reordered}, c.Kind) != (c.Fraction > 0) || c.Fraction < 0 || c.Fraction > 1:
+		return fmt.Errorf("%s of a share of %g can't be", c.Kind, c.Fraction)
+	case c.Kind == Slow && c.Bytes < 1:
+		return fmt.Errorf("%d bytes a second is no speed", c.Bytes)
+	case c.Kind == Cut && c.Bytes < 0:
+		return fmt.Errorf("a cut after %d bytes can't be", c.Bytes)
+	case c.Kind != Slow && c.Kind != Cut && c.Bytes != 0:
+		return fmt.Errorf("%s takes no bytes", c.Kind)
+	case c.Kind == Delayed && (c.Delay < 0 || c.Jitter < 0 || c.Delay+c.Jitter == 0):
+		return fmt.Errorf("a delay of %v and up to %v more is none", c.Delay, c.Jitter)
+	case c.Kind != Delayed && (c.Delay != 0 || c.Jitter != 0):
+		return fmt.Errorf("%s takes no delay", c.Kind)
 	}
 	return nil
 }
@@ -68,59 +68,63 @@
 // Flow is one direction of one connection: it says what becomes of the pieces that
 // are read, in their order. It is pure; the time comes in.
 type Flow struct {
-	how    How
-	random *rand.Rand
-	passed int64         // bytes, since the present fault began
-	free   time.Duration // when the last piece has passed
-	over   bool
+	condition   Condition
+	random      *rand.Rand
+	passedBytes int64         // bytes, since the present fault began
+	freeAt      time.Duration // when the last piece has passed
+	reset       bool
 }
 
 // NewFlow returns a flow that begins as the link is.
-func NewFlow(how How, random *rand.Rand) *Flow { return &Flow{how: how, random: random} }
+func NewFlow(condition Condition, random *rand.Rand) *Flow {
+	return &Flow{condition: condition, random: random}
+}
 
 // Set changes how it flows from now on. Pieces taken before keep their time.
-func (f *Flow) Set(now time.Duration, how How) { f.how, f.passed, f.free = how, 0, now }
+func (f *Flow) Set(now time.Duration, condition Condition) {
+	f.condition, f.passedBytes, f.freeAt = condition, 0, now
+}
 
 // Holds says whether nothing passes now, also not what was taken before.
-func (f *Flow) Holds() bool {
-	return f.how.Kind == Dropped || f.how.Kind == Stalled
+func (f *Flow) Blocked() bool {
+	return f.condition.Kind == Dropped || f.condition.Kind == Stalled
 }
 
 const (
-	mostPiece  = 16 << 10
-	slowPieces = 20 // in a second, so that a slow link drips
+	maxReadBytes       = 16 << 10
+	slowReadsPerSecond = 20 // in a second, so that a slow link drips
 )
 
 // Piece is how many bytes may be read at once.
-func (f *Flow) Piece() int {
-	if f.how.Kind == Slow {
-		return int(min(max(f.how.Bytes/slowPieces, 1), mostPiece))
+func (f *Flow) ReadSize() int {
+	if f.condition.Kind == Slow {
+		return int(min(max(f.condition.Bytes/slowReadsPerSecond, 1), maxReadBytes))
 	}
-	return mostPiece
+	return maxReadBytes
 }
 
 // Take takes in a piece of n bytes, and says how many of them pass, when, and
 // whether the connection is reset behind them.
-func (f *Flow) Take(now time.Duration, n int) (pass int, due time.Duration, reset bool) {
-	if f.over {
+func (f *Flow) Schedule(now time.Duration, size int) (pass int, due time.Duration, reset bool) {
+	if f.reset {
 		return 0, now, true
 	}
-	pass, due = n, now
-	switch f.how.Kind {
+	pass, due = size, now
+	switch f.condition.Kind {
 	case Cut:
-		if left := f.how.Bytes - f.passed; int64(n) >= left {
-			pass, reset = int(left), true
-			f.over = true
+		if remaining := f.condition.Bytes - f.passedBytes; int64(size) >= remaining {
+			pass, reset = int(remaining), true
+			f.reset = true
 		}
 	case Slow:
-		due = max(now, f.free) + time.Duration(float64(n)/float64(f.how.Bytes)*float64(time.Second))
+		due = max(now, f.freeAt) + time.Duration(float64(size)/float64(f.condition.Bytes)*float64(time.Second))
 	case Delayed:
-		due = now + f.how.Delay
-		if f.how.Jitter > 0 {
-			due += time.Duration(f.random.Int64N(int64(f.how.Jitter) + 1))
+		due = now + f.condition.Delay
+		if f.condition.Jitter > 0 {
+			due += time.Duration(f.random.Int64N(int64(f.condition.Jitter) + 1))
 		}
 	}
-	due = max(due, f.free)
-	f.passed, f.free = f.passed+int64(pass), due
+	due = max(due, f.freeAt)
+	f.passedBytes, f.freeAt = f.passedBytes+int64(pass), due
 	return pass, due, reset
 }
--- a/internal/world/counter.go
+++ b/internal/world/counter.go
@@ -3,74 +3,74 @@
 import "time"
 
 // counter keeps numbers by name, and serves calls in turn.
-type counter struct {
-	names  map[string]*number
-	free   time.Duration // when it has served all that wait
-	silent int           // faults under which it says nothing
-	slow   float64       // times its usual time for a call; 0: 1
-	lives  int
+type emulatedCounter struct {
+	counts       map[string]*count
+	freeAt       time.Duration // when it has served all that wait
+	silentFaults int           // faults under which it says nothing
+	slowdown     float64       // times its usual time for a call; 0: 1
+	incarnation  int
 }
 
-type number struct{ value float64 }
+type count struct{ value float64 }
 
 // mostLife is how long a number is kept at most.
-const mostLife = time.Minute
+const maxCountLifetime = time.Minute
 
-func (w *World) called(e Called) {
-	c := w.conns[e.Conn]
-	if c == nil || w.links[edge{c.gateway, c.peer}] != Up {
+func (em *Emulator) counterCalled(event Called) {
+	connection := em.connections[event.Conn]
+	if connection == nil || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
 		return
 	}
-	w.Tally.Costs.Calls++
-	c.idle = w.now
-	n := &w.counter
-	each := time.Duration(1e9 / w.s.Counter.CallsPerS * max(w.counter.slow, 1))
-	delay := w.s.Counter.Delay.D()/2 + w.delay(c)
-	n.free = max(n.free, w.now+delay) // the call's way there
-	answer := Total{Conn: c.id, Status: 503}
-	if n.free-w.now <= each*time.Duration(w.s.Counter.Queue) {
-		n.free += each
-		answer.Status = 200
+	em.Tally.Costs.Calls++
+	connection.idleSince = em.now
+	counter := &em.counter
+	serviceTime := time.Duration(1e9 / em.scenario.Counter.CallsPerS * max(em.counter.slowdown, 1))
+	delay := em.scenario.Counter.Delay.D()/2 + em.networkDelay(connection)
+	counter.freeAt = max(counter.freeAt, em.now+delay) // the call's way there
+	reply := CounterReply{Conn: connection.id, Status: 503}
+	if counter.freeAt-em.now <= serviceTime*time.Duration(em.scenario.Counter.Queue) {
+		counter.freeAt += serviceTime
+		reply.Status = 200
 	} else {
-		w.Tally.Costs.CallsTurned++
+		em.Tally.Costs.CallsTurned++
 	}
-	lives := n.lives
-	w.at(n.free, func() {
-		if n.lives != lives {
+	incarnation := counter.incarnation
+	em.schedule(counter.freeAt, func() {
+		if counter.incarnation != incarnation {
 			return // it was lost with all that waited
 		}
-		if answer.Status == 200 {
-			answer.Total = n.add(w, e)
+		if reply.Status == 200 {
+			reply.Total = counter.add(em, event)
 		}
 		// Answers on a connection come in the order of the calls.
-		c.last = max(c.last, w.now+delay)
-		w.at(c.last, func() {
-			if w.conns[c.id] == c && w.links[edge{c.gateway, c.peer}] == Up {
-				w.do(answer)
-				w.rests(c)
+		connection.lastReply = max(connection.lastReply, em.now+delay)
+		em.schedule(connection.lastReply, func() {
+			if em.connections[connection.id] == connection && em.links[gatewayLink{connection.gateway, connection.peer}] == Up {
+				em.emit(reply)
+				em.markIdle(connection)
 			}
 		})
 	})
 }
 
-func (n *counter) add(w *World, e Called) float64 {
-	kept := n.names[e.Name]
-	if kept == nil {
-		kept = &number{}
-		n.names[e.Name] = kept
-		w.after(min(max(e.Life, time.Millisecond), mostLife), func() {
-			if n.names[e.Name] == kept {
-				delete(n.names, e.Name)
+func (counter *emulatedCounter) add(em *Emulator, event Called) float64 {
+	stored := counter.counts[event.Name]
+	if stored == nil {
+		stored = &count{}
+		counter.counts[event.Name] = stored
+		em.after(min(max(event.Lifetime, time.Millisecond), maxCountLifetime), func() {
+			if counter.counts[event.Name] == stored {
+				delete(counter.counts, event.Name)
 			}
 		})
 	}
-	kept.value += e.Add
-	return kept.value
+	stored.value += event.Add
+	return stored.value
 }
 
 // empty loses all numbers.
-func (n *counter) empty() {
-	n.names = map[string]*number{}
-	n.lives++
-	n.free = 0
+func (counter *emulatedCounter) clear() {
+	counter.counts = map[string]*count{}
+	counter.incarnation++
+	counter.freeAt = 0
 }
--- a/internal/world/double_test.go
+++ b/internal/world/double_test.go
@@ -10,98 +10,98 @@
 
 // harness drives a world in time of its own, with doubles in the gateways' place.
 type harness struct {
-	w        *World
-	s        *scenario.Scenario
-	now      time.Duration
-	queue    timers
-	order    uint64
-	next     Conn
-	conns    map[Conn]*doubleConn
-	links    map[edge]LinkState
-	doubles  []*double
-	defect   string
-	planted  int // times that the defect has been acted out
-	maxSteps int
+	emulator       *Emulator
+	scenario       *scenario.Scenario
+	now            time.Duration
+	queue          timers
+	sequence       uint64
+	lastConnection Conn
+	connections    map[Conn]*testConnection
+	links          map[gatewayLink]LinkState
+	gateways       []*testGateway
+	defect         string
+	planted        int // times that the defect has been acted out
+	maxSteps       int
 }
 
-type doubleConn struct {
+type testConnection struct {
 	id      Conn
 	gateway int
 	backend int
-	x       *held
+	request *acceptedRequest
 }
 
 // double is a gateway that keeps the rules, but for its defect.
-type double struct {
-	h     *harness
-	n     int
-	alive bool
-	told  map[int]Entry
-	turn  int
-	open  map[uint64]*held
-	out   map[int]int // attempts by backend
+type testGateway struct {
+	harness           *harness
+	number            int
+	alive             bool
+	entries           map[int]Entry
+	turn              int
+	inProgress        map[uint64]*acceptedRequest
+	attemptsByBackend map[int]int // attempts by backend
 }
 
 // A double has so many attempts out at a backend at most.
 const (
-	mostWarm = 4
-	mostCold = 1
+	maxWarmAttempts = 4
+	maxColdAttempts = 1
 )
 
-func (d *double) room(b int, e Entry) bool {
-	if d.h.plant("floods the cold") {
+func (gateway *testGateway) hasRoom(backend int, entry Entry) bool {
+	if gateway.harness.hasDefect("floods the cold") {
 		return true
 	}
-	if e.Started > 0 && d.h.now-e.Started < d.h.s.Backend.Cold.D() {
-		return d.out[b] < mostCold
+	if entry.Started > 0 && gateway.harness.now-entry.Started < gateway.harness.scenario.Backend.Cold.D() {
+		return gateway.attemptsByBackend[backend] < maxColdAttempts
 	}
-	return d.out[b] < mostWarm
+	return gateway.attemptsByBackend[backend] < maxWarmAttempts
 }
 
 // held is a request that a double has taken.
-type held struct {
+type acceptedRequest struct {
 	Request
-	d       *double
-	due     time.Duration
-	tries   int
-	mayRun  bool
-	conn    *doubleConn
-	done    bool
-	refused map[int]bool
+	gateway    *testGateway
+	deadline   time.Duration
+	attempts   int
+	mayRun     bool
+	connection *testConnection
+	done       bool
+	refused    map[int]bool
 }
 
-func (h *harness) after(d time.Duration, do func()) {
-	h.order++
-	heap.Push(&h.queue, timer{h.now + d, h.order, do})
+func (h *harness) after(delay time.Duration, run func()) {
+	h.sequence++
+	heap.Push(&h.queue, timer{h.now + delay, h.sequence, run})
 }
 
-func (h *harness) step(e Event) {
-	for _, a := range h.w.Step(h.now, e) {
-		h.do(a.Do)
+func (h *harness) step(event Event) {
+	for _, a := range h.emulator.Step(h.now, event) {
+		h.perform(a.Operation)
 	}
 }
 
 // play plays a scenario with doubles that have the defect.
-func playDoubles(s *scenario.Scenario, defect string) *harness {
-	h := &harness{w: New(s), s: s, conns: map[Conn]*doubleConn{}, links: map[edge]LinkState{}, defect: defect, maxSteps: 10_000_000}
+func runTestGateways(s *scenario.Scenario, defect string) *harness {
+	h := &harness{emulator: New(s), scenario: s, connections: map[Conn]*testConnection{}, links: map[gatewayLink]LinkState{}, defect: defect, maxSteps: 10_000_000}
 	for g := range s.Fleet.Gateways {
-		d := &double{h: h, n: g, alive: true, told: map[int]Entry{}, open: map[uint64]*held{}, out: map[int]int{}}
-		h.doubles = append(h.doubles, d)
-		h.tell(d, h.w.Entries())
+		gateway := &testGateway{harness: h, number: g, alive: true, entries: map[int]Entry{}, inProgress: map[uint64]*acceptedRequest{}, attemptsByBackend: map[int]int{}}
+		h.gateways = append(h.gateways, gateway)
+		h.deliverList(gateway, h.emulator.Entries())
 		h.step(Ready{g})
 	}
-	for _, a := range h.w.Begin(h.now) {
-		h.do(a.Do)
+	for _, a := range h.emulator.Begin(h.now) {
+		h.perform(a.Operation)
 	}
 	for range h.maxSteps {
-		if h.w.Done() {
+		if h.emulator.Done() {
 			break
 		}
-		next, ok := h.w.Next()
+		next, ok := h.emulator.Next()
 		if len(h.queue) > 0 && (!ok || h.queue[0].at <= next) {
 			t := heap.Pop(&h.queue).(timer)
 			h.now = max(h.now, t.at)
-			t.do()
+			t.run()
 			continue
 		}
 		if !ok {
@@ -110,79 +110,79 @@
 		h.now = max(h.now, next)
 		h.step(Tick{})
 	}
-	h.w.End(h.now)
+	h.emulator.End(h.now)
 	return h
 }
 
-func (h *harness) tell(d *double, entries []Entry) {
-	if !d.alive {
+func (h *harness) deliverList(gateway *testGateway, entries []Entry) {
+	if !gateway.alive {
 		return
 	}
-	h.step(Told{Gateway: d.n, Whole: true, Entries: entries})
-	clear(d.told)
-	for _, e := range entries {
-		d.told[e.Backend] = e
+	h.step(ListDelivered{Gateway: gateway.number, Full: true, Entries: entries})
+	clear(gateway.entries)
+	for _, entry := range entries {
+		gateway.entries[entry.Backend] = entry
 	}
 }
 
-func (h *harness) do(action any) {
-	switch a := action.(type) {
+func (h *harness) perform(action any) {
+	switch action := action.(type) {
 	case Send:
-		d := h.doubles[a.Gateway]
+		gateway := h.gateways[action.Gateway]
 		h.after(0, func() {
-			if !d.alive {
-				h.step(Unanswered{ID: a.ID})
+			if !gateway.alive {
+				h.step(Unanswered{ID: action.ID})
 				return
 			}
-			h.step(Taken{a.ID})
-			d.take(a.Request)
+			h.step(RequestWritten{action.ID})
+			gateway.accept(action.Request)
 		})
 	case Abandon:
-		for _, d := range h.doubles {
-			if x := d.open[a.ID]; x != nil {
-				h.after(0, func() { d.drop(x) })
+		for _, gateway := range h.gateways {
+			if accepted := gateway.inProgress[action.ID]; accepted != nil {
+				h.after(0, func() { gateway.abandon(accepted) })
 			}
 		}
 	case Reply:
-		if c := h.conns[a.Conn]; c != nil {
-			h.after(0, func() { h.replied(c, a) })
+		if connection := h.connections[action.Conn]; connection != nil {
+			h.after(0, func() { h.replied(connection, action) })
 		}
-	case Look: // what a double ends has ended at once
-		h.after(0, func() { h.step(Looked{ID: a.ID}) })
+	case CheckConnections: // what a double ends has ended at once
+		h.after(0, func() { h.step(ConnectionsChecked{ID: action.ID}) })
 	case Reset:
-		if c := h.conns[a.Conn]; c != nil {
-			h.gone(c)
-			h.after(0, func() { h.broke(c) })
+		if connection := h.connections[action.Conn]; connection != nil {
+			h.removeConnection(connection)
+			h.after(0, func() { h.connectionReset(connection) })
 		}
-	case Link:
-		h.links[edge{a.Gateway, a.Peer}] = a.State
-		if a.State != Silent {
-			for _, id := range sortedConns(h.conns) {
-				if c := h.conns[id]; c.gateway == a.Gateway && c.backend == a.Peer {
-					h.gone(c)
-					h.after(0, func() { h.broke(c) })
+	case SetLinkState:
+		h.links[gatewayLink{action.Gateway, action.Peer}] = action.State
+		if action.State != Silent {
+			for _, id := range sortedConnections(h.connections) {
+				if connection := h.connections[id]; connection.gateway == action.Gateway && connection.backend == action.Peer {
+					h.removeConnection(connection)
+					h.after(0, func() { h.connectionReset(connection) })
 				}
 			}
 		}
-	case Tell:
-		h.after(0, func() { h.tell(h.doubles[a.Gateway], a.Entries) })
+	case SendList:
+		h.after(0, func() { h.deliverList(h.gateways[action.Gateway], action.Entries) })
 	case Kill:
-		d := h.doubles[a.Gateway]
-		d.alive = false
-		h.after(0, func() { h.died(d) })
+		gateway := h.gateways[action.Gateway]
+		gateway.alive = false
+		h.after(0, func() { h.gatewayExited(gateway) })
 	case Stop:
-		h.after(0, func() { h.leave(h.doubles[a.Gateway]) })
+		h.after(0, func() { h.stopGateway(h.gateways[action.Gateway]) })
 	case Start:
 		h.after(200*time.Millisecond, func() {
-			d := h.doubles[a.Gateway]
-			d.alive = true
-			h.tell(d, h.w.Entries())
-			h.step(Ready(a))
+			gateway := h.gateways[action.Gateway]
+			gateway.alive = true
+			h.deliverList(gateway, h.emulator.Entries())
+			h.step(Ready(action))
 		})
 	}
 }
 
-func sortedConns(conns map[Conn]*doubleConn) []Conn {
+func sortedConnections(conns map[Conn]*testConnection) []Conn {
 	var all []Conn
 	for id := range conns {
 		all = append(all, id)
@@ -191,246 +191,246 @@
 	return all
 }
 
-func (h *harness) died(d *double) {
-	for _, id := range sortedConns(h.conns) {
-		if c := h.conns[id]; c.gateway == d.n {
-			h.hangUp(c)
+func (h *harness) gatewayExited(gateway *testGateway) {
+	for _, id := range sortedConnections(h.connections) {
+		if connection := h.connections[id]; connection.gateway == gateway.number {
+			h.closeConnection(connection)
 		}
 	}
 	var ids []uint64
-	for id := range d.open {
+	for id := range gateway.inProgress {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		d.open[id].done = true
-		delete(d.open, id)
+		gateway.inProgress[id].done = true
+		delete(gateway.inProgress, id)
 		h.step(Unanswered{ID: id, Reused: true, Sent: true})
 	}
-	h.step(Exited{d.n, "killed"})
+	h.step(Exited{gateway.number, "killed"})
 }
 
-func (h *harness) leave(d *double) {
-	if len(d.open) > 0 || h.defect == "never ends" {
+func (h *harness) stopGateway(gateway *testGateway) {
+	if len(gateway.inProgress) > 0 || h.defect == "never ends" {
 		if h.defect == "never ends" {
 			h.planted++
 			return
 		}
-		h.after(50*time.Millisecond, func() { h.leave(d) })
+		h.after(50*time.Millisecond, func() { h.stopGateway(gateway) })
 		return
 	}
-	d.alive = false
-	h.died(d)
+	gateway.alive = false
+	h.gatewayExited(gateway)
 }
 
-func (d *double) take(r Request) {
-	x := &held{Request: r, d: d, due: d.h.now + r.Left, refused: map[int]bool{}}
-	d.open[r.ID] = x
-	d.h.after(r.Left-10*time.Millisecond, func() { x.answer(504, Body{}) })
+func (gateway *testGateway) accept(request Request) {
+	accepted := &acceptedRequest{Request: request, gateway: gateway, deadline: gateway.harness.now + request.Remaining, refused: map[int]bool{}}
+	gateway.inProgress[request.ID] = accepted
+	gateway.harness.after(request.Remaining-10*time.Millisecond, func() { accepted.answer(504, Body{}) })
 	switch {
-	case d.h.plant("holds") && r.ID%64 == 0:
-		x.done = true // and nothing more
-		d.h.planted++
-	case d.h.plant("makes up") && r.ID%64 == 0:
-		d.h.planted++
-		x.answer(200, Body{Seed: 7, Size: d.h.s.Classes[r.Class].AnswerBytes})
-	case d.h.plant("ends") && d.h.now > 2*time.Second && d.n == 0 && d.h.planted == 0:
-		d.h.planted++
-		d.alive = false
-		d.h.died(d)
-	case d.h.plant("shuts the door") && r.ID%16 == 0:
-		d.h.planted++
-		x.done = true
-		delete(d.open, r.ID)
-		d.h.step(Unanswered{ID: r.ID, Sent: true})
+	case gateway.harness.hasDefect("holds") && request.ID%64 == 0:
+		accepted.done = true // and nothing more
+		gateway.harness.planted++
+	case gateway.harness.hasDefect("makes up") && request.ID%64 == 0:
+		gateway.harness.planted++
+		accepted.answer(200, Body{Seed: 7, Size: gateway.harness.scenario.Classes[request.Class].AnswerBytes})
+	case gateway.harness.hasDefect("ends") && gateway.harness.now > 2*time.Second && gateway.number == 0 && gateway.harness.planted == 0:
+		gateway.harness.planted++
+		gateway.alive = false
+		gateway.harness.gatewayExited(gateway)
+	case gateway.harness.hasDefect("shuts the door") && request.ID%16 == 0:
+		gateway.harness.planted++
+		accepted.done = true
+		delete(gateway.inProgress, request.ID)
+		gateway.harness.step(Unanswered{ID: request.ID, Sent: true})
 	default:
-		x.attempt()
+		accepted.attempt()
 	}
 }
 
-func (h *harness) plant(defect string) bool { return h.defect == defect }
+func (h *harness) hasDefect(defect string) bool { return h.defect == defect }
 
 // pick picks the next backend in turn that is ready and has not refused.
-func (x *held) pick() int {
-	d := x.d
-	var fit []int
-	for b, e := range d.told {
-		ready := e.Lifecycle == Serving
-		if d.h.plant("ignores drains") && e.Lifecycle == Draining {
+func (accepted *acceptedRequest) pickBackend() int {
+	gateway := accepted.gateway
+	var eligible []int
+	for backend, entry := range gateway.entries {
+		ready := entry.Lifecycle == Serving
+		if gateway.harness.hasDefect("ignores drains") && entry.Lifecycle == Draining {
 			ready = true
-			d.h.planted++
+			gateway.harness.planted++
 		}
-		if ready && !x.refused[b] && d.room(b, e) {
-			fit = append(fit, b)
+		if ready && !accepted.refused[backend] && gateway.hasRoom(backend, entry) {
+			eligible = append(eligible, backend)
 		}
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		return -1
 	}
-	slices.Sort(fit)
-	if last := fit[len(fit)-1]; d.h.plant("floods the cold") && d.told[last].Started > 0 && d.h.now-d.told[last].Started < d.h.s.Backend.Cold.D() {
-		d.h.planted++
+	slices.Sort(eligible)
+	if last := eligible[len(eligible)-1]; gateway.harness.hasDefect("floods the cold") && gateway.entries[last].Started > 0 && gateway.harness.now-gateway.entries[last].Started < gateway.harness.scenario.Backend.Cold.D() {
+		gateway.harness.planted++
 		return last
 	}
-	d.turn++
-	return fit[d.turn%len(fit)]
+	gateway.turn++
+	return eligible[gateway.turn%len(eligible)]
 }
 
-func (x *held) attempt() {
-	d, h := x.d, x.d.h
-	if x.done || !d.alive {
+func (accepted *acceptedRequest) attempt() {
+	gateway, h := accepted.gateway, accepted.gateway.harness
+	if accepted.done || !gateway.alive {
 		return
 	}
-	b := x.pick()
-	if b < 0 || x.tries >= h.s.Rules.Attempts+1 || x.tries >= h.s.Rules.Attempts && !h.plant("tries on") {
-		x.end()
+	backend := accepted.pickBackend()
+	if backend < 0 || accepted.attempts >= h.scenario.Rules.Attempts+1 || accepted.attempts >= h.scenario.Rules.Attempts && !h.hasDefect("tries on") {
+		accepted.reject()
 		return
 	}
-	if x.tries >= h.s.Rules.Attempts {
+	if accepted.attempts >= h.scenario.Rules.Attempts {
 		h.planted++
 	}
-	switch h.links[edge{d.n, b}] {
+	switch h.links[gatewayLink{gateway.number, backend}] {
 	case Refusing:
-		x.refused[b] = true
-		x.attempt()
+		accepted.refused[backend] = true
+		accepted.attempt()
 		return
 	case Silent:
-		x.refused[b] = true
-		h.after(h.s.Network.ConnectTimeout.D(), x.attempt)
+		accepted.refused[backend] = true
+		h.after(h.scenario.Network.ConnectTimeout.D(), accepted.attempt)
 		return
 	}
-	x.tries++
-	c := h.connect(d.n, b, x)
-	h.arrive(c, x.Request)
-	if h.plant("sends twice") && x.ID%64 == 0 && len(d.told) > 1 {
+	accepted.attempts++
+	connection := h.connect(gateway.number, backend, accepted)
+	h.sendAttempt(connection, accepted.Request)
+	if h.hasDefect("sends twice") && accepted.ID%64 == 0 && len(gateway.entries) > 1 {
 		h.planted++
-		h.arrive(h.connect(d.n, b, nil), x.Request)
+		h.sendAttempt(h.connect(gateway.number, backend, nil), accepted.Request)
 	}
 	h.after(700*time.Millisecond, func() { // it gives up
-		if h.conns[c.id] == c && c.x == x {
-			h.hangUp(c)
-			x.mayRun = true
-			x.again()
+		if h.connections[connection.id] == connection && connection.request == accepted {
+			h.closeConnection(connection)
+			accepted.mayRun = true
+			accepted.retryOrEnd()
 		}
 	})
 }
 
-func (h *harness) connect(g, b int, x *held) *doubleConn {
-	h.next++
-	c := &doubleConn{id: h.next, gateway: g, backend: b, x: x}
-	h.conns[c.id] = c
-	h.doubles[g].out[b]++
-	h.step(Opened{c.id, g, b})
-	if x != nil {
-		x.conn = c
-	}
-	return c
+func (h *harness) connect(gateway, backend int, accepted *acceptedRequest) *testConnection {
+	h.lastConnection++
+	connection := &testConnection{id: h.lastConnection, gateway: gateway, backend: backend, request: accepted}
+	h.connections[connection.id] = connection
+	h.gateways[gateway].attemptsByBackend[backend]++
+	h.step(Opened{connection.id, gateway, backend})
+	if accepted != nil {
+		accepted.connection = connection
+	}
+	return connection
 }
 
-func (h *harness) gone(c *doubleConn) {
-	delete(h.conns, c.id)
-	h.doubles[c.gateway].out[c.backend]--
+func (h *harness) removeConnection(connection *testConnection) {
+	delete(h.connections, connection.id)
+	h.gateways[connection.gateway].attemptsByBackend[connection.backend]--
 }
 
-func (h *harness) hangUp(c *doubleConn) {
-	h.gone(c)
-	h.step(Closed{c.id})
+func (h *harness) closeConnection(connection *testConnection) {
+	h.removeConnection(connection)
+	h.step(Closed{connection.id})
 }
 
-func (h *harness) arrive(c *doubleConn, r Request) {
-	a := Arrived{Conn: c.id, ID: r.ID, First: h.now, Class: h.s.Classes[r.Class].Name, Key: r.Key, Body: r.Body, Same: true}
-	if h.plant("sends its own") && r.ID%64 == 0 {
+func (h *harness) sendAttempt(connection *testConnection, request Request) {
+	arrived := Arrived{Conn: connection.id, ID: request.ID, FirstByte: h.now, Class: h.scenario.Classes[request.Class].Name, Key: request.Key, Body: request.Body, Unchanged: true}
+	if h.hasDefect("sends its own") && request.ID%64 == 0 {
 		h.planted++
-		a.ID++
+		arrived.ID++
 	}
-	if h.plant("changes") && r.ID%64 == 0 {
+	if h.hasDefect("changes") && request.ID%64 == 0 {
 		h.planted++
-		a.Class = "other"
+		arrived.Class = "other"
 	}
-	h.step(a)
+	h.step(arrived)
 }
 
-func (x *held) again() {
-	class := x.d.h.s.Classes[x.Class]
-	may := !x.mayRun || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all"
-	if x.d.h.plant("sends once again") && !may {
-		x.d.h.planted++
-		may = true
-	}
-	if !may {
-		x.end()
+func (accepted *acceptedRequest) retryOrEnd() {
+	class := accepted.gateway.harness.scenario.Classes[accepted.Class]
+	allowed := !accepted.mayRun || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all"
+	if accepted.gateway.harness.hasDefect("sends once again") && !allowed {
+		accepted.gateway.harness.planted++
+		allowed = true
+	}
+	if !allowed {
+		accepted.reject()
 		return
 	}
-	x.attempt()
+	accepted.attempt()
 }
 
 // end answers a request that is not served.
-func (x *held) end() {
-	class := x.d.h.s.Classes[x.Class]
-	if x.mayRun && x.d.h.plant("refuses what ran") && class.Effect == "once" {
-		x.d.h.planted++
-		x.answer(503, Body{})
+func (accepted *acceptedRequest) reject() {
+	class := accepted.gateway.harness.scenario.Classes[accepted.Class]
+	if accepted.mayRun && accepted.gateway.harness.hasDefect("refuses what ran") && class.Effect == "once" {
+		accepted.gateway.harness.planted++
+		accepted.answer(503, Body{})
 		return
 	}
-	if x.mayRun {
-		x.answer(502, Body{})
+	if accepted.mayRun {
+		accepted.answer(502, Body{})
 		return
 	}
-	x.answer(503, Body{})
+	accepted.answer(503, Body{})
 }
 
-func (x *held) answer(status int, body Body) {
-	if x.done {
+func (accepted *acceptedRequest) answer(status int, body Body) {
+	if accepted.done {
 		return
 	}
-	h := x.d.h
-	x.done = true
-	delete(x.d.open, x.ID)
-	if x.conn != nil && h.conns[x.conn.id] == x.conn {
-		h.hangUp(x.conn)
+	h := accepted.gateway.harness
+	accepted.done = true
+	delete(accepted.gateway.inProgress, accepted.ID)
+	if accepted.connection != nil && h.connections[accepted.connection.id] == accepted.connection {
+		h.closeConnection(accepted.connection)
 	}
-	h.step(Answered{ID: x.ID, Status: status, Whole: true, Body: body})
-	if h.plant("answers twice") && x.ID%64 == 0 {
+	h.step(Answered{ID: accepted.ID, Status: status, Complete: true, Body: body})
+	if h.hasDefect("answers twice") && accepted.ID%64 == 0 {
 		h.planted++
-		h.step(Extra{x.d.n, x.ID})
+		h.step(UnexpectedData{accepted.gateway.number, accepted.ID})
 	}
 }
 
-func (d *double) drop(x *held) {
-	x.done = true
-	delete(d.open, x.ID)
-	if x.conn != nil && d.h.conns[x.conn.id] == x.conn {
-		d.h.hangUp(x.conn)
+func (gateway *testGateway) abandon(accepted *acceptedRequest) {
+	accepted.done = true
+	delete(gateway.inProgress, accepted.ID)
+	if accepted.connection != nil && gateway.harness.connections[accepted.connection.id] == accepted.connection {
+		gateway.harness.closeConnection(accepted.connection)
 	}
 }
 
-func (h *harness) replied(c *doubleConn, r Reply) {
-	if h.conns[c.id] != c {
+func (h *harness) replied(connection *testConnection, reply Reply) {
+	if h.connections[connection.id] != connection {
 		return
 	}
-	x := c.x
-	h.hangUp(c) // each connection serves once
-	if x == nil || x.done || x.conn != c {
+	accepted := connection.request
+	h.closeConnection(connection) // each connection serves once
+	if accepted == nil || accepted.done || accepted.connection != connection {
 		return
 	}
 	switch {
-	case r.Spoilt || r.Status == 500:
-		x.mayRun = true
-		x.again()
-	case r.Unseen:
-		x.refused[c.backend] = true
-		x.attempt()
-	case r.Status == 200:
-		x.answer(200, r.Body)
+	case reply.Truncated || reply.Status == 500:
+		accepted.mayRun = true
+		accepted.retryOrEnd()
+	case reply.NotStarted:
+		accepted.refused[connection.backend] = true
+		accepted.attempt()
+	case reply.Status == 200:
+		accepted.answer(200, reply.Body)
 	default:
-		x.mayRun = true
-		x.end()
+		accepted.mayRun = true
+		accepted.reject()
 	}
 }
 
-func (h *harness) broke(c *doubleConn) {
-	if x := c.x; x != nil && !x.done && x.conn == c {
-		x.mayRun = true
-		x.again()
+func (h *harness) connectionReset(connection *testConnection) {
+	if accepted := connection.request; accepted != nil && !accepted.done && accepted.connection == connection {
+		accepted.mayRun = true
+		accepted.retryOrEnd()
 	}
 }
--- a/internal/world/gateways.go
+++ b/internal/world/gateways.go
@@ -17,137 +17,137 @@
 )
 
 // gateway is one process as the platform sees it.
-type gateway struct {
-	zone    int
-	state   gatewayState
-	process bool          // there is one
-	wanted  bool          // another is to be started once it has ended
-	slow    time.Duration // for so long it is to stand still at its start
-	front   bool          // the front sends clients to it
-	lives   int
-	calls   int // connections to the counter
-	frozen  bool
+type emulatedGateway struct {
+	zone               int
+	state              gatewayState
+	hasProcess         bool          // there is one
+	restartPending     bool          // another is to be started once it has ended
+	startDelay         time.Duration // for so long it is to stand still at its start
+	inRotation         bool          // the front sends clients to it
+	incarnation        int
+	counterConnections int // connections to the counter
+	frozen             bool
 }
 
 // stopSends is how long a front still sends to a gateway that was told to end.
-const stopSends = 300 * time.Millisecond
+const rotationDelay = 300 * time.Millisecond
 
-func (w *World) ready(n int) {
-	g := &w.gateways[n]
-	if g.state == starting {
-		g.state = up
-		g.front = true
-		w.ground()
+func (em *Emulator) gatewayReady(number int) {
+	gateway := &em.gateways[number]
+	if gateway.state == starting {
+		gateway.state = up
+		gateway.inRotation = true
+		em.reportReachability()
 	}
 }
 
-func (w *World) exited(e Exited) {
-	g := &w.gateways[e.Gateway]
-	g.process = false
-	defer w.ground()
-	switch g.state {
+func (em *Emulator) gatewayExited(event Exited) {
+	gateway := &em.gateways[event.Gateway]
+	gateway.hasProcess = false
+	defer em.reportReachability()
+	switch gateway.state {
 	case up, starting:
-		w.Judge.Crashed(w.now, e.Gateway, e.How)
-		w.do(Mark{fmt.Sprintf("gateway n%d ended: %s", e.Gateway, e.How)})
-		g.front = false
-		g.state = down
+		em.Referee.Crashed(em.now, event.Gateway, event.Cause)
+		em.emit(Mark{fmt.Sprintf("gateway n%d ended: %s", event.Gateway, event.Cause)})
+		gateway.inRotation = false
+		gateway.state = down
 		return
 	case stopping:
-		g.state = down
-		g.wanted = true
+		gateway.state = down
+		gateway.restartPending = true
 	}
-	if lives := g.lives; g.wanted {
-		w.after(bootAfter, func() {
-			if g.lives == lives {
-				w.boot(e.Gateway)
+	if incarnation := gateway.incarnation; gateway.restartPending {
+		em.after(restartDelay, func() {
+			if gateway.incarnation == incarnation {
+				em.startGateway(event.Gateway)
 			}
 		})
 	}
 }
 
 // bootAfter is how long after its end a gateway's next process is started.
-const bootAfter = 100 * time.Millisecond
+const restartDelay = 100 * time.Millisecond
 
 // kill ends a gateway's process at once.
-func (w *World) kill(n int) {
-	w.do(Kill{n})
-	w.lose(n)
+func (em *Emulator) killGateway(number int) {
+	em.emit(Kill{number})
+	em.markGatewayLost(number)
 }
 
 // lose takes note that a gateway is gone, which the front sees late.
-func (w *World) lose(n int) {
-	g := &w.gateways[n]
-	g.state = down
-	g.lives++
-	g.frozen = false
-	w.Judge.Excuse(w.now, n)
-	w.ground()
-	lives := g.lives
-	w.after(w.s.Network.Notice.D(), func() {
-		if g.lives == lives && g.state != up {
-			g.front = false
+func (em *Emulator) markGatewayLost(number int) {
+	gateway := &em.gateways[number]
+	gateway.state = down
+	gateway.incarnation++
+	gateway.frozen = false
+	em.Referee.Excuse(em.now, number)
+	em.reportReachability()
+	incarnation := gateway.incarnation
+	em.after(em.scenario.Network.Notice.D(), func() {
+		if gateway.incarnation == incarnation && gateway.state != up {
+			gateway.inRotation = false
 		}
 	})
 }
 
 // vanish takes a gateway's machine away: the process says nothing, and what is
 // connected to it stands, until another is started.
-func (w *World) vanish(n int, d time.Duration) {
-	g := &w.gateways[n]
-	if g.state != up {
+func (em *Emulator) loseMachine(number int, duration time.Duration) {
+	gateway := &em.gateways[number]
+	if gateway.state != up {
 		return
 	}
-	w.do(Freeze{n})
-	w.lose(n)
-	lives := g.lives
-	w.after(d, func() {
-		if g.lives == lives {
-			w.do(Kill{n})
-			w.boot(n)
+	em.emit(Freeze{number})
+	em.markGatewayLost(number)
+	incarnation := gateway.incarnation
+	em.after(duration, func() {
+		if gateway.incarnation == incarnation {
+			em.emit(Kill{number})
+			em.startGateway(number)
 		}
 	})
 }
 
 // loop kills a gateway each life, until a moment.
-func (w *World) loop(n int, life time.Duration, end time.Duration) {
-	if g := &w.gateways[n]; g.state == up || g.state == starting {
-		w.kill(n)
-		w.after(bootAfter, func() { w.boot(n) })
+func (em *Emulator) crashLoopGateway(number int, interval time.Duration, end time.Duration) {
+	if gateway := &em.gateways[number]; gateway.state == up || gateway.state == starting {
+		em.killGateway(number)
+		em.after(restartDelay, func() { em.startGateway(number) })
 	}
-	if next := w.now + bootAfter + life; next < end {
-		w.at(next, func() { w.loop(n, life, end) })
+	if next := em.now + restartDelay + interval; next < end {
+		em.schedule(next, func() { em.crashLoopGateway(number, interval, end) })
 	}
 }
 
 // startSlowly kills a gateway, and lets its next process stand still at its start.
-func (w *World) startSlowly(n int, d time.Duration) {
-	g := &w.gateways[n]
-	w.kill(n)
-	g.slow = d
-	w.after(bootAfter, func() { w.boot(n) })
+func (em *Emulator) restartSlowly(number int, delay time.Duration) {
+	gateway := &em.gateways[number]
+	em.killGateway(number)
+	gateway.startDelay = delay
+	em.after(restartDelay, func() { em.startGateway(number) })
 }
 
 // boot starts its next process, once the last has ended.
-func (w *World) boot(n int) {
-	g := &w.gateways[n]
-	if g.state != down {
+func (em *Emulator) startGateway(number int) {
+	gateway := &em.gateways[number]
+	if gateway.state != down {
 		return
 	}
-	if g.wanted = g.process; g.wanted {
+	if gateway.restartPending = gateway.hasProcess; gateway.restartPending {
 		return
 	}
-	g.lives++
-	g.state = starting
-	g.process, g.frozen = true, false
-	w.Judge.Back(w.now, n, true)
-	w.do(Start{n})
-	if slow := g.slow; slow > 0 {
-		g.slow = 0
-		w.do(Freeze{n})
-		lives := g.lives
-		w.after(slow, func() {
-			if g.lives == lives {
-				w.do(Thaw{n})
+	gateway.incarnation++
+	gateway.state = starting
+	gateway.hasProcess, gateway.frozen = true, false
+	em.Referee.Back(em.now, number, true)
+	em.emit(Start{number})
+	if delay := gateway.startDelay; delay > 0 {
+		gateway.startDelay = 0
+		em.emit(Freeze{number})
+		incarnation := gateway.incarnation
+		em.after(delay, func() {
+			if gateway.incarnation == incarnation {
+				em.emit(Thaw{number})
 			}
 		})
 	}
@@ -155,49 +155,49 @@
 
 // stop tells a gateway to end, and starts it again when it has, or has been made
 // to.
-func (w *World) stop(n int) {
-	g := &w.gateways[n]
-	if g.state != up {
+func (em *Emulator) stopGateway(number int) {
+	gateway := &em.gateways[number]
+	if gateway.state != up {
 		return
 	}
-	g.state = stopping
-	g.lives++
-	lives := g.lives
-	w.Judge.Stopping(w.now, n)
-	w.ground()
-	w.do(Stop{n})
-	w.after(stopSends, func() {
-		if g.lives == lives {
-			g.front = false
+	gateway.state = stopping
+	gateway.incarnation++
+	incarnation := gateway.incarnation
+	em.Referee.Stopping(em.now, number)
+	em.reportReachability()
+	em.emit(Stop{number})
+	em.after(rotationDelay, func() {
+		if gateway.incarnation == incarnation {
+			gateway.inRotation = false
 		}
 	})
-	w.after(w.s.KillAfter(), func() {
-		if g.lives == lives && g.state == stopping {
-			w.Judge.Hung(w.now, n)
-			w.do(Kill{n})
+	em.after(em.scenario.KillAfter(), func() {
+		if gateway.incarnation == incarnation && gateway.state == stopping {
+			em.Referee.Hung(em.now, number)
+			em.emit(Kill{number})
 		}
 	})
 }
 
-func (w *World) freeze(n int, d time.Duration) {
-	g := &w.gateways[n]
-	if g.state != up {
+func (em *Emulator) freezeGateway(number int, duration time.Duration) {
+	gateway := &em.gateways[number]
+	if gateway.state != up {
 		return
 	}
-	lives := g.lives
-	w.Judge.Excuse(w.now, n)
-	w.do(Freeze{n})
-	g.frozen = true
-	w.ground()
-	w.after(d, func() {
-		if g.lives == lives {
-			w.do(Thaw{n})
-			g.frozen = false
-			w.ground()
+	incarnation := gateway.incarnation
+	em.Referee.Excuse(em.now, number)
+	em.emit(Freeze{number})
+	gateway.frozen = true
+	em.reportReachability()
+	em.after(duration, func() {
+		if gateway.incarnation == incarnation {
+			em.emit(Thaw{number})
+			gateway.frozen = false
+			em.reportReachability()
 			// What was on its way while it stood still is answered late.
-			w.after(w.s.Rules.Observe.D(), func() {
-				if g.lives == lives {
-					w.Judge.Back(w.now, n, false)
+			em.after(em.scenario.Rules.Observe.D(), func() {
+				if gateway.incarnation == incarnation {
+					em.Referee.Back(em.now, number, false)
 				}
 			})
 		}
@@ -206,70 +206,70 @@
 
 // heardOf measures how long after it began a gateway is told of what a backend does
 // now.
-func (w *World) heardOf(g int, e Entry) {
-	if e.Backend >= len(w.backends) {
+func (em *Emulator) recordListLag(gateway int, entry Entry) {
+	if entry.Backend >= len(em.backends) {
 		return
 	}
-	b, at := w.backends[e.Backend], edge{g, e.Backend}
-	before, known := w.heard[at]
-	w.heard[at] = e
-	same := func(a, b time.Duration) bool { return a-b <= time.Millisecond && b-a <= time.Millisecond }
-	if b.changed > 0 && e.Lifecycle == b.entry().Lifecycle && same(e.Started, b.started) &&
-		(!known || before.Lifecycle != e.Lifecycle || !same(before.Started, e.Started)) {
-		w.Tally.Heard(w.now - b.changed)
+	backend, key := em.backends[entry.Backend], gatewayLink{gateway, entry.Backend}
+	previous, known := em.delivered[key]
+	em.delivered[key] = entry
+	equal := func(a, b time.Duration) bool { return a-b <= time.Millisecond && b-a <= time.Millisecond }
+	if backend.changedAt > 0 && entry.Lifecycle == backend.entry().Lifecycle && equal(entry.Started, backend.startedAt) &&
+		(!known || previous.Lifecycle != entry.Lifecycle || !equal(previous.Started, entry.Started)) {
+		em.Tally.Heard(em.now - backend.changedAt)
 	}
 }
 
 // list tells discovery of a backend, and gateways late.
-func (w *World) list(b *backend, lost bool) {
-	b.changed = w.now
-	w.do(Enlist{Entry: b.entry(), Lost: lost})
-	if w.s.Fleet.ListServices > 0 {
+func (em *Emulator) publishBackend(backend *emulatedBackend, lost bool) {
+	backend.changedAt = em.now
+	em.emit(Register{Entry: backend.entry(), Lost: lost})
+	if em.scenario.Fleet.ListServices > 0 {
 		return // they tell it
 	}
 	if !lost {
-		w.tell()
+		em.sendLists()
 		return
 	}
-	lives := b.lives
-	w.after(lostAfter, func() {
-		if b.lives == lives {
-			b.listed = false
-			w.tell()
+	incarnation := backend.incarnation
+	em.after(lossDetectionDelay, func() {
+		if backend.incarnation == incarnation {
+			backend.listed = false
+			em.sendLists()
 		}
 	})
 }
 
 // tell every gateway the list, each with its own delay.
-func (w *World) tell() {
-	for g := range w.gateways {
-		late := time.Duration(share(mix(w.s.Seed, uint64(w.now), uint64(g))) * float64(w.s.Network.ListDelay))
-		w.after(late, func() { w.do(Tell{g, w.Entries()}) })
+func (em *Emulator) sendLists() {
+	for g := range em.gateways {
+		delay := time.Duration(unitFraction(hash(em.scenario.Seed, uint64(em.now), uint64(g))) * float64(em.scenario.Network.ListDelay))
+		em.after(delay, func() { em.emit(SendList{g, em.Entries()}) })
 	}
 }
 
 // lostAfter is when a discovery finds out by itself that a backend is gone.
-const lostAfter = 2 * time.Second
+const lossDetectionDelay = 2 * time.Second
 
-func (w *World) told(e Told) {
-	if e.Whole {
+func (em *Emulator) listDelivered(event ListDelivered) {
+	if event.Full {
 		// What the list leaves out is gone.
 		listed := map[int]bool{}
-		for _, entry := range e.Entries {
+		for _, entry := range event.Entries {
 			listed[entry.Backend] = true
 		}
-		for _, b := range w.Judge.Named(e.Gateway) {
+		for _, b := range em.Referee.Named(event.Gateway) {
 			if !listed[b] {
-				w.Judge.Told(w.now, e.Gateway, b, referee.Gone, -1)
+				em.Referee.Told(em.now, event.Gateway, b, referee.Gone, -1)
 			}
 		}
 	}
-	for _, entry := range e.Entries {
-		w.heardOf(e.Gateway, entry)
-		w.Judge.Told(w.now, e.Gateway, entry.Backend, states[entry.Lifecycle], entry.Started)
+	for _, entry := range event.Entries {
+		em.recordListLag(event.Gateway, entry)
+		em.Referee.Told(em.now, event.Gateway, entry.Backend, refereeStates[entry.Lifecycle], entry.Started)
 	}
-	w.Judge.Version(w.now, e.Gateway, e.Version)
+	em.Referee.Version(em.now, event.Gateway, event.Version)
 }
 
 // states are the lifecycles as the referee has them.
-var states = map[Lifecycle]referee.State{Serving: referee.Ready, Draining: referee.Draining, Gone: referee.Gone}
+var refereeStates = map[Lifecycle]referee.State{Serving: referee.Ready, Draining: referee.Draining, Gone: referee.Gone}
