--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -15,11 +15,11 @@
 	"pgregory.net/rapid"
 )
 
-// patience bounds every wait; none is expected to last so long.
+// waitTimeout bounds every wait.
 const waitTimeout = 20 * time.Second
 
-// Whatever a flow is set to, pieces keep their order, none is passed before it was
-// read, a cut lets its bytes pass and no more, and a slow one takes its time.
+// Guards against pieces that overtake each other or pass before they were read, and against byte
+// counts, rates and delays outside the condition's.
 func TestFlowKeepsOrderAndLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flow := NewFlow(Condition{Kind: Up}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
@@ -42,22 +42,22 @@
 				since, passed, lastDue = now, 0, now
 			}
 			if flow.Blocked() != (condition.Kind == Dropped || condition.Kind == Stalled) || flow.ReadSize() < 1 || flow.ReadSize() > maxReadBytes {
-				t.Fatalf("%+v: holds %v, pieces of %d", condition, flow.Blocked(), flow.ReadSize())
+				t.Fatalf("%+v: blocked %v, reads of %d bytes", condition, flow.Blocked(), flow.ReadSize())
 			}
 			n := rapid.IntRange(0, flow.ReadSize()).Draw(t, "n")
 			pass, due, reset := flow.Schedule(now, n)
 			if ended {
 				if pass != 0 || !reset {
-					t.Fatalf("behind its end %d bytes pass, reset %v", pass, reset)
+					t.Fatalf("after the reset %d bytes pass, reset %v", pass, reset)
 				}
 				continue
 			}
 			passed += int64(pass)
 			switch {
 			case due < now || due < lastDue:
-				t.Fatalf("%+v: due at %v, read at %v, the last at %v", condition, due, now, lastDue)
+				t.Fatalf("%+v: due at %v, read at %v, the previous piece due at %v", condition, due, now, lastDue)
 			case !reset && pass != n, reset && condition.Kind != Cut, condition.Kind == Cut && (passed > condition.Bytes || reset != (passed == condition.Bytes)):
-				t.Fatalf("%+v: %d of %d bytes pass, %d by now, reset %v", condition, pass, n, passed, reset)
+				t.Fatalf("%+v: %d of %d bytes pass, %d in all, reset %v", condition, pass, n, passed, reset)
 			case condition.Kind == Slow && float64(passed) > (due-since).Seconds()*float64(condition.Bytes)+1:
 				t.Fatalf("%+v: %d bytes in %v", condition, passed, due-since)
 			case condition.Kind == Delayed && (due < now+condition.Delay || due > max(lastDue, now+condition.Delay+condition.Jitter)):
@@ -68,7 +68,7 @@
 	})
 }
 
-// far is whom a relay leads to: it takes one connection at a time from a channel.
+// acceptingTarget returns the address of a target for relays, and the connections that it accepts.
 func acceptingTarget(t *testing.T) (string, chan *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,18 +123,18 @@
 	t.Helper()
 	got := make([]byte, len(want))
 	if n, err := io.ReadFull(c, got); err != nil || string(got) != want {
-		t.Fatalf("heard %q, %v; want %q", got[:n], err, want)
+		t.Fatalf("read %q, %v; want %q", got[:n], err, want)
 	}
 }
 
 func isReset(err error) bool { return errors.Is(err, syscall.ECONNRESET) }
 
-// Each kind of fault, on each way of a link, does to a connection that stands and to
-// a new one what it says, and not to the other way; when it is over all goes on.
+// Guards against a fault that does not affect established or new connections as its kind says,
+// affects the other direction too, or outlasts its end.
 func TestRelayAppliesEachFault(t *testing.T) {
 	for _, direction := range []Direction{Forward, Reverse} {
 		for _, kind := range Kinds {
-			t.Run(string(kind)+[]string{" there", " back"}[direction], func(t *testing.T) {
+			t.Run(string(kind)+[]string{" forward", " reverse"}[direction], func(t *testing.T) {
 				t.Parallel()
 				relay, accepted := newRelay(t, Limits{MaxConnections: 8, BufferBytes: 64 << 10})
 				client := dial(t, relay)
@@ -142,7 +142,7 @@
 				from, to := ends[direction], ends[1-direction]
 				write(t, client, "up")
 				expect(t, ends[1], "up")
-				for relay.Stats().Bytes[Forward] != 2 { // they are counted behind the write that they were heard by
+				for relay.Stats().Bytes[Forward] != 2 { // the relay counts them after the write
 					runtime.Gosched()
 				}
 				condition := Condition{Kind: kind}
@@ -162,14 +162,14 @@
 				case Dropped, Stalled:
 					before := relay.Stats().Bytes[direction]
 					write(t, from, "held")
-					write(t, to, "passes") // the other way
+					write(t, to, "passes") // in the other direction
 					expect(t, from, "passes")
 					if now := relay.Stats().Bytes[direction]; now != before {
 						t.Errorf("%d bytes passed", now-before)
 					}
 					c, err := net.DialTimeout("tcp", relay.Address(), 200*time.Millisecond)
 					for attempts := 0; kind == Dropped && err == nil && attempts < 2; attempts++ {
-						// One more fits in where another was being accepted in the moment of the change.
+						// The backlog has room for one more if a connection was being accepted at the change.
 						defer c.Close()
 						c, err = net.DialTimeout("tcp", relay.Address(), 200*time.Millisecond)
 					}
@@ -177,12 +177,12 @@
 						t.Errorf("a new connection: %v", err)
 					}
 					if kind == Stalled {
-						// What is sent fills the buffers, and no more is taken.
+						// Writes fill the buffers and block then.
 						ends := [2]net.Conn{c, <-accepted}
 						ends[direction].SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
 						n, err := io.Copy(ends[direction], io.LimitReader(zeros{}, 1<<30))
 						if !errors.Is(err, os.ErrDeadlineExceeded) || n > 64<<20 {
-							t.Errorf("%d bytes were taken, then %v", n, err)
+							t.Errorf("%d bytes were written, then %v", n, err)
 						}
 						c.Close()
 					}
@@ -191,7 +191,7 @@
 				case Refused, Reset:
 					for _, end := range ends {
 						if _, err := end.Read(make([]byte, 1)); !isReset(err) {
-							t.Errorf("a standing connection: %v", err)
+							t.Errorf("an established connection: %v", err)
 						}
 					}
 					c, err := net.DialTimeout("tcp", relay.Address(), waitTimeout)
@@ -231,16 +231,16 @@
 				}
 				write(t, client, "again")
 				expect(t, ends[1], "again")
-				// The end of each way passes by itself.
+				// Each direction ends independently.
 				client.CloseWrite()
 				if _, err := ends[1].Read(make([]byte, 1)); err != io.EOF {
-					t.Errorf("the end: %v", err)
+					t.Errorf("the target's read after the client's end: %v", err)
 				}
 				write(t, ends[1], "and back")
 				expect(t, client, "and back")
 				ends[1].Close()
 				if _, err := client.Read(make([]byte, 1)); err != io.EOF {
-					t.Errorf("the other end: %v", err)
+					t.Errorf("the client's read after the target's end: %v", err)
 				}
 			})
 		}
@@ -251,8 +251,8 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// Connections beyond the limit are reset, faults that can't be are refused, and
-// nothing is left of a relay that was closed.
+// Guards against connections and buffers beyond the limits, invalid conditions that are accepted,
+// and a relay that still listens after Close.
 func TestRelayEnforcesLimits(t *testing.T) {
 	relay, accepted := newRelay(t, Limits{MaxConnections: 1, BufferBytes: 1 << 10})
 	first := dial(t, relay)
@@ -263,20 +263,20 @@
 		second.Close()
 	}
 	if !isReset(err) {
-		t.Errorf("the second: %v", err)
+		t.Errorf("the connection beyond the limit: %v", err)
 	}
 	for _, condition := range []Condition{{}, {Kind: "asleep"}, {Kind: Slow}, {Kind: Cut, Bytes: -1}, {Kind: Delayed}, {Kind: Dropped, Bytes: 1}, {Kind: Up, Delay: 1}, {Kind: Up, Fraction: 0.5}, {Kind: Lost, Fraction: 0.5}, {Kind: Lost}} {
 		if err := relay.Set(Forward, condition); err == nil {
-			t.Errorf("%+v was taken", condition)
+			t.Errorf("%+v was accepted", condition)
 		}
 	}
-	// However much is sent, a reader that stops keeps no more than the buffer here.
+	// The relay buffers no more than its limit, however much is sent.
 	var written atomic.Int64
 	go func() {
 		n, _ := io.Copy(first, io.LimitReader(zeros{}, 1<<30))
 		written.Store(n)
 	}()
-	if _, err := io.CopyN(io.Discard, end, 4<<20+2*maxReadBytes); err != nil { // a piece is counted when it has passed
+	if _, err := io.CopyN(io.Discard, end, 4<<20+2*maxReadBytes); err != nil { // a piece is counted after it has been written
 		t.Fatal(err)
 	}
 	if stats := relay.Stats(); stats.Connections != 1 || stats.PeakConnections != 1 || stats.Rejected != 1 || stats.Bytes[Forward] < 4<<20 {
@@ -285,7 +285,7 @@
 	relay.mu.Lock()
 	for connection := range relay.connections {
 		if connection.queuedBytes[Forward] > 1<<10 {
-			t.Errorf("%d bytes are held", connection.queuedBytes[Forward])
+			t.Errorf("%d bytes are queued", connection.queuedBytes[Forward])
 		}
 	}
 	relay.mu.Unlock()
@@ -294,6 +294,6 @@
 		io.Copy(io.Discard, end)
 	}
 	if connection, err := net.DialTimeout("tcp", relay.Address(), waitTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("after the end: %v %v", connection, err)
+		t.Errorf("after Close: %v %v", connection, err)
 	}
 }
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -30,10 +30,10 @@
 	wg            sync.WaitGroup
 }
 
-// stuffWait bounds the dial of the connection that fills a backlog.
+// fillerDialTimeout bounds the dial of the connection that fills a backlog.
 const fillerDialTimeout = 50 * time.Millisecond
 
-// NewListener listens at an address and calls take with each connection, from one goroutine.
+// NewListener listens at an address and calls handle with each connection, from one goroutine.
 func NewListener(address string, handle func(net.Conn)) (*Listener, error) {
 	l := &Listener{address: address, handle: handle}
 	return l, l.open()
--- a/internal/world/double_test.go
+++ b/internal/world/double_test.go
@@ -8,7 +8,7 @@
 	"dunlintray/internal/scenario"
 )
 
-// harness drives a world in time of its own, with doubles in the gateways' place.
+// harness drives an Emulator in simulated time, with test doubles of the gateways.
 type harness struct {
 	emulator       *Emulator
 	scenario       *scenario.Scenario
@@ -20,7 +20,7 @@
 	links          map[gatewayLink]LinkState
 	gateways       []*testGateway
 	defect         string
-	planted        int // times that the defect has been acted out
+	planted        int // how often the gateways have shown the defect
 	maxSteps       int
 }
 
@@ -31,7 +31,7 @@
 	request *acceptedRequest
 }
 
-// double is a gateway that keeps the rules, but for its defect.
+// testGateway is a test double of a gateway. Apart from its defect it keeps the rules.
 type testGateway struct {
 	harness           *harness
 	number            int
@@ -39,17 +39,17 @@
 	entries           map[int]Entry
 	turn              int
 	inProgress        map[uint64]*acceptedRequest
-	attemptsByBackend map[int]int // attempts by backend
+	attemptsByBackend map[int]int // attempts in flight
 }
 
-// A double has so many attempts out at a backend at most.
+// The maximum number of attempts that a test gateway has in flight at one backend.
 const (
 	maxWarmAttempts = 4
 	maxColdAttempts = 1
 )
 
 func (gateway *testGateway) hasRoom(backend int, entry Entry) bool {
-	if gateway.harness.hasDefect("floods the cold") {
+	if gateway.harness.hasDefect("overloads cold backends") {
 		return true
 	}
 	if entry.Started > 0 && gateway.harness.now-entry.Started < gateway.harness.scenario.Backend.Cold.D() {
@@ -58,7 +58,7 @@
 	return gateway.attemptsByBackend[backend] < maxWarmAttempts
 }
 
-// held is a request that a double has taken.
+// acceptedRequest is a request in progress at a test gateway.
 type acceptedRequest struct {
 	Request
 	gateway    *testGateway
@@ -81,14 +81,14 @@
 	}
 }
 
-// play plays a scenario with doubles that have the defect.
+// runTestGateways runs a scenario with test gateways that have a defect, or none if it is "".
 func runTestGateways(s *scenario.Scenario, defect string) *harness {
 	h := &harness{emulator: New(s), scenario: s, connections: map[Conn]*testConnection{}, links: map[gatewayLink]LinkState{}, defect: defect, maxSteps: 10_000_000}
-	for g := range s.Fleet.Gateways {
-		gateway := &testGateway{harness: h, number: g, alive: true, entries: map[int]Entry{}, inProgress: map[uint64]*acceptedRequest{}, attemptsByBackend: map[int]int{}}
+	for number := range s.Fleet.Gateways {
+		gateway := &testGateway{harness: h, number: number, alive: true, entries: map[int]Entry{}, inProgress: map[uint64]*acceptedRequest{}, attemptsByBackend: map[int]int{}}
 		h.gateways = append(h.gateways, gateway)
 		h.deliverList(gateway, h.emulator.Entries())
-		h.step(Ready{g})
+		h.step(Ready{number})
 	}
 	for _, a := range h.emulator.Begin(h.now) {
 		h.perform(a.Operation)
@@ -99,9 +99,9 @@
 		}
 		next, ok := h.emulator.Next()
 		if len(h.queue) > 0 && (!ok || h.queue[0].at <= next) {
-			t := heap.Pop(&h.queue).(timer)
-			h.now = max(h.now, t.at)
-			t.run()
+			due := heap.Pop(&h.queue).(timer)
+			h.now = max(h.now, due.at)
+			due.run()
 			continue
 		}
 		if !ok {
@@ -147,7 +147,7 @@
 		if connection := h.connections[action.Conn]; connection != nil {
 			h.after(0, func() { h.replied(connection, action) })
 		}
-	case CheckConnections: // what a double ends has ended at once
+	case CheckConnections: // the emulator has already seen what a test gateway closes
 		h.after(0, func() { h.step(ConnectionsChecked{ID: action.ID}) })
 	case Reset:
 		if connection := h.connections[action.Conn]; connection != nil {
@@ -182,13 +182,13 @@
 	}
 }
 
-func sortedConnections(conns map[Conn]*testConnection) []Conn {
-	var all []Conn
-	for id := range conns {
-		all = append(all, id)
+func sortedConnections(connections map[Conn]*testConnection) []Conn {
+	var ids []Conn
+	for id := range connections {
+		ids = append(ids, id)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(ids)
+	return ids
 }
 
 func (h *harness) gatewayExited(gateway *testGateway) {
@@ -211,8 +211,8 @@
 }
 
 func (h *harness) stopGateway(gateway *testGateway) {
-	if len(gateway.inProgress) > 0 || h.defect == "never ends" {
-		if h.defect == "never ends" {
+	if len(gateway.inProgress) > 0 || h.defect == "ignores stop" {
+		if h.defect == "ignores stop" {
 			h.planted++
 			return
 		}
@@ -228,17 +228,17 @@
 	gateway.inProgress[request.ID] = accepted
 	gateway.harness.after(request.Remaining-10*time.Millisecond, func() { accepted.answer(504, Body{}) })
 	switch {
-	case gateway.harness.hasDefect("holds") && request.ID%64 == 0:
-		accepted.done = true // and nothing more
+	case gateway.harness.hasDefect("never answers") && request.ID%64 == 0:
+		accepted.done = true // it never answers
 		gateway.harness.planted++
-	case gateway.harness.hasDefect("makes up") && request.ID%64 == 0:
+	case gateway.harness.hasDefect("invents answers") && request.ID%64 == 0:
 		gateway.harness.planted++
 		accepted.answer(200, Body{Seed: 7, Size: gateway.harness.scenario.Classes[request.Class].AnswerBytes})
-	case gateway.harness.hasDefect("ends") && gateway.harness.now > 2*time.Second && gateway.number == 0 && gateway.harness.planted == 0:
+	case gateway.harness.hasDefect("exits") && gateway.harness.now > 2*time.Second && gateway.number == 0 && gateway.harness.planted == 0:
 		gateway.harness.planted++
 		gateway.alive = false
 		gateway.harness.gatewayExited(gateway)
-	case gateway.harness.hasDefect("shuts the door") && request.ID%16 == 0:
+	case gateway.harness.hasDefect("closes unserved") && request.ID%16 == 0:
 		gateway.harness.planted++
 		accepted.done = true
 		delete(gateway.inProgress, request.ID)
@@ -250,7 +250,8 @@
 
 func (h *harness) hasDefect(defect string) bool { return h.defect == defect }
 
-// pick picks the next backend in turn that is ready and has not refused.
+// pickBackend returns the next backend, round-robin, that is ready and has not refused the request,
+// or -1.
 func (accepted *acceptedRequest) pickBackend() int {
 	gateway := accepted.gateway
 	var eligible []int
@@ -268,7 +269,7 @@
 		return -1
 	}
 	slices.Sort(eligible)
-	if last := eligible[len(eligible)-1]; gateway.harness.hasDefect("floods the cold") && gateway.entries[last].Started > 0 && gateway.harness.now-gateway.entries[last].Started < gateway.harness.scenario.Backend.Cold.D() {
+	if last := eligible[len(eligible)-1]; gateway.harness.hasDefect("overloads cold backends") && gateway.entries[last].Started > 0 && gateway.harness.now-gateway.entries[last].Started < gateway.harness.scenario.Backend.Cold.D() {
 		gateway.harness.planted++
 		return last
 	}
@@ -282,7 +283,7 @@
 		return
 	}
 	backend := accepted.pickBackend()
-	if backend < 0 || accepted.attempts >= h.scenario.Rules.Attempts+1 || accepted.attempts >= h.scenario.Rules.Attempts && !h.hasDefect("tries on") {
+	if backend < 0 || accepted.attempts >= h.scenario.Rules.Attempts+1 || accepted.attempts >= h.scenario.Rules.Attempts && !h.hasDefect("exceeds attempts") {
 		accepted.reject()
 		return
 	}
@@ -306,7 +307,7 @@
 		h.planted++
 		h.sendAttempt(h.connect(gateway.number, backend, nil), accepted.Request)
 	}
-	h.after(700*time.Millisecond, func() { // it gives up
+	h.after(700*time.Millisecond, func() { // the attempt's timeout
 		if h.connections[connection.id] == connection && connection.request == accepted {
 			h.closeConnection(connection)
 			accepted.mayRun = true
@@ -339,11 +340,11 @@
 
 func (h *harness) sendAttempt(connection *testConnection, request Request) {
 	arrived := Arrived{Conn: connection.id, ID: request.ID, FirstByte: h.now, Class: h.scenario.Classes[request.Class].Name, Key: request.Key, Body: request.Body, Unchanged: true}
-	if h.hasDefect("sends its own") && request.ID%64 == 0 {
+	if h.hasDefect("sends unknown requests") && request.ID%64 == 0 {
 		h.planted++
 		arrived.ID++
 	}
-	if h.hasDefect("changes") && request.ID%64 == 0 {
+	if h.hasDefect("changes requests") && request.ID%64 == 0 {
 		h.planted++
 		arrived.Class = "other"
 	}
@@ -353,7 +354,7 @@
 func (accepted *acceptedRequest) retryOrEnd() {
 	class := accepted.gateway.harness.scenario.Classes[accepted.Class]
 	allowed := !accepted.mayRun || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all"
-	if accepted.gateway.harness.hasDefect("sends once again") && !allowed {
+	if accepted.gateway.harness.hasDefect("resends unsafely") && !allowed {
 		accepted.gateway.harness.planted++
 		allowed = true
 	}
@@ -364,10 +365,10 @@
 	accepted.attempt()
 }
 
-// end answers a request that is not served.
+// reject answers a request that is not served.
 func (accepted *acceptedRequest) reject() {
 	class := accepted.gateway.harness.scenario.Classes[accepted.Class]
-	if accepted.mayRun && accepted.gateway.harness.hasDefect("refuses what ran") && class.Effect == "once" {
+	if accepted.mayRun && accepted.gateway.harness.hasDefect("refuses after execution") && class.Effect == "once" {
 		accepted.gateway.harness.planted++
 		accepted.answer(503, Body{})
 		return
@@ -409,7 +410,7 @@
 		return
 	}
 	accepted := connection.request
-	h.closeConnection(connection) // each connection serves once
+	h.closeConnection(connection) // a connection carries one request
 	if accepted == nil || accepted.done || accepted.connection != connection {
 		return
 	}
--- a/internal/world/links_test.go
+++ b/internal/world/links_test.go
@@ -8,8 +8,8 @@
 	"dunlintray/internal/scenario"
 )
 
-// linked is a quiet fleet of four gateways in two zones with three list services, and
-// the faults given.
+// quietScenario returns a scenario with hardly any load, four gateways in two zones, three service
+// registries, and the link faults given.
 func quietScenario(t *testing.T, faults ...scenario.Fault) *scenario.Scenario {
 	t.Helper()
 	s := scenario.Default()
@@ -25,14 +25,15 @@
 	return &s
 }
 
-// follow plays a world to a moment, and takes note of how relays carry.
+// runUntil runs an Emulator until a time. It records the conditions of relays, and returns the other
+// actions on links and "set again" for each condition that is set again unchanged.
 func runUntil(em *Emulator, until time.Duration, conditions map[relayDirection]link.Condition) (other []any) {
 	for next, ok := em.Next(); ok && next <= until; next, ok = em.Next() {
 		for _, a := range em.Step(next, Tick{}) {
 			switch operation := a.Operation.(type) {
 			case SetRelayCondition:
 				if previous := conditions[relayDirection{operation.ProcessLink, operation.Direction}]; previous == operation.Condition {
-					other = append(other, "told twice")
+					other = append(other, "set again")
 				}
 				conditions[relayDirection{operation.ProcessLink, operation.Direction}] = operation.Condition
 			case SetLinkState, Deliver:
@@ -43,8 +44,8 @@
 	return other
 }
 
-// Faults of links befall whom they name, on the way they name, for their time; of
-// two the later holds, one that flaps comes and goes, and all is up at the end.
+// Guards against link faults on other links, directions or times than theirs. Of two faults the
+// later applies; a flapping one alternates.
 func TestLinkFaultsApplyToNamedLinks(t *testing.T) {
 	s := quietScenario(t,
 		scenario.Fault{At: 1 * second, For: 10 * second, From: "lists", To: "list0", How: "dropped"},
@@ -53,10 +54,10 @@
 		scenario.Fault{At: 20 * second, For: 2 * second, From: "backends", To: "list0", Way: "there", How: "cut", Size: 5, Flap: second / 2},
 		scenario.Fault{At: 2 * second, For: 1 * second, From: "operators", To: "n0", How: "refused"},
 	)
-	// n1 and n3 stand in b, each before three list services; two followers; the backends;
-	// operators before one gateway.
-	if wires := RelayedLinks(s); len(wires) != 2*3+2+1+1 {
-		t.Errorf("relays on %v", wires)
+	// n1 and n3, in zone b, have links to three service registries each; two followers, the backends
+	// and the operators have one each.
+	if links := RelayedLinks(s); len(links) != 2*3+2+1+1 {
+		t.Errorf("relays on %v", links)
 	}
 	em := New(s)
 	em.Begin(0)
@@ -99,15 +100,15 @@
 			t.Errorf("at %v, %v, way %d: %q, not %q", c.at, c.wire, c.way, got, c.want)
 		}
 	}
-	for at, how := range conditions {
-		if how.Kind != link.Up {
-			t.Errorf("%v is %v at the end", at, how)
+	for at, condition := range conditions {
+		if condition.Kind != link.Up {
+			t.Errorf("%v is %v at the end", at, condition)
 		}
 	}
 }
 
-// One way between two gateways may be lost or late and the other not, and a gateway's
-// links to backends and the counter fail as they are told to.
+// Guards against faults on one direction between two gateways that affect the other, and on a
+// gateway's links to backends and the counter that have no effect or outlast their end.
 func TestFaultsOnGatewayLinks(t *testing.T) {
 	em := New(quietScenario(t,
 		scenario.Fault{At: 1 * second, For: 2 * second, From: "n0", To: "n1", Way: "there", How: "dropped"},
@@ -118,7 +119,7 @@
 	em.Begin(0)
 	conditions := map[relayDirection]link.Condition{}
 	number := uint64(0)
-	// passes sends a datagram, and tells how long it took; below 0: it was lost.
+	// transit sends a datagram and returns how long it took, or -1 if it was lost.
 	transit := func(at time.Duration, from, to int) time.Duration {
 		runUntil(em, at, conditions)
 		number++
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -17,8 +17,8 @@
 
 const second = scenario.Duration(time.Second)
 
-// troubled is a fleet on which everything goes wrong that doubles can live
-// through. Ceilings are left out: the doubles hold none.
+// faultyScenario returns a scenario with all faults that test gateways handle, and without ceilings,
+// which they do not enforce.
 func faultyScenario(seed uint64) *scenario.Scenario {
 	s := scenario.Default()
 	s.Seed, s.Duration = seed, 12*second
@@ -41,6 +41,7 @@
 	return &s
 }
 
+// Guards against a referee that reports violations of gateways that keep the rules.
 func TestCorrectGatewaysBreakNoRule(t *testing.T) {
 	for seed := range uint64(20) {
 		h := runTestGateways(faultyScenario(seed), "")
@@ -54,7 +55,7 @@
 	}
 }
 
-// Nor do they under faults that are drawn.
+// Guards against false violations under randomly drawn faults.
 func TestCorrectGatewaysBreakNoRuleUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		s := faultyScenario(seed)
@@ -66,7 +67,7 @@
 	}
 }
 
-// Processes that a fault names are struck, and no others, and come back.
+// Guards against faults that affect other processes than those they name, or do not restore them.
 func TestNamedProcessesAreFaultedAndRestored(t *testing.T) {
 	s := scenario.Default()
 	s.Fleet.ListServices, s.Load.RequestsPerS, s.Duration = 3, 1e-9, 20*second
@@ -111,24 +112,23 @@
 	}
 }
 
-// Each planted defect is named by the rule that it breaks, and by no other that
-// it does not lead to.
+// Guards against defects that the referee misses or reports as violations of unrelated rules.
 func TestEachDefectBreaksItsRule(t *testing.T) {
 	for defect, rule := range map[string]string{
-		"holds": referee.Answer, "makes up": referee.Answer, "answers twice": referee.Twice, "sends twice": referee.Copy,
-		"sends once again": referee.Resend, "refuses what ran": referee.Refusal, "tries on": referee.Most, "ignores drains": referee.Drain,
-		"floods the cold": referee.Cold, "sends its own": referee.Unknown, "changes": referee.Changed, "ends": referee.Crash,
-		"never ends": referee.Stop, "shuts the door": referee.Door,
+		"never answers": referee.Answer, "invents answers": referee.Answer, "answers twice": referee.Twice, "sends twice": referee.Copy,
+		"resends unsafely": referee.Resend, "refuses after execution": referee.Refusal, "exceeds attempts": referee.Most, "ignores drains": referee.Drain,
+		"overloads cold backends": referee.Cold, "sends unknown requests": referee.Unknown, "changes requests": referee.Changed, "exits": referee.Crash,
+		"ignores stop": referee.Stop, "closes unserved": referee.Door,
 	} {
 		s := faultyScenario(3)
-		if defect == "tries on" {
+		if defect == "exceeds attempts" {
 			s.Faults[0].Size = 1
 			s.Faults[0].Part = 1
 		}
 		h := runTestGateways(s, defect)
 		violations, counts := h.emulator.Referee.Violations()
 		if h.planted == 0 || counts[rule] == 0 {
-			t.Errorf("%s: acted out %d times, told as %v, not as %s", defect, h.planted, counts, rule)
+			t.Errorf("%s: shown %d times, reported as %v, want %s", defect, h.planted, counts, rule)
 			continue
 		}
 		for _, v := range violations {
@@ -136,21 +136,20 @@
 				t.Errorf("%s: no history in %v", defect, v)
 			}
 		}
-		// Two attempts at once may also be one after a possible run, a held answer
-		// makes others late at a stop; nothing else may come of a defect.
-		sideEffects := map[string][]string{"sends twice": {referee.Resend, referee.Most}, "sends its own": {referee.Answer}, "never ends": {referee.Answer}, "holds": {referee.Stop},
-			"tries on": {referee.Resend}, "ends": {referee.Answer}}[defect]
+		// A defect may lead to violations of these rules too: two concurrent attempts may also be a
+		// resend after a possible execution, and a missing answer may delay a stop.
+		sideEffects := map[string][]string{"sends twice": {referee.Resend, referee.Most}, "sends unknown requests": {referee.Answer}, "ignores stop": {referee.Answer}, "never answers": {referee.Stop},
+			"exceeds attempts": {referee.Resend}, "exits": {referee.Answer}}[defect]
 		for other := range counts {
 			if other != rule && !strings.Contains(strings.Join(sideEffects, " "), other) {
-				t.Errorf("%s: also told as %v", defect, counts)
+				t.Errorf("%s: also reported as %v", defect, counts)
 			}
 		}
 	}
 }
 
-// A rule counts as tried only where gateways could have been seen to break it. The
-// sound ones of the day on which all goes wrong try every rule whose defect that day
-// names, and a day on which nothing happens tries none but those of every request.
+// Guards against rules that count as tried although the run gave no occasion to break them, or as
+// not tried although it did.
 func TestRuleCountsAsTriedOnlyWhenBreakable(t *testing.T) {
 	untried := func(s *scenario.Scenario) []string {
 		h := runTestGateways(s, "")
@@ -170,25 +169,25 @@
 		s     *scenario.Scenario
 		tries []string // beside answers, attempts and processes
 	}{
-		"quiet":    {variant(func(*scenario.Scenario) {}), nil},
-		"troubled": {faultyScenario(3), []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most, referee.Drain, referee.Stop}},
+		"quiet":  {variant(func(*scenario.Scenario) {}), nil},
+		"faulty": {faultyScenario(3), []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most, referee.Drain, referee.Stop}},
 		"replaced": {variant(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "replace", At: second, For: second, Part: 0.3}}
 		}), []string{referee.Drain}},
 		"restarted": {variant(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "restart", At: second, For: second, Part: 1}}
 		}), []string{referee.Stop}},
-		"crowded": {variant(func(s *scenario.Scenario) {
+		"connection limit reached": {variant(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "rude", At: second, For: second, Size: float64(s.Fleet.Sockets)}}
 		}), []string{referee.Door}},
-		"few idle peers": {variant(func(s *scenario.Scenario) {
+		"few idle clients": {variant(func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: "rude", At: second, For: second, Size: 10}}
 		}), nil},
 		"cold": {variant(func(s *scenario.Scenario) {
 			s.Backend.ColdFrom, s.Faults = 0.01, []scenario.Fault{{Kind: "crash", At: second, For: second, Part: 0.2}}
 		}), []string{referee.Cold}},
 	} {
-		// Attempts that a fault slows or breaks, as some of these may, try those rules too.
+		// Faults that slow or break attempts may try these rules too.
 		possible := []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most}
 		without := untried(c.s)
 		for _, rule := range rules {
@@ -199,24 +198,24 @@
 	}
 }
 
-// What a list service took has to be in the lists from that version on, and is no
-// more to be judged by once a later process has registered.
+// Guards against delivered lists that lack a registered change of their version or an earlier one.
+// The change no longer counts once a later process has registered.
 func TestDeliveredListsContainRegisteredChanges(t *testing.T) {
 	const draining, started = 3, 5 * time.Second
-	list := func(version int64, whole bool, l Lifecycle, at time.Duration) ListDelivered {
-		return ListDelivered{Gateway: 0, Version: version, Full: whole, Entries: []Entry{{Backend: draining, Lifecycle: l, Started: at}}}
+	list := func(version int64, full bool, lifecycle Lifecycle, at time.Duration) ListDelivered {
+		return ListDelivered{Gateway: 0, Version: version, Full: full, Entries: []Entry{{Backend: draining, Lifecycle: lifecycle, Started: at}}}
 	}
 	for name, c := range map[string]struct {
-		events        []Event // before and after version 7 is known to drain it
+		events        []Event // version 7 drains the backend; the test registers that before or after these
 		broken, tried bool
 	}{
-		"told":                    {[]Event{list(7, true, Draining, started)}, false, true},
-		"told among changes":      {[]Event{list(6, true, Serving, started), list(8, false, Draining, started)}, false, true},
-		"an older list":           {[]Event{list(6, true, Serving, started)}, false, false},
-		"dropped":                 {[]Event{list(7, true, Serving, started)}, true, true},
-		"dropped among changes":   {[]Event{list(6, true, Serving, started), ListDelivered{Version: 8}}, true, true},
-		"gone from a whole list":  {[]Event{list(6, true, Serving, started), ListDelivered{Version: 8, Full: true}}, false, true},
-		"a later process is told": {[]Event{list(9, true, Serving, 2*started)}, false, false},
+		"delivered":                 {[]Event{list(7, true, Draining, started)}, false, true},
+		"delivered among changes":   {[]Event{list(6, true, Serving, started), list(8, false, Draining, started)}, false, true},
+		"an older list":             {[]Event{list(6, true, Serving, started)}, false, false},
+		"dropped":                   {[]Event{list(7, true, Serving, started)}, true, true},
+		"dropped among changes":     {[]Event{list(6, true, Serving, started), ListDelivered{Version: 8}}, true, true},
+		"gone from a full list":     {[]Event{list(6, true, Serving, started), ListDelivered{Version: 8, Full: true}}, false, true},
+		"a later process delivered": {[]Event{list(9, true, Serving, 2*started)}, false, false},
 	} {
 		for _, early := range []bool{false, true} {
 			s := faultyScenario(1)
@@ -234,13 +233,13 @@
 			_, counts := em.Referee.Violations()
 			untried := referee.Untried(em.Referee.Trials(), []string{referee.List})
 			if (counts[referee.List] > 0) != c.broken || (len(untried) == 0) != c.tried {
-				t.Errorf("%s, its word first %v: broken %v, untried %v", name, early, counts, untried)
+				t.Errorf("%s, registered first %v: broken %v, untried %v", name, early, counts, untried)
 			}
 		}
 	}
 }
 
-// A customer that is let over its ceiling is told, with the slack that it has.
+// Guards against a customer over its ceiling that is not reported.
 func TestExceededCeilingIsReported(t *testing.T) {
 	s := faultyScenario(1)
 	s.Faults = nil
@@ -250,14 +249,14 @@
 	}
 	h := runTestGateways(s, "")
 	if _, counts := h.emulator.Referee.Violations(); counts[referee.Ceiling] == 0 || len(counts) != 1 {
-		t.Errorf("told as %v", counts)
+		t.Errorf("reported as %v", counts)
 	}
 	if len(referee.Untried(h.emulator.Referee.Trials(), []string{"ceiling/up"})) > 0 || h.emulator.Referee.Low() == 0 {
 		t.Errorf("tried: %v", h.emulator.Referee.Trials())
 	}
 }
 
-// The same seed gives the same day, to the byte.
+// Guards against nondeterminism: the same seed gives the same results, to the byte.
 func TestSameSeedGivesSameRun(t *testing.T) {
 	text := func(seed uint64, defect string) string {
 		h := runTestGateways(faultyScenario(seed), defect)
@@ -273,15 +272,15 @@
 	}
 	for _, defect := range []string{"", "sends twice"} {
 		if a, b := text(5, defect), text(5, defect); a != b {
-			t.Errorf("%q: two plays differ:\n%s\n%s", defect, a, b)
+			t.Errorf("%q: two runs differ:\n%s\n%s", defect, a, b)
 		}
 	}
 	if text(5, "") == text(6, "") {
-		t.Error("two seeds gave one day")
+		t.Error("two seeds gave the same run")
 	}
 }
 
-// What clients want, and when, does not depend on what gateways do.
+// Guards against an offered load that depends on the gateways' answers.
 func TestArrivalsAreIndependentOfAnswers(t *testing.T) {
 	arrivals := func(defect string) (all []Request) {
 		s := faultyScenario(2)
@@ -293,7 +292,7 @@
 		collect := func(actions []Action) {
 			for _, a := range actions {
 				if send, ok := a.Operation.(Send); ok {
-					send.Gateway = 0 // the front's choice follows the gateways' states
+					send.Gateway = 0 // the load balancer's choice depends on the gateways' states
 					all = append(all, send.Request)
 					if defect != "" {
 						em.Step(a.Due, Answered{ID: send.ID, Status: 503, Complete: true})
@@ -318,11 +317,11 @@
 	}
 }
 
-// A backend's throughput is that of its cores, and less when it is cold or too
-// full; a full one turns away.
+// Guards against a backend whose throughput does not follow its cores, warmth and load, or that
+// does not reject requests when its queue is full.
 func TestBackendThroughputFollowsCapacity(t *testing.T) {
 	const work, duration, cores = 0.1, 10 * time.Second, 2
-	// As many requests as atOnce are kept at the backend.
+	// served keeps atOnce requests in progress at the backend.
 	served := func(started time.Duration, atOnce int, overfull float64) (done, rejected int) {
 		s := scenario.Default()
 		s.Backend.Cores, s.Backend.Slots, s.Backend.Queue, s.Backend.Overfull = cores, 8, 8, overfull
@@ -369,14 +368,15 @@
 		want     float64
 	}{{"warm", -1, 2, 0, full}, {"one alone has one core", -1, 1, 0, full / 2}, {"cold", 0, 2, 0, full / 4}, {"overfull", -1, 8, 0.5, full / 2}} {
 		if done, rejected := served(c.started, c.atOnce, c.overfull); float64(done) < c.want*0.95 || float64(done) > c.want*1.03 || rejected > 0 {
-			t.Errorf("%s: %d served, %d turned away, not %.0f", c.name, done, rejected, c.want)
+			t.Errorf("%s: %d served, %d rejected, want %.0f served", c.name, done, rejected, c.want)
 		}
 	}
 	if _, rejected := served(-1, 17, 0); rejected == 0 {
-		t.Error("17 at once: none was turned away of 16 places")
+		t.Error("17 at once: none was rejected with 16 places")
 	}
 }
 
+// Guards against bodies that do not survive a round trip, and changed bytes that go unnoticed.
 func TestBodyRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := Body{Seed: rapid.Uint64().Draw(t, "seed"), Size: rapid.Int64Range(17, 20_000).Draw(t, "size")}
@@ -390,13 +390,13 @@
 		at := rapid.IntRange(0, len(text)-1).Draw(t, "at")
 		text[at] ^= 1
 		if got, err := ReadBody(bytes.NewReader(text)); err == nil && got == body {
-			t.Fatalf("byte %d was changed unseen", at)
+			t.Fatalf("a change of byte %d was not detected", at)
 		}
 	})
 }
 
-// The counter adds in turn, turns away what would wait too long, forgets names
-// when their life is over, and everything when it is lost.
+// Guards against a counter that serves calls out of order or beyond its queue, or keeps counts
+// beyond their lifetime or its own loss.
 func TestCounterQueuesAndForgets(t *testing.T) {
 	s := scenario.Default()
 	s.Fleet.ListServices, s.Duration, s.Load.RequestsPerS = 0, 60*second, 1e-9
@@ -405,9 +405,9 @@
 	em := New(&s)
 	em.Begin(0)
 	em.Step(0, Opened{1, 0, Counter})
-	call := func(at time.Duration, n int) (totals []float64, rejected int) {
+	call := func(at time.Duration, count int) (totals []float64, rejected int) {
 		var actions []Action
-		for range n {
+		for range count {
 			actions = append(actions, em.Step(at, Called{1, "a", 2, 5 * time.Second})...)
 		}
 		for next, ok := em.Next(); ok && next < at+time.Second; next, ok = em.Next() {
@@ -423,25 +423,25 @@
 		return
 	}
 	if totals, rejected := call(0, 10); len(totals) < 4 || len(totals) > 6 || rejected != 10-len(totals) || totals[0] != 2 || totals[3] != 8 {
-		t.Errorf("at once: %v, %d turned away", totals, rejected)
+		t.Errorf("at once: %v, %d rejected", totals, rejected)
 	}
 	if totals, _ := call(4*time.Second, 1); len(totals) != 1 || totals[0] < 10 {
-		t.Errorf("within its life: %v", totals)
+		t.Errorf("within the lifetime: %v", totals)
 	}
 	if totals, _ := call(6*time.Second, 1); len(totals) != 1 || totals[0] != 2 {
-		t.Errorf("after its life: %v", totals)
+		t.Errorf("after the lifetime: %v", totals)
 	}
 	if totals, _ := call(10*time.Second+time.Millisecond, 1); len(totals) != 0 {
-		t.Errorf("silent: %v", totals)
+		t.Errorf("while silent: %v", totals)
 	}
 	em.Step(11*time.Second, Opened{2, 0, Counter})
-	var back []float64
+	var totals []float64
 	for _, a := range append(em.Step(11*time.Second, Called{2, "a", 2, 5 * time.Second}), em.Step(11500*time.Millisecond, Tick{})...) {
 		if total, ok := a.Operation.(CounterReply); ok {
-			back = append(back, total.Total)
+			totals = append(totals, total.Total)
 		}
 	}
-	if len(back) != 1 || back[0] != 2 {
-		t.Errorf("back: %v", back)
+	if len(totals) != 1 || totals[0] != 2 {
+		t.Errorf("after the counter is back: %v", totals)
 	}
 }
