--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -5,42 +5,41 @@
 	"fmt"
 )
 
-// Addresses are where the processes of a fleet meet each other.
+// Addresses are the addresses in the configuration of a gateway, as host:port.
 type Addresses struct {
-	Listen     string // clients
-	Control    string // operators
+	Listen     string // for clients
+	Control    string // for operators
 	Discovery  string
-	Registries []string // list services, in discovery's place
+	Registries []string // service registries, which replace Discovery
 	Counter    string
-	PeerListen string   // where datagrams of other gateways come in
-	Peers      []string // the gateways' addresses for datagrams, by their numbers
-	Broadcast  string   // of all of them
+	PeerListen string   // for datagrams of other gateways
+	Peers      []string // the gateways' addresses for datagrams, by gateway number
+	Broadcast  string   // for datagrams to all gateways
 }
 
-// object is a JSON object; its keys are written in order, so that files can be
-// compared.
+// object is a JSON object. encoding/json sorts its keys, so that files are comparable.
 type object = map[string]any
 
-// GatewayConfig is the configuration of one gateway. Known is a list in
-// discovery's form, or nil.
-func (s *Scenario) GatewayConfig(n int, a Addresses, known any) ([]byte, error) {
+// GatewayConfig returns the configuration of gateway n in JSON. known is the list of backends
+// that the gateway starts with, in the form of package registry, or nil.
+func (s *Scenario) GatewayConfig(n int, addresses Addresses, known any) ([]byte, error) {
 	config := object{
-		"name": fmt.Sprintf("n%d", n), "listen": a.Listen, "control": a.Control, "counter": a.Counter,
+		"name": fmt.Sprintf("n%d", n), "listen": addresses.Listen, "control": addresses.Control, "counter": addresses.Counter,
 		"seed":     fmt.Sprintf("%016x", s.Seed<<16+uint64(n)+1),
 		"limits":   object{"cores": s.Fleet.Cores, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets},
 		"settings": s.settings(n),
 	}
-	if a.Discovery != "" {
-		config["discovery"] = a.Discovery
+	if addresses.Discovery != "" {
+		config["discovery"] = addresses.Discovery
 	}
-	if len(a.Peers) > 0 {
-		config["peer_listen"], config["peers"], config["peers_all"] = a.PeerListen, a.Peers, a.Broadcast
+	if len(addresses.Peers) > 0 {
+		config["peer_listen"], config["peers"], config["peers_all"] = addresses.PeerListen, addresses.Peers, addresses.Broadcast
 	}
 	if s.Fleet.Membership {
 		config["membership"] = true
 	}
-	if len(a.Registries) > 0 {
-		config["registries"] = a.Registries
+	if len(addresses.Registries) > 0 {
+		config["registries"] = addresses.Registries
 	}
 	if known != nil {
 		config["known"] = known
@@ -48,24 +47,24 @@
 	return json.MarshalIndent(config, "", " ")
 }
 
-// GroupAddresses are where a member of a group of list services finds the others, and
-// is found, by their numbers from 0.
+// GroupAddresses are the addresses of a group of service registries, as one member uses them.
 type GroupAddresses struct {
-	Listen         string
-	Members, Lists []string
+	Listen  string   // for the other members
+	Members []string // of the members' group traffic, by number from 0
+	Lists   []string // of the members' lists, by number from 0
 }
 
-// RegistryConfig is the configuration of one list service. Writer is empty for
-// the writer itself; dir is where it keeps its list, if the scenario says so. The
-// addresses are used where list services form a group.
-func (s *Scenario) RegistryConfig(n int, listen, control, writer, dir string, at GroupAddresses) ([]byte, error) {
+// RegistryConfig returns the configuration of service registry n in JSON. writer is the address
+// of the writer, empty for the writer itself. dir is the data directory, used if the registry
+// stores its list. group is used if the registries form a group.
+func (s *Scenario) RegistryConfig(n int, listen, control, writer, dir string, group GroupAddresses) ([]byte, error) {
 	config := object{"listen": listen, "control": control, "lease_ms": LeaseMs}
 	if s.Fleet.Group {
 		members, lists := object{}, object{}
-		for k := range at.Members {
-			members[fmt.Sprint(k+1)], lists[fmt.Sprint(k+1)] = at.Members[k], at.Lists[k]
+		for k := range group.Members {
+			members[fmt.Sprint(k+1)], lists[fmt.Sprint(k+1)] = group.Members[k], group.Lists[k]
 		}
-		config["group"] = object{"name": s.Name, "self": n + 1, "listen": at.Listen, "members": members, "lists": lists, "data_dir": dir}
+		config["group"] = object{"name": s.Name, "self": n + 1, "listen": group.Listen, "members": members, "lists": lists, "data_dir": dir}
 		return json.MarshalIndent(config, "", " ")
 	}
 	if writer != "" {
@@ -77,26 +76,25 @@
 	return json.MarshalIndent(config, "", " ")
 }
 
-// LeaseMs is how long a list service keeps a backend that says nothing.
+// LeaseMs is the lease of a backend's registration in milliseconds.
 const LeaseMs = 2000
 
-// settings are what an operator states about the deployment, under the names
-// that gateways know.
+// settings returns the deployment's settings in the form of a gateway's configuration.
 func (s *Scenario) settings(n int) object {
 	var classes, packages []object
-	most := 0
-	for _, c := range s.Classes {
-		scope := c.Scope
+	maxUnits := 0
+	for _, class := range s.Classes {
+		scope := class.Scope
 		if scope == "" {
 			scope = "all"
 		}
-		classes = append(classes, object{"name": c.Name, "points": c.Worth, "lateWorth": c.LateWorth, "objectiveS": c.Aim.Seconds(),
-			"deadlineS": c.Deadline.Seconds(), "effect": c.Effect, "keyScope": scope, "windowS": c.Window.Seconds(), "streamed": false})
-		most = max(most, c.Units)
+		classes = append(classes, object{"name": class.Name, "points": class.Worth, "lateWorth": class.LateWorth, "objectiveS": class.Aim.Seconds(),
+			"deadlineS": class.Deadline.Seconds(), "effect": class.Effect, "keyScope": scope, "windowS": class.Window.Seconds(), "streamed": false})
+		maxUnits = max(maxUnits, class.Units)
 	}
-	for _, p := range s.Plans {
-		packages = append(packages, object{"name": p.Name, "pays": p.Price, "unitsPerS": p.Rate, "depth": p.Burst, "overWorth": p.OverWorth,
-			"beyondCosts": p.OverCost, "neverOverRate": p.CeilingRate, "ceilingBurst": p.CeilingBurst, "capSlack": p.CeilingSlack, "atOnce": 0})
+	for _, plan := range s.Plans {
+		packages = append(packages, object{"name": plan.Name, "pays": plan.Price, "unitsPerS": plan.Rate, "depth": plan.Burst, "overWorth": plan.OverWorth,
+			"beyondCosts": plan.OverCost, "neverOverRate": plan.CeilingRate, "ceilingBurst": plan.CeilingBurst, "capSlack": plan.CeilingSlack, "atOnce": 0})
 	}
 	report := object{"how": "off", "fields": []string{}}
 	if s.Backend.LoadReports {
@@ -109,7 +107,7 @@
 			"maxOpen": 20000, "maxRetryAfterS": 1.0, "mayDuplicate": false, "mostTries": s.Rules.MaxAttempts, "peers": true, "probes": false, "retryAfter": true},
 		"classes": classes, "packages": packages, "loadReport": report,
 		"familyInfo": object{"hasCounter": true, "counterPrice": s.Counter.Price, "counterTimeoutS": s.Counter.Timeout.Seconds(),
-			"mostUnits": most, "truedUp": false, "inboxPerS": s.Network.PeerInPerS},
+			"mostUnits": maxUnits, "truedUp": false, "inboxPerS": s.Network.PeerInPerS},
 		"obligations": object{"answerSlackS": s.Rules.AnswerSlack.Seconds(), "coldFrom": s.Backend.ColdFrom, "coldS": s.Backend.ColdDuration.Seconds(),
 			"drainGraceS": s.Rules.DrainGrace.Seconds(), "fallMultiple": s.Backend.ColdMultiple, "overloadForS": s.Backend.OverloadFor.Seconds()},
 		"prices": object{"crossZone": 0.005, "waste": 0.03, "lateFail": 0.08, "probe": 0.01},
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,5 @@
-// Package scenario is the operators' format for a fleet and a day on it: how
-// large it is, who calls, what goes wrong and when. From it come the world that
-// is emulated and the configuration of every process.
+// Package scenario defines the file format in which operators describe a fleet, its load and
+// its faults. It also generates the configuration of every process of the fleet.
 package scenario
 
 import (
@@ -10,12 +9,12 @@
 	"time"
 )
 
-// Scenario is one fleet and one day on it.
+// Scenario describes a fleet and one emulated day on it.
 type Scenario struct {
 	Name          string   `toml:"name"`
-	Seed          uint64   `toml:"seed"`     // of all that is drawn
-	Duration      Duration `toml:"duration"` // for which first tries arrive
-	RequiredRules []string `toml:"tried"`    // rules that the day is there to try: a play in which one was not fails
+	Seed          uint64   `toml:"seed"`     // of all random draws
+	Duration      Duration `toml:"duration"` // the period in which clients make new requests
+	RequiredRules []string `toml:"tried"`    // rules that the run has to exercise; it fails if one is not
 
 	Fleet   Fleet   `toml:"fleet"`
 	Backend Backend `toml:"backend"`
@@ -28,152 +27,152 @@
 	Faults  []Fault `toml:"fault"`
 }
 
-// Fleet is what there is.
+// Fleet describes the processes of a fleet.
 type Fleet struct {
 	Gateways     int      `toml:"gateways"`
 	Backends     int      `toml:"backends"`
 	Zones        []string `toml:"zones"`
-	ListServices int      `toml:"list_services"` // a writer and its followers; 0: the world tells the lists itself
-	KeepLists    bool     `toml:"keep_lists"`    // list services keep what they have on disk
-	Group        bool     `toml:"group"`         // list services agree on the list, and choose who writes
-	Membership   bool     `toml:"membership"`    // gateways tell each other who is present
-	Cores        float64  `toml:"cores"`         // of a gateway
-	MemoryMB     int      `toml:"memory_mb"`     // of a gateway
-	Sockets      int      `toml:"sockets"`       // descriptors of a gateway
+	ListServices int      `toml:"list_services"` // service registries: a writer and its followers; 0: the emulator serves the lists
+	KeepLists    bool     `toml:"keep_lists"`    // registries store their list on disk
+	Group        bool     `toml:"group"`         // registries replicate the list and elect the writer
+	Membership   bool     `toml:"membership"`    // gateways exchange who is present
+	Cores        float64  `toml:"cores"`         // per gateway
+	MemoryMB     int      `toml:"memory_mb"`     // per gateway
+	Sockets      int      `toml:"sockets"`       // file descriptors per gateway
 }
 
-// Backend is what one backend is and what it bears.
+// Backend describes the capacity and behaviour of each backend.
 type Backend struct {
 	Cores        float64  `toml:"cores"`
-	Slots        int      `toml:"slots"`       // requests in work at once
-	Queue        int      `toml:"queue"`       // requests that wait for a slot
-	Connections  int      `toml:"connections"` // from all gateways together
-	OverloadLoss float64  `toml:"overfull"`    // share of the capacity lost when all slots are in use
-	Handshake    Duration `toml:"handshake"`   // work of a new connection
-	KeepAlive    Duration `toml:"keep_alive"`  // an idle connection is closed after it
-	Cells        int      `toml:"cells"`       // groups that share which keys they have seen
-	ColdFrom     float64  `toml:"cold_from"`   // share of the capacity just after a start
-	ColdDuration Duration `toml:"cold"`        // until it is warm
-	ColdMultiple float64  `toml:"cold_multiple"`
-	OverloadFor  Duration `toml:"overload_for"`
-	LoadReports  bool     `toml:"load_reports"`
+	Slots        int      `toml:"slots"`         // requests served concurrently
+	Queue        int      `toml:"queue"`         // requests that may wait for a slot
+	Connections  int      `toml:"connections"`   // limit, over all gateways
+	OverloadLoss float64  `toml:"overfull"`      // fraction of the capacity lost when all slots are in use
+	Handshake    Duration `toml:"handshake"`     // CPU time of a new connection
+	KeepAlive    Duration `toml:"keep_alive"`    // idle timeout of connections
+	Cells        int      `toml:"cells"`         // groups of backends that share their record of keys
+	ColdFrom     float64  `toml:"cold_from"`     // fraction of the capacity at a start
+	ColdDuration Duration `toml:"cold"`          // from a start to full capacity
+	ColdMultiple float64  `toml:"cold_multiple"` // a cold backend fails when it receives so many times its capacity
+	OverloadFor  Duration `toml:"overload_for"`  // the period over which that is measured
+	LoadReports  bool     `toml:"load_reports"`  // responses carry the backend's load
 }
 
-// Counter is the service that keeps numbers for all gateways.
+// Counter describes the counter, the service in which gateways share their counts.
 type Counter struct {
-	CallsPerS float64  `toml:"calls_per_s"`
-	Queue     int      `toml:"queue"` // calls that wait; more are turned away
+	CallsPerS float64  `toml:"calls_per_s"` // capacity
+	Queue     int      `toml:"queue"`       // calls that may wait; the counter rejects further ones
 	Delay     Duration `toml:"delay"`
-	Timeout   Duration `toml:"timeout"` // of the gateways
-	Price     float64  `toml:"price"`
+	Timeout   Duration `toml:"timeout"` // of the gateways' calls
+	Price     float64  `toml:"price"`   // per call
 }
 
-// Network is what lies between.
+// Network describes the delays and losses between processes.
 type Network struct {
 	ConnectTimeout   Duration `toml:"connect_timeout"`
-	Delay            Duration `toml:"delay"`      // one way
-	CrossZone        Duration `toml:"cross_zone"` // one way, more between zones
-	ListDelay        Duration `toml:"list_delay"` // at most, until a gateway is told of a change
-	FailureDetection Duration `toml:"notice"`     // until the front sees that a gateway has died
-	PeerDelay        Duration `toml:"peer_delay"` // at most, of a datagram between gateways beyond the delay
-	PeerLoss         float64  `toml:"peer_loss"`  // share of them that never comes
-	PeerInPerS       float64  `toml:"peer_in_per_s"`
+	Delay            Duration `toml:"delay"`         // one way
+	CrossZone        Duration `toml:"cross_zone"`    // one way, added between zones
+	ListDelay        Duration `toml:"list_delay"`    // limit of the time until a gateway receives a change of the list
+	FailureDetection Duration `toml:"notice"`        // until the load balancer notices that a gateway has failed
+	PeerDelay        Duration `toml:"peer_delay"`    // limit of what is added to Delay for a datagram between gateways
+	PeerLoss         float64  `toml:"peer_loss"`     // fraction of those datagrams that is lost
+	PeerInPerS       float64  `toml:"peer_in_per_s"` // datagrams that a gateway receives per second, at most
 }
 
-// Rules are the figures of what a gateway must not do.
+// Rules holds the limits by which the referee judges gateways.
 type Rules struct {
-	AnswerSlack      Duration `toml:"answer_slack"` // behind a deadline, as the gateways are told
-	LostAfter        Duration `toml:"lost_after"`   // behind a deadline, an answer counts as none
-	DrainGrace       Duration `toml:"drain_grace"`
-	MaxAttempts      int      `toml:"attempts"` // of one request, at most
-	ObservationSlack Duration `toml:"observe"`  // by which the emulation may see things late
-	ViewTimeout      Duration `toml:"views"`    // until gateways hold present who is, after each change
+	AnswerSlack      Duration `toml:"answer_slack"` // after a deadline, as configured at the gateways
+	LostAfter        Duration `toml:"lost_after"`   // after a deadline; a later response counts as none
+	DrainGrace       Duration `toml:"drain_grace"`  // until a gateway stops using a backend that drains
+	MaxAttempts      int      `toml:"attempts"`     // per request
+	ObservationSlack Duration `toml:"observe"`      // by which the emulator may observe events late
+	ViewTimeout      Duration `toml:"views"`        // until gateways hold the right members present, after each change
 }
 
-// Load is who calls, and how often.
+// Load describes the requests of the clients.
 type Load struct {
-	RequestsPerS      float64  `toml:"requests_per_s"` // first tries
-	Shape             []Step   `toml:"shape"`          // factors on that rate over time; without any, 1
-	ShiftEvery        Duration `toml:"shift_every"`    // customers change how much they ask; 0: never
-	Skew              float64  `toml:"skew"`           // how uneven customers are; 0: not
-	Retries           int      `toml:"retries"`        // of a client, at most
-	RetryAfter        Duration `toml:"retry_after"`    // a client's pause, doubled each time
-	AbandonedFraction float64  `toml:"impatient"`      // share of the tries that are given up early
+	RequestsPerS      float64  `toml:"requests_per_s"` // without client retries
+	Shape             []Step   `toml:"shape"`          // factors on that rate over time; 1 if there are none
+	ShiftEvery        Duration `toml:"shift_every"`    // interval at which customers change their rates; 0: never
+	Skew              float64  `toml:"skew"`           // unevenness of the customers' rates; 0: even
+	Retries           int      `toml:"retries"`        // limit of client retries per request
+	RetryAfter        Duration `toml:"retry_after"`    // pause before a client retry, doubled each time
+	AbandonedFraction float64  `toml:"impatient"`      // fraction of the requests that clients abandon early
 }
 
-// Step is the load's factor from a moment on, up to the next step's in a line.
+// Step sets the factor on the load at a time. The factor changes linearly up to the next step.
 type Step struct {
 	At     Duration `toml:"at"`
 	Factor float64  `toml:"times"`
 }
 
-// Class is one class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Name            string   `toml:"name"`
-	RequestFraction float64  `toml:"share"` // of the requests
+	RequestFraction float64  `toml:"share"`
 	Worth           float64  `toml:"worth"`
-	LateWorth       float64  `toml:"late_worth"` // share of it between aim and deadline
+	LateWorth       float64  `toml:"late_worth"` // fraction of Worth for a response between aim and deadline
 	Aim             Duration `toml:"aim"`
 	Deadline        Duration `toml:"deadline"`
 	Effect          string   `toml:"effect"` // repeatable, by_key or once
-	Scope           string   `toml:"scope"`  // of by_key: all, zone or cell
-	Window          Duration `toml:"window"` // of by_key
-	Work            Duration `toml:"work"`   // of one core, in the mean
-	Units           int      `toml:"units"`  // of the quota
+	Scope           string   `toml:"scope"`  // of a key: all, zone or cell
+	Window          Duration `toml:"window"` // for which backends remember a key
+	Work            Duration `toml:"work"`   // mean CPU time at a backend
+	Units           int      `toml:"units"`  // of the customer's quota
 	BodyBytes       int64    `toml:"body_bytes"`
 	AnswerBytes     int64    `toml:"answer_bytes"`
 }
 
-// Plan is what customers have bought.
+// Plan describes the terms under which customers use the service.
 type Plan struct {
 	Name            string  `toml:"name"`
-	RequestFraction float64 `toml:"share"` // of the requests
+	RequestFraction float64 `toml:"share"`
 	Customers       int     `toml:"customers"`
 	Price           float64 `toml:"price"`
-	Rate            float64 `toml:"rate"`  // units a second
-	Burst           float64 `toml:"burst"` // units
-	OverWorth       float64 `toml:"over_worth"`
-	OverCost        float64 `toml:"over_cost"`
+	Rate            float64 `toml:"rate"`       // units per second
+	Burst           float64 `toml:"burst"`      // units
+	OverWorth       float64 `toml:"over_worth"` // factor on the worth of an over-quota request
+	OverCost        float64 `toml:"over_cost"`  // cost of serving one, as a fraction of its worth
 	CeilingRate     float64 `toml:"ceiling_rate"`
 	CeilingBurst    float64 `toml:"ceiling_burst"`
 	CeilingSlack    float64 `toml:"ceiling_slack"`
 	Spread          int     `toml:"spread"` // gateways in a customer's set
 }
 
-// Fault is one thing that goes wrong.
+// Fault describes one fault.
 type Fault struct {
-	Kind     string   `toml:"kind"`
+	Kind     string   `toml:"kind"` // a key of FaultKinds
 	At       Duration `toml:"at"`
 	For      Duration `toml:"for"`
-	Fraction float64  `toml:"part,omitempty"` // share of those that it can befall
-	Zone     string   `toml:"zone,omitempty"` // befalls this zone alone
-	Size     float64  `toml:"size,omitempty"` // see Kinds
+	Fraction float64  `toml:"part,omitempty"` // fraction of the gateways or backends that it affects
+	Zone     string   `toml:"zone,omitempty"` // zone that it affects
+	Size     float64  `toml:"size,omitempty"` // see FaultKind.SizeMeaning
 
-	Target string `toml:"who,omitempty"` // a process or several, see ParseActor, in place of part and zone
+	Target string `toml:"who,omitempty"` // affected processes, see ParseActor; replaces Fraction and Zone
 
-	// Of a link:
+	// For faults of links:
 	From      string   `toml:"from,omitempty"` // the actor that connects, see ParseActor
 	To        string   `toml:"to,omitempty"`
-	Direction string   `toml:"way,omitempty"` // there, back or both; both, if empty
-	Effect    string   `toml:"how,omitempty"` // see link.Kinds
+	Direction string   `toml:"way,omitempty"` // there, back or both; both if empty
+	Effect    string   `toml:"how,omitempty"` // see package link
 	Delay     Duration `toml:"delay,omitempty"`
 	Jitter    Duration `toml:"jitter,omitempty"`
-	Flap      Duration `toml:"flap,omitempty"` // it comes and goes, each for so long; 0: it stays. Of a crash loop: how long each life lasts
+	Flap      Duration `toml:"flap,omitempty"` // half of the period in which it comes and goes, 0: it stays; of a crash loop: the lifetime of each process
 }
 
-// FaultKind tells what a kind of fault takes.
+// FaultKind describes the parameters of a kind of fault.
 type FaultKind struct {
-	ByPart         bool   // of gateways or backends: by part or by zone
-	NeedsZone      bool   // needs a zone
-	SizeMeaning    string // what the size is; empty where it takes none
-	SizeIsFraction bool   // the size is a share
-	IsLink         bool   // it takes from, to, way and how
-	AllowsTarget   bool   // it can be told who, and befalls list services too
-	NeedsFlap      bool   // it needs a flap
+	ByPart         bool   // it affects gateways or backends, chosen by fraction or zone
+	NeedsZone      bool   // it affects a zone
+	SizeMeaning    string // what the size stands for; empty if it takes none
+	SizeIsFraction bool   // the size is from 0 to 1
+	IsLink         bool   // it affects links: it takes from, to, way and how
+	AllowsTarget   bool   // it takes who, and can affect service registries
+	NeedsFlap      bool
 	Description    string
 }
 
-// FaultKinds are the faults that there are.
+// FaultKinds holds the kinds of faults by name.
 var FaultKinds = map[string]FaultKind{
 	"kill":           {ByPart: true, AllowsTarget: true, Description: "gateways, or list services, are killed, and started again after for"},
 	"gone":           {ByPart: true, AllowsTarget: true, Description: "machines of gateways, or of list services, fall silent with all their connections, and are started again after for"},
@@ -201,21 +200,22 @@
 	"rude":           {SizeMeaning: "connections to each gateway", Description: "clients connect and send nothing, or a head byte by byte"},
 }
 
-// Duration is a time.Duration written as Go writes it: "250ms".
+// Duration is a time.Duration that is encoded in Go's notation, such as "250ms".
 type Duration time.Duration
 
-// Std is the duration.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Seconds is the duration in seconds.
+// Seconds returns the duration in seconds.
 func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
 
+// String formats the duration as time.Duration does.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalText writes a duration.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads a duration.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -225,7 +225,8 @@
 	return nil
 }
 
-// Default is a small fleet under a load that it bears, which scenarios change.
+// Default returns a small fleet under a load within its capacity. Scenario files override parts
+// of it.
 func Default() Scenario {
 	const ms = Duration(time.Millisecond)
 	return Scenario{
@@ -251,10 +252,10 @@
 	}
 }
 
-// How long a platform leaves a process after SIGTERM.
+// Limits of the time between SIGTERM and SIGKILL.
 const (
-	countedDeadline = 3 * time.Second // a longest deadline of a class above it counts as this
-	killGrace       = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second // limit on the longest deadline in the calculation
+	killGrace          = 700 * time.Millisecond
 )
 
 // KillAfter returns the time from SIGTERM to the earliest SIGKILL.
@@ -263,8 +264,8 @@
 	for _, c := range s.Classes {
 		longest = max(longest, c.Deadline.Std())
 	}
-	return min(longest, countedDeadline) + killGrace
+	return min(longest, maxCountedDeadline) + killGrace
 }
 
-// FaultKindNames are the names of the kinds of faults, in order.
+// FaultKindNames returns the names of the kinds of faults, sorted.
 func FaultKindNames() []string { return slices.Sorted(maps.Keys(FaultKinds)) }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -10,12 +10,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-func TestDefaultIsGood(t *testing.T) {
+// The default scenario is valid, and survives encoding and parsing.
+func TestDefaultIsValidAndRoundTrips(t *testing.T) {
 	s := Default()
 	if problems := s.Check(); len(problems) > 0 {
 		t.Error(problems)
 	}
-	// What is printed can be read again, and is the same.
+
 	var out bytes.Buffer
 	if err := toml.NewEncoder(&out).Encode(s); err != nil {
 		t.Fatal(err)
@@ -24,29 +25,29 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, &out)
 	}
-	var once bytes.Buffer
-	if err := toml.NewEncoder(&once).Encode(again); err != nil || once.String() != out.String() {
-		t.Errorf("%v\n%s\n%s", err, &out, &once)
+	var reencoded bytes.Buffer
+	if err := toml.NewEncoder(&reencoded).Encode(again); err != nil || reencoded.String() != out.String() {
+		t.Errorf("error %v; encoded\n%s\nparsed and encoded again\n%s", err, &out, &reencoded)
 	}
 }
 
-const class = "[[class]]\nname = \"a\"\nshare = 1.0\nworth = 1.0\naim = \"100ms\"\ndeadline = \"1s\"\neffect = \"once\"\nwork = \"5ms\"\nunits = 1\nanswer_bytes = 100\n"
+const validClass = "[[class]]\nname = \"a\"\nshare = 1.0\nworth = 1.0\naim = \"100ms\"\ndeadline = \"1s\"\neffect = \"once\"\nwork = \"5ms\"\nunits = 1\nanswer_bytes = 100\n"
 
-// Bad scenarios are refused with the line and the key of each fault.
-func TestBadScenarios(t *testing.T) {
+// Parse rejects invalid scenarios with the line and the key of each problem.
+func TestInvalidScenariosAreRejectedWithLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"colour = 1", "bad:1: colour: no such key"},
 		{"name = \"x\"\n[fleet]\ngateways = 3\nservers = 2\n\n[load]\nspeed = 1", "bad:4: fleet.servers: no such key\nbad:7: load.speed: no such key"},
 		{"[fleet]\ngateways = \"many\"", "bad:2: "},
 		{"name = ", "bad:1: "},
 		{"\nduration = \"long\"", "bad:2: "},
-		{"[load]\nimpatient = 1.5", "bad:2: load.impatient: 1.5 is not a share"},
+		{"[load]\nimpatient = 1.5", "bad:2: load.impatient: 1.5 is not a fraction"},
 		{"duration = \"10s\"\n\n[[fault]]\nkind = \"kill\"\nat = \"12s\"\nfor = \"1s\"\npart = 0.5", "bad:5: fault[0].at: 12s is not within the 10s"},
 		{"[[fault]]\nkind = \"kill\"\nat = \"1s\"\nfor = \"1s\"\npart = 0.5\n\n[[fault]]\nkind = \"flood\"\nat = \"1s\"", "bad:8: fault[1].kind: \"flood\" is not known"},
-		{"[[fault]]\nkind = \"kill\"\nat = \"1s\"\nfor = \"1s\"", "bad:1: fault[0].part: it needs either"},
-		{"[[fault]]\nkind = \"errors\"\nat = \"1s\"\nfor = \"1s\"\npart = 0.5\nsize = 2.0", "bad:6: fault[0].size: 2 is not a share"},
+		{"[[fault]]\nkind = \"kill\"\nat = \"1s\"\nfor = \"1s\"", "bad:1: fault[0].part: a fault of kind kill needs either"},
+		{"[[fault]]\nkind = \"errors\"\nat = \"1s\"\nfor = \"1s\"\npart = 0.5\nsize = 2.0", "bad:6: fault[0].size: 2 is not a fraction"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nto = \"lists\"\nhow = \"dropped\"", "fault[0].from: \"\" is not gateways"},
-		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n9\"\nto = \"lists\"\nhow = \"dropped\"", "bad:5: fault[0].from: \"n9\": there are 3"},
+		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n9\"\nto = \"lists\"\nhow = \"dropped\"", "bad:5: fault[0].from: \"n9\": the fleet has 3"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"gateways of x\"\nto = \"lists\"\nhow = \"dropped\"", "bad:5: fault[0].from: \"gateways of x\": there is no zone \"x\" of gateways"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"lists\"\nto = \"gateways\"\nhow = \"dropped\"", "bad:6: fault[0].to: lists does not connect to gateways"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"backends\"\nhow = \"slow\"", "bad:7: fault[0].how: \"slow\" is not one of [dropped refused]"},
@@ -56,43 +57,44 @@
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"list0\"\nto = \"list0\"\nhow = \"dropped\"", "bad:5: fault[0].from: the writer connects to no other"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"b-1\"\nto = \"list0\"\nhow = \"dropped\"", "bad:5: fault[0].from: one emulated registrar"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"lists\"\nto = \"list1\"\nhow = \"dropped\"", "bad:6: fault[0].to: only the writer"},
-		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"lists\"\nhow = \"dropped\"\npart = 0.5", "bad:8: fault[0].part: it takes neither"},
-		{"[[fault]]\nkind = \"kill\"\nat = \"1s\"\nfor = \"1s\"\npart = 0.5\nhow = \"slow\"", "fault[0].from: it is no link"},
+		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"lists\"\nhow = \"dropped\"\npart = 0.5", "bad:8: fault[0].part: a fault of links takes neither"},
+		{"[[fault]]\nkind = \"kill\"\nat = \"1s\"\nfor = \"1s\"\npart = 0.5\nhow = \"slow\"", "fault[0].from: a fault of kind kill is not of links"},
 		{"[[fault]]\nkind = \"cut\"\nat = \"1s\"\nfor = \"1s\"\nzone = \"x\"", "bad:5: fault[0].zone: \"x\" is not a zone"},
 		{"[fleet]\nzones = [\"a\"]\n[[fault]]\nkind = \"cut\"\nat = \"1s\"\nfor = \"1s\"\nzone = \"a\"", "bad:7: fault[0].zone: there is no other zone"},
-		{strings.Replace(class, "units = 1", "units = 1000", 1), "bad:9: class[0].units: no plan's burst holds 1000"},
-		{strings.Replace(class, "share = 1.0", "share = 0.5", 1), "bad:1: class: the shares are 0.5 together"},
-		{strings.Replace(class, "\"once\"", "\"twice\"", 1), "bad:7: class[0].effect: \"twice\""},
-		{strings.Replace(class, "aim = \"100ms\"", "aim = \"2s\"", 1), "bad:5: class[0].aim: 2s"},
-		{class + class, "class[1].name: \"a\" is not a name"},
+		{strings.Replace(validClass, "units = 1", "units = 1000", 1), "bad:9: class[0].units: no plan's burst holds 1000"},
+		{strings.Replace(validClass, "share = 1.0", "share = 0.5", 1), "bad:1: class: the shares are 0.5 together"},
+		{strings.Replace(validClass, "\"once\"", "\"twice\"", 1), "bad:7: class[0].effect: \"twice\""},
+		{strings.Replace(validClass, "aim = \"100ms\"", "aim = \"2s\"", 1), "bad:5: class[0].aim: 2s"},
+		{validClass + validClass, "class[1].name: \"a\" is not a name"},
 		{"[fleet]\ngateways = 2", "plan[0].spread: 3 is not from 1 to the 2 gateways"},
-		{"[load]\nshape = [{at = \"5s\", times = 1.0}, {at = \"4s\", times = 1.0}]", "bad:2: load.shape: step 1: 4s is not behind"},
+		{"[load]\nshape = [{at = \"5s\", times = 1.0}, {at = \"4s\", times = 1.0}]", "bad:2: load.shape: step 1: 4s is not after the previous step"},
 		{"[rules]\nattempts = 0", "bad:2: rules.attempts: 0"},
 	} {
 		_, err := Parse("bad", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q\ngave %v\nnot  %s", c.text, err, c.want)
+			t.Errorf("%q\ngot error %v\nwant      %s", c.text, err, c.want)
 		}
 	}
-	if _, err := Parse("good", []byte(class)); err != nil {
-		t.Errorf("%v", err)
+	if _, err := Parse("good", []byte(validClass)); err != nil {
+		t.Errorf("valid scenario rejected: %v", err)
 	}
 }
 
+// Parse neither panics nor accepts a scenario that Check rejects.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(class))
+	f.Add([]byte(validClass))
 	f.Add([]byte("[load]\nshape = [{at = \"5s\", times = 1.0}]\n[[fault]]\nkind = \"cut\"\n[fleet]\nzones=[]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse("f", text)
 		if err == nil && len(s.Check()) > 0 {
-			t.Errorf("taken, though %v", s.Check())
+			t.Errorf("accepted despite %v", s.Check())
 		}
 	})
 }
 
-// What is drawn can be played, is bounded, and is the same for a seed; in time every
-// kind and every link is drawn.
-func TestDraw(t *testing.T) {
+// Draw generates valid, bounded faults that depend on the seed alone, and reaches all kinds of
+// faults and links.
+func TestDrawIsValidBoundedAndReproducible(t *testing.T) {
 	drawn := map[string]bool{}
 	for seed := range uint64(400) {
 		s := Default()
@@ -102,18 +104,18 @@
 		}
 		s.Draw()
 		if problems := s.Check(); len(problems) > 0 || len(s.Faults) == 0 {
-			t.Fatalf("seed %d: %v of %+v", seed, problems, s.Faults)
+			t.Fatalf("seed %d: problems %v in faults %+v", seed, problems, s.Faults)
 		}
 		for _, f := range s.Faults {
-			if f.At < Duration(drawNothing) || f.For > Duration(drawMost) || f.At+f.For > s.Duration*3/4+Duration(time.Millisecond) {
-				t.Errorf("seed %d: %+v in a day of %v", seed, f, s.Duration)
+			if f.At < Duration(faultFreeStart) || f.For > Duration(maxFaultDuration) || f.At+f.For > s.Duration*3/4+Duration(time.Millisecond) {
+				t.Errorf("seed %d: fault %+v is out of bounds in a day of %v", seed, f, s.Duration)
 			}
 			drawn[f.Kind], drawn[f.From+f.To], drawn[f.Effect], drawn[f.Target] = true, true, true, true
 		}
 		again := s
 		again.Draw()
 		if !reflect.DeepEqual(again.Faults, s.Faults) {
-			t.Errorf("seed %d: drawn twice, two schedules", seed)
+			t.Errorf("seed %d: a second draw gave other faults", seed)
 		}
 	}
 	for _, want := range []string{"kill", "gone", "freeze", "cut", "list_stale", "listslist0", "backendslist0", "gateways of alists", "slow", "stalled", "list1"} {
@@ -123,8 +125,8 @@
 	}
 }
 
-// A longest deadline counts as 3 s at most for the platform's kill.
-func TestKillAfter(t *testing.T) {
+// KillAfter counts at most 3 s of the longest deadline.
+func TestKillAfterLimitsLongestDeadline(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{
 		800 * time.Millisecond: 1500 * time.Millisecond,
 		3 * time.Second:        3700 * time.Millisecond,
@@ -135,7 +137,7 @@
 			s.Classes[i].Deadline = Duration(deadline / time.Duration(i+1))
 		}
 		if got := s.KillAfter(); got != want {
-			t.Errorf("longest deadline %v: %v, want %v", deadline, got, want)
+			t.Errorf("longest deadline %v: killed after %v, want %v", deadline, got, want)
 		}
 	}
 }
