--- a/internal/referee/backends.go
+++ b/internal/referee/backends.go
@@ -7,32 +7,32 @@
 
 // backend is the state of a backend.
 type backend struct {
-	zone, cell int
-	started    time.Duration // its process
-	cold       bool
-	window     []pressure // work of the last OverloadFor
-	sum, aware float64    // work in the window, and the part of it from gateways that knew of the start
-	fallen     bool       // it failed from overload
-	tried      bool       // an even load would have pushed it over
+	zone, cell           int
+	started              time.Duration // when its process started
+	cold                 bool
+	window               []workSample // work that arrived in the last Backend.OverloadFor
+	totalWork, awareWork float64      // work in the window, and the part of it from gateways that knew of the start
+	overloaded           bool         // it failed from overload
+	tried                bool         // an even distribution of the load would have overloaded it
 }
 
-// pressure is work that arrived at a backend; aware says that its gateway knew of the
+// workSample is work that arrived at a backend; aware says that its gateway knew of the
 // backend's start.
-type pressure struct {
+type workSample struct {
 	at    time.Duration
 	work  float64
 	aware bool
 }
 
-// told is what a gateway was told of a backend.
-type told struct {
+// backendNotice is the state of a backend as a gateway received it.
+type backendNotice struct {
 	state   State
-	at      time.Duration // when it was told that the backend is not ready
-	started time.Duration // start of the backend's process, as told
+	at      time.Duration // when it received that the backend is not ready
+	started time.Duration // start of the backend's process, as received
 }
 
-// enlisted is what a registry has confirmed to a backend, and the version of its list.
-type enlisted struct {
+// registration is what a registry has confirmed to a backend, and the version of its list.
+type registration struct {
 	state   State
 	started time.Duration
 	version int64
@@ -40,71 +40,72 @@
 
 // Backend reports the start or restart of a backend. One that is not cold counts as one that
 // has run for long.
-func (r *Referee) Backend(now time.Duration, b, zone, cell int, cold bool) {
-	r.backends[b] = &backend{zone: zone, cell: cell, started: now, cold: cold}
+func (r *Referee) Backend(now time.Duration, number, zone, cell int, cold bool) {
+	r.backends[number] = &backend{zone: zone, cell: cell, started: now, cold: cold}
 }
 
 // BackendStateReceived reports that a gateway has received the state of a backend.
-func (r *Referee) BackendStateReceived(now time.Duration, g, b int, state State, started time.Duration) {
-	before, known := r.gateways[g].told[b]
-	t := told{state: state, at: now, started: started}
-	if known && before.state != Ready && state != Ready {
-		t.at = before.at
+func (r *Referee) BackendStateReceived(now time.Duration, gateway, number int, state State, started time.Duration) {
+	previous, known := r.gateways[gateway].backends[number]
+	notice := backendNotice{state: state, at: now, started: started}
+	if known && previous.state != Ready && state != Ready {
+		notice.at = previous.at
 	}
-	r.gateways[g].told[b] = t
+	r.gateways[gateway].backends[number] = notice
 }
 
-// KnownBackends returns the backends that a gateway knows and that have not gone. A whole list that
-// leaves one of them out says that it has gone.
-func (r *Referee) KnownBackends(g int) []int {
-	var all []int
-	for b, t := range r.gateways[g].told {
-		if t.state != Gone {
-			all = append(all, b)
+// KnownBackends returns the backends that a gateway knows and that have not gone, in order. A
+// full list without one of them means that it has gone.
+func (r *Referee) KnownBackends(gateway int) []int {
+	var known []int
+	for number, notice := range r.gateways[gateway].backends {
+		if notice.state != Gone {
+			known = append(known, number)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(known)
+	return known
 }
 
 // WorkArrived judges work that arrives at a backend, rejected work included, and reports whether
-// the backend fails from overload. running is the number of backends that run.
-func (r *Referee) WorkArrived(now time.Duration, g, n, running int, work, mean, capacity float64) (falls bool) {
-	b := r.backends[n]
-	even := r.load.add(now, work, r.s.Backend.OverloadFor.Std()) / float64(max(running, 1))
-	if !b.cold || b.fallen || now-b.started > r.s.Backend.ColdDuration.Std() {
-		b.cold = false
-		b.window = nil
+// the backend fails from overload. running is the number of backends that run; work and
+// mean, the mean work of a request, are in seconds of a core, capacity in cores.
+func (r *Referee) WorkArrived(now time.Duration, gateway, number, running int, work, mean, capacity float64) (overloaded bool) {
+	target := r.backends[number]
+	evenWork := r.load.add(now, work, r.scenario.Backend.OverloadFor.Std()) / float64(max(running, 1))
+	if !target.cold || target.overloaded || now-target.started > r.scenario.Backend.ColdDuration.Std() {
+		target.cold = false
+		target.window = nil
 		return false
 	}
-	length := r.s.Backend.OverloadFor.Std()
-	aware := r.gateways[g].told[n].started >= b.started-time.Millisecond
-	b.window = append(b.window, pressure{now, work, aware})
-	b.sum += work
+	period := r.scenario.Backend.OverloadFor.Std()
+	aware := r.gateways[gateway].backends[number].started >= target.started-time.Millisecond
+	target.window = append(target.window, workSample{now, work, aware})
+	target.totalWork += work
 	if aware {
-		b.aware += work
+		target.awareWork += work
 	}
-	for b.window[0].at < now-length {
-		b.sum -= b.window[0].work
-		if b.window[0].aware {
-			b.aware -= b.window[0].work
+	for target.window[0].at < now-period {
+		target.totalWork -= target.window[0].work
+		if target.window[0].aware {
+			target.awareWork -= target.window[0].work
 		}
-		b.window = b.window[1:]
+		target.window = target.window[1:]
 	}
-	multiple := r.s.Backend.ColdMultiple
-	budget := multiple*capacity*length.Seconds() + coldSlack*mean
-	r.coldMost = max(r.coldMost, b.aware/budget)
-	if even > budget && !b.tried {
-		b.tried = true
+	multiple := r.scenario.Backend.ColdMultiple
+	budget := multiple*capacity*period.Seconds() + coldSlackRequests*mean
+	r.maxColdBudgetUsed = max(r.maxColdBudgetUsed, target.awareWork/budget)
+	if evenWork > budget && !target.tried {
+		target.tried = true
 		r.tried[Cold]++
 	}
-	if b.sum <= budget {
+	if target.totalWork <= budget {
 		return false
 	}
-	b.fallen = true
-	if b.aware >= b.sum*2/3 {
-		r.violate(now, Cold, -1, nil, "backend b-%d, started %v ago, got %.0f ms of work within %v where it bears %.0f; %.0f%% came from gateways that knew of the start",
-			n, (now - b.started).Round(time.Millisecond), b.sum*1e3, length, budget*1e3, b.aware/b.sum*100)
+	target.overloaded = true
+	if target.awareWork >= target.totalWork*2/3 {
+		r.violate(now, Cold, -1, nil, "backend b-%d, started %v ago, received %.0f ms of work within %v, over its limit of %.0f; %.0f%% came from gateways that knew of the start",
+			number, (now - target.started).Round(time.Millisecond), target.totalWork*1e3, period, budget*1e3, target.awareWork/target.totalWork*100)
 	}
 	return true
 }
--- a/internal/referee/ceiling.go
+++ b/internal/referee/ceiling.go
@@ -6,52 +6,52 @@
 	"dunlintray/internal/scenario"
 )
 
-// store is the token bucket of a customer's ceiling.
-type store struct {
+// bucket is the token bucket of a customer's ceiling.
+type bucket struct {
 	units float64
 	at    time.Duration
-	low   bool // it has been under a third
+	low   bool // it has been under a third of its capacity
 
-	asked     *float64 // units that would be left if all requests were sent on; nil: not counted yet
-	askedAt   time.Duration
-	counterAt time.Duration // value of Referee.counterAt when asked was set
-	over      bool          // asked has been under the permitted least
+	requestedRemaining *float64 // units that would be left if all requests were sent on; nil: not counted yet
+	requestedAt        time.Duration
+	counterChangedAt   time.Duration // value of Referee.counterChangedAt when requestedRemaining was set
+	overRequested      bool          // requestedRemaining has been under the permitted minimum
 }
 
-// spend takes a request's units from its customer's ceiling, and judges what is left.
-func (r *Referee) spend(now time.Duration, rec *record) {
-	p := &r.s.Plans[rec.Plan]
-	if p.CeilingRate == 0 {
+// spendCeiling takes a request's units from its customer's ceiling, and judges what is left.
+func (r *Referee) spendCeiling(now time.Duration, rec *record) {
+	plan := &r.scenario.Plans[rec.Plan]
+	if plan.CeilingRate == 0 {
 		return
 	}
-	c := r.store(now, rec.Request)
-	c.units -= rec.Units
-	least := r.least(p)
-	left := (c.units - least) / (p.CeilingBurst - least)
-	r.nearest = min(r.nearest, left)
-	if left < 1.0/3 && !c.low {
-		c.low = true
-		r.low++
+	customer := r.customerBucket(now, rec.Request)
+	customer.units -= rec.Units
+	minimum := r.minUnits(plan)
+	remaining := (customer.units - minimum) / (plan.CeilingBurst - minimum)
+	r.minCeilingRemaining = min(r.minCeilingRemaining, remaining)
+	if remaining < 1.0/3 && !customer.low {
+		customer.low = true
+		r.lowCustomers++
 	}
-	if c.units < least {
-		r.violate(now, Ceiling, rec.Gateway, rec, "customer %016x of plan %s is at %.1f units of its ceiling, under %.1f", rec.Customer, p.Name, c.units, least)
+	if customer.units < minimum {
+		r.violate(now, Ceiling, rec.Gateway, rec, "customer %016x of plan %s has %.1f units of its ceiling left, under the minimum of %.1f", rec.Customer, plan.Name, customer.units, minimum)
 	}
 }
 
-// store returns the bucket of a customer, refilled up to now.
-func (r *Referee) store(now time.Duration, q Request) *store {
-	p := &r.s.Plans[q.Plan]
-	c := r.customers[q.Customer]
-	if c == nil {
-		c = &store{units: p.CeilingBurst, at: now}
-		r.customers[q.Customer] = c
+// customerBucket returns the bucket of a customer, refilled up to now.
+func (r *Referee) customerBucket(now time.Duration, request Request) *bucket {
+	plan := &r.scenario.Plans[request.Plan]
+	customer := r.customers[request.Customer]
+	if customer == nil {
+		customer = &bucket{units: plan.CeilingBurst, at: now}
+		r.customers[request.Customer] = customer
 	}
-	c.units = min(p.CeilingBurst, c.units+p.CeilingRate*(now-c.at).Seconds())
-	c.at = now
-	return c
+	customer.units = min(plan.CeilingBurst, customer.units+plan.CeilingRate*(now-customer.at).Seconds())
+	customer.at = now
+	return customer
 }
 
-// least returns the permitted least units of a bucket, which is negative.
-func (r *Referee) least(p *scenario.Plan) float64 {
-	return -p.CeilingSlack - p.CeilingRate*ceilingFor.Seconds()
+// minUnits returns the permitted minimum of a bucket in units, which is negative.
+func (r *Referee) minUnits(plan *scenario.Plan) float64 {
+	return -plan.CeilingSlack - plan.CeilingRate*ceilingSlackTime.Seconds()
 }
--- a/internal/referee/fleet.go
+++ b/internal/referee/fleet.go
@@ -2,171 +2,175 @@
 
 import "time"
 
-// Reachability is what datagrams do between two gateways.
+// Reachability tells whether datagrams pass between two gateways.
 type Reachability int8
 
-// The kinds.
+// The degrees of reachability.
 const (
 	Unreachable     Reachability = iota // none passes, either way
 	Reachable                           // they pass both ways
-	PartlyReachable                     // they pass one way, or some do, or late: who is present is open
+	PartlyReachable                     // they pass one way only, with losses or late: gateways may hold each other present or not
 )
 
-// Topology is what a fleet of gateways stands on, as the faults that are played make
-// it: what its members would hold of each other if they knew everything.
+// Topology is the true state of the fleet under the current faults, by which views and states that
+// gateways report are judged.
 type Topology struct {
-	Running           []bool // gateways that run and answer
+	Running           []bool // by gateway: it runs and answers
 	Between           func(a, b int) Reachability
-	ServicesReachable bool // every gateway reaches the list services and the counter
+	ServicesReachable bool // every gateway reaches the service registries and the counter
 }
 
-// ground is one as it is judged by.
-type ground struct {
-	since time.Duration
-	well  bool
-	part  []int // the part of the fleet that each gateway stands in; open or out
-	size  map[int]int
+// partitions is a topology, split into partitions of gateways that reach each other.
+type partitions struct {
+	since             time.Duration
+	servicesReachable bool
+	partitionOf       []int       // by gateway: its partition, or notRunning or indeterminate
+	size              map[int]int // by partition, in gateways
 }
 
-// Of a gateway's part where there is none to judge it by.
+// The partition of a gateway whose view can't be judged.
 const (
-	out  = -1 // it does not run
-	open = -2 // what its members can hold of each other is open
+	notRunning    = -1 // the gateway does not run
+	indeterminate = -2 // its members may hold each other present or not
 )
 
-// stand is what a gateway has said of late.
-type stand struct {
-	state   string
-	changed time.Duration // when it said that; below 0: it is its first
-	met     []bool        // gateways that it has rightly held present in this life
-	viewed  time.Duration // the ground, by its beginning, on which its view was judged
-	stood   time.Duration // and its state
+// reportedState is the state that a gateway has reported, and what of it was judged.
+type reportedState struct {
+	state           string
+	changed         time.Duration // when the state changed; below 0: it is the first
+	met             []bool        // by gateway: the process has correctly held it present
+	viewCheckedFor  time.Duration // start of the partitions by which its view was judged
+	stateCheckedFor time.Duration // start of the partitions by which its state was judged
 }
 
-// TopologyChanged tells that what the fleet stands on is another from now on.
-func (r *Referee) TopologyChanged(now time.Duration, g Topology) {
-	n := len(g.Running)
-	at := &ground{since: now, well: g.ServicesReachable, part: make([]int, n), size: map[int]int{}}
-	for a := range n {
-		at.part[a] = out
-		if g.Running[a] {
-			at.part[a] = a
+// TopologyChanged reports the topology of the fleet from now on.
+func (r *Referee) TopologyChanged(now time.Duration, topology Topology) {
+	count := len(topology.Running)
+	current := &partitions{since: now, servicesReachable: topology.ServicesReachable, partitionOf: make([]int, count), size: map[int]int{}}
+	for a := range count {
+		current.partitionOf[a] = notRunning
+		if topology.Running[a] {
+			current.partitionOf[a] = a
 		}
 	}
-	// Parts are those joined, also by way of others.
+	// Partitions are the connected components of the gateways that reach each other.
 	for changed := true; changed; {
 		changed = false
-		for a := range n {
+		for a := range count {
 			for b := range a {
-				if at.part[a] >= 0 && at.part[b] >= 0 && at.part[a] != at.part[b] && g.Between(a, b) == Reachable {
-					at.part[a], at.part[b] = min(at.part[a], at.part[b]), min(at.part[a], at.part[b])
+				if current.partitionOf[a] >= 0 && current.partitionOf[b] >= 0 && current.partitionOf[a] != current.partitionOf[b] && topology.Between(a, b) == Reachable {
+					current.partitionOf[a], current.partitionOf[b] = min(current.partitionOf[a], current.partitionOf[b]), min(current.partitionOf[a], current.partitionOf[b])
 					changed = true
 				}
 			}
 		}
 	}
-	// A part in which not each reaches each, or that some link leaves in doubt, is open.
-	doubted := map[int]bool{}
-	for a := range n {
+	// A partition is indeterminate if not all its members reach each other, or if a link from it
+	// is partly reachable.
+	indeterminateParts := map[int]bool{}
+	for a := range count {
 		for b := range a {
-			if at.part[a] < 0 || at.part[b] < 0 {
+			if current.partitionOf[a] < 0 || current.partitionOf[b] < 0 {
 				continue
 			}
-			if reach := g.Between(a, b); reach == PartlyReachable || (reach == Reachable) != (at.part[a] == at.part[b]) {
-				doubted[at.part[a]], doubted[at.part[b]] = true, true
+			if reach := topology.Between(a, b); reach == PartlyReachable || (reach == Reachable) != (current.partitionOf[a] == current.partitionOf[b]) {
+				indeterminateParts[current.partitionOf[a]], indeterminateParts[current.partitionOf[b]] = true, true
 			}
 		}
 	}
-	for a, part := range at.part {
-		if doubted[part] {
-			at.part[a] = open
-		} else if part >= 0 {
-			at.size[part]++
+	for a, partition := range current.partitionOf {
+		if indeterminateParts[partition] {
+			current.partitionOf[a] = indeterminate
+		} else if partition >= 0 {
+			current.size[partition]++
 		}
 	}
-	if before := r.ground; before != nil && now-before.since < swingWithin {
-		r.swings++
-		if r.swings == swingsTried {
-			r.tried[trySwing]++
+	if previous := r.partitions; previous != nil && now-previous.since < flapInterval {
+		r.flaps++
+		if r.flaps == flapsPerTrial {
+			r.tried[trialFlap]++
 		}
 	} else {
-		r.swings = 0
+		r.flaps = 0
 	}
-	r.ground = at
+	r.partitions = current
 }
 
 const (
-	standAfter = 8 * time.Second         // the longest that a gateway waits before it says what its view shows
-	leastStay  = 2400 * time.Millisecond // in a state, so that no flap swings it; it takes 3 s, and is seen within 0.5 s
+	stateReportTimeout = 8 * time.Second         // after its view is right, a gateway reports its state within this
+	minStateDuration   = 2400 * time.Millisecond // a gateway keeps a state for 3 s, less the polling interval and slack
 
-	// A ground that changes so often tries whether anybody swings with it.
-	swingWithin = 3 * time.Second
-	swingsTried = 4
+	// So many changes of the topology, each so soon after the last, test whether states flap.
+	flapInterval  = 3 * time.Second
+	flapsPerTrial = 4
 )
 
-// Connectivity judges what a gateway says of its fleet: once the ground has stood long
-// enough, it has to hold present those of its part, and no others; it has to say
-// that it is whole where nothing is amiss, and not where it reaches less than half of
-// those that it has met.
-func (r *Referee) Connectivity(now time.Duration, g int, state string, present []bool) {
-	me, s := &r.gateways[g], &r.gateways[g].stand
-	if state != s.state {
-		if s.changed >= 0 && s.state != "" && now-s.changed < leastStay {
-			r.violate(now, Standing, g, nil, "it says that it is %s %v after it said %s", state, (now - s.changed).Round(time.Millisecond), s.state)
+// Connectivity judges the state and the present members that a gateway reports. Once the topology
+// has been unchanged for Rules.ViewTimeout, it has to hold present the gateways of its partition
+// and no others. Some time later it has to report that it is whole if nothing has failed, and must
+// not report that if it reaches less than half of the gateways that it has met.
+func (r *Referee) Connectivity(now time.Duration, gateway int, state string, present []bool) {
+	judged, report := &r.gateways[gateway], &r.gateways[gateway].reported
+	if state != report.state {
+		if report.changed >= 0 && report.state != "" && now-report.changed < minStateDuration {
+			r.violate(now, Standing, gateway, nil, "it reports that it is %s, %v after it reported %s", state, (now - report.changed).Round(time.Millisecond), report.state)
 		}
-		if s.changed = now; s.state == "" {
-			s.changed = -1
+		if report.changed = now; report.state == "" {
+			report.changed = -1
 		}
-		s.state = state
+		report.state = state
 	}
-	at := r.ground
-	if at == nil || me.excused || me.stopping >= 0 || len(present) != len(at.part) || at.part[g] < 0 || now-at.since < r.s.Rules.ViewTimeout.Std() {
+	current := r.partitions
+	if current == nil || judged.excused || judged.stoppingAt >= 0 || len(present) != len(current.partitionOf) || current.partitionOf[gateway] < 0 || now-current.since < r.scenario.Rules.ViewTimeout.Std() {
 		return
 	}
-	if s.viewed != at.since {
-		s.viewed = at.since
+	if report.viewCheckedFor != current.since {
+		report.viewCheckedFor = current.since
 		r.tried[View]++
-		for o := range present {
-			if here := at.part[o] == at.part[g]; o != g && present[o] != here {
-				r.violate(now, View, g, nil, "it holds n%d for %s, %v after it came to be %s", o, presence(present[o]), (now - at.since).Round(time.Millisecond), presence(here))
+		for other := range present {
+			if expected := current.partitionOf[other] == current.partitionOf[gateway]; other != gateway && present[other] != expected {
+				r.violate(now, View, gateway, nil, "it holds n%d %s, %v after that became %s", other, presence(present[other]), (now - current.since).Round(time.Millisecond), presence(expected))
 			}
 		}
-		if s.met == nil {
-			s.met = make([]bool, len(present))
+		if report.met == nil {
+			report.met = make([]bool, len(present))
 		}
-		for o := range present {
-			s.met[o] = s.met[o] || o != g && at.part[o] == at.part[g]
+		for other := range present {
+			report.met[other] = report.met[other] || other != gateway && current.partitionOf[other] == current.partitionOf[gateway]
 		}
 	}
-	if s.stood == at.since || now-at.since < r.s.Rules.ViewTimeout.Std()+standAfter {
+	if report.stateCheckedFor == current.since || now-current.since < r.scenario.Rules.ViewTimeout.Std()+stateReportTimeout {
 		return
 	}
-	met := 0
-	for o := range s.met {
-		if s.met[o] && r.gateways[o].stopping < 0 {
-			met++
+	metCount := 0
+	for other := range report.met {
+		if report.met[other] && r.gateways[other].stoppingAt < 0 {
+			metCount++
 		}
 	}
-	reaches := at.size[at.part[g]] - 1
-	switch whole := reaches == len(at.part)-1 && at.well; {
-	case !whole && 2*reaches >= met:
+	reached := current.size[current.partitionOf[gateway]] - 1
+	switch connected := reached == len(current.partitionOf)-1 && current.servicesReachable; {
+	case !connected && 2*reached >= metCount:
 		return
-	case whole == (state == "whole"):
-	case whole:
-		r.violate(now, Standing, g, nil, "it says that it is %s, though nothing has been amiss for %v", state, (now - at.since).Round(time.Millisecond))
+	case connected == (state == "whole"):
+	case connected:
+		r.violate(now, Standing, gateway, nil, "it reports that it is %s, though nothing has failed for %v", state, (now - current.since).Round(time.Millisecond))
 	default:
-		r.violate(now, Standing, g, nil, "it says that it is whole, though it has reached %d of %d gateways for %v", reaches, met, (now - at.since).Round(time.Millisecond))
+		r.violate(now, Standing, gateway, nil, "it reports that it is whole, though it has reached %d of %d gateways for %v", reached, metCount, (now - current.since).Round(time.Millisecond))
 	}
-	s.stood = at.since
+	report.stateCheckedFor = current.since
 	r.tried[Standing]++
 }
 
-func presence(here bool) string {
-	if here {
+// presence names a member's presence in violations.
+func presence(present bool) string {
+	if present {
 		return "present"
 	}
 	return "absent"
 }
 
-// fresh forgets what a gateway's last life has said.
-func (s *stand) fresh() { *s = stand{changed: -1, viewed: -1, stood: -1} }
+// reset clears the state when a new process of the gateway starts.
+func (s *reportedState) reset() {
+	*s = reportedState{changed: -1, viewCheckedFor: -1, stateCheckedFor: -1}
+}
--- a/internal/referee/referee.go
+++ b/internal/referee/referee.go
@@ -34,55 +34,55 @@
 )
 
 const (
-	mostKept   = 100                    // violations that are kept; further ones are only counted
-	mostEvents = 64                     // entries of a request's history
-	ceilingFor = 150 * time.Millisecond // slack of a ceiling in time, for chance
-	doorShare  = 200                    // one new connection in so many may be closed
-	coldSlack  = 6                      // slack of a cold backend's budget in mean requests, for chance
+	maxKeptViolations          = 100                    // violations that are kept; further ones are only counted
+	maxHistoryEvents           = 64                     // entries of a request's history
+	ceilingSlackTime           = 150 * time.Millisecond // slack of a ceiling, as time at its rate
+	requestsPerUnansweredClose = 200                    // one new connection in this many may be closed
+	coldSlackRequests          = 6                      // slack of a cold backend's budget, in mean requests
 )
 
 // Referee judges one run. It is not safe for concurrent use.
 type Referee struct {
-	s          *scenario.Scenario
+	scenario   *scenario.Scenario
 	violations []Violation
 	counts     map[string]int // violations by rule
 	tried      map[string]int // situations in which a rule could have been broken; see Trials
 
-	open      map[uint64]*record // requests by ID
-	gateways  []gateway
-	backends  map[int]*backend
-	customers map[uint64]*store
-	enlisted  map[int]enlisted
-	load      load
-	ground    *ground // true connectivity of the gateways; nil: not reported
-	swings    int     // consecutive changes of ground in short succession
-	counter   string  // what the counter does
-	counterAt time.Duration
-	taken     int // accepted requests
-	door      int // new connections that were closed without a response
-	nearest   float64
-	low       int     // customers that came to under a third of their bucket
-	coldMost  float64 // largest used fraction of a cold backend's budget
+	requests            map[uint64]*record // requests by ID
+	gateways            []gateway
+	backends            map[int]*backend
+	customers           map[uint64]*bucket
+	registrations       map[int]registration
+	load                fleetLoad
+	partitions          *partitions // of the current topology; nil: not reported yet
+	flaps               int         // consecutive changes of the topology, each within flapInterval of the last
+	counterState        string      // one of CounterAvailable and the others
+	counterChangedAt    time.Duration
+	acceptedRequests    int
+	unansweredCloses    int // new connections that were closed without a response
+	minCeilingRemaining float64
+	lowCustomers        int     // customers that came to under a third of their bucket
+	maxColdBudgetUsed   float64 // largest used fraction of a cold backend's budget
 }
 
 // gateway is the state of a gateway.
 type gateway struct {
-	excused  bool          // it is down, frozen or cut off by a fault
-	stopping time.Duration // when it was told to stop; below 0: it was not
-	told     map[int]told  // by backend
-	version  int64         // of the last list that it received
-	checked  map[int]int64 // by backend: the version of the last enlisted state that was checked
-	crowded  time.Duration // until then it has more idle peers than places
-	stand    stand
+	excused         bool                  // it is down, frozen or cut off by a fault
+	stoppingAt      time.Duration         // when it was told to stop; below 0: it was not
+	backends        map[int]backendNotice // by backend
+	listVersion     int64                 // of the last list that it received
+	checkedVersions map[int]int64         // by backend: the version of the last registration that was checked
+	saturatedUntil  time.Duration         // until then it has more idle connections than its limit
+	reported        reportedState
 }
 
 // New returns a referee for a fleet without backends yet.
 func New(s *scenario.Scenario) *Referee {
-	r := &Referee{s: s, counts: map[string]int{}, tried: map[string]int{Crash: s.Fleet.Gateways}, open: map[uint64]*record{}, gateways: make([]gateway, s.Fleet.Gateways),
-		backends: map[int]*backend{}, customers: map[uint64]*store{}, enlisted: map[int]enlisted{}, counter: CounterAvailable, nearest: 1}
+	r := &Referee{scenario: s, counts: map[string]int{}, tried: map[string]int{Crash: s.Fleet.Gateways}, requests: map[uint64]*record{}, gateways: make([]gateway, s.Fleet.Gateways),
+		backends: map[int]*backend{}, customers: map[uint64]*bucket{}, registrations: map[int]registration{}, counterState: CounterAvailable, minCeilingRemaining: 1}
 	for g := range r.gateways {
-		r.gateways[g] = gateway{told: map[int]told{}, checked: map[int]int64{}, stopping: -1}
-		r.gateways[g].stand.fresh()
+		r.gateways[g] = gateway{backends: map[int]backendNotice{}, checkedVersions: map[int]int64{}, stoppingAt: -1}
+		r.gateways[g].reported.reset()
 	}
 	return r
 }
@@ -93,37 +93,37 @@
 // violate records a violation. rec is the request concerned, or nil.
 func (r *Referee) violate(now time.Duration, rule string, gateway int, rec *record, format string, args ...any) {
 	r.counts[rule]++
-	if len(r.violations) >= mostKept {
+	if len(r.violations) >= maxKeptViolations {
 		return
 	}
-	v := Violation{At: now, Rule: rule, Gateway: gateway, Text: fmt.Sprintf(format, args...)}
+	violation := Violation{At: now, Rule: rule, Gateway: gateway, Text: fmt.Sprintf(format, args...)}
 	if rec != nil {
-		v.Request = rec.ID
-		v.Text = fmt.Sprintf("class %s, due at %v: %s", rec.class.Name, rec.Deadline.Round(time.Millisecond), v.Text)
-		for _, e := range rec.history {
-			text := e.text
+		violation.Request = rec.ID
+		violation.Text = fmt.Sprintf("class %s, due at %v: %s", rec.class.Name, rec.Deadline.Round(time.Millisecond), violation.Text)
+		for _, entry := range rec.history {
+			text := entry.text
 			if strings.Contains(text, "%") {
-				text = fmt.Sprintf(text, e.n)
+				text = fmt.Sprintf(text, entry.argument)
 			}
-			v.History = append(v.History, fmt.Sprintf("%v %s", e.at.Round(100*time.Microsecond), text))
+			violation.History = append(violation.History, fmt.Sprintf("%v %s", entry.at.Round(100*time.Microsecond), text))
 		}
 	}
-	r.violations = append(r.violations, v)
+	r.violations = append(r.violations, violation)
 }
 
 // MinCeilingRemaining returns the smallest fraction that any customer had left of its ceiling's bucket,
 // slack included: 1 all, 0 nothing.
-func (r *Referee) MinCeilingRemaining() float64 { return r.nearest }
+func (r *Referee) MinCeilingRemaining() float64 { return r.minCeilingRemaining }
 
 // LowCustomers returns the number of customers that came to under a third of their bucket.
-func (r *Referee) LowCustomers() int { return r.low }
+func (r *Referee) LowCustomers() int { return r.lowCustomers }
 
 // MaxColdBudgetUsed returns the largest used fraction of a cold backend's budget.
-func (r *Referee) MaxColdBudgetUsed() float64 { return r.coldMost }
+func (r *Referee) MaxColdBudgetUsed() float64 { return r.maxColdBudgetUsed }
 
 // End judges the rules that apply to the whole run.
 func (r *Referee) End(now time.Duration) {
-	if r.door*doorShare > r.taken+doorShare {
-		r.violate(now, Door, -1, nil, "%d of %d requests met a new connection that was closed without a word", r.door, r.taken)
+	if r.unansweredCloses*requestsPerUnansweredClose > r.acceptedRequests+requestsPerUnansweredClose {
+		r.violate(now, Door, -1, nil, "%d of %d requests met a new connection that was closed without a word", r.unansweredCloses, r.acceptedRequests)
 	}
 }
--- a/internal/referee/requests.go
+++ b/internal/referee/requests.go
@@ -7,53 +7,56 @@
 	"dunlintray/internal/scenario"
 )
 
-// record is a request with all that was observed of it.
+// record is a request and what was observed of it.
 type record struct {
 	Request
-	class    *scenario.Class
-	taken    time.Duration // when its last byte was written; 0: not yet
-	excused  bool          // a fault frees the gateway from answering it
-	answered bool
-	closed   bool // no response is owed any more, and none can come
-	attempts []attempt
-	history  []event
+	class      *scenario.Class
+	acceptedAt time.Duration // when its last byte was written; 0: not yet
+	excused    bool          // a fault frees the gateway from answering it
+	answered   bool
+	closed     bool // no response is owed any more, and none can arrive
+	attempts   []attempt
+	history    []event
 }
 
-// event is an entry of a request's history. n fills a % in text.
+// event is an entry of a request's history. argument replaces a verb in text, if there is one.
 type event struct {
-	at   time.Duration
-	text string
-	n    int
+	at       time.Duration
+	text     string
+	argument int
 }
 
-// note adds to the history of a request, up to mostEvents entries.
-func (rec *record) note(now time.Duration, text string, n int) {
-	if len(rec.history) < mostEvents {
-		rec.history = append(rec.history, event{now, text, n})
+// note adds to the history of a request, up to maxHistoryEvents entries.
+func (rec *record) note(now time.Duration, text string, argument int) {
+	if len(rec.history) < maxHistoryEvents {
+		rec.history = append(rec.history, event{now, text, argument})
 	}
 }
 
 // RequestStarted reports that a client begins to send a request.
-func (r *Referee) RequestStarted(now time.Duration, q Request) {
-	rec := &record{Request: q, class: &r.s.Classes[q.Class], excused: r.gateways[q.Gateway].excused}
-	rec.note(now, "sent to n%d", q.Gateway)
-	r.open[q.ID] = rec
-	if now < r.gateways[q.Gateway].crowded {
+func (r *Referee) RequestStarted(now time.Duration, request Request) {
+	rec := &record{Request: request, class: &r.scenario.Classes[request.Class], excused: r.gateways[request.Gateway].excused}
+	rec.note(now, "sent to n%d", request.Gateway)
+	r.requests[request.ID] = rec
+	if now < r.gateways[request.Gateway].saturatedUntil {
 		r.tried[Door]++
 	}
-	r.asked(now, q)
+	r.countCeilingTrial(now, request)
 }
 
+// stopAnswerPeriod is how long a gateway that was told to stop has to answer new requests.
+const stopAnswerPeriod = 700 * time.Millisecond
+
 // RequestAccepted reports that the last byte of a request has been written.
 func (r *Referee) RequestAccepted(now time.Duration, id uint64) {
-	rec := r.open[id]
-	if rec == nil || rec.taken != 0 {
+	rec := r.requests[id]
+	if rec == nil || rec.acceptedAt != 0 {
 		return
 	}
-	rec.taken = now
-	r.taken++
-	if stop := r.gateways[rec.Gateway].stopping; stop >= 0 && now > stop+700*time.Millisecond {
-		rec.excused = true // it came too late for the gateway to have to answer
+	rec.acceptedAt = now
+	r.acceptedRequests++
+	if stoppingAt := r.gateways[rec.Gateway].stoppingAt; stoppingAt >= 0 && now > stoppingAt+stopAnswerPeriod {
+		rec.excused = true // a stopping gateway need not answer it
 	}
 	if !rec.excused {
 		r.tried[Answer]++
@@ -62,17 +65,17 @@
 
 // ReachedBackend reports whether any attempt of the request has arrived at a backend.
 func (r *Referee) ReachedBackend(id uint64) bool {
-	return r.open[id] != nil && len(r.open[id].attempts) > 0
+	return r.requests[id] != nil && len(r.requests[id].attempts) > 0
 }
 
 // Forget drops a request whose deadline has long passed. Attempts that still arrive count as
 // unknown.
-func (r *Referee) Forget(id uint64) { delete(r.open, id) }
+func (r *Referee) Forget(id uint64) { delete(r.requests, id) }
 
-// Answered judges the response that a client received. One that is not whole began and was
-// cut short.
-func (r *Referee) Answered(now time.Duration, id uint64, status int, whole bool, answer uint64, body string) {
-	rec := r.open[id]
+// Answered judges the response that a client received. One that is not complete was
+// truncated.
+func (r *Referee) Answered(now time.Duration, id uint64, status int, complete bool, responseID uint64, body string) {
+	rec := r.requests[id]
 	if rec == nil || rec.closed {
 		return
 	}
@@ -82,42 +85,42 @@
 	}
 	rec.answered = true
 	rec.note(now, "answered with %d", status)
-	if late := now - rec.Deadline - r.s.Rules.LostAfter.Std() - r.s.Rules.ObservationSlack.Std(); late > 0 && !rec.excused {
-		r.violate(now, Answer, rec.Gateway, rec, "answered with %d %v too late", status, late.Round(time.Millisecond))
+	if late := now - rec.Deadline - r.scenario.Rules.LostAfter.Std() - r.scenario.Rules.ObservationSlack.Std(); late > 0 && !rec.excused {
+		r.violate(now, Answer, rec.Gateway, rec, "answered with %d, %v too late", status, late.Round(time.Millisecond))
 	}
 	r.tried[Twice]++
 	_, mayRun := rec.mayHaveRun()
-	bound := rec.class.Effect == "once" || rec.class.Effect == "by_key" && rec.class.Scope != "all"
-	if status != 200 && mayRun && bound {
+	restricted := rec.class.Effect == "once" || rec.class.Effect == "by_key" && rec.class.Scope != "all"
+	if status != 200 && mayRun && restricted {
 		r.tried[Refusal]++
 	}
 	switch {
-	case !whole:
-		if !rec.excused && !slices.ContainsFunc(rec.attempts, func(a attempt) bool { return a.broke || a.out }) {
-			r.violate(now, Answer, rec.Gateway, rec, "the answer was cut short though no backend cut it")
+	case !complete:
+		if !rec.excused && !slices.ContainsFunc(rec.attempts, func(a attempt) bool { return a.interrupted || a.inFlight }) {
+			r.violate(now, Answer, rec.Gateway, rec, "the response was truncated though no backend truncated it")
 		}
 	case status == 200:
-		if !slices.ContainsFunc(rec.attempts, func(a attempt) bool { return a.whole && a.ResponseID == answer }) || body != "" {
-			r.violate(now, Answer, rec.Gateway, rec, "served with something that no backend made for it %s", body)
+		if !slices.ContainsFunc(rec.attempts, func(a attempt) bool { return a.complete && a.ResponseID == responseID }) || body != "" {
+			r.violate(now, Answer, rec.Gateway, rec, "served with a response that no backend gave to it %s", body)
 		}
-	case (status == 429 || status == 503) && mayRun && bound:
+	case (status == 429 || status == 503) && mayRun && restricted:
 		r.violate(now, Refusal, rec.Gateway, rec, "refused with %d though an attempt may have run", status)
 	}
 }
 
-// Closed judges a connection that ended with an unanswered request. fresh says that no
-// request was ever answered on it.
-func (r *Referee) Closed(now time.Duration, id uint64, fresh bool) {
-	rec := r.open[id]
+// Closed judges a connection that ended with an unanswered request. newConnection says that
+// no request was ever answered on it.
+func (r *Referee) Closed(now time.Duration, id uint64, newConnection bool) {
+	rec := r.requests[id]
 	if rec == nil || rec.answered || rec.closed {
 		return
 	}
 	rec.closed = true
 	rec.note(now, "its connection ended without an answer", 0)
 	switch {
-	case rec.excused || rec.taken == 0:
-	case fresh && len(rec.attempts) == 0:
-		r.door++
+	case rec.excused || rec.acceptedAt == 0:
+	case newConnection && len(rec.attempts) == 0:
+		r.unansweredCloses++
 	default:
 		r.violate(now, Answer, rec.Gateway, rec, "its connection ended without an answer")
 	}
@@ -125,25 +128,25 @@
 
 // Abandoned reports that a client has left before its response, which it is owed no more.
 func (r *Referee) Abandoned(now time.Duration, id uint64) {
-	if rec := r.open[id]; rec != nil && !rec.answered {
-		rec.note(now, "its client went away", 0)
+	if rec := r.requests[id]; rec != nil && !rec.answered {
+		rec.note(now, "its client closed the connection", 0)
 		rec.closed = true
 	}
 }
 
 // Overdue judges a request whose deadline has passed.
 func (r *Referee) Overdue(now time.Duration, id uint64) {
-	rec := r.open[id]
+	rec := r.requests[id]
 	if rec == nil || rec.answered || rec.closed {
 		return
 	}
 	rec.closed = true
-	if rec.taken != 0 && !rec.excused {
+	if rec.acceptedAt != 0 && !rec.excused {
 		r.violate(now, Answer, rec.Gateway, rec, "not answered in time")
 	}
 }
 
 // SurplusBytes reports surplus bytes on a connection, after the response to its last request.
-func (r *Referee) SurplusBytes(now time.Duration, g int, id uint64) {
-	r.violate(now, Twice, g, r.open[id], "more came behind its answer")
+func (r *Referee) SurplusBytes(now time.Duration, gateway int, id uint64) {
+	r.violate(now, Twice, gateway, r.requests[id], "more came behind its answer")
 }
--- a/internal/referee/trials.go
+++ b/internal/referee/trials.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// Trial is how often a rule was put to the test, in its own terms: how often a
-// gateway that does not keep it could have been seen to break it.
+// Trial counts the situations in which a rule, or a part of one, was put to the test: those in
+// which a gateway that does not keep it could have been observed to break it.
 type Trial struct {
-	Name        string // the rule's, or RULE/PART
-	Description string // is counted
+	Name        string // of the rule, or RULE/PART
+	Description string // what is counted
 	Tried       int
 }
 
-// Rule is the rule that is tried.
+// Rule returns the rule that is tested.
 func (t Trial) Rule() string { rule, _, _ := strings.Cut(t.Name, "/"); return rule }
 
-// What the counter does while a customer asks for more than its ceiling bears.
+// The states of the counter, which are parts of the rule Ceiling.
 const (
 	CounterAvailable = "up"
 	CounterSilent    = "silent"
-	CounterEmpty     = "empty" // it has lost everything a moment ago
+	CounterEmpty     = "empty" // it has just lost all its counts
 	CounterSlow      = "slow"
 )
 
+// The parts of rules that are counted apart.
 const (
-	tryOnce   = Resend + "/once"
-	tryZone   = Resend + "/zone"
-	tryCell   = Resend + "/cell"
-	tryWindow = Resend + "/window"
-	trySwing  = Standing + "/swing"
+	trialOnce   = Resend + "/once"
+	trialZone   = Resend + "/zone"
+	trialCell   = Resend + "/cell"
+	trialWindow = Resend + "/window"
+	trialFlap   = Standing + "/swing"
 )
 
-// trials are all that is counted, in the order in which it is told.
+// trials lists what is counted, in the order of reports.
 var trials = []Trial{
 	{Name: Answer, Description: "requests taken that are owed an answer"},
 	{Name: Twice, Description: "answers, behind which nothing more may come"},
 	{Name: Copy, Description: "attempts that were out for half of the aim"},
-	{Name: tryOnce, Description: "failures with time left of what may run once"},
-	{Name: tryZone, Description: "and of what must stay in its zone"},
-	{Name: tryCell, Description: "and of what must stay in its cell"},
-	{Name: tryWindow, Description: "and of what had its key forgotten by then"},
+	{Name: trialOnce, Description: "failures with time left of what may run once"},
+	{Name: trialZone, Description: "and of what must stay in its zone"},
+	{Name: trialCell, Description: "and of what must stay in its cell"},
+	{Name: trialWindow, Description: "and of what had its key forgotten by then"},
 	{Name: Refusal, Description: "requests that were not served though they may have run"},
 	{Name: Most, Description: "last permitted attempts that failed with time left for another"},
 	{Name: Drain, Description: "attempts of gateways that had been told of a drain"},
@@ -59,15 +60,15 @@
 	{Name: Door, Description: "requests to gateways with more idle peers than places"},
 	{Name: View, Description: "gateways that had the time to hear who is present, after each change"},
 	{Name: Standing, Description: "and to say how they stand"},
-	{Name: trySwing, Description: "times that links came and went as fast"},
+	{Name: trialFlap, Description: "times that links came and went as fast"},
 }
 
-// IsRule says whether there is such a rule, or such a part of one.
+// IsRule reports whether name is that of a rule or of a part of one.
 func IsRule(name string) bool {
 	return slices.ContainsFunc(trials, func(t Trial) bool { return t.Name == name || t.Rule() == name })
 }
 
-// Trials tells how often each rule was tried.
+// Trials returns how often each rule was tested.
 func (r *Referee) Trials() []Trial {
 	all := slices.Clone(trials)
 	for i := range all {
@@ -76,7 +77,7 @@
 	return all
 }
 
-// Untried picks, of rules and parts of rules, those that were not tried.
+// Untried returns those of the named rules and parts of rules that were not tested.
 func Untried(all []Trial, names []string) (untried []string) {
 	for _, name := range names {
 		if !slices.ContainsFunc(all, func(t Trial) bool { return (t.Name == name || t.Rule() == name) && t.Tried > 0 }) {
@@ -86,7 +87,7 @@
 	return untried
 }
 
-// Rules are the names of all rules.
+// Rules returns the names of all rules.
 func Rules() (names []string) {
 	for _, t := range trials {
 		if !slices.Contains(names, t.Rule()) {
@@ -96,125 +97,123 @@
 	return names
 }
 
-// leastTime is what a gateway needs to have left, to be tempted to a further
-// attempt.
-const leastTime = 100 * time.Millisecond
+// minRetryTime is the time before a request's deadline that makes a retry likely.
+const minRetryTime = 100 * time.Millisecond
 
-// tempted counts what an attempt's end could have led to.
-func (r *Referee) tempted(now time.Duration, rec *record, a *attempt, how Outcome) {
-	if now-a.FirstByteAt >= rec.class.Aim.Std()/2 {
+// countRetryTrials counts the rules that a retry after the end of an attempt could have broken.
+func (r *Referee) countRetryTrials(now time.Duration, rec *record, ended *attempt, outcome Outcome) {
+	if now-ended.FirstByteAt >= rec.class.Aim.Std()/2 {
 		r.tried[Copy]++
 	}
-	if how == OutcomeCompleted || rec.answered || rec.closed || rec.excused || rec.Deadline-now < leastTime {
+	if outcome == OutcomeCompleted || rec.answered || rec.closed || rec.excused || rec.Deadline-now < minRetryTime {
 		return
 	}
-	first, ran := rec.mayHaveRun()
-	c := rec.class
-	if len(rec.attempts) >= r.s.Rules.MaxAttempts {
-		if !ran || c.Effect == "repeatable" || c.Effect == "by_key" && c.Scope == "all" {
+	first, mayHaveRun := rec.mayHaveRun()
+	class := rec.class
+	if len(rec.attempts) >= r.scenario.Rules.MaxAttempts {
+		if !mayHaveRun || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all" {
 			r.tried[Most]++
 		}
 		return
 	}
 	switch {
-	case !ran || c.Effect == "repeatable":
-	case c.Effect == "once":
-		r.tried[tryOnce]++
+	case !mayHaveRun || class.Effect == "repeatable":
+	case class.Effect == "once":
+		r.tried[trialOnce]++
 	default:
-		if name := Resend + "/" + c.Scope; c.Scope != "all" {
+		if name := Resend + "/" + class.Scope; class.Scope != "all" {
 			r.tried[name]++
 		}
-		if now-first.FirstByteAt > c.Window.Std()+r.s.Rules.ObservationSlack.Std() {
-			r.tried[tryWindow]++
+		if now-first.FirstByteAt > class.Window.Std()+r.scenario.Rules.ObservationSlack.Std() {
+			r.tried[trialWindow]++
 		}
 	}
 }
 
-// emptyFor is how long after the counter's loss its customers count as such.
-const emptyFor = 5 * time.Second
+// counterEmptyPeriod is how long the counter counts as empty after it has lost its counts.
+const counterEmptyPeriod = 5 * time.Second
 
-// CounterChanged tells what the counter does from now on.
+// CounterChanged reports the state of the counter from now on.
 func (r *Referee) CounterChanged(now time.Duration, state string) {
-	r.counter, r.counterAt = state, now
+	r.counterState, r.counterChangedAt = state, now
 }
 
-// asked counts customers that ask for more than their ceiling bears: it follows
-// what would be left of their store if all that they ask were sent on. That begins
-// anew, with what the store really has, each time the counter does another thing.
-func (r *Referee) asked(now time.Duration, q Request) {
-	p := &r.s.Plans[q.Plan]
-	if p.CeilingRate == 0 {
+// countCeilingTrial counts customers whose requests exceed their ceiling. It computes what would
+// remain in their bucket if all requests were forwarded, starting from the real content each time
+// that the counter's state changes.
+func (r *Referee) countCeilingTrial(now time.Duration, request Request) {
+	plan := &r.scenario.Plans[request.Plan]
+	if plan.CeilingRate == 0 {
 		return
 	}
-	if r.counter == CounterEmpty && now > r.counterAt+emptyFor {
+	if r.counterState == CounterEmpty && now > r.counterChangedAt+counterEmptyPeriod {
 		r.CounterChanged(now, CounterAvailable)
 	}
-	c := r.store(now, q)
-	if c.counterAt != r.counterAt || c.asked == nil {
-		left := c.units
-		c.counterAt, c.asked, c.askedAt, c.over = r.counterAt, &left, c.at, false
+	customer := r.customerBucket(now, request)
+	if customer.counterChangedAt != r.counterChangedAt || customer.requestedRemaining == nil {
+		remaining := customer.units
+		customer.counterChangedAt, customer.requestedRemaining, customer.requestedAt, customer.overRequested = r.counterChangedAt, &remaining, customer.at, false
 	}
-	*c.asked = min(p.CeilingBurst, *c.asked+p.CeilingRate*(now-c.askedAt).Seconds()) - q.Units
-	c.askedAt = now
-	if *c.asked < r.least(p) && !c.over {
-		c.over = true
-		r.tried[Ceiling+"/"+r.counter]++
+	*customer.requestedRemaining = min(plan.CeilingBurst, *customer.requestedRemaining+plan.CeilingRate*(now-customer.requestedAt).Seconds()) - request.Units
+	customer.requestedAt = now
+	if *customer.requestedRemaining < r.minUnits(plan) && !customer.overRequested {
+		customer.overRequested = true
+		r.tried[Ceiling+"/"+r.counterState]++
 	}
 }
 
-// ListenerSaturated tells that until a moment more idle peers stand at a gateway than it has
-// places.
-func (r *Referee) ListenerSaturated(g int, until time.Duration) {
-	r.gateways[g].crowded = max(r.gateways[g].crowded, until)
+// ListenerSaturated reports that until the given time a gateway has more idle connections than
+// its limit.
+func (r *Referee) ListenerSaturated(gateway int, until time.Duration) {
+	r.gateways[gateway].saturatedUntil = max(r.gateways[gateway].saturatedUntil, until)
 }
 
-// Registered tells that a list service has answered a backend's word as done, at a
-// version of its list. From that version on no list may say less.
-func (r *Referee) Registered(now time.Duration, b int, state State, started time.Duration, version int64) {
-	r.enlisted[b] = enlisted{state, started, version}
-	for g := range r.gateways {
-		r.listed(now, g, b)
+// Registered reports that a service registry has confirmed a backend's state at a version of its
+// list. Lists of that version or newer must not have an earlier state.
+func (r *Referee) Registered(now time.Duration, backend int, state State, started time.Duration, version int64) {
+	r.registrations[backend] = registration{state, started, version}
+	for gateway := range r.gateways {
+		r.checkList(now, gateway, backend)
 	}
 }
 
-// ListReceived tells of which version the list is that a gateway was told last, once
-// all that it says was.
-func (r *Referee) ListReceived(now time.Duration, g int, version int64) {
-	r.gateways[g].version = version
-	for b := range r.enlisted {
-		r.listed(now, g, b)
+// ListReceived reports the version of the list that a gateway received last. The caller has
+// reported the states in the list before.
+func (r *Referee) ListReceived(now time.Duration, gateway int, version int64) {
+	r.gateways[gateway].listVersion = version
+	for backend := range r.registrations {
+		r.checkList(now, gateway, backend)
 	}
 }
 
-// listed judges what the lists say to a gateway of a backend that drains or has
-// left.
-func (r *Referee) listed(now time.Duration, g, b int) {
-	e := r.enlisted[b]
-	t, named := r.gateways[g].told[b]
+// checkList judges whether a gateway's list has the state of a backend that drains or has left.
+func (r *Referee) checkList(now time.Duration, gateway, backend int) {
+	registered := r.registrations[backend]
+	notice, named := r.gateways[gateway].backends[backend]
 	if !named {
-		t.state = Gone
+		notice.state = Gone
 	}
-	if e.state == Ready || r.gateways[g].version < e.version || r.gateways[g].checked[b] >= e.version ||
-		t.state != Gone && t.started > e.started+time.Millisecond {
+	if registered.state == Ready || r.gateways[gateway].listVersion < registered.version || r.gateways[gateway].checkedVersions[backend] >= registered.version ||
+		notice.state != Gone && notice.started > registered.started+time.Millisecond {
 		return
 	}
-	r.gateways[g].checked[b] = e.version
+	r.gateways[gateway].checkedVersions[backend] = registered.version
 	r.tried[List]++
-	if t.state < e.state {
-		r.violate(now, List, g, nil, "backend b-%d is %v in its list of version %d, though a list service took it to be %v at version %d",
-			b, t.state, r.gateways[g].version, e.state, e.version)
+	if notice.state < registered.state {
+		r.violate(now, List, gateway, nil, "backend b-%d is %v in its list of version %d, though a list service took it to be %v at version %d",
+			backend, notice.state, r.gateways[gateway].listVersion, registered.state, registered.version)
 	}
 }
 
-// load follows the work of the whole fleet.
-type load struct {
-	window []pressure
+// fleetLoad sums the work of the whole fleet over a sliding window.
+type fleetLoad struct {
+	window []workSample
 	sum    float64
 }
 
-// add takes in work, and tells what has come within the length.
-func (l *load) add(now time.Duration, work float64, length time.Duration) float64 {
-	l.window = append(l.window, pressure{at: now, work: work})
+// add adds work, and returns the sum of the work within the last length.
+func (l *fleetLoad) add(now time.Duration, work float64, length time.Duration) float64 {
+	l.window = append(l.window, workSample{at: now, work: work})
 	l.sum += work
 	for l.window[0].at < now-length {
 		l.sum -= l.window[0].work
--- a/internal/referee/types.go
+++ b/internal/referee/types.go
@@ -17,7 +17,7 @@
 	Deadline time.Duration // when the client stops waiting
 }
 
-// Attempt is one try of a request that has arrived completely at a backend.
+// Attempt is an attempt of a request that has arrived completely at a backend.
 type Attempt struct {
 	ID          uint64 // of the request, as the attempt has it
 	Number      uint64 // of the attempt, unique
