--- a/internal/play/agents.go
+++ b/internal/play/agents.go
@@ -18,43 +18,43 @@
 	"dunlintray/internal/world"
 )
 
-// agent stands between one gateway and what tells it lists: the world itself, or
-// a list service, whose answers it passes on with the addresses that this gateway
-// has. So the referee knows what each gateway was told, and lists can be late.
-type agent struct {
-	e       *engine
+// discoveryProxy serves the list of backends to one gateway: the emulator's list, or that of a
+// service registry, in which it replaces the backends' addresses by those of this gateway's
+// endpoints. It reports each list that the gateway receives, and can delay lists.
+type discoveryProxy struct {
+	engine  *engine
 	gateway int
-	service string // address of the list service; empty: the world tells
+	service string // address of the service registry; empty: the emulator provides the list
 	server  *http.Server
 
-	mu      sync.Mutex
-	changed chan struct{} // closed at each change
-	held    bool
-	stale   []byte // the whole list from before, with its head
-	header  http.Header
-	isStale bool
-	last    registry.Listing // the world's list, or the last whole one
-	lists   int64
+	mu          sync.Mutex
+	changed     chan struct{} // closed at each change
+	withheld    bool          // responses wait until it is false
+	staleList   []byte        // an earlier full list, with its headers
+	staleHeader http.Header
+	serveStale  bool
+	list        registry.Listing // the emulator's list, or the last full one of the registry
+	generation  int64
 }
 
 const (
-	mostList   = 8 << 20 // bytes of a list
-	mostAsking = 16      // calls of one gateway at once
+	maxListBytes       = 8 << 20
+	maxConcurrentCalls = 16
 )
 
-func newAgent(e *engine, gateway int, address, service string) (*agent, error) {
+func newDiscoveryProxy(e *engine, gateway int, address, service string) (*discoveryProxy, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{e: e, gateway: gateway, service: service, changed: make(chan struct{})}
+	a := &discoveryProxy{engine: e, gateway: gateway, service: service, changed: make(chan struct{})}
 	a.server = &http.Server{Handler: http.HandlerFunc(a.serve), ReadHeaderTimeout: time.Second, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	e.wg.Go(func() { a.server.Serve(l) })
 	return a, nil
 }
 
-// set carries out what the world says of this gateway's lists.
-func (a *agent) set(change func()) {
+// update changes the proxy's state and wakes the requests that wait for a change.
+func (a *discoveryProxy) update(change func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change()
@@ -62,7 +62,7 @@
 	a.changed = make(chan struct{})
 }
 
-func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
+func (a *discoveryProxy) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != registry.Path || r.Method != http.MethodGet {
 		http.NotFound(w, r)
 		return
@@ -74,8 +74,8 @@
 	status := http.StatusOK
 	for {
 		a.mu.Lock()
-		held, changed, stale := a.held, a.changed, a.isStale && since == ""
-		text, header = a.stale, a.header
+		held, changed, stale := a.withheld, a.changed, a.serveStale && since == ""
+		text, header = a.staleList, a.staleHeader
 		a.mu.Unlock()
 		if !held {
 			var err error
@@ -85,14 +85,14 @@
 			case a.service != "":
 				text, l, header, status, err = a.forward(r)
 			default:
-				text, l, err = a.own(r)
+				text, l, err = a.localList(r)
 			}
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusBadGateway)
 				return
 			}
 			a.mu.Lock()
-			held = a.held // it may have been meanwhile
+			held = a.withheld // it may have changed during the call
 			a.mu.Unlock()
 		}
 		if !held {
@@ -112,22 +112,23 @@
 		return
 	}
 	http.NewResponseController(w).Flush()
-	a.e.post(world.ListDelivered{Gateway: a.gateway, Version: l.Generation, Full: l.Reset, Entries: a.e.entries(l)})
+	a.engine.post(world.ListDelivered{Gateway: a.gateway, Version: l.Generation, Full: l.Reset, Entries: a.engine.entries(l)})
 }
 
-// forward asks the list service.
-func (a *agent) forward(r *http.Request) ([]byte, registry.Listing, http.Header, int, error) {
+// forward passes a request on to the service registry. It returns the body to send, the list in
+// it if the status is 200, the headers to copy and the status.
+func (a *discoveryProxy) forward(r *http.Request) ([]byte, registry.Listing, http.Header, int, error) {
 	var l registry.Listing
 	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+a.service+r.URL.RequestURI(), nil)
 	if err != nil {
 		return nil, l, nil, 0, err
 	}
-	resp, err := a.e.http.Do(req)
+	resp, err := a.engine.http.Do(req)
 	if err != nil {
 		return nil, l, nil, 0, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostList))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, l, nil, 0, err
 	}
@@ -144,8 +145,8 @@
 		return nil, l, nil, 0, err
 	}
 	for i := range l.Instances {
-		if n, ok := backendOf(l.Instances[i].ID); ok {
-			l.Instances[i].HostPort = a.e.place.backend(a.gateway, n)
+		if n, ok := parseBackendName(l.Instances[i].ID); ok {
+			l.Instances[i].HostPort = a.engine.addresses.backend(a.gateway, n)
 		}
 	}
 	if text, err = json.Marshal(l); err != nil {
@@ -153,16 +154,17 @@
 	}
 	if l.Reset {
 		a.mu.Lock()
-		if !a.isStale {
-			a.last, a.stale, a.header = l, text, header
+		if !a.serveStale {
+			a.list, a.staleList, a.staleHeader = l, text, header
 		}
 		a.mu.Unlock()
 	}
 	return text, l, header, resp.StatusCode, nil
 }
 
-// own answers with what the world has told, at once or when there is news.
-func (a *agent) own(r *http.Request) ([]byte, registry.Listing, error) {
+// localList returns the emulator's list, at once or when it changes from the generation that the
+// gateway has. After the request's timeout it returns an empty update.
+func (a *discoveryProxy) localList(r *http.Request) ([]byte, registry.Listing, error) {
 	query := r.URL.Query()
 	wait, _ := strconv.Atoi(query.Get("timeout_ms"))
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
@@ -173,7 +175,7 @@
 	defer end.Stop()
 	for {
 		a.mu.Lock()
-		l, changed := a.last, a.changed
+		l, changed := a.list, a.changed
 		a.mu.Unlock()
 		if l.Generation != since {
 			text, err := json.Marshal(l)
@@ -191,37 +193,37 @@
 	}
 }
 
-// tell gives the agent the world's list.
-func (a *agent) tell(entries []world.Entry) {
-	a.set(func() {
-		a.lists++
-		a.last = registry.Listing{Generation: a.lists, Reset: true, Instances: []registry.Instance{}}
+// setList sets the emulator's list.
+func (a *discoveryProxy) setList(entries []world.Entry) {
+	a.update(func() {
+		a.generation++
+		a.list = registry.Listing{Generation: a.generation, Reset: true, Instances: []registry.Instance{}}
 		for _, entry := range entries {
-			a.last.Instances = append(a.last.Instances, a.e.instance(entry, a.gateway))
+			a.list.Instances = append(a.list.Instances, a.engine.instance(entry, a.gateway))
 		}
 	})
 }
 
-// known is the whole list that the gateway was told last.
-func (a *agent) known() registry.Listing {
+// lastList returns the full list that the gateway received last.
+func (a *discoveryProxy) lastList() registry.Listing {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.last
+	return a.list
 }
 
-// change carries out Lists.
-func (a *agent) change(l world.SetListDelivery) {
-	a.set(func() {
-		a.held = l.Paused
-		if a.isStale = l.Stale; l.Stale && a.service == "" {
-			a.stale, _ = json.Marshal(a.last) // of plain fields
+// setMode sets whether responses are held back, and whether full lists are stale.
+func (a *discoveryProxy) setMode(l world.SetListDelivery) {
+	a.update(func() {
+		a.withheld = l.Paused
+		if a.serveStale = l.Stale; l.Stale && a.service == "" {
+			a.staleList, _ = json.Marshal(a.list) // encoding its plain fields can't fail
 		}
 	})
 }
 
 func backendName(n int) string { return fmt.Sprintf("b-%d", n) }
 
-func backendOf(id string) (int, bool) {
+func parseBackendName(id string) (int, bool) {
 	var n int
 	if _, err := fmt.Sscanf(id, "b-%d", &n); err != nil || n < 0 {
 		return 0, false
@@ -231,9 +233,9 @@
 
 var lifecycles = map[world.Lifecycle]registry.Lifecycle{world.Serving: registry.Ready, world.Draining: registry.Terminating, world.Gone: registry.Gone}
 
-// instance is how lists write an entry for a gateway.
+// instance returns the form that an entry has in the lists for a gateway.
 func (e *engine) instance(entry world.Entry, gateway int) registry.Instance {
-	i := registry.Instance{ID: backendName(entry.Backend), HostPort: e.place.backend(gateway, entry.Backend), Zone: e.s.Fleet.Zones[entry.Zone], MachineType: "std",
+	i := registry.Instance{ID: backendName(entry.Backend), HostPort: e.addresses.backend(gateway, entry.Backend), Zone: e.scenario.Fleet.Zones[entry.Zone], MachineType: "std",
 		Cell: entry.Cell, Lifecycle: lifecycles[entry.Lifecycle], Weight: 1}
 	if entry.Started >= 0 {
 		i.StartedAtMs = e.epoch.Add(entry.Started).UnixMilli()
@@ -241,11 +243,11 @@
 	return i
 }
 
-// entries are a list's instances as the world knows them.
+// entries returns the instances of a list in the emulator's form.
 func (e *engine) entries(l registry.Listing) []world.Entry {
 	var all []world.Entry
 	for _, i := range l.Instances {
-		n, ok := backendOf(i.ID)
+		n, ok := parseBackendName(i.ID)
 		if !ok {
 			continue
 		}
@@ -263,73 +265,72 @@
 	return all
 }
 
-// registrar speaks to the list services for all backends: it registers, renews,
-// drains and leaves, as each backend would by itself. What is not answered as done
-// is said again until it is.
+// registrar registers, renews, drains and deregisters all backends at the service registries, as
+// each backend would itself. It retries until the registry confirms a change.
 type registrar struct {
-	e     *engine
-	to    int // the list service that is asked first
-	calls chan world.Register
-	have  map[int]*standing
+	engine        *engine
+	registry      int // the registry that it calls first
+	changes       chan world.Register
+	registrations map[int]*registration
 }
 
-// standing is a backend's last word.
-type standing struct {
+// registration is a backend's last change.
+type registration struct {
 	world.Register
-	done bool // it was answered as done
+	confirmed bool // by the registry
 }
 
 const (
-	registrarCalls = 4096                   // changes that may wait to be told
-	sayAgain       = 100 * time.Millisecond // what was not answered as done
+	maxQueuedChanges          = 4096
+	registrationRetryInterval = 100 * time.Millisecond
 )
 
 func newRegistrar(e *engine) *registrar {
-	return &registrar{e: e, calls: make(chan world.Register, registrarCalls), have: map[int]*standing{}}
+	return &registrar{engine: e, changes: make(chan world.Register, maxQueuedChanges), registrations: map[int]*registration{}}
 }
 
 func (r *registrar) run(ctx context.Context) {
 	renew := time.NewTicker(scenario.LeaseMs * time.Millisecond / 3)
 	defer renew.Stop()
-	again := time.NewTicker(sayAgain)
+	again := time.NewTicker(registrationRetryInterval)
 	defer again.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case change := <-r.calls:
-			b := &standing{Register: change}
-			r.have[change.Backend] = b
-			r.tell(ctx, b)
+		case change := <-r.changes:
+			b := &registration{Register: change}
+			r.registrations[change.Backend] = b
+			r.register(ctx, b)
 		case <-again.C:
-			for _, b := range r.have {
-				if !b.done && !r.tell(ctx, b) {
-					break // nobody is there
+			for _, b := range r.registrations {
+				if !b.confirmed && !r.register(ctx, b) {
+					break // no registry answers
 				}
 			}
 		case <-renew.C:
-			for _, b := range r.have {
-				if !b.done {
+			for _, b := range r.registrations {
+				if !b.confirmed {
 					continue
 				}
-				i := r.e.instance(b.Entry, 0)
+				i := r.engine.instance(b.Entry, 0)
 				status, _ := r.call(ctx, http.MethodPost, i.ID+"/renew", map[string]any{"startedAtMs": i.StartedAtMs})
 				if status == http.StatusNotFound {
-					r.tell(ctx, b)
+					r.register(ctx, b)
 				}
 				if status == 0 {
-					break // nobody is there
+					break // no registry answers
 				}
 			}
 		}
 	}
 }
 
-// tell says a backend's word, and returns whether anybody was there.
-func (r *registrar) tell(ctx context.Context, b *standing) bool {
-	i := r.e.instance(b.Entry, 0)
+// register sends a backend's last change, and reports whether the registry answered.
+func (r *registrar) register(ctx context.Context, b *registration) bool {
+	i := r.engine.instance(b.Entry, 0)
 	if b.Lost {
-		delete(r.have, b.Backend) // it says nothing more, and its lease runs out
+		delete(r.registrations, b.Backend) // it renews no more, and its lease expires
 		return true
 	}
 	var status int
@@ -340,32 +341,33 @@
 		status, version = r.call(ctx, http.MethodPut, i.ID, map[string]any{"hostPort": i.HostPort, "zone": i.Zone, "machineType": i.MachineType, "cell": i.Cell,
 			"lifecycle": i.Lifecycle, "weight": i.Weight, "startedAtMs": i.StartedAtMs})
 	}
-	if b.done = status == http.StatusOK; b.done {
-		r.e.post(world.Registered{Entry: b.Entry, Version: version})
+	if b.confirmed = status == http.StatusOK; b.confirmed {
+		r.engine.post(world.Registered{Entry: b.Entry, Version: version})
 		if b.Lifecycle == world.Gone {
-			delete(r.have, b.Backend)
+			delete(r.registrations, b.Backend)
 		}
 	}
 	return status != 0
 }
 
-// call makes a call to the writer, by any service where they form a group, and returns
-// the status, 0 where there was none, and the version that the answer names.
+// call calls the writer; if the registries form a group, any of them forwards the call. It returns
+// the response's status, 0 if there was none, and the version of the list in it.
 func (r *registrar) call(ctx context.Context, method, path string, body any) (status int, version int64) {
-	if !r.e.s.Fleet.Group {
-		return r.callOne(ctx, method, path, body)
+	if !r.engine.scenario.Fleet.Group {
+		return r.callRegistry(ctx, method, path, body)
 	}
-	for range r.e.s.Fleet.ListServices {
-		status, version = r.callOne(ctx, method, path, body)
+	for range r.engine.scenario.Fleet.ListServices {
+		status, version = r.callRegistry(ctx, method, path, body)
 		if status != 0 && status != http.StatusServiceUnavailable {
 			return status, version
 		}
-		r.to = (r.to + 1) % r.e.s.Fleet.ListServices
+		r.registry = (r.registry + 1) % r.engine.scenario.Fleet.ListServices
 	}
 	return 0, 0
 }
 
-func (r *registrar) callOne(ctx context.Context, method, path string, body any) (status int, version int64) {
+// callRegistry makes one call to the current registry; see call.
+func (r *registrar) callRegistry(ctx context.Context, method, path string, body any) (status int, version int64) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	var text bytes.Buffer
@@ -374,11 +376,11 @@
 			return 0, 0
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.e.service(world.Endpoint{Kind: scenario.Backends}, r.to)+registry.Path+"/"+path, &text)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.engine.registryAddress(world.Endpoint{Kind: scenario.Backends}, r.registry)+registry.Path+"/"+path, &text)
 	if err != nil {
 		return 0, 0
 	}
-	resp, err := r.e.http.Do(req)
+	resp, err := r.engine.http.Do(req)
 	if err != nil {
 		return 0, 0
 	}
@@ -386,8 +388,8 @@
 	var answer struct {
 		Version int64 `json:"version"`
 	}
-	if resp.StatusCode == http.StatusOK && json.NewDecoder(io.LimitReader(resp.Body, mostList)).Decode(&answer) != nil {
-		return 0, 0 // it was cut, and may not have been done
+	if resp.StatusCode == http.StatusOK && json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&answer) != nil {
+		return 0, 0 // the response was truncated, and the change may not have taken effect
 	}
 	io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode, answer.Version
--- a/internal/play/clients.go
+++ b/internal/play/clients.go
@@ -17,51 +17,52 @@
 	"dunlintray/internal/world"
 )
 
-// callers are the emulated clients' connections to one gateway.
-type callers struct {
-	e       *engine
+// clientPool holds the emulated clients' connections to one gateway.
+type clientPool struct {
+	engine  *engine
 	gateway int
 	address string
 
-	mu   sync.Mutex
-	idle []*caller // last used last
-	open map[uint64]*exchange
-	all  map[*caller]bool
-	shut bool
+	mu       sync.Mutex
+	idle     []*clientConn // the most recently used one is last
+	inFlight map[uint64]*exchange
+	conns    map[*clientConn]bool
+	closed   bool
 }
 
-// caller is one connection. Its reader is the only one to read from it.
-type caller struct {
+// clientConn is one connection. Only the goroutine of read reads from it.
+type clientConn struct {
 	net.Conn
-	of      *callers
-	pending *exchange // under the callers' lock
-	last    uint64    // the request answered last; 0: none yet
+	pool         *clientPool
+	pending      *exchange // guarded by the mutex of the pool
+	lastAnswered uint64    // ID of the request that was answered last; 0: none yet
 }
 
-// exchange is a request on its way; all but its name is under the callers' lock.
+// exchange is a request in progress. The mutex of the pool guards all fields but id and method.
 type exchange struct {
 	id        uint64
-	conn      *caller // nil while it is being made
+	conn      *clientConn // nil until the connection is established
 	method    string
 	sent      bool
 	abandoned bool
 }
 
-const mostIdle = 128 // connections to a gateway that are kept for later requests
+// maxIdleConns limits the idle connections to a gateway.
+const maxIdleConns = 128
 
-func newCallers(e *engine, gateway int, address string) *callers {
-	return &callers{e: e, gateway: gateway, address: address, open: map[uint64]*exchange{}, all: map[*caller]bool{}}
+func newClientPool(e *engine, gateway int, address string) *clientPool {
+	return &clientPool{engine: e, gateway: gateway, address: address, inFlight: map[uint64]*exchange{}, conns: map[*clientConn]bool{}}
 }
 
-// send sends a request on the connection used last, or on a new one.
-func (p *callers) send(r world.Send) {
-	class := &p.e.s.Classes[r.Class]
+// send sends a request on the most recently used idle connection, or on a new one.
+func (p *clientPool) send(r world.Send) {
+	class := &p.engine.scenario.Classes[r.Class]
 	x := &exchange{id: r.ID, method: http.MethodPost}
 	if class.Effect == "repeatable" {
 		x.method = http.MethodGet
 	}
 	p.mu.Lock()
-	p.open[x.id] = x
+	p.inFlight[x.id] = x
 	if n := len(p.idle); n > 0 && !r.NewConnection {
 		x.conn = p.idle[n-1]
 		x.conn.pending = x
@@ -76,7 +77,7 @@
 	}
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s /%s?%s HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %016x\r\nX-Service-Class: %s\r\nX-Tier: %s\r\nX-Api-Key: %016x\r\nX-Time-Left-Ms: %d\r\nX-Call-Terms: units=%d,spread=%d,first=%d\r\n",
-		x.method, class.Name, queryOf(r.ID), r.ID, class.Name, p.e.s.Plans[r.Plan].Name, r.Customer, r.Remaining.Milliseconds(), class.Units, p.e.s.Plans[r.Plan].Spread, r.FirstGateway)
+		x.method, class.Name, queryOf(r.ID), r.ID, class.Name, p.engine.scenario.Plans[r.Plan].Name, r.Customer, r.Remaining.Milliseconds(), class.Units, p.engine.scenario.Plans[r.Plan].Spread, r.FirstGateway)
 	if r.Key != "" {
 		fmt.Fprintf(&head, "Idempotency-Key: %s\r\n", r.Key)
 	}
@@ -87,62 +88,63 @@
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", r.Body.Size)
 	}
 	head.WriteString("\r\n")
-	if r.Body.Size <= shortBody {
+	if r.Body.Size <= maxShortBody {
 		io.Copy(&head, r.Body.Reader())
 	}
 	_, err := c.Write(head.Bytes())
-	if err == nil && r.Body.Size > shortBody {
+	if err == nil && r.Body.Size > maxShortBody {
 		_, err = io.Copy(c, r.Body.Reader())
 	}
 	if err != nil {
-		return // its reader finds out, and what was answered before
+		return // read reports the failure, after any response that arrived before
 	}
 	p.mu.Lock()
 	x.sent = true
 	p.mu.Unlock()
-	p.e.post(world.RequestWritten{ID: x.id})
+	p.engine.post(world.RequestWritten{ID: x.id})
 }
 
-// connect makes a connection for a request, and tells of its failure.
-func (p *callers) connect(x *exchange, patience time.Duration) *caller {
+// connect opens a connection for a request, and reports a failure to the emulator.
+func (p *clientPool) connect(x *exchange, patience time.Duration) *clientConn {
 	conn, err := net.DialTimeout("tcp", p.address, max(patience, time.Millisecond))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err != nil || x.abandoned || p.shut {
-		delete(p.open, x.id)
+	if err != nil || x.abandoned || p.closed {
+		delete(p.inFlight, x.id)
 		if err == nil {
 			conn.Close()
 		} else if !x.abandoned {
-			p.e.post(world.Unanswered{ID: x.id})
+			p.engine.post(world.Unanswered{ID: x.id})
 		}
 		return nil
 	}
-	c := &caller{Conn: conn, of: p, pending: x}
+	c := &clientConn{Conn: conn, pool: p, pending: x}
 	x.conn = c
-	p.all[c] = true
-	p.e.wg.Go(c.read)
+	p.conns[c] = true
+	p.engine.wg.Go(c.read)
 	return c
 }
 
-// take takes the exchange from a connection; only who gets it tells of it.
-func (c *caller) take() *exchange {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
+// takePending removes the pending exchange from the connection. Its caller has to report how the
+// exchange ended.
+func (c *clientConn) takePending() *exchange {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
 	x := c.pending
 	c.pending = nil
 	if x != nil {
-		delete(c.of.open, x.id)
+		delete(c.pool.inFlight, x.id)
 	}
 	return x
 }
 
-// abandon ends a request's connection.
-func (p *callers) abandon(id uint64) {
+// abandon closes the connection of a request.
+func (p *clientPool) abandon(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x := p.open[id]
+	x := p.inFlight[id]
 	if x == nil {
-		return // its answer has come meanwhile
+		return // the response has arrived meanwhile
 	}
 	x.abandoned = true
 	if x.conn != nil {
@@ -150,14 +152,14 @@
 	}
 }
 
-// read reads answers until the connection ends.
-func (c *caller) read() {
-	p := c.of
+// read reads responses until the connection ends.
+func (c *clientConn) read() {
+	p := c.pool
 	defer func() {
 		c.Close()
-		x := c.take()
+		x := c.takePending()
 		p.mu.Lock()
-		delete(p.all, c)
+		delete(p.conns, c)
 		for i, other := range p.idle {
 			if other == c {
 				p.idle = append(p.idle[:i], p.idle[i+1:]...)
@@ -170,7 +172,7 @@
 		}
 		p.mu.Unlock()
 		if x != nil && !x.abandoned {
-			p.e.post(world.Unanswered{ID: x.id, Reused: c.last != 0, Sent: sent})
+			p.engine.post(world.Unanswered{ID: x.id, Reused: c.lastAnswered != 0, Sent: sent})
 		}
 	}()
 	in := bufio.NewReaderSize(c, 4096)
@@ -182,23 +184,23 @@
 		x := c.pending
 		p.mu.Unlock()
 		if x == nil {
-			p.e.post(world.UnexpectedData{Gateway: p.gateway, ID: c.last})
+			p.engine.post(world.UnexpectedData{Gateway: p.gateway, ID: c.lastAnswered})
 			return
 		}
 		answer, keep := readAnswer(in, x)
-		c.last = x.id
+		c.lastAnswered = x.id
 		if in.Buffered() > 0 {
 			keep = false
-			p.e.post(world.UnexpectedData{Gateway: p.gateway, ID: x.id})
+			p.engine.post(world.UnexpectedData{Gateway: p.gateway, ID: x.id})
 		}
-		if c.take() == nil {
+		if c.takePending() == nil {
 			return
 		}
 		if !x.abandoned {
-			p.e.post(answer)
+			p.engine.post(answer)
 		}
 		p.mu.Lock()
-		keep = keep && len(p.idle) < mostIdle && !p.shut
+		keep = keep && len(p.idle) < maxIdleConns && !p.closed
 		if keep {
 			p.idle = append(p.idle, c)
 		}
@@ -209,7 +211,7 @@
 	}
 }
 
-// readAnswer reads one final answer, and says whether the connection may go on.
+// readAnswer reads one final response, and reports whether the connection can be reused.
 func readAnswer(in *bufio.Reader, x *exchange) (world.Answered, bool) {
 	a := world.Answered{ID: x.id}
 	for {
@@ -228,7 +230,7 @@
 			a.Body, a.BodyErr = world.ReadBody(resp.Body)
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
-		if isCut(errors.Join(a.BodyErr, err)) {
+		if isConnectionError(errors.Join(a.BodyErr, err)) {
 			a.BodyErr = nil
 			return a, false
 		}
@@ -237,19 +239,19 @@
 	}
 }
 
-// isCut says whether an error is of a connection that ended early, not of what
-// came on it.
-func isCut(err error) bool {
+// isConnectionError reports whether an error means that the connection ended early, as opposed to
+// invalid data on it.
+func isConnectionError(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &network)
 }
 
-// close ends all connections; nothing more is told.
-func (p *callers) close() {
+// close closes all connections. Requests in progress are not reported.
+func (p *clientPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shut = true
-	for c := range p.all {
+	p.closed = true
+	for c := range p.conns {
 		if c.pending != nil {
 			c.pending.abandoned = true
 		}
@@ -257,30 +259,31 @@
 	}
 }
 
-// rudePace is between two bytes of a rude client's, and before it comes again.
-const rudePace = 100 * time.Millisecond
+// rudeInterval is the time between two bytes of a rude client, and between its connections.
+const rudeInterval = 100 * time.Millisecond
 
 // rude opens connections that send nothing, or a head byte by byte, and opens them
 // again when they are closed.
-func (p *callers) rude(r world.HoldConnections) {
-	ctx, cancel := context.WithTimeout(p.e.ctx, r.Duration)
+func (p *clientPool) rude(r world.HoldConnections) {
+	ctx, cancel := context.WithTimeout(p.engine.ctx, r.Duration)
 	var wg sync.WaitGroup
 	for n := range r.Connections {
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				p.rudeOnce(ctx, n%2 == 1)
 				select {
-				case <-time.After(rudePace):
+				case <-time.After(rudeInterval):
 				case <-ctx.Done():
 				}
 			}
 		})
 	}
-	p.e.wg.Go(func() { wg.Wait(); cancel() })
+	p.engine.wg.Go(func() { wg.Wait(); cancel() })
 }
 
-// rudeOnce is one such connection, until it or the time ends.
-func (p *callers) rudeOnce(ctx context.Context, drips bool) {
+// rudeOnce opens one connection and keeps it until the gateway closes it or ctx ends. With drips
+// it sends an endless request head byte by byte.
+func (p *clientPool) rudeOnce(ctx context.Context, drips bool) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", p.address)
 	if err != nil {
@@ -298,7 +301,7 @@
 				return
 			}
 		}
-		c.SetReadDeadline(time.Now().Add(rudePace))
+		c.SetReadDeadline(time.Now().Add(rudeInterval))
 		var buf [512]byte
 		if _, err := c.Read(buf[:]); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return
--- a/internal/play/connectivity.go
+++ b/internal/play/connectivity.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	pollInterval = 500 * time.Millisecond // between two polls of a gateway
-	pollTimeout  = 300 * time.Millisecond // a frozen gateway does not answer
-	mostReport   = 1 << 20
+	pollInterval    = 500 * time.Millisecond // between two polls of a gateway
+	pollTimeout     = 300 * time.Millisecond // a frozen gateway does not answer
+	maxMembersBytes = 1 << 20                // of a gateway's response
 )
 
 // pollConnectivity polls a gateway, as an operator would, for its connectivity and the members
@@ -40,12 +40,12 @@
 	}
 }
 
-// connectivity asks a gateway once.
+// connectivity requests the members view of a gateway once.
 func (e *engine) connectivity(ctx context.Context, g int) (v gateway.MembersView, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	at := e.place.control(g)
-	if r := e.wires[world.ProcessLink{From: world.Endpoint{Kind: scenario.Operators}, To: world.Endpoint{Kind: scenario.Gateways, Number: g}}]; r != nil {
+	at := e.addresses.control(g)
+	if r := e.linkRelays[world.ProcessLink{From: world.Endpoint{Kind: scenario.Operators}, To: world.Endpoint{Kind: scenario.Gateways, Number: g}}]; r != nil {
 		at = r.Address()
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/control/members", nil)
@@ -57,6 +57,6 @@
 		return v, false
 	}
 	defer resp.Body.Close()
-	err = json.NewDecoder(io.LimitReader(resp.Body, mostReport)).Decode(&v)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxMembersBytes)).Decode(&v)
 	return v, err == nil && resp.StatusCode == http.StatusOK && v.State != ""
 }
--- a/internal/play/links.go
+++ b/internal/play/links.go
@@ -17,59 +17,58 @@
 	"dunlintray/internal/world"
 )
 
-// peer is one end of the emulated network: what one gateway reaches as one
-// backend, or as the counter. Each has an address of its own, so that it is known
-// who connects, and so that one link can fail without the others.
-type peer struct {
-	e        *engine
+// endpoint is the address at which one gateway reaches one backend, or the counter. Each pair has
+// its own address, which identifies the gateway and lets one link fail without the others.
+type endpoint struct {
+	engine   *engine
 	gateway  int
-	number   int // of the backend, or world.Counter
+	peer     int // of the backend, or world.Counter
 	listener *link.Listener
 
 	mu    sync.Mutex
 	state world.LinkState
-	conns map[*served]bool
+	conns map[*endpointConn]bool
 }
 
-// served is a connection from a gateway.
-type served struct {
+// endpointConn is a connection from a gateway.
+type endpointConn struct {
 	net.Conn
-	id   world.Conn
-	peer *peer
+	id       world.Conn
+	endpoint *endpoint
 }
 
 const (
-	writeWait = 50 * time.Millisecond // for a short answer; the loop writes it
-	shortBody = 16 << 10
-	longWait  = 30 * time.Second // for a long one
+	shortWriteTimeout = 50 * time.Millisecond // the loop writes short responses and must not block
+	maxShortBody      = 16 << 10              // limit of a short body in bytes
+	longWriteTimeout  = 30 * time.Second
 )
 
-func newPeer(e *engine, gateway, number int, address string) (*peer, error) {
-	p := &peer{e: e, gateway: gateway, number: number, conns: map[*served]bool{}}
+func newEndpoint(e *engine, gateway, number int, address string) (*endpoint, error) {
+	p := &endpoint{engine: e, gateway: gateway, peer: number, conns: map[*endpointConn]bool{}}
 	var err error
-	p.listener, err = link.NewListener(address, p.take)
+	p.listener, err = link.NewListener(address, p.accept)
 	return p, err
 }
 
-func (p *peer) take(c net.Conn) {
-	s := &served{Conn: c, id: world.Conn(p.e.conns.Add(1)), peer: p}
+func (p *endpoint) accept(c net.Conn) {
+	s := &endpointConn{Conn: c, id: world.Conn(p.engine.lastConn.Add(1)), endpoint: p}
 	p.mu.Lock()
-	if p.state != world.Up { // it came in the moment of the change
+	if p.state != world.Up { // it was accepted while the state changed
 		p.mu.Unlock()
 		link.Abort(c)
 		return
 	}
 	p.conns[s] = true
 	p.mu.Unlock()
-	p.e.post(opened{world.Opened{Conn: s.id, Gateway: p.gateway, Peer: p.number}, s})
-	p.e.wg.Go(s.run)
+	p.engine.post(opened{world.Opened{Conn: s.id, Gateway: p.gateway, Peer: p.peer}, s})
+	p.engine.wg.Go(s.run)
 }
 
 var listenerStates = map[world.LinkState]link.ListenerState{world.Up: link.Open, world.Refusing: link.Refusing, world.Silent: link.Silent}
 
-// set carries out a change of the link. On a silent one, connections stand and
-// say nothing, and new ones never come up.
-func (p *peer) set(state world.LinkState) error {
+// set changes the state of the link. On a silent link, connections stay open without data, and
+// new ones are never established.
+func (p *endpoint) set(state world.LinkState) error {
 	p.mu.Lock()
 	p.state = state
 	if state != world.Silent {
@@ -82,7 +81,7 @@
 	return p.listener.Set(listenerStates[state])
 }
 
-func (p *peer) close() {
+func (p *endpoint) close() {
 	p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,50 +90,50 @@
 	}
 }
 
-// run reads what a gateway sends until the connection ends. It reads on while an
-// answer is made, so that it sees the gateway's giving up.
-func (s *served) run() {
+// run reads requests until the connection ends. It reads on while a response is pending, so that
+// it notices if the gateway closes the connection.
+func (s *endpointConn) run() {
 	defer func() {
-		s.peer.mu.Lock()
-		delete(s.peer.conns, s)
-		s.peer.mu.Unlock()
+		s.endpoint.mu.Lock()
+		delete(s.endpoint.conns, s)
+		s.endpoint.mu.Unlock()
 		s.Close()
-		s.peer.e.post(closed{s})
+		s.endpoint.engine.post(closed{s})
 	}()
 	in := bufio.NewReaderSize(s, 4096)
 	for {
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		first := s.peer.e.now()
+		first := s.endpoint.engine.now()
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
 		body, bodyErr := world.ReadBody(req.Body)
-		if _, err := io.Copy(io.Discard, req.Body); err != nil || isCut(bodyErr) {
-			return // it did not come whole
+		if _, err := io.Copy(io.Discard, req.Body); err != nil || isConnectionError(bodyErr) {
+			return // the request is incomplete
 		}
 		switch {
-		case s.peer.number == world.Counter:
+		case s.endpoint.peer == world.Counter:
 			call, ok := parseCall(req)
 			if !ok {
 				io.WriteString(s, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
 			call.Conn = s.id
-			s.peer.e.post(call)
+			s.endpoint.engine.post(call)
 		case strings.HasPrefix(req.URL.Path, "/health/") || req.URL.Path == "/stats":
-			s.peer.e.post(world.Probed{Conn: s.id})
+			s.endpoint.engine.post(world.Probed{Conn: s.id})
 		default:
-			s.peer.e.post(s.peer.e.arrival(s.id, req, body, bodyErr, first))
+			s.endpoint.engine.post(s.endpoint.engine.arrival(s.id, req, body, bodyErr, first))
 		}
 	}
 }
 
-// ended looks whether the gateway has ended the connection, whatever has been read of
-// that by now. Danger: a socket tells of a reset once; the reader then meets the end.
-func (s *served) ended() bool {
+// ended reports whether the gateway has closed the connection, even if run has not read that yet.
+// The socket reports a reset only once: run then reads an end of file instead.
+func (s *endpointConn) ended() bool {
 	raw, err := s.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
@@ -148,7 +147,7 @@
 	return err != nil || seen == nil && n == 0 || seen != nil && !errors.Is(seen, syscall.EAGAIN)
 }
 
-// arrival is a request as a backend sees it.
+// arrival returns the emulator's event for a request that a backend has received.
 func (e *engine) arrival(id world.Conn, req *http.Request, body world.Body, bodyErr error, first time.Duration) world.Arrived {
 	correlation, err := strconv.ParseUint(req.Header.Get("X-Correlation-Id"), 16, 64)
 	class, query, _ := strings.Cut(strings.TrimPrefix(req.URL.RequestURI(), "/"), "?")
@@ -157,9 +156,10 @@
 	return a
 }
 
-// queryOf is what a request's query says, so that it is seen to pass on.
+// queryOf returns the query of a request, by which endpoints check that gateways forward it.
 func queryOf(id uint64) string { return fmt.Sprintf("q=%x%%20", id&0xffff) }
 
+// parseCall parses a call of the counter, and reports whether it is valid.
 func parseCall(req *http.Request) (world.Called, bool) {
 	name, ok := strings.CutPrefix(req.URL.EscapedPath(), "/v1/count/")
 	query := req.URL.Query()
@@ -171,18 +171,18 @@
 	return world.Called{Name: name, Add: add, Lifetime: time.Duration(min(life, 60_000)) * time.Millisecond}, true
 }
 
-// total writes the counter's answer.
-func (s *served) total(t world.CounterReply) {
+// replyTotal writes the counter's response.
+func (s *endpointConn) replyTotal(t world.CounterReply) {
 	text := ""
 	if t.Status == http.StatusOK {
 		text = strconv.FormatFloat(t.Total, 'f', -1, 64)
 	}
-	s.SetWriteDeadline(time.Now().Add(writeWait))
+	s.SetWriteDeadline(time.Now().Add(shortWriteTimeout))
 	fmt.Fprintf(s, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", t.Status, http.StatusText(t.Status), len(text), text)
 }
 
-// reply writes a backend's answer; a long one while the loop goes on.
-func (s *served) reply(r world.Reply) {
+// reply writes a backend's response. It does not wait for a long one to be written.
+func (s *endpointConn) reply(r world.Reply) {
 	var head strings.Builder
 	fmt.Fprintf(&head, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", r.Status, http.StatusText(r.Status), r.Body.Size)
 	if r.NotStarted {
@@ -199,23 +199,23 @@
 	if r.Truncated {
 		body = io.LimitReader(body, r.Body.Size/2)
 	}
-	if r.Body.Size <= shortBody {
-		s.SetWriteDeadline(time.Now().Add(writeWait))
+	if r.Body.Size <= maxShortBody {
+		s.SetWriteDeadline(time.Now().Add(shortWriteTimeout))
 		s.write(head.String(), body, r)
 		return
 	}
-	s.SetWriteDeadline(time.Now().Add(longWait))
-	s.peer.e.wg.Go(func() { s.write(head.String(), body, r) })
+	s.SetWriteDeadline(time.Now().Add(longWriteTimeout))
+	s.endpoint.engine.wg.Go(func() { s.write(head.String(), body, r) })
 }
 
-func (s *served) write(head string, body io.Reader, r world.Reply) {
-	out := bufio.NewWriterSize(s.Conn, shortBody)
+func (s *endpointConn) write(head string, body io.Reader, r world.Reply) {
+	out := bufio.NewWriterSize(s.Conn, maxShortBody)
 	out.WriteString(head)
 	if _, err := io.Copy(out, body); err != nil {
 		return
 	}
 	out.Flush()
 	if r.Truncated || r.Close {
-		s.Conn.(*net.TCPConn).CloseWrite() // its reader sees the gateway's end
+		s.Conn.(*net.TCPConn).CloseWrite() // run still reads until the gateway closes
 	}
 }
--- a/internal/play/links_test.go
+++ b/internal/play/links_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		c.do(near)
-		if got := (&served{Conn: far}).ended(); got != c.want {
+		if got := (&endpointConn{Conn: far}).ended(); got != c.want {
 			t.Errorf("%s: ended is %v", name, got)
 		}
 		near.Close()
--- a/internal/play/machine.go
+++ b/internal/play/machine.go
@@ -13,32 +13,32 @@
 	"dunlintray/internal/world"
 )
 
-// What a play takes, as measured on the machines it was written on; see
-// docs/emulator.md.
+// Estimates of the resources that a run needs.
 const (
-	cpuTry       = 0.75e-3 // seconds of a core for a try, gateway and emulation together
-	cpuProcess   = 0.01    // cores that each process takes with nothing to do
-	fillMost     = 0.9     // of the cores that may be asked for
-	ownMemoryMB  = 200
-	ownSockets   = 200
-	openSeconds  = 0.25 // a request holds a connection for so long, in the mean
-	eachListener = 2    // descriptors that a link takes: its listener and what fills it
+	cpuSecondsPerRequest = 0.75e-3 // CPU time for a request, gateway and emulator together
+	idleCoresPerProcess  = 0.01
+	maxCoreFraction      = 0.9 // fraction of the cores that a run may need
+	emulatorMemoryMB     = 200
+	emulatorDescriptors  = 200
+	requestSeconds       = 0.25 // mean time for which a request holds a connection
+	descriptorsPerLink   = 2    // the listener, and the connections that fill its queue on a silent link
 )
 
-// machine is what there is.
-type machine struct {
-	cores    int
-	memoryMB int
-	sockets  int
+// machineResources are the resources of the machineResources that are available.
+type machineResources struct {
+	cores       int
+	memoryMB    int
+	descriptors int
 }
 
-func thisMachine() (machine, error) {
-	m := machine{cores: runtime.NumCPU()}
+// thisMachine returns the resources that are available now.
+func thisMachine() (machineResources, error) {
+	m := machineResources{cores: runtime.NumCPU()}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return m, err
 	}
-	m.sockets = int(min(limit.Cur, 1<<30))
+	m.descriptors = int(min(limit.Cur, 1<<30))
 	f, err := os.Open("/proc/meminfo")
 	if err != nil {
 		return m, err
@@ -56,16 +56,17 @@
 	return m, nil
 }
 
-// CheckMachine says what a scenario asks that this machine has not.
+// CheckMachine returns an error that names each resource of which the scenario is estimated to
+// need more than this machine has.
 func CheckMachine(s *scenario.Scenario) error {
 	m, err := thisMachine()
 	if err != nil {
-		return fmt.Errorf("what this machine has can't be told: %w", err)
+		return fmt.Errorf("reading the resources of this machine: %w", err)
 	}
-	return m.fits(s)
+	return m.check(s)
 }
 
-func (m machine) fits(s *scenario.Scenario) error {
+func (m machineResources) check(s *scenario.Scenario) error {
 	most := 1.0
 	if len(s.Load.Shape) > 0 {
 		most = 0
@@ -85,15 +86,15 @@
 	rate := s.Load.RequestsPerS * most
 	processes := s.Fleet.Gateways + s.Fleet.ListServices
 	var all []error
-	if cores := rate*cpuTry + float64(processes)*cpuProcess; cores > fillMost*float64(m.cores) {
-		all = append(all, fmt.Errorf("about %.1f cores for %.0f requests a second, and %d are there", cores, rate, m.cores))
+	if cores := rate*cpuSecondsPerRequest + float64(processes)*idleCoresPerProcess; cores > maxCoreFraction*float64(m.cores) {
+		all = append(all, fmt.Errorf("about %.1f cores for %.0f requests a second, and the machine has %d", cores, rate, m.cores))
 	}
-	if memory := s.Fleet.Gateways*s.Fleet.MemoryMB + ownMemoryMB; memory > m.memoryMB {
+	if memory := s.Fleet.Gateways*s.Fleet.MemoryMB + emulatorMemoryMB; memory > m.memoryMB {
 		all = append(all, fmt.Errorf("up to %d MB of memory for %d gateways, and %d are free", memory, s.Fleet.Gateways, m.memoryMB))
 	}
 	links := s.Fleet.Gateways*(s.Fleet.Backends+2+s.Fleet.ListServices) + len(world.RelayedLinks(s))
-	if sockets := ownSockets + eachListener*links + int(3*rate*openSeconds) + rude; sockets > m.sockets {
-		all = append(all, fmt.Errorf("about %d descriptors, and the limit is %d (ulimit -n)", sockets, m.sockets))
+	if sockets := emulatorDescriptors + descriptorsPerLink*links + int(3*rate*requestSeconds) + rude; sockets > m.descriptors {
+		all = append(all, fmt.Errorf("about %d descriptors, and the limit is %d (ulimit -n)", sockets, m.descriptors))
 	}
 	if len(all) > 0 {
 		return fmt.Errorf("the scenario asks more than this machine has: %w", errors.Join(all...))
--- a/internal/play/machine_test.go
+++ b/internal/play/machine_test.go
@@ -12,48 +12,48 @@
 
 // A scenario that asks too much is refused with what it asks.
 func TestFits(t *testing.T) {
-	plenty := machine{cores: 64, memoryMB: 1 << 20, sockets: 1 << 20}
+	plenty := machineResources{cores: 64, memoryMB: 1 << 20, descriptors: 1 << 20}
 	for _, c := range []struct {
-		change func(*machine)
+		change func(*machineResources)
 		want   string // "" where it fits
 	}{
-		{func(*machine) {}, ""},
-		{func(m *machine) { m.cores = 0 }, "cores for 900 requests a second"},
-		{func(m *machine) { m.memoryMB = 300 }, "MB of memory for 3 gateways"},
-		{func(m *machine) { m.sockets = 500 }, "descriptors, and the limit is 500"},
+		{func(*machineResources) {}, ""},
+		{func(m *machineResources) { m.cores = 0 }, "cores for 900 requests a second"},
+		{func(m *machineResources) { m.memoryMB = 300 }, "MB of memory for 3 gateways"},
+		{func(m *machineResources) { m.descriptors = 500 }, "descriptors, and the limit is 500"},
 	} {
 		m := plenty
 		c.change(&m)
 		s := scenario.Default()
 		s.Load.Shape = []scenario.Step{{Factor: 1}, {At: 1, Factor: 1.5}}
 		s.Faults = []scenario.Fault{{Kind: "burst", Size: 2}, {Kind: "rude", Size: 10}}
-		err := m.fits(&s)
+		err := m.check(&s)
 		if (c.want == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %v", m, err)
 		}
 	}
-	if m, err := thisMachine(); err != nil || m.cores == 0 || m.memoryMB == 0 || m.sockets == 0 {
+	if m, err := thisMachine(); err != nil || m.cores == 0 || m.memoryMB == 0 || m.descriptors == 0 {
 		t.Errorf("%+v %v", m, err)
 	}
 }
 
 // Where addresses are taken, others are found, or it is said that none were.
 func TestFindPlace(t *testing.T) {
-	const one, other = pastLast, pastLast + 1 // which no run draws that goes on beside this test
-	l, err := net.Listen("tcp", place{one}.registry(0))
+	const one, other = endNetwork, endNetwork + 1 // which no run draws that goes on beside this test
+	l, err := net.Listen("tcp", addressPlan{one}.registry(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	draws := []int{one, one, other}
-	p, claim, err := findPlace(2, 1, func(int) int { d := draws[0]; draws = draws[1:]; return d - firstNet })
-	if err != nil || p.net != other {
+	p, claim, err := claimNetwork(2, 1, func(int) int { d := draws[0]; draws = draws[1:]; return d - firstNetwork })
+	if err != nil || p.network != other {
 		t.Fatalf("%+v %v", p, err)
 	}
 	defer claim.Close()
 	// What another run has claimed is taken, also before it has started anything.
 	for _, taken := range []int{one, other} {
-		if p, _, err := findPlace(2, 1, func(int) int { return taken - firstNet }); !errors.Is(err, syscall.EADDRINUSE) {
+		if p, _, err := claimNetwork(2, 1, func(int) int { return taken - firstNetwork }); !errors.Is(err, syscall.EADDRINUSE) {
 			t.Errorf("%+v %v", p, err)
 		}
 	}
--- a/internal/play/play.go
+++ b/internal/play/play.go
@@ -40,36 +40,36 @@
 	EndedEarly          bool           // the context ended before the day was over
 	Trials              []referee.Trial
 	MinCeilingRemaining float64 // smallest distance to a ceiling: 1 far, 0 at the limit
-	LowCustomers        int     // customers that came to under a third of their ceiling's store
+	LowCustomers        int     // customers that came to under a third of their ceiling's bucket
 	MaxColdBudgetUsed   float64 // largest used fraction of a cold backend's budget
 }
 
-// A run is invalid if the emulator itself was later than this.
+// A run is invalid if the emulator itself was later than these limits.
 const (
-	mostLateP99 = 20 * time.Millisecond
-	mostGap     = 250 * time.Millisecond // between two readings of the clock by the loop
+	maxLatenessP99 = 20 * time.Millisecond
+	maxLoopGap     = 250 * time.Millisecond // between two readings of the clock by the loop
 )
 
 // opened is the emulator's event of a new connection, with the connection.
 type opened struct {
 	world.Opened
-	conn *served
+	conn *endpointConn
 }
 
 // closed is the event of a connection that has ended.
-type closed struct{ conn *served }
+type closed struct{ conn *endpointConn }
 
 // serviceExited is the event of a registry whose process has ended.
 type serviceExited struct {
-	service int
-	life    int    // which of its processes, from 1
-	how     string // exit status
+	service    int
+	generation int    // which of its processes, from 1
+	status     string // exit status
 }
 
-// stamped is an event with the time at which it happened.
-type stamped struct {
-	at time.Duration
-	e  any
+// timedEvent is an event with the time at which it happened.
+type timedEvent struct {
+	at    time.Duration
+	event any
 }
 
 // killedOutside is the exit status of a process that was killed.
@@ -77,57 +77,57 @@
 
 // engine is a run in progress. The goroutine of Run owns the emulator.
 type engine struct {
-	s       *scenario.Scenario
-	o       Options
-	w       *world.Emulator
-	place   place
-	claim   net.Listener // reserves the addresses of place
-	epoch   time.Time
-	ctx     context.Context // cancelled at the end of the run
-	wg      sync.WaitGroup
-	events  chan stamped
-	conns   atomic.Uint64
-	http    *http.Client
-	starter *child.Starter
-	methods map[string]string // HTTP methods by class
-
-	gateways  []*process
-	services  []*process
-	configs   [][]byte     // configurations of the services
-	killed    map[int]bool // services that a fault has ended; owned by the loop
-	lives     map[int]int  // processes started by service; owned by the loop
-	callers   []*callers
-	agents    [][]*agent // by gateway, one for each list service
-	peers     map[between]*peer
-	relays    *relays
-	wires     map[world.ProcessLink]*link.Relay // on links that have faults
-	registrar *registrar
+	scenario  *scenario.Scenario
+	options   Options
+	world     *world.Emulator
+	addresses addressPlan
+	claim     net.Listener // reserves the addresses of place
+	epoch     time.Time
+	ctx       context.Context // cancelled at the end of the run
+	wg        sync.WaitGroup
+	events    chan timedEvent
+	lastConn  atomic.Uint64
+	http      *http.Client
+	starter   *child.Starter
+	methods   map[string]string // HTTP methods by class
+
+	gateways    []*process
+	services    []*process
+	configs     [][]byte     // configurations of the services
+	killed      map[int]bool // services that a fault has ended; owned by the loop
+	generations map[int]int  // processes started by service; owned by the loop
+	clients     []*clientPool
+	proxies     [][]*discoveryProxy // by gateway, one for each list service
+	endpoints   map[gatewayLink]*endpoint
+	datagrams   *datagramRelays
+	linkRelays  map[world.ProcessLink]*link.Relay // on links that have faults
+	registrar   *registrar
 
 	// Owned by the loop:
-	served map[world.Conn]*served
-	began  time.Duration // when the day began
-	marks  []string
-	gap    time.Duration // longest time between two readings of the clock
-	failed error
+	conns     map[world.Conn]*endpointConn
+	startedAt time.Duration // when the day began
+	marks     []string
+	loopGap   time.Duration // longest time between two readings of the clock
+	failed    error
 }
 
-// between is the link of a gateway to a peer: a backend or the counter.
-type between struct{ gateway, peer int }
+// gatewayLink is the link of a gateway to a peer: a backend or the counter.
+type gatewayLink struct{ gateway, peer int }
 
 // Limits of a relay on a link between processes.
 const (
-	wireConnections = 64
-	wireBuffer      = 64 << 10
+	maxRelayConnections = 64
+	relayBufferBytes    = 64 << 10
 )
 
-// mostEvents is the length of the queue of the loop. Senders block when it is full.
-const mostEvents = 1 << 14
+// eventQueueLength is the length of the queue of the loop. Senders block when it is full.
+const eventQueueLength = 1 << 14
 
 // Run runs a scenario until its day is over or ctx ends. When it returns, all processes
 // that it started have ended.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*Result, error) {
-	e := &engine{s: s, o: o, epoch: time.Now(), events: make(chan stamped, mostEvents), peers: map[between]*peer{}, wires: map[world.ProcessLink]*link.Relay{},
-		served: map[world.Conn]*served{}, killed: map[int]bool{}, lives: map[int]int{}, methods: map[string]string{},
+	e := &engine{scenario: s, options: o, epoch: time.Now(), events: make(chan timedEvent, eventQueueLength), endpoints: map[gatewayLink]*endpoint{}, linkRelays: map[world.ProcessLink]*link.Relay{},
+		conns: map[world.Conn]*endpointConn{}, killed: map[int]bool{}, generations: map[int]int{}, methods: map[string]string{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: s.Fleet.Gateways + 4}, Timeout: 65 * time.Second}}
 	for _, c := range s.Classes {
 		e.methods[c.Name] = http.MethodPost
@@ -137,7 +137,7 @@
 	}
 	inner, stop := context.WithCancel(context.Background())
 	e.ctx = inner
-	e.w = world.New(s)
+	e.world = world.New(s)
 	e.starter = child.NewStarter()
 	defer e.starter.Close()
 	err := e.start(ctx)
@@ -148,14 +148,14 @@
 	whole := err == nil && ctx.Err() == nil
 	if whole {
 		for g := range e.gateways {
-			e.w.Referee.Stopping(e.now(), g)
+			e.world.Referee.Stopping(e.now(), g)
 		}
 	}
 	hung := e.stopFleet(whole)
 	stop()
 	e.close()
 	for _, g := range hung {
-		e.w.Referee.StopTimedOut(e.now(), g)
+		e.world.Referee.StopTimedOut(e.now(), g)
 	}
 	if err == nil {
 		err = e.failed
@@ -163,21 +163,21 @@
 	if err != nil {
 		return nil, err
 	}
-	e.w.End(e.now())
+	e.world.End(e.now())
 	for _, p := range e.gateways {
-		e.w.Tally.Gateways = append(e.w.Tally.Gateways, p.use)
+		e.world.Tally.Gateways = append(e.world.Tally.Gateways, p.usage)
 	}
-	r := &Result{Tally: e.w.Tally, Marks: e.marks, EndedEarly: ctx.Err() != nil, MinCeilingRemaining: e.w.Referee.MinCeilingRemaining(),
-		Trials: e.w.Referee.Trials(), LowCustomers: e.w.Referee.LowCustomers(), MaxColdBudgetUsed: e.w.Referee.MaxColdBudgetUsed()}
-	r.Violations, r.Counts = e.w.Referee.Violations()
-	switch p99 := e.w.Tally.Lateness(99); {
-	case p99 > mostLateP99:
-		r.InvalidReason = fmt.Sprintf("the emulation did things %v late at p99, over %v: the machine is too small for this scenario", p99, mostLateP99)
-	case e.gap > mostGap:
-		r.InvalidReason = fmt.Sprintf("the emulation stood still for %v", e.gap.Round(time.Millisecond))
+	r := &Result{Tally: e.world.Tally, Marks: e.marks, EndedEarly: ctx.Err() != nil, MinCeilingRemaining: e.world.Referee.MinCeilingRemaining(),
+		Trials: e.world.Referee.Trials(), LowCustomers: e.world.Referee.LowCustomers(), MaxColdBudgetUsed: e.world.Referee.MaxColdBudgetUsed()}
+	r.Violations, r.Counts = e.world.Referee.Violations()
+	switch p99 := e.world.Tally.Lateness(99); {
+	case p99 > maxLatenessP99:
+		r.InvalidReason = fmt.Sprintf("the emulator was late by %v at p99, over the limit of %v: the machine is too small for this scenario", p99, maxLatenessP99)
+	case e.loopGap > maxLoopGap:
+		r.InvalidReason = fmt.Sprintf("the emulator paused for %v, over the limit of %v", e.loopGap.Round(time.Millisecond), maxLoopGap)
 	}
-	for at, relay := range e.wires {
-		if s := relay.Stats(); s.MaxLateness > mostGap || s.Rejected > 0 {
+	for at, relay := range e.linkRelays {
+		if s := relay.Stats(); s.MaxLateness > maxLoopGap || s.Rejected > 0 {
 			r.InvalidReason = fmt.Sprintf("the relay from %v was late by %v and turned %d connections away", at, s.MaxLateness.Round(time.Millisecond), s.Rejected)
 		}
 	}
--- a/internal/play/processes.go
+++ b/internal/play/processes.go
@@ -18,21 +18,21 @@
 	"dunlintray/internal/results"
 )
 
-// process is one of the fleet's, over all its lives.
+// process is a process of the fleet across its restarts.
 type process struct {
 	name    string
 	program string
 	args    []string
-	dir     string // its configuration, its log and its TMPDIR
-	use     results.Gateway
+	dir     string // for its configuration, log and TMPDIR
+	usage   results.Gateway
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
-	ended chan struct{} // closed when the present life has ended
+	ended chan struct{} // closed when the current process has exited
 	exit  error
 }
 
-// start begins a life of the process; exited is called when it has ended.
+// start starts the process. It calls exited with the exit status when the process has exited.
 func (p *process) start(s *child.Starter, config []byte, exited func(how string)) error {
 	path := filepath.Join(p.dir, "config.json")
 	if err := os.WriteFile(path, config, 0o600); err != nil {
@@ -57,15 +57,15 @@
 	ended := make(chan struct{})
 	p.mu.Lock()
 	p.cmd, p.ended = cmd, ended
-	p.use.Starts++
+	p.usage.Starts++
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
 		p.exit = err
-		p.use.CPUS += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
+		p.usage.CPUS += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
 		if use, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.use.MemoryMB = max(p.use.MemoryMB, float64(use.Maxrss)/1024)
+			p.usage.MemoryMB = max(p.usage.MemoryMB, float64(use.Maxrss)/1024)
 		}
 		p.mu.Unlock()
 		close(ended)
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// signal sends a signal to the present life, if there is one.
+// signal sends a signal to the current process, if it runs.
 func (p *process) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,9 +87,9 @@
 	}
 }
 
-// end waits for the present life to end, and kills it after the wait. It says
-// whether it had to.
-func (p *process) end(wait time.Duration) (killed bool) {
+// awaitExit waits for the current process to exit, and kills it after the wait. It reports whether
+// it had to.
+func (p *process) awaitExit(wait time.Duration) (killed bool) {
 	p.mu.Lock()
 	ended := p.ended
 	p.mu.Unlock()
@@ -107,8 +107,8 @@
 	return true
 }
 
-// lastWords are the end of what the process wrote.
-func (p *process) lastWords() string {
+// logTail returns the last lines of the process's log.
+func (p *process) logTail() string {
 	text, err := os.ReadFile(filepath.Join(p.dir, "log"))
 	if err != nil {
 		return err.Error()
@@ -118,16 +118,17 @@
 }
 
 const (
-	readyWait = 30 * time.Second
-	readyPace = 20 * time.Millisecond
+	readyTimeout      = 30 * time.Second
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// awaitReady waits until an address answers yes, or the process has ended.
+// awaitReady waits until url answers with status 200. It returns an error if the process exits, ctx
+// ends or the timeout passes before.
 func awaitReady(ctx context.Context, client *http.Client, p *process, url string) error {
 	p.mu.Lock()
 	ended := p.ended
 	p.mu.Unlock()
-	end := time.Now().Add(readyWait)
+	end := time.Now().Add(readyTimeout)
 	for time.Now().Before(end) {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
@@ -144,50 +145,52 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ended:
-			return fmt.Errorf("%s ended at its start; it said:\n%s", p.name, p.lastWords())
-		case <-time.After(readyPace):
+			return fmt.Errorf("%s ended at its start; it said:\n%s", p.name, p.logTail())
+		case <-time.After(readyPollInterval):
 		}
 	}
-	return fmt.Errorf("%s is not ready after %v; it said:\n%s", p.name, readyWait, p.lastWords())
+	return fmt.Errorf("%s is not ready after %v; it said:\n%s", p.name, readyTimeout, p.logTail())
 }
 
-// place is where everything of one run is: a part of the loopback network that no
-// other run uses, and ports below those that the system gives out.
-type place struct{ net int }
+// addressPlan assigns the addresses of a run: those of a network 127.x that no other run on this
+// machine uses, with ports below the ephemeral range.
+type addressPlan struct{ network int }
 
-func (p place) in(block, n, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", p.net, block+n/200, 1+n%200, port)
+func (p addressPlan) address(block, n, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", p.network, block+n/200, 1+n%200, port)
 }
 
-// claim is held for as long as a run lasts; who has it has the place.
-func (p place) claim() string { return p.in(255, 0, 8080) }
-
-func (p place) gateway(n int) string              { return p.in(16, n, 8081) }
-func (p place) control(n int) string              { return p.in(16, n, 8082) }
-func (p place) registry(n int) string             { return p.in(1, n, 8500) }
-func (p place) registryGroup(n int) string        { return p.in(1, n, 8502) }
-func (p place) registryControl(n int) string      { return p.in(1, n, 8501) }
-func (p place) peer(n int) string                 { return p.in(16, n, 7946) }
-func (p place) relay(n int) string                { return p.in(8, n, 7946) }
-func (p place) wire(n int) string                 { return p.in(4, 0, 10000+n) }
-func (p place) counter(gateway int) string        { return p.in(2, 0, 10000+gateway) }
-func (p place) agent(gateway, service int) string { return p.in(3, service, 10000+gateway) }
-func (p place) backend(gateway, n int) string     { return p.in(64, n, 10000+gateway) }
-
-// places to try, and the loopback networks among which they are.
+// claim returns the address on which a run listens to reserve its network.
+func (p addressPlan) claim() string { return p.address(255, 0, 8080) }
+
+func (p addressPlan) gateway(n int) string         { return p.address(16, n, 8081) }
+func (p addressPlan) control(n int) string         { return p.address(16, n, 8082) }
+func (p addressPlan) registry(n int) string        { return p.address(1, n, 8500) }
+func (p addressPlan) registryGroup(n int) string   { return p.address(1, n, 8502) }
+func (p addressPlan) registryControl(n int) string { return p.address(1, n, 8501) }
+func (p addressPlan) peer(n int) string            { return p.address(16, n, 7946) }
+func (p addressPlan) datagramRelay(n int) string   { return p.address(8, n, 7946) }
+func (p addressPlan) linkRelay(n int) string       { return p.address(4, 0, 10000+n) }
+func (p addressPlan) counter(gateway int) string   { return p.address(2, 0, 10000+gateway) }
+func (p addressPlan) discoveryProxy(gateway, service int) string {
+	return p.address(3, service, 10000+gateway)
+}
+func (p addressPlan) backend(gateway, n int) string { return p.address(64, n, 10000+gateway) }
+
+// The loopback networks among which a run chooses, and how many it tries.
 const (
-	placesTried        = 20
-	firstNet, pastLast = 16, 250
-	gatewaysInPlace    = 1000
-	errTaken           = "the addresses of %d runs in 127.0.0.0/8 are taken; the last: %w"
+	maxNetworksTried         = 20
+	firstNetwork, endNetwork = 16, 250
+	maxGatewaysPerNetwork    = 1000
+	noFreeNetworkFormat      = "the addresses of %d runs in 127.0.0.0/8 are taken; the last: %w"
 )
 
-// findPlace claims addresses of which the processes' are free. Those that this
-// program listens on itself it takes later, or fails.
-func findPlace(gateways, services int, random func(int) int) (place, net.Listener, error) {
+// claimNetwork reserves a network in which the addresses of the processes are free. The caller
+// closes the returned listener to release it. Addresses of the emulator itself are not checked.
+func claimNetwork(gateways, services int, random func(int) int) (addressPlan, net.Listener, error) {
 	var last error
-	for range placesTried {
-		p := place{firstNet + random(pastLast-firstNet)}
+	for range maxNetworksTried {
+		p := addressPlan{firstNetwork + random(endNetwork-firstNetwork)}
 		var addresses []string
 		for n := range gateways {
 			addresses = append(addresses, p.gateway(n), p.control(n))
@@ -197,19 +200,20 @@
 		}
 		var claim net.Listener
 		if claim, last = net.Listen("tcp", p.claim()); last == nil {
-			if last = free(addresses); last == nil {
+			if last = checkFree(addresses); last == nil {
 				return p, claim, nil
 			}
 			claim.Close()
 		}
 		if !errors.Is(last, syscall.EADDRINUSE) {
-			return place{}, nil, last
+			return addressPlan{}, nil, last
 		}
 	}
-	return place{}, nil, fmt.Errorf("the addresses of %d runs in 127.0.0.0/8 are taken; the last: %w", placesTried, last)
+	return addressPlan{}, nil, fmt.Errorf("the addresses of %d runs in 127.0.0.0/8 are taken; the last: %w", maxNetworksTried, last)
 }
 
-func free(addresses []string) error {
+// checkFree returns an error if one of the addresses can't be listened on.
+func checkFree(addresses []string) error {
 	for _, a := range addresses {
 		l, err := net.Listen("tcp", a)
 		if err != nil {
--- a/internal/play/relays.go
+++ b/internal/play/relays.go
@@ -7,53 +7,54 @@
 	"dunlintray/internal/world"
 )
 
-// relays are the network between gateways: the exchange that their datagrams pass
-// through, and those that are under way.
-type relays struct {
+// datagramRelays is the network between gateways: the exchange that datagramRelays their datagrams, and
+// the contents of those in transit.
+type datagramRelays struct {
 	*link.DatagramRelay
 
-	// Of the loop:
-	bytes [mostWaiting][]byte
-	next  uint64
+	// Owned by the loop:
+	bytes      [maxDatagramsInTransit][]byte
+	lastNumber uint64
 }
 
-// Datagrams under way are kept in a ring; what is older than so many is lost.
-const mostWaiting = 1 << 12
+// maxDatagramsInTransit is the size of the ring of datagrams in transit; older ones are lost.
+const maxDatagramsInTransit = 1 << 12
 
-// arrivedAt is a datagram with its bytes, on its way to the loop.
-type arrivedAt struct {
+// relayedDatagram is the emulator's event of a datagram, with its contents.
+type relayedDatagram struct {
 	world.Datagram
-	text []byte
+	data []byte
 }
 
-func newRelays(e *engine) (*relays, error) {
+func newDatagramRelays(e *engine) (*datagramRelays, error) {
 	var addresses []string
 	var members []netip.AddrPort
-	for n := range e.s.Fleet.Gateways + 1 {
-		addresses = append(addresses, e.place.relay(n))
-		if n < e.s.Fleet.Gateways {
-			members = append(members, netip.MustParseAddrPort(e.place.peer(n)))
+	for n := range e.scenario.Fleet.Gateways + 1 {
+		addresses = append(addresses, e.addresses.datagramRelay(n))
+		if n < e.scenario.Fleet.Gateways {
+			members = append(members, netip.MustParseAddrPort(e.addresses.peer(n)))
 		}
 	}
 	x, err := link.NewDatagramRelay(addresses, members, func(from, to int, data []byte) {
 		if to == link.Broadcast {
 			to = world.Broadcast
 		}
-		e.post(arrivedAt{world.Datagram{From: from, To: to, Bytes: len(data)}, data})
+		e.post(relayedDatagram{world.Datagram{From: from, To: to, Bytes: len(data)}, data})
 	})
-	return &relays{DatagramRelay: x}, err
+	return &datagramRelays{DatagramRelay: x}, err
 }
 
-// keep numbers a datagram.
-func (r *relays) keep(a arrivedAt) world.Datagram {
-	r.next++
-	r.bytes[r.next%mostWaiting] = a.text
-	a.Number = r.next
+// store keeps the contents of a datagram, and returns the event with its number.
+func (r *datagramRelays) store(a relayedDatagram) world.Datagram {
+	r.lastNumber++
+	r.bytes[r.lastNumber%maxDatagramsInTransit] = a.data
+	a.Number = r.lastNumber
 	return a.Datagram
 }
 
-func (r *relays) deliver(d world.Deliver) {
-	if r.next-d.Number < mostWaiting {
-		r.Deliver(d.From, d.To, r.bytes[d.Number%mostWaiting])
+// deliver sends a stored datagram to its destination, unless newer ones have replaced it.
+func (r *datagramRelays) deliver(d world.Deliver) {
+	if r.lastNumber-d.Number < maxDatagramsInTransit {
+		r.Deliver(d.From, d.To, r.bytes[d.Number%maxDatagramsInTransit])
 	}
 }
--- a/internal/play/report.go
+++ b/internal/play/report.go
@@ -11,15 +11,15 @@
 	"dunlintray/internal/referee"
 )
 
-// shown is how many broken rules are told with their histories.
-const shown = 5
+// maxReportedViolations limits the violations that Report prints.
+const maxReportedViolations = 5
 
-// Report writes the result for people.
+// Report writes the result as text.
 func (r *Result) Report(w io.Writer) {
 	r.Tally.Table(w)
 	fmt.Fprintf(w, "nearest to a ceiling: %.2f of a store was left, under a third of %d; the fullest cold backend used %.2f of its room\n", r.MinCeilingRemaining, r.LowCustomers, r.MaxColdBudgetUsed)
 	for i, v := range r.Violations {
-		if i == shown {
+		if i == maxReportedViolations {
 			fmt.Fprintln(w, "and others, see the counts")
 			break
 		}
@@ -50,8 +50,8 @@
 	}
 }
 
-// JSON writes the result as lines of JSON: classes, plans, windows, gateways,
-// costs, broken rules and the verdict.
+// JSON writes the result as lines of JSON: classes, plans, windows, gateways, costs, violations,
+// rules and the verdict.
 func (r *Result) JSON(w io.Writer) error {
 	if err := r.Tally.JSON(w); err != nil {
 		return err
--- a/internal/play/stop.go
+++ b/internal/play/stop.go
@@ -11,7 +11,7 @@
 func (e *engine) stopFleet(whole bool) (hung []int) {
 	wait := 2 * time.Second
 	if whole {
-		wait = e.s.KillAfter()
+		wait = e.scenario.KillAfter()
 	}
 	// Events are drained, so that no sender blocks.
 	done := make(chan struct{})
@@ -32,7 +32,7 @@
 			p.signal(syscall.SIGCONT)
 			p.signal(syscall.SIGTERM)
 			wg.Go(func() {
-				if p.end(wait) && tell {
+				if p.awaitExit(wait) && tell {
 					mu.Lock()
 					hung = append(hung, n)
 					mu.Unlock()
@@ -50,21 +50,21 @@
 
 // close closes the emulator's sockets and waits for all goroutines.
 func (e *engine) close() {
-	for _, c := range e.callers {
+	for _, c := range e.clients {
 		c.close()
 	}
-	for _, all := range e.agents {
+	for _, all := range e.proxies {
 		for _, a := range all {
 			a.server.Close()
 		}
 	}
-	for _, p := range e.peers {
+	for _, p := range e.endpoints {
 		p.close()
 	}
-	if e.relays != nil {
-		e.relays.Close()
+	if e.datagrams != nil {
+		e.datagrams.Close()
 	}
-	for _, r := range e.wires {
+	for _, r := range e.linkRelays {
 		r.Close()
 	}
 	if e.claim != nil {
--- a/internal/scenario/actor.go
+++ b/internal/scenario/actor.go
@@ -63,7 +63,7 @@
 type LinkFault struct {
 	From, To          Actor
 	Forward, Backward bool
-	Effect            link.Condition
+	Condition            link.Condition
 }
 
 // linkFaultKinds holds the links that a run emulates, and the faults that each supports.
@@ -86,11 +86,11 @@
 		return parsed, "to", err
 	}
 	parsed.Forward, parsed.Backward = fault.Direction != "back", fault.Direction != "there"
-	parsed.Effect = link.Condition{Kind: link.Kind(fault.Effect), Delay: fault.Delay.Std(), Jitter: fault.Jitter.Std()}
-	if slices.Contains(link.Kinds, parsed.Effect.Kind) {
-		parsed.Effect.Bytes = int64(fault.Size)
+	parsed.Condition = link.Condition{Kind: link.Kind(fault.Effect), Delay: fault.Delay.Std(), Jitter: fault.Jitter.Std()}
+	if slices.Contains(link.Kinds, parsed.Condition.Kind) {
+		parsed.Condition.Bytes = int64(fault.Size)
 	} else {
-		parsed.Effect.Fraction = fault.Size
+		parsed.Condition.Fraction = fault.Size
 	}
 	supported := linkFaultKinds[[2]ActorKind{parsed.From.Kind, parsed.To.Kind}]
 	switch {
@@ -98,7 +98,7 @@
 		return parsed, "way", fmt.Errorf("%q is not there, back or both", fault.Direction)
 	case supported == nil:
 		return parsed, "to", fmt.Errorf("%s does not connect to %s", fault.From, fault.To)
-	case !slices.Contains(supported, parsed.Effect.Kind):
+	case !slices.Contains(supported, parsed.Condition.Kind):
 		return parsed, "how", fmt.Errorf("%q is not one of %v, which a play can do to this link", fault.Effect, supported)
 	case parsed.To.Kind != Gateways && parsed.To.Kind != Registries && parsed.Forward != parsed.Backward:
 		return parsed, "way", fmt.Errorf("this link fails both ways only, not %q", fault.Direction)
@@ -110,5 +110,5 @@
 	case parsed.From.Kind != Gateways && parsed.To.Kind == Registries && parsed.To.Number > 0:
 		return parsed, "to", fmt.Errorf("only the writer, list0, is called by them")
 	}
-	return parsed, "how", parsed.Effect.Check()
+	return parsed, "how", parsed.Condition.Check()
 }
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -59,7 +59,7 @@
 	condition := link.Condition{Kind: link.Up}
 	for _, fault := range em.linkFaults {
 		if !fault.inactive && em.matches(fault.From, processLink.From) && em.matches(fault.To, processLink.To) && (direction == link.Forward && fault.Forward || direction == link.Reverse && fault.Backward) {
-			condition = fault.Effect
+			condition = fault.Condition
 		}
 	}
 	return condition
