--- a/internal/play/agents.go
+++ b/internal/play/agents.go
@@ -43,59 +43,59 @@
 )
 
 func newDiscoveryProxy(e *engine, gateway int, address, service string) (*discoveryProxy, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	a := &discoveryProxy{engine: e, gateway: gateway, service: service, changed: make(chan struct{})}
-	a.server = &http.Server{Handler: http.HandlerFunc(a.serve), ReadHeaderTimeout: time.Second, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
-	e.wg.Go(func() { a.server.Serve(l) })
-	return a, nil
+	p := &discoveryProxy{engine: e, gateway: gateway, service: service, changed: make(chan struct{})}
+	p.server = &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: time.Second, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+	e.wg.Go(func() { p.server.Serve(listener) })
+	return p, nil
 }
 
 // update changes the proxy's state and wakes the requests that wait for a change.
-func (a *discoveryProxy) update(change func()) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (p *discoveryProxy) update(change func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	change()
-	close(a.changed)
-	a.changed = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (a *discoveryProxy) serve(w http.ResponseWriter, r *http.Request) {
+func (p *discoveryProxy) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != registry.Path || r.Method != http.MethodGet {
 		http.NotFound(w, r)
 		return
 	}
 	since := r.URL.Query().Get("since")
-	var text []byte
-	var l registry.Listing
+	var body []byte
+	var list registry.Listing
 	var header http.Header
 	status := http.StatusOK
 	for {
-		a.mu.Lock()
-		held, changed, stale := a.withheld, a.changed, a.serveStale && since == ""
-		text, header = a.staleList, a.staleHeader
-		a.mu.Unlock()
-		if !held {
+		p.mu.Lock()
+		withheld, changed, serveStale := p.withheld, p.changed, p.serveStale && since == ""
+		body, header = p.staleList, p.staleHeader
+		p.mu.Unlock()
+		if !withheld {
 			var err error
 			switch {
-			case stale && text != nil:
-				err = json.Unmarshal(text, &l)
-			case a.service != "":
-				text, l, header, status, err = a.forward(r)
+			case serveStale && body != nil:
+				err = json.Unmarshal(body, &list)
+			case p.service != "":
+				body, list, header, status, err = p.forward(r)
 			default:
-				text, l, err = a.localList(r)
+				body, list, err = p.localList(r)
 			}
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusBadGateway)
 				return
 			}
-			a.mu.Lock()
-			held = a.withheld // it may have changed during the call
-			a.mu.Unlock()
+			p.mu.Lock()
+			withheld = p.withheld // it may have changed during the call
+			p.mu.Unlock()
 		}
-		if !held {
+		if !withheld {
 			break
 		}
 		select {
@@ -108,29 +108,29 @@
 		w.Header()[key] = values
 	}
 	w.WriteHeader(status)
-	if _, err := w.Write(text); err != nil || status != http.StatusOK {
+	if _, err := w.Write(body); err != nil || status != http.StatusOK {
 		return
 	}
 	http.NewResponseController(w).Flush()
-	a.engine.post(world.ListDelivered{Gateway: a.gateway, Version: l.Generation, Full: l.Reset, Entries: a.engine.entries(l)})
+	p.engine.post(world.ListDelivered{Gateway: p.gateway, Version: list.Generation, Full: list.Reset, Entries: p.engine.entries(list)})
 }
 
 // forward passes a request on to the service registry. It returns the body to send, the list in
 // it if the status is 200, the headers to copy and the status.
-func (a *discoveryProxy) forward(r *http.Request) ([]byte, registry.Listing, http.Header, int, error) {
-	var l registry.Listing
-	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+a.service+r.URL.RequestURI(), nil)
+func (p *discoveryProxy) forward(r *http.Request) ([]byte, registry.Listing, http.Header, int, error) {
+	var list registry.Listing
+	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+p.service+r.URL.RequestURI(), nil)
 	if err != nil {
-		return nil, l, nil, 0, err
+		return nil, list, nil, 0, err
 	}
-	resp, err := a.engine.http.Do(req)
+	resp, err := p.engine.http.Do(req)
 	if err != nil {
-		return nil, l, nil, 0, err
+		return nil, list, nil, 0, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
-		return nil, l, nil, 0, err
+		return nil, list, nil, 0, err
 	}
 	header := http.Header{}
 	for _, key := range []string{registry.HistoryHeader, registry.AgeHeader, "Retry-After"} {
@@ -139,84 +139,84 @@
 		}
 	}
 	if resp.StatusCode != http.StatusOK {
-		return text, l, header, resp.StatusCode, nil
+		return body, list, header, resp.StatusCode, nil
 	}
-	if err := json.Unmarshal(text, &l); err != nil {
-		return nil, l, nil, 0, err
+	if err := json.Unmarshal(body, &list); err != nil {
+		return nil, list, nil, 0, err
 	}
-	for i := range l.Instances {
-		if n, ok := parseBackendName(l.Instances[i].ID); ok {
-			l.Instances[i].HostPort = a.engine.addresses.backend(a.gateway, n)
+	for i := range list.Instances {
+		if backend, ok := parseBackendName(list.Instances[i].ID); ok {
+			list.Instances[i].HostPort = p.engine.addresses.backend(p.gateway, backend)
 		}
 	}
-	if text, err = json.Marshal(l); err != nil {
-		return nil, l, nil, 0, err
+	if body, err = json.Marshal(list); err != nil {
+		return nil, list, nil, 0, err
 	}
-	if l.Reset {
-		a.mu.Lock()
-		if !a.serveStale {
-			a.list, a.staleList, a.staleHeader = l, text, header
+	if list.Reset {
+		p.mu.Lock()
+		if !p.serveStale {
+			p.list, p.staleList, p.staleHeader = list, body, header
 		}
-		a.mu.Unlock()
+		p.mu.Unlock()
 	}
-	return text, l, header, resp.StatusCode, nil
+	return body, list, header, resp.StatusCode, nil
 }
 
 // localList returns the emulator's list, at once or when it changes from the generation that the
 // gateway has. After the request's timeout it returns an empty update.
-func (a *discoveryProxy) localList(r *http.Request) ([]byte, registry.Listing, error) {
+func (p *discoveryProxy) localList(r *http.Request) ([]byte, registry.Listing, error) {
 	query := r.URL.Query()
 	wait, _ := strconv.Atoi(query.Get("timeout_ms"))
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
 	if err != nil {
 		since = -1
 	}
-	end := time.NewTimer(time.Duration(min(max(wait, 0), 60_000)) * time.Millisecond)
-	defer end.Stop()
+	timeout := time.NewTimer(time.Duration(min(max(wait, 0), 60_000)) * time.Millisecond)
+	defer timeout.Stop()
 	for {
-		a.mu.Lock()
-		l, changed := a.list, a.changed
-		a.mu.Unlock()
-		if l.Generation != since {
-			text, err := json.Marshal(l)
-			return text, l, err
+		p.mu.Lock()
+		list, changed := p.list, p.changed
+		p.mu.Unlock()
+		if list.Generation != since {
+			body, err := json.Marshal(list)
+			return body, list, err
 		}
 		select {
 		case <-changed:
-		case <-end.C:
-			l.Reset, l.Instances = false, []registry.Instance{}
-			text, err := json.Marshal(l)
-			return text, l, err
+		case <-timeout.C:
+			list.Reset, list.Instances = false, []registry.Instance{}
+			body, err := json.Marshal(list)
+			return body, list, err
 		case <-r.Context().Done():
-			return nil, l, r.Context().Err()
+			return nil, list, r.Context().Err()
 		}
 	}
 }
 
 // setList sets the emulator's list.
-func (a *discoveryProxy) setList(entries []world.Entry) {
-	a.update(func() {
-		a.generation++
-		a.list = registry.Listing{Generation: a.generation, Reset: true, Instances: []registry.Instance{}}
+func (p *discoveryProxy) setList(entries []world.Entry) {
+	p.update(func() {
+		p.generation++
+		p.list = registry.Listing{Generation: p.generation, Reset: true, Instances: []registry.Instance{}}
 		for _, entry := range entries {
-			a.list.Instances = append(a.list.Instances, a.engine.instance(entry, a.gateway))
+			p.list.Instances = append(p.list.Instances, p.engine.instance(entry, p.gateway))
 		}
 	})
 }
 
 // lastList returns the full list that the gateway received last.
-func (a *discoveryProxy) lastList() registry.Listing {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.list
+func (p *discoveryProxy) lastList() registry.Listing {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.list
 }
 
 // setMode sets whether responses are held back, and whether full lists are stale.
-func (a *discoveryProxy) setMode(l world.SetListDelivery) {
-	a.update(func() {
-		a.withheld = l.Paused
-		if a.serveStale = l.Stale; l.Stale && a.service == "" {
-			a.staleList, _ = json.Marshal(a.list) // encoding its plain fields can't fail
+func (p *discoveryProxy) setMode(delivery world.SetListDelivery) {
+	p.update(func() {
+		p.withheld = delivery.Paused
+		if p.serveStale = delivery.Stale; delivery.Stale && p.service == "" {
+			p.staleList, _ = json.Marshal(p.list) // encoding its plain fields can't fail
 		}
 	})
 }
@@ -235,34 +235,34 @@
 
 // instance returns the form that an entry has in the lists for a gateway.
 func (e *engine) instance(entry world.Entry, gateway int) registry.Instance {
-	i := registry.Instance{ID: backendName(entry.Backend), HostPort: e.addresses.backend(gateway, entry.Backend), Zone: e.scenario.Fleet.Zones[entry.Zone], MachineType: "std",
+	instance := registry.Instance{ID: backendName(entry.Backend), HostPort: e.addresses.backend(gateway, entry.Backend), Zone: e.scenario.Fleet.Zones[entry.Zone], MachineType: "std",
 		Cell: entry.Cell, Lifecycle: lifecycles[entry.Lifecycle], Weight: 1}
 	if entry.Started >= 0 {
-		i.StartedAtMs = e.epoch.Add(entry.Started).UnixMilli()
+		instance.StartedAtMs = e.epoch.Add(entry.Started).UnixMilli()
 	}
-	return i
+	return instance
 }
 
 // entries returns the instances of a list in the emulator's form.
-func (e *engine) entries(l registry.Listing) []world.Entry {
-	var all []world.Entry
-	for _, i := range l.Instances {
-		n, ok := parseBackendName(i.ID)
+func (e *engine) entries(list registry.Listing) []world.Entry {
+	var entries []world.Entry
+	for _, instance := range list.Instances {
+		backend, ok := parseBackendName(instance.ID)
 		if !ok {
 			continue
 		}
-		entry := world.Entry{Backend: n, Cell: i.Cell, Started: -1}
+		entry := world.Entry{Backend: backend, Cell: instance.Cell, Started: -1}
 		for lifecycle, name := range lifecycles {
-			if name == i.Lifecycle {
+			if name == instance.Lifecycle {
 				entry.Lifecycle = lifecycle
 			}
 		}
-		if i.StartedAtMs > 0 {
-			entry.Started = time.UnixMilli(i.StartedAtMs).Sub(e.epoch.Round(0))
+		if instance.StartedAtMs > 0 {
+			entry.Started = time.UnixMilli(instance.StartedAtMs).Sub(e.epoch.Round(0))
 		}
-		all = append(all, entry)
+		entries = append(entries, entry)
 	}
-	return all
+	return entries
 }
 
 // registrar registers, renews, drains and deregisters all backends at the service registries, as
@@ -292,31 +292,31 @@
 func (r *registrar) run(ctx context.Context) {
 	renew := time.NewTicker(scenario.LeaseMs * time.Millisecond / 3)
 	defer renew.Stop()
-	again := time.NewTicker(registrationRetryInterval)
-	defer again.Stop()
+	retry := time.NewTicker(registrationRetryInterval)
+	defer retry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case change := <-r.changes:
-			b := &registration{Register: change}
-			r.registrations[change.Backend] = b
-			r.register(ctx, b)
-		case <-again.C:
-			for _, b := range r.registrations {
-				if !b.confirmed && !r.register(ctx, b) {
+			registered := &registration{Register: change}
+			r.registrations[change.Backend] = registered
+			r.register(ctx, registered)
+		case <-retry.C:
+			for _, registered := range r.registrations {
+				if !registered.confirmed && !r.register(ctx, registered) {
 					break // no registry answers
 				}
 			}
 		case <-renew.C:
-			for _, b := range r.registrations {
-				if !b.confirmed {
+			for _, registered := range r.registrations {
+				if !registered.confirmed {
 					continue
 				}
-				i := r.engine.instance(b.Entry, 0)
-				status, _ := r.call(ctx, http.MethodPost, i.ID+"/renew", map[string]any{"startedAtMs": i.StartedAtMs})
+				instance := r.engine.instance(registered.Entry, 0)
+				status, _ := r.call(ctx, http.MethodPost, instance.ID+"/renew", map[string]any{"startedAtMs": instance.StartedAtMs})
 				if status == http.StatusNotFound {
-					r.register(ctx, b)
+					r.register(ctx, registered)
 				}
 				if status == 0 {
 					break // no registry answers
@@ -327,24 +327,24 @@
 }
 
 // register sends a backend's last change, and reports whether the registry answered.
-func (r *registrar) register(ctx context.Context, b *registration) bool {
-	i := r.engine.instance(b.Entry, 0)
-	if b.Lost {
-		delete(r.registrations, b.Backend) // it renews no more, and its lease expires
+func (r *registrar) register(ctx context.Context, registered *registration) bool {
+	instance := r.engine.instance(registered.Entry, 0)
+	if registered.Lost {
+		delete(r.registrations, registered.Backend) // it renews no more, and its lease expires
 		return true
 	}
 	var status int
 	var version int64
-	if b.Lifecycle == world.Gone {
-		status, version = r.call(ctx, http.MethodDelete, i.ID+"?startedAtMs="+strconv.FormatInt(i.StartedAtMs, 10), nil)
+	if registered.Lifecycle == world.Gone {
+		status, version = r.call(ctx, http.MethodDelete, instance.ID+"?startedAtMs="+strconv.FormatInt(instance.StartedAtMs, 10), nil)
 	} else {
-		status, version = r.call(ctx, http.MethodPut, i.ID, map[string]any{"hostPort": i.HostPort, "zone": i.Zone, "machineType": i.MachineType, "cell": i.Cell,
-			"lifecycle": i.Lifecycle, "weight": i.Weight, "startedAtMs": i.StartedAtMs})
+		status, version = r.call(ctx, http.MethodPut, instance.ID, map[string]any{"hostPort": instance.HostPort, "zone": instance.Zone, "machineType": instance.MachineType, "cell": instance.Cell,
+			"lifecycle": instance.Lifecycle, "weight": instance.Weight, "startedAtMs": instance.StartedAtMs})
 	}
-	if b.confirmed = status == http.StatusOK; b.confirmed {
-		r.engine.post(world.Registered{Entry: b.Entry, Version: version})
-		if b.Lifecycle == world.Gone {
-			delete(r.registrations, b.Backend)
+	if registered.confirmed = status == http.StatusOK; registered.confirmed {
+		r.engine.post(world.Registered{Entry: registered.Entry, Version: version})
+		if registered.Lifecycle == world.Gone {
+			delete(r.registrations, registered.Backend)
 		}
 	}
 	return status != 0
@@ -370,13 +370,13 @@
 func (r *registrar) callRegistry(ctx context.Context, method, path string, body any) (status int, version int64) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	var text bytes.Buffer
+	var content bytes.Buffer
 	if body != nil {
-		if err := json.NewEncoder(&text).Encode(body); err != nil {
+		if err := json.NewEncoder(&content).Encode(body); err != nil {
 			return 0, 0
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.engine.registryAddress(world.Endpoint{Kind: scenario.Backends}, r.registry)+registry.Path+"/"+path, &text)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.engine.registryAddress(world.Endpoint{Kind: scenario.Backends}, r.registry)+registry.Path+"/"+path, &content)
 	if err != nil {
 		return 0, 0
 	}
@@ -385,12 +385,12 @@
 		return 0, 0
 	}
 	defer resp.Body.Close()
-	var answer struct {
+	var reply struct {
 		Version int64 `json:"version"`
 	}
-	if resp.StatusCode == http.StatusOK && json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&answer) != nil {
+	if resp.StatusCode == http.StatusOK && json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&reply) != nil {
 		return 0, 0 // the response was truncated, and the change may not have taken effect
 	}
 	io.Copy(io.Discard, resp.Body)
-	return resp.StatusCode, answer.Version
+	return resp.StatusCode, reply.Version
 }
--- a/internal/play/clients.go
+++ b/internal/play/clients.go
@@ -55,74 +55,74 @@
 }
 
 // send sends a request on the most recently used idle connection, or on a new one.
-func (p *clientPool) send(r world.Send) {
-	class := &p.engine.scenario.Classes[r.Class]
-	x := &exchange{id: r.ID, method: http.MethodPost}
+func (p *clientPool) send(request world.Send) {
+	class := &p.engine.scenario.Classes[request.Class]
+	pending := &exchange{id: request.ID, method: http.MethodPost}
 	if class.Effect == "repeatable" {
-		x.method = http.MethodGet
+		pending.method = http.MethodGet
 	}
 	p.mu.Lock()
-	p.inFlight[x.id] = x
-	if n := len(p.idle); n > 0 && !r.NewConnection {
-		x.conn = p.idle[n-1]
-		x.conn.pending = x
+	p.inFlight[pending.id] = pending
+	if n := len(p.idle); n > 0 && !request.NewConnection {
+		pending.conn = p.idle[n-1]
+		pending.conn.pending = pending
 		p.idle = p.idle[:n-1]
 	}
-	c := x.conn
+	connection := pending.conn
 	p.mu.Unlock()
-	if c == nil {
-		if c = p.connect(x, r.Remaining); c == nil {
+	if connection == nil {
+		if connection = p.connect(pending, request.Remaining); connection == nil {
 			return
 		}
 	}
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s /%s?%s HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %016x\r\nX-Service-Class: %s\r\nX-Tier: %s\r\nX-Api-Key: %016x\r\nX-Time-Left-Ms: %d\r\nX-Call-Terms: units=%d,spread=%d,first=%d\r\n",
-		x.method, class.Name, queryOf(r.ID), r.ID, class.Name, p.engine.scenario.Plans[r.Plan].Name, r.Customer, r.Remaining.Milliseconds(), class.Units, p.engine.scenario.Plans[r.Plan].Spread, r.FirstGateway)
-	if r.Key != "" {
-		fmt.Fprintf(&head, "Idempotency-Key: %s\r\n", r.Key)
+		pending.method, class.Name, queryOf(request.ID), request.ID, class.Name, p.engine.scenario.Plans[request.Plan].Name, request.Customer, request.Remaining.Milliseconds(), class.Units, p.engine.scenario.Plans[request.Plan].Spread, request.FirstGateway)
+	if request.Key != "" {
+		fmt.Fprintf(&head, "Idempotency-Key: %s\r\n", request.Key)
 	}
-	if r.Retry {
+	if request.Retry {
 		head.WriteString("X-Repeat: 1\r\n")
 	}
-	if x.method == http.MethodPost {
-		fmt.Fprintf(&head, "Content-Length: %d\r\n", r.Body.Size)
+	if pending.method == http.MethodPost {
+		fmt.Fprintf(&head, "Content-Length: %d\r\n", request.Body.Size)
 	}
 	head.WriteString("\r\n")
-	if r.Body.Size <= maxShortBody {
-		io.Copy(&head, r.Body.Reader())
+	if request.Body.Size <= maxShortBody {
+		io.Copy(&head, request.Body.Reader())
 	}
-	_, err := c.Write(head.Bytes())
-	if err == nil && r.Body.Size > maxShortBody {
-		_, err = io.Copy(c, r.Body.Reader())
+	_, err := connection.Write(head.Bytes())
+	if err == nil && request.Body.Size > maxShortBody {
+		_, err = io.Copy(connection, request.Body.Reader())
 	}
 	if err != nil {
 		return // read reports the failure, after any response that arrived before
 	}
 	p.mu.Lock()
-	x.sent = true
+	pending.sent = true
 	p.mu.Unlock()
-	p.engine.post(world.RequestWritten{ID: x.id})
+	p.engine.post(world.RequestWritten{ID: pending.id})
 }
 
 // connect opens a connection for a request, and reports a failure to the emulator.
-func (p *clientPool) connect(x *exchange, patience time.Duration) *clientConn {
-	conn, err := net.DialTimeout("tcp", p.address, max(patience, time.Millisecond))
+func (p *clientPool) connect(pending *exchange, timeout time.Duration) *clientConn {
+	conn, err := net.DialTimeout("tcp", p.address, max(timeout, time.Millisecond))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err != nil || x.abandoned || p.closed {
-		delete(p.inFlight, x.id)
+	if err != nil || pending.abandoned || p.closed {
+		delete(p.inFlight, pending.id)
 		if err == nil {
 			conn.Close()
-		} else if !x.abandoned {
-			p.engine.post(world.Unanswered{ID: x.id})
+		} else if !pending.abandoned {
+			p.engine.post(world.Unanswered{ID: pending.id})
 		}
 		return nil
 	}
-	c := &clientConn{Conn: conn, pool: p, pending: x}
-	x.conn = c
-	p.conns[c] = true
-	p.engine.wg.Go(c.read)
-	return c
+	connection := &clientConn{Conn: conn, pool: p, pending: pending}
+	pending.conn = connection
+	p.conns[connection] = true
+	p.engine.wg.Go(connection.read)
+	return connection
 }
 
 // takePending removes the pending exchange from the connection. Its caller has to report how the
@@ -130,81 +130,81 @@
 func (c *clientConn) takePending() *exchange {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	x := c.pending
+	taken := c.pending
 	c.pending = nil
-	if x != nil {
-		delete(c.pool.inFlight, x.id)
+	if taken != nil {
+		delete(c.pool.inFlight, taken.id)
 	}
-	return x
+	return taken
 }
 
 // abandon closes the connection of a request.
 func (p *clientPool) abandon(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x := p.inFlight[id]
-	if x == nil {
+	pending := p.inFlight[id]
+	if pending == nil {
 		return // the response has arrived meanwhile
 	}
-	x.abandoned = true
-	if x.conn != nil {
-		x.conn.Close()
+	pending.abandoned = true
+	if pending.conn != nil {
+		pending.conn.Close()
 	}
 }
 
 // read reads responses until the connection ends.
 func (c *clientConn) read() {
-	p := c.pool
+	pool := c.pool
 	defer func() {
 		c.Close()
-		x := c.takePending()
-		p.mu.Lock()
-		delete(p.conns, c)
-		for i, other := range p.idle {
+		pending := c.takePending()
+		pool.mu.Lock()
+		delete(pool.conns, c)
+		for i, other := range pool.idle {
 			if other == c {
-				p.idle = append(p.idle[:i], p.idle[i+1:]...)
+				pool.idle = append(pool.idle[:i], pool.idle[i+1:]...)
 				break
 			}
 		}
 		var sent bool
-		if x != nil {
-			sent = x.sent && !x.abandoned
+		if pending != nil {
+			sent = pending.sent && !pending.abandoned
 		}
-		p.mu.Unlock()
-		if x != nil && !x.abandoned {
-			p.engine.post(world.Unanswered{ID: x.id, Reused: c.lastAnswered != 0, Sent: sent})
+		pool.mu.Unlock()
+		if pending != nil && !pending.abandoned {
+			pool.engine.post(world.Unanswered{ID: pending.id, Reused: c.lastAnswered != 0, Sent: sent})
 		}
 	}()
-	in := bufio.NewReaderSize(c, 4096)
+	reader := bufio.NewReaderSize(c, 4096)
 	for {
-		if _, err := in.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		p.mu.Lock()
-		x := c.pending
-		p.mu.Unlock()
-		if x == nil {
-			p.engine.post(world.UnexpectedData{Gateway: p.gateway, ID: c.lastAnswered})
+		pool.mu.Lock()
+		pending := c.pending
+		pool.mu.Unlock()
+		if pending == nil {
+			pool.engine.post(world.UnexpectedData{Gateway: pool.gateway, ID: c.lastAnswered})
 			return
 		}
-		answer, keep := readAnswer(in, x)
-		c.lastAnswered = x.id
-		if in.Buffered() > 0 {
+		answer, keep := readAnswer(reader, pending)
+		c.lastAnswered = pending.id
+		if reader.Buffered() > 0 {
 			keep = false
-			p.engine.post(world.UnexpectedData{Gateway: p.gateway, ID: x.id})
+			pool.engine.post(world.UnexpectedData{Gateway: pool.gateway, ID: pending.id})
 		}
 		if c.takePending() == nil {
 			return
 		}
-		if !x.abandoned {
-			p.engine.post(answer)
+		if !pending.abandoned {
+			pool.engine.post(answer)
 		}
-		p.mu.Lock()
-		keep = keep && len(p.idle) < maxIdleConns && !p.closed
+		pool.mu.Lock()
+		keep = keep && len(pool.idle) < maxIdleConns && !pool.closed
 		if keep {
-			p.idle = append(p.idle, c)
+			pool.idle = append(pool.idle, c)
 		}
-		p.mu.Unlock()
+		pool.mu.Unlock()
 		if !keep {
 			return
 		}
@@ -212,30 +212,30 @@
 }
 
 // readAnswer reads one final response, and reports whether the connection can be reused.
-func readAnswer(in *bufio.Reader, x *exchange) (world.Answered, bool) {
-	a := world.Answered{ID: x.id}
+func readAnswer(reader *bufio.Reader, pending *exchange) (world.Answered, bool) {
+	answered := world.Answered{ID: pending.id}
 	for {
-		resp, err := http.ReadResponse(in, &http.Request{Method: x.method})
+		resp, err := http.ReadResponse(reader, &http.Request{Method: pending.method})
 		if err != nil {
-			return a, false
+			return answered, false
 		}
 		if resp.StatusCode < 200 {
 			continue
 		}
-		a.Status = resp.StatusCode
+		answered.Status = resp.StatusCode
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
-			a.RetryAfter = time.Duration(s * float64(time.Second))
+			answered.RetryAfter = time.Duration(s * float64(time.Second))
 		}
-		if a.Status == http.StatusOK {
-			a.Body, a.BodyErr = world.ReadBody(resp.Body)
+		if answered.Status == http.StatusOK {
+			answered.Body, answered.BodyErr = world.ReadBody(resp.Body)
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
-		if isConnectionError(errors.Join(a.BodyErr, err)) {
-			a.BodyErr = nil
-			return a, false
+		if isConnectionError(errors.Join(answered.BodyErr, err)) {
+			answered.BodyErr = nil
+			return answered, false
 		}
-		a.Complete = true
-		return a, !resp.Close
+		answered.Complete = true
+		return answered, !resp.Close
 	}
 }
 
@@ -264,10 +264,10 @@
 
 // rude opens connections that send nothing, or a head byte by byte, and opens them
 // again when they are closed.
-func (p *clientPool) rude(r world.HoldConnections) {
-	ctx, cancel := context.WithTimeout(p.engine.ctx, r.Duration)
+func (p *clientPool) rude(behaviour world.HoldConnections) {
+	ctx, cancel := context.WithTimeout(p.engine.ctx, behaviour.Duration)
 	var wg sync.WaitGroup
-	for n := range r.Connections {
+	for n := range behaviour.Connections {
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				p.rudeOnce(ctx, n%2 == 1)
@@ -285,11 +285,11 @@
 // it sends an endless request head byte by byte.
 func (p *clientPool) rudeOnce(ctx context.Context, drips bool) {
 	var d net.Dialer
-	c, err := d.DialContext(ctx, "tcp", p.address)
+	connection, err := d.DialContext(ctx, "tcp", p.address)
 	if err != nil {
 		return
 	}
-	defer c.Close()
+	defer connection.Close()
 	head := []byte("GET /rude HTTP/1.1\r\nHost: origin.svc\r\nX-Nothing: ")
 	for i := 0; ctx.Err() == nil; i++ {
 		if drips {
@@ -297,13 +297,13 @@
 			if i < len(head) {
 				b = head[i]
 			}
-			if _, err := c.Write([]byte{b}); err != nil {
+			if _, err := connection.Write([]byte{b}); err != nil {
 				return
 			}
 		}
-		c.SetReadDeadline(time.Now().Add(rudeInterval))
+		connection.SetReadDeadline(time.Now().Add(rudeInterval))
 		var buf [512]byte
-		if _, err := c.Read(buf[:]); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := connection.Read(buf[:]); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 	}
--- a/internal/play/connectivity.go
+++ b/internal/play/connectivity.go
@@ -21,42 +21,42 @@
 
 // pollConnectivity polls a gateway, as an operator would, for its connectivity and the members
 // that it holds present, and reports the answers to the emulator, until ctx ends.
-func (e *engine) pollConnectivity(ctx context.Context, g int) {
-	t := time.NewTicker(pollInterval)
-	defer t.Stop()
+func (e *engine) pollConnectivity(ctx context.Context, number int) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		if v, ok := e.connectivity(ctx, g); ok && v.On && !v.Superseded {
-			present := make([]bool, len(v.Members))
-			for i, m := range v.Members {
-				present[i] = m.State == membership.Alive.String() || m.State == membership.Suspect.String()
+		if view, ok := e.connectivity(ctx, number); ok && view.On && !view.Superseded {
+			present := make([]bool, len(view.Members))
+			for i, member := range view.Members {
+				present[i] = member.State == membership.Alive.String() || member.State == membership.Suspect.String()
 			}
-			e.post(world.Connectivity{Gateway: g, State: v.State, Reason: v.Reason, Present: present})
+			e.post(world.Connectivity{Gateway: number, State: view.State, Reason: view.Reason, Present: present})
 		}
 	}
 }
 
 // connectivity requests the members view of a gateway once.
-func (e *engine) connectivity(ctx context.Context, g int) (v gateway.MembersView, ok bool) {
+func (e *engine) connectivity(ctx context.Context, number int) (view gateway.MembersView, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	at := e.addresses.control(g)
-	if r := e.linkRelays[world.ProcessLink{From: world.Endpoint{Kind: scenario.Operators}, To: world.Endpoint{Kind: scenario.Gateways, Number: g}}]; r != nil {
-		at = r.Address()
+	address := e.addresses.control(number)
+	if relay := e.linkRelays[world.ProcessLink{From: world.Endpoint{Kind: scenario.Operators}, To: world.Endpoint{Kind: scenario.Gateways, Number: number}}]; relay != nil {
+		address = relay.Address()
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/control/members", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/control/members", nil)
 	if err != nil {
-		return v, false
+		return view, false
 	}
 	resp, err := e.http.Do(req)
 	if err != nil {
-		return v, false
+		return view, false
 	}
 	defer resp.Body.Close()
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxMembersBytes)).Decode(&v)
-	return v, err == nil && resp.StatusCode == http.StatusOK && v.State != ""
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxMembersBytes)).Decode(&view)
+	return view, err == nil && resp.StatusCode == http.StatusOK && view.State != ""
 }
--- a/internal/play/links.go
+++ b/internal/play/links.go
@@ -50,18 +50,18 @@
 	return p, err
 }
 
-func (p *endpoint) accept(c net.Conn) {
-	s := &endpointConn{Conn: c, id: world.Conn(p.engine.lastConn.Add(1)), endpoint: p}
+func (p *endpoint) accept(accepted net.Conn) {
+	connection := &endpointConn{Conn: accepted, id: world.Conn(p.engine.lastConn.Add(1)), endpoint: p}
 	p.mu.Lock()
 	if p.state != world.Up { // it was accepted while the state changed
 		p.mu.Unlock()
-		link.Abort(c)
+		link.Abort(accepted)
 		return
 	}
-	p.conns[s] = true
+	p.conns[connection] = true
 	p.mu.Unlock()
-	p.engine.post(opened{world.Opened{Conn: s.id, Gateway: p.gateway, Peer: p.peer}, s})
-	p.engine.wg.Go(s.run)
+	p.engine.post(opened{world.Opened{Conn: connection.id, Gateway: p.gateway, Peer: p.peer}, connection})
+	p.engine.wg.Go(connection.run)
 }
 
 var listenerStates = map[world.LinkState]link.ListenerState{world.Up: link.Open, world.Refusing: link.Refusing, world.Silent: link.Silent}
@@ -72,8 +72,8 @@
 	p.mu.Lock()
 	p.state = state
 	if state != world.Silent {
-		for s := range p.conns {
-			link.Abort(s.Conn)
+		for connection := range p.conns {
+			link.Abort(connection.Conn)
 		}
 		clear(p.conns)
 	}
@@ -85,8 +85,8 @@
 	p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for s := range p.conns {
-		s.Close()
+	for connection := range p.conns {
+		connection.Close()
 	}
 }
 
@@ -100,13 +100,13 @@
 		s.Close()
 		s.endpoint.engine.post(closed{s})
 	}()
-	in := bufio.NewReaderSize(s, 4096)
+	reader := bufio.NewReaderSize(s, 4096)
 	for {
-		if _, err := in.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
 		first := s.endpoint.engine.now()
-		req, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -139,21 +139,21 @@
 		return true
 	}
 	var n int
-	var seen error
+	var readErr error
 	err = raw.Control(func(fd uintptr) {
-		var b [1]byte
-		n, _, seen = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var next [1]byte
+		n, _, readErr = syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return err != nil || seen == nil && n == 0 || seen != nil && !errors.Is(seen, syscall.EAGAIN)
+	return err != nil || readErr == nil && n == 0 || readErr != nil && !errors.Is(readErr, syscall.EAGAIN)
 }
 
 // arrival returns the emulator's event for a request that a backend has received.
 func (e *engine) arrival(id world.Conn, req *http.Request, body world.Body, bodyErr error, first time.Duration) world.Arrived {
 	correlation, err := strconv.ParseUint(req.Header.Get("X-Correlation-Id"), 16, 64)
 	class, query, _ := strings.Cut(strings.TrimPrefix(req.URL.RequestURI(), "/"), "?")
-	a := world.Arrived{Conn: id, ID: correlation, FirstByte: first, Class: class, Key: req.Header.Get("Idempotency-Key"), Body: body}
-	a.Unchanged = err == nil && bodyErr == nil && query == queryOf(correlation) && req.Method == e.methods[class]
-	return a
+	event := world.Arrived{Conn: id, ID: correlation, FirstByte: first, Class: class, Key: req.Header.Get("Idempotency-Key"), Body: body}
+	event.Unchanged = err == nil && bodyErr == nil && query == queryOf(correlation) && req.Method == e.methods[class]
+	return event
 }
 
 // queryOf returns the query of a request, by which endpoints check that gateways forward it.
@@ -164,21 +164,21 @@
 	name, ok := strings.CutPrefix(req.URL.EscapedPath(), "/v1/count/")
 	query := req.URL.Query()
 	add, err := strconv.ParseFloat(query.Get("add"), 64)
-	life, err2 := strconv.ParseInt(query.Get("ttl_ms"), 10, 64)
-	if !ok || err != nil || err2 != nil || req.Method != http.MethodPost || name == "" || len(name) > 64 || life < 1 || add > 1e9 || add < -1e9 {
+	ttl, ttlErr := strconv.ParseInt(query.Get("ttl_ms"), 10, 64)
+	if !ok || err != nil || ttlErr != nil || req.Method != http.MethodPost || name == "" || len(name) > 64 || ttl < 1 || add > 1e9 || add < -1e9 {
 		return world.Called{}, false
 	}
-	return world.Called{Name: name, Add: add, Lifetime: time.Duration(min(life, 60_000)) * time.Millisecond}, true
+	return world.Called{Name: name, Add: add, Lifetime: time.Duration(min(ttl, 60_000)) * time.Millisecond}, true
 }
 
 // replyTotal writes the counter's response.
-func (s *endpointConn) replyTotal(t world.CounterReply) {
+func (s *endpointConn) replyTotal(reply world.CounterReply) {
 	text := ""
-	if t.Status == http.StatusOK {
-		text = strconv.FormatFloat(t.Total, 'f', -1, 64)
+	if reply.Status == http.StatusOK {
+		text = strconv.FormatFloat(reply.Total, 'f', -1, 64)
 	}
 	s.SetWriteDeadline(time.Now().Add(shortWriteTimeout))
-	fmt.Fprintf(s, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", t.Status, http.StatusText(t.Status), len(text), text)
+	fmt.Fprintf(s, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", reply.Status, http.StatusText(reply.Status), len(text), text)
 }
 
 // reply writes a backend's response. It does not wait for a long one to be written.
--- a/internal/play/loop.go
+++ b/internal/play/loop.go
@@ -49,14 +49,14 @@
 	if e.options.Progress == nil {
 		return
 	}
-	r := e.world.Tally.Recent()
+	recent := e.world.Tally.Recent()
 	_, counts := e.world.Referee.Violations()
 	broken := 0
 	for _, n := range counts {
 		broken += n
 	}
 	fmt.Fprintf(e.options.Progress, "%4.0f s  served %4d  late %3d  refused %4d  failed %3d  left %3d  lost %3d  worth so far %.3f  rules broken %d\n",
-		(e.now() - e.startedAt).Seconds(), r["served"], r["late"], r["refused"], r["failed"], r["left"], r["lost"], e.world.Tally.Share(), broken)
+		(e.now() - e.startedAt).Seconds(), recent["served"], recent["late"], recent["refused"], recent["failed"], recent["left"], recent["lost"], e.world.Tally.Share(), broken)
 }
 
 // post queues an event for the loop. It blocks while the queue is full.
@@ -69,37 +69,37 @@
 
 // step passes an event to the emulator and carries out the actions that it returns.
 func (e *engine) step(event timedEvent) {
-	var what any = event.event
-	switch x := event.event.(type) {
+	var input any = event.event
+	switch received := event.event.(type) {
 	case opened:
-		e.conns[x.conn.id] = x.conn
-		what = x.Opened
+		e.conns[received.conn.id] = received.conn
+		input = received.Opened
 	case closed:
-		delete(e.conns, x.conn.id)
-		what = world.Closed{Conn: x.conn.id}
+		delete(e.conns, received.conn.id)
+		input = world.Closed{Conn: received.conn.id}
 	case serviceExited:
 		// The exit of an earlier process may arrive after the next has started.
-		if x.generation == e.generations[x.service] && !e.killed[x.service] && e.scenario.Fleet.Group && x.status == killedOutside && e.failed == nil {
+		if received.generation == e.generations[received.service] && !e.killed[received.service] && e.scenario.Fleet.Group && received.status == killedOutside && e.failed == nil {
 			// The user killed it, to see how the others cope.
-			e.performAll([]world.Action{{Due: event.at, Operation: world.Mark{Text: e.services[x.service].name + " was killed from outside, and starts again"}}})
-			e.failed = e.startService(x.service)
+			e.performAll([]world.Action{{Due: event.at, Operation: world.Mark{Text: e.services[received.service].name + " was killed from outside, and starts again"}}})
+			e.failed = e.startService(received.service)
 			return
 		}
-		if x.generation == e.generations[x.service] && !e.killed[x.service] && e.failed == nil {
-			e.failed = fmt.Errorf("%s ended by itself (%s); it said:\n%s", e.services[x.service].name, x.status, e.services[x.service].logTail())
+		if received.generation == e.generations[received.service] && !e.killed[received.service] && e.failed == nil {
+			e.failed = fmt.Errorf("%s ended by itself (%s); it said:\n%s", e.services[received.service].name, received.status, e.services[received.service].logTail())
 		}
 		return
 	case relayedDatagram:
-		what = e.datagrams.store(x)
+		input = e.datagrams.store(received)
 	}
-	e.performAll(e.world.Step(event.at, what))
+	e.performAll(e.world.Step(event.at, input))
 }
 
 // performAll carries out actions and records how late they are.
 func (e *engine) performAll(actions []world.Action) {
-	for _, a := range actions {
-		e.world.Tally.Acted(e.now() - a.Due)
-		if err := e.perform(a.Operation); err != nil && e.failed == nil {
+	for _, action := range actions {
+		e.world.Tally.Acted(e.now() - action.Due)
+		if err := e.perform(action.Operation); err != nil && e.failed == nil {
 			e.failed = err
 		}
 	}
@@ -107,97 +107,97 @@
 
 // perform carries out one action.
 func (e *engine) perform(action any) error {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case world.Send:
-		e.wg.Go(func() { e.clients[a.Gateway].send(a) })
+		e.wg.Go(func() { e.clients[action.Gateway].send(action) })
 	case world.Abandon:
 		for _, c := range e.clients {
-			c.abandon(a.ID)
+			c.abandon(action.ID)
 		}
 	case world.Reply:
-		if s := e.conns[a.Conn]; s != nil {
-			s.reply(a)
+		if connection := e.conns[action.Conn]; connection != nil {
+			connection.reply(action)
 		}
 	case world.CounterReply:
-		if s := e.conns[a.Conn]; s != nil {
-			s.replyTotal(a)
+		if connection := e.conns[action.Conn]; connection != nil {
+			connection.replyTotal(action)
 		}
 	case world.Reset:
-		if s := e.conns[a.Conn]; s != nil {
-			link.Abort(s.Conn)
+		if connection := e.conns[action.Conn]; connection != nil {
+			link.Abort(connection.Conn)
 		}
 	case world.CheckConnections:
-		looked := world.ConnectionsChecked{ID: a.ID}
-		for _, c := range a.Connections {
-			if s := e.conns[c]; s == nil || s.ended() {
-				looked.Closed = append(looked.Closed, c)
+		checked := world.ConnectionsChecked{ID: action.ID}
+		for _, c := range action.Connections {
+			if connection := e.conns[c]; connection == nil || connection.ended() {
+				checked.Closed = append(checked.Closed, c)
 			}
 		}
-		e.step(timedEvent{e.now(), looked})
+		e.step(timedEvent{e.now(), checked})
 	case world.SetLinkState:
-		p, err := e.endpoint(gatewayLink{a.Gateway, a.Peer})
+		endpoint, err := e.endpoint(gatewayLink{action.Gateway, action.Peer})
 		if err != nil {
 			return err
 		}
-		return p.set(a.State)
+		return endpoint.set(action.State)
 	case world.SetRelayCondition:
-		if r := e.linkRelays[a.ProcessLink]; r != nil {
-			return r.Set(a.Direction, a.Condition)
+		if relay := e.linkRelays[action.ProcessLink]; relay != nil {
+			return relay.Set(action.Direction, action.Condition)
 		}
 	case world.Register:
-		for g := range e.gateways { // a new backend listens before it is registered
-			if _, err := e.endpoint(gatewayLink{g, a.Backend}); err != nil {
+		for gateway := range e.gateways { // a new backend listens before it is registered
+			if _, err := e.endpoint(gatewayLink{gateway, action.Backend}); err != nil {
 				return err
 			}
 		}
 		if e.registrar != nil {
-			e.registrar.changes <- a
+			e.registrar.changes <- action
 		}
 	case world.SendList:
-		e.proxies[a.Gateway][0].setList(a.Entries)
+		e.proxies[action.Gateway][0].setList(action.Entries)
 	case world.SetListDelivery:
-		for _, agent := range e.proxies[a.Gateway] {
-			agent.setMode(a)
+		for _, agent := range e.proxies[action.Gateway] {
+			agent.setMode(action)
 		}
 	case world.Start:
-		if err := e.startGateway(a.Gateway); err != nil {
+		if err := e.startGateway(action.Gateway); err != nil {
 			return err
 		}
 		e.wg.Go(func() {
-			if awaitReady(e.ctx, e.http, e.gateways[a.Gateway], "http://"+e.addresses.gateway(a.Gateway)+"/health/ready") == nil {
-				e.post(world.Ready(a))
+			if awaitReady(e.ctx, e.http, e.gateways[action.Gateway], "http://"+e.addresses.gateway(action.Gateway)+"/health/ready") == nil {
+				e.post(world.Ready(action))
 			}
 		})
 	case world.Kill:
-		e.gateways[a.Gateway].signal(syscall.SIGKILL)
+		e.gateways[action.Gateway].signal(syscall.SIGKILL)
 	case world.Stop:
-		e.gateways[a.Gateway].signal(syscall.SIGTERM)
+		e.gateways[action.Gateway].signal(syscall.SIGTERM)
 	case world.Freeze:
-		e.gateways[a.Gateway].signal(syscall.SIGSTOP)
+		e.gateways[action.Gateway].signal(syscall.SIGSTOP)
 	case world.Thaw:
-		e.gateways[a.Gateway].signal(syscall.SIGCONT)
+		e.gateways[action.Gateway].signal(syscall.SIGCONT)
 	case world.KillService:
-		e.killed[a.Service] = true
-		e.services[a.Service].signal(syscall.SIGKILL)
+		e.killed[action.Service] = true
+		e.services[action.Service].signal(syscall.SIGKILL)
 	case world.StopService:
-		e.killed[a.Service] = true
-		e.services[a.Service].signal(syscall.SIGTERM)
+		e.killed[action.Service] = true
+		e.services[action.Service].signal(syscall.SIGTERM)
 	case world.FreezeService:
-		e.services[a.Service].signal(syscall.SIGSTOP)
+		e.services[action.Service].signal(syscall.SIGSTOP)
 	case world.ThawService:
-		e.services[a.Service].signal(syscall.SIGCONT)
+		e.services[action.Service].signal(syscall.SIGCONT)
 	case world.StartService:
-		e.services[a.Service].awaitExit(0)
-		if err := e.startService(a.Service); err != nil {
+		e.services[action.Service].awaitExit(0)
+		if err := e.startService(action.Service); err != nil {
 			return err
 		}
-		e.killed[a.Service] = false
+		e.killed[action.Service] = false
 	case world.HoldConnections:
-		e.clients[a.Gateway].rude(a)
+		e.clients[action.Gateway].rude(action)
 	case world.Deliver:
-		e.datagrams.deliver(a)
+		e.datagrams.deliver(action)
 	case world.Mark:
-		text := fmt.Sprintf("%.1f s: %s", (e.now() - e.startedAt).Seconds(), a.Text)
+		text := fmt.Sprintf("%.1f s: %s", (e.now() - e.startedAt).Seconds(), action.Text)
 		e.marks = append(e.marks, text)
 		if e.options.Progress != nil {
 			fmt.Fprintln(e.options.Progress, text)
--- a/internal/play/machine.go
+++ b/internal/play/machine.go
@@ -33,71 +33,71 @@
 
 // thisMachine returns the resources that are available now.
 func thisMachine() (machineResources, error) {
-	m := machineResources{cores: runtime.NumCPU()}
+	resources := machineResources{cores: runtime.NumCPU()}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return m, err
+		return resources, err
 	}
-	m.descriptors = int(min(limit.Cur, 1<<30))
+	resources.descriptors = int(min(limit.Cur, 1<<30))
 	f, err := os.Open("/proc/meminfo")
 	if err != nil {
-		return m, err
+		return resources, err
 	}
 	defer f.Close()
-	for in := bufio.NewScanner(f); in.Scan(); {
-		if rest, ok := strings.CutPrefix(in.Text(), "MemAvailable:"); ok {
+	for lines := bufio.NewScanner(f); lines.Scan(); {
+		if value, ok := strings.CutPrefix(lines.Text(), "MemAvailable:"); ok {
 			var kb int
-			if _, err := fmt.Sscan(rest, &kb); err != nil {
-				return m, err
+			if _, err := fmt.Sscan(value, &kb); err != nil {
+				return resources, err
 			}
-			m.memoryMB = kb / 1024
+			resources.memoryMB = kb / 1024
 		}
 	}
-	return m, nil
+	return resources, nil
 }
 
 // CheckMachine returns an error that names each resource of which the scenario is estimated to
 // need more than this machine has.
 func CheckMachine(s *scenario.Scenario) error {
-	m, err := thisMachine()
+	resources, err := thisMachine()
 	if err != nil {
 		return fmt.Errorf("reading the resources of this machine: %w", err)
 	}
-	return m.check(s)
+	return resources.check(s)
 }
 
 func (m machineResources) check(s *scenario.Scenario) error {
-	most := 1.0
+	maxFactor := 1.0
 	if len(s.Load.Shape) > 0 {
-		most = 0
+		maxFactor = 0
 	}
 	for _, step := range s.Load.Shape {
-		most = max(most, step.Factor)
+		maxFactor = max(maxFactor, step.Factor)
 	}
-	rude := 0
-	for _, f := range s.Faults {
-		switch f.Kind {
+	rudeConnections := 0
+	for _, fault := range s.Faults {
+		switch fault.Kind {
 		case "burst":
-			most *= max(1, f.Size)
+			maxFactor *= max(1, fault.Size)
 		case "rude":
-			rude += int(f.Size) * s.Fleet.Gateways
+			rudeConnections += int(fault.Size) * s.Fleet.Gateways
 		}
 	}
-	rate := s.Load.RequestsPerS * most
+	rate := s.Load.RequestsPerS * maxFactor
 	processes := s.Fleet.Gateways + s.Fleet.ListServices
-	var all []error
+	var problems []error
 	if cores := rate*cpuSecondsPerRequest + float64(processes)*idleCoresPerProcess; cores > maxCoreFraction*float64(m.cores) {
-		all = append(all, fmt.Errorf("about %.1f cores for %.0f requests a second, and the machine has %d", cores, rate, m.cores))
+		problems = append(problems, fmt.Errorf("about %.1f cores for %.0f requests a second, and the machine has %d", cores, rate, m.cores))
 	}
 	if memory := s.Fleet.Gateways*s.Fleet.MemoryMB + emulatorMemoryMB; memory > m.memoryMB {
-		all = append(all, fmt.Errorf("up to %d MB of memory for %d gateways, and %d are free", memory, s.Fleet.Gateways, m.memoryMB))
+		problems = append(problems, fmt.Errorf("up to %d MB of memory for %d gateways, and %d are free", memory, s.Fleet.Gateways, m.memoryMB))
 	}
 	links := s.Fleet.Gateways*(s.Fleet.Backends+2+s.Fleet.ListServices) + len(world.RelayedLinks(s))
-	if sockets := emulatorDescriptors + descriptorsPerLink*links + int(3*rate*requestSeconds) + rude; sockets > m.descriptors {
-		all = append(all, fmt.Errorf("about %d descriptors, and the limit is %d (ulimit -n)", sockets, m.descriptors))
+	if sockets := emulatorDescriptors + descriptorsPerLink*links + int(3*rate*requestSeconds) + rudeConnections; sockets > m.descriptors {
+		problems = append(problems, fmt.Errorf("about %d descriptors, and the limit is %d (ulimit -n)", sockets, m.descriptors))
 	}
-	if len(all) > 0 {
-		return fmt.Errorf("the scenario asks more than this machine has: %w", errors.Join(all...))
+	if len(problems) > 0 {
+		return fmt.Errorf("the scenario asks more than this machine has: %w", errors.Join(problems...))
 	}
 	return nil
 }
--- a/internal/play/play.go
+++ b/internal/play/play.go
@@ -125,8 +125,8 @@
 
 // Run runs a scenario until its day is over or ctx ends. When it returns, all processes
 // that it started have ended.
-func Run(ctx context.Context, s *scenario.Scenario, o Options) (*Result, error) {
-	e := &engine{scenario: s, options: o, epoch: time.Now(), events: make(chan timedEvent, eventQueueLength), endpoints: map[gatewayLink]*endpoint{}, linkRelays: map[world.ProcessLink]*link.Relay{},
+func Run(ctx context.Context, s *scenario.Scenario, options Options) (*Result, error) {
+	e := &engine{scenario: s, options: options, epoch: time.Now(), events: make(chan timedEvent, eventQueueLength), endpoints: map[gatewayLink]*endpoint{}, linkRelays: map[world.ProcessLink]*link.Relay{},
 		conns: map[world.Conn]*endpointConn{}, killed: map[int]bool{}, generations: map[int]int{}, methods: map[string]string{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: s.Fleet.Gateways + 4}, Timeout: 65 * time.Second}}
 	for _, c := range s.Classes {
@@ -135,8 +135,8 @@
 			e.methods[c.Name] = http.MethodGet
 		}
 	}
-	inner, stop := context.WithCancel(context.Background())
-	e.ctx = inner
+	runContext, stop := context.WithCancel(context.Background())
+	e.ctx = runContext
 	e.world = world.New(s)
 	e.starter = child.NewStarter()
 	defer e.starter.Close()
@@ -145,17 +145,17 @@
 		err = e.loop(ctx)
 	}
 	// The fleet stops first, while the emulator still answers it.
-	whole := err == nil && ctx.Err() == nil
-	if whole {
-		for g := range e.gateways {
-			e.world.Referee.Stopping(e.now(), g)
+	completed := err == nil && ctx.Err() == nil
+	if completed {
+		for gateway := range e.gateways {
+			e.world.Referee.Stopping(e.now(), gateway)
 		}
 	}
-	hung := e.stopFleet(whole)
+	hung := e.stopFleet(completed)
 	stop()
 	e.close()
-	for _, g := range hung {
-		e.world.Referee.StopTimedOut(e.now(), g)
+	for _, gateway := range hung {
+		e.world.Referee.StopTimedOut(e.now(), gateway)
 	}
 	if err == nil {
 		err = e.failed
@@ -167,21 +167,21 @@
 	for _, p := range e.gateways {
 		e.world.Tally.Gateways = append(e.world.Tally.Gateways, p.usage)
 	}
-	r := &Result{Tally: e.world.Tally, Marks: e.marks, EndedEarly: ctx.Err() != nil, MinCeilingRemaining: e.world.Referee.MinCeilingRemaining(),
+	result := &Result{Tally: e.world.Tally, Marks: e.marks, EndedEarly: ctx.Err() != nil, MinCeilingRemaining: e.world.Referee.MinCeilingRemaining(),
 		Trials: e.world.Referee.Trials(), LowCustomers: e.world.Referee.LowCustomers(), MaxColdBudgetUsed: e.world.Referee.MaxColdBudgetUsed()}
-	r.Violations, r.Counts = e.world.Referee.Violations()
+	result.Violations, result.Counts = e.world.Referee.Violations()
 	switch p99 := e.world.Tally.Lateness(99); {
 	case p99 > maxLatenessP99:
-		r.InvalidReason = fmt.Sprintf("the emulator was late by %v at p99, over the limit of %v: the machine is too small for this scenario", p99, maxLatenessP99)
+		result.InvalidReason = fmt.Sprintf("the emulator was late by %v at p99, over the limit of %v: the machine is too small for this scenario", p99, maxLatenessP99)
 	case e.loopGap > maxLoopGap:
-		r.InvalidReason = fmt.Sprintf("the emulator paused for %v, over the limit of %v", e.loopGap.Round(time.Millisecond), maxLoopGap)
+		result.InvalidReason = fmt.Sprintf("the emulator paused for %v, over the limit of %v", e.loopGap.Round(time.Millisecond), maxLoopGap)
 	}
-	for at, relay := range e.linkRelays {
+	for processLink, relay := range e.linkRelays {
 		if s := relay.Stats(); s.MaxLateness > maxLoopGap || s.Rejected > 0 {
-			r.InvalidReason = fmt.Sprintf("the relay from %v was late by %v and turned %d connections away", at, s.MaxLateness.Round(time.Millisecond), s.Rejected)
+			result.InvalidReason = fmt.Sprintf("the relay from %v was late by %v and turned %d connections away", processLink, s.MaxLateness.Round(time.Millisecond), s.Rejected)
 		}
 	}
-	return r, nil
+	return result, nil
 }
 
 // now returns the time since the start of the run, by the monotonic clock.
--- a/internal/play/processes.go
+++ b/internal/play/processes.go
@@ -33,7 +33,7 @@
 }
 
 // start starts the process. It calls exited with the exit status when the process has exited.
-func (p *process) start(s *child.Starter, config []byte, exited func(how string)) error {
+func (p *process) start(starter *child.Starter, config []byte, exited func(how string)) error {
 	path := filepath.Join(p.dir, "config.json")
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return err
@@ -51,7 +51,7 @@
 	cmd := exec.Command(p.program, append(p.args, "--config", path)...)
 	cmd.Env = append(os.Environ(), "TMPDIR="+tmp, "EDGE_CONFIG="+path)
 	cmd.Stdout, cmd.Stderr = log, log
-	if err := s.Start(cmd); err != nil {
+	if err := starter.Start(cmd); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
@@ -64,8 +64,8 @@
 		p.mu.Lock()
 		p.exit = err
 		p.usage.CPUS += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
-		if use, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.usage.MemoryMB = max(p.usage.MemoryMB, float64(use.Maxrss)/1024)
+		if rusage, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
+			p.usage.MemoryMB = max(p.usage.MemoryMB, float64(rusage.Maxrss)/1024)
 		}
 		p.mu.Unlock()
 		close(ended)
@@ -188,28 +188,28 @@
 // claimNetwork reserves a network in which the addresses of the processes are free. The caller
 // closes the returned listener to release it. Addresses of the emulator itself are not checked.
 func claimNetwork(gateways, services int, random func(int) int) (addressPlan, net.Listener, error) {
-	var last error
+	var lastErr error
 	for range maxNetworksTried {
-		p := addressPlan{firstNetwork + random(endNetwork-firstNetwork)}
+		plan := addressPlan{firstNetwork + random(endNetwork-firstNetwork)}
 		var addresses []string
 		for n := range gateways {
-			addresses = append(addresses, p.gateway(n), p.control(n))
+			addresses = append(addresses, plan.gateway(n), plan.control(n))
 		}
 		for n := range services {
-			addresses = append(addresses, p.registry(n), p.registryControl(n), p.registryGroup(n))
+			addresses = append(addresses, plan.registry(n), plan.registryControl(n), plan.registryGroup(n))
 		}
 		var claim net.Listener
-		if claim, last = net.Listen("tcp", p.claim()); last == nil {
-			if last = checkFree(addresses); last == nil {
-				return p, claim, nil
+		if claim, lastErr = net.Listen("tcp", plan.claim()); lastErr == nil {
+			if lastErr = checkFree(addresses); lastErr == nil {
+				return plan, claim, nil
 			}
 			claim.Close()
 		}
-		if !errors.Is(last, syscall.EADDRINUSE) {
-			return addressPlan{}, nil, last
+		if !errors.Is(lastErr, syscall.EADDRINUSE) {
+			return addressPlan{}, nil, lastErr
 		}
 	}
-	return addressPlan{}, nil, fmt.Errorf("the addresses of %d runs in 127.0.0.0/8 are taken; the last: %w", maxNetworksTried, last)
+	return addressPlan{}, nil, fmt.Errorf("the addresses of %d runs in 127.0.0.0/8 are taken; the last: %w", maxNetworksTried, lastErr)
 }
 
 // checkFree returns an error if one of the addresses can't be listened on.
--- a/internal/play/relays.go
+++ b/internal/play/relays.go
@@ -29,32 +29,32 @@
 func newDatagramRelays(e *engine) (*datagramRelays, error) {
 	var addresses []string
 	var members []netip.AddrPort
-	for n := range e.scenario.Fleet.Gateways + 1 {
-		addresses = append(addresses, e.addresses.datagramRelay(n))
-		if n < e.scenario.Fleet.Gateways {
-			members = append(members, netip.MustParseAddrPort(e.addresses.peer(n)))
+	for gateway := range e.scenario.Fleet.Gateways + 1 {
+		addresses = append(addresses, e.addresses.datagramRelay(gateway))
+		if gateway < e.scenario.Fleet.Gateways {
+			members = append(members, netip.MustParseAddrPort(e.addresses.peer(gateway)))
 		}
 	}
-	x, err := link.NewDatagramRelay(addresses, members, func(from, to int, data []byte) {
+	exchange, err := link.NewDatagramRelay(addresses, members, func(from, to int, data []byte) {
 		if to == link.Broadcast {
 			to = world.Broadcast
 		}
 		e.post(relayedDatagram{world.Datagram{From: from, To: to, Bytes: len(data)}, data})
 	})
-	return &datagramRelays{DatagramRelay: x}, err
+	return &datagramRelays{DatagramRelay: exchange}, err
 }
 
 // store keeps the contents of a datagram, and returns the event with its number.
-func (r *datagramRelays) store(a relayedDatagram) world.Datagram {
+func (r *datagramRelays) store(datagram relayedDatagram) world.Datagram {
 	r.lastNumber++
-	r.bytes[r.lastNumber%maxDatagramsInTransit] = a.data
-	a.Number = r.lastNumber
-	return a.Datagram
+	r.bytes[r.lastNumber%maxDatagramsInTransit] = datagram.data
+	datagram.Number = r.lastNumber
+	return datagram.Datagram
 }
 
 // deliver sends a stored datagram to its destination, unless newer ones have replaced it.
-func (r *datagramRelays) deliver(d world.Deliver) {
-	if r.lastNumber-d.Number < maxDatagramsInTransit {
-		r.Deliver(d.From, d.To, r.bytes[d.Number%maxDatagramsInTransit])
+func (r *datagramRelays) deliver(delivery world.Deliver) {
+	if r.lastNumber-delivery.Number < maxDatagramsInTransit {
+		r.Deliver(delivery.From, delivery.To, r.bytes[delivery.Number%maxDatagramsInTransit])
 	}
 }
--- a/internal/play/report.go
+++ b/internal/play/report.go
@@ -18,23 +18,23 @@
 func (r *Result) Report(w io.Writer) {
 	r.Tally.Table(w)
 	fmt.Fprintf(w, "nearest to a ceiling: %.2f of a store was left, under a third of %d; the fullest cold backend used %.2f of its room\n", r.MinCeilingRemaining, r.LowCustomers, r.MaxColdBudgetUsed)
-	for i, v := range r.Violations {
+	for i, violation := range r.Violations {
 		if i == maxReportedViolations {
 			fmt.Fprintln(w, "and others, see the counts")
 			break
 		}
-		fmt.Fprintln(w, "BROKEN", v)
+		fmt.Fprintln(w, "BROKEN", violation)
 	}
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tab, "rule\tbroken\ttried")
-	for _, t := range r.Trials {
-		tried := strconv.Itoa(t.Tried)
-		if t.Tried == 0 {
-			tried = "not tried"
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "rule\tbroken\ttried")
+	for _, trial := range r.Trials {
+		count := strconv.Itoa(trial.Tried)
+		if trial.Tried == 0 {
+			count = "not tried"
 		}
-		fmt.Fprintf(tab, "%s\t%d\t%s\t%s\n", t.Name, r.Counts[t.Rule()], tried, t.Description)
+		fmt.Fprintf(table, "%s\t%d\t%s\t%s\n", trial.Name, r.Counts[trial.Rule()], count, trial.Description)
 	}
-	tab.Flush()
+	table.Flush()
 	if r.EndedEarly {
 		fmt.Fprintln(w, "ended early")
 	}
@@ -56,20 +56,20 @@
 	if err := r.Tally.JSON(w); err != nil {
 		return err
 	}
-	e := json.NewEncoder(w)
-	for _, v := range r.Violations {
-		err := e.Encode(map[string]any{"kind": "violation", "at_s": v.At.Seconds(), "rule": v.Rule, "gateway": v.Gateway,
-			"request": fmt.Sprintf("%016x", v.Request), "text": v.Text, "history": v.History})
+	encoder := json.NewEncoder(w)
+	for _, violation := range r.Violations {
+		err := encoder.Encode(map[string]any{"kind": "violation", "at_s": violation.At.Seconds(), "rule": violation.Rule, "gateway": violation.Gateway,
+			"request": fmt.Sprintf("%016x", violation.Request), "text": violation.Text, "history": violation.History})
 		if err != nil {
 			return err
 		}
 	}
-	for _, t := range r.Trials {
-		err := e.Encode(map[string]any{"kind": "rule", "name": t.Name, "what": t.Description, "tried": t.Tried, "broken": r.Counts[t.Rule()]})
+	for _, trial := range r.Trials {
+		err := encoder.Encode(map[string]any{"kind": "rule", "name": trial.Name, "what": trial.Description, "tried": trial.Tried, "broken": r.Counts[trial.Rule()]})
 		if err != nil {
 			return err
 		}
 	}
-	return e.Encode(map[string]any{"kind": "verdict", "worth": r.Tally.Share(), "nearest_to_ceiling": r.MinCeilingRemaining, "low_customers": r.LowCustomers, "cold_room_used": r.MaxColdBudgetUsed,
+	return encoder.Encode(map[string]any{"kind": "verdict", "worth": r.Tally.Share(), "nearest_to_ceiling": r.MinCeilingRemaining, "low_customers": r.LowCustomers, "cold_room_used": r.MaxColdBudgetUsed,
 		"broken": r.Counts, "not_tried": referee.Untried(r.Trials, referee.Rules()), "counts": r.InvalidReason == "" && !r.EndedEarly, "late": r.InvalidReason, "cut": r.EndedEarly, "marks": r.Marks})
 }
--- a/internal/play/start.go
+++ b/internal/play/start.go
@@ -19,20 +19,20 @@
 	if e.addresses, e.claim, err = claimNetwork(e.scenario.Fleet.Gateways, e.scenario.Fleet.ListServices, rand.IntN); err != nil {
 		return err
 	}
-	for n, at := range world.RelayedLinks(e.scenario) {
+	for number, processLink := range world.RelayedLinks(e.scenario) {
 		limits := link.Limits{MaxConnections: maxRelayConnections, BufferBytes: relayBufferBytes}
-		target := e.addresses.registry(at.To.Number)
+		target := e.addresses.registry(processLink.To.Number)
 		switch {
-		case at.From.Kind == scenario.Operators:
-			target = e.addresses.control(at.To.Number)
-		case e.scenario.Fleet.Group && at.From.Kind == scenario.Registries:
-			target = e.addresses.registryGroup(at.To.Number)
+		case processLink.From.Kind == scenario.Operators:
+			target = e.addresses.control(processLink.To.Number)
+		case e.scenario.Fleet.Group && processLink.From.Kind == scenario.Registries:
+			target = e.addresses.registryGroup(processLink.To.Number)
 		}
-		r, err := link.NewRelay(e.addresses.linkRelay(n), target, limits, e.scenario.Seed+uint64(n))
+		relay, err := link.NewRelay(e.addresses.linkRelay(number), target, limits, e.scenario.Seed+uint64(number))
 		if err != nil {
 			return err
 		}
-		e.linkRelays[at] = r
+		e.linkRelays[processLink] = relay
 	}
 	if err := e.startServices(ctx); err != nil {
 		return err
@@ -42,25 +42,25 @@
 		return err
 	}
 	e.datagrams = relays
-	for g := range e.scenario.Fleet.Gateways {
-		if err := e.startEndpoints(g); err != nil {
+	for gateway := range e.scenario.Fleet.Gateways {
+		if err := e.startEndpoints(gateway); err != nil {
 			return err
 		}
 	}
-	for g := range e.scenario.Fleet.Gateways {
-		p, err := e.process("n"+fmt.Sprint(g), e.options.Gateway, e.options.Args...)
+	for gateway := range e.scenario.Fleet.Gateways {
+		started, err := e.process("n"+fmt.Sprint(gateway), e.options.Gateway, e.options.Args...)
 		if err != nil {
 			return err
 		}
-		e.gateways = append(e.gateways, p)
-		if err := e.startGateway(g); err != nil {
+		e.gateways = append(e.gateways, started)
+		if err := e.startGateway(gateway); err != nil {
 			return err
 		}
 	}
 	ready := make(chan error, len(e.gateways))
-	for g := range e.gateways {
+	for gateway := range e.gateways {
 		go func() {
-			ready <- awaitReady(ctx, e.http, e.gateways[g], "http://"+e.addresses.gateway(g)+"/health/ready")
+			ready <- awaitReady(ctx, e.http, e.gateways[gateway], "http://"+e.addresses.gateway(gateway)+"/health/ready")
 		}()
 	}
 	// The emulator answers the gateways' calls meanwhile.
@@ -75,10 +75,10 @@
 			e.step(event)
 		}
 	}
-	for g := range e.gateways {
-		e.step(timedEvent{e.now(), world.Ready{Gateway: g}})
+	for gateway := range e.gateways {
+		e.step(timedEvent{e.now(), world.Ready{Gateway: gateway}})
 		if e.scenario.Fleet.Membership {
-			e.wg.Go(func() { e.pollConnectivity(e.ctx, g) })
+			e.wg.Go(func() { e.pollConnectivity(e.ctx, gateway) })
 		}
 	}
 	return nil
@@ -86,8 +86,8 @@
 
 // process prepares a process with a folder of its own.
 func (e *engine) process(name, program string, args ...string) (*process, error) {
-	p := &process{name: name, program: program, args: args, dir: filepath.Join(e.options.Dir, name), usage: results.Gateway{Kind: "gateway", Name: name}}
-	return p, os.MkdirAll(p.dir, 0o700)
+	prepared := &process{name: name, program: program, args: args, dir: filepath.Join(e.options.Dir, name), usage: results.Gateway{Kind: "gateway", Name: name}}
+	return prepared, os.MkdirAll(prepared.dir, 0o700)
 }
 
 // startServices starts the registries and waits until they are ready.
@@ -96,21 +96,21 @@
 		return nil
 	}
 	e.registrar = newRegistrar(e)
-	for k := range e.scenario.Fleet.ListServices {
-		p, err := e.process(fmt.Sprintf("list%d", k), e.options.Registry)
+	for number := range e.scenario.Fleet.ListServices {
+		registry, err := e.process(fmt.Sprintf("list%d", number), e.options.Registry)
 		if err != nil {
 			return err
 		}
 		writer := ""
-		if k > 0 && !e.scenario.Fleet.Group {
-			writer = e.registryAddress(world.Endpoint{Kind: scenario.Registries, Number: k}, 0)
+		if number > 0 && !e.scenario.Fleet.Group {
+			writer = e.registryAddress(world.Endpoint{Kind: scenario.Registries, Number: number}, 0)
 		}
-		config, err := e.scenario.RegistryConfig(k, e.addresses.registry(k), e.addresses.registryControl(k), writer, filepath.Join(p.dir, "data"), e.groupAddresses(k))
+		config, err := e.scenario.RegistryConfig(number, e.addresses.registry(number), e.addresses.registryControl(number), writer, filepath.Join(registry.dir, "data"), e.groupAddresses(number))
 		if err != nil {
 			return err
 		}
-		e.services, e.configs = append(e.services, p), append(e.configs, config)
-		if err := e.startService(k); err != nil {
+		e.services, e.configs = append(e.services, registry), append(e.configs, config)
+		if err := e.startService(number); err != nil {
 			return err
 		}
 	}
@@ -119,8 +119,8 @@
 		e.registrar.changes <- world.Register{Entry: entry}
 	}
 	e.wg.Go(func() { e.registrar.run(e.ctx) })
-	for k, p := range e.services {
-		if err := awaitReady(ctx, e.http, p, "http://"+e.addresses.registryControl(k)+"/control/ready"); err != nil {
+	for number, registry := range e.services {
+		if err := awaitReady(ctx, e.http, registry, "http://"+e.addresses.registryControl(number)+"/control/ready"); err != nil {
 			return err
 		}
 	}
@@ -128,101 +128,101 @@
 }
 
 // groupAddresses returns the addresses at which a registry of a group finds the others.
-func (e *engine) groupAddresses(k int) scenario.GroupAddresses {
-	at := scenario.GroupAddresses{Listen: e.addresses.registryGroup(k)}
+func (e *engine) groupAddresses(member int) scenario.GroupAddresses {
+	addresses := scenario.GroupAddresses{Listen: e.addresses.registryGroup(member)}
 	for other := range e.scenario.Fleet.ListServices {
 		address := e.addresses.registryGroup(other)
-		if r := e.linkRelays[world.ProcessLink{From: world.Endpoint{Kind: scenario.Registries, Number: k}, To: world.Endpoint{Kind: scenario.Registries, Number: other}}]; r != nil {
-			address = r.Address()
+		if relay := e.linkRelays[world.ProcessLink{From: world.Endpoint{Kind: scenario.Registries, Number: member}, To: world.Endpoint{Kind: scenario.Registries, Number: other}}]; relay != nil {
+			address = relay.Address()
 		}
-		at.Members, at.Lists = append(at.Members, address), append(at.Lists, e.addresses.registry(other))
+		addresses.Members, addresses.Lists = append(addresses.Members, address), append(addresses.Lists, e.addresses.registry(other))
 	}
-	return at
+	return addresses
 }
 
 // startService starts a process of a registry. The run fails if it exits unexpectedly.
-func (e *engine) startService(k int) error {
-	p := e.services[k]
-	e.generations[k]++
-	life := e.generations[k]
-	return p.start(e.starter, e.configs[k], func(how string) { e.post(serviceExited{k, life, how}) })
+func (e *engine) startService(number int) error {
+	registry := e.services[number]
+	e.generations[number]++
+	generation := e.generations[number]
+	return registry.start(e.starter, e.configs[number], func(status string) { e.post(serviceExited{number, generation, status}) })
 }
 
 // startEndpoints creates the emulated clients, counter, backends and discovery of a gateway.
-func (e *engine) startEndpoints(g int) error {
-	e.clients = append(e.clients, newClientPool(e, g, e.addresses.gateway(g)))
-	counter, err := newEndpoint(e, g, world.Counter, e.addresses.counter(g))
+func (e *engine) startEndpoints(gateway int) error {
+	e.clients = append(e.clients, newClientPool(e, gateway, e.addresses.gateway(gateway)))
+	counter, err := newEndpoint(e, gateway, world.Counter, e.addresses.counter(gateway))
 	if err != nil {
 		return err
 	}
-	e.endpoints[gatewayLink{g, world.Counter}] = counter
+	e.endpoints[gatewayLink{gateway, world.Counter}] = counter
 	for _, entry := range e.world.Entries() {
-		if _, err := e.endpoint(gatewayLink{g, entry.Backend}); err != nil {
+		if _, err := e.endpoint(gatewayLink{gateway, entry.Backend}); err != nil {
 			return err
 		}
 	}
-	var agents []*discoveryProxy
-	for k := range max(1, e.scenario.Fleet.ListServices) {
-		service := ""
+	var proxies []*discoveryProxy
+	for number := range max(1, e.scenario.Fleet.ListServices) {
+		registryAddress := ""
 		if e.scenario.Fleet.ListServices > 0 {
-			service = e.registryAddress(world.Endpoint{Kind: scenario.Gateways, Number: g}, k)
+			registryAddress = e.registryAddress(world.Endpoint{Kind: scenario.Gateways, Number: gateway}, number)
 		}
-		a, err := newDiscoveryProxy(e, g, e.addresses.discoveryProxy(g, k), service)
+		proxy, err := newDiscoveryProxy(e, gateway, e.addresses.discoveryProxy(gateway, number), registryAddress)
 		if err != nil {
 			return err
 		}
-		if service == "" {
-			a.setList(e.world.Entries())
+		if registryAddress == "" {
+			proxy.setList(e.world.Entries())
 		}
-		agents = append(agents, a)
+		proxies = append(proxies, proxy)
 	}
-	e.proxies = append(e.proxies, agents)
+	e.proxies = append(e.proxies, proxies)
 	return nil
 }
 
 // registryAddress returns the address at which a process reaches a registry: that of the relay
 // between them, if there is one.
-func (e *engine) registryAddress(from world.Endpoint, k int) string {
-	if r := e.linkRelays[world.ProcessLink{From: from, To: world.Endpoint{Kind: scenario.Registries, Number: k}}]; r != nil {
-		return r.Address()
+func (e *engine) registryAddress(from world.Endpoint, number int) string {
+	if relay := e.linkRelays[world.ProcessLink{From: from, To: world.Endpoint{Kind: scenario.Registries, Number: number}}]; relay != nil {
+		return relay.Address()
 	}
-	return e.addresses.registry(k)
+	return e.addresses.registry(number)
 }
 
 // endpoint returns the emulated end of a link, and creates it if it is new.
-func (e *engine) endpoint(at gatewayLink) (*endpoint, error) {
-	if p := e.endpoints[at]; p != nil {
-		return p, nil
+func (e *engine) endpoint(link gatewayLink) (*endpoint, error) {
+	if created := e.endpoints[link]; created != nil {
+		return created, nil
 	}
-	p, err := newEndpoint(e, at.gateway, at.peer, e.addresses.backend(at.gateway, at.peer))
+	created, err := newEndpoint(e, link.gateway, link.peer, e.addresses.backend(link.gateway, link.peer))
 	if err == nil {
-		e.endpoints[at] = p
+		e.endpoints[link] = created
 	}
-	return p, err
+	return created, err
 }
 
 // startGateway starts the next process of a gateway. It begins with the list of backends that the
 // process before it was told last.
-func (e *engine) startGateway(g int) error {
-	a := scenario.Addresses{Listen: e.addresses.gateway(g), Control: e.addresses.control(g), Counter: e.addresses.counter(g),
-		Discovery: e.addresses.discoveryProxy(g, 0), PeerListen: e.addresses.peer(g), Broadcast: e.addresses.datagramRelay(e.scenario.Fleet.Gateways)}
+func (e *engine) startGateway(gateway int) error {
+	addresses := scenario.Addresses{Listen: e.addresses.gateway(gateway), Control: e.addresses.control(gateway), Counter: e.addresses.counter(gateway),
+		Discovery: e.addresses.discoveryProxy(gateway, 0), PeerListen: e.addresses.peer(gateway), Broadcast: e.addresses.datagramRelay(e.scenario.Fleet.Gateways)}
 	for other := range e.scenario.Fleet.Gateways {
-		a.Peers = append(a.Peers, e.addresses.datagramRelay(other))
+		addresses.Peers = append(addresses.Peers, e.addresses.datagramRelay(other))
 	}
-	for k := range e.scenario.Fleet.ListServices {
-		a.Registries = append(a.Registries, e.addresses.discoveryProxy(g, k))
+	for number := range e.scenario.Fleet.ListServices {
+		addresses.Registries = append(addresses.Registries, e.addresses.discoveryProxy(gateway, number))
 	}
-	known := e.proxies[g][0].lastList()
-	var list any
-	if len(known.Instances) > 0 {
-		list = known
-		e.step(timedEvent{e.now(), world.ListDelivered{Gateway: g, Version: known.Generation, Full: true, Entries: e.entries(known)}})
+	lastList := e.proxies[gateway][0].lastList()
+	var known any
+	if len(lastList.Instances) > 0 {
+		known = lastList
+		e.step(timedEvent{e.now(), world.ListDelivered{Gateway: gateway, Version: lastList.Generation, Full: true, Entries: e.entries(lastList)}})
 	}
-	config, err := e.scenario.GatewayConfig(g, a, list)
+	config, err := e.scenario.GatewayConfig(gateway, addresses, known)
 	if err != nil {
 		return err
 	}
-	return e.gateways[g].start(e.starter, config, func(how string) {
-		e.post(world.Exited{Gateway: g, Cause: how})
+	return e.gateways[gateway].start(e.starter, config, func(status string) {
+		e.post(world.Exited{Gateway: gateway, Cause: status})
 	})
 }
--- a/internal/play/stop.go
+++ b/internal/play/stop.go
@@ -8,9 +8,9 @@
 
 // stopFleet stops all processes and returns the gateways that had to be killed. If the run
 // was cut short, the gateways have less time, and none are reported.
-func (e *engine) stopFleet(whole bool) (hung []int) {
+func (e *engine) stopFleet(completed bool) (hung []int) {
 	wait := 2 * time.Second
-	if whole {
+	if completed {
 		wait = e.scenario.KillAfter()
 	}
 	// Events are drained, so that no sender blocks.
@@ -26,22 +26,22 @@
 		}
 	})
 	var mu sync.Mutex
-	end := func(all []*process, tell bool) {
+	end := func(all []*process, report bool) {
 		var wg sync.WaitGroup
-		for n, p := range all {
+		for number, p := range all {
 			p.signal(syscall.SIGCONT)
 			p.signal(syscall.SIGTERM)
 			wg.Go(func() {
-				if p.awaitExit(wait) && tell {
+				if p.awaitExit(wait) && report {
 					mu.Lock()
-					hung = append(hung, n)
+					hung = append(hung, number)
 					mu.Unlock()
 				}
 			})
 		}
 		wg.Wait()
 	}
-	end(e.gateways, whole)
+	end(e.gateways, completed)
 	end(e.services, false)
 	close(done)
 	drained.Wait()
@@ -50,22 +50,22 @@
 
 // close closes the emulator's sockets and waits for all goroutines.
 func (e *engine) close() {
-	for _, c := range e.clients {
-		c.close()
+	for _, pool := range e.clients {
+		pool.close()
 	}
-	for _, all := range e.proxies {
-		for _, a := range all {
-			a.server.Close()
+	for _, proxies := range e.proxies {
+		for _, proxy := range proxies {
+			proxy.server.Close()
 		}
 	}
-	for _, p := range e.endpoints {
-		p.close()
+	for _, endpoint := range e.endpoints {
+		endpoint.close()
 	}
 	if e.datagrams != nil {
 		e.datagrams.Close()
 	}
-	for _, r := range e.linkRelays {
-		r.Close()
+	for _, relay := range e.linkRelays {
+		relay.Close()
 	}
 	if e.claim != nil {
 		e.claim.Close()
