--- a/internal/registry/agreed.go
+++ b/internal/registry/agreed.go
@@ -249,9 +249,9 @@
 }
 
 // closeLog closes the persister's log, if it has one.
-func (k *persister) closeLog() error {
-	if k.log == nil {
+func (p *persister) closeLog() error {
+	if p.log == nil {
 		return nil
 	}
-	return k.log.Close()
+	return p.log.Close()
 }
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -266,7 +266,7 @@
 		result.listing.Reset = true // an answer to a request without a version is a full list
 	}
 	if ms, err := strconv.ParseInt(resp.Header.Get(AgeHeader), 10, 64); err == nil && ms > 0 {
-		result.age = time.Duration(min(ms, maxRetryAfterHonored.Milliseconds())) * time.Millisecond
+		result.age = time.Duration(min(ms, maxReportedDuration.Milliseconds())) * time.Millisecond
 	}
 	if n, err := strconv.ParseInt(resp.Header.Get(EpochHeader), 10, 64); err == nil && n > 0 {
 		result.epoch = n
@@ -327,11 +327,11 @@
 }
 
 // parseRetryAfter returns the delay in the Retry-After header, at most
-// maxRetryAfterHonored; 0 if there is none.
+// maxReportedDuration; 0 if there is none.
 func parseRetryAfter(resp *http.Response) time.Duration {
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, maxRetryAfterHonored.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxReportedDuration.Seconds()) * float64(time.Second))
 }
--- a/internal/registry/feed.go
+++ b/internal/registry/feed.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	initialBackoff       = 500 * time.Millisecond // after all addresses have failed once; doubles with each round
-	maxBackoff           = 15 * time.Second
-	maxNextAddressDelay  = 200 * time.Millisecond // before the next address of a round
-	maxPastHistories     = 8                      // abandoned histories that are remembered
-	staleAge             = 3 * time.Second        // list age above which the feed changes its address; a chain of two followers stays below
-	maxRetryAfterHonored = time.Minute
+	initialBackoff      = 500 * time.Millisecond // after all addresses have failed once; doubles with each round
+	maxBackoff          = 15 * time.Second
+	maxNextAddressDelay = 200 * time.Millisecond // before the next address of a round
+	maxPastHistories    = 8                      // abandoned histories that are remembered
+	staleAge            = 3 * time.Second        // list age above which the feed changes its address; a chain of two followers stays below
+	maxReportedDuration = time.Minute
 )
 
 var (
@@ -38,7 +38,7 @@
 // the new scopes and the changes to the others, at one version.
 type Feed struct {
 	addresses []string
-	current   int
+	current   int // index of the next address
 	random    *rand.Rand
 	failures  int // in a row
 
@@ -272,7 +272,7 @@
 	}
 	round := min(f.failures/len(f.addresses)-1, 16)
 	backoff := min(initialBackoff<<round, maxBackoff)
-	if retryAfter = min(retryAfter, maxRetryAfterHonored); retryAfter > backoff {
+	if retryAfter = min(retryAfter, maxReportedDuration); retryAfter > backoff {
 		return f.randomBetween(retryAfter, retryAfter+retryAfter/2)
 	}
 	return f.randomBetween(backoff/2, backoff+backoff/2)
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// change is one change of the history.
 type change struct {
 	version    int64
 	id         string
@@ -100,7 +101,8 @@
 	return c
 }
 
-// appendPrevious appends from unless it has no service, equals to, or is already present.
+// appendPrevious appends the placement from unless it has no service, is the same as to, or is
+// already present.
 func appendPrevious(previous []Placement, from, to Placement) []Placement {
 	if from.Service == "" || from == to || slices.Contains(previous, from) {
 		return previous
--- a/internal/registry/keeper.go
+++ b/internal/registry/keeper.go
@@ -44,7 +44,8 @@
 }
 
 // Open opens the log in a data directory and restores the store from it. The store is nil
-// if the log is empty. maxBytes bounds the size of the log. The caller closes the log.
+// if the log is empty. maxBytes bounds the size of the log. The caller closes the log unless
+// it passes it to Server.Persist.
 func Open(fs wal.FS, maxBytes int64, limits Limits, now time.Duration) (*wal.Log, *Store, error) {
 	store := newStore(limits, now)
 	found := false
@@ -96,15 +97,15 @@
 }
 
 // submit queues a write and waits until its changes are durable, for at most persistTimeout.
-func (k *persister) submit(apply func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
+func (p *persister) submit(apply func(now time.Duration) (WriteResult, error)) (WriteResult, error) {
 	write := &pendingWrite{apply: apply, done: make(chan struct{})}
 	timer := time.NewTimer(persistTimeout)
 	defer timer.Stop()
 	select {
-	case k.requests <- write:
+	case p.requests <- write:
 	case <-timer.C:
 		return WriteResult{}, refuse(http.StatusServiceUnavailable, "overloaded: the write was not accepted within %v", persistTimeout)
-	case <-k.server.persisterDone:
+	case <-p.server.persisterDone:
 		return WriteResult{}, refuse(http.StatusServiceUnavailable, "the server has stopped")
 	}
 	select {
@@ -116,7 +117,7 @@
 }
 
 // run persists changes until ctx ends or the log fails.
-func (k *persister) run(ctx context.Context) error {
+func (p *persister) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var pending []*pendingWrite
@@ -125,60 +126,60 @@
 			select {
 			case <-ctx.Done():
 				return nil
-			case err := <-k.snapshotDone:
-				k.finishSnapshot(err)
+			case err := <-p.snapshotDone:
+				p.finishSnapshot(err)
 				continue
 			case <-ticker.C:
-				if k.server.replicated != nil {
-					k.server.beginHistory()
+				if p.server.replicated != nil {
+					p.server.beginHistory()
 				}
-				pending = append(pending, k.tick())
-			case write := <-k.requests:
+				pending = append(pending, p.tick())
+			case write := <-p.requests:
 				pending = append(pending, write)
 			}
 		}
 	more:
 		for len(pending) < maxBatchWrites {
 			select {
-			case write := <-k.requests:
+			case write := <-p.requests:
 				pending = append(pending, write)
 			default:
 				break more
 			}
 		}
 		var err error
-		if pending, err = k.batch(pending); err != nil {
+		if pending, err = p.batch(pending); err != nil {
 			return err
 		}
 	}
 }
 
 // tick returns the write that expires leases.
-func (k *persister) tick() *pendingWrite {
+func (p *persister) tick() *pendingWrite {
 	return &pendingWrite{done: make(chan struct{}), apply: func(now time.Duration) (WriteResult, error) {
-		if !k.server.store.isWriter || k.server.store.fence != nil {
+		if !p.server.store.isWriter || p.server.store.fence != nil {
 			return WriteResult{}, nil
 		}
-		return WriteResult{}, k.server.store.Tick(now)
+		return WriteResult{}, p.server.store.Tick(now)
 	}}
 }
 
 // batch applies writes, persists their changes and completes them. It returns the writes
 // that depend on staged changes of others or exceed the batch size. An error means that
 // changes cannot be persisted any more.
-func (k *persister) batch(writes []*pendingWrite) (deferred []*pendingWrite, err error) {
+func (p *persister) batch(writes []*pendingWrite) (deferred []*pendingWrite, err error) {
 	var applied []*pendingWrite
-	k.server.mu.Lock()
+	p.server.mu.Lock()
 	bytes := 0
-	pausesBefore := k.server.store.stats.Pauses
+	pausesBefore := p.server.store.stats.Pauses
 	for i, write := range writes {
 		if bytes > maxBatchBytes {
 			deferred = append(deferred, writes[i:]...)
 			break
 		}
-		stagedBefore := len(k.server.store.staged)
-		write.result, write.err = write.apply(k.server.now())
-		for _, staged := range k.server.store.staged[stagedBefore:] {
+		stagedBefore := len(p.server.store.staged)
+		write.result, write.err = write.apply(p.server.now())
+		for _, staged := range p.server.store.staged[stagedBefore:] {
 			bytes += len(staged.encoded)
 		}
 		if errors.Is(write.err, errPending) {
@@ -187,29 +188,29 @@
 		}
 		applied = append(applied, write)
 	}
-	if k.server.store.stats.Pauses != pausesBefore {
+	if p.server.store.stats.Pauses != pausesBefore {
 		slog.Warn("process pause detected; all leases renewed")
 	}
-	records := k.server.store.StagedRecords()
-	k.server.mu.Unlock()
+	records := p.server.store.StagedRecords()
+	p.server.mu.Unlock()
 	if len(records) > 0 {
-		err = k.appendRecords(records) // without the lock, so that reads continue
-		k.server.mu.Lock()
+		err = p.appendRecords(records) // without the lock, so that reads continue
+		p.server.mu.Lock()
 		switch {
-		case err == nil && k.server.replicated != nil:
-			k.server.store.DropStaged() // the group has applied them through ApplyList
+		case err == nil && p.server.replicated != nil:
+			p.server.store.DropStaged() // the group has applied them through ApplyList
 		case err == nil:
-			k.server.store.CommitStaged(k.server.now())
-			k.server.wake()
+			p.server.store.CommitStaged(p.server.now())
+			p.server.wake()
 		default:
-			k.server.store.DropStaged()
+			p.server.store.DropStaged()
 			for _, write := range applied {
 				if write.err == nil {
 					write.err = refuse(http.StatusServiceUnavailable, "the change could not be persisted: %v", err)
 				}
 			}
 		}
-		k.server.mu.Unlock()
+		p.server.mu.Unlock()
 	}
 	for _, write := range applied {
 		close(write.done)
@@ -222,25 +223,25 @@
 			}
 			return nil, fmt.Errorf("changes can't be kept any more: %w", err)
 		}
-		if time.Since(k.diskErrorLoggedAt) > diskErrorLogInterval {
-			k.diskErrorLoggedAt = time.Now()
+		if time.Since(p.diskErrorLoggedAt) > diskErrorLogInterval {
+			p.diskErrorLoggedAt = time.Now()
 			slog.Error("writes rejected; reads continue", "error", err)
 		}
 	}
-	k.snapshot()
+	p.snapshot()
 	return deferred, nil
 }
 
 // snapshot starts writing a snapshot if one is due and none is in progress.
-func (k *persister) snapshot() {
-	if k.log == nil || !k.log.SnapshotDue() || time.Now().Before(k.nextSnapshotAt) {
+func (p *persister) snapshot() {
+	if p.log == nil || !p.log.SnapshotDue() || time.Now().Before(p.nextSnapshotAt) {
 		return
 	}
-	k.nextSnapshotAt = time.Now().Add(time.Hour) // finishSnapshot sets the actual time
-	k.server.mu.Lock()
-	records, sequence := k.server.store.SnapshotRecords(), k.log.LastSequence()
-	k.server.mu.Unlock()
-	k.server.snapshots.Go(func() { k.snapshotDone <- writeSnapshot(k.log, sequence, records) })
+	p.nextSnapshotAt = time.Now().Add(time.Hour) // finishSnapshot sets the actual time
+	p.server.mu.Lock()
+	records, sequence := p.server.store.SnapshotRecords(), p.log.LastSequence()
+	p.server.mu.Unlock()
+	p.server.snapshots.Go(func() { p.snapshotDone <- writeSnapshot(p.log, sequence, records) })
 }
 
 func writeSnapshot(log *wal.Log, sequence uint64, records []Record) error {
@@ -254,11 +255,11 @@
 	})
 }
 
-func (k *persister) finishSnapshot(err error) {
-	k.nextSnapshotAt = time.Now()
-	stats := k.log.Stats()
+func (p *persister) finishSnapshot(err error) {
+	p.nextSnapshotAt = time.Now()
+	stats := p.log.Stats()
 	if err != nil {
-		k.nextSnapshotAt = k.nextSnapshotAt.Add(snapshotRetryDelay)
+		p.nextSnapshotAt = p.nextSnapshotAt.Add(snapshotRetryDelay)
 		slog.Error("snapshot failed", "error", err, "retry_in", snapshotRetryDelay)
 		return
 	}
@@ -266,8 +267,8 @@
 }
 
 // persist appends one record outside of a batch. The caller holds the server's lock.
-func (k *persister) persist(record Record) error {
-	return k.appendRecords([][]byte{encodeRecord(record)})
+func (p *persister) persist(record Record) error {
+	return p.appendRecords([][]byte{encodeRecord(record)})
 }
 
 // Compact writes a snapshot of a data directory that no process uses, and returns the
--- a/internal/registry/reads.go
+++ b/internal/registry/reads.go
@@ -22,14 +22,14 @@
 
 // Read returns the full list (since below 0) or the changes since a version of a history; an
 // empty name stands for any history. If the version is not in the current history or its
-// changes have been trimmed, Read returns the full list. The errors are of type *Refusal.
+// changes have been trimmed, Read returns the full list. The error of a rejected read is a *Refusal.
 func (s *Store) Read(now time.Duration, since int64, history string) (Answer, error) {
 	if err := s.checkReadable(now); err != nil {
 		return Answer{}, err
 	}
-	same := history == "" || history == s.history
+	sameHistory := history == "" || history == s.history
 	switch {
-	case since < 0, !same, since < s.baseVersion:
+	case since < 0, !sameHistory, since < s.baseVersion:
 		return Answer{Body: s.cachedAnswer(-1), Full: true}, nil
 	case since > s.version:
 		return Answer{}, refuse(http.StatusBadRequest, "since: version %d is above the current version %d", since, s.version)
@@ -48,7 +48,7 @@
 // cachedAnswer returns the encoded answer to readers at a version, from the cache if
 // possible. Encoding is in functions of its own to keep the stacks of watchers small.
 func (s *Store) cachedAnswer(since int64) []byte {
-	if body, there := s.cachedAnswers[since]; there {
+	if body, cached := s.cachedAnswers[since]; cached {
 		return body
 	}
 	if len(s.cachedAnswers) >= maxCachedAnswers {
@@ -67,29 +67,29 @@
 
 // encodeList encodes the full list.
 func (s *Store) encodeList() []byte {
-	texts := make([][]byte, 0, len(s.entries))
+	encoded := make([][]byte, 0, len(s.entries))
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
-		texts = append(texts, s.entries[id].encoded)
+		encoded = append(encoded, s.entries[id].encoded)
 	}
 	names := s.services.emptyNames()
-	return encodeAnswer(s.version, true, texts, answerField{"emptyServices", len(names), names})
+	return encodeAnswer(s.version, true, encoded, answerField{"emptyServices", len(names), names})
 }
 
 // encodeChanges encodes the last state of each instance that has changed since a version.
 func (s *Store) encodeChanges(since int64) []byte {
-	var texts [][]byte
+	var encoded [][]byte
 	seen := map[string]int{} // index of the last change by instance id
 	var moved movedInstances
 	for n := len(s.changes) - 1; n >= 0 && s.changes[n].version > since; n-- {
 		c := &s.changes[n]
-		last, there := seen[c.id]
-		if !there {
+		last, reported := seen[c.id]
+		if !reported {
 			last = n
 			seen[c.id] = n
-			texts = append(texts, c.encoded)
+			encoded = append(encoded, c.encoded)
 		}
 		moved.add(c, s.changes[last].currentPlacement())
 	}
-	slices.Reverse(texts)
-	return encodeAnswer(s.version, false, texts, answerField{"moved", len(moved), moved.sorted()})
+	slices.Reverse(encoded)
+	return encodeAnswer(s.version, false, encoded, answerField{"moved", len(moved), moved.sorted()})
 }
--- a/internal/registry/saved.go
+++ b/internal/registry/saved.go
@@ -28,7 +28,7 @@
 	Writer      bool   `json:"writer"` // this process writes the history
 }
 
-// SavedInstance is an instance at a version.
+// InstanceRecord is an instance at a version.
 type InstanceRecord struct {
 	Version  int64           `json:"version"`
 	Instance json.RawMessage `json:"instance"`
--- a/internal/registry/scoped.go
+++ b/internal/registry/scoped.go
@@ -69,20 +69,20 @@
 	bytes   int
 }
 
-func (a *scopedCache) clear() {
-	clear(a.answers)
-	a.bytes = 0
+func (c *scopedCache) clear() {
+	clear(c.answers)
+	c.bytes = 0
 }
 
-func (a *scopedCache) add(key scopedKey, answer Answer) {
-	if len(a.answers) >= maxScopedCacheEntries || a.bytes+len(answer.Body) > maxScopedCacheBytes {
-		a.clear()
+func (c *scopedCache) add(key scopedKey, answer Answer) {
+	if len(c.answers) >= maxScopedCacheEntries || c.bytes+len(answer.Body) > maxScopedCacheBytes {
+		c.clear()
 	}
-	if a.answers == nil {
-		a.answers = map[scopedKey]Answer{}
+	if c.answers == nil {
+		c.answers = map[scopedKey]Answer{}
 	}
-	a.answers[key] = answer
-	a.bytes += len(answer.Body)
+	c.answers[key] = answer
+	c.bytes += len(answer.Body)
 }
 
 // NoChangesFor reports whether no change after the reader's version affects it. The reader
@@ -127,7 +127,7 @@
 
 // ReadScoped answers like Read for a part of the list: with all instances of the scopes, or
 // with the last state of each instance that has changed in them. An instance that has left
-// the scopes appears as Gone. The errors are of type *Refusal.
+// the scopes appears as Gone. The error of a rejected read is a *Refusal.
 func (s *Store) ReadScoped(now time.Duration, read ScopedRead) (Answer, error) {
 	if err := s.checkReadable(now); err != nil {
 		return Answer{}, err
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -201,8 +201,8 @@
 
 // Serve serves readers and writers on listener, and the control endpoints on
 // operatorListener unless that is nil, until ctx ends. Then it ends the watches spread over
-// watchDrainPeriod, so that the readers do not reconnect elsewhere all at once. It returns
-// an error if a listener or the persister fails, or if shutdown times out.
+// time, so that the readers do not reconnect elsewhere all at once. It returns an error if a
+// listener or the persister fails, or if shutdown times out.
 func (s *Server) Serve(ctx context.Context, listener, operatorListener net.Listener) error {
 	tickContext, stopTicks := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -12,7 +12,7 @@
 	History      int // changes kept
 	HistoryBytes int // encoded bytes of the changes kept
 
-	EmptyServices int // known services without instances; 0 means defaultEmptyServices
+	EmptyServices int // known services without instances; 0 means 4096
 }
 
 const (
@@ -70,11 +70,12 @@
 	EmptyServices        int   // known services without instances
 }
 
+// entry is an instance of the list.
 type entry struct {
 	Instance
 	version int64
 	encoded []byte
-	expires time.Duration
+	expires time.Duration // end of the lease
 }
 
 // NewStore returns a Store that begins a history. firstVersion must be above all versions
--- a/internal/registry/writes.go
+++ b/internal/registry/writes.go
@@ -15,6 +15,7 @@
 	Text   string
 }
 
+// Error returns Text.
 func (r *Refusal) Error() string { return r.Text }
 
 func refuse(status int, format string, args ...any) error {
@@ -76,6 +77,8 @@
 // A repeated or delayed registration must not end a drain, not even after the lease has
 // lapsed in between. Register therefore rejects Ready for a draining process; only
 // SetLifecycle ends a drain.
+//
+// The error of a rejected write is a *Refusal, here and in the other methods that write.
 func (s *Store) Register(now time.Duration, instance Instance, expectedVersion *int64) (WriteResult, error) {
 	requested := instance.Lifecycle
 	if requested == "" {
