--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -10,6 +10,7 @@
 	"testing"
 )
 
+// Guards against invalid command lines that are accepted, and errors that do not name the cause.
 func TestParseValidatesFlags(t *testing.T) {
 	t.Setenv("SOME_CONFIG", "env.json")
 	for _, c := range []struct {
@@ -41,6 +42,7 @@
 	}
 }
 
+// Guards against log flags and attributes that have no effect.
 func TestLogFollowsFlags(t *testing.T) {
 	t.Setenv("SOME_CONFIG", "env.json")
 	before := slog.Default()
--- a/internal/link/exchange.go
+++ b/internal/link/exchange.go
@@ -33,9 +33,9 @@
 	if len(addresses) != len(members)+1 {
 		return nil, fmt.Errorf("link: %d addresses for %d members; want one per member and one for broadcasts", len(addresses), len(members))
 	}
-	x := &DatagramRelay{memberBySource: map[netip.AddrPort]int{}, addresses: append([]netip.AddrPort(nil), members...)}
+	r := &DatagramRelay{memberBySource: map[netip.AddrPort]int{}, addresses: append([]netip.AddrPort(nil), members...)}
 	for member, address := range members {
-		x.memberBySource[address] = member
+		r.memberBySource[address] = member
 	}
 	for _, text := range addresses {
 		address, err := netip.ParseAddrPort(text)
@@ -44,35 +44,35 @@
 			socket, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 		}
 		if err != nil {
-			x.Close()
+			r.Close()
 			return nil, err
 		}
-		x.sockets = append(x.sockets, socket)
+		r.sockets = append(r.sockets, socket)
 	}
-	for member, socket := range x.sockets {
+	for member, socket := range r.sockets {
 		to := member
 		if member == len(members) {
 			to = Broadcast
 		}
-		x.wg.Go(func() { x.read(socket, to, handle) })
+		r.wg.Go(func() { r.read(socket, to, handle) })
 	}
-	return x, nil
+	return r, nil
 }
 
 // Address returns the address at which the others send to a member.
-func (x *DatagramRelay) Address(member int) string { return x.sockets[member].LocalAddr().String() }
+func (r *DatagramRelay) Address(member int) string { return r.sockets[member].LocalAddr().String() }
 
 // read passes datagrams from members to handle until the socket is closed.
-func (x *DatagramRelay) read(socket *net.UDPConn, to int, handle func(from, to int, data []byte)) {
+func (r *DatagramRelay) read(socket *net.UDPConn, to int, handle func(from, to int, data []byte)) {
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		size, source, err := socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		x.mu.Lock()
-		from, known := x.memberBySource[source]
-		x.mu.Unlock()
+		r.mu.Lock()
+		from, known := r.memberBySource[source]
+		r.mu.Unlock()
 		if known {
 			handle(from, to, append([]byte(nil), buf[:size]...))
 		}
@@ -81,31 +81,31 @@
 
 // AddSource also accepts datagrams from another address as those of a member, such as from a
 // second process with the same member number.
-func (x *DatagramRelay) AddSource(member int, address netip.AddrPort) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.memberBySource[address] = member
+func (r *DatagramRelay) AddSource(member int, address netip.AddrPort) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.memberBySource[address] = member
 }
 
 // SetAddress changes the address of a member's process.
-func (x *DatagramRelay) SetAddress(member int, address netip.AddrPort) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.memberBySource[address], x.addresses[member] = member, address
+func (r *DatagramRelay) SetAddress(member int, address netip.AddrPort) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.memberBySource[address], r.addresses[member] = member, address
 }
 
 // Deliver sends a datagram of one member to another. A failure to send is not reported.
-func (x *DatagramRelay) Deliver(from, to int, data []byte) {
-	x.mu.Lock()
-	address := x.addresses[to]
-	x.mu.Unlock()
-	x.sockets[from].WriteToUDPAddrPort(data, address)
+func (r *DatagramRelay) Deliver(from, to int, data []byte) {
+	r.mu.Lock()
+	address := r.addresses[to]
+	r.mu.Unlock()
+	r.sockets[from].WriteToUDPAddrPort(data, address)
 }
 
 // Close closes all sockets. After it has returned, the handler is not called.
-func (x *DatagramRelay) Close() {
-	for _, c := range x.sockets {
+func (r *DatagramRelay) Close() {
+	for _, c := range r.sockets {
 		c.Close()
 	}
-	x.wg.Wait()
+	r.wg.Wait()
 }
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -10,7 +10,7 @@
 // ListenerState is how a Listener treats clients that connect.
 type ListenerState int
 
-// The states.
+// The states of a Listener.
 const (
 	Open     ListenerState = iota // connections are accepted
 	Refusing                      // connections are refused
@@ -138,7 +138,7 @@
 	return failed
 }
 
-// Close closes the listener. After it has returned, no connection is handed on.
+// Close closes the listener. After it has returned, the handler is not called.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	if l.listener != nil {
--- a/internal/link/relay.go
+++ b/internal/link/relay.go
@@ -98,8 +98,8 @@
 func (r *Relay) now() time.Duration { return time.Since(r.startedAt) }
 
 // Set changes the condition of one direction from now on. Refused and Reset reset the established
-// connections and, like Dropped for new ones, affect the link as a whole, whichever direction has
-// them. It returns an error if the condition is invalid or does not apply to TCP connections.
+// connections. Dropped, Refused and Reset affect new connections whichever direction they are set
+// for. It returns an error if the condition is invalid or does not apply to TCP connections.
 func (r *Relay) Set(direction Direction, condition Condition) error {
 	if err := condition.Check(); err != nil {
 		return err
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -17,6 +17,7 @@
 	Number int // 0 for all backends together
 }
 
+// String returns the name of the process in scenarios, such as "n0", "list1" or "counter".
 func (e Endpoint) String() string {
 	switch e.Kind {
 	case scenario.Gateways:
@@ -31,7 +32,8 @@
 	return "counter"
 }
 
-func (w ProcessLink) String() string { return w.From.String() + " to " + w.To.String() }
+// String returns the names of both processes, such as "n0 to list1".
+func (l ProcessLink) String() string { return l.From.String() + " to " + l.To.String() }
 
 // linkFault is an active fault of links.
 type linkFault struct {
@@ -67,7 +69,7 @@
 
 // RelayedLinks returns the links between processes that need a relay in a scenario, since one of
 // its faults affects them.
-func RelayedLinks(s *scenario.Scenario) (all []ProcessLink) {
+func RelayedLinks(s *scenario.Scenario) (links []ProcessLink) {
 	em := &Emulator{scenario: s, gateways: make([]emulatedGateway, s.Fleet.Gateways)}
 	for g := range em.gateways {
 		em.gateways[g].zone = g % len(s.Fleet.Zones)
@@ -80,10 +82,10 @@
 	}
 	for _, processLink := range em.processLinks() {
 		if em.condition(processLink, link.Forward).Kind != link.Up || em.condition(processLink, link.Reverse).Kind != link.Up {
-			all = append(all, processLink)
+			links = append(links, processLink)
 		}
 	}
-	return all
+	return links
 }
 
 // processLinks returns all links between processes that can have a relay.
--- a/internal/world/types.go
+++ b/internal/world/types.go
@@ -83,7 +83,7 @@
 	ListDelivered struct {
 		Gateway int
 		Version int64
-		Full    bool
+		Full    bool // the list is complete; otherwise Entries holds changes
 		Entries []Entry
 	}
 	// Registered reports that the service registry has accepted an entry, in the version given.
@@ -218,8 +218,8 @@
 	FreezeService struct{ Service int }
 	// ThawService resumes a service registry's process.
 	ThawService struct{ Service int }
-	// HoldConnections opens connections to a gateway that never complete a request, and closes
-	// them after Duration.
+	// HoldConnections keeps connections to a gateway open that send nothing or a request head that
+	// never ends, and closes them after Duration.
 	HoldConnections struct {
 		Gateway, Connections int
 		Duration             time.Duration
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -110,7 +110,7 @@
 }
 
 // Zone returns the zone of a gateway.
-func (em *Emulator) Zone(g int) int { return em.gateways[g].zone }
+func (em *Emulator) Zone(gateway int) int { return em.gateways[gateway].zone }
 
 // Entries returns the list of backends as discovery has it.
 func (em *Emulator) Entries() []Entry {
