--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -51,7 +51,7 @@
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"lists\"\nto = \"gateways\"\nhow = \"dropped\"", "bad:6: fault[0].to: lists does not connect to gateways"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"backends\"\nhow = \"slow\"", "bad:7: fault[0].how: \"slow\" is not one of [dropped refused]"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"backends\"\nhow = \"dropped\"\nway = \"there\"", "bad:8: fault[0].way: this link fails both ways only"},
-		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"lists\"\nhow = \"slow\"", "bad:7: fault[0].how: 0 bytes a second is no speed"},
+		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"lists\"\nhow = \"slow\"", "bad:7: fault[0].how: slow with 0 bytes per second: it takes at least 1"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"n1\"\nto = \"lists\"\nhow = \"dropped\"\nway = \"up\"", "bad:8: fault[0].way: \"up\" is not there"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"list0\"\nto = \"list0\"\nhow = \"dropped\"", "bad:5: fault[0].from: the writer connects to no other"},
 		{"[[fault]]\nkind = \"link\"\nat = \"1s\"\nfor = \"1s\"\nfrom = \"b-1\"\nto = \"list0\"\nhow = \"dropped\"", "bad:5: fault[0].from: one emulated registrar"},
@@ -108,7 +108,7 @@
 			if f.At < Duration(drawNothing) || f.For > Duration(drawMost) || f.At+f.For > s.Duration*3/4+Duration(time.Millisecond) {
 				t.Errorf("seed %d: %+v in a day of %v", seed, f, s.Duration)
 			}
-			drawn[f.Kind], drawn[f.From+f.To], drawn[f.How], drawn[f.Who] = true, true, true, true
+			drawn[f.Kind], drawn[f.From+f.To], drawn[f.Effect], drawn[f.Target] = true, true, true, true
 		}
 		again := s
 		again.Draw()
