--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -10,7 +10,7 @@
 // ListenerState is how a Listener treats clients that connect.
 type ListenerState int
 
-// The states.
+// The states of a Listener.
 const (
 	Open     ListenerState = iota // connections are accepted
 	Refusing                      // connections are refused
@@ -30,12 +30,12 @@
 	wg            sync.WaitGroup
 }
 
-// stuffWait bounds the dial of the connection that fills a backlog.
+// fillerDialTimeout bounds the dial of the connection that fills a backlog.
 const fillerDialTimeout = 50 * time.Millisecond
 
-// NewListener listens at an address and calls take with each connection, from one goroutine.
-func NewListener(address string, take func(net.Conn)) (*Listener, error) {
-	l := &Listener{address: address, handle: take}
+// NewListener listens at an address and calls handle with each connection, from one goroutine.
+func NewListener(address string, handle func(net.Conn)) (*Listener, error) {
+	l := &Listener{address: address, handle: handle}
 	return l, l.open()
 }
 
@@ -52,33 +52,33 @@
 	return nil
 }
 
-// Address returns the address at which it listens.
+// Address returns the address at which the listener accepts connections, with the actual port.
 func (l *Listener) Address() string { return l.address }
 
 // accept hands on connections until tcp is closed or its deadline is set.
 func (l *Listener) accept(tcp *net.TCPListener) {
 	for {
-		c, err := tcp.Accept()
+		connection, err := tcp.Accept()
 		if err != nil {
 			return // closed or silent; Set and Close do the rest
 		}
 		l.mu.Lock()
-		out := l.state != Open || l.listener != tcp
+		rejected := l.state != Open || l.listener != tcp
 		l.mu.Unlock()
-		if out {
-			Abort(c)
+		if rejected {
+			Abort(connection)
 			continue
 		}
-		l.handle(c)
+		l.handle(connection)
 	}
 }
 
 // Abort closes a connection with a reset.
-func Abort(c net.Conn) {
-	if tcp, ok := c.(*net.TCPConn); ok {
+func Abort(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
 		tcp.SetLinger(0) // a reset in place of an orderly end
 	}
-	c.Close()
+	connection.Close()
 }
 
 // Set changes how the listener treats clients that connect from now on. Connections that were
@@ -138,7 +138,7 @@
 	return failed
 }
 
-// Close closes the listener. After it has returned, no connection is handed on.
+// Close closes the listener. After it has returned, the handler is not called.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	if l.listener != nil {
--- a/internal/world/body.go
+++ b/internal/world/body.go
@@ -7,16 +7,16 @@
 	"strconv"
 )
 
-// Body is what a body is made of: a number, written over and over. So each end
-// can tell whether it got what the other made, of any length and in no memory.
+// Body describes the content of a body: the hexadecimal digits of Seed and a space, repeated up to
+// Size bytes. A receiver can verify a body of any size without storing it.
 type Body struct {
 	Seed uint64
 	Size int64
 }
 
-const blockBytes = 17 // bytes of the number and the space behind it
+const blockBytes = 17 // 16 digits and a space
 
-// Reader reads the body.
+// Reader returns a reader of the body's content.
 func (b Body) Reader() io.Reader {
 	r := &bodyReader{remaining: b.Size}
 	r.block = fmt.Appendf(nil, "%016x ", b.Seed)
@@ -29,55 +29,55 @@
 	remaining int64
 }
 
-func (r *bodyReader) Read(p []byte) (int, error) {
+func (r *bodyReader) Read(buffer []byte) (int, error) {
 	if r.remaining == 0 {
 		return 0, io.EOF
 	}
 	n := 0
-	for n < len(p) && r.remaining > 0 {
-		c := copy(p[n:], r.block[r.offset:min(int64(blockBytes), int64(r.offset)+r.remaining)])
-		n += c
-		r.remaining -= int64(c)
-		r.offset = (r.offset + c) % blockBytes
+	for n < len(buffer) && r.remaining > 0 {
+		copied := copy(buffer[n:], r.block[r.offset:min(int64(blockBytes), int64(r.offset)+r.remaining)])
+		n += copied
+		r.remaining -= int64(copied)
+		r.offset = (r.offset + copied) % blockBytes
 	}
 	return n, nil
 }
 
-var errNotEmulatedBody = errors.New("not a body of the emulation's")
+var errNotEmulatedBody = errors.New("body does not have the emulated content")
 
-// ReadBody reads a body to its end and tells what it is made of. One of under 16
-// bytes has no number that could be told.
+// ReadBody reads a body to its end and returns its description. The Seed of a body shorter than
+// 16 bytes is 0. It returns an error if r fails or the content is not that of a Body.
 func ReadBody(r io.Reader) (Body, error) {
-	var b Body
+	var body Body
 	var buf [4096]byte
 	var first []byte
 	for {
 		n, err := r.Read(buf[:])
 		for _, c := range buf[:n] {
-			at := int(b.Size % blockBytes)
-			b.Size++
+			offset := int(body.Size % blockBytes)
+			body.Size++
 			if len(first) < blockBytes {
 				if first = append(first, c); len(first) == blockBytes-1 {
 					seed, err := strconv.ParseUint(string(first), 16, 64)
 					if err != nil {
-						return b, errNotEmulatedBody
+						return body, errNotEmulatedBody
 					}
-					b.Seed = seed
+					body.Seed = seed
 				}
 				if len(first) == blockBytes && c != ' ' {
-					return b, errNotEmulatedBody
+					return body, errNotEmulatedBody
 				}
 				continue
 			}
-			if first[at] != c {
-				return b, errNotEmulatedBody
+			if first[offset] != c {
+				return body, errNotEmulatedBody
 			}
 		}
 		if err == io.EOF {
-			return b, nil
+			return body, nil
 		}
 		if err != nil {
-			return b, err
+			return body, err
 		}
 	}
 }
