--- a/internal/registry/feed_test.go
+++ b/internal/registry/feed_test.go
@@ -128,25 +128,26 @@
 // 300 readers without a reachable server keep retrying, at a bounded rate.
 func TestRequestRateDuringOutage(t *testing.T) {
 	const readers, seconds = 300, 60
-	for _, services := range []int{1, 3} {
+	for _, servers := range []int{1, 3} {
 		var requests [seconds]int
 		for n := range uint64(readers) {
-			f := NewFeed([]string{"a", "b", "c"}[:services], rand.New(rand.NewPCG(n, 9)))
+			f := NewFeed([]string{"a", "b", "c"}[:servers], rand.New(rand.NewPCG(n, 9)))
 			for at := time.Duration(0); at < seconds*time.Second; at += f.Failed(0) {
 				requests[at/time.Second]++
 			}
 		}
 		// The rate falls to about one round per reader and maximum backoff.
-		t.Logf("%d servers: %v", services, requests)
-		if late := slices.Max(requests[20:]); late > readers*services/5 {
-			t.Errorf("%d servers: up to %d requests a second", services, late)
+		t.Logf("%d servers: %v", servers, requests)
+		if late := slices.Max(requests[20:]); late > readers*servers/5 {
+			t.Errorf("%d servers: up to %d requests a second", servers, late)
 		}
 		if slices.Min(requests[:]) == 0 {
-			t.Errorf("%d servers: a second without requests: %v", services, requests)
+			t.Errorf("%d servers: a second without requests: %v", servers, requests)
 		}
 	}
 }
 
+// A parsed listing has only valid instances with distinct ids.
 func FuzzParseListing(f *testing.F) {
 	f.Add([]byte(`{"generation":41,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:8081","zone":"a",
 		"machineType":"m2","cell":3,"lifecycle":"Ready","weight":1.0,"startedAtMs":0}]}`))
--- a/internal/registry/keeper_test.go
+++ b/internal/registry/keeper_test.go
@@ -109,7 +109,7 @@
 		t.Errorf("position %s, before the restart %s", position, positionBefore)
 	}
 	if l := server.list(t, ""); l.Generation != before.Generation || len(l.Instances) != 19 {
-		t.Errorf("%+v", l)
+		t.Errorf("list after the restart: %+v", l)
 	}
 	if l := server.list(t, "?since=1015"); l.Reset || len(l.Instances) != 6 || l.Instances[5].Lifecycle != Gone {
 		t.Errorf("since 1015: %+v", l)
@@ -185,11 +185,11 @@
 	disk.diskFull.Store(true)
 	for range 3 {
 		if code, text, header := call(t, "PUT", server.url("/s-2"), registration(5)); code != 503 || header.Get("Retry-After") == "" || !strings.Contains(text, "no room") {
-			t.Errorf("status %d: %s", code, text)
+			t.Errorf("write with a full disk: status %d: %s", code, text)
 		}
 	}
 	if l := server.list(t, ""); l.Generation != before.Generation {
-		t.Errorf("%+v", l)
+		t.Errorf("list with a full disk: %+v", l)
 	}
 	if code, _, _ := call(t, "POST", server.url("/s-1/renew"), `{"startedAtMs":5}`); code != 200 {
 		t.Errorf("renewal with a full disk: status %d", code)
@@ -201,7 +201,7 @@
 	}
 	disk.failSync.Store(true)
 	if code, text, _ := call(t, "PUT", server.url("/s-3"), registration(5)); code != 503 {
-		t.Errorf("status %d: %s", code, text)
+		t.Errorf("write with a failing sync: status %d: %s", code, text)
 	}
 	if err := <-server.ended; !errors.Is(err, wal.ErrFailed) {
 		t.Errorf("ended with %v", err)
@@ -209,7 +209,7 @@
 	disk.failSync.Store(false)
 	_, store, err := Open(disk, 64<<20, testLimits, 0)
 	if err != nil || store.entries["s-1"] == nil || store.entries["s-2"] == nil {
-		t.Errorf("%v, %v", err, store)
+		t.Errorf("recovered after the failed sync: %v, %v", err, store)
 	}
 }
 
@@ -250,7 +250,7 @@
 		t.Errorf("%+v, before the promotion at version %d", listing, version)
 	}
 	if where := follower.position(t); !strings.Contains(where, `"epoch":2`) || strings.Contains(where, "writer") {
-		t.Errorf("%s", where)
+		t.Errorf("position after the promotion: %s", where)
 	}
 
 	// The old writer restarts at its address, with its list.
@@ -279,7 +279,7 @@
 	fresh := NewWriter("w", newTestStore(testLimits, 0), testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	fresh.QueryPeers(t.Context(), []string{"127.0.0.1:1", follower.address})
 	if fenced := fresh.Fenced(); fenced == nil || fenced.Epoch != 2 {
-		t.Errorf("%+v", fenced)
+		t.Errorf("fence from the peers: %+v", fenced)
 	}
 	writer, _ = startPersistent(t, oldDir, "127.0.0.1:0", follower.address)
 	waitUntil(t, "the old writer replicates the new one", hasInstance(writer, "s-5"))
@@ -332,7 +332,7 @@
 	waitUntil(t, "the reader has the list", func() bool { return reader.version.Load() == 1001 })
 	waitUntil(t, "the follower has the list", func() bool { code, _, _ := call(t, "GET", follower.url(""), ""); return code == 200 })
 	if code, text, _ := call(t, "POST", "http://"+follower.control+"/control/promote", ""); code != http.StatusOK {
-		t.Fatalf("%d %s", code, text)
+		t.Fatalf("promotion: status %d %s", code, text)
 	}
 	follower.register(t, "s-2", 5)
 	waitUntil(t, "the reader has the list of the new writer", func() bool { return reader.version.Load() > 1_000_000 })
--- a/internal/registry/scope_http_test.go
+++ b/internal/registry/scope_http_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	body := fmt.Sprintf(`{"hostPort":"127.0.0.1:80","zone":%q,"machineType":"m","startedAtMs":%d,"service":%q,"region":%q}`, i.Zone, i.StartedAtMs, i.Service, i.Region)
 	if code, text, _ := call(t, "PUT", s.url("/"+i.ID), body); code != 200 {
-		t.Fatalf("status %d: %s", code, text)
+		t.Fatalf("registration: status %d: %s", code, text)
 	}
 }
 
@@ -35,7 +35,7 @@
 	body, _ := json.Marshal(subscriptionRequest{scopes})
 	code, text, _ := call(t, "POST", s.subscriptionsURL(), string(body))
 	if want := mustSet(t, scopes...).ID(); code != 200 || text != `{"subscription":"`+want+`"}`+"\n" {
-		t.Fatalf("status %d: %s", code, text)
+		t.Fatalf("subscription: status %d: %s", code, text)
 	}
 	return "?subscription=" + mustSet(t, scopes...).ID()
 }
@@ -106,7 +106,7 @@
 	watcher := watchScopes(t, []string{server.address}, "a@region=r1", "later")
 	waitUntil(t, "the list of the scope", func() bool { return watcher.ids() == "x1:R" })
 	if update, _, _ := watcher.state(); !slices.Equal(update.Unknown, mustScopes(t, "later")) || len(update.Instances) != 1 {
-		t.Errorf("%+v", update)
+		t.Errorf("first update: %+v", update)
 	}
 	watcher.client.SetScopes(mustScopes(t, "a@region=r1", "b", "later"))
 	waitUntil(t, "the list of the new scope", func() bool { return watcher.ids() == "x1:R y:R" })
@@ -157,6 +157,7 @@
 	waitUntil(t, "the list of the last scopes", func() bool { return watcher.ids() == "x01:R x02:R" })
 }
 
+// A subscription is rejected with status 400 or 413, or is a set within the limits.
 func FuzzSubscription(f *testing.F) {
 	for _, text := range []string{`{"scopes":["a","b@region=r"]}`, `{"scopes":[]}`, `{"scopes":null}`, `{`, `{"scopes":["a@zone=z","a@zone=z"]}`} {
 		f.Add(text)
@@ -165,13 +166,13 @@
 		set, err := readSubscription(strings.NewReader(text), 1<<12, 10)
 		if err != nil {
 			if code := statusOf(err); code != 400 && code != 413 {
-				t.Errorf("%v", err)
+				t.Errorf("rejected with %v", err)
 			}
 			return
 		}
 		again, err := NewScopeSet(mustScopes(t, set.Strings()...))
 		if err != nil || set.Len() < 1 || set.Len() > 10 || again.ID() != set.ID() {
-			t.Errorf("%v, %v", set.Strings(), err)
+			t.Errorf("parsed again: %v, %v", set.Strings(), err)
 		}
 	})
 }
@@ -254,7 +255,7 @@
 	}
 	server.registerInstance(t, instanceOf("z", "a", "r1", "z1"))
 	if l := <-answered; l.Generation != 1032 || l.Reset || idList(l.Instances) != "z" {
-		t.Errorf("%+v", l)
+		t.Errorf("answer for the scope: %+v", l)
 	}
 	i := instanceOf("y", "b", "r2", "z1")
 	i.StartedAtMs = 100
@@ -267,7 +268,7 @@
 	wider := server.registerScopes(t, "a", "b")
 	held := strings.Replace(server.registerScopes(t, "a@region=r1"), "?subscription", "&held", 1)
 	if l := server.list(t, wider+held+"&since=1033&timeout_ms=60000&history=h1"); l.Generation != 1033 || l.Reset || idList(l.Instances) != "y" {
-		t.Errorf("%+v", l)
+		t.Errorf("answer for new scopes: %+v", l)
 	}
 	if _, _, header := call(t, "GET", server.url(wider), ""); header.Get(SubscriptionHeader) != mustSet(t, "a", "b").ID() {
 		t.Errorf("header %q", header.Get(SubscriptionHeader))
@@ -333,7 +334,7 @@
 	oldAddress := strings.TrimPrefix(oldServer.URL, "http://")
 	client := NewClient([]string{oldAddress}, rand.New(rand.NewPCG(1, 1)), nil)
 	if result := client.read(t.Context(), ReadRequest{Address: oldAddress, Full: true, Scopes: mustSet(t, "a")}); result.err != errScopesUnsupported {
-		t.Errorf("%v", result.err)
+		t.Errorf("scoped read at a server without scopes: %v", result.err)
 	}
 	if result := client.read(t.Context(), ReadRequest{Address: oldAddress, Full: true}); result.err != nil || len(result.listing.Instances) != 2 {
 		t.Errorf("read of the full list: %+v", result)
@@ -377,7 +378,7 @@
 	followers[0].stop()
 	for n := range 20 {
 		if code, text, _ := call(t, "POST", writer.url(fmt.Sprintf("/x%d/lifecycle", n)), `{"lifecycle":"Terminating","startedAtMs":1}`); code != 200 {
-			t.Fatalf("status %d: %s", code, text)
+			t.Fatalf("drain: status %d: %s", code, text)
 		}
 	}
 	resets := 0
--- a/internal/registry/scope_test.go
+++ b/internal/registry/scope_test.go
@@ -33,6 +33,7 @@
 	return i
 }
 
+// Parsing accepts exactly the valid text forms of scopes, and errors stay short.
 func TestParseScope(t *testing.T) {
 	for _, text := range []string{"checkout", "checkout@region=eu-1", "checkout@zone=eu-1a", "a.b_c-D9", "a@region=with space@=", "a@zone=" + strings.Repeat("z", 64)} {
 		scope, err := ParseScope(text)
@@ -54,6 +55,7 @@
 	}
 }
 
+// A parsed scope is valid and has the text form that it was parsed from.
 func FuzzParseScope(f *testing.F) {
 	for _, text := range []string{"checkout", "checkout@region=eu-1", "checkout@zone=eu-1a", "@", "a@zone=@"} {
 		f.Add(text)
@@ -69,6 +71,7 @@
 	})
 }
 
+// A scope matches by service, region and zone, and a set matches if one of its scopes does.
 func TestScopeMatches(t *testing.T) {
 	instances := []Instance{instanceOf("1", "a", "r1", "z1"), instanceOf("2", "a", "r1", "z2"), instanceOf("3", "a", "r2", "z1"), instanceOf("4", "b", "r1", "z1"), instanceOf("5", "", "r1", "z1"), instanceOf("6", "a", "", "z3")}
 	for _, test := range []struct {
@@ -130,24 +133,24 @@
 		writer.Register(0, instanceOf("i-"+name, name, "r", "z"), nil)
 	}
 	if listing := readScopes(writer, "a", "b@region=other", "never@zone=z"); len(listing.Instances) != 1 || !slices.Equal(listing.Unknown, []string{"never@zone=z"}) {
-		t.Errorf("%+v", listing)
+		t.Errorf("list of the scopes: %+v", listing)
 	}
 	for _, name := range []string{"c", "a", "b"} {
 		writer.Leave(0, "i-"+name, 1, nil)
 	}
 	for n, store := range []*Store{writer, restoredStore(t, writer, 0)} {
 		if listing := readScopes(store, "a", "b", "c", "d"); len(listing.Instances) != 1 || !slices.Equal(listing.Unknown, []string{"c"}) {
-			t.Errorf("%d: %+v", n, listing)
+			t.Errorf("store %d: %+v", n, listing)
 		}
 		if st := store.Stats(); st.Services != 3 || st.EmptyServices != 2 {
-			t.Errorf("%d: %+v", n, st)
+			t.Errorf("store %d: %+v", n, st)
 		}
 	}
 	follower := newStore(limits, 0)
 	answer, _ := writer.Read(0, -1, "")
 	listing, err := ParseListing(answer.Body)
 	if err != nil || !slices.Equal(listing.EmptyServices, []string{"a", "b"}) {
-		t.Fatalf("%s, %v", answer.Body, err)
+		t.Fatalf("full list: %s, %v", answer.Body, err)
 	}
 	if err := follower.ApplyListing(0, listing, "h1"); err != nil {
 		t.Fatal(err)
@@ -186,12 +189,12 @@
 	if len(saved) != 2+5 || string(encodeRecord(saved[0])) != want[0] || string(encodeRecord(saved[1])) != want[1] ||
 		string(encodeRecord(saved[5])) != `{"change":{"version":1004,"instance":`+goneA+`}}` || string(encodeRecord(saved[6])) != `{"change":{"version":1005,"instance":`+movedB+`}}` {
 		for _, r := range saved {
-			t.Errorf("%s", encodeRecord(r))
+			t.Errorf("record of the snapshot: %s", encodeRecord(r))
 		}
 	}
 	copied := Record{Copy: &CopyRecord{"h1", 1, fullList(5)}}
 	if text := string(encodeRecord(copied)); text != `{"copy":{"history":"h1","epoch":1,"listing":{"generation":5,"reset":true,"instances":null}}}` {
-		t.Errorf("%s", text)
+		t.Errorf("copy record: %s", text)
 	}
 }
 
@@ -237,7 +240,7 @@
 	inC := move(3, "c", "r2")
 	answer, _ = writer.Read(0, inA, "h1")
 	if listing, _ = ParseListing(answer.Body); len(listing.Moved) != 1 || len(listing.Moved[0].From) != 2 {
-		t.Fatalf("%s", answer.Body)
+		t.Fatalf("changes with two moves: %s", answer.Body)
 	}
 	replicate(listing)
 	for _, c := range writer.changes[len(writer.changes)-2:] { // in the form of a log
@@ -351,10 +354,10 @@
 	x, y := instanceOf("x", "a", "r1", "z1"), instanceOf("y", "b", "r1", "z1")
 	feed := newScopedFeed(t, []string{"a", "b"}, x, y)
 	if changes := feed.SetScopes(mustScopes(t, "b")); idList(changes.Instances) != "x-" {
-		t.Errorf("%+v", changes)
+		t.Errorf("changes after a scope was dropped: %+v", changes)
 	}
 	if changes := feed.SetScopes(mustScopes(t, "a", "b")); len(changes.Instances) > 0 {
-		t.Errorf("%+v", changes)
+		t.Errorf("changes after the scope was added again: %+v", changes)
 	}
 	request := feed.Next()
 	if request.Full || request.IsLongPoll() || !slices.Equal(request.Held.Strings(), []string{"b"}) || !slices.Equal(request.Scopes.Strings(), []string{"a", "b"}) {
@@ -362,7 +365,7 @@
 	}
 	if changes, err := feed.Answered(Listing{Generation: 12, Instances: []Instance{x}, Unknown: []string{"b"}}, "h", 0); err != nil || idList(changes.Instances) != "x" ||
 		!slices.Equal(feed.Unknown(), mustScopes(t, "b")) {
-		t.Errorf("%+v, %v, unknown %v", changes, err, feed.Unknown())
+		t.Errorf("answer for the scope added again: %+v, %v, unknown %v", changes, err, feed.Unknown())
 	}
 	feed.SetScopes(mustScopes(t, "a@zone=z9", "b"))
 	if _, there := feed.instances["x"]; there {
@@ -374,7 +377,7 @@
 	}
 	z := instanceOf("z", "a", "r2", "z1")
 	if changes, err := feed.Answered(Listing{Generation: 12, Instances: []Instance{z}}, "h", 0); err != nil || idList(changes.Instances) != "z x-" || len(feed.instances) != 1 {
-		t.Errorf("%s, %v", idList(changes.Instances), err)
+		t.Errorf("answer for the replacement: %s, %v", idList(changes.Instances), err)
 	}
 	for name, c := range map[string]struct {
 		l       Listing
@@ -392,10 +395,10 @@
 		}
 	}
 	if changes, err := feed.Answered(fullList(3, x), "h2", 0); !errors.Is(err, errOutOfScope) || feed.history != "h" {
-		t.Errorf("%+v, %v", changes, err)
+		t.Errorf("answer out of scope: %+v, %v", changes, err)
 	}
 	if changes, err := feed.Answered(fullList(3, z), "h2", 0); err != nil || !changes.Reset || feed.history != "h2" {
-		t.Errorf("%+v, %v", changes, err)
+		t.Errorf("answer of a new history: %+v, %v", changes, err)
 	}
 }
 
@@ -408,7 +411,7 @@
 		t.Errorf("%+v, next request %+v", changes, feed.Next())
 	}
 	if changes, err := feed.Answered(fullList(10, x), "h", 0); err != nil || idList(changes.Instances) != "y-" || changes.Reset || !feed.Next().IsLongPoll() {
-		t.Errorf("%+v, %v", changes, err)
+		t.Errorf("answer for the scope: %+v, %v", changes, err)
 	}
 	if changes := feed.SetScopes(nil); len(changes.Instances) > 0 || len(feed.instances) != 1 || !feed.Next().Full || feed.Next().Scopes != nil {
 		t.Errorf("%+v, next request %+v", changes, feed.Next())
@@ -418,7 +421,7 @@
 		t.Errorf("next request %+v", request)
 	}
 	if changes, err := feed.Answered(fullList(10, y), "h", 0); err != nil || idList(changes.Instances) != "y x-" {
-		t.Errorf("%+v, %v", changes, err)
+		t.Errorf("answer for the other scope: %+v, %v", changes, err)
 	}
 }
 
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -95,7 +95,7 @@
 	t.Helper()
 	code, text, _ := call(t, "GET", s.url(query), "")
 	if code != 200 {
-		t.Fatalf("status %d: %s", code, text)
+		t.Fatalf("read: status %d: %s", code, text)
 	}
 	l, err := ParseListing([]byte(text))
 	if err != nil {
@@ -107,7 +107,7 @@
 func (s *testServer) register(t *testing.T, id string, started int64) {
 	t.Helper()
 	if code, text, _ := call(t, "PUT", s.url("/"+id), registration(started)); code != 200 {
-		t.Fatalf("status %d: %s", code, text)
+		t.Fatalf("registration: status %d: %s", code, text)
 	}
 }
 
@@ -145,10 +145,10 @@
 	go func() { answered <- server.list(t, "?since=1001&timeout_ms=60000&history=h1") }()
 	waitUntil(t, "one watcher", func() bool { return server.metrics.watchers.Load() == 1 })
 	if code, text, _ := call(t, "POST", server.url("/s-1/lifecycle"), `{"lifecycle":"Terminating","startedAtMs":7,"ifVersion":1001}`); code != 200 || text != `{"version":1002,"lifecycle":"Terminating","leaseMs":10000}`+"\n" {
-		t.Errorf("status %d: %s", code, text)
+		t.Errorf("change of lifecycle: status %d: %s", code, text)
 	}
 	if listing := <-answered; listing.Generation != 1002 || listing.Reset || len(listing.Instances) != 1 || listing.Instances[0].Lifecycle != Terminating {
-		t.Errorf("%+v", listing)
+		t.Errorf("answer to the watch: %+v", listing)
 	}
 	if code, _, _ := call(t, "POST", server.url("/s-1/renew"), `{"startedAtMs":7}`); code != 200 {
 		t.Errorf("renewal: status %d", code)
@@ -157,7 +157,7 @@
 		t.Errorf("removal: status %d", code)
 	}
 	if listing := server.list(t, "?since=1002"); len(listing.Instances) != 1 || listing.Instances[0].Lifecycle != Gone {
-		t.Errorf("%+v", listing)
+		t.Errorf("changes after the removal: %+v", listing)
 	}
 }
 
@@ -219,7 +219,7 @@
 		}
 	}
 	if listing := server.list(t, ""); listing.Generation != 1001 || len(listing.Instances) != 1 || listing.Instances[0] != testInstance("s-1", 7) {
-		t.Errorf("%+v", listing)
+		t.Errorf("list after the invalid requests: %+v", listing)
 	}
 }
 
@@ -392,7 +392,7 @@
 	writer.register(t, "s-2", 7)
 	// If the follower received both at once, a reader at the intermediate version gets both.
 	if listing := <-answered; listing.Generation != 1002 || listing.Reset || len(listing.Instances) == 0 || listing.Instances[len(listing.Instances)-1].ID != "s-2" {
-		t.Errorf("%+v", listing)
+		t.Errorf("answer to the watch: %+v", listing)
 	}
 	waitUntil(t, "the same list", func() bool { return follower.list(t, "").Generation == 1002 })
 	if code, _, _ := call(t, "GET", follower.url("?since=5000"), ""); code != 400 {
@@ -405,7 +405,7 @@
 		return len(header.Get(AgeHeader)) > 3
 	})
 	if listing := follower.list(t, ""); len(listing.Instances) != 2 {
-		t.Errorf("%+v", listing)
+		t.Errorf("list without the writer: %+v", listing)
 	}
 	_, metrics, _ := call(t, "GET", "http://"+follower.control+"/control/counters", "")
 	for _, line := range []string{"registry.version:1002|g", "registry.instances:2|g", "registry.lapsed:0|c", "registry.age_ms:"} {
@@ -426,7 +426,7 @@
 		t.Errorf("status %d, Retry-After %q", code, header.Get("Retry-After"))
 	}
 	if _, position, _ := call(t, "GET", "http://"+follower.control+"/control/where", ""); !strings.Contains(position, `"ageMs":-1`) {
-		t.Errorf("%s", position)
+		t.Errorf("position: %s", position)
 	}
 }
 
@@ -452,7 +452,7 @@
 	follower.SetSource(ctx, newWriter.address)
 	waitUntil(t, "the reader has the new list", func() bool { return reader.version.Load() == 5001 })
 	if listing := server.list(t, ""); len(listing.Instances) != 1 || listing.Instances[0].ID != "s-2" {
-		t.Errorf("%+v", listing)
+		t.Errorf("list after the switch: %+v", listing)
 	}
 }
 
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -117,10 +117,10 @@
 	}
 	later := func(store *Store) (WriteResult, error) { return store.Register(0, testInstance("a", 6), nil) }
 	calls := []struct {
-		name string
-		do   func(*Store) (WriteResult, error)
-		asks Lifecycle // empty: any
-		then map[Lifecycle]Lifecycle
+		name   string
+		do     func(*Store) (WriteResult, error)
+		wanted Lifecycle // empty: any
+		states map[Lifecycle]Lifecycle
 	}{
 		{"PUT", register(""), "", map[Lifecycle]Lifecycle{absent: Ready, Ready: Ready, Terminating: Terminating, lapsed: Ready, drained: Terminating}},
 		{"PUT Ready", register(Ready), Ready, map[Lifecycle]Lifecycle{absent: Ready, Ready: Ready, lapsed: Ready}},
@@ -151,11 +151,11 @@
 					}
 				}
 				replicate := func() {
-					a, err := store.Read(0, max(follower.version, -1), store.history)
+					answer, err := store.Read(0, max(follower.version, -1), store.history)
 					if err != nil {
 						t.Fatal(err)
 					}
-					listing, err := ParseListing(a.Body)
+					listing, err := ParseListing(answer.Body)
 					if err == nil {
 						err = follower.ApplyListing(0, listing, store.history)
 					}
@@ -181,19 +181,19 @@
 					}
 				}
 				replicate()
-				want, accepted := call.then[from]
+				want, accepted := call.states[from]
 				switch origin {
 				case "from the log":
-					again := newStore(testLimits, 0)
+					replayed := newStore(testLimits, 0)
 					for _, r := range log {
-						step(WriteResult{}, again.Restore(0, r))
+						step(WriteResult{}, replayed.Restore(0, r))
 					}
 					for _, logged := range store.changes {
-						if logged.version > again.version {
-							step(WriteResult{}, again.Restore(0, Record{Change: &InstanceRecord{Version: logged.version, Instance: logged.encoded}}))
+						if logged.version > replayed.version {
+							step(WriteResult{}, replayed.Restore(0, Record{Change: &InstanceRecord{Version: logged.version, Instance: logged.encoded}}))
 						}
 					}
-					store = again
+					store = replayed
 				case "from a follower":
 					follower.baseVersion = 0
 					store = follower
@@ -202,7 +202,7 @@
 					store = follower
 					// A promoted follower has no history, so that a Gone instance counts as absent.
 					if from == drained {
-						want, accepted = call.then[absent]
+						want, accepted = call.states[absent]
 					}
 				case "staged, then committed":
 					store.EnableStaging()
@@ -217,7 +217,7 @@
 					if code := statusOf(err); code != http.StatusConflict && code != http.StatusNotFound {
 						t.Errorf("%s: %+v, %v", name, written, err)
 					}
-				case err != nil || written.Lifecycle != want || state(store) != want || call.asks != "" && call.asks != want:
+				case err != nil || written.Lifecycle != want || state(store) != want || call.wanted != "" && call.wanted != want:
 					t.Errorf("%s: %+v, %v, then %s; want %s", name, written, err, state(store), want)
 				}
 			}
@@ -305,7 +305,7 @@
 		t.Errorf("%d left at the end", len(store.entries))
 	}
 	if st := store.Stats(); int(st.Lapsed) != 40-remaining || st.Pauses != 0 {
-		t.Errorf("%+v", st)
+		t.Errorf("statistics at the end: %+v", st)
 	}
 }
 
@@ -348,10 +348,10 @@
 	s := NewStore(testLimits, "h1", 1000, time.Second)
 	s.Register(time.Second, testInstance("a", 1), nil)
 	if _, err := s.Read(10*time.Second, -1, ""); statusOf(err) != http.StatusServiceUnavailable {
-		t.Errorf("%v", err)
+		t.Errorf("read within the first lease: %v", err)
 	}
 	if a, err := s.Read(11*time.Second, -1, ""); err != nil || !a.Full {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("read after the first lease: %+v, %v", a, err)
 	}
 }
 
@@ -364,7 +364,7 @@
 			t.Fatal(err)
 		}
 		if st := store.Stats(); st.History > limits.History || st.Bytes > limits.HistoryBytes {
-			t.Fatalf("%+v", st)
+			t.Fatalf("history above its limits: %+v", st)
 		}
 	}
 	if store.Stats().ChangesEncoded != 100 {
@@ -372,7 +372,7 @@
 	}
 	for range 300 {
 		if a, err := store.Read(0, 1080, "h1"); err != nil || a.Full || strings.Count(string(a.Body), "instanceId") != 1 {
-			t.Fatalf("%s %v", a.Body, err)
+			t.Fatalf("changes for a lagging reader: %s %v", a.Body, err)
 		}
 	}
 	if store.Stats().AnswersEncoded != 1 {
@@ -392,11 +392,11 @@
 	small := newTestStore(limits, 0)
 	for n := range int64(100) {
 		if small.Register(0, testInstance("a", n), nil); small.Stats().Bytes > limits.HistoryBytes {
-			t.Fatalf("%+v", small.Stats())
+			t.Fatalf("history above its limits: %+v", small.Stats())
 		}
 	}
 	if small.Stats().History < 2 {
-		t.Errorf("%+v", small.Stats())
+		t.Errorf("too few changes kept: %+v", small.Stats())
 	}
 }
 
