--- a/cmd/dunlintray/defects_test.go
+++ b/cmd/dunlintray/defects_test.go
@@ -184,7 +184,7 @@
 				for _, v := range without().Violations {
 					t.Errorf("%s, seed %d, without the defect (late: %q): %v", d.Scenario, seed+1, without().InvalidReason, v)
 				}
-				t.Logf("| %s | %s | %s %d | %d | %.3f | %.3f |", d.Name, d.Rule, d.Scenario, seed+1, r.Counts[d.Rule], without().Tally.Share(), r.Tally.Share())
+				t.Logf("| %s | %s | %s %d | %d | %.3f | %.3f |", d.Name, d.Rule, d.Scenario, seed+1, r.Counts[d.Rule], without().Tally.ServedFraction(), r.Tally.ServedFraction())
 			}
 		})
 	}
@@ -213,7 +213,7 @@
 			for _, v := range r.Violations {
 				t.Errorf("%s, seed %d: %v", name, seed+1, v)
 			}
-			t.Logf("| %s %d | %.3f | %.2f | %.2f | %s |", name, seed+1, r.Tally.Share(), r.MinCeilingRemaining, r.MaxColdBudgetUsed, r.InvalidReason)
+			t.Logf("| %s %d | %.3f | %.2f | %.2f | %s |", name, seed+1, r.Tally.ServedFraction(), r.MinCeilingRemaining, r.MaxColdBudgetUsed, r.InvalidReason)
 		}
 	}
 }
--- a/cmd/dunlintray/scale.go
+++ b/cmd/dunlintray/scale.go
@@ -127,9 +127,9 @@
 			os.RemoveAll(c.Dir)
 		}
 	}
-	o = scale.Options{Registry: c.Registry, Gateway: c.Gateway, Host: []string{self, "scale-host"}, Dir: c.Dir}
+	o = scale.Options{RegistryPath: c.Registry, GatewayPath: c.Gateway, HostCommand: []string{self, "scale-host"}, Dir: c.Dir}
 	if !c.Quiet {
-		o.Live = out
+		o.Progress = out
 	}
 	return o, clean, nil
 }
@@ -151,7 +151,7 @@
 func (c *scaleRunCmd) Run(ctx context.Context, out io.Writer) (err error) {
 	s, err := c.read()
 	if err == nil {
-		err = scale.Fits(s)
+		err = scale.CheckResources(s)
 	}
 	if err != nil {
 		return err
@@ -173,7 +173,7 @@
 	if err := errors.Join(r.JSON(results), results.Close()); err != nil {
 		return err
 	}
-	if why := r.Failed(); why != "" {
+	if why := r.Failure(); why != "" {
 		return ending{exitBroken, why}
 	}
 	return nil
@@ -213,8 +213,8 @@
 	if err := errors.Join(err, results.Close()); err != nil {
 		return err
 	}
-	if len(table.Failed) > 0 {
-		return ending{exitBroken, strings.Join(table.Failed, "; ")}
+	if len(table.Failures) > 0 {
+		return ending{exitBroken, strings.Join(table.Failures, "; ")}
 	}
 	return nil
 }
--- a/internal/play/loop.go
+++ b/internal/play/loop.go
@@ -50,14 +50,14 @@
 	if e.o.Progress == nil {
 		return
 	}
-	r := e.w.Tally.Recent()
+	r := e.w.Tally.TakeRecent()
 	_, counts := e.w.Referee.Violations()
 	broken := 0
 	for _, n := range counts {
 		broken += n
 	}
 	fmt.Fprintf(e.o.Progress, "%4.0f s  served %4d  late %3d  refused %4d  failed %3d  left %3d  lost %3d  worth so far %.3f  rules broken %d\n",
-		(e.now() - e.began).Seconds(), r["served"], r["late"], r["refused"], r["failed"], r["left"], r["lost"], e.w.Tally.Share(), broken)
+		(e.now() - e.began).Seconds(), r["served"], r["late"], r["refused"], r["failed"], r["left"], r["lost"], e.w.Tally.ServedFraction(), broken)
 }
 
 // post queues an event for the loop. It blocks while the queue is full.
@@ -99,7 +99,7 @@
 // carry carries out actions and records how late they are.
 func (e *engine) carry(actions []world.Action) {
 	for _, a := range actions {
-		e.w.Tally.Acted(e.now() - a.Due)
+		e.w.Tally.RecordLateness(e.now() - a.Due)
 		if err := e.do(a.Operation); err != nil && e.failed == nil {
 			e.failed = err
 		}
--- a/internal/play/processes.go
+++ b/internal/play/processes.go
@@ -63,9 +63,9 @@
 		err := cmd.Wait()
 		p.mu.Lock()
 		p.exit = err
-		p.use.CPUS += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
+		p.use.CPUSeconds += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
 		if use, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.use.MemoryMB = max(p.use.MemoryMB, float64(use.Maxrss)/1024)
+			p.use.PeakMemoryMB = max(p.use.PeakMemoryMB, float64(use.Maxrss)/1024)
 		}
 		p.mu.Unlock()
 		close(ended)
--- a/internal/play/report.go
+++ b/internal/play/report.go
@@ -70,6 +70,6 @@
 			return err
 		}
 	}
-	return e.Encode(map[string]any{"kind": "verdict", "worth": r.Tally.Share(), "nearest_to_ceiling": r.MinCeilingRemaining, "low_customers": r.LowCustomers, "cold_room_used": r.MaxColdBudgetUsed,
+	return e.Encode(map[string]any{"kind": "verdict", "worth": r.Tally.ServedFraction(), "nearest_to_ceiling": r.MinCeilingRemaining, "low_customers": r.LowCustomers, "cold_room_used": r.MaxColdBudgetUsed,
 		"broken": r.Counts, "not_tried": referee.Untried(r.Trials, referee.Rules()), "counts": r.InvalidReason == "" && !r.EndedEarly, "late": r.InvalidReason, "cut": r.EndedEarly, "marks": r.Marks})
 }
--- a/internal/results/results.go
+++ b/internal/results/results.go
@@ -16,7 +16,7 @@
 )
 
 // Window is the length of the stretches that are told apart.
-const Window = 5 * time.Second
+const WindowLength = 5 * time.Second
 
 // Outcome is how a client's wish ended, over all its tries.
 type Outcome int
@@ -27,33 +27,33 @@
 	Late                   // served between aim and deadline
 	Refused                // told that trying again is harmless
 	Failed
-	Left // the client gave up early
-	Lost // no answer in time, or none at all
-	outcomes
+	Abandoned // the client gave up early
+	Lost      // no answer in time, or none at all
+	outcomeCount
 )
 
-var names = [outcomes]string{"served", "late", "refused", "failed", "left", "lost"}
+var outcomeNames = [outcomeCount]string{"served", "late", "refused", "failed", "left", "lost"}
 
-func (o Outcome) String() string { return names[o] }
+func (o Outcome) String() string { return outcomeNames[o] }
 
 // Line is what one class, plan or window came to.
 type Line struct {
-	Kind    string         `json:"kind"` // class, plan or window
-	Name    string         `json:"name"`
-	Offered float64        `json:"offered"` // worth that one gateway which saw all would let in
-	Earned  float64        `json:"earned"`
-	Asked   int            `json:"asked"`
-	Counts  [outcomes]int  `json:"-"`
-	Ended   map[string]int `json:"ended"`
-	P50Ms   float64        `json:"p50_ms,omitempty"` // latencies of what was served
-	P99Ms   float64        `json:"p99_ms,omitempty"`
-	MaxMs   float64        `json:"max_ms,omitempty"`
+	Kind       string            `json:"kind"` // class, plan or window
+	Name       string            `json:"name"`
+	Offered    float64           `json:"offered"` // worth that one gateway which saw all would let in
+	Earned     float64           `json:"earned"`
+	Operations int               `json:"asked"`
+	Counts     [outcomeCount]int `json:"-"`
+	Ended      map[string]int    `json:"ended"`
+	P50Ms      float64           `json:"p50_ms,omitempty"` // latencies of what was served
+	P99Ms      float64           `json:"p99_ms,omitempty"`
+	MaxMs      float64           `json:"max_ms,omitempty"`
 
 	latency *hdrhistogram.Histogram
 }
 
 // Share is the part of the worth that was served.
-func (l *Line) Share() float64 {
+func (l *Line) ServedFraction() float64 {
 	if l.Offered == 0 {
 		return 0
 	}
@@ -62,74 +62,74 @@
 
 // Costs are what the day took beside the requests. All are counts.
 type Costs struct {
-	Tries       int     `json:"tries"` // of clients, their retries among them
-	Attempts    int     `json:"attempts"`
-	Turned      int     `json:"turned_away"` // attempts
-	Handshakes  int     `json:"handshakes"`
-	CrossZone   int     `json:"cross_zone"` // attempts
-	Calls       int     `json:"counter_calls"`
-	CallsTurned int     `json:"counter_calls_turned_away"`
-	Probes      int     `json:"probes"`
-	Datagrams   int     `json:"datagrams"`
-	Beyond      float64 `json:"beyond_quota"` // cost of what was sent on beyond quotas, in worth
-	Cold        int     `json:"fallen_backends"`
+	Requests             int     `json:"tries"` // of clients, their retries among them
+	Attempts             int     `json:"attempts"`
+	RejectedAttempts     int     `json:"turned_away"` // attempts
+	Handshakes           int     `json:"handshakes"`
+	CrossZone            int     `json:"cross_zone"` // attempts
+	CounterCalls         int     `json:"counter_calls"`
+	RejectedCounterCalls int     `json:"counter_calls_turned_away"`
+	Probes               int     `json:"probes"`
+	Datagrams            int     `json:"datagrams"`
+	BeyondQuota          float64 `json:"beyond_quota"` // cost of what was sent on beyond quotas, in worth
+	FallenBackends       int     `json:"fallen_backends"`
 }
 
 // Gateway is what one gateway used.
 type Gateway struct {
-	Kind     string  `json:"kind"` // gateway
-	Name     string  `json:"name"`
-	Starts   int     `json:"starts"`
-	CPUS     float64 `json:"cpu_s"`
-	MemoryMB float64 `json:"memory_mb"` // resident, most
+	Kind         string  `json:"kind"` // gateway
+	Name         string  `json:"name"`
+	Starts       int     `json:"starts"`
+	CPUSeconds   float64 `json:"cpu_s"`
+	PeakMemoryMB float64 `json:"memory_mb"` // resident, most
 }
 
 // Tally adds up one play.
 type Tally struct {
-	Costs    Costs
-	Gateways []Gateway
-	total    Line
-	classes  []Line
-	plans    []Line
-	windows  []Line
-	lateness *hdrhistogram.Histogram
-	lists    *hdrhistogram.Histogram
-	recent   [outcomes]int
+	Costs      Costs
+	Gateways   []Gateway
+	total      Line
+	classes    []Line
+	plans      []Line
+	windows    []Line
+	lateness   *hdrhistogram.Histogram
+	listDelays *hdrhistogram.Histogram
+	recent     [outcomeCount]int
 }
 
 // Latencies are kept in microseconds with two digits, up to two minutes.
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 2) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 2) }
 
 // New returns a tally for a scenario.
 func New(s *scenario.Scenario) *Tally {
-	t := &Tally{total: Line{Kind: "total", Name: s.Name, latency: histogram()}, lateness: histogram(), lists: histogram()}
+	t := &Tally{total: Line{Kind: "total", Name: s.Name, latency: newHistogram()}, lateness: newHistogram(), listDelays: newHistogram()}
 	for _, c := range s.Classes {
-		t.classes = append(t.classes, Line{Kind: "class", Name: c.Name, latency: histogram()})
+		t.classes = append(t.classes, Line{Kind: "class", Name: c.Name, latency: newHistogram()})
 	}
 	for _, p := range s.Plans {
-		t.plans = append(t.plans, Line{Kind: "plan", Name: p.Name, latency: histogram()})
+		t.plans = append(t.plans, Line{Kind: "plan", Name: p.Name, latency: newHistogram()})
 	}
 	return t
 }
 
 // openWindows is how many windows keep their latencies one by one; of older ones,
 // in which nothing is under way any more, only what was made of them.
-const openWindows = 24
+const maxDetailedWindows = 24
 
 // window is that of a moment of the day.
 func (t *Tally) window(at time.Duration) *Line {
-	n := int(at / Window)
+	n := int(at / WindowLength)
 	for len(t.windows) <= n {
-		t.windows = append(t.windows, Line{Kind: "window", Name: (time.Duration(len(t.windows)) * Window).String(), latency: histogram()})
-		if old := len(t.windows) - 1 - openWindows; old >= 0 {
-			t.windows[old].seal()
+		t.windows = append(t.windows, Line{Kind: "window", Name: (time.Duration(len(t.windows)) * WindowLength).String(), latency: newHistogram()})
+		if old := len(t.windows) - 1 - maxDetailedWindows; old >= 0 {
+			t.windows[old].summarize()
 		}
 	}
 	return &t.windows[n]
 }
 
 // seal makes of the latencies what is told of them.
-func (l *Line) seal() {
+func (l *Line) summarize() {
 	if l.latency == nil {
 		return
 	}
@@ -138,7 +138,7 @@
 	l.latency = nil
 }
 
-func (t *Tally) each(at time.Duration, class, plan int, f func(*Line)) {
+func (t *Tally) forEachLine(at time.Duration, class, plan int, f func(*Line)) {
 	f(&t.total)
 	f(&t.classes[class])
 	f(&t.plans[plan])
@@ -146,14 +146,14 @@
 }
 
 // Offered adds a client's wish, made at a moment of the day.
-func (t *Tally) Offered(at time.Duration, class, plan int, worth float64) {
-	t.each(at, class, plan, func(l *Line) { l.Offered += worth; l.Asked++ })
+func (t *Tally) RecordOperation(at time.Duration, class, plan int, worth float64) {
+	t.forEachLine(at, class, plan, func(l *Line) { l.Offered += worth; l.Operations++ })
 }
 
 // Ended adds how it ended, after how long since it was meant to be sent.
-func (t *Tally) Ended(at time.Duration, class, plan int, o Outcome, worth float64, after time.Duration) {
+func (t *Tally) RecordOutcome(at time.Duration, class, plan int, o Outcome, worth float64, after time.Duration) {
 	t.recent[o]++
-	t.each(at, class, plan, func(l *Line) {
+	t.forEachLine(at, class, plan, func(l *Line) {
 		l.Counts[o]++
 		l.Earned += worth
 		if (o == Served || o == Late) && l.latency != nil {
@@ -163,13 +163,13 @@
 }
 
 // Acted adds how late the emulation itself did what was due.
-func (t *Tally) Acted(late time.Duration) {
+func (t *Tally) RecordLateness(late time.Duration) {
 	t.lateness.RecordValue(min(max(1, late.Microseconds()), 120_000_000))
 }
 
 // Heard adds how long after a change of the list a gateway was told of it.
-func (t *Tally) Heard(after time.Duration) {
-	t.lists.RecordValue(min(max(1, after.Microseconds()), 120_000_000))
+func (t *Tally) RecordListDelay(after time.Duration) {
+	t.listDelays.RecordValue(min(max(1, after.Microseconds()), 120_000_000))
 }
 
 // Lateness is how late the emulation was at a percentile of what it did.
@@ -178,15 +178,15 @@
 }
 
 // Share is the part of all worth that was served.
-func (t *Tally) Share() float64 { return t.total.Share() }
+func (t *Tally) ServedFraction() float64 { return t.total.ServedFraction() }
 
 // Recent tells how wishes ended since the last call, for a live view.
-func (t *Tally) Recent() map[string]int {
+func (t *Tally) TakeRecent() map[string]int {
 	m := map[string]int{}
 	for o, n := range t.recent {
 		m[Outcome(o).String()] = n
 	}
-	t.recent = [outcomes]int{}
+	t.recent = [outcomeCount]int{}
 	return m
 }
 
@@ -201,7 +201,7 @@
 		for o, n := range l.Counts {
 			l.Ended[Outcome(o).String()] = n
 		}
-		l.seal()
+		l.summarize()
 	}
 	return all
 }
@@ -226,7 +226,7 @@
 		ListMaxMs float64 `json:"list_heard_max_ms"`
 		LateP99Ms float64 `json:"tool_late_p99_ms"`
 		LateMaxMs float64 `json:"tool_late_max_ms"`
-	}{"costs", t.Costs, float64(t.lists.ValueAtQuantile(50)) / 1e3, float64(t.lists.Max()) / 1e3, t.Lateness(99).Seconds() * 1e3, t.Lateness(100).Seconds() * 1e3})
+	}{"costs", t.Costs, float64(t.listDelays.ValueAtQuantile(50)) / 1e3, float64(t.listDelays.Max()) / 1e3, t.Lateness(99).Seconds() * 1e3, t.Lateness(100).Seconds() * 1e3})
 }
 
 // Table writes it for people.
@@ -234,11 +234,11 @@
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "\tworth\tasked\tserved\tlate\trefused\tfailed\tleft\tlost\tp50\tp99\tmax")
 	lines := t.Lines()
-	if many := len(t.windows) - openWindows; many > 0 {
-		lines = append(lines[:len(lines)-len(t.windows)], lines[len(lines)-openWindows:]...)
+	if many := len(t.windows) - maxDetailedWindows; many > 0 {
+		lines = append(lines[:len(lines)-len(t.windows)], lines[len(lines)-maxDetailedWindows:]...)
 	}
 	for _, l := range lines {
-		fmt.Fprintf(tab, "%s %s\t%.3f\t%d", l.Kind, l.Name, l.Share(), l.Asked)
+		fmt.Fprintf(tab, "%s %s\t%.3f\t%d", l.Kind, l.Name, l.ServedFraction(), l.Operations)
 		for _, n := range l.Counts {
 			fmt.Fprintf(tab, "\t%d", n)
 		}
@@ -247,17 +247,17 @@
 	tab.Flush()
 	c := t.Costs
 	fmt.Fprintf(w, "%d tries; %d attempts, %d turned away, %d between zones; %d handshakes, %d probes; %d counter calls, %d turned away; beyond quotas -%.3f\n",
-		c.Tries, c.Attempts, c.Turned, c.CrossZone, c.Handshakes, c.Probes, c.Calls, c.CallsTurned, c.Beyond/max(1, t.total.Offered))
-	if n := t.lists.TotalCount(); n > 0 {
-		fmt.Fprintf(w, "changes of the list were heard after %d ms at p50, %d ms at most (%d times)\n", t.lists.ValueAtQuantile(50)/1000, t.lists.Max()/1000, n)
+		c.Requests, c.Attempts, c.RejectedAttempts, c.CrossZone, c.Handshakes, c.Probes, c.CounterCalls, c.RejectedCounterCalls, c.BeyondQuota/max(1, t.total.Offered))
+	if n := t.listDelays.TotalCount(); n > 0 {
+		fmt.Fprintf(w, "changes of the list were heard after %d ms at p50, %d ms at most (%d times)\n", t.listDelays.ValueAtQuantile(50)/1000, t.listDelays.Max()/1000, n)
 	}
 	var cpu, most float64
 	for _, g := range t.Gateways {
-		cpu += g.CPUS
-		most = max(most, g.MemoryMB)
+		cpu += g.CPUSeconds
+		most = max(most, g.PeakMemoryMB)
 	}
 	if len(t.Gateways) > 0 {
-		fmt.Fprintf(w, "%d gateways: %.2f s of CPU (%.2f ms a try), %.0f MB at most\n", len(t.Gateways), cpu, cpu*1e3/float64(max(1, c.Tries)), most)
+		fmt.Fprintf(w, "%d gateways: %.2f s of CPU (%.2f ms a try), %.0f MB at most\n", len(t.Gateways), cpu, cpu*1e3/float64(max(1, c.Requests)), most)
 	}
 	fmt.Fprintf(w, "the emulation was late by %v at p99, %v at most\n", t.Lateness(99).Round(10*time.Microsecond), t.Lateness(100).Round(10*time.Microsecond))
 }
--- a/internal/results/results_test.go
+++ b/internal/results/results_test.go
@@ -18,14 +18,14 @@
 	const wishes = 2000
 	for n := range wishes {
 		at := time.Duration(n) * time.Second
-		tally.Offered(at, n%3, n%2, 2)
-		o := Outcome(n % int(outcomes))
+		tally.RecordOperation(at, n%3, n%2, 2)
+		o := Outcome(n % int(outcomeCount))
 		worth := 0.0
 		if o == Served {
 			worth = 2
 		}
-		tally.Ended(at, n%3, n%2, o, worth, time.Duration(1+n%100)*time.Millisecond)
-		tally.Acted(time.Duration(n) * time.Microsecond)
+		tally.RecordOutcome(at, n%3, n%2, o, worth, time.Duration(1+n%100)*time.Millisecond)
+		tally.RecordLateness(time.Duration(n) * time.Microsecond)
 	}
 	var out bytes.Buffer
 	if err := tally.JSON(&out); err != nil {
@@ -38,7 +38,7 @@
 		if err := json.Unmarshal([]byte(line), &l); err != nil {
 			t.Fatal(err)
 		}
-		sums[l.Kind+" asked"] += float64(l.Asked)
+		sums[l.Kind+" asked"] += float64(l.Operations)
 		sums[l.Kind+" earned"] += l.Earned
 		sums[l.Kind+" served"] += float64(l.Ended["served"])
 		if l.Kind == "window" {
@@ -47,7 +47,7 @@
 			}
 		}
 	}
-	served := float64((wishes + int(outcomes) - 1) / int(outcomes))
+	served := float64((wishes + int(outcomeCount) - 1) / int(outcomeCount))
 	for kind, want := range map[string]float64{"asked": wishes, "earned": 2 * served, "served": served} {
 		for _, group := range []string{"total", "class", "plan", "window"} {
 			if sums[group+" "+kind] != want {
@@ -61,7 +61,7 @@
 			open++
 		}
 	}
-	if windows != wishes/5 || open > openWindows+1 {
+	if windows != wishes/5 || open > maxDetailedWindows+1 {
 		t.Errorf("%d windows, %d with all latencies", windows, open)
 	}
 	if p := tally.Lateness(99); p < 1900*time.Microsecond || p > 2100*time.Microsecond {
@@ -69,7 +69,7 @@
 	}
 	var table bytes.Buffer
 	tally.Table(&table)
-	if n := strings.Count(table.String(), "\nwindow"); n != openWindows {
+	if n := strings.Count(table.String(), "\nwindow"); n != maxDetailedWindows {
 		t.Errorf("%d windows in the table", n)
 	}
 }
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -14,17 +14,17 @@
 // backendFleet are the hollow backends of a process. One goroutine has the churn; others
 // make its calls.
 type backendFleet struct {
-	config *BackendsHost
-	caller *caller
-	server *http.Server // answers requests of real gateways, for all backends
-	door   net.Listener
-	churn  *churn
+	config   *BackendHost
+	client   *writeClient
+	server   *http.Server // answers requests of real gateways, for all backends
+	listener net.Listener
+	churn    *churn
 
-	commands chan Command
-	asked    chan chan churnState
-	made     atomic.Int64 // calls
-	refused  atomic.Int64
-	ended    chan struct{}
+	commands      chan Command
+	stateRequests chan chan churnState
+	calls         atomic.Int64 // calls
+	refused       atomic.Int64
+	ended         chan struct{}
 }
 
 // churnState is what the churn tells.
@@ -34,23 +34,23 @@
 }
 
 // answer is how a call went.
-type answer struct {
-	call    call
-	status  int
-	version int64
-	at      int64 // Unix nanoseconds
+type callResult struct {
+	call       call
+	status     int
+	version    int64
+	answeredAt int64 // Unix nanoseconds
 }
 
-func newBackendFleet(c *BackendsHost, seed uint64) (*backendFleet, error) {
-	door, err := net.Listen("tcp", c.Answers)
+func newBackendFleet(c *BackendHost, seed uint64) (*backendFleet, error) {
+	door, err := net.Listen("tcp", c.AnswerAddress)
 	if err != nil {
 		return nil, err
 	}
-	settings := churnSettings{Renew: c.Renew, Drain: c.Drain, Down: c.Down, Register: c.Register}
-	f := &backendFleet{config: c, door: door, caller: newCaller(c.Members, c.Answers, c.Connections),
+	settings := churnSettings{RenewInterval: c.RenewInterval, DrainTime: c.DrainTime, DownTime: c.DownTime, RegistrationsPerS: c.RegistrationsPerS}
+	f := &backendFleet{config: c, listener: door, client: newWriteClient(c.Members, c.AnswerAddress, c.Connections),
 		churn:    newChurn(c.Backends, settings, rand.New(rand.NewPCG(seed, 1))),
-		commands: make(chan Command, 1), asked: make(chan chan churnState), ended: make(chan struct{})}
-	f.server = &http.Server{ReadHeaderTimeout: callWait, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		commands: make(chan Command, 1), stateRequests: make(chan chan churnState), ended: make(chan struct{})}
+	f.server = &http.Server{ReadHeaderTimeout: backendCallTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "served\n")
 	})}
@@ -59,17 +59,17 @@
 
 // warmSince is for how long backends are said to have been up at the start of a run: real
 // gateways send little to cold ones.
-const warmSince = 10 * time.Minute
+const initialUptime = 10 * time.Minute
 
-const changesGap = 200 * time.Millisecond // between two reports of changes
+const changeReportInterval = 200 * time.Millisecond // between two reports of changes
 
 func (f *backendFleet) run(ctx context.Context, ready func(), changed func([]Change)) {
 	defer close(f.ended)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { f.server.Serve(f.door) })
+	wg.Go(func() { f.server.Serve(f.listener) })
 	defer f.server.Close()
-	calls, answers := make(chan call), make(chan answer)
+	calls, answers := make(chan call), make(chan callResult)
 	for range f.config.Connections {
 		wg.Go(func() {
 			for {
@@ -77,9 +77,9 @@
 				case <-ctx.Done():
 					return
 				case k := <-calls:
-					status, version := f.caller.do(ctx, k)
+					status, version := f.client.do(ctx, k)
 					select {
-					case answers <- answer{k, status, version, time.Now().UnixNano()}:
+					case answers <- callResult{k, status, version, time.Now().UnixNano()}:
 					case <-ctx.Done():
 						return
 					}
@@ -91,28 +91,28 @@
 }
 
 // loop has the churn.
-func (f *backendFleet) loop(ctx context.Context, calls chan<- call, answers <-chan answer, ready func(), changed func([]Change)) {
+func (f *backendFleet) loop(ctx context.Context, calls chan<- call, answers <-chan callResult, ready func(), changed func([]Change)) {
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	f.churn.start(now(), began.Add(-warmSince).UnixMilli())
+	f.churn.start(now(), began.Add(-initialUptime).UnixMilli())
 	var due []call // that wait for a connection
 	var changes []Change
 	told := false
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	report := time.NewTicker(changesGap)
+	report := time.NewTicker(changeReportInterval)
 	defer report.Stop()
 	for {
-		due = append(due, f.churn.calls(now())...)
+		due = append(due, f.churn.dueCalls(now())...)
 		var out chan<- call
 		var first call
-		for len(due) > 0 && due[0].life != due[0].backend.life {
+		for len(due) > 0 && due[0].incarnation != due[0].backend.incarnation {
 			due = due[1:] // it was stopped meanwhile
 		}
 		if len(due) > 0 {
 			out, first = calls, due[0]
 		}
-		if at, ok := f.churn.wake(); ok {
+		if at, ok := f.churn.nextDue(); ok {
 			timer.Reset(max(0, at-now()))
 		}
 		select {
@@ -121,17 +121,17 @@
 		case out <- first:
 			due = due[1:]
 		case a := <-answers:
-			f.made.Add(1)
+			f.calls.Add(1)
 			if a.status != http.StatusOK {
 				f.refused.Add(1)
 			}
-			if f.churn.answered(now(), time.Now().UnixMilli(), a.call, a.status, a.version) {
+			if f.churn.handleResult(now(), time.Now().UnixMilli(), a.call, a.status, a.version) {
 				b := a.call.backend
-				changes = append(changes, Change{Version: a.version, At: a.at, Backend: b.Number, Service: b.Service, Zone: b.Zone, Region: b.Region})
+				changes = append(changes, Change{Version: a.version, AnsweredAt: a.answeredAt, Backend: b.Number, Service: b.Service, Zone: b.Zone, Region: b.Region})
 			}
 		case c := <-f.commands:
-			f.take(c, now())
-		case state := <-f.asked:
+			f.apply(c, now())
+		case state := <-f.stateRequests:
 			state <- churnState{f.churn.serving, f.churn.settled()}
 		case <-report.C:
 			if len(changes) > 0 {
@@ -147,19 +147,19 @@
 	}
 }
 
-func (f *backendFleet) take(c Command, now time.Duration) {
+func (f *backendFleet) apply(c Command, now time.Duration) {
 	started := time.Now().UnixMilli()
 	switch {
-	case c.Restarts != nil:
-		f.churn.setRestarts(now, *c.Restarts)
+	case c.RestartsPerS != nil:
+		f.churn.setRestarts(now, *c.RestartsPerS)
 	case c.Stop != nil:
-		f.churn.stop(c.Stop.backend)
+		f.churn.stop(c.Stop.includesBackend)
 	case c.Resume != nil:
-		f.churn.resume(now, started, c.Resume.backend)
+		f.churn.resume(now, started, c.Resume.includesBackend)
 	}
 }
 
-func (f *backendFleet) obey(c Command) {
+func (f *backendFleet) execute(c Command) {
 	select {
 	case f.commands <- c:
 	case <-f.ended:
@@ -167,10 +167,10 @@
 }
 
 func (f *backendFleet) sample(s *Sample) {
-	s.Calls, s.Refused, s.Writer = f.made.Load(), f.refused.Load(), f.caller.target()
+	s.Calls, s.Refused, s.Writer = f.calls.Load(), f.refused.Load(), f.client.target()
 	state := make(chan churnState, 1)
 	select {
-	case f.asked <- state:
+	case f.stateRequests <- state:
 		told := <-state
 		s.Serving, s.Settled = told.serving, told.settled
 	case <-f.ended:
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -16,48 +16,48 @@
 )
 
 const (
-	callWait     = 5 * time.Second // for an answer to a backend
-	mostRedirect = 2               // in a row; then the next member is asked
-	mostCallBody = 4 << 10
+	backendCallTimeout = 5 * time.Second // for an answer to a backend
+	maxRedirects       = 2               // in a row; then the next member is asked
+	maxCallBodyBytes   = 4 << 10
 )
 
 // caller makes the calls of hollow backends over HTTP. It calls the list service that
 // writes, which it finds as a backend does: by what others answer.
-type caller struct {
-	http    *http.Client
-	members []string
-	answers string // the address that all its backends are reached at
+type writeClient struct {
+	http           *http.Client
+	members        []string
+	backendAddress string // the address that all its backends are reached at
 
-	mu     sync.Mutex
-	next   int    // of the members
-	writer string // that answered last, or was named
+	mu         sync.Mutex
+	nextMember int    // of the members
+	writer     string // that answered last, or was named
 }
 
-func newCaller(members []string, answers string, connections int) *caller {
-	return &caller{members: members, answers: answers, writer: members[0],
-		http: &http.Client{Timeout: callWait,
+func newWriteClient(members []string, answers string, connections int) *writeClient {
+	return &writeClient{members: members, backendAddress: answers, writer: members[0],
+		http: &http.Client{Timeout: backendCallTimeout,
 			Transport:     &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: connections, MaxConnsPerHost: connections},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
 // target is whom to call now.
-func (c *caller) target() string {
+func (c *writeClient) target() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writer
 }
 
 // failed goes on to the next member, unless another call has found a writer meanwhile.
-func (c *caller) failed(asked string) {
+func (c *writeClient) rotate(asked string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writer == asked {
-		c.next++
-		c.writer = c.members[c.next%len(c.members)]
+		c.nextMember++
+		c.writer = c.members[c.nextMember%len(c.members)]
 	}
 }
 
-func (c *caller) named(writer string) {
+func (c *writeClient) setWriter(writer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writer = writer
@@ -65,28 +65,28 @@
 
 // do makes a call, and returns the status and the version that it was answered with; 0
 // stands for no answer.
-func (c *caller) do(ctx context.Context, k call) (status int, version int64) {
-	for range mostRedirect {
+func (c *writeClient) do(ctx context.Context, k call) (status int, version int64) {
+	for range maxRedirects {
 		address := c.target()
 		resp, err := c.send(ctx, address, k)
 		if err != nil {
-			c.failed(address)
+			c.rotate(address)
 			return 0, 0
 		}
-		text, err := io.ReadAll(io.LimitReader(resp.Body, mostCallBody))
+		text, err := io.ReadAll(io.LimitReader(resp.Body, maxCallBodyBytes))
 		resp.Body.Close()
 		switch {
 		case err != nil:
 			return 0, 0
 		case resp.StatusCode == http.StatusTemporaryRedirect:
 			if to, err := url.Parse(resp.Header.Get("Location")); err == nil && to.Host != "" {
-				c.named(to.Host)
+				c.setWriter(to.Host)
 				continue
 			}
-			c.failed(address)
+			c.rotate(address)
 			return resp.StatusCode, 0
 		case resp.StatusCode == http.StatusServiceUnavailable:
-			c.failed(address)
+			c.rotate(address)
 		}
 		var answer struct {
 			Version int64 `json:"version"`
@@ -99,21 +99,21 @@
 	return 0, 0
 }
 
-func (c *caller) send(ctx context.Context, address string, k call) (*http.Response, error) {
+func (c *writeClient) send(ctx context.Context, address string, k call) (*http.Response, error) {
 	b := k.backend
 	path := "http://" + address + registry.Path + "/" + b.ID()
-	method, body := http.MethodPost, any(ownCall{StartedAtMs: k.started})
+	method, body := http.MethodPost, any(lifecycleCall{StartedAtMs: k.startedAtMs})
 	switch k.kind {
 	case callRegister:
-		method, body = http.MethodPut, registration{HostPort: c.answers, Zone: b.Zone, MachineType: machineType, StartedAtMs: k.started, Service: b.Service, Region: b.Region}
+		method, body = http.MethodPut, registration{HostPort: c.backendAddress, Zone: b.Zone, MachineType: machineType, StartedAtMs: k.startedAtMs, Service: b.Service, Region: b.Region}
 	case callRenew:
 		path += "/renew"
 	case callDrain:
 		path += "/lifecycle"
-		body = ownCall{StartedAtMs: k.started, Lifecycle: registry.Terminating}
+		body = lifecycleCall{StartedAtMs: k.startedAtMs, Lifecycle: registry.Terminating}
 	case callLeave:
 		method, body = http.MethodDelete, nil
-		path += "?startedAtMs=" + strconv.FormatInt(k.started, 10)
+		path += "?startedAtMs=" + strconv.FormatInt(k.startedAtMs, 10)
 	}
 	var reader io.Reader
 	if body != nil {
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -25,22 +25,22 @@
 // Fit is a form with its coefficients: Y = Base + Slope·X, or Base + Slope·X·Z, or
 // Base + Slope·X + Other·Z; behind a bend, the slope in X is Other.
 type Fit struct {
-	Form     Form    `json:"form"`
-	Base     float64 `json:"base"`
-	Slope    float64 `json:"slope"`
-	Other    float64 `json:"other,omitempty"`
-	Bend     float64 `json:"bend,omitempty"` // X at the bend
-	Residual float64 `json:"residual"`       // root mean square, relative to each point's Y
-	Worst    float64 `json:"worst"`          // the largest, relative
+	Form        Form    `json:"form"`
+	Base        float64 `json:"base"`
+	Slope       float64 `json:"slope"`
+	SecondSlope float64 `json:"other,omitempty"`
+	Bend        float64 `json:"bend,omitempty"` // X at the bend
+	Residual    float64 `json:"residual"`       // root mean square, relative to each point's Y
+	MaxResidual float64 `json:"worst"`          // the largest, relative
 }
 
 // Tolerances of a fit.
 const (
-	fitTolerance  = 0.15 // relative root mean square residual that a form may leave
-	floorShare    = 0.02 // of the largest Y: a residual is never taken relative to less
-	betterBy      = 2.0  // a form with more coefficients must leave so much less
-	leastForBend  = 4    // points
-	constantRange = 0.15 // what Y may differ in all, relative, to be constant whatever the noise
+	fitTolerance          = 0.15 // relative root mean square residual that a form may leave
+	residualFloorFraction = 0.02 // of the largest Y: a residual is never taken relative to less
+	minImprovement        = 2.0  // a form with more coefficients must leave so much less
+	minBendPoints         = 4    // points
+	constantRange         = 0.15 // what Y may differ in all, relative, to be constant whatever the noise
 )
 
 // At is the figure that the fit expects.
@@ -51,15 +51,15 @@
 	case Product:
 		return f.Base + f.Slope*x*z
 	case Sum:
-		return f.Base + f.Slope*x + f.Other*z
+		return f.Base + f.Slope*x + f.SecondSlope*z
 	case Bent:
-		return f.Base + f.Slope*min(x, f.Bend) + f.Other*max(x-f.Bend, 0)
+		return f.Base + f.Slope*min(x, f.Bend) + f.SecondSlope*max(x-f.Bend, 0)
 	}
 	return f.Base + f.Slope*x
 }
 
 func (f Fit) String() string {
-	residual := fmt.Sprintf("residual %.1f%%, worst %.1f%%", 100*f.Residual, 100*f.Worst)
+	residual := fmt.Sprintf("residual %.1f%%, worst %.1f%%", 100*f.Residual, 100*f.MaxResidual)
 	switch f.Form {
 	case Constant:
 		return fmt.Sprintf("constant: %.4g; %s", f.Base, residual)
@@ -68,9 +68,9 @@
 	case Product:
 		return fmt.Sprintf("product: %.4g + %.4g x z; %s", f.Base, f.Slope, residual)
 	case Sum:
-		return fmt.Sprintf("sum: %.4g + %.4g x + %.4g z; %s", f.Base, f.Slope, f.Other, residual)
+		return fmt.Sprintf("sum: %.4g + %.4g x + %.4g z; %s", f.Base, f.Slope, f.SecondSlope, residual)
 	}
-	return fmt.Sprintf("bent at %.4g: %.4g + %.4g x up to it, then %.4g x; %s", f.Bend, f.Base, f.Slope, f.Other, residual)
+	return fmt.Sprintf("bent at %.4g: %.4g + %.4g x up to it, then %.4g x; %s", f.Bend, f.Base, f.Slope, f.SecondSlope, residual)
 }
 
 // FitOne fits a figure of one quantity: constant, linear, or bent, the first of these
@@ -80,13 +80,13 @@
 	slices.SortFunc(points, func(a, b Point) int { return compare(a.X, b.X) })
 	constant := solve(points, Constant, 0, func(Point) []float64 { return []float64{1} })
 	linear := solve(points, Linear, 0, func(p Point) []float64 { return []float64{1, p.X} })
-	if spread(points) <= constantRange || constant.Residual <= fitTolerance && constant.Residual <= betterBy*linear.Residual {
+	if spread(points) <= constantRange || constant.Residual <= fitTolerance && constant.Residual <= minImprovement*linear.Residual {
 		return constant
 	}
 	if linear.Residual <= fitTolerance {
 		return linear
 	}
-	if bent, ok := bestBend(points); ok && bent.Residual <= fitTolerance && bent.Residual < linear.Residual/betterBy {
+	if bent, ok := bestBend(points); ok && bent.Residual <= fitTolerance && bent.Residual < linear.Residual/minImprovement {
 		return bent
 	}
 	linear.Form = Unclear
@@ -95,12 +95,12 @@
 
 // bestBend fits two slopes that meet at one of the points. What goes up and down is no bend.
 func bestBend(points []Point) (best Fit, ok bool) {
-	if len(points) < leastForBend {
+	if len(points) < minBendPoints {
 		return best, false
 	}
 	for _, bend := range points[1 : len(points)-1] {
 		bent := solve(points, Bent, bend.X, func(p Point) []float64 { return []float64{1, min(p.X, bend.X), max(p.X-bend.X, 0)} })
-		if bent.Slope*bent.Other >= 0 && (!ok || bent.Residual < best.Residual) {
+		if bent.Slope*bent.SecondSlope >= 0 && (!ok || bent.Residual < best.Residual) {
 			best, ok = bent, true
 		}
 	}
@@ -119,11 +119,11 @@
 	sum := solve(points, Sum, 0, func(p Point) []float64 { return []float64{1, p.X, p.Z} })
 	best := constant
 	for _, next := range []Fit{linear, other, product} { // as many coefficients
-		if next.Residual < constant.Residual/betterBy && next.Residual < best.Residual {
+		if next.Residual < constant.Residual/minImprovement && next.Residual < best.Residual {
 			best = next
 		}
 	}
-	if sum.Residual < best.Residual/betterBy {
+	if sum.Residual < best.Residual/minImprovement {
 		best = sum
 	}
 	if best.Residual > fitTolerance {
@@ -162,7 +162,7 @@
 		most = max(most, math.Abs(p.Y))
 	}
 	weight := func(p Point) float64 {
-		return 1 / max(math.Abs(p.Y), floorShare*most, math.SmallestNonzeroFloat64*1e16)
+		return 1 / max(math.Abs(p.Y), residualFloorFraction*most, math.SmallestNonzeroFloat64*1e16)
 	}
 	unknowns := len(terms(Point{}))
 	matrix := make([][]float64, unknowns) // normal equations, with the right side as the last column
@@ -184,13 +184,13 @@
 		f.Slope = c[1]
 	}
 	if len(c) > 2 {
-		f.Other = c[2]
+		f.SecondSlope = c[2]
 	}
 	sum := 0.0
 	for _, p := range points {
 		off := math.Abs(p.Y-f.At(p.X, p.Z)) * weight(p)
 		sum += off * off
-		f.Worst = max(f.Worst, off)
+		f.MaxResidual = max(f.MaxResidual, off)
 	}
 	f.Residual = math.Sqrt(sum / float64(max(len(points), 1)))
 	return f
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -7,7 +7,7 @@
 )
 
 // made returns points of a figure at sizes, each off by up to a share of it.
-func made(sizes []float64, noise float64, f func(x float64) float64) (all []Point) {
+func noisyPoints(sizes []float64, noise float64, f func(x float64) float64) (all []Point) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, x := range sizes {
 		all = append(all, Point{X: x, Y: f(x) * (1 + noise*(2*random.Float64()-1))})
@@ -15,7 +15,7 @@
 	return all
 }
 
-func near(t *testing.T, what string, got, want, share float64) {
+func checkNear(t *testing.T, what string, got, want, share float64) {
 	t.Helper()
 	if math.Abs(got-want) > share*math.Abs(want) {
 		t.Errorf("%s: %g, want %g", what, got, want)
@@ -44,17 +44,17 @@
 		{"bent with noise", []float64{10, 30, 100, 300, 1000, 3000}, 0.03, func(x float64) float64 { return 100 + 2*min(x, 300) + 0.01*max(x-300, 0) }, Bent, 100, 2, 0.01, 300, 0.5},
 		{"two points", []float64{10, 30}, 0, func(x float64) float64 { return 10 + x }, Linear, 10, 1, 0, 0, 0.01},
 	} {
-		f := FitOne(made(c.sizes, c.noise, c.f))
+		f := FitOne(noisyPoints(c.sizes, c.noise, c.f))
 		if f.Form != c.want {
 			t.Errorf("%s: %v", c.name, f)
 			continue
 		}
 		if c.base != 0 {
-			near(t, c.name+": base", f.Base, c.base, c.within)
+			checkNear(t, c.name+": base", f.Base, c.base, c.within)
 		}
-		near(t, c.name+": slope", f.Slope, c.slope, c.within)
+		checkNear(t, c.name+": slope", f.Slope, c.slope, c.within)
 		if c.noise == 0 {
-			near(t, c.name+": other", f.Other, c.other, c.within)
+			checkNear(t, c.name+": other", f.SecondSlope, c.other, c.within)
 		}
 		if f.Bend != c.bend {
 			t.Errorf("%s: bend at %g, want %g", c.name, f.Bend, c.bend)
@@ -96,7 +96,7 @@
 		if f.Form != c.want {
 			t.Errorf("want %s: %v", c.want, f)
 		}
-		near(t, string(c.want), f.At(100, 3), c.f(100, 3), 0.05)
+		checkNear(t, string(c.want), f.At(100, 3), c.f(100, 3), 0.05)
 		if c.want == Sum && c.f(0, 0) == 10 && f.Slope != 0 {
 			t.Errorf("a figure of the other quantity alone: %v", f)
 		}
--- a/internal/scale/follow.go
+++ b/internal/scale/follow.go
@@ -10,36 +10,36 @@
 )
 
 // update is one answer that told a gateway something new.
-type update struct {
-	version int64
-	at      int64 // Unix nanoseconds
+type receivedUpdate struct {
+	version    int64
+	receivedAt int64 // Unix nanoseconds
 }
 
 // life is what one process of a hollow gateway was told, from its first list to its end.
-type life struct {
-	told  []update
-	ended int64 // Unix nanoseconds; 0: it goes on
+type gatewayLife struct {
+	updates []receivedUpdate
+	endedAt int64 // Unix nanoseconds; 0: it goes on
 }
 
 // latency counts how long changes took from their answer to a gateway that reads a part
 // of the list. The changes are in the order of their versions.
-func (l *life) latency(g Gateway, changes []Change, into *Latency) {
-	if len(l.told) == 0 {
+func (l *gatewayLife) addLatencies(g Gateway, changes []Change, into *Latency) {
+	if len(l.updates) == 0 {
 		return
 	}
 	at := 0
 	for _, change := range changes {
 		place := Backend{Place{Number: change.Backend, Zone: change.Zone, Region: change.Region}, change.Service}
-		if change.Version <= l.told[0].version || !g.Reads(place) || l.ended != 0 && change.At >= l.ended {
+		if change.Version <= l.updates[0].version || !g.Reads(place) || l.endedAt != 0 && change.AnsweredAt >= l.endedAt {
 			continue
 		}
-		for at < len(l.told) && l.told[at].version < change.Version {
+		for at < len(l.updates) && l.updates[at].version < change.Version {
 			at++
 		}
 		switch {
-		case at < len(l.told):
-			into.add(max(0, time.Duration(l.told[at].at-change.At)))
-		case l.ended == 0:
+		case at < len(l.updates):
+			into.add(max(0, time.Duration(l.updates[at].receivedAt-change.AnsweredAt)))
+		case l.endedAt == 0:
 			into.Missing++
 		}
 	}
@@ -70,25 +70,25 @@
 }
 
 // share is a part of a list: how many instances, and their digest.
-type share struct {
+type listPart struct {
 	count  int
 	digest digest
 }
 
-func (s *share) add(i registry.Instance) {
+func (s *listPart) add(i registry.Instance) {
 	s.count++
 	s.digest.add(i.ID, i.Lifecycle)
 }
 
 // shares are the parts of the writer's list that gateways can read.
-type shares struct {
+type listParts struct {
 	version int64
-	whole   share
-	scopes  map[registry.Scope]share
+	whole   listPart
+	scopes  map[registry.Scope]listPart
 }
 
-func newShares(list registry.Listing) *shares {
-	all := &shares{version: list.Generation, scopes: map[registry.Scope]share{}}
+func newListParts(list registry.Listing) *listParts {
+	all := &listParts{version: list.Generation, scopes: map[registry.Scope]listPart{}}
 	for _, i := range list.Instances {
 		all.whole.add(i)
 		for _, scope := range []registry.Scope{{Service: i.Service}, {Service: i.Service, Region: i.Region}, {Service: i.Service, Zone: i.Zone}} {
@@ -102,10 +102,10 @@
 
 // of is what a gateway holds that has the writer's list. Its scopes are of different
 // services, so that none has a part of another.
-func (s *shares) of(g Gateway) View {
+func (s *listParts) expectedView(g Gateway) View {
 	sum := s.whole
 	if len(g.Scopes) > 0 {
-		sum = share{}
+		sum = listPart{}
 		for _, scope := range g.Scopes {
 			part := s.scopes[scope]
 			sum.count += part.count
--- a/internal/scale/gateways.go
+++ b/internal/scale/gateways.go
@@ -14,10 +14,10 @@
 
 // gatewayFleet are the hollow gateways of a process.
 type gatewayFleet struct {
-	all     []*hollow
-	listed  atomic.Int64 // those with a list
-	told    atomic.Int64
-	entries atomic.Int64
+	all              []*hollowGateway
+	synced           atomic.Int64 // those with a list
+	updates          atomic.Int64
+	updatedInstances atomic.Int64
 
 	wg  sync.WaitGroup
 	mu  sync.Mutex // of what follows
@@ -25,12 +25,12 @@
 }
 
 // hollow is one hollow gateway, over all its lives.
-type hollow struct {
+type hollowGateway struct {
 	HostedGateway
-	of *gatewayFleet
+	fleet *gatewayFleet
 
 	mu      sync.Mutex
-	lives   []*life
+	lives   []*gatewayLife
 	gateway *gateway.Hollow // of the present life; nil: it is stopped
 	stop    context.CancelFunc
 	done    chan struct{} // closed when the present life has ended
@@ -39,12 +39,12 @@
 func newGatewayFleet(c *GatewayHost) (*gatewayFleet, error) {
 	f := &gatewayFleet{}
 	for _, g := range c.Gateways {
-		f.all = append(f.all, &hollow{HostedGateway: g, of: f})
+		f.all = append(f.all, &hollowGateway{HostedGateway: g, fleet: f})
 	}
 	return f, nil
 }
 
-const listedPace = 20 * time.Millisecond
+const syncPollInterval = 20 * time.Millisecond
 
 func (f *gatewayFleet) run(ctx context.Context, ready func(), _ func([]Change)) {
 	f.mu.Lock()
@@ -55,10 +55,10 @@
 			panic(err) // of a configuration that this program wrote
 		}
 	}
-	for ctx.Err() == nil && int(f.listed.Load()) < len(f.all) {
+	for ctx.Err() == nil && int(f.synced.Load()) < len(f.all) {
 		select {
 		case <-ctx.Done():
-		case <-time.After(listedPace):
+		case <-time.After(syncPollInterval):
 		}
 	}
 	ready()
@@ -67,9 +67,9 @@
 }
 
 // start begins a life of the gateway.
-func (h *hollow) start(ctx context.Context) error {
-	l := &life{}
-	g, err := gateway.NewHollow(h.Config, h.Scopes, func(t registry.Update) { h.heard(l, t) })
+func (h *hollowGateway) start(ctx context.Context) error {
+	l := &gatewayLife{}
+	g, err := gateway.NewHollow(h.Config, h.Scopes, func(t registry.Update) { h.recordUpdate(l, t) })
 	if err != nil {
 		return fmt.Errorf("gateway %d: %w", h.Number, err)
 	}
@@ -78,7 +78,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lives, h.gateway, h.stop, h.done = append(h.lives, l), g, stop, done
-	h.of.wg.Go(func() {
+	h.fleet.wg.Go(func() {
 		defer close(done)
 		g.Run(ctx)
 	})
@@ -86,23 +86,23 @@
 }
 
 // heard takes note of an answer.
-func (h *hollow) heard(l *life, t registry.Update) {
+func (h *hollowGateway) recordUpdate(l *gatewayLife, t registry.Update) {
 	now := time.Now().UnixNano()
-	h.of.told.Add(1)
-	h.of.entries.Add(int64(len(t.Changes.Instances)))
+	h.fleet.updates.Add(1)
+	h.fleet.updatedInstances.Add(int64(len(t.Changes.Instances)))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if l.ended != 0 {
+	if l.endedAt != 0 {
 		return
 	}
-	if len(l.told) == 0 {
-		h.of.listed.Add(1)
+	if len(l.updates) == 0 {
+		h.fleet.synced.Add(1)
 	}
-	l.told = append(l.told, update{t.Generation, now})
+	l.updates = append(l.updates, receivedUpdate{t.Generation, now})
 }
 
 // end ends the present life, as a kill does: nobody is told.
-func (h *hollow) end() {
+func (h *hollowGateway) kill() {
 	h.mu.Lock()
 	stop, done := h.stop, h.done
 	if h.gateway == nil {
@@ -111,24 +111,24 @@
 	}
 	h.gateway = nil
 	l := h.lives[len(h.lives)-1]
-	l.ended = time.Now().UnixNano()
-	if len(l.told) > 0 {
-		h.of.listed.Add(-1)
+	l.endedAt = time.Now().UnixNano()
+	if len(l.updates) > 0 {
+		h.fleet.synced.Add(-1)
 	}
 	h.mu.Unlock()
 	stop()
 	<-done
 }
 
-func (f *gatewayFleet) obey(c Command) {
+func (f *gatewayFleet) execute(c Command) {
 	f.mu.Lock()
 	ctx := f.ctx
 	f.mu.Unlock()
 	for _, h := range f.all {
 		switch {
-		case c.Stop != nil && c.Stop.gateway(h.Place):
-			f.wg.Go(h.end)
-		case c.Resume != nil && c.Resume.gateway(h.Place) && h.present() == nil:
+		case c.Stop != nil && c.Stop.includesGateway(h.Place):
+			f.wg.Go(h.kill)
+		case c.Resume != nil && c.Resume.includesGateway(h.Place) && h.current() == nil:
 			if err := h.start(ctx); err != nil {
 				panic(err)
 			}
@@ -136,18 +136,18 @@
 	}
 }
 
-func (h *hollow) present() *gateway.Hollow {
+func (h *hollowGateway) current() *gateway.Hollow {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.gateway
 }
 
 func (f *gatewayFleet) sample(s *Sample) {
-	s.Told, s.Entries, s.Listed = f.told.Load(), f.entries.Load(), int(f.listed.Load())
+	s.Updates, s.UpdatedInstances, s.Synced = f.updates.Load(), f.updatedInstances.Load(), int(f.synced.Load())
 	for _, h := range f.all {
 		h.mu.Lock()
 		for _, l := range h.lives {
-			s.Heap -= uint64(cap(l.told)) * uint64(unsafe.Sizeof(update{})) // the measurement's own
+			s.HeapBytes -= uint64(cap(l.updates)) * uint64(unsafe.Sizeof(receivedUpdate{})) // the measurement's own
 		}
 		g := h.gateway
 		h.mu.Unlock()
@@ -173,7 +173,7 @@
 
 func (f *gatewayFleet) views() (all []View) {
 	for _, h := range f.all {
-		g := h.present()
+		g := h.current()
 		if g == nil {
 			continue
 		}
@@ -194,7 +194,7 @@
 	for _, h := range f.all {
 		h.mu.Lock()
 		for _, life := range h.lives {
-			life.latency(h.Gateway, changes, l)
+			life.addLatencies(h.Gateway, changes, l)
 		}
 		h.mu.Unlock()
 	}
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -14,12 +14,12 @@
 )
 
 // mostLine is the longest line of what processes tell each other.
-const mostLine = 64 << 20
+const maxLineBytes = 64 << 20
 
 // hosted is what a process has: hollow gateways or backends.
-type hosted interface {
+type workload interface {
 	run(ctx context.Context, ready func(), changed func([]Change))
-	obey(c Command)
+	execute(c Command)
 	sample(s *Sample)
 	views() []View
 	latency(changes []Change) *Latency
@@ -38,8 +38,8 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("scale-host: its configuration: %w", err)
 	}
-	empty := held()
-	var h hosted
+	empty := heldBytes()
+	var h workload
 	switch {
 	case config.Gateways != nil:
 		h, err = newGatewayFleet(config.Gateways)
@@ -53,12 +53,12 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	reports := &reporter{out: json.NewEncoder(out), failed: stop}
+	reports := &reporter{out: json.NewEncoder(out), onFailure: stop}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
 	wg.Go(func() {
-		h.run(ctx, func() { reports.tell(Report{Ready: true}) }, func(changes []Change) { reports.tell(Report{Changes: changes}) })
+		h.run(ctx, func() { reports.send(Report{Ready: true}) }, func(changes []Change) { reports.send(Report{Changes: changes}) })
 	})
 	commands := make(chan Command)
 	go func() {
@@ -91,17 +91,17 @@
 		changes = append(changes, c.Changes...)
 		switch {
 		case c.Sample != nil:
-			s := Sample{Empty: empty}
-			use(&s, c.Sample.Collect)
+			s := Sample{BaselineBytes: empty}
+			fillUsage(&s, c.Sample.Collect)
 			h.sample(&s)
-			reports.tell(Report{Sample: &s})
+			reports.send(Report{Sample: &s})
 		case c.Views:
-			reports.tell(Report{Views: h.views()})
+			reports.send(Report{Views: h.views()})
 		case c.Latency:
-			reports.tell(Report{Latency: h.latency(changes)})
+			reports.send(Report{Latency: h.latency(changes)})
 			changes = nil
 		default:
-			h.obey(c)
+			h.execute(c)
 		}
 	}
 }
@@ -114,8 +114,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if line = append(line, part...); len(line) > mostLine {
-			return nil, fmt.Errorf("a line of over %d bytes", mostLine)
+		if line = append(line, part...); len(line) > maxLineBytes {
+			return nil, fmt.Errorf("a line of over %d bytes", maxLineBytes)
 		}
 		if !more {
 			return line, nil
@@ -125,21 +125,21 @@
 
 // reporter writes reports, whole lines each.
 type reporter struct {
-	mu     sync.Mutex
-	out    *json.Encoder
-	failed func()
+	mu        sync.Mutex
+	out       *json.Encoder
+	onFailure func()
 }
 
-func (r *reporter) tell(report Report) {
+func (r *reporter) send(report Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.out.Encode(report) != nil {
-		r.failed() // nobody listens any more
+		r.onFailure() // nobody listens any more
 	}
 }
 
 // held is what the process holds after a collection: heap and stacks.
-func held() uint64 {
+func heldBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC() // what finalizers let go
@@ -148,19 +148,19 @@
 }
 
 // use fills in what the process has used.
-func use(s *Sample, collect bool) {
+func fillUsage(s *Sample, collect bool) {
 	if collect {
 		runtime.GC()
 		runtime.GC()
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	s.Mallocs, s.Allocated, s.Heap, s.Stacks = m.Mallocs, m.TotalAlloc, m.HeapAlloc, m.StackInuse
+	s.Mallocs, s.AllocatedBytes, s.HeapBytes, s.StackBytes = m.Mallocs, m.TotalAlloc, m.HeapAlloc, m.StackInuse
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
 		s.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	}
-	if u, err := readUse("self"); err == nil {
-		s.In, s.Out = u.In, u.Out
+	if u, err := readUsage("self"); err == nil {
+		s.ReadBytes, s.WrittenBytes = u.ReadBytes, u.WrittenBytes
 	}
 }
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -53,7 +53,7 @@
 				case <-ctx.Done():
 					return
 				case n := <-due:
-					if status := ask(ctx, client, gateways[n%len(gateways)], n); ctx.Err() == nil {
+					if status := sendRequest(ctx, client, gateways[n%len(gateways)], n); ctx.Err() == nil {
 						l.count(status)
 					}
 				}
@@ -64,7 +64,7 @@
 }
 
 // ask makes one request of the class and a plan that the gateways' settings have.
-func ask(ctx context.Context, client *http.Client, gateway string, n int) (status int) {
+func sendRequest(ctx context.Context, client *http.Client, gateway string, n int) (status int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+gateway+"/browse", nil)
 	if err != nil {
 		return 0
--- a/internal/scale/proc.go
+++ b/internal/scale/proc.go
@@ -10,21 +10,21 @@
 )
 
 // Use is what the system tells of a process.
-type Use struct {
-	CPU      time.Duration // user and system, in steps of clockTick
-	MemoryMB float64       // resident
-	In, Out  uint64        // bytes of read and write calls: sockets, and files such as logs
-	Stored   uint64        // bytes written to storage
+type ResourceUsage struct {
+	CPU                     time.Duration // user and system, in steps of clockTick
+	MemoryMB                float64       // resident
+	ReadBytes, WrittenBytes uint64        // bytes of read and write calls: sockets, and files such as logs
+	StoredBytes             uint64        // bytes written to storage
 }
 
 // clockTick is the unit of processor time in /proc/PID/stat.
 const clockTick = time.Second / 100
 
-var errNoProcess = errors.New("its figures can't be read")
+var errMalformedStat = errors.New("its figures can't be read")
 
 // readUse reads the figures of a process; "self" is this one.
-func readUse(pid string) (Use, error) {
-	var u Use
+func readUsage(pid string) (ResourceUsage, error) {
+	var u ResourceUsage
 	stat, err := os.ReadFile("/proc/" + pid + "/stat")
 	if err != nil {
 		return u, err
@@ -35,19 +35,19 @@
 	fields := strings.Fields(string(rest))
 	const user, system = 11, 12
 	if !found || len(fields) <= system {
-		return u, errNoProcess
+		return u, errMalformedStat
 	}
 	var userTicks, systemTicks int64
 	if _, err := fmt.Sscan(fields[user]+" "+fields[system], &userTicks, &systemTicks); err != nil {
 		return u, err
 	}
 	u.CPU = time.Duration(userTicks+systemTicks) * clockTick
-	io, err := readKeys("/proc/" + pid + "/io")
+	io, err := readCounters("/proc/" + pid + "/io")
 	if err != nil {
 		return u, err
 	}
-	u.In, u.Out, u.Stored = io["rchar"], io["wchar"], io["write_bytes"]
-	status, err := readKeys("/proc/" + pid + "/status")
+	u.ReadBytes, u.WrittenBytes, u.StoredBytes = io["rchar"], io["wchar"], io["write_bytes"]
+	status, err := readCounters("/proc/" + pid + "/status")
 	if err != nil {
 		return u, err
 	}
@@ -56,7 +56,7 @@
 }
 
 // readKeys reads a file of lines "key: number".
-func readKeys(path string) (map[string]uint64, error) {
+func readCounters(path string) (map[string]uint64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -26,12 +26,12 @@
 	dir     string
 	starter *child.Starter
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{} // closed when the present life has ended
-	spent Use           // of the lives before the present one
-	last  Use           // of the present one, as it was last read
-	meant bool          // the present life was ended by the run
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	ended        chan struct{} // closed when the present life has ended
+	earlierUsage ResourceUsage // of the lives before the present one
+	lastUsage    ResourceUsage // of the present one, as it was last read
+	killed       bool          // the present life was ended by the run
 }
 
 func newProcess(name, role, dir string, starter *child.Starter) (*process, error) {
@@ -42,7 +42,7 @@
 // start begins a life. What the process writes goes to its log, but for standard output
 // where out is not nil.
 func (p *process) start(cmd *exec.Cmd, out io.Writer, died func(*process, error)) error {
-	log, err := os.OpenFile(p.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -56,15 +56,15 @@
 	}
 	ended := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.ended, p.meant, p.last = cmd, ended, false, Use{}
+	p.cmd, p.ended, p.killed, p.lastUsage = cmd, ended, false, ResourceUsage{}
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
-		meant := p.meant
-		p.spent.CPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-		p.spent.In, p.spent.Out, p.spent.Stored = p.spent.In+p.last.In, p.spent.Out+p.last.Out, p.spent.Stored+p.last.Stored
-		p.last = Use{}
+		meant := p.killed
+		p.earlierUsage.CPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		p.earlierUsage.ReadBytes, p.earlierUsage.WrittenBytes, p.earlierUsage.StoredBytes = p.earlierUsage.ReadBytes+p.lastUsage.ReadBytes, p.earlierUsage.WrittenBytes+p.lastUsage.WrittenBytes, p.earlierUsage.StoredBytes+p.lastUsage.StoredBytes
+		p.lastUsage = ResourceUsage{}
 		p.mu.Unlock()
 		close(ended)
 		if !meant {
@@ -74,37 +74,37 @@
 	return nil
 }
 
-func (p *process) log() string { return filepath.Join(p.dir, "log") }
+func (p *process) logPath() string { return filepath.Join(p.dir, "log") }
 
 // use returns what the process has used, over all its lives.
-func (p *process) use() Use {
+func (p *process) usage() ResourceUsage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return Use{}
+		return ResourceUsage{}
 	}
 	select {
 	case <-p.ended:
 	default:
-		if u, err := readUse(strconv.Itoa(p.cmd.Process.Pid)); err == nil {
-			p.last = u
+		if u, err := readUsage(strconv.Itoa(p.cmd.Process.Pid)); err == nil {
+			p.lastUsage = u
 		}
 	}
-	u := p.last
-	u.CPU, u.In, u.Out, u.Stored = u.CPU+p.spent.CPU, u.In+p.spent.In, u.Out+p.spent.Out, u.Stored+p.spent.Stored
+	u := p.lastUsage
+	u.CPU, u.ReadBytes, u.WrittenBytes, u.StoredBytes = u.CPU+p.earlierUsage.CPU, u.ReadBytes+p.earlierUsage.ReadBytes, u.WrittenBytes+p.earlierUsage.WrittenBytes, u.StoredBytes+p.earlierUsage.StoredBytes
 	return u
 }
 
 // kill ends the present life at once and waits for its end.
 func (p *process) kill() {
-	p.use()
+	p.usage()
 	p.mu.Lock()
 	ended := p.ended
 	if ended == nil {
 		p.mu.Unlock()
 		return
 	}
-	p.meant = true
+	p.killed = true
 	select {
 	case <-ended:
 	default:
@@ -115,8 +115,8 @@
 }
 
 // lastWords are the end of what the process has written.
-func (p *process) lastWords() string {
-	text, err := os.ReadFile(p.log())
+func (p *process) logTail() string {
+	text, err := os.ReadFile(p.logPath())
 	if err != nil {
 		return err.Error()
 	}
@@ -136,9 +136,9 @@
 	latency chan *Latency
 }
 
-const askWait = 60 * time.Second // for a report: a collection of garbage, or a look through all changes
+const reportTimeout = 60 * time.Second // for a report: a collection of garbage, or a look through all changes
 
-var errSilent = errors.New("it does not report")
+var errNoReport = errors.New("it does not report")
 
 // startHost starts a process of hollow ones; changed is called with the changes that it
 // reports.
@@ -159,11 +159,11 @@
 		out.Close()
 		return nil, err
 	}
-	go h.read(out, changed)
+	go h.readReports(out, changed)
 	return h, json.NewEncoder(h.in).Encode(config)
 }
 
-func (h *host) read(out io.ReadCloser, changed func([]Change)) {
+func (h *host) readReports(out io.ReadCloser, changed func([]Change)) {
 	defer out.Close()
 	lines := bufio.NewReaderSize(out, 1<<16)
 	for {
@@ -187,16 +187,16 @@
 	}
 }
 
-func (h *host) tell(c Command) error {
+func (h *host) send(c Command) error {
 	if err := json.NewEncoder(h.in).Encode(c); err != nil {
-		return fmt.Errorf("%s: %w; it said:\n%s", h.name, err, h.lastWords())
+		return fmt.Errorf("%s: %w; it said:\n%s", h.name, err, h.logTail())
 	}
 	return nil
 }
 
 // answerOf waits for a report.
-func answerOf[T any](h *host, reports <-chan T) (T, error) {
-	late := time.NewTimer(askWait)
+func awaitReport[T any](h *host, reports <-chan T) (T, error) {
+	late := time.NewTimer(reportTimeout)
 	defer late.Stop()
 	select {
 	case r := <-reports:
@@ -205,36 +205,36 @@
 	case <-late.C:
 	}
 	var none T
-	return none, fmt.Errorf("%s: %w; it said:\n%s", h.name, errSilent, h.lastWords())
+	return none, fmt.Errorf("%s: %w; it said:\n%s", h.name, errNoReport, h.logTail())
 }
 
-func (h *host) sample(collect bool) (*Sample, error) {
-	if err := h.tell(Command{Sample: &Sampler{Collect: collect}}); err != nil {
+func (h *host) readSample(collect bool) (*Sample, error) {
+	if err := h.send(Command{Sample: &SampleRequest{Collect: collect}}); err != nil {
 		return nil, err
 	}
-	return answerOf(h, h.samples)
+	return awaitReport(h, h.samples)
 }
 
-func (h *host) view() ([]View, error) {
-	if err := h.tell(Command{Views: true}); err != nil {
+func (h *host) readViews() ([]View, error) {
+	if err := h.send(Command{Views: true}); err != nil {
 		return nil, err
 	}
-	return answerOf(h, h.views)
+	return awaitReport(h, h.views)
 }
 
 // changesInLine is how many changes a process is told in one line.
-const changesInLine = 10_000
+const maxChangesPerLine = 10_000
 
-func (h *host) latencyOf(changes []Change) (*Latency, error) {
+func (h *host) readLatency(changes []Change) (*Latency, error) {
 	for len(changes) > 0 {
-		n := min(len(changes), changesInLine)
-		if err := h.tell(Command{Changes: changes[:n]}); err != nil {
+		n := min(len(changes), maxChangesPerLine)
+		if err := h.send(Command{Changes: changes[:n]}); err != nil {
 			return nil, err
 		}
 		changes = changes[n:]
 	}
-	if err := h.tell(Command{Latency: true}); err != nil {
+	if err := h.send(Command{Latency: true}); err != nil {
 		return nil, err
 	}
-	return answerOf(h, h.latency)
+	return awaitReport(h, h.latency)
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -23,24 +23,24 @@
 
 // Options are what a run needs beside its scenario.
 type Options struct {
-	Registry string    // path of the list service's program
-	Gateway  string    // path of the gateway's
-	Host     []string  // command of a process of hollow ones, which calls RunHost
-	Dir      string    // for configurations, logs and data; each process has a folder in it
-	Live     io.Writer // a line each second; nil: none
+	RegistryPath string    // path of the list service's program
+	GatewayPath  string    // path of the gateway's
+	HostCommand  []string  // command of a process of hollow ones, which calls RunHost
+	Dir          string    // for configurations, logs and data; each process has a folder in it
+	Progress     io.Writer // a line each second; nil: none
 }
 
 // Times of a run.
 const (
-	readyWait   = 90 * time.Second // for a process to be ready
-	readyPace   = 50 * time.Millisecond
-	startMargin = 4 * time.Minute // of a run's deadline, beside registrations, length and quiet
-	settleTime  = time.Second     // between the last list and the measurement
-	tailTime    = time.Second     // after the last restart has ended, for its changes to be told
-	settledPace = 200 * time.Millisecond
-	viewPace    = time.Second // between two looks whether all hold the writer's list
-	watchPace   = time.Second // between two looks at memory, and two lines
-	callTimeout = 10 * time.Second
+	readyTimeout        = 90 * time.Second // for a process to be ready
+	readyPollInterval   = 50 * time.Millisecond
+	startMargin         = 4 * time.Minute // of a run's deadline, beside registrations, length and quiet
+	settleTime          = time.Second     // between the last list and the measurement
+	tailTime            = time.Second     // after the last restart has ended, for its changes to be told
+	settledPollInterval = 200 * time.Millisecond
+	viewPollInterval    = time.Second // between two looks whether all hold the writer's list
+	watchInterval       = time.Second // between two looks at memory, and two lines
+	httpTimeout         = 10 * time.Second
 )
 
 // The roles of processes.
@@ -55,31 +55,31 @@
 
 // runner is a run under way.
 type runner struct {
-	s       *Scenario
-	o       Options
-	plan    *Plan
-	machine Machine
-	claim   net.Listener
-	starter *child.Starter
-	http    *http.Client
-	cancel  context.CancelCauseFunc
-
-	services []*process
-	gateways []*host
-	backends []*host
-	reals    []*process
-	links    map[int]*link.Relay // by the follower's place among the services
-	load     *load
+	scenario *Scenario
+	options  Options
+	plan     *Plan
+	machine  Machine
+	claim    net.Listener
+	starter  *child.Starter
+	http     *http.Client
+	cancel   context.CancelCauseFunc
+
+	services     []*process
+	gateways     []*host
+	backends     []*host
+	realGateways []*process
+	relays       map[int]*link.Relay // by the follower's place among the services
+	load         *load
 
 	unsettled bool // at the end, not all backends served
 
-	mu      sync.Mutex
-	started []*process // of all roles
-	changes []Change
-	most    float64 // MB of all processes at once
-	marks   []string
-	began   time.Time // the measurement
-	phase   string
+	mu             sync.Mutex
+	processes      []*process // of all roles
+	changes        []Change
+	peakMB         float64 // MB of all processes at once
+	events         []string
+	measuringSince time.Time // the measurement
+	phase          string
 }
 
 // Run makes a run and returns what it came to. No process that it has started is left
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("what this machine has can't be told: %w", err)
 	}
-	if err := Fits(s); err != nil {
+	if err := CheckResources(s); err != nil {
 		return nil, err
 	}
 	deadline := s.Length.Std() + s.Quiet.Std() + startMargin + time.Duration(float64(s.Fleet.Backends)/s.Changes.Register*float64(time.Second))
@@ -100,8 +100,8 @@
 	defer end()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	r := &runner{s: s, o: o, machine: machine, starter: child.NewStarter(), cancel: cancel, links: map[int]*link.Relay{},
-		http: &http.Client{Timeout: callTimeout}}
+	r := &runner{scenario: s, options: o, machine: machine, starter: child.NewStarter(), cancel: cancel, relays: map[int]*link.Relay{},
+		http: &http.Client{Timeout: httpTimeout}}
 	defer r.starter.Close()
 	defer r.close()
 	if r.plan, r.claim, err = findPlan(s); err != nil {
@@ -121,16 +121,16 @@
 
 // The loopback networks that runs are laid out in, and how many are tried.
 const (
-	firstNet, pastLastNet = 16, 250
-	netsTried             = 20
+	firstNetwork, endNetwork = 16, 250
+	maxNetworkAttempts       = 20
 )
 
 // findPlan claims a network that no other run uses.
 func findPlan(s *Scenario) (*Plan, net.Listener, error) {
 	var last error
-	for range netsTried {
-		p := NewPlan(s, firstNet+rand.IntN(pastLastNet-firstNet))
-		claim, err := net.Listen("tcp", p.claim())
+	for range maxNetworkAttempts {
+		p := NewPlan(s, firstNetwork+rand.IntN(endNetwork-firstNetwork))
+		claim, err := net.Listen("tcp", p.claimAddress())
 		if err == nil {
 			return p, claim, nil
 		}
@@ -138,7 +138,7 @@
 			return nil, nil, err
 		}
 	}
-	return nil, nil, fmt.Errorf("the networks of %d runs in 127.0.0.0/8 are taken; the last: %w", netsTried, last)
+	return nil, nil, fmt.Errorf("the networks of %d runs in 127.0.0.0/8 are taken; the last: %w", maxNetworkAttempts, last)
 }
 
 // run starts everything, measures, and collects.
@@ -185,7 +185,7 @@
 		return err
 	}
 	r.setPhase("starting members")
-	members, followers := r.plan.Services[:r.s.Fleet.Members], r.plan.Services[r.s.Fleet.Members:]
+	members, followers := r.plan.Services[:r.scenario.Fleet.Members], r.plan.Services[r.scenario.Fleet.Members:]
 	if err := r.startServices(members); err != nil {
 		return err
 	}
@@ -214,18 +214,18 @@
 func (r *runner) startServices(some []Service) error {
 	for _, s := range some {
 		n := len(r.services)
-		if s.Link != "" {
-			relay, err := link.NewRelay(s.Link, r.plan.Services[s.Copies].Listen, link.Limits{MaxConnections: relayConnections, BufferBytes: relayBuffer}, r.s.Seed+uint64(n))
+		if s.RelayListen != "" {
+			relay, err := link.NewRelay(s.RelayListen, r.plan.Services[s.SourceIndex].Listen, link.Limits{MaxConnections: relayConnections, BufferBytes: relayBuffer}, r.scenario.Seed+uint64(n))
 			if err != nil {
 				return err
 			}
-			r.links[n] = relay
+			r.relays[n] = relay
 		}
 		role := roleFollower
-		if s.Member > 0 {
+		if s.MemberNumber > 0 {
 			role = roleMember
 		}
-		p, err := r.add(s.Name, role)
+		p, err := r.newProcess(s.Name, role)
 		if err != nil {
 			return err
 		}
@@ -261,17 +261,17 @@
 )
 
 func (r *runner) startService(p *process) error {
-	return p.start(exec.Command(r.o.Registry, "--config", filepath.Join(p.dir, "config.json")), nil, r.died)
+	return p.start(exec.Command(r.options.RegistryPath, "--config", filepath.Join(p.dir, "config.json")), nil, r.processDied)
 }
 
 // startHosts starts processes of hollow ones and waits until all that they have is there.
 func (r *runner) startHosts(ctx context.Context, role string, configs []HostConfig) (hosts []*host, err error) {
 	for _, c := range configs {
-		p, err := r.add(c.Name, role)
+		p, err := r.newProcess(c.Name, role)
 		if err != nil {
 			return hosts, err
 		}
-		h, err := startHost(p, r.o.Host, c, r.changed, r.died)
+		h, err := startHost(p, r.options.HostCommand, c, r.recordChanges, r.processDied)
 		if err != nil {
 			return hosts, err
 		}
@@ -290,13 +290,13 @@
 // startReal starts the gateways that serve requests, and the load on them.
 func (r *runner) startReal(ctx context.Context) error {
 	var addresses []string
-	for n := range r.s.Fleet.RealGateways {
-		p, err := r.add(fmt.Sprintf("real%d", n), roleReal)
+	for n := range r.scenario.Fleet.RealGateways {
+		p, err := r.newProcess(fmt.Sprintf("real%d", n), roleReal)
 		if err != nil {
 			return err
 		}
-		number := r.s.Fleet.Gateways + n
-		config, err := r.plan.gatewayConfig(number, r.s.place(number), r.s.scopesOf(number))
+		number := r.scenario.Fleet.Gateways + n
+		config, err := r.plan.gatewayConfig(number, r.scenario.place(number), r.scenario.scopesOf(number))
 		if err != nil {
 			return err
 		}
@@ -304,26 +304,26 @@
 		if err := os.WriteFile(path, config, 0o600); err != nil {
 			return err
 		}
-		r.reals = append(r.reals, p)
-		if err := p.start(exec.Command(r.o.Gateway, "--config", path), nil, r.died); err != nil {
+		r.realGateways = append(r.realGateways, p)
+		if err := p.start(exec.Command(r.options.GatewayPath, "--config", path), nil, r.processDied); err != nil {
 			return err
 		}
-		addresses = append(addresses, r.plan.realGateway(n, portGateway))
+		addresses = append(addresses, r.plan.realGatewayAddress(n, portGateway))
 	}
-	for n, p := range r.reals {
+	for n, p := range r.realGateways {
 		if err := r.awaitReady(ctx, p, "http://"+addresses[n]+"/health/ready"); err != nil {
 			return err
 		}
 	}
-	if len(addresses) > 0 && r.s.Changes.Requests > 0 {
-		r.load = startLoad(addresses, r.s.Changes.Requests)
+	if len(addresses) > 0 && r.scenario.Changes.Requests > 0 {
+		r.load = startLoad(addresses, r.scenario.Changes.Requests)
 	}
 	return nil
 }
 
 // awaitReady waits until an address answers yes.
 func (r *runner) awaitReady(ctx context.Context, p *process, url string) error {
-	end := time.Now().Add(readyWait + r.s.Fleet.Lease.Std())
+	end := time.Now().Add(readyTimeout + r.scenario.Fleet.Lease.Std())
 	for time.Now().Before(end) {
 		if resp, err := r.http.Get(url); err == nil {
 			resp.Body.Close()
@@ -331,11 +331,11 @@
 				return nil
 			}
 		}
-		if err := pause(ctx, readyPace); err != nil {
+		if err := pause(ctx, readyPollInterval); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("%s is not ready; it said:\n%s", p.name, p.lastWords())
+	return fmt.Errorf("%s is not ready; it said:\n%s", p.name, p.logTail())
 }
 
 func pause(ctx context.Context, d time.Duration) error {
@@ -350,31 +350,31 @@
 }
 
 // died ends the run: a process has ended that nobody has ended.
-func (r *runner) died(p *process, err error) {
-	r.cancel(fmt.Errorf("%s has ended by itself (%v); it said:\n%s", p.name, err, p.lastWords()))
+func (r *runner) processDied(p *process, err error) {
+	r.cancel(fmt.Errorf("%s has ended by itself (%v); it said:\n%s", p.name, err, p.logTail()))
 }
 
-func (r *runner) changed(changes []Change) {
+func (r *runner) recordChanges(changes []Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.changes = append(r.changes, changes...)
 }
 
 // add makes a process that the run's bounds hold for.
-func (r *runner) add(name, role string) (*process, error) {
-	p, err := newProcess(name, role, r.o.Dir, r.starter)
+func (r *runner) newProcess(name, role string) (*process, error) {
+	p, err := newProcess(name, role, r.options.Dir, r.starter)
 	if err == nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.started = append(r.started, p)
+		r.processes = append(r.processes, p)
 	}
 	return p, err
 }
 
-func (r *runner) everyone() []*process {
+func (r *runner) allProcesses() []*process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.started)
+	return slices.Clone(r.processes)
 }
 
 // close ends all processes, by their ids.
@@ -386,10 +386,10 @@
 		h.kill()
 		h.in.Close()
 	}
-	for _, p := range slices.Concat(r.services, r.reals) {
+	for _, p := range slices.Concat(r.services, r.realGateways) {
 		p.kill()
 	}
-	for _, relay := range r.links {
+	for _, relay := range r.relays {
 		relay.Close()
 	}
 	if r.claim != nil {
@@ -402,24 +402,24 @@
 // waits until what was begun has ended.
 func (r *runner) measure(ctx context.Context) error {
 	r.mu.Lock()
-	r.began = time.Now()
+	r.measuringSince = time.Now()
 	r.mu.Unlock()
 	began := time.Now()
-	if err := r.restarts(r.s.Changes.PerS); err != nil {
+	if err := r.setChangeRate(r.scenario.Changes.PerS); err != nil {
 		return err
 	}
-	for _, step := range r.s.steps() {
+	for _, step := range r.scenario.faultSteps() {
 		if err := pause(ctx, time.Until(began.Add(step.at))); err != nil {
 			return err
 		}
-		if err := r.inject(step); err != nil {
+		if err := r.applyStep(step); err != nil {
 			return fmt.Errorf("%s: %w", step.fault.Kind, err)
 		}
 	}
-	if err := pause(ctx, time.Until(began.Add(r.s.Length.Std()))); err != nil {
+	if err := pause(ctx, time.Until(began.Add(r.scenario.Length.Std()))); err != nil {
 		return err
 	}
-	if err := r.restarts(0); err != nil {
+	if err := r.setChangeRate(0); err != nil {
 		return err
 	}
 	if err := r.awaitSettled(ctx); err != nil {
@@ -430,10 +430,10 @@
 
 // awaitSettled waits until every backend serves that was not stopped, or the time is over.
 func (r *runner) awaitSettled(ctx context.Context) error {
-	for end := time.Now().Add(r.s.Quiet.Std()); time.Now().Before(end); {
+	for end := time.Now().Add(r.scenario.Quiet.Std()); time.Now().Before(end); {
 		settled := true
 		for _, h := range r.backends {
-			s, err := h.sample(false)
+			s, err := h.readSample(false)
 			if err != nil {
 				return err
 			}
@@ -442,86 +442,86 @@
 		if settled {
 			return nil
 		}
-		if err := pause(ctx, settledPace); err != nil {
+		if err := pause(ctx, settledPollInterval); err != nil {
 			return err
 		}
 	}
-	r.mark("not all backends serve")
+	r.logEvent("not all backends serve")
 	r.unsettled = true
 	return nil
 }
 
 // restarts sets how many changes of the list restarts of backends make in a second.
-func (r *runner) restarts(changesPerS float64) error {
-	each := changesPerS / changesRestart / float64(len(r.backends))
-	return tellAll(r.backends, Command{Restarts: &each})
+func (r *runner) setChangeRate(changesPerS float64) error {
+	each := changesPerS / changesPerRestart / float64(len(r.backends))
+	return sendAll(r.backends, Command{RestartsPerS: &each})
 }
 
-func tellAll(hosts []*host, c Command) error {
+func sendAll(hosts []*host, c Command) error {
 	var all []error
 	for _, h := range hosts {
-		all = append(all, h.tell(c))
+		all = append(all, h.send(c))
 	}
 	return errors.Join(all...)
 }
 
 // step is the beginning or the end of a fault.
-type step struct {
+type faultStep struct {
 	at    time.Duration
 	fault *Fault
 	ends  bool
 }
 
 // steps are those of all faults, in their order.
-func (s *Scenario) steps() (all []step) {
+func (s *Scenario) faultSteps() (all []faultStep) {
 	for _, f := range s.Faults {
-		all = append(all, step{f.At.Std(), f, false}, step{(f.At + f.For).Std(), f, true})
+		all = append(all, faultStep{f.At.Std(), f, false}, faultStep{(f.At + f.For).Std(), f, true})
 	}
-	slices.SortStableFunc(all, func(a, b step) int { return int(a.at - b.at) })
+	slices.SortStableFunc(all, func(a, b faultStep) int { return int(a.at - b.at) })
 	return all
 }
 
-func (f *Fault) chosen() *Chosen {
+func (f *Fault) selection() *Selection {
 	switch f.Kind {
 	case FaultRack:
-		return &Chosen{Gateways: f.Gateways, Backends: f.Backends}
+		return &Selection{Gateways: f.Gateways, Backends: f.Backends}
 	case FaultZone:
-		return &Chosen{Zone: f.Zone}
+		return &Selection{Zone: f.Zone}
 	}
-	return &Chosen{Region: f.Region, All: f.Region == ""}
+	return &Selection{Region: f.Region, AllGateways: f.Region == ""}
 }
 
 // inject begins or ends a fault.
-func (r *runner) inject(at step) error {
+func (r *runner) applyStep(at faultStep) error {
 	f := at.fault
 	word := "begins"
 	if at.ends {
 		word = "ends"
 	}
-	r.mark("%s %s", f.Kind, word)
+	r.logEvent("%s %s", f.Kind, word)
 	switch f.Kind {
 	case FaultRack, FaultZone, FaultGateways:
-		c := Command{Stop: f.chosen()}
+		c := Command{Stop: f.selection()}
 		if at.ends {
-			c = Command{Resume: f.chosen()}
+			c = Command{Resume: f.selection()}
 		}
 		hosts := r.gateways
 		if f.Kind != FaultGateways {
 			hosts = slices.Concat(r.gateways, r.backends)
 		}
-		return tellAll(hosts, c)
+		return sendAll(hosts, c)
 	case FaultRestarts:
-		rate := f.ChangesPS
+		rate := f.ChangesPerS
 		if at.ends {
-			rate = r.s.Changes.PerS
+			rate = r.scenario.Changes.PerS
 		}
-		return r.restarts(rate)
+		return r.setChangeRate(rate)
 	case FaultRegionCut:
 		how := link.Condition{Kind: link.Dropped}
 		if at.ends {
 			how = link.Condition{Kind: link.Up}
 		}
-		for n, relay := range r.links {
+		for n, relay := range r.relays {
 			if r.plan.Services[n].Region != f.Region {
 				continue
 			}
@@ -531,24 +531,24 @@
 		}
 		return nil
 	}
-	return r.injectKill(f, at.ends)
+	return r.applyKill(f, at.ends)
 }
 
 // injectKill kills a list service, or starts it again.
-func (r *runner) injectKill(f *Fault, ends bool) error {
+func (r *runner) applyKill(f *Fault, ends bool) error {
 	for _, p := range r.services {
 		p.mu.Lock()
-		meant := p.meant
+		meant := p.killed
 		p.mu.Unlock()
 		switch {
 		case ends && meant:
 			if err := r.startService(p); err != nil {
 				return err
 			}
-			r.mark("%s was started again", p.name)
-		case !ends && (p.name == f.Who || f.Who == whoWriter && p.name == r.writer()):
+			r.logEvent("%s was started again", p.name)
+		case !ends && (p.name == f.Process || f.Process == processWriter && p.name == r.writerName()):
 			p.kill()
-			r.mark("%s was killed", p.name)
+			r.logEvent("%s was killed", p.name)
 			return nil
 		}
 	}
@@ -556,8 +556,8 @@
 }
 
 // writer is the name of the member that answers writes.
-func (r *runner) writer() string {
-	s, err := r.backends[0].sample(false)
+func (r *runner) writerName() string {
+	s, err := r.backends[0].readSample(false)
 	if err != nil {
 		return ""
 	}
@@ -569,10 +569,10 @@
 	return ""
 }
 
-func (r *runner) mark(format string, args ...any) {
+func (r *runner) logEvent(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.marks = append(r.marks, fmt.Sprintf("%.1f s: ", time.Since(r.began).Seconds())+fmt.Sprintf(format, args...))
+	r.events = append(r.events, fmt.Sprintf("%.1f s: ", time.Since(r.measuringSince).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func (r *runner) setPhase(phase string) {
@@ -590,7 +590,7 @@
 	sortChanges(changes)
 	all := &Latency{}
 	for _, h := range r.gateways {
-		l, err := h.latencyOf(changes)
+		l, err := h.readLatency(changes)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -600,59 +600,59 @@
 }
 
 // Final is how the gateways' lists compare to the writer's at the end.
-type Final struct {
-	Same    int           `json:"same"` // gateways that hold just what the writer's list has for them
-	Of      int           `json:"of"`
-	Checked bool          `json:"checked"` // a subset is the gateway's own choice, and is not compared
-	Took    time.Duration `json:"took"`
-	Least   int           `json:"least"` // backends that a gateway holds
-	Most    int           `json:"most"`
-	Listed  int           `json:"listed"`          // backends on the writer's list
-	First   string        `json:"first,omitempty"` // of those that differ
+type FinalComparison struct {
+	Matching       int           `json:"same"` // gateways that hold just what the writer's list has for them
+	Total          int           `json:"of"`
+	Checked        bool          `json:"checked"` // a subset is the gateway's own choice, and is not compared
+	Elapsed        time.Duration `json:"took"`
+	MinBackends    int           `json:"least"` // backends that a gateway holds
+	MaxBackends    int           `json:"most"`
+	ListedBackends int           `json:"listed"`          // backends on the writer's list
+	FirstMismatch  string        `json:"first,omitempty"` // of those that differ
 }
 
 // compareViews looks until all gateways hold what the writer's list has for them, or the
 // time is over.
-func (r *runner) compareViews(ctx context.Context) (*Final, error) {
+func (r *runner) compareViews(ctx context.Context) (*FinalComparison, error) {
 	began := time.Now()
 	for {
 		f, err := r.compareOnce(ctx)
 		if err != nil {
 			return nil, err
 		}
-		f.Took = time.Since(began)
-		if f.Same == f.Of || !f.Checked || f.Took > r.s.Quiet.Std() {
+		f.Elapsed = time.Since(began)
+		if f.Matching == f.Total || !f.Checked || f.Elapsed > r.scenario.Quiet.Std() {
 			return f, nil
 		}
-		if err := pause(ctx, viewPace); err != nil {
+		if err := pause(ctx, viewPollInterval); err != nil {
 			return nil, err
 		}
 	}
 }
 
-func (r *runner) compareOnce(ctx context.Context) (*Final, error) {
-	list, err := r.wholeList(ctx)
+func (r *runner) compareOnce(ctx context.Context) (*FinalComparison, error) {
+	list, err := r.readWriterList(ctx)
 	if err != nil {
 		return nil, err
 	}
-	shares := newShares(list)
-	f := &Final{Checked: r.s.Reading.Subset == 0, Listed: len(list.Instances)}
+	shares := newListParts(list)
+	f := &FinalComparison{Checked: r.scenario.Reading.Subset == 0, ListedBackends: len(list.Instances)}
 	for _, h := range r.gateways {
-		views, err := h.view()
+		views, err := h.readViews()
 		if err != nil {
 			return nil, err
 		}
 		for _, v := range views {
-			if f.Of == 0 || v.Count < f.Least {
-				f.Least = v.Count
+			if f.Total == 0 || v.Count < f.MinBackends {
+				f.MinBackends = v.Count
 			}
-			f.Most = max(f.Most, v.Count)
-			f.Of++
-			want := shares.of(r.plan.Gateways[v.Gateway])
+			f.MaxBackends = max(f.MaxBackends, v.Count)
+			f.Total++
+			want := shares.expectedView(r.plan.Gateways[v.Gateway])
 			if v.Count == want.Count && v.Digest == want.Digest {
-				f.Same++
-			} else if f.First == "" {
-				f.First = fmt.Sprintf("gateway %d holds %d at version %d, and the writer has %d for it at %d", v.Gateway, v.Count, v.Version, want.Count, want.Version)
+				f.Matching++
+			} else if f.FirstMismatch == "" {
+				f.FirstMismatch = fmt.Sprintf("gateway %d holds %d at version %d, and the writer has %d for it at %d", v.Gateway, v.Count, v.Version, want.Count, want.Version)
 			}
 		}
 	}
@@ -660,9 +660,9 @@
 }
 
 // wholeList reads the list from the member that writes.
-func (r *runner) wholeList(ctx context.Context) (registry.Listing, error) {
+func (r *runner) readWriterList(ctx context.Context) (registry.Listing, error) {
 	address := r.plan.Services[0].Listen
-	if name := r.writer(); name != "" {
+	if name := r.writerName(); name != "" {
 		for _, s := range r.plan.Services {
 			if s.Name == name {
 				address = s.Listen
@@ -692,7 +692,7 @@
 // watch bounds the memory of all processes together, and writes a line each second.
 func (r *runner) watch(ctx context.Context) {
 	began := time.Now()
-	t := time.NewTicker(watchPace)
+	t := time.NewTicker(watchInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -700,27 +700,27 @@
 			return
 		case <-t.C:
 		}
-		use, err := readUse("self")
+		use, err := readUsage("self")
 		if err != nil {
 			r.cancel(err)
 			return
 		}
 		memory, cpu := use.MemoryMB, use.CPU
-		for _, p := range r.everyone() {
-			u := p.use()
+		for _, p := range r.allProcesses() {
+			u := p.usage()
 			memory += u.MemoryMB
 			cpu += u.CPU
 		}
 		r.mu.Lock()
-		r.most = max(r.most, memory)
+		r.peakMB = max(r.peakMB, memory)
 		phase, changes := r.phase, len(r.changes)
 		r.mu.Unlock()
-		if memory > r.machine.mostMemoryMB() {
-			r.cancel(fmt.Errorf("all processes hold %.0f MB, over %.0f, half of the machine's", memory, r.machine.mostMemoryMB()))
+		if memory > r.machine.memoryLimitMB() {
+			r.cancel(fmt.Errorf("all processes hold %.0f MB, over %.0f, half of the machine's", memory, r.machine.memoryLimitMB()))
 			return
 		}
-		if r.o.Live != nil {
-			fmt.Fprintf(r.o.Live, "%4.0f s  %-22s %d changes answered, %.0f MB, %.1f s of processor time\n", time.Since(began).Seconds(), phase, changes, memory, cpu.Seconds())
+		if r.options.Progress != nil {
+			fmt.Fprintf(r.options.Progress, "%4.0f s  %-22s %d changes answered, %.0f MB, %.1f s of processor time\n", time.Since(began).Seconds(), phase, changes, memory, cpu.Seconds())
 		}
 	}
 }
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Registry: registryProgram, Host: []string{self}, Dir: t.TempDir()}
+	return Options{RegistryPath: registryProgram, HostCommand: []string{self}, Dir: t.TempDir()}
 }
 
 // TestRunWithScopes lets gateways read parts of the list: each holds just the backends of
@@ -62,10 +62,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why := r.Failed(); why != "" {
+	if why := r.Failure(); why != "" {
 		t.Error(why)
 	}
-	plan := NewPlan(s, firstNet)
+	plan := NewPlan(s, firstNetwork)
 	for _, g := range plan.Gateways {
 		reads := 0
 		for _, b := range plan.Backends {
@@ -73,15 +73,15 @@
 				reads++
 			}
 		}
-		if reads < r.Final.Least || reads > r.Final.Most {
-			t.Errorf("gateway %d reads %d backends, and all hold %d to %d", g.Number, reads, r.Final.Least, r.Final.Most)
+		if reads < r.Final.MinBackends || reads > r.Final.MaxBackends {
+			t.Errorf("gateway %d reads %d backends, and all hold %d to %d", g.Number, reads, r.Final.MinBackends, r.Final.MaxBackends)
 		}
 	}
-	if r.Final.Most >= s.Fleet.Backends/2 || r.Final.Same != 5 || r.Final.Of != 5 {
+	if r.Final.MaxBackends >= s.Fleet.Backends/2 || r.Final.Matching != 5 || r.Final.Total != 5 {
 		t.Errorf("%+v", r.Final)
 	}
-	if whole := int64(r.Changes * s.Fleet.Gateways); r.Told.Readings == 0 || r.Told.Readings >= whole/2 {
-		t.Errorf("%d readings of %d changes by %d gateways that read a sixth", r.Told.Readings, r.Changes, s.Fleet.Gateways)
+	if whole := int64(r.Changes * s.Fleet.Gateways); r.Propagation.Count == 0 || r.Propagation.Count >= whole/2 {
+		t.Errorf("%d readings of %d changes by %d gateways that read a sixth", r.Propagation.Count, r.Changes, s.Fleet.Gateways)
 	}
 }
 
@@ -96,13 +96,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := r.Final; f.Checked || f.Least != 3 || f.Most != 3 || f.Of != 5 || f.Listed != 20 {
+	if f := r.Final; f.Checked || f.MinBackends != 3 || f.MaxBackends != 3 || f.Total != 5 || f.ListedBackends != 20 {
 		t.Errorf("%+v", f)
 	}
 }
 
 // children are the processes that this one has started and that still run.
-func children(t *testing.T) (all []string) {
+func childProcesses(t *testing.T) (all []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -139,30 +139,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why := r.Failed(); why != "" {
+	if why := r.Failure(); why != "" {
 		t.Error(why)
 	}
-	if r.Changes < 6 || r.Changes%changesRestart != 0 {
+	if r.Changes < 6 || r.Changes%changesPerRestart != 0 {
 		t.Errorf("%d changes in 2 s, at 15 a second", r.Changes)
 	}
-	if want := int64(r.Changes * s.Fleet.Gateways); r.Told.Readings != want {
-		t.Errorf("%d changes were read %d times by %d gateways", r.Changes, r.Told.Readings, s.Fleet.Gateways)
+	if want := int64(r.Changes * s.Fleet.Gateways); r.Propagation.Count != want {
+		t.Errorf("%d changes were read %d times by %d gateways", r.Changes, r.Propagation.Count, s.Fleet.Gateways)
 	}
-	if r.Versions != int64(r.Changes) {
-		t.Errorf("%d changes and %d versions: leases ran out", r.Changes, r.Versions)
+	if r.VersionDelta != int64(r.Changes) {
+		t.Errorf("%d changes and %d versions: leases ran out", r.Changes, r.VersionDelta)
 	}
-	if r.Final.Listed != 20 || r.Final.Of != 5 {
+	if r.Final.ListedBackends != 20 || r.Final.Total != 5 {
 		t.Errorf("%+v", r.Final)
 	}
-	if r.Members.Present < 4.9 {
-		t.Errorf("gateways hold %g of 5 present", r.Members.Present)
+	if r.Membership.Present < 4.9 {
+		t.Errorf("gateways hold %g of 5 present", r.Membership.Present)
 	}
 	for name, processes := range map[string]int{roleWriter: 1, roleMember: 2, roleFollower: 1, roleGateways: 2, roleBackends: 1} {
 		if role, ok := r.Role(name); !ok || role.Processes != processes || role.InPerS <= 0 || role.OutPerS <= 0 || role.MemoryMB <= 0 {
 			t.Errorf("%s: %+v", name, role)
 		}
 	}
-	if left := children(t); len(left) > 0 {
+	if left := childProcesses(t); len(left) > 0 {
 		t.Errorf("left: %s", left)
 	}
 }
@@ -175,21 +175,21 @@
 	s.Faults = []*Fault{
 		{Kind: FaultRack, At: second / 10, For: 2 * second, Gateways: 2, Backends: 5},
 		{Kind: FaultRegionCut, At: 2 * second, For: second, Region: "r0"},
-		{Kind: FaultKill, At: 3 * second, For: second, Who: whoWriter},
-		{Kind: FaultRestarts, At: 4 * second, For: second, ChangesPS: 30},
+		{Kind: FaultKill, At: 3 * second, For: second, Process: processWriter},
+		{Kind: FaultRestarts, At: 4 * second, For: second, ChangesPerS: 30},
 	}
 	r, err := Run(t.Context(), s, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why := r.Failed(); why != "" {
+	if why := r.Failure(); why != "" {
 		t.Error(why)
 	}
-	if r.Final.Listed != 20 || r.Final.Of != 5 || r.Final.Same != 5 {
+	if r.Final.ListedBackends != 20 || r.Final.Total != 5 || r.Final.Matching != 5 {
 		t.Errorf("%+v", r.Final)
 	}
 	var marks []string
-	for _, mark := range r.Marks {
+	for _, mark := range r.Events {
 		_, what, _ := strings.Cut(mark, " s: ")
 		if !strings.Contains(mark, "wrote at the beginning") { // whether another member was chosen is the group's matter
 			marks = append(marks, what)
@@ -204,7 +204,7 @@
 	if !slices.Equal(marks, want) {
 		t.Errorf("%q, want %q", marks, want)
 	}
-	if left := children(t); len(left) > 0 {
+	if left := childProcesses(t); len(left) > 0 {
 		t.Errorf("left: %s", left)
 	}
 }
@@ -217,14 +217,14 @@
 	if _, err := Run(ctx, smallScenario(), o); err == nil {
 		t.Error("a run that was ended has a result")
 	}
-	if left := children(t); len(left) > 0 {
+	if left := childProcesses(t); len(left) > 0 {
 		t.Errorf("left: %s", left)
 	}
-	o.Registry = "/bin/false"
+	o.RegistryPath = "/bin/false"
 	if _, err := Run(t.Context(), smallScenario(), o); err == nil || !strings.Contains(err.Error(), "ended by itself") {
 		t.Errorf("%v", err)
 	}
-	if left := children(t); len(left) > 0 {
+	if left := childProcesses(t); len(left) > 0 {
 		t.Errorf("left: %s", left)
 	}
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -81,12 +81,12 @@
 	At   Duration `toml:"at" json:"at"`
 	For  Duration `toml:"for" json:"for"`
 
-	Gateways  int     `toml:"gateways,omitempty" json:"gateways,omitempty"` // of a rack
-	Backends  int     `toml:"backends,omitempty" json:"backends,omitempty"` // of a rack
-	Zone      string  `toml:"zone,omitempty" json:"zone,omitempty"`
-	Region    string  `toml:"region,omitempty" json:"region,omitempty"`
-	Who       string  `toml:"who,omitempty" json:"who,omitempty"`            // the process that is killed
-	ChangesPS float64 `toml:"changes_per_s,omitempty" json:"perS,omitempty"` // of restarts
+	Gateways    int     `toml:"gateways,omitempty" json:"gateways,omitempty"` // of a rack
+	Backends    int     `toml:"backends,omitempty" json:"backends,omitempty"` // of a rack
+	Zone        string  `toml:"zone,omitempty" json:"zone,omitempty"`
+	Region      string  `toml:"region,omitempty" json:"region,omitempty"`
+	Process     string  `toml:"who,omitempty" json:"who,omitempty"`            // the process that is killed
+	ChangesPerS float64 `toml:"changes_per_s,omitempty" json:"perS,omitempty"` // of restarts
 }
 
 // The kinds of faults.
@@ -100,7 +100,7 @@
 )
 
 // faultKinds tells what each kind is.
-var faultKinds = map[string]string{
+var faultDescriptions = map[string]string{
 	FaultRack:      "a number of hollow gateways and backends stop at once, and start again after for",
 	FaultZone:      "the hollow gateways and backends of a zone stop at once, and start again after for",
 	FaultRegionCut: "nothing passes between the followers of a region and the group",
@@ -111,14 +111,14 @@
 
 // Bounds of what a scenario may ask.
 const (
-	mostHollow     = 1 << 16 // the membership numbers gateways with 16 bits
-	mostBackends   = 1 << 20
-	mostProcesses  = 200
-	mostLength     = time.Hour
-	leastLease     = 500 * time.Millisecond // of the list services
-	mostLease      = 10 * time.Minute
-	mostText       = 1 << 20 // bytes of a scenario
-	changesRestart = 3       // changes of the list for a restart
+	maxHollowGateways = 1 << 16 // the membership numbers gateways with 16 bits
+	maxHollowBackends = 1 << 20
+	maxProcesses      = 200
+	maxLength         = time.Hour
+	minLease          = 500 * time.Millisecond // of the list services
+	maxLease          = 10 * time.Minute
+	maxTextBytes      = 1 << 20 // bytes of a scenario
+	changesPerRestart = 3       // changes of the list for a restart
 )
 
 // Default is a small fleet.
@@ -133,7 +133,7 @@
 
 // Parse reads a scenario; what it leaves out is as in Default.
 func Parse(name string, text []byte) (*Scenario, error) {
-	if len(text) > mostText {
+	if len(text) > maxTextBytes {
 		return nil, fmt.Errorf("%s: %d bytes are no scenario", name, len(text))
 	}
 	s := Default()
@@ -155,17 +155,17 @@
 		}
 	}
 	f := &s.Fleet
-	want(s.Length > 0 && s.Length.Std() <= mostLength, "length: %v is not from 1ns to %v", s.Length, mostLength)
-	want(s.Quiet > 0 && s.Quiet.Std() <= mostLength, "quiet: %v is not from 1ns to %v", s.Quiet, mostLength)
+	want(s.Length > 0 && s.Length.Std() <= maxLength, "length: %v is not from 1ns to %v", s.Length, maxLength)
+	want(s.Quiet > 0 && s.Quiet.Std() <= maxLength, "quiet: %v is not from 1ns to %v", s.Quiet, maxLength)
 	want(f.Members == 1 || f.Members == 3 || f.Members == 5, "fleet.members: %d is not 1, 3 or 5", f.Members)
 	want(f.Followers >= 0, "fleet.followers: %d is below 0", f.Followers)
 	want(f.Regions >= 1, "fleet.regions: %d is none", f.Regions)
 	want(f.Zones >= 1, "fleet.zones: %d is none", f.Zones)
-	want(f.Gateways >= 1 && f.Gateways <= mostHollow, "fleet.gateways: %d is not from 1 to %d", f.Gateways, mostHollow)
+	want(f.Gateways >= 1 && f.Gateways <= maxHollowGateways, "fleet.gateways: %d is not from 1 to %d", f.Gateways, maxHollowGateways)
 	want(f.RealGateways >= 0, "fleet.real_gateways: %d is below 0", f.RealGateways)
-	want(f.Backends >= 1 && f.Backends <= mostBackends, "fleet.backends: %d is not from 1 to %d", f.Backends, mostBackends)
+	want(f.Backends >= 1 && f.Backends <= maxHollowBackends, "fleet.backends: %d is not from 1 to %d", f.Backends, maxHollowBackends)
 	want(f.Services >= 1 && f.Services <= f.Backends, "fleet.services: %d is not from 1 to the %d backends", f.Services, f.Backends)
-	want(f.Lease.Std() >= leastLease && f.Lease.Std() <= mostLease, "fleet.lease: %v is not from %v to %v", f.Lease, leastLease, mostLease)
+	want(f.Lease.Std() >= minLease && f.Lease.Std() <= maxLease, "fleet.lease: %v is not from %v to %v", f.Lease, minLease, maxLease)
 	c := &s.Changes
 	want(c.PerS >= 0, "changes.per_s: %g is below 0", c.PerS)
 	want(c.Drain >= 0 && c.Down >= 0, "changes: drain %v and down %v must not be below 0", c.Drain, c.Down)
@@ -187,7 +187,7 @@
 }
 
 func (s *Scenario) checkFault(f *Fault) error {
-	if _, known := faultKinds[f.Kind]; !known {
+	if _, known := faultDescriptions[f.Kind]; !known {
 		return fmt.Errorf("kind: there is no %q", f.Kind)
 	}
 	if f.At < 0 || f.For <= 0 || f.At+f.For > s.Length {
@@ -214,19 +214,19 @@
 			return fmt.Errorf("region: %q is not one of %s", f.Region, strings.Join(s.regionNames(), ", "))
 		}
 	case FaultRestarts:
-		if f.ChangesPS < 0 {
-			return fmt.Errorf("changes_per_s: %g is below 0", f.ChangesPS)
+		if f.ChangesPerS < 0 {
+			return fmt.Errorf("changes_per_s: %g is below 0", f.ChangesPerS)
 		}
 	case FaultKill:
-		if f.Who != whoWriter && !slices.Contains(s.serviceNames(), f.Who) {
-			return fmt.Errorf("who: %q is not %s or one of %s", f.Who, whoWriter, strings.Join(s.serviceNames(), ", "))
+		if f.Process != processWriter && !slices.Contains(s.serviceNames(), f.Process) {
+			return fmt.Errorf("who: %q is not %s or one of %s", f.Process, processWriter, strings.Join(s.serviceNames(), ", "))
 		}
 	}
 	return nil
 }
 
 // whoWriter names the member that writes when a fault comes.
-const whoWriter = "writer"
+const processWriter = "writer"
 
 func regionName(region int) string     { return fmt.Sprintf("r%d", region) }
 func zoneName(region, zone int) string { return fmt.Sprintf("r%dz%d", region, zone) }
--- a/internal/scale/scenario_test.go
+++ b/internal/scale/scenario_test.go
@@ -86,14 +86,14 @@
 	}
 	seen := map[string]bool{}
 	for _, service := range p.Services {
-		for _, address := range []string{service.Listen, service.Control, service.Group, service.Link} {
+		for _, address := range []string{service.Listen, service.Control, service.Group, service.RelayListen} {
 			if address != "" && seen[address] {
 				t.Errorf("%s stands twice", address)
 			}
 			seen[address] = true
 		}
-		if (service.Link != "") != (service.Region == "r1") {
-			t.Errorf("%s of %q has the link %q, and only r1 is cut off", service.Name, service.Region, service.Link)
+		if (service.RelayListen != "") != (service.Region == "r1") {
+			t.Errorf("%s of %q has the link %q, and only r1 is cut off", service.Name, service.Region, service.RelayListen)
 		}
 	}
 	if got := p.Registries("r1"); len(got) != 2 || got[0] != p.Services[5].Listen {
@@ -120,8 +120,8 @@
 			n++
 		}
 	}
-	if n != 8 || p.held() != 8 {
-		t.Errorf("it reads %d backends and the plan expects %g, not 8", n, p.held())
+	if n != 8 || p.backendsPerGateway() != 8 {
+		t.Errorf("it reads %d backends and the plan expects %g, not 8", n, p.backendsPerGateway())
 	}
 	if !(Gateway{}).Reads(p.Backends[0]) {
 		t.Error("a gateway without scopes reads the whole list")
@@ -131,7 +131,7 @@
 func TestFits(t *testing.T) {
 	machine := Machine{MemoryMB: 24_000, Files: 20_000}
 	s := testScenario()
-	if err := NewPlan(s, 20).Fits(machine); err != nil {
+	if err := NewPlan(s, 20).CheckResources(machine); err != nil {
 		t.Error(err)
 	}
 	for want, change := range map[string]func(s *Scenario){
@@ -145,7 +145,7 @@
 	} {
 		s := testScenario()
 		change(s)
-		if err := NewPlan(s, 20).Fits(machine); err == nil || !strings.Contains(err.Error(), want) {
+		if err := NewPlan(s, 20).CheckResources(machine); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, which does not say %q", err, want)
 		}
 	}
@@ -160,7 +160,7 @@
 	if n := len(good.points()); n != 4 {
 		t.Errorf("%d points", n)
 	}
-	if one := good.at(s, Point{X: 9, Z: 3}); one.Fleet.Gateways != 9 || one.Changes.PerS != 3 || s.Fleet.Gateways != 12 {
+	if one := good.scenarioAt(s, Point{X: 9, Z: 3}); one.Fleet.Gateways != 9 || one.Changes.PerS != 3 || s.Fleet.Gateways != 12 {
 		t.Errorf("%+v", one)
 	}
 	for _, bad := range []Sweep{{Quantity: "moons", Sizes: []float64{1, 3}}, {Quantity: "gateways", Sizes: []float64{1}}, {Quantity: "gateways", Sizes: []float64{0, 3}},
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -11,46 +11,46 @@
 
 // snapshot is what all processes have used up to a moment.
 type snapshot struct {
-	at       time.Time
-	version  int64  // of the writer's list
-	writer   string // name of the member that answers writes
-	services []serviceUse
-	gateways []hostUse
-	backends []hostUse
-	reals    []Use
+	at           time.Time
+	version      int64  // of the writer's list
+	writer       string // name of the member that answers writes
+	services     []serviceUsage
+	gateways     []hostUsage
+	backends     []hostUsage
+	realGateways []ResourceUsage
 }
 
 // serviceUse is a list service's; one that is down has no counters.
-type serviceUse struct {
-	Use
+type serviceUsage struct {
+	ResourceUsage
 	counters map[string]int64
 }
 
-type hostUse struct {
-	Use
+type hostUsage struct {
+	ResourceUsage
 	*Sample
 }
 
 func (r *runner) snapshot(ctx context.Context, collect bool) (*snapshot, error) {
-	s := &snapshot{at: time.Now(), writer: r.writer()}
+	s := &snapshot{at: time.Now(), writer: r.writerName()}
 	for n, p := range r.services {
-		u := serviceUse{p.use(), r.counters(ctx, r.plan.Services[n].Control)}
+		u := serviceUsage{p.usage(), r.counters(ctx, r.plan.Services[n].Control)}
 		s.version = max(s.version, u.counters["version"])
 		s.services = append(s.services, u)
 	}
-	for _, p := range r.reals {
-		s.reals = append(s.reals, p.use())
+	for _, p := range r.realGateways {
+		s.realGateways = append(s.realGateways, p.usage())
 	}
 	for _, group := range []struct {
 		hosts []*host
-		into  *[]hostUse
+		into  *[]hostUsage
 	}{{r.gateways, &s.gateways}, {r.backends, &s.backends}} {
 		for _, h := range group.hosts {
-			sample, err := h.sample(collect)
+			sample, err := h.readSample(collect)
 			if err != nil {
 				return nil, err
 			}
-			*group.into = append(*group.into, hostUse{h.use(), sample})
+			*group.into = append(*group.into, hostUsage{h.usage(), sample})
 		}
 	}
 	return s, nil
@@ -67,7 +67,7 @@
 		return nil
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostText))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxTextBytes))
 	if err != nil {
 		return nil
 	}
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -33,25 +33,25 @@
 	AgainstSizes []float64
 }
 
-const leastSizes = 2
+const minSizes = 2
 
 // Check finds what can't be swept over a scenario. All its sizes have to fit this machine.
 func (w *Sweep) Check(s *Scenario) error {
 	if quantities[w.Quantity] == nil {
 		return fmt.Errorf("there is no quantity %q; there are %s", w.Quantity, strings.Join(Quantities(), ", "))
 	}
-	if len(w.Sizes) < leastSizes {
+	if len(w.Sizes) < minSizes {
 		return fmt.Errorf("%d sizes of %s are too few", len(w.Sizes), w.Quantity)
 	}
-	if (w.Against == "") != (len(w.AgainstSizes) == 0) || w.Against != "" && (quantities[w.Against] == nil || w.Against == w.Quantity || len(w.AgainstSizes) < leastSizes) {
-		return fmt.Errorf("against %q with %d sizes: it takes another quantity with at least %d", w.Against, len(w.AgainstSizes), leastSizes)
+	if (w.Against == "") != (len(w.AgainstSizes) == 0) || w.Against != "" && (quantities[w.Against] == nil || w.Against == w.Quantity || len(w.AgainstSizes) < minSizes) {
+		return fmt.Errorf("against %q with %d sizes: it takes another quantity with at least %d", w.Against, len(w.AgainstSizes), minSizes)
 	}
 	var all []error
 	for _, at := range w.points() {
-		one := w.at(s, at)
+		one := w.scenarioAt(s, at)
 		err := one.Check()
 		if err == nil {
-			err = Fits(one)
+			err = CheckResources(one)
 		}
 		if err != nil {
 			all = append(all, fmt.Errorf("%s: %w", w.label(at), err))
@@ -75,7 +75,7 @@
 }
 
 // at is the scenario of one run.
-func (w *Sweep) at(s *Scenario, p Point) *Scenario {
+func (w *Sweep) scenarioAt(s *Scenario, p Point) *Scenario {
 	one := *s
 	quantities[w.Quantity](&one, p.X)
 	if w.Against != "" {
@@ -92,17 +92,17 @@
 }
 
 // figure is one that a sweep follows.
-type figure struct {
-	name string
-	of   func(*Result) float64
+type metric struct {
+	name  string
+	value func(*Result) float64
 }
 
 // figures are those of a sweep's table.
-var figures = []figure{
+var metrics = []metric{
 	{"gateway: CPU us/s", func(r *Result) float64 { return r.Gateway.CPUUsPerS }},
 	{"gateway: in B/s", func(r *Result) float64 { return r.Gateway.InPerS }},
 	{"gateway: out B/s", func(r *Result) float64 { return r.Gateway.OutPerS }},
-	{"gateway: instances/s", func(r *Result) float64 { return r.Gateway.EntriesPerS }},
+	{"gateway: instances/s", func(r *Result) float64 { return r.Gateway.InstancesPerS }},
 	{"gateway: allocations/s", func(r *Result) float64 { return r.Gateway.AllocsPerS }},
 	{"gateway: allocated B/s", func(r *Result) float64 { return r.Gateway.AllocBytesPerS }},
 	{"gateway: held KB", func(r *Result) float64 { return r.Gateway.HeldKB }},
@@ -110,7 +110,7 @@
 	{"writer: CPU ms/s", ofRole(roleWriter, func(r Role) float64 { return r.CPUMsPerS })},
 	{"writer: in B/s", ofRole(roleWriter, func(r Role) float64 { return r.InPerS })},
 	{"writer: out B/s", ofRole(roleWriter, func(r Role) float64 { return r.OutPerS })},
-	{"writer: answers/s", ofRole(roleWriter, func(r Role) float64 { return r.AnswersPS })},
+	{"writer: answers/s", ofRole(roleWriter, func(r Role) float64 { return r.AnswersPerS })},
 	{"writer: resident MB", ofRole(roleWriter, func(r Role) float64 { return r.MemoryMB })},
 	{"member: CPU ms/s", ofRole(roleMember, func(r Role) float64 { return r.CPUMsPerS })},
 	{"member: in B/s", ofRole(roleMember, func(r Role) float64 { return r.InPerS })},
@@ -118,15 +118,15 @@
 	{"follower: CPU ms/s", ofRole(roleFollower, func(r Role) float64 { return r.CPUMsPerS })},
 	{"follower: in B/s", ofRole(roleFollower, func(r Role) float64 { return r.InPerS })},
 	{"follower: out B/s", ofRole(roleFollower, func(r Role) float64 { return r.OutPerS })},
-	{"follower: answers/s", ofRole(roleFollower, func(r Role) float64 { return r.AnswersPS })},
+	{"follower: answers/s", ofRole(roleFollower, func(r Role) float64 { return r.AnswersPerS })},
 	{"follower: resident MB", ofRole(roleFollower, func(r Role) float64 { return r.MemoryMB })},
 	{"backends: calls/s", func(r *Result) float64 { return r.Backend.CallsPerS }},
-	{"backend: CPU us/call", func(r *Result) float64 { return r.Backend.CPUUsCall }},
+	{"backend: CPU us/call", func(r *Result) float64 { return r.Backend.CPUUsPerCall }},
 	{"membership: sent B/s", ofMembers(func(m *Membership) float64 { return m.SentBytesPerS })},
 	{"membership: sent/s", ofMembers(func(m *Membership) float64 { return m.SentPerS })},
-	{"told: p50 ms", func(r *Result) float64 { return r.Told.P50.Seconds() * 1000 }},
-	{"told: p99 ms", func(r *Result) float64 { return r.Told.P99.Seconds() * 1000 }},
-	{"told: most ms", func(r *Result) float64 { return r.Told.Most.Seconds() * 1000 }},
+	{"told: p50 ms", func(r *Result) float64 { return r.Propagation.P50.Seconds() * 1000 }},
+	{"told: p99 ms", func(r *Result) float64 { return r.Propagation.P99.Seconds() * 1000 }},
+	{"told: most ms", func(r *Result) float64 { return r.Propagation.Max.Seconds() * 1000 }},
 }
 
 func ofRole(name string, f func(Role) float64) func(*Result) float64 {
@@ -138,20 +138,20 @@
 
 func ofMembers(f func(*Membership) float64) func(*Result) float64 {
 	return func(r *Result) float64 {
-		if r.Members == nil {
+		if r.Membership == nil {
 			return 0
 		}
-		return f(r.Members)
+		return f(r.Membership)
 	}
 }
 
 // Table is what a sweep came to.
 type Table struct {
-	Sweep   *Sweep
-	Points  []Point
-	Results []*Result
-	Fits    map[string]Fit // by the figure
-	Failed  []string       // why counts of runs do not add up
+	Sweep    *Sweep
+	Points   []Point
+	Results  []*Result
+	Fits     map[string]Fit // by the figure
+	Failures []string       // why counts of runs do not add up
 }
 
 // Run makes the runs, one after the other, and fits their figures. Each result is
@@ -162,18 +162,18 @@
 	dir := o.Dir
 	var failed error
 	for n, at := range w.points() {
-		if o.Live != nil {
-			fmt.Fprintf(o.Live, "%s:\n", w.label(at))
+		if o.Progress != nil {
+			fmt.Fprintf(o.Progress, "%s:\n", w.label(at))
 		}
 		o.Dir = filepath.Join(dir, fmt.Sprint(n))
-		r, err := Run(ctx, w.at(s, at), o)
+		r, err := Run(ctx, w.scenarioAt(s, at), o)
 		if err != nil {
 			failed = fmt.Errorf("%s: %w", w.label(at), err)
 			break
 		}
 		t.Points, t.Results = append(t.Points, at), append(t.Results, r)
-		if why := r.Failed(); why != "" {
-			t.Failed = append(t.Failed, w.label(at)+": "+why)
+		if why := r.Failure(); why != "" {
+			t.Failures = append(t.Failures, w.label(at)+": "+why)
 		}
 		if err := r.JSON(results); err != nil {
 			return t, err
@@ -184,13 +184,13 @@
 }
 
 func (t *Table) fit() {
-	if len(t.Points) < leastSizes {
+	if len(t.Points) < minSizes {
 		return
 	}
-	for _, f := range figures {
+	for _, f := range metrics {
 		points := slices.Clone(t.Points)
 		for n, r := range t.Results {
-			points[n].Y = f.of(r)
+			points[n].Y = f.value(r)
 		}
 		if t.Sweep.Against != "" {
 			t.Fits[f.name] = FitTwo(points)
@@ -213,11 +213,11 @@
 		fmt.Fprintf(w, "\t%s", t.Sweep.label(p))
 	}
 	fmt.Fprintln(w, "\tform")
-	for _, f := range figures {
+	for _, f := range metrics {
 		none := true
 		line := f.name
 		for _, r := range t.Results {
-			y := f.of(r)
+			y := f.value(r)
 			none = none && y == 0
 			line += fmt.Sprintf("\t%.4g", y)
 		}
@@ -230,17 +230,17 @@
 	}
 	w.Flush()
 	for n, r := range t.Results {
-		lists := fmt.Sprintf("%d of %d gateways hold the writer's list", r.Final.Same, r.Final.Of)
+		lists := fmt.Sprintf("%d of %d gateways hold the writer's list", r.Final.Matching, r.Final.Total)
 		if !r.Final.Checked {
-			lists = fmt.Sprintf("gateways hold %d to %d backends", r.Final.Least, r.Final.Most)
+			lists = fmt.Sprintf("gateways hold %d to %d backends", r.Final.MinBackends, r.Final.MaxBackends)
 		}
 		fmt.Fprintf(out, "%s: %d changes in %.1f s to %d readings, %d missing; %s; at most %.0f MB\n",
-			t.Sweep.label(t.Points[n]), r.Changes, r.Seconds, r.Told.Readings, r.Told.Missing, lists, r.MostMB)
-		for _, mark := range r.Marks {
+			t.Sweep.label(t.Points[n]), r.Changes, r.Seconds, r.Propagation.Count, r.Propagation.Missing, lists, r.PeakMB)
+		for _, mark := range r.Events {
 			fmt.Fprintf(out, "%s: %s\n", t.Sweep.label(t.Points[n]), mark)
 		}
 	}
-	for _, why := range t.Failed {
+	for _, why := range t.Failures {
 		fmt.Fprintln(out, "does not add up:", why)
 	}
 }
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -367,7 +367,7 @@
 	}
 	attempt.reply.Body.Size = class.AnswerBytes
 	if em.Referee.WorkArrived(em.now, connection.gateway, backend.number, em.runningBackends(), attempt.cost, class.Work.Seconds(), em.capacity(backend)) {
-		em.Tally.Costs.Cold++
+		em.Tally.Costs.FallenBackends++
 		em.emit(Mark{fmt.Sprintf("backend b-%d crashes from overload", backend.number)})
 		backend.collapsed = true
 		em.crashBackend(backend)
@@ -417,7 +417,7 @@
 }
 
 func (em *Emulator) reject(backend *emulatedBackend, attempt *backendAttempt) {
-	em.Tally.Costs.Turned++
+	em.Tally.Costs.RejectedAttempts++
 	attempt.reply.Status, attempt.reply.NotStarted, attempt.reply.Body.Size = 503, true, 32
 	attempt.reply.Close = attempt.connection.overLimit
 	em.replyToAttempt(backend, attempt, referee.OutcomeRejected)
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -231,7 +231,7 @@
 	if !em.quotaOf(clients.offeredQuotas, operation).take(em.now, float64(class.Units), plan.Rate, plan.Burst) {
 		offered *= plan.OverWorth
 	}
-	em.Tally.Offered(operation.startedAt-em.startTime(), operation.class, operation.plan, offered)
+	em.Tally.RecordOperation(operation.startedAt-em.startTime(), operation.class, operation.plan, offered)
 	em.sendRequest(operation)
 }
 
@@ -268,7 +268,7 @@
 		}
 	}
 	clients.inProgress[request.id] = request
-	em.Tally.Costs.Tries++
+	em.Tally.Costs.Requests++
 	em.Referee.RequestStarted(em.now, referee.Request{ID: request.id, Gateway: request.gateway, Class: request.class, Plan: request.plan, Customer: request.customerID, Units: float64(class.Units), Deadline: request.deadline})
 	em.emit(Send{Request: request.message()})
 	if draw(2) < em.scenario.Load.AbandonedFraction {
@@ -276,7 +276,7 @@
 			if clients.inProgress[request.id] == request && !request.answered {
 				em.Referee.Abandoned(em.now, request.id)
 				em.emit(Abandon{request.id})
-				em.endOperation(request, results.Left, 0)
+				em.endOperation(request, results.Abandoned, 0)
 			}
 		})
 	}
@@ -308,7 +308,7 @@
 	class, plan := &em.scenario.Classes[request.class], &em.scenario.Plans[request.plan]
 	request.withinQuota = em.quotaOf(em.clients.acceptedQuotas, request.clientOperation).take(em.now, float64(class.Units), plan.Rate, plan.Burst)
 	if !request.withinQuota {
-		em.Tally.Costs.Beyond += plan.OverCost * request.worth
+		em.Tally.Costs.BeyondQuota += plan.OverCost * request.worth
 	}
 }
 
@@ -401,7 +401,7 @@
 		return
 	}
 	request.clientOperation.ended = true
-	em.Tally.Ended(request.startedAt-em.startTime(), request.class, request.plan, outcome, worth, em.now-request.startedAt)
+	em.Tally.RecordOutcome(request.startedAt-em.startTime(), request.class, request.plan, outcome, worth, em.now-request.startedAt)
 }
 
 // selectTargets returns the gateways or backends that a fault affects: those of a zone, or a random
--- a/internal/world/counter.go
+++ b/internal/world/counter.go
@@ -20,7 +20,7 @@
 	if connection == nil || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
 		return
 	}
-	em.Tally.Costs.Calls++
+	em.Tally.Costs.CounterCalls++
 	connection.idleSince = em.now
 	counter := &em.counter
 	serviceTime := time.Duration(1e9 / em.scenario.Counter.CallsPerS * max(em.counter.slowdown, 1))
@@ -31,7 +31,7 @@
 		counter.freeAt += serviceTime
 		reply.Status = 200
 	} else {
-		em.Tally.Costs.CallsTurned++
+		em.Tally.Costs.RejectedCounterCalls++
 	}
 	incarnation := counter.incarnation
 	em.schedule(counter.freeAt, func() {
--- a/internal/world/gateways.go
+++ b/internal/world/gateways.go
@@ -216,7 +216,7 @@
 	equal := func(a, b time.Duration) bool { return a-b <= time.Millisecond && b-a <= time.Millisecond }
 	if backend.changedAt > 0 && entry.Lifecycle == backend.entry().Lifecycle && equal(entry.Started, backend.startedAt) &&
 		(!known || previous.Lifecycle != entry.Lifecycle || !equal(previous.Started, entry.Started)) {
-		em.Tally.Heard(em.now - backend.changedAt)
+		em.Tally.RecordListDelay(em.now - backend.changedAt)
 	}
 }
 
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -49,8 +49,8 @@
 		if len(counts) > 0 {
 			t.Errorf("seed %d: %v\n%v", seed, counts, violations[0])
 		}
-		if !h.emulator.Done() || h.emulator.Tally.Share() < 0.5 {
-			t.Errorf("seed %d: done %v, worth %.3f", seed, h.emulator.Done(), h.emulator.Tally.Share())
+		if !h.emulator.Done() || h.emulator.Tally.ServedFraction() < 0.5 {
+			t.Errorf("seed %d: done %v, worth %.3f", seed, h.emulator.Done(), h.emulator.Tally.ServedFraction())
 		}
 	}
 }
