--- a/internal/results/results.go
+++ b/internal/results/results.go
@@ -101,15 +101,15 @@
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 2) }
 
 // New returns a tally for a scenario.
-func New(s *scenario.Scenario) *Tally {
-	t := &Tally{total: Line{Kind: "total", Name: s.Name, latency: newHistogram()}, lateness: newHistogram(), listDelays: newHistogram()}
-	for _, c := range s.Classes {
-		t.classes = append(t.classes, Line{Kind: "class", Name: c.Name, latency: newHistogram()})
+func New(source *scenario.Scenario) *Tally {
+	tally := &Tally{total: Line{Kind: "total", Name: source.Name, latency: newHistogram()}, lateness: newHistogram(), listDelays: newHistogram()}
+	for _, class := range source.Classes {
+		tally.classes = append(tally.classes, Line{Kind: "class", Name: class.Name, latency: newHistogram()})
 	}
-	for _, p := range s.Plans {
-		t.plans = append(t.plans, Line{Kind: "plan", Name: p.Name, latency: newHistogram()})
+	for _, plan := range source.Plans {
+		tally.plans = append(tally.plans, Line{Kind: "plan", Name: plan.Name, latency: newHistogram()})
 	}
-	return t
+	return tally
 }
 
 // openWindows is how many windows keep their latencies one by one; of older ones,
@@ -118,14 +118,14 @@
 
 // window is that of a moment of the day.
 func (t *Tally) window(at time.Duration) *Line {
-	n := int(at / WindowLength)
-	for len(t.windows) <= n {
+	index := int(at / WindowLength)
+	for len(t.windows) <= index {
 		t.windows = append(t.windows, Line{Kind: "window", Name: (time.Duration(len(t.windows)) * WindowLength).String(), latency: newHistogram()})
 		if old := len(t.windows) - 1 - maxDetailedWindows; old >= 0 {
 			t.windows[old].summarize()
 		}
 	}
-	return &t.windows[n]
+	return &t.windows[index]
 }
 
 // seal makes of the latencies what is told of them.
@@ -138,26 +138,26 @@
 	l.latency = nil
 }
 
-func (t *Tally) forEachLine(at time.Duration, class, plan int, f func(*Line)) {
-	f(&t.total)
-	f(&t.classes[class])
-	f(&t.plans[plan])
-	f(t.window(at))
+func (t *Tally) forEachLine(at time.Duration, class, plan int, apply func(*Line)) {
+	apply(&t.total)
+	apply(&t.classes[class])
+	apply(&t.plans[plan])
+	apply(t.window(at))
 }
 
 // Offered adds a client's wish, made at a moment of the day.
 func (t *Tally) RecordOperation(at time.Duration, class, plan int, worth float64) {
-	t.forEachLine(at, class, plan, func(l *Line) { l.Offered += worth; l.Operations++ })
+	t.forEachLine(at, class, plan, func(line *Line) { line.Offered += worth; line.Operations++ })
 }
 
 // Ended adds how it ended, after how long since it was meant to be sent.
-func (t *Tally) RecordOutcome(at time.Duration, class, plan int, o Outcome, worth float64, after time.Duration) {
-	t.recent[o]++
-	t.forEachLine(at, class, plan, func(l *Line) {
-		l.Counts[o]++
-		l.Earned += worth
-		if (o == Served || o == Late) && l.latency != nil {
-			l.latency.RecordValue(max(1, after.Microseconds())) // beyond two minutes nothing is served
+func (t *Tally) RecordOutcome(at time.Duration, class, plan int, outcome Outcome, worth float64, latency time.Duration) {
+	t.recent[outcome]++
+	t.forEachLine(at, class, plan, func(line *Line) {
+		line.Counts[outcome]++
+		line.Earned += worth
+		if (outcome == Served || outcome == Late) && line.latency != nil {
+			line.latency.RecordValue(max(1, latency.Microseconds())) // beyond two minutes nothing is served
 		}
 	})
 }
@@ -168,8 +168,8 @@
 }
 
 // Heard adds how long after a change of the list a gateway was told of it.
-func (t *Tally) RecordListDelay(after time.Duration) {
-	t.listDelays.RecordValue(min(max(1, after.Microseconds()), 120_000_000))
+func (t *Tally) RecordListDelay(delay time.Duration) {
+	t.listDelays.RecordValue(min(max(1, delay.Microseconds()), 120_000_000))
 }
 
 // Lateness is how late the emulation was at a percentile of what it did.
@@ -182,12 +182,12 @@
 
 // Recent tells how wishes ended since the last call, for a live view.
 func (t *Tally) TakeRecent() map[string]int {
-	m := map[string]int{}
+	counts := map[string]int{}
 	for o, n := range t.recent {
-		m[Outcome(o).String()] = n
+		counts[Outcome(o).String()] = n
 	}
 	t.recent = [outcomeCount]int{}
-	return m
+	return counts
 }
 
 // Lines are all lines, the total first.
@@ -196,30 +196,30 @@
 	all = append(all, t.plans...)
 	all = append(all, t.windows...)
 	for i := range all {
-		l := &all[i]
-		l.Ended = map[string]int{}
-		for o, n := range l.Counts {
-			l.Ended[Outcome(o).String()] = n
+		line := &all[i]
+		line.Ended = map[string]int{}
+		for o, n := range line.Counts {
+			line.Ended[Outcome(o).String()] = n
 		}
-		l.summarize()
+		line.summarize()
 	}
 	return all
 }
 
 // JSON writes one line for each class, plan, window and gateway, and the costs.
-func (t *Tally) JSON(w io.Writer) error {
-	e := json.NewEncoder(w)
+func (t *Tally) JSON(out io.Writer) error {
+	encoder := json.NewEncoder(out)
 	for _, l := range t.Lines() {
-		if err := e.Encode(l); err != nil {
+		if err := encoder.Encode(l); err != nil {
 			return err
 		}
 	}
 	for _, g := range t.Gateways {
-		if err := e.Encode(g); err != nil {
+		if err := encoder.Encode(g); err != nil {
 			return err
 		}
 	}
-	return e.Encode(struct {
+	return encoder.Encode(struct {
 		Kind string `json:"kind"`
 		Costs
 		ListP50Ms float64 `json:"list_heard_p50_ms"`
@@ -230,34 +230,34 @@
 }
 
 // Table writes it for people.
-func (t *Tally) Table(w io.Writer) {
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+func (t *Tally) Table(out io.Writer) {
+	tab := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "\tworth\tasked\tserved\tlate\trefused\tfailed\tleft\tlost\tp50\tp99\tmax")
 	lines := t.Lines()
-	if many := len(t.windows) - maxDetailedWindows; many > 0 {
+	if hidden := len(t.windows) - maxDetailedWindows; hidden > 0 {
 		lines = append(lines[:len(lines)-len(t.windows)], lines[len(lines)-maxDetailedWindows:]...)
 	}
-	for _, l := range lines {
-		fmt.Fprintf(tab, "%s %s\t%.3f\t%d", l.Kind, l.Name, l.ServedFraction(), l.Operations)
-		for _, n := range l.Counts {
+	for _, line := range lines {
+		fmt.Fprintf(tab, "%s %s\t%.3f\t%d", line.Kind, line.Name, line.ServedFraction(), line.Operations)
+		for _, n := range line.Counts {
 			fmt.Fprintf(tab, "\t%d", n)
 		}
-		fmt.Fprintf(tab, "\t%.0f ms\t%.0f ms\t%.0f ms\n", l.P50Ms, l.P99Ms, l.MaxMs)
+		fmt.Fprintf(tab, "\t%.0f ms\t%.0f ms\t%.0f ms\n", line.P50Ms, line.P99Ms, line.MaxMs)
 	}
 	tab.Flush()
-	c := t.Costs
-	fmt.Fprintf(w, "%d tries; %d attempts, %d turned away, %d between zones; %d handshakes, %d probes; %d counter calls, %d turned away; beyond quotas -%.3f\n",
-		c.Requests, c.Attempts, c.RejectedAttempts, c.CrossZone, c.Handshakes, c.Probes, c.CounterCalls, c.RejectedCounterCalls, c.BeyondQuota/max(1, t.total.Offered))
+	costs := t.Costs
+	fmt.Fprintf(out, "%d tries; %d attempts, %d turned away, %d between zones; %d handshakes, %d probes; %d counter calls, %d turned away; beyond quotas -%.3f\n",
+		costs.Requests, costs.Attempts, costs.RejectedAttempts, costs.CrossZone, costs.Handshakes, costs.Probes, costs.CounterCalls, costs.RejectedCounterCalls, costs.BeyondQuota/max(1, t.total.Offered))
 	if n := t.listDelays.TotalCount(); n > 0 {
-		fmt.Fprintf(w, "changes of the list were heard after %d ms at p50, %d ms at most (%d times)\n", t.listDelays.ValueAtQuantile(50)/1000, t.listDelays.Max()/1000, n)
+		fmt.Fprintf(out, "changes of the list were heard after %d ms at p50, %d ms at most (%d times)\n", t.listDelays.ValueAtQuantile(50)/1000, t.listDelays.Max()/1000, n)
 	}
-	var cpu, most float64
+	var cpuSeconds, peakMB float64
 	for _, g := range t.Gateways {
-		cpu += g.CPUSeconds
-		most = max(most, g.PeakMemoryMB)
+		cpuSeconds += g.CPUSeconds
+		peakMB = max(peakMB, g.PeakMemoryMB)
 	}
 	if len(t.Gateways) > 0 {
-		fmt.Fprintf(w, "%d gateways: %.2f s of CPU (%.2f ms a try), %.0f MB at most\n", len(t.Gateways), cpu, cpu*1e3/float64(max(1, c.Requests)), most)
+		fmt.Fprintf(out, "%d gateways: %.2f s of CPU (%.2f ms a try), %.0f MB at most\n", len(t.Gateways), cpuSeconds, cpuSeconds*1e3/float64(max(1, costs.Requests)), peakMB)
 	}
-	fmt.Fprintf(w, "the emulation was late by %v at p99, %v at most\n", t.Lateness(99).Round(10*time.Microsecond), t.Lateness(100).Round(10*time.Microsecond))
+	fmt.Fprintf(out, "the emulation was late by %v at p99, %v at most\n", t.Lateness(99).Round(10*time.Microsecond), t.Lateness(100).Round(10*time.Microsecond))
 }
--- a/internal/results/results_test.go
+++ b/internal/results/results_test.go
@@ -12,19 +12,19 @@
 
 // What is told adds up, by class, plan and window, and a long day takes no more
 // than its lines.
-func TestTally(t *testing.T) {
-	s := scenario.Default()
-	tally := New(&s)
-	const wishes = 2000
-	for n := range wishes {
+func TestTallySumsAgreeAcrossGroups(t *testing.T) {
+	testScenario := scenario.Default()
+	tally := New(&testScenario)
+	const operations = 2000
+	for n := range operations {
 		at := time.Duration(n) * time.Second
 		tally.RecordOperation(at, n%3, n%2, 2)
-		o := Outcome(n % int(outcomeCount))
+		outcome := Outcome(n % int(outcomeCount))
 		worth := 0.0
-		if o == Served {
+		if outcome == Served {
 			worth = 2
 		}
-		tally.RecordOutcome(at, n%3, n%2, o, worth, time.Duration(1+n%100)*time.Millisecond)
+		tally.RecordOutcome(at, n%3, n%2, outcome, worth, time.Duration(1+n%100)*time.Millisecond)
 		tally.RecordLateness(time.Duration(n) * time.Microsecond)
 	}
 	var out bytes.Buffer
@@ -34,35 +34,35 @@
 	sums := map[string]float64{}
 	windows := 0
 	for line := range strings.Lines(out.String()) {
-		var l Line
-		if err := json.Unmarshal([]byte(line), &l); err != nil {
+		var parsed Line
+		if err := json.Unmarshal([]byte(line), &parsed); err != nil {
 			t.Fatal(err)
 		}
-		sums[l.Kind+" asked"] += float64(l.Operations)
-		sums[l.Kind+" earned"] += l.Earned
-		sums[l.Kind+" served"] += float64(l.Ended["served"])
-		if l.Kind == "window" {
-			if windows++; l.P99Ms < l.P50Ms || l.MaxMs < l.P99Ms || l.Ended["served"] > 0 && l.P50Ms == 0 {
-				t.Errorf("%+v", l)
+		sums[parsed.Kind+" asked"] += float64(parsed.Operations)
+		sums[parsed.Kind+" earned"] += parsed.Earned
+		sums[parsed.Kind+" served"] += float64(parsed.Ended["served"])
+		if parsed.Kind == "window" {
+			if windows++; parsed.P99Ms < parsed.P50Ms || parsed.MaxMs < parsed.P99Ms || parsed.Ended["served"] > 0 && parsed.P50Ms == 0 {
+				t.Errorf("%+v", parsed)
 			}
 		}
 	}
-	served := float64((wishes + int(outcomeCount) - 1) / int(outcomeCount))
-	for kind, want := range map[string]float64{"asked": wishes, "earned": 2 * served, "served": served} {
+	served := float64((operations + int(outcomeCount) - 1) / int(outcomeCount))
+	for kind, want := range map[string]float64{"asked": operations, "earned": 2 * served, "served": served} {
 		for _, group := range []string{"total", "class", "plan", "window"} {
 			if sums[group+" "+kind] != want {
 				t.Errorf("%s %s: %g, not %g", group, kind, sums[group+" "+kind], want)
 			}
 		}
 	}
-	open := 0
+	detailed := 0
 	for _, w := range tally.windows {
 		if w.latency != nil {
-			open++
+			detailed++
 		}
 	}
-	if windows != wishes/5 || open > maxDetailedWindows+1 {
-		t.Errorf("%d windows, %d with all latencies", windows, open)
+	if windows != operations/5 || detailed > maxDetailedWindows+1 {
+		t.Errorf("%d windows, %d with all latencies", windows, detailed)
 	}
 	if p := tally.Lateness(99); p < 1900*time.Microsecond || p > 2100*time.Microsecond {
 		t.Errorf("late by %v", p)
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -41,20 +41,20 @@
 	answeredAt int64 // Unix nanoseconds
 }
 
-func newBackendFleet(c *BackendHost, seed uint64) (*backendFleet, error) {
-	door, err := net.Listen("tcp", c.AnswerAddress)
+func newBackendFleet(config *BackendHost, seed uint64) (*backendFleet, error) {
+	door, err := net.Listen("tcp", config.AnswerAddress)
 	if err != nil {
 		return nil, err
 	}
-	settings := churnSettings{RenewInterval: c.RenewInterval, DrainTime: c.DrainTime, DownTime: c.DownTime, RegistrationsPerS: c.RegistrationsPerS}
-	f := &backendFleet{config: c, listener: door, client: newWriteClient(c.Members, c.AnswerAddress, c.Connections),
-		churn:    newChurn(c.Backends, settings, rand.New(rand.NewPCG(seed, 1))),
+	settings := churnSettings{RenewInterval: config.RenewInterval, DrainTime: config.DrainTime, DownTime: config.DownTime, RegistrationsPerS: config.RegistrationsPerS}
+	fleet := &backendFleet{config: config, listener: door, client: newWriteClient(config.Members, config.AnswerAddress, config.Connections),
+		churn:    newChurn(config.Backends, settings, rand.New(rand.NewPCG(seed, 1))),
 		commands: make(chan Command, 1), stateRequests: make(chan chan churnState), ended: make(chan struct{})}
-	f.server = &http.Server{ReadHeaderTimeout: backendCallTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	fleet.server = &http.Server{ReadHeaderTimeout: backendCallTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "served\n")
 	})}
-	return f, nil
+	return fleet, nil
 }
 
 // warmSince is for how long backends are said to have been up at the start of a run: real
@@ -76,10 +76,10 @@
 				select {
 				case <-ctx.Done():
 					return
-				case k := <-calls:
-					status, version := f.client.do(ctx, k)
+				case outgoing := <-calls:
+					status, version := f.client.do(ctx, outgoing)
 					select {
-					case answers <- callResult{k, status, version, time.Now().UnixNano()}:
+					case answers <- callResult{outgoing, status, version, time.Now().UnixNano()}:
 					case <-ctx.Done():
 						return
 					}
@@ -92,25 +92,25 @@
 
 // loop has the churn.
 func (f *backendFleet) loop(ctx context.Context, calls chan<- call, answers <-chan callResult, ready func(), changed func([]Change)) {
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) }
-	f.churn.start(now(), began.Add(-initialUptime).UnixMilli())
-	var due []call // that wait for a connection
+	startedAt := time.Now()
+	now := func() time.Duration { return time.Since(startedAt) }
+	f.churn.start(now(), startedAt.Add(-initialUptime).UnixMilli())
+	var queue []call // that wait for a connection
 	var changes []Change
-	told := false
+	reported := false
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	report := time.NewTicker(changeReportInterval)
 	defer report.Stop()
 	for {
-		due = append(due, f.churn.dueCalls(now())...)
-		var out chan<- call
-		var first call
-		for len(due) > 0 && due[0].incarnation != due[0].backend.incarnation {
-			due = due[1:] // it was stopped meanwhile
+		queue = append(queue, f.churn.dueCalls(now())...)
+		var sendTo chan<- call
+		var nextCall call
+		for len(queue) > 0 && queue[0].incarnation != queue[0].backend.incarnation {
+			queue = queue[1:] // it was stopped meanwhile
 		}
-		if len(due) > 0 {
-			out, first = calls, due[0]
+		if len(queue) > 0 {
+			sendTo, nextCall = calls, queue[0]
 		}
 		if at, ok := f.churn.nextDue(); ok {
 			timer.Reset(max(0, at-now()))
@@ -118,19 +118,19 @@
 		select {
 		case <-ctx.Done():
 			return
-		case out <- first:
-			due = due[1:]
-		case a := <-answers:
+		case sendTo <- nextCall:
+			queue = queue[1:]
+		case result := <-answers:
 			f.calls.Add(1)
-			if a.status != http.StatusOK {
+			if result.status != http.StatusOK {
 				f.refused.Add(1)
 			}
-			if f.churn.handleResult(now(), time.Now().UnixMilli(), a.call, a.status, a.version) {
-				b := a.call.backend
-				changes = append(changes, Change{Version: a.version, AnsweredAt: a.answeredAt, Backend: b.Number, Service: b.Service, Zone: b.Zone, Region: b.Region})
+			if f.churn.handleResult(now(), time.Now().UnixMilli(), result.call, result.status, result.version) {
+				b := result.call.backend
+				changes = append(changes, Change{Version: result.version, AnsweredAt: result.answeredAt, Backend: b.Number, Service: b.Service, Zone: b.Zone, Region: b.Region})
 			}
-		case c := <-f.commands:
-			f.apply(c, now())
+		case command := <-f.commands:
+			f.apply(command, now())
 		case state := <-f.stateRequests:
 			state <- churnState{f.churn.serving, f.churn.settled()}
 		case <-report.C:
@@ -138,8 +138,8 @@
 				changed(changes)
 				changes = nil
 			}
-			if !told && f.churn.settled() {
-				told = true
+			if !reported && f.churn.settled() {
+				reported = true
 				ready()
 			}
 		case <-timer.C:
@@ -147,32 +147,32 @@
 	}
 }
 
-func (f *backendFleet) apply(c Command, now time.Duration) {
-	started := time.Now().UnixMilli()
+func (f *backendFleet) apply(command Command, now time.Duration) {
+	startedAtMs := time.Now().UnixMilli()
 	switch {
-	case c.RestartsPerS != nil:
-		f.churn.setRestarts(now, *c.RestartsPerS)
-	case c.Stop != nil:
-		f.churn.stop(c.Stop.includesBackend)
-	case c.Resume != nil:
-		f.churn.resume(now, started, c.Resume.includesBackend)
+	case command.RestartsPerS != nil:
+		f.churn.setRestarts(now, *command.RestartsPerS)
+	case command.Stop != nil:
+		f.churn.stop(command.Stop.includesBackend)
+	case command.Resume != nil:
+		f.churn.resume(now, startedAtMs, command.Resume.includesBackend)
 	}
 }
 
-func (f *backendFleet) execute(c Command) {
+func (f *backendFleet) execute(command Command) {
 	select {
-	case f.commands <- c:
+	case f.commands <- command:
 	case <-f.ended:
 	}
 }
 
-func (f *backendFleet) sample(s *Sample) {
-	s.Calls, s.Refused, s.Writer = f.calls.Load(), f.refused.Load(), f.client.target()
+func (f *backendFleet) sample(sample *Sample) {
+	sample.Calls, sample.Refused, sample.Writer = f.calls.Load(), f.refused.Load(), f.client.target()
 	state := make(chan churnState, 1)
 	select {
 	case f.stateRequests <- state:
-		told := <-state
-		s.Serving, s.Settled = told.serving, told.settled
+		current := <-state
+		sample.Serving, sample.Settled = current.serving, current.settled
 	case <-f.ended:
 	}
 }
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -48,10 +48,10 @@
 }
 
 // failed goes on to the next member, unless another call has found a writer meanwhile.
-func (c *writeClient) rotate(asked string) {
+func (c *writeClient) rotate(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writer == asked {
+	if c.writer == address {
 		c.nextMember++
 		c.writer = c.members[c.nextMember%len(c.members)]
 	}
@@ -65,10 +65,10 @@
 
 // do makes a call, and returns the status and the version that it was answered with; 0
 // stands for no answer.
-func (c *writeClient) do(ctx context.Context, k call) (status int, version int64) {
+func (c *writeClient) do(ctx context.Context, outgoing call) (status int, version int64) {
 	for range maxRedirects {
 		address := c.target()
-		resp, err := c.send(ctx, address, k)
+		resp, err := c.send(ctx, address, outgoing)
 		if err != nil {
 			c.rotate(address)
 			return 0, 0
@@ -99,27 +99,27 @@
 	return 0, 0
 }
 
-func (c *writeClient) send(ctx context.Context, address string, k call) (*http.Response, error) {
-	b := k.backend
-	path := "http://" + address + registry.Path + "/" + b.ID()
-	method, body := http.MethodPost, any(lifecycleCall{StartedAtMs: k.startedAtMs})
-	switch k.kind {
+func (c *writeClient) send(ctx context.Context, address string, outgoing call) (*http.Response, error) {
+	backend := outgoing.backend
+	path := "http://" + address + registry.Path + "/" + backend.ID()
+	method, body := http.MethodPost, any(lifecycleCall{StartedAtMs: outgoing.startedAtMs})
+	switch outgoing.kind {
 	case callRegister:
-		method, body = http.MethodPut, registration{HostPort: c.backendAddress, Zone: b.Zone, MachineType: machineType, StartedAtMs: k.startedAtMs, Service: b.Service, Region: b.Region}
+		method, body = http.MethodPut, registration{HostPort: c.backendAddress, Zone: backend.Zone, MachineType: machineType, StartedAtMs: outgoing.startedAtMs, Service: backend.Service, Region: backend.Region}
 	case callRenew:
 		path += "/renew"
 	case callDrain:
 		path += "/lifecycle"
-		body = lifecycleCall{StartedAtMs: k.startedAtMs, Lifecycle: registry.Terminating}
+		body = lifecycleCall{StartedAtMs: outgoing.startedAtMs, Lifecycle: registry.Terminating}
 	case callLeave:
 		method, body = http.MethodDelete, nil
-		path += "?startedAtMs=" + strconv.FormatInt(k.startedAtMs, 10)
+		path += "?startedAtMs=" + strconv.FormatInt(outgoing.startedAtMs, 10)
 	}
 	var reader io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
 		if err != nil {
-			return nil, fmt.Errorf("a call of %s: %w", b.ID(), err)
+			return nil, fmt.Errorf("a call of %s: %w", backend.ID(), err)
 		}
 		reader = bytes.NewReader(text)
 	}
--- a/internal/scale/churn.go
+++ b/internal/scale/churn.go
@@ -85,27 +85,27 @@
 }
 
 // start lets the backends register, spread over time.
-func (c *churn) start(now time.Duration, started int64) {
-	for n, b := range c.backends {
-		c.join(b, now+time.Duration(float64(n)/c.settings.RegistrationsPerS*float64(time.Second)), started)
+func (c *churn) start(now time.Duration, startedAtMs int64) {
+	for n, backend := range c.backends {
+		c.join(backend, now+time.Duration(float64(n)/c.settings.RegistrationsPerS*float64(time.Second)), startedAtMs)
 	}
 }
 
 // join begins a life of a backend, which registers at a moment.
-func (c *churn) join(b *churningBackend, at time.Duration, started int64) {
-	b.incarnation++
-	b.phase, b.startedAtMs, b.calling = phaseJoining, max(started, b.startedAtMs+1), false
-	c.schedule(b, at)
+func (c *churn) join(backend *churningBackend, at time.Duration, startedAtMs int64) {
+	backend.incarnation++
+	backend.phase, backend.startedAtMs, backend.calling = phaseJoining, max(startedAtMs, backend.startedAtMs+1), false
+	c.schedule(backend, at)
 }
 
 // stop ends the chosen backends without a word, as a lost machine does.
-func (c *churn) stop(chosen func(Backend) bool) (stopped int) {
-	for _, b := range c.backends {
-		if b.phase != phaseStopped && chosen(b.Backend) {
-			c.uncountServing(b)
-			b.phase = phaseStopped
-			b.incarnation++
-			c.unschedule(b)
+func (c *churn) stop(selected func(Backend) bool) (stopped int) {
+	for _, backend := range c.backends {
+		if backend.phase != phaseStopped && selected(backend.Backend) {
+			c.uncountServing(backend)
+			backend.phase = phaseStopped
+			backend.incarnation++
+			c.unschedule(backend)
 			stopped++
 		}
 	}
@@ -113,10 +113,10 @@
 }
 
 // resume lets the chosen backends that were stopped register anew, all at once.
-func (c *churn) resume(now time.Duration, started int64, chosen func(Backend) bool) (resumed int) {
-	for _, b := range c.backends {
-		if b.phase == phaseStopped && chosen(b.Backend) {
-			c.join(b, now, started)
+func (c *churn) resume(now time.Duration, startedAtMs int64, selected func(Backend) bool) (resumed int) {
+	for _, backend := range c.backends {
+		if backend.phase == phaseStopped && selected(backend.Backend) {
+			c.join(backend, now, startedAtMs)
 			resumed++
 		}
 	}
@@ -160,16 +160,16 @@
 }
 
 // calls returns those that are due.
-func (c *churn) dueCalls(now time.Duration) (all []call) {
+func (c *churn) dueCalls(now time.Duration) (due []call) {
 	for c.restartsPerS > 0 && c.nextRestart <= now {
 		c.nextRestart += c.restartInterval()
 		c.restart(now)
 	}
 	for len(c.queue) > 0 && c.queue[0].due <= now {
-		b := c.queue[0]
-		c.unschedule(b)
+		backend := c.queue[0]
+		c.unschedule(backend)
 		kind := callRenew
-		switch b.phase {
+		switch backend.phase {
 		case phaseJoining, phaseDown:
 			kind = callRegister
 		case phaseDraining:
@@ -177,91 +177,91 @@
 		case phaseLeaving:
 			kind = callLeave
 		}
-		b.calling = true
-		all = append(all, call{b, kind, b.startedAtMs, b.incarnation})
+		backend.calling = true
+		due = append(due, call{backend, kind, backend.startedAtMs, backend.incarnation})
 	}
-	return all
+	return due
 }
 
 // restart lets one backend drain that serves and has no call under way.
 func (c *churn) restart(now time.Duration) {
-	const tries = 50
-	for range tries {
-		b := c.backends[c.random.IntN(len(c.backends))]
-		if b.phase == phaseServing && !b.calling {
-			c.uncountServing(b)
-			b.phase = phaseDraining
-			c.schedule(b, now)
+	const maxAttempts = 50
+	for range maxAttempts {
+		backend := c.backends[c.random.IntN(len(c.backends))]
+		if backend.phase == phaseServing && !backend.calling {
+			c.uncountServing(backend)
+			backend.phase = phaseDraining
+			c.schedule(backend, now)
 			return
 		}
 	}
 }
 
 // answered takes in how a call went, and says whether the list has changed by it.
-func (c *churn) handleResult(now time.Duration, started int64, k call, status int, version int64) (changed bool) {
-	b := k.backend
-	if b.incarnation != k.incarnation {
+func (c *churn) handleResult(now time.Duration, startedAtMs int64, outgoing call, status int, version int64) (changed bool) {
+	backend := outgoing.backend
+	if backend.incarnation != outgoing.incarnation {
 		return false
 	}
-	b.calling = false
+	backend.calling = false
 	switch {
 	case status == 200:
-		changed = version != b.version
-		b.version = version
-		c.advance(b, now, k.kind, started)
-	case status == 404 && k.kind == callRenew: // its lease ran out
-		c.uncountServing(b)
-		b.phase = phaseJoining
-		c.schedule(b, now)
+		changed = version != backend.version
+		backend.version = version
+		c.advance(backend, now, outgoing.kind, startedAtMs)
+	case status == 404 && outgoing.kind == callRenew: // its lease ran out
+		c.uncountServing(backend)
+		backend.phase = phaseJoining
+		c.schedule(backend, now)
 	case status == 404 || status == 409: // it has left, or the list knows a later start
-		c.uncountServing(b)
-		c.join(b, now+c.between(minRetryDelay, maxRetryDelay), started)
+		c.uncountServing(backend)
+		c.join(backend, now+c.between(minRetryDelay, maxRetryDelay), startedAtMs)
 	default: // nobody answers now
-		c.schedule(b, now+c.between(minRetryDelay, maxRetryDelay))
+		c.schedule(backend, now+c.between(minRetryDelay, maxRetryDelay))
 	}
 	return changed
 }
 
 // advance goes on after a call that was answered well.
-func (c *churn) advance(b *churningBackend, now time.Duration, kind callKind, started int64) {
+func (c *churn) advance(backend *churningBackend, now time.Duration, kind callKind, startedAtMs int64) {
 	switch kind {
 	case callRegister:
-		b.phase = phaseServing
+		backend.phase = phaseServing
 		c.serving++
-		c.schedule(b, now+c.between(c.settings.RenewInterval/2, c.settings.RenewInterval))
+		c.schedule(backend, now+c.between(c.settings.RenewInterval/2, c.settings.RenewInterval))
 	case callRenew:
-		c.schedule(b, now+c.settings.RenewInterval)
+		c.schedule(backend, now+c.settings.RenewInterval)
 	case callDrain:
-		b.phase = phaseLeaving
-		c.schedule(b, now+c.settings.DrainTime)
+		backend.phase = phaseLeaving
+		c.schedule(backend, now+c.settings.DrainTime)
 	case callLeave:
-		b.phase = phaseDown
-		b.startedAtMs = max(started, b.startedAtMs+1)
-		c.schedule(b, now+c.settings.DownTime)
+		backend.phase = phaseDown
+		backend.startedAtMs = max(startedAtMs, backend.startedAtMs+1)
+		c.schedule(backend, now+c.settings.DownTime)
 	}
 }
 
-func (c *churn) uncountServing(b *churningBackend) {
-	if b.phase == phaseServing {
+func (c *churn) uncountServing(backend *churningBackend) {
+	if backend.phase == phaseServing {
 		c.serving--
 	}
 }
 
-func (c *churn) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(c.random.Int64N(int64(most-least)+1))
+func (c *churn) between(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)+1))
 }
 
-func (c *churn) schedule(b *churningBackend, at time.Duration) {
-	if b.due = at; b.index >= 0 {
-		heap.Fix(&c.queue, b.index)
+func (c *churn) schedule(backend *churningBackend, at time.Duration) {
+	if backend.due = at; backend.index >= 0 {
+		heap.Fix(&c.queue, backend.index)
 		return
 	}
-	heap.Push(&c.queue, b)
+	heap.Push(&c.queue, backend)
 }
 
-func (c *churn) unschedule(b *churningBackend) {
-	if b.index >= 0 {
-		heap.Remove(&c.queue, b.index)
+func (c *churn) unschedule(backend *churningBackend) {
+	if backend.index >= 0 {
+		heap.Remove(&c.queue, backend.index)
 	}
 }
 
@@ -275,17 +275,17 @@
 	q[i].index, q[j].index = i, j
 }
 func (q *dueQueue) Push(x any) {
-	b := x.(*churningBackend)
-	b.index = len(*q)
-	*q = append(*q, b)
+	backend := x.(*churningBackend)
+	backend.index = len(*q)
+	*q = append(*q, backend)
 }
 func (q *dueQueue) Pop() any {
 	last := len(*q) - 1
-	b := (*q)[last]
+	backend := (*q)[last]
 	(*q)[last] = nil
 	*q = (*q)[:last]
-	b.index = -1
-	return b
+	backend.index = -1
+	return backend
 }
 
 // registration is the body of a call that registers.
--- a/internal/scale/config.go
+++ b/internal/scale/config.go
@@ -13,30 +13,30 @@
 type jsonObject = map[string]any
 
 // serviceConfig is the configuration of a list service.
-func (p *Plan) serviceConfig(n int, dir string) ([]byte, error) {
-	s := &p.Services[n]
-	config := jsonObject{"listen": s.Listen, "control": s.Control, "lease_ms": p.Scenario.Fleet.Lease.Std().Milliseconds(),
+func (p *Plan) serviceConfig(index int, dir string) ([]byte, error) {
+	service := &p.Services[index]
+	config := jsonObject{"listen": service.Listen, "control": service.Control, "lease_ms": p.Scenario.Fleet.Lease.Std().Milliseconds(),
 		"limits": jsonObject{"instances": p.Scenario.Fleet.Backends + spareInstances, "connections": p.connectionLimit(), "watchers": p.watcherLimit(),
 			"lists_per_s": listReadsPerS}}
-	if s := p.Scenario; s.Reading.Services > 0 {
+	if spec := p.Scenario; spec.Reading.Services > 0 {
 		limits := config["limits"].(jsonObject)
-		readers := 2 * (s.Fleet.Gateways + s.Fleet.RealGateways)
-		limits["subscriptions"], limits["subscribed_scopes"] = readers, max(readers*s.Reading.Services, minSubscribedScopes)
+		readers := 2 * (spec.Fleet.Gateways + spec.Fleet.RealGateways)
+		limits["subscriptions"], limits["subscribed_scopes"] = readers, max(readers*spec.Reading.Services, minSubscribedScopes)
 	}
-	if s.MemberNumber == 0 {
-		config["writer"] = p.Services[s.SourceIndex].Listen
-		if s.RelayListen != "" {
-			config["writer"] = s.RelayListen
+	if service.MemberNumber == 0 {
+		config["writer"] = p.Services[service.SourceIndex].Listen
+		if service.RelayListen != "" {
+			config["writer"] = service.RelayListen
 		}
 		return json.MarshalIndent(config, "", " ")
 	}
-	members, lists := jsonObject{}, jsonObject{}
+	members, listAddresses := jsonObject{}, jsonObject{}
 	for _, other := range p.Services {
 		if other.MemberNumber > 0 {
-			members[fmt.Sprint(other.MemberNumber)], lists[fmt.Sprint(other.MemberNumber)] = other.Group, other.Listen
+			members[fmt.Sprint(other.MemberNumber)], listAddresses[fmt.Sprint(other.MemberNumber)] = other.Group, other.Listen
 		}
 	}
-	config["group"] = jsonObject{"name": "scale", "self": s.MemberNumber, "listen": s.Group, "members": members, "lists": lists, "data_dir": filepath.Join(dir, "data")}
+	config["group"] = jsonObject{"name": "scale", "self": service.MemberNumber, "listen": service.Group, "members": members, "lists": listAddresses, "data_dir": filepath.Join(dir, "data")}
 	return json.MarshalIndent(config, "", " ")
 }
 
@@ -56,23 +56,23 @@
 
 // gatewayConfig is the configuration of a hollow gateway, or of a real one, which has the
 // numbers behind the hollow ones. The fleet of the settings is what the membership knows.
-func (p *Plan) gatewayConfig(n int, place Place, scopes []registry.Scope) ([]byte, error) {
-	f := &p.Scenario.Fleet
-	s := scenario.Default()
-	s.Name, s.Seed = p.Scenario.Name, p.Scenario.Seed
-	s.Fleet.Gateways, s.Fleet.Zones, s.Fleet.Membership = f.Gateways+f.RealGateways, p.Scenario.zoneNames(), f.Membership && n < f.Gateways
-	s.Fleet.MemoryMB, s.Fleet.Sockets = gatewayMemoryMB, gatewaySockets
-	s.Network.PeerInPerS = datagramLimitPerS
-	real := n - f.Gateways
-	at := scenario.Addresses{Listen: p.realGatewayAddress(max(real, 0), portGateway), Control: p.realGatewayAddress(max(real, 0), portGateway+1), Registries: p.Registries(place.Region)}
-	if f.Membership && n < f.Gateways {
-		s.Fleet.Gateways = f.Gateways
-		at.PeerListen = p.peerAddress(n).String()
-		for other := range f.Gateways {
-			at.Peers = append(at.Peers, p.peerAddress(other).String())
+func (p *Plan) gatewayConfig(number int, place Place, scopes []registry.Scope) ([]byte, error) {
+	fleet := &p.Scenario.Fleet
+	emulation := scenario.Default()
+	emulation.Name, emulation.Seed = p.Scenario.Name, p.Scenario.Seed
+	emulation.Fleet.Gateways, emulation.Fleet.Zones, emulation.Fleet.Membership = fleet.Gateways+fleet.RealGateways, p.Scenario.zoneNames(), fleet.Membership && number < fleet.Gateways
+	emulation.Fleet.MemoryMB, emulation.Fleet.Sockets = gatewayMemoryMB, gatewaySockets
+	emulation.Network.PeerInPerS = datagramLimitPerS
+	realIndex := number - fleet.Gateways
+	addresses := scenario.Addresses{Listen: p.realGatewayAddress(max(realIndex, 0), portGateway), Control: p.realGatewayAddress(max(realIndex, 0), portGateway+1), Registries: p.Registries(place.Region)}
+	if fleet.Membership && number < fleet.Gateways {
+		emulation.Fleet.Gateways = fleet.Gateways
+		addresses.PeerListen = p.peerAddress(number).String()
+		for other := range fleet.Gateways {
+			addresses.Peers = append(addresses.Peers, p.peerAddress(other).String())
 		}
 	}
-	text, err := s.GatewayConfig(n, at, nil)
+	text, err := emulation.GatewayConfig(number, addresses, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 	settings["familyInfo"].(jsonObject)["hasCounter"] = false
 	delete(config, "counter")
 	delete(config, "peers_all")
-	if len(scopes) > 0 && real >= 0 {
+	if len(scopes) > 0 && realIndex >= 0 {
 		config["scopes"] = []string{scopes[0].String()} // a gateway that serves has one service
 	}
 	if size := p.Scenario.Reading.Subset; size > 0 {
@@ -96,27 +96,27 @@
 
 // hostConfigs are the configurations of the processes of hollow gateways and backends.
 func (p *Plan) hostConfigs() (gateways, backends []HostConfig, err error) {
-	s := p.Scenario
+	spec := p.Scenario
 	for host := range p.GatewayHosts {
-		c := HostConfig{Name: fmt.Sprintf("gateways%d", host), Seed: s.Seed + uint64(host), Gateways: &GatewayHost{}}
-		for n := host; n < len(p.Gateways); n += p.GatewayHosts {
-			g := p.Gateways[n]
-			text, err := p.gatewayConfig(n, g.Place, g.Scopes)
+		config := HostConfig{Name: fmt.Sprintf("gateways%d", host), Seed: spec.Seed + uint64(host), Gateways: &GatewayHost{}}
+		for number := host; number < len(p.Gateways); number += p.GatewayHosts {
+			gateway := p.Gateways[number]
+			text, err := p.gatewayConfig(number, gateway.Place, gateway.Scopes)
 			if err != nil {
 				return nil, nil, err
 			}
-			c.Gateways.Gateways = append(c.Gateways.Gateways, HostedGateway{g, text})
+			config.Gateways.Gateways = append(config.Gateways.Gateways, HostedGateway{gateway, text})
 		}
-		gateways = append(gateways, c)
+		gateways = append(gateways, config)
 	}
 	for host := range p.BackendHosts {
-		c := HostConfig{Name: fmt.Sprintf("backends%d", host), Seed: s.Seed + uint64(host), Backends: &BackendHost{
-			Members: p.Members(), AnswerAddress: p.answerAddress(host), Connections: s.Hosts.Connections, RenewInterval: s.Fleet.Lease.Std() / renewalsPerLease,
-			DrainTime: s.Changes.Drain.Std(), DownTime: s.Changes.Down.Std(), RegistrationsPerS: s.Changes.Register / float64(p.BackendHosts)}}
-		for n := host; n < len(p.Backends); n += p.BackendHosts {
-			c.Backends.Backends = append(c.Backends.Backends, p.Backends[n])
+		config := HostConfig{Name: fmt.Sprintf("backends%d", host), Seed: spec.Seed + uint64(host), Backends: &BackendHost{
+			Members: p.Members(), AnswerAddress: p.answerAddress(host), Connections: spec.Hosts.Connections, RenewInterval: spec.Fleet.Lease.Std() / renewalsPerLease,
+			DrainTime: spec.Changes.Drain.Std(), DownTime: spec.Changes.Down.Std(), RegistrationsPerS: spec.Changes.Register / float64(p.BackendHosts)}}
+		for number := host; number < len(p.Backends); number += p.BackendHosts {
+			config.Backends.Backends = append(config.Backends.Backends, p.Backends[number])
 		}
-		backends = append(backends, c)
+		backends = append(backends, config)
 	}
 	return gateways, backends, nil
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -114,13 +114,13 @@
 		return constant
 	}
 	linear := solve(points, Linear, 0, func(p Point) []float64 { return []float64{1, p.X} })
-	other := solve(points, Sum, 0, func(p Point) []float64 { return []float64{1, 0, p.Z} })
+	linearInZ := solve(points, Sum, 0, func(p Point) []float64 { return []float64{1, 0, p.Z} })
 	product := solve(points, Product, 0, func(p Point) []float64 { return []float64{1, p.X * p.Z} })
 	sum := solve(points, Sum, 0, func(p Point) []float64 { return []float64{1, p.X, p.Z} })
 	best := constant
-	for _, next := range []Fit{linear, other, product} { // as many coefficients
-		if next.Residual < constant.Residual/minImprovement && next.Residual < best.Residual {
-			best = next
+	for _, candidate := range []Fit{linear, linearInZ, product} { // as many coefficients
+		if candidate.Residual < constant.Residual/minImprovement && candidate.Residual < best.Residual {
+			best = candidate
 		}
 	}
 	if sum.Residual < best.Residual/minImprovement {
@@ -144,88 +144,88 @@
 
 // spread is by how much the figures differ, relative to their mean.
 func spread(points []Point) float64 {
-	least, most, sum := math.Inf(1), math.Inf(-1), 0.0
+	lowest, highest, sum := math.Inf(1), math.Inf(-1), 0.0
 	for _, p := range points {
-		least, most, sum = min(least, p.Y), max(most, p.Y), sum+p.Y
+		lowest, highest, sum = min(lowest, p.Y), max(highest, p.Y), sum+p.Y
 	}
-	if most == least {
+	if highest == lowest {
 		return 0
 	}
-	return (most - least) / math.Abs(sum/float64(len(points)))
+	return (highest - lowest) / math.Abs(sum/float64(len(points)))
 }
 
 // solve finds the coefficients that leave the least sum of squares, each residual
 // relative to its point, so that small sizes count as much as large ones.
 func solve(points []Point, form Form, bend float64, terms func(Point) []float64) Fit {
-	most := 0.0
+	maxAbs := 0.0
 	for _, p := range points {
-		most = max(most, math.Abs(p.Y))
+		maxAbs = max(maxAbs, math.Abs(p.Y))
 	}
 	weight := func(p Point) float64 {
-		return 1 / max(math.Abs(p.Y), residualFloorFraction*most, math.SmallestNonzeroFloat64*1e16)
+		return 1 / max(math.Abs(p.Y), residualFloorFraction*maxAbs, math.SmallestNonzeroFloat64*1e16)
 	}
 	unknowns := len(terms(Point{}))
 	matrix := make([][]float64, unknowns) // normal equations, with the right side as the last column
 	for row := range matrix {
 		matrix[row] = make([]float64, unknowns+1)
 	}
-	for _, p := range points {
-		t, w := terms(p), weight(p)*weight(p)
+	for _, point := range points {
+		termValues, squaredWeight := terms(point), weight(point)*weight(point)
 		for row := range unknowns {
 			for column := range unknowns {
-				matrix[row][column] += w * t[row] * t[column]
+				matrix[row][column] += squaredWeight * termValues[row] * termValues[column]
 			}
-			matrix[row][unknowns] += w * t[row] * p.Y
+			matrix[row][unknowns] += squaredWeight * termValues[row] * point.Y
 		}
 	}
-	c := eliminate(matrix)
-	f := Fit{Form: form, Base: c[0], Bend: bend}
-	if len(c) > 1 {
-		f.Slope = c[1]
+	coefficients := eliminate(matrix)
+	fit := Fit{Form: form, Base: coefficients[0], Bend: bend}
+	if len(coefficients) > 1 {
+		fit.Slope = coefficients[1]
 	}
-	if len(c) > 2 {
-		f.SecondSlope = c[2]
+	if len(coefficients) > 2 {
+		fit.SecondSlope = coefficients[2]
 	}
-	sum := 0.0
+	squares := 0.0
 	for _, p := range points {
-		off := math.Abs(p.Y-f.At(p.X, p.Z)) * weight(p)
-		sum += off * off
-		f.MaxResidual = max(f.MaxResidual, off)
+		residual := math.Abs(p.Y-fit.At(p.X, p.Z)) * weight(p)
+		squares += residual * residual
+		fit.MaxResidual = max(fit.MaxResidual, residual)
 	}
-	f.Residual = math.Sqrt(sum / float64(max(len(points), 1)))
-	return f
+	fit.Residual = math.Sqrt(squares / float64(max(len(points), 1)))
+	return fit
 }
 
 // eliminate solves linear equations by Gauss's method; an unknown that they leave open
 // is 0.
-func eliminate(m [][]float64) []float64 {
-	n := len(m)
-	for column := range n {
+func eliminate(matrix [][]float64) []float64 {
+	size := len(matrix)
+	for column := range size {
 		pivot := column
-		for row := column + 1; row < n; row++ {
-			if math.Abs(m[row][column]) > math.Abs(m[pivot][column]) {
+		for row := column + 1; row < size; row++ {
+			if math.Abs(matrix[row][column]) > math.Abs(matrix[pivot][column]) {
 				pivot = row
 			}
 		}
-		m[column], m[pivot] = m[pivot], m[column]
-		if math.Abs(m[column][column]) < 1e-300 {
+		matrix[column], matrix[pivot] = matrix[pivot], matrix[column]
+		if math.Abs(matrix[column][column]) < 1e-300 {
 			continue
 		}
-		for row := range n {
+		for row := range size {
 			if row == column {
 				continue
 			}
-			factor := m[row][column] / m[column][column]
-			for k := column; k <= n; k++ {
-				m[row][k] -= factor * m[column][k]
+			factor := matrix[row][column] / matrix[column][column]
+			for k := column; k <= size; k++ {
+				matrix[row][k] -= factor * matrix[column][k]
 			}
 		}
 	}
-	solved := make([]float64, n)
-	for row := range n {
-		if math.Abs(m[row][row]) >= 1e-300 {
-			solved[row] = m[row][n] / m[row][row]
+	solution := make([]float64, size)
+	for row := range size {
+		if math.Abs(matrix[row][row]) >= 1e-300 {
+			solution[row] = matrix[row][size] / matrix[row][row]
 		}
 	}
-	return solved
+	return solution
 }
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -7,28 +7,28 @@
 )
 
 // made returns points of a figure at sizes, each off by up to a share of it.
-func noisyPoints(sizes []float64, noise float64, f func(x float64) float64) (all []Point) {
+func noisyPoints(sizes []float64, noise float64, value func(x float64) float64) (all []Point) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, x := range sizes {
-		all = append(all, Point{X: x, Y: f(x) * (1 + noise*(2*random.Float64()-1))})
+		all = append(all, Point{X: x, Y: value(x) * (1 + noise*(2*random.Float64()-1))})
 	}
 	return all
 }
 
-func checkNear(t *testing.T, what string, got, want, share float64) {
+func checkNear(t *testing.T, label string, got, want, tolerance float64) {
 	t.Helper()
-	if math.Abs(got-want) > share*math.Abs(want) {
-		t.Errorf("%s: %g, want %g", what, got, want)
+	if math.Abs(got-want) > tolerance*math.Abs(want) {
+		t.Errorf("%s: %g, want %g", label, got, want)
 	}
 }
 
 func TestFitOne(t *testing.T) {
 	sizes := []float64{10, 30, 100, 300, 1000}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		sizes  []float64
 		noise  float64
-		f      func(x float64) float64
+		value  func(x float64) float64
 		want   Form
 		base   float64
 		slope  float64
@@ -44,40 +44,40 @@
 		{"bent with noise", []float64{10, 30, 100, 300, 1000, 3000}, 0.03, func(x float64) float64 { return 100 + 2*min(x, 300) + 0.01*max(x-300, 0) }, Bent, 100, 2, 0.01, 300, 0.5},
 		{"two points", []float64{10, 30}, 0, func(x float64) float64 { return 10 + x }, Linear, 10, 1, 0, 0, 0.01},
 	} {
-		f := FitOne(noisyPoints(c.sizes, c.noise, c.f))
-		if f.Form != c.want {
-			t.Errorf("%s: %v", c.name, f)
+		fit := FitOne(noisyPoints(test.sizes, test.noise, test.value))
+		if fit.Form != test.want {
+			t.Errorf("%s: %v", test.name, fit)
 			continue
 		}
-		if c.base != 0 {
-			checkNear(t, c.name+": base", f.Base, c.base, c.within)
+		if test.base != 0 {
+			checkNear(t, test.name+": base", fit.Base, test.base, test.within)
 		}
-		checkNear(t, c.name+": slope", f.Slope, c.slope, c.within)
-		if c.noise == 0 {
-			checkNear(t, c.name+": other", f.SecondSlope, c.other, c.within)
+		checkNear(t, test.name+": slope", fit.Slope, test.slope, test.within)
+		if test.noise == 0 {
+			checkNear(t, test.name+": other", fit.SecondSlope, test.other, test.within)
 		}
-		if f.Bend != c.bend {
-			t.Errorf("%s: bend at %g, want %g", c.name, f.Bend, c.bend)
+		if fit.Bend != test.bend {
+			t.Errorf("%s: bend at %g, want %g", test.name, fit.Bend, test.bend)
 		}
 	}
 }
 
-func TestFitOneTellsWhatFitsNothing(t *testing.T) {
+func TestFitOneReportsUnclearForm(t *testing.T) {
 	if f := FitOne([]Point{{X: 1, Y: 10}, {X: 3, Y: 100}, {X: 10, Y: 5}, {X: 30, Y: 200}, {X: 100, Y: 1}}); f.Form != Unclear {
 		t.Errorf("%v", f)
 	}
 }
 
-func TestFitOneOfUpsAndDowns(t *testing.T) {
+func TestFitOneRejectsBendWithOppositeSlopes(t *testing.T) {
 	if f := FitOne([]Point{{X: 300, Y: 17}, {X: 1000, Y: 12}, {X: 3000, Y: 8}, {X: 10000, Y: 14}}); f.Form != Unclear {
 		t.Errorf("%v", f)
 	}
 }
 
 func TestFitTwo(t *testing.T) {
-	for _, c := range []struct {
-		f    func(x, z float64) float64
-		want Form
+	for _, test := range []struct {
+		value func(x, z float64) float64
+		want  Form
 	}{
 		{func(x, z float64) float64 { return 7 }, Constant},
 		{func(x, z float64) float64 { return 10 + 3*x }, Linear},
@@ -89,16 +89,16 @@
 		random := rand.New(rand.NewPCG(3, 4))
 		for _, x := range []float64{10, 30, 100, 300} {
 			for _, z := range []float64{1, 3, 10} {
-				points = append(points, Point{x, z, c.f(x, z) * (1 + 0.02*(2*random.Float64()-1))})
+				points = append(points, Point{x, z, test.value(x, z) * (1 + 0.02*(2*random.Float64()-1))})
 			}
 		}
-		f := FitTwo(points)
-		if f.Form != c.want {
-			t.Errorf("want %s: %v", c.want, f)
+		fit := FitTwo(points)
+		if fit.Form != test.want {
+			t.Errorf("want %s: %v", test.want, fit)
 		}
-		checkNear(t, string(c.want), f.At(100, 3), c.f(100, 3), 0.05)
-		if c.want == Sum && c.f(0, 0) == 10 && f.Slope != 0 {
-			t.Errorf("a figure of the other quantity alone: %v", f)
+		checkNear(t, string(test.want), fit.At(100, 3), test.value(100, 3), 0.05)
+		if test.want == Sum && test.value(0, 0) == 10 && fit.Slope != 0 {
+			t.Errorf("a figure of the other quantity alone: %v", fit)
 		}
 	}
 }
--- a/internal/scale/follow.go
+++ b/internal/scale/follow.go
@@ -23,24 +23,24 @@
 
 // latency counts how long changes took from their answer to a gateway that reads a part
 // of the list. The changes are in the order of their versions.
-func (l *gatewayLife) addLatencies(g Gateway, changes []Change, into *Latency) {
+func (l *gatewayLife) addLatencies(gateway Gateway, changes []Change, total *Latency) {
 	if len(l.updates) == 0 {
 		return
 	}
-	at := 0
+	index := 0
 	for _, change := range changes {
-		place := Backend{Place{Number: change.Backend, Zone: change.Zone, Region: change.Region}, change.Service}
-		if change.Version <= l.updates[0].version || !g.Reads(place) || l.endedAt != 0 && change.AnsweredAt >= l.endedAt {
+		backend := Backend{Place{Number: change.Backend, Zone: change.Zone, Region: change.Region}, change.Service}
+		if change.Version <= l.updates[0].version || !gateway.Reads(backend) || l.endedAt != 0 && change.AnsweredAt >= l.endedAt {
 			continue
 		}
-		for at < len(l.updates) && l.updates[at].version < change.Version {
-			at++
+		for index < len(l.updates) && l.updates[index].version < change.Version {
+			index++
 		}
 		switch {
-		case at < len(l.updates):
-			into.add(max(0, time.Duration(l.updates[at].receivedAt-change.AnsweredAt)))
+		case index < len(l.updates):
+			total.add(max(0, time.Duration(l.updates[index].receivedAt-change.AnsweredAt)))
 		case l.endedAt == 0:
-			into.Missing++
+			total.Missing++
 		}
 	}
 }
@@ -62,11 +62,11 @@
 type digest uint64
 
 func (d *digest) add(id string, lifecycle registry.Lifecycle) {
-	h := fnv.New64a()
-	io.WriteString(h, id)
-	io.WriteString(h, " ")
-	io.WriteString(h, string(lifecycle))
-	*d += digest(h.Sum64())
+	hash := fnv.New64a()
+	io.WriteString(hash, id)
+	io.WriteString(hash, " ")
+	io.WriteString(hash, string(lifecycle))
+	*d += digest(hash.Sum64())
 }
 
 // share is a part of a list: how many instances, and their digest.
@@ -75,9 +75,9 @@
 	digest digest
 }
 
-func (s *listPart) add(i registry.Instance) {
+func (s *listPart) add(instance registry.Instance) {
 	s.count++
-	s.digest.add(i.ID, i.Lifecycle)
+	s.digest.add(instance.ID, instance.Lifecycle)
 }
 
 // shares are the parts of the writer's list that gateways can read.
@@ -88,29 +88,29 @@
 }
 
 func newListParts(list registry.Listing) *listParts {
-	all := &listParts{version: list.Generation, scopes: map[registry.Scope]listPart{}}
-	for _, i := range list.Instances {
-		all.whole.add(i)
-		for _, scope := range []registry.Scope{{Service: i.Service}, {Service: i.Service, Region: i.Region}, {Service: i.Service, Zone: i.Zone}} {
-			part := all.scopes[scope]
-			part.add(i)
-			all.scopes[scope] = part
+	parts := &listParts{version: list.Generation, scopes: map[registry.Scope]listPart{}}
+	for _, instance := range list.Instances {
+		parts.whole.add(instance)
+		for _, scope := range []registry.Scope{{Service: instance.Service}, {Service: instance.Service, Region: instance.Region}, {Service: instance.Service, Zone: instance.Zone}} {
+			part := parts.scopes[scope]
+			part.add(instance)
+			parts.scopes[scope] = part
 		}
 	}
-	return all
+	return parts
 }
 
 // of is what a gateway holds that has the writer's list. Its scopes are of different
 // services, so that none has a part of another.
-func (s *listParts) expectedView(g Gateway) View {
+func (s *listParts) expectedView(gateway Gateway) View {
 	sum := s.whole
-	if len(g.Scopes) > 0 {
+	if len(gateway.Scopes) > 0 {
 		sum = listPart{}
-		for _, scope := range g.Scopes {
+		for _, scope := range gateway.Scopes {
 			part := s.scopes[scope]
 			sum.count += part.count
 			sum.digest += part.digest
 		}
 	}
-	return View{Gateway: g.Number, Version: s.version, Count: sum.count, Digest: uint64(sum.digest)}
+	return View{Gateway: gateway.Number, Version: s.version, Count: sum.count, Digest: uint64(sum.digest)}
 }
--- a/internal/scale/gateways.go
+++ b/internal/scale/gateways.go
@@ -36,12 +36,12 @@
 	done    chan struct{} // closed when the present life has ended
 }
 
-func newGatewayFleet(c *GatewayHost) (*gatewayFleet, error) {
-	f := &gatewayFleet{}
-	for _, g := range c.Gateways {
-		f.all = append(f.all, &hollowGateway{HostedGateway: g, fleet: f})
+func newGatewayFleet(config *GatewayHost) (*gatewayFleet, error) {
+	fleet := &gatewayFleet{}
+	for _, hosted := range config.Gateways {
+		fleet.all = append(fleet.all, &hollowGateway{HostedGateway: hosted, fleet: fleet})
 	}
-	return f, nil
+	return fleet, nil
 }
 
 const syncPollInterval = 20 * time.Millisecond
@@ -50,8 +50,8 @@
 	f.mu.Lock()
 	f.ctx = ctx
 	f.mu.Unlock()
-	for _, h := range f.all {
-		if err := h.start(ctx); err != nil {
+	for _, hollow := range f.all {
+		if err := hollow.start(ctx); err != nil {
 			panic(err) // of a configuration that this program wrote
 		}
 	}
@@ -68,8 +68,8 @@
 
 // start begins a life of the gateway.
 func (h *hollowGateway) start(ctx context.Context) error {
-	l := &gatewayLife{}
-	g, err := gateway.NewHollow(h.Config, h.Scopes, func(t registry.Update) { h.recordUpdate(l, t) })
+	life := &gatewayLife{}
+	running, err := gateway.NewHollow(h.Config, h.Scopes, func(update registry.Update) { h.recordUpdate(life, update) })
 	if err != nil {
 		return fmt.Errorf("gateway %d: %w", h.Number, err)
 	}
@@ -77,28 +77,28 @@
 	done := make(chan struct{})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lives, h.gateway, h.stop, h.done = append(h.lives, l), g, stop, done
+	h.lives, h.gateway, h.stop, h.done = append(h.lives, life), running, stop, done
 	h.fleet.wg.Go(func() {
 		defer close(done)
-		g.Run(ctx)
+		running.Run(ctx)
 	})
 	return nil
 }
 
 // heard takes note of an answer.
-func (h *hollowGateway) recordUpdate(l *gatewayLife, t registry.Update) {
+func (h *hollowGateway) recordUpdate(life *gatewayLife, update registry.Update) {
 	now := time.Now().UnixNano()
 	h.fleet.updates.Add(1)
-	h.fleet.updatedInstances.Add(int64(len(t.Changes.Instances)))
+	h.fleet.updatedInstances.Add(int64(len(update.Changes.Instances)))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if l.endedAt != 0 {
+	if life.endedAt != 0 {
 		return
 	}
-	if len(l.updates) == 0 {
+	if len(life.updates) == 0 {
 		h.fleet.synced.Add(1)
 	}
-	l.updates = append(l.updates, receivedUpdate{t.Generation, now})
+	life.updates = append(life.updates, receivedUpdate{update.Generation, now})
 }
 
 // end ends the present life, as a kill does: nobody is told.
@@ -110,9 +110,9 @@
 		return
 	}
 	h.gateway = nil
-	l := h.lives[len(h.lives)-1]
-	l.endedAt = time.Now().UnixNano()
-	if len(l.updates) > 0 {
+	life := h.lives[len(h.lives)-1]
+	life.endedAt = time.Now().UnixNano()
+	if len(life.updates) > 0 {
 		h.fleet.synced.Add(-1)
 	}
 	h.mu.Unlock()
@@ -120,16 +120,16 @@
 	<-done
 }
 
-func (f *gatewayFleet) execute(c Command) {
+func (f *gatewayFleet) execute(command Command) {
 	f.mu.Lock()
 	ctx := f.ctx
 	f.mu.Unlock()
-	for _, h := range f.all {
+	for _, hollow := range f.all {
 		switch {
-		case c.Stop != nil && c.Stop.includesGateway(h.Place):
-			f.wg.Go(h.kill)
-		case c.Resume != nil && c.Resume.includesGateway(h.Place) && h.current() == nil:
-			if err := h.start(ctx); err != nil {
+		case command.Stop != nil && command.Stop.includesGateway(hollow.Place):
+			f.wg.Go(hollow.kill)
+		case command.Resume != nil && command.Resume.includesGateway(hollow.Place) && hollow.current() == nil:
+			if err := hollow.start(ctx); err != nil {
 				panic(err)
 			}
 		}
@@ -142,61 +142,61 @@
 	return h.gateway
 }
 
-func (f *gatewayFleet) sample(s *Sample) {
-	s.Updates, s.UpdatedInstances, s.Synced = f.updates.Load(), f.updatedInstances.Load(), int(f.synced.Load())
-	for _, h := range f.all {
-		h.mu.Lock()
-		for _, l := range h.lives {
-			s.HeapBytes -= uint64(cap(l.updates)) * uint64(unsafe.Sizeof(receivedUpdate{})) // the measurement's own
+func (f *gatewayFleet) sample(sample *Sample) {
+	sample.Updates, sample.UpdatedInstances, sample.Synced = f.updates.Load(), f.updatedInstances.Load(), int(f.synced.Load())
+	for _, hollow := range f.all {
+		hollow.mu.Lock()
+		for _, life := range hollow.lives {
+			sample.HeapBytes -= uint64(cap(life.updates)) * uint64(unsafe.Sizeof(receivedUpdate{})) // the measurement's own
 		}
-		g := h.gateway
-		h.mu.Unlock()
-		if g == nil {
+		running := hollow.gateway
+		hollow.mu.Unlock()
+		if running == nil {
 			continue
 		}
-		view, on := g.Members()
-		if !on {
+		view, enabled := running.Members()
+		if !enabled {
 			continue
 		}
-		s.Members.Agents++
-		s.Members.Sent += view.Stats.Sent
-		s.Members.SentBytes += view.Stats.SentBytes
-		s.Members.Received += view.Stats.Received
-		s.Members.Dropped += view.Stats.Dropped
+		sample.Members.Agents++
+		sample.Members.Sent += view.Stats.Sent
+		sample.Members.SentBytes += view.Stats.SentBytes
+		sample.Members.Received += view.Stats.Received
+		sample.Members.Dropped += view.Stats.Dropped
 		for _, m := range view.Members {
 			if m.Present() {
-				s.Members.Present++
+				sample.Members.Present++
 			}
 		}
 	}
 }
 
 func (f *gatewayFleet) views() (all []View) {
-	for _, h := range f.all {
-		g := h.current()
-		if g == nil {
+	for _, hollow := range f.all {
+		running := hollow.current()
+		if running == nil {
 			continue
 		}
-		held := g.Backends()
-		v := View{Gateway: h.Number, Version: held.Version, Count: len(held.Backends)}
-		var d digest
+		held := running.Backends()
+		view := View{Gateway: hollow.Number, Version: held.Version, Count: len(held.Backends)}
+		var sum digest
 		for _, b := range held.Backends {
-			d.add(b.ID, b.Lifecycle)
+			sum.add(b.ID, b.Lifecycle)
 		}
-		v.Digest = uint64(d)
-		all = append(all, v)
+		view.Digest = uint64(sum)
+		all = append(all, view)
 	}
 	return all
 }
 
 func (f *gatewayFleet) latency(changes []Change) *Latency {
-	l := &Latency{}
-	for _, h := range f.all {
-		h.mu.Lock()
-		for _, life := range h.lives {
-			life.addLatencies(h.Gateway, changes, l)
+	total := &Latency{}
+	for _, hollow := range f.all {
+		hollow.mu.Lock()
+		for _, life := range hollow.lives {
+			life.addLatencies(hollow.Gateway, changes, total)
 		}
-		h.mu.Unlock()
+		hollow.mu.Unlock()
 	}
-	return l
+	return total
 }
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -38,39 +38,39 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("scale-host: its configuration: %w", err)
 	}
-	empty := heldBytes()
-	var h workload
+	baseline := heldBytes()
+	var hosted workload
 	switch {
 	case config.Gateways != nil:
-		h, err = newGatewayFleet(config.Gateways)
+		hosted, err = newGatewayFleet(config.Gateways)
 	case config.Backends != nil:
-		h, err = newBackendFleet(config.Backends, config.Seed)
+		hosted, err = newBackendFleet(config.Backends, config.Seed)
 	default:
 		err = errors.New("scale-host: it has neither gateways nor backends")
 	}
 	if err != nil {
 		return err
 	}
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	reports := &reporter{out: json.NewEncoder(out), onFailure: stop}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	reports := &reporter{out: json.NewEncoder(out), onFailure: cancel}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer stop()
+	defer cancel()
 	wg.Go(func() {
-		h.run(ctx, func() { reports.send(Report{Ready: true}) }, func(changes []Change) { reports.send(Report{Changes: changes}) })
+		hosted.run(ctx, func() { reports.send(Report{Ready: true}) }, func(changes []Change) { reports.send(Report{Changes: changes}) })
 	})
 	commands := make(chan Command)
 	go func() {
 		defer close(commands)
 		for {
 			text, err := readLine(lines)
-			var c Command
-			if err != nil || json.Unmarshal(text, &c) != nil {
+			var command Command
+			if err != nil || json.Unmarshal(text, &command) != nil {
 				return
 			}
 			select {
-			case commands <- c:
+			case commands <- command:
 			case <-ctx.Done():
 				return
 			}
@@ -78,30 +78,30 @@
 	}()
 	var changes []Change
 	for {
-		var c Command
+		var command Command
 		var ok bool
 		select {
 		case <-ctx.Done():
 			return nil
-		case c, ok = <-commands:
+		case command, ok = <-commands:
 		}
 		if !ok {
 			return nil
 		}
-		changes = append(changes, c.Changes...)
+		changes = append(changes, command.Changes...)
 		switch {
-		case c.Sample != nil:
-			s := Sample{BaselineBytes: empty}
-			fillUsage(&s, c.Sample.Collect)
-			h.sample(&s)
-			reports.send(Report{Sample: &s})
-		case c.Views:
-			reports.send(Report{Views: h.views()})
-		case c.Latency:
-			reports.send(Report{Latency: h.latency(changes)})
+		case command.Sample != nil:
+			sample := Sample{BaselineBytes: baseline}
+			fillUsage(&sample, command.Sample.Collect)
+			hosted.sample(&sample)
+			reports.send(Report{Sample: &sample})
+		case command.Views:
+			reports.send(Report{Views: hosted.views()})
+		case command.Latency:
+			reports.send(Report{Latency: hosted.latency(changes)})
 			changes = nil
 		default:
-			h.execute(c)
+			hosted.execute(command)
 		}
 	}
 }
@@ -140,27 +140,27 @@
 
 // held is what the process holds after a collection: heap and stacks.
 func heldBytes() uint64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC() // what finalizers let go
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc + m.StackInuse
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc + stats.StackInuse
 }
 
 // use fills in what the process has used.
-func fillUsage(s *Sample, collect bool) {
+func fillUsage(sample *Sample, collect bool) {
 	if collect {
 		runtime.GC()
 		runtime.GC()
 	}
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	s.Mallocs, s.AllocatedBytes, s.HeapBytes, s.StackBytes = m.Mallocs, m.TotalAlloc, m.HeapAlloc, m.StackInuse
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	sample.Mallocs, sample.AllocatedBytes, sample.HeapBytes, sample.StackBytes = stats.Mallocs, stats.TotalAlloc, stats.HeapAlloc, stats.StackInuse
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
-		s.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+		sample.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	}
-	if u, err := readUsage("self"); err == nil {
-		s.ReadBytes, s.WrittenBytes = u.ReadBytes, u.WrittenBytes
+	if processUsage, err := readUsage("self"); err == nil {
+		sample.ReadBytes, sample.WrittenBytes = processUsage.ReadBytes, processUsage.WrittenBytes
 	}
 }
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -25,53 +25,53 @@
 )
 
 // startLoad spreads requests over gateways until stop is called.
-func startLoad(gateways []string, perS float64) *load {
+func startLoad(gateways []string, requestsPerS float64) *load {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &load{cancel: cancel, statuses: map[int]int64{}}
+	traffic := &load{cancel: cancel, statuses: map[int]int64{}}
 	client := &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: loadWorkers, DisableCompression: true}}
 	due := make(chan int)
-	l.wg.Go(func() {
-		t := time.NewTicker(time.Duration(float64(time.Second) / perS))
-		defer t.Stop()
-		for n := 0; ; n++ {
+	traffic.wg.Go(func() {
+		ticker := time.NewTicker(time.Duration(float64(time.Second) / requestsPerS))
+		defer ticker.Stop()
+		for sequence := 0; ; sequence++ {
 			select {
 			case <-ctx.Done():
 				return
-			case <-t.C:
+			case <-ticker.C:
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case due <- n:
+			case due <- sequence:
 			}
 		}
 	})
 	for range loadWorkers {
-		l.wg.Go(func() {
+		traffic.wg.Go(func() {
 			for {
 				select {
 				case <-ctx.Done():
 					return
-				case n := <-due:
-					if status := sendRequest(ctx, client, gateways[n%len(gateways)], n); ctx.Err() == nil {
-						l.count(status)
+				case sequence := <-due:
+					if status := sendRequest(ctx, client, gateways[sequence%len(gateways)], sequence); ctx.Err() == nil {
+						traffic.count(status)
 					}
 				}
 			}
 		})
 	}
-	return l
+	return traffic
 }
 
 // ask makes one request of the class and a plan that the gateways' settings have.
-func sendRequest(ctx context.Context, client *http.Client, gateway string, n int) (status int) {
+func sendRequest(ctx context.Context, client *http.Client, gateway string, sequence int) (status int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+gateway+"/browse", nil)
 	if err != nil {
 		return 0
 	}
 	const customers = 40
-	for key, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%016x", n+1), "X-Service-Class": "browse", "X-Tier": "basic",
-		"X-Api-Key": fmt.Sprintf("%016x", n%customers+1), "X-Time-Left-Ms": "1500", "X-Call-Terms": "units=1,spread=1,first=0"} {
+	for key, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%016x", sequence+1), "X-Service-Class": "browse", "X-Tier": "basic",
+		"X-Api-Key": fmt.Sprintf("%016x", sequence%customers+1), "X-Time-Left-Ms": "1500", "X-Call-Terms": "units=1,spread=1,first=0"} {
 		req.Header.Set(key, value)
 	}
 	resp, err := client.Do(req)
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -34,8 +34,8 @@
 }
 
 // Reads says whether a backend is of the part of the list that the gateway reads.
-func (g Gateway) Reads(b Backend) bool {
-	instance := registry.Instance{Service: b.Service, Region: b.Region, Zone: b.Zone}
+func (g Gateway) Reads(backend Backend) bool {
+	instance := registry.Instance{Service: backend.Service, Region: backend.Region, Zone: backend.Zone}
 	for _, scope := range g.Scopes {
 		if scope.Matches(instance) {
 			return true
@@ -80,14 +80,14 @@
 	hostsPerBlock = 200  // addresses 1 to 200 of a /24
 )
 
-func (p *Plan) address(block, n, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", p.network, block+n/hostsPerBlock, 1+n%hostsPerBlock, port)
+func (p *Plan) address(block, index, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", p.network, block+index/hostsPerBlock, 1+index%hostsPerBlock, port)
 }
 
-func (p *Plan) claimAddress() string                  { return p.address(255, 0, portClaim) }
-func (p *Plan) serviceAddress(n, port int) string     { return p.address(1, n, port) }
-func (p *Plan) realGatewayAddress(n, port int) string { return p.address(3, n, port) }
-func (p *Plan) answerAddress(host int) string         { return p.address(2, host, portAnswers) }
+func (p *Plan) claimAddress() string                      { return p.address(255, 0, portClaim) }
+func (p *Plan) serviceAddress(index, port int) string     { return p.address(1, index, port) }
+func (p *Plan) realGatewayAddress(index, port int) string { return p.address(3, index, port) }
+func (p *Plan) answerAddress(host int) string             { return p.address(2, host, portAnswers) }
 func (p *Plan) peerAddress(gateway int) netip.AddrPort {
 	return netip.MustParseAddrPort(p.address(4, gateway, portPeer))
 }
@@ -96,65 +96,65 @@
 const maxPeers = (255 - 4) * hostsPerBlock
 
 // NewPlan lays a scenario out in 127.net.0.0/16.
-func NewPlan(s *Scenario, net int) *Plan {
-	p := &Plan{Scenario: s, network: net}
-	for n := range s.Fleet.Members {
-		p.Services = append(p.Services, Service{Name: memberName(n), MemberNumber: n + 1})
+func NewPlan(scenario *Scenario, network int) *Plan {
+	plan := &Plan{Scenario: scenario, network: network}
+	for n := range scenario.Fleet.Members {
+		plan.Services = append(plan.Services, Service{Name: memberName(n), MemberNumber: n + 1})
 	}
-	for region := range s.Fleet.Regions {
-		for n := range s.Fleet.Followers {
-			p.Services = append(p.Services, Service{Name: followerName(region, n), Region: regionName(region), SourceIndex: len(p.Services) % s.Fleet.Members})
+	for region := range scenario.Fleet.Regions {
+		for n := range scenario.Fleet.Followers {
+			plan.Services = append(plan.Services, Service{Name: followerName(region, n), Region: regionName(region), SourceIndex: len(plan.Services) % scenario.Fleet.Members})
 		}
 	}
-	for n := range p.Services {
-		service := &p.Services[n]
-		service.Listen, service.Control = p.serviceAddress(n, portService), p.serviceAddress(n, portControl)
+	for n := range plan.Services {
+		service := &plan.Services[n]
+		service.Listen, service.Control = plan.serviceAddress(n, portService), plan.serviceAddress(n, portControl)
 		if service.MemberNumber > 0 {
-			service.Group = p.serviceAddress(n, portGroup)
-		} else if s.hasRegionCut(service.Region) {
-			service.RelayListen = p.serviceAddress(n, portRelay)
+			service.Group = plan.serviceAddress(n, portGroup)
+		} else if scenario.hasRegionCut(service.Region) {
+			service.RelayListen = plan.serviceAddress(n, portRelay)
 		}
 	}
-	for n := range s.Fleet.Backends {
-		p.Backends = append(p.Backends, Backend{s.place(n), serviceName(n / s.zoneCount() % s.Fleet.Services)})
+	for n := range scenario.Fleet.Backends {
+		plan.Backends = append(plan.Backends, Backend{scenario.place(n), serviceName(n / scenario.zoneCount() % scenario.Fleet.Services)})
 	}
-	for n := range s.Fleet.Gateways {
-		p.Gateways = append(p.Gateways, Gateway{s.place(n), s.scopesOf(n)})
+	for n := range scenario.Fleet.Gateways {
+		plan.Gateways = append(plan.Gateways, Gateway{scenario.place(n), scenario.scopesOf(n)})
 	}
-	p.GatewayHosts = processCount(s.Fleet.Gateways, s.Hosts.Gateways)
-	p.BackendHosts = processCount(s.Fleet.Backends, s.Hosts.Backends)
-	return p
+	plan.GatewayHosts = processCount(scenario.Fleet.Gateways, scenario.Hosts.Gateways)
+	plan.BackendHosts = processCount(scenario.Fleet.Backends, scenario.Hosts.Backends)
+	return plan
 }
 
-func processCount(all, inOne int) int { return (all + inOne - 1) / inOne }
+func processCount(total, perProcess int) int { return (total + perProcess - 1) / perProcess }
 
 // places is the number of zones in all regions.
 func (s *Scenario) zoneCount() int { return s.Fleet.Regions * s.Fleet.Zones }
 
 // place is where the gateway or backend of a number stands: they are dealt out to the
 // zones in turn.
-func (s *Scenario) place(n int) Place {
-	at := n % s.zoneCount()
-	region, zone := at%s.Fleet.Regions, at/s.Fleet.Regions
-	return Place{Number: n, Zone: zoneName(region, zone), Region: regionName(region)}
+func (s *Scenario) place(number int) Place {
+	slot := number % s.zoneCount()
+	region, zone := slot%s.Fleet.Regions, slot/s.Fleet.Regions
+	return Place{Number: number, Zone: zoneName(region, zone), Region: regionName(region)}
 }
 
 // scopesOf are those that the gateway of a number reads: services in a row, so that all
 // are read by about as many gateways.
-func (s *Scenario) scopesOf(n int) (all []registry.Scope) {
-	for k := range s.Reading.Services {
-		all = append(all, s.scope(s.place(n), (n*s.Reading.Services+k)%s.Fleet.Services))
+func (s *Scenario) scopesOf(number int) (scopes []registry.Scope) {
+	for offset := range s.Reading.Services {
+		scopes = append(scopes, s.scope(s.place(number), (number*s.Reading.Services+offset)%s.Fleet.Services))
 	}
-	return all
+	return scopes
 }
 
-func (s *Scenario) scope(at Place, service int) registry.Scope {
+func (s *Scenario) scope(place Place, service int) registry.Scope {
 	scope := registry.Scope{Service: serviceName(service)}
 	switch s.Reading.Within {
 	case WithinRegion:
-		scope.Region = at.Region
+		scope.Region = place.Region
 	case WithinZone:
-		scope.Zone = at.Zone
+		scope.Zone = place.Zone
 	}
 	return scope
 }
@@ -229,29 +229,29 @@
 
 // held estimates how many backends a hollow gateway holds.
 func (p *Plan) backendsPerGateway() float64 {
-	s := p.Scenario
-	held := float64(s.Fleet.Backends)
-	if s.Reading.Services > 0 {
-		held *= float64(s.Reading.Services) / float64(s.Fleet.Services)
-		switch s.Reading.Within {
+	scenario := p.Scenario
+	backends := float64(scenario.Fleet.Backends)
+	if scenario.Reading.Services > 0 {
+		backends *= float64(scenario.Reading.Services) / float64(scenario.Fleet.Services)
+		switch scenario.Reading.Within {
 		case WithinRegion:
-			held /= float64(s.Fleet.Regions)
+			backends /= float64(scenario.Fleet.Regions)
 		case WithinZone:
-			held /= float64(s.zoneCount())
+			backends /= float64(scenario.zoneCount())
 		}
 	}
-	return held
+	return backends
 }
 
 // memoryMB estimates the memory of all processes.
 func (p *Plan) memoryMB() float64 {
-	f := &p.Scenario.Fleet
-	gateway := hollowGatewayKB + hollowGatewayBackendKB*p.backendsPerGateway()
-	if f.Membership {
-		gateway += hollowGatewayPeerKB * float64(f.Gateways)
+	fleet := &p.Scenario.Fleet
+	perGatewayKB := hollowGatewayKB + hollowGatewayBackendKB*p.backendsPerGateway()
+	if fleet.Membership {
+		perGatewayKB += hollowGatewayPeerKB * float64(fleet.Gateways)
 	}
-	kb := gateway*float64(f.Gateways) + hollowBackendKB*float64(f.Backends) + serviceBackendKB*float64(f.Backends*len(p.Services))
-	return kb/1024 + float64(serviceMemoryMB*len(p.Services)+hostMemoryMB*(p.GatewayHosts+p.BackendHosts+1)+realGatewayMemoryMB*f.RealGateways)
+	totalKB := perGatewayKB*float64(fleet.Gateways) + hollowBackendKB*float64(fleet.Backends) + serviceBackendKB*float64(fleet.Backends*len(p.Services))
+	return totalKB/1024 + float64(serviceMemoryMB*len(p.Services)+hostMemoryMB*(p.GatewayHosts+p.BackendHosts+1)+realGatewayMemoryMB*fleet.RealGateways)
 }
 
 // Machine is what there is.
@@ -262,65 +262,65 @@
 
 // ThisMachine reads what there is.
 func ThisMachine() (Machine, error) {
-	var m Machine
+	var machine Machine
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return m, err
+		return machine, err
 	}
-	m.Files = int(min(limit.Cur, 1<<30))
+	machine.Files = int(min(limit.Cur, 1<<30))
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
-		return m, err
+		return machine, err
 	}
 	for line := range strings.Lines(string(text)) {
 		if rest, ok := strings.CutPrefix(line, "MemTotal:"); ok {
 			var kb float64
 			if _, err := fmt.Sscan(rest, &kb); err != nil {
-				return m, err
+				return machine, err
 			}
-			m.MemoryMB = kb / 1024
+			machine.MemoryMB = kb / 1024
 		}
 	}
-	return m, nil
+	return machine, nil
 }
 
 // mostMemoryMB is what a run may use.
 func (m Machine) memoryLimitMB() float64 { return maxMemoryFraction * m.MemoryMB }
 
 // Fits says what a scenario asks that this machine does not have, or that no run may use.
-func CheckResources(s *Scenario) error {
+func CheckResources(scenario *Scenario) error {
 	machine, err := ThisMachine()
 	if err != nil {
 		return fmt.Errorf("what this machine has can't be told: %w", err)
 	}
-	return NewPlan(s, firstNetwork).CheckResources(machine)
+	return NewPlan(scenario, firstNetwork).CheckResources(machine)
 }
 
 // Fits says what a plan asks that a machine does not have, or that no run may use.
-func (p *Plan) CheckResources(m Machine) error {
-	var all []error
-	f := &p.Scenario.Fleet
+func (p *Plan) CheckResources(machine Machine) error {
+	var problems []error
+	fleet := &p.Scenario.Fleet
 	if n := p.Processes(); n > maxProcesses {
-		all = append(all, fmt.Errorf("%d processes, and a run has %d at most: put more hollow ones into one (hosts.gateways, hosts.backends)", n, maxProcesses))
+		problems = append(problems, fmt.Errorf("%d processes, and a run has %d at most: put more hollow ones into one (hosts.gateways, hosts.backends)", n, maxProcesses))
 	}
-	if mb := p.memoryMB(); mb > m.memoryLimitMB() {
-		all = append(all, fmt.Errorf("about %.0f MB of memory, and a run may use %.0f, half of the machine's", mb, m.memoryLimitMB()))
+	if mb := p.memoryMB(); mb > machine.memoryLimitMB() {
+		problems = append(problems, fmt.Errorf("about %.0f MB of memory, and a run may use %.0f, half of the machine's", mb, machine.memoryLimitMB()))
 	}
 	files := hollowGatewayFiles
-	if f.Membership {
+	if fleet.Membership {
 		files += membershipFiles
 	}
-	if n := files*min(f.Gateways, p.Scenario.Hosts.Gateways) + baseFiles; n > m.Files {
-		all = append(all, fmt.Errorf("%d descriptors of a process of hollow gateways, and the limit is %d (ulimit -n): lower hosts.gateways", n, m.Files))
+	if n := files*min(fleet.Gateways, p.Scenario.Hosts.Gateways) + baseFiles; n > machine.Files {
+		problems = append(problems, fmt.Errorf("%d descriptors of a process of hollow gateways, and the limit is %d (ulimit -n): lower hosts.gateways", n, machine.Files))
 	}
-	if n := p.connectionLimit() + baseFiles; n > m.Files {
-		all = append(all, fmt.Errorf("%d descriptors of a list service, and the limit is %d (ulimit -n)", n, m.Files))
+	if n := p.connectionLimit() + baseFiles; n > machine.Files {
+		problems = append(problems, fmt.Errorf("%d descriptors of a list service, and the limit is %d (ulimit -n)", n, machine.Files))
 	}
-	if f.Membership && f.Gateways > maxPeers {
-		all = append(all, fmt.Errorf("membership of %d gateways, and there are addresses for %d", f.Gateways, maxPeers))
+	if fleet.Membership && fleet.Gateways > maxPeers {
+		problems = append(problems, fmt.Errorf("membership of %d gateways, and there are addresses for %d", fleet.Gateways, maxPeers))
 	}
-	if len(all) > 0 {
-		return fmt.Errorf("the scenario does not fit: %w", errors.Join(all...))
+	if len(problems) > 0 {
+		return fmt.Errorf("the scenario does not fit: %w", errors.Join(problems...))
 	}
 	return nil
 }
--- a/internal/scale/proc.go
+++ b/internal/scale/proc.go
@@ -24,10 +24,10 @@
 
 // readUse reads the figures of a process; "self" is this one.
 func readUsage(pid string) (ResourceUsage, error) {
-	var u ResourceUsage
+	var usage ResourceUsage
 	stat, err := os.ReadFile("/proc/" + pid + "/stat")
 	if err != nil {
-		return u, err
+		return usage, err
 	}
 	// The name, in parentheses, may hold anything; user and system time are the twelfth and
 	// thirteenth fields behind it.
@@ -35,24 +35,24 @@
 	fields := strings.Fields(string(rest))
 	const user, system = 11, 12
 	if !found || len(fields) <= system {
-		return u, errMalformedStat
+		return usage, errMalformedStat
 	}
 	var userTicks, systemTicks int64
 	if _, err := fmt.Sscan(fields[user]+" "+fields[system], &userTicks, &systemTicks); err != nil {
-		return u, err
+		return usage, err
 	}
-	u.CPU = time.Duration(userTicks+systemTicks) * clockTick
-	io, err := readCounters("/proc/" + pid + "/io")
+	usage.CPU = time.Duration(userTicks+systemTicks) * clockTick
+	ioCounters, err := readCounters("/proc/" + pid + "/io")
 	if err != nil {
-		return u, err
+		return usage, err
 	}
-	u.ReadBytes, u.WrittenBytes, u.StoredBytes = io["rchar"], io["wchar"], io["write_bytes"]
+	usage.ReadBytes, usage.WrittenBytes, usage.StoredBytes = ioCounters["rchar"], ioCounters["wchar"], ioCounters["write_bytes"]
 	status, err := readCounters("/proc/" + pid + "/status")
 	if err != nil {
-		return u, err
+		return usage, err
 	}
-	u.MemoryMB = float64(status["VmRSS"]) / 1024
-	return u, nil
+	usage.MemoryMB = float64(status["VmRSS"]) / 1024
+	return usage, nil
 }
 
 // readKeys reads a file of lines "key: number".
@@ -61,13 +61,13 @@
 	if err != nil {
 		return nil, err
 	}
-	all := map[string]uint64{}
+	counters := map[string]uint64{}
 	for line := range strings.Lines(string(text)) {
 		key, value, _ := strings.Cut(line, ":")
-		var n uint64
-		if _, err := fmt.Sscan(value, &n); err == nil {
-			all[key] = n
+		var parsed uint64
+		if _, err := fmt.Sscan(value, &parsed); err == nil {
+			counters[key] = parsed
 		}
 	}
-	return all, nil
+	return counters, nil
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -61,13 +61,13 @@
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
-		meant := p.killed
+		killed := p.killed
 		p.earlierUsage.CPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		p.earlierUsage.ReadBytes, p.earlierUsage.WrittenBytes, p.earlierUsage.StoredBytes = p.earlierUsage.ReadBytes+p.lastUsage.ReadBytes, p.earlierUsage.WrittenBytes+p.lastUsage.WrittenBytes, p.earlierUsage.StoredBytes+p.lastUsage.StoredBytes
 		p.lastUsage = ResourceUsage{}
 		p.mu.Unlock()
 		close(ended)
-		if !meant {
+		if !killed {
 			died(p, err)
 		}
 	}()
@@ -86,13 +86,13 @@
 	select {
 	case <-p.ended:
 	default:
-		if u, err := readUsage(strconv.Itoa(p.cmd.Process.Pid)); err == nil {
-			p.lastUsage = u
+		if current, err := readUsage(strconv.Itoa(p.cmd.Process.Pid)); err == nil {
+			p.lastUsage = current
 		}
 	}
-	u := p.lastUsage
-	u.CPU, u.ReadBytes, u.WrittenBytes, u.StoredBytes = u.CPU+p.earlierUsage.CPU, u.ReadBytes+p.earlierUsage.ReadBytes, u.WrittenBytes+p.earlierUsage.WrittenBytes, u.StoredBytes+p.earlierUsage.StoredBytes
-	return u
+	total := p.lastUsage
+	total.CPU, total.ReadBytes, total.WrittenBytes, total.StoredBytes = total.CPU+p.earlierUsage.CPU, total.ReadBytes+p.earlierUsage.ReadBytes, total.WrittenBytes+p.earlierUsage.WrittenBytes, total.StoredBytes+p.earlierUsage.StoredBytes
+	return total
 }
 
 // kill ends the present life at once and waits for its end.
@@ -120,9 +120,9 @@
 	if err != nil {
 		return err.Error()
 	}
-	const lines = 5
+	const maxLines = 5
 	all := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
-	return string(bytes.Join(all[max(0, len(all)-lines):], []byte("\n")))
+	return string(bytes.Join(all[max(0, len(all)-maxLines):], []byte("\n")))
 }
 
 // host is a process of hollow gateways or backends, and the run's side of what they tell
@@ -142,25 +142,25 @@
 
 // startHost starts a process of hollow ones; changed is called with the changes that it
 // reports.
-func startHost(p *process, command []string, config HostConfig, changed func([]Change), died func(*process, error)) (*host, error) {
-	h := &host{process: p, ready: make(chan struct{}), samples: make(chan *Sample, 1), views: make(chan []View, 1), latency: make(chan *Latency, 1)}
+func startHost(proc *process, command []string, config HostConfig, changed func([]Change), died func(*process, error)) (*host, error) {
+	started := &host{process: proc, ready: make(chan struct{}), samples: make(chan *Sample, 1), views: make(chan []View, 1), latency: make(chan *Latency, 1)}
 	cmd := exec.Command(command[0], command[1:]...)
 	var err error
-	if h.in, err = cmd.StdinPipe(); err != nil {
+	if started.in, err = cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
 	out, report, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	err = p.start(cmd, report, died)
+	err = proc.start(cmd, report, died)
 	report.Close()
 	if err != nil {
 		out.Close()
 		return nil, err
 	}
-	go h.readReports(out, changed)
-	return h, json.NewEncoder(h.in).Encode(config)
+	go started.readReports(out, changed)
+	return started, json.NewEncoder(started.in).Encode(config)
 }
 
 func (h *host) readReports(out io.ReadCloser, changed func([]Change)) {
@@ -168,21 +168,21 @@
 	lines := bufio.NewReaderSize(out, 1<<16)
 	for {
 		text, err := readLine(lines)
-		var r Report
-		if err != nil || json.Unmarshal(text, &r) != nil {
+		var report Report
+		if err != nil || json.Unmarshal(text, &report) != nil {
 			return
 		}
 		switch {
-		case r.Ready:
+		case report.Ready:
 			close(h.ready)
-		case r.Changes != nil:
-			changed(r.Changes)
-		case r.Sample != nil:
-			h.samples <- r.Sample
-		case r.Latency != nil:
-			h.latency <- r.Latency
+		case report.Changes != nil:
+			changed(report.Changes)
+		case report.Sample != nil:
+			h.samples <- report.Sample
+		case report.Latency != nil:
+			h.latency <- report.Latency
 		default:
-			h.views <- r.Views
+			h.views <- report.Views
 		}
 	}
 }
@@ -195,17 +195,17 @@
 }
 
 // answerOf waits for a report.
-func awaitReport[T any](h *host, reports <-chan T) (T, error) {
-	late := time.NewTimer(reportTimeout)
-	defer late.Stop()
+func awaitReport[T any](source *host, reports <-chan T) (T, error) {
+	timer := time.NewTimer(reportTimeout)
+	defer timer.Stop()
 	select {
-	case r := <-reports:
-		return r, nil
-	case <-h.ended:
-	case <-late.C:
+	case report := <-reports:
+		return report, nil
+	case <-source.ended:
+	case <-timer.C:
 	}
-	var none T
-	return none, fmt.Errorf("%s: %w; it said:\n%s", h.name, errNoReport, h.logTail())
+	var zero T
+	return zero, fmt.Errorf("%s: %w; it said:\n%s", source.name, errNoReport, source.logTail())
 }
 
 func (h *host) readSample(collect bool) (*Sample, error) {
@@ -227,11 +227,11 @@
 
 func (h *host) readLatency(changes []Change) (*Latency, error) {
 	for len(changes) > 0 {
-		n := min(len(changes), maxChangesPerLine)
-		if err := h.send(Command{Changes: changes[:n]}); err != nil {
+		count := min(len(changes), maxChangesPerLine)
+		if err := h.send(Command{Changes: changes[:count]}); err != nil {
 			return nil, err
 		}
-		changes = changes[n:]
+		changes = changes[count:]
 	}
 	if err := h.send(Command{Latency: true}); err != nil {
 		return nil, err
--- a/internal/scale/protocol.go
+++ b/internal/scale/protocol.go
@@ -168,8 +168,8 @@
 }
 
 // Quantile is the time that a share of them took at most, to the millisecond.
-func (l *Latency) Quantile(share float64) time.Duration {
-	rank := int64(math.Ceil(share * float64(l.Count())))
+func (l *Latency) Quantile(quantile float64) time.Duration {
+	rank := int64(math.Ceil(quantile * float64(l.Count())))
 	for ms := range maxLatencyMs + 1 {
 		if rank -= l.Counts[ms]; rank <= 0 {
 			return min(time.Duration(ms+1)*time.Millisecond, l.Max)
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -85,44 +85,44 @@
 }
 
 // result puts a run's figures together.
-func (r *runner) result(before, after, held *snapshot, final *FinalComparison, latency *Latency, changes []Change) *Result {
+func (r *runner) result(before, after, collected *snapshot, final *FinalComparison, latency *Latency, changes []Change) *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	seconds := after.at.Sub(before.at).Seconds()
-	out := &Result{Scenario: r.scenario, Seconds: seconds, Changes: len(changes), VersionDelta: after.version - before.version, Final: final, PeakMB: r.peakMB, Events: slices.Clone(r.events), Unsettled: r.unsettled,
+	result := &Result{Scenario: r.scenario, Seconds: seconds, Changes: len(changes), VersionDelta: after.version - before.version, Final: final, PeakMB: r.peakMB, Events: slices.Clone(r.events), Unsettled: r.unsettled,
 		Propagation: LatencySummary{latency.Count(), latency.Quantile(0.5), latency.Quantile(0.99), latency.Max, latency.Missing}}
 	if r.load != nil {
-		out.Requests = r.load.stop()
+		result.Requests = r.load.stop()
 	}
 	if before.writer != after.writer {
-		out.Events = append(out.Events, fmt.Sprintf("%s wrote at the beginning and %s at the end: the roles' figures are of both", before.writer, after.writer))
+		result.Events = append(result.Events, fmt.Sprintf("%s wrote at the beginning and %s at the end: the roles' figures are of both", before.writer, after.writer))
 	}
-	out.Roles = r.roles(before, after, seconds)
+	result.Roles = r.roles(before, after, seconds)
 	var gateways, backends Sample
 	for n := range after.gateways {
 		addDifference(&gateways, before.gateways[n].Sample, after.gateways[n].Sample)
-		gateways.HeapBytes += held.gateways[n].HeapBytes + held.gateways[n].StackBytes - min(held.gateways[n].BaselineBytes, held.gateways[n].HeapBytes)
+		gateways.HeapBytes += collected.gateways[n].HeapBytes + collected.gateways[n].StackBytes - min(collected.gateways[n].BaselineBytes, collected.gateways[n].HeapBytes)
 	}
 	for n := range after.backends {
 		addDifference(&backends, before.backends[n].Sample, after.backends[n].Sample)
-		backends.HeapBytes += held.backends[n].HeapBytes + held.backends[n].StackBytes - min(held.backends[n].BaselineBytes, held.backends[n].HeapBytes)
+		backends.HeapBytes += collected.backends[n].HeapBytes + collected.backends[n].StackBytes - min(collected.backends[n].BaselineBytes, collected.backends[n].HeapBytes)
 	}
-	all, per := float64(r.scenario.Fleet.Gateways), float64(r.scenario.Fleet.Gateways)*seconds
-	out.Gateway = HollowGateway{CPUUsPerS: float64(gateways.CPU.Microseconds()) / per, InPerS: float64(gateways.ReadBytes) / per, OutPerS: float64(gateways.WrittenBytes) / per,
-		UpdatesPerS: float64(gateways.Updates) / per, InstancesPerS: float64(gateways.UpdatedInstances) / per, AllocsPerS: float64(gateways.Mallocs) / per,
-		AllocBytesPerS: float64(gateways.AllocatedBytes) / per, HeldKB: float64(gateways.HeapBytes) / all / 1024, Backends: float64(final.MinBackends+final.MaxBackends) / 2}
+	gatewayCount, gatewaySeconds := float64(r.scenario.Fleet.Gateways), float64(r.scenario.Fleet.Gateways)*seconds
+	result.Gateway = HollowGateway{CPUUsPerS: float64(gateways.CPU.Microseconds()) / gatewaySeconds, InPerS: float64(gateways.ReadBytes) / gatewaySeconds, OutPerS: float64(gateways.WrittenBytes) / gatewaySeconds,
+		UpdatesPerS: float64(gateways.Updates) / gatewaySeconds, InstancesPerS: float64(gateways.UpdatedInstances) / gatewaySeconds, AllocsPerS: float64(gateways.Mallocs) / gatewaySeconds,
+		AllocBytesPerS: float64(gateways.AllocatedBytes) / gatewaySeconds, HeldKB: float64(gateways.HeapBytes) / gatewayCount / 1024, Backends: float64(final.MinBackends+final.MaxBackends) / 2}
 	if len(changes) > 0 {
-		out.Gateway.AllocsPerChange = float64(gateways.Mallocs) / all / float64(len(changes))
+		result.Gateway.AllocsPerChange = float64(gateways.Mallocs) / gatewayCount / float64(len(changes))
 	}
 	calls := max(float64(backends.Calls), 1)
-	out.Backend = HollowBackend{CallsPerS: float64(backends.Calls) / seconds, RefusedPerS: float64(backends.Refused) / seconds, CPUUsPerCall: float64(backends.CPU.Microseconds()) / calls,
+	result.Backend = HollowBackend{CallsPerS: float64(backends.Calls) / seconds, RefusedPerS: float64(backends.Refused) / seconds, CPUUsPerCall: float64(backends.CPU.Microseconds()) / calls,
 		InPerCall: float64(backends.ReadBytes) / calls, OutPerCall: float64(backends.WrittenBytes) / calls, HeldKB: float64(backends.HeapBytes) / float64(r.scenario.Fleet.Backends) / 1024}
 	if m := gateways.Members; r.scenario.Fleet.Membership {
-		agents := float64(max(held.agentCount(), 1))
-		out.Membership = &Membership{SentPerS: float64(m.Sent) / per, SentBytesPerS: float64(m.SentBytes) / per, ReceivedPerS: float64(m.Received) / per,
-			DroppedPerS: float64(m.Dropped) / per, Present: float64(held.presentCount()) / agents}
+		agents := float64(max(collected.agentCount(), 1))
+		result.Membership = &Membership{SentPerS: float64(m.Sent) / gatewaySeconds, SentBytesPerS: float64(m.SentBytes) / gatewaySeconds, ReceivedPerS: float64(m.Received) / gatewaySeconds,
+			DroppedPerS: float64(m.Dropped) / gatewaySeconds, Present: float64(collected.presentCount()) / agents}
 	}
-	return out
+	return result
 }
 
 func (s *snapshot) agentCount() (n int) {
@@ -159,29 +159,29 @@
 // roles are the means over the processes of each role.
 func (r *runner) roles(before, after *snapshot, seconds float64) []Role {
 	var all []Role
-	add := func(name string, from, to ResourceUsage, answers, bytes int64) {
-		at := slices.IndexFunc(all, func(role Role) bool { return role.Name == name })
-		if at < 0 {
-			at = len(all)
+	add := func(name string, start, end ResourceUsage, answers, answerBytes int64) {
+		index := slices.IndexFunc(all, func(role Role) bool { return role.Name == name })
+		if index < 0 {
+			index = len(all)
 			all = append(all, Role{Name: name})
 		}
-		role := &all[at]
+		role := &all[index]
 		role.Processes++
-		role.CPUMsPerS += float64((to.CPU - from.CPU).Microseconds()) / 1000 / seconds
-		role.MemoryMB += to.MemoryMB
-		role.InPerS += float64(to.ReadBytes-from.ReadBytes) / seconds
-		role.OutPerS += float64(to.WrittenBytes-from.WrittenBytes) / seconds
-		role.StoredPerS += float64(to.StoredBytes-from.StoredBytes) / seconds
+		role.CPUMsPerS += float64((end.CPU - start.CPU).Microseconds()) / 1000 / seconds
+		role.MemoryMB += end.MemoryMB
+		role.InPerS += float64(end.ReadBytes-start.ReadBytes) / seconds
+		role.OutPerS += float64(end.WrittenBytes-start.WrittenBytes) / seconds
+		role.StoredPerS += float64(end.StoredBytes-start.StoredBytes) / seconds
 		role.AnswersPerS += float64(answers) / seconds
-		role.AnswerBytesPerS += float64(bytes) / seconds
+		role.AnswerBytesPerS += float64(answerBytes) / seconds
 	}
 	for n, p := range r.services {
-		from, to := before.services[n], after.services[n]
+		start, end := before.services[n], after.services[n]
 		name := p.role
 		if p.name == after.writer {
 			name = roleWriter
 		}
-		add(name, from.ResourceUsage, to.ResourceUsage, counterDelta(from, to, "answers"), counterDelta(from, to, "answer_bytes"))
+		add(name, start.ResourceUsage, end.ResourceUsage, counterDelta(start, end, "answers"), counterDelta(start, end, "answer_bytes"))
 	}
 	for n := range r.realGateways {
 		add(roleReal, before.realGateways[n], after.realGateways[n], 0, 0)
@@ -194,8 +194,8 @@
 	}
 	for n := range all {
 		role, count := &all[n], float64(all[n].Processes)
-		for _, figure := range []*float64{&role.CPUMsPerS, &role.MemoryMB, &role.InPerS, &role.OutPerS, &role.StoredPerS, &role.AnswersPerS, &role.AnswerBytesPerS} {
-			*figure /= count
+		for _, value := range []*float64{&role.CPUMsPerS, &role.MemoryMB, &role.InPerS, &role.OutPerS, &role.StoredPerS, &role.AnswersPerS, &role.AnswerBytesPerS} {
+			*value /= count
 		}
 	}
 	return all
@@ -222,20 +222,20 @@
 
 // Report writes the table.
 func (r *Result) Report(out io.Writer) {
-	f := &r.Scenario.Fleet
+	fleet := &r.Scenario.Fleet
 	fmt.Fprintf(out, "\n%s: %d hollow gateways before %d hollow backends in %d services, %d regions of %d zones; %d members, %d followers in each region, %d real gateways\n",
-		r.Scenario.Name, f.Gateways, f.Backends, f.Services, f.Regions, f.Zones, f.Members, f.Followers, f.RealGateways)
+		r.Scenario.Name, fleet.Gateways, fleet.Backends, fleet.Services, fleet.Regions, fleet.Zones, fleet.Members, fleet.Followers, fleet.RealGateways)
 	fmt.Fprintf(out, "%.1f s, %d changes answered, %d versions; at most %.0f MB\n\n", r.Seconds, r.Changes, r.VersionDelta, r.PeakMB)
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "of each\tprocesses\tCPU ms/s\tresident MB\tin B/s\tout B/s\tstored B/s\tanswers/s\tanswered B/s\t")
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "of each\tprocesses\tCPU ms/s\tresident MB\tin B/s\tout B/s\tstored B/s\tanswers/s\tanswered B/s\t")
 	for _, role := range r.Roles {
-		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.1f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t\n", role.Name, role.Processes, role.CPUMsPerS, role.MemoryMB, role.InPerS, role.OutPerS, role.StoredPerS, role.AnswersPerS, role.AnswerBytesPerS)
+		fmt.Fprintf(table, "%s\t%d\t%.2f\t%.1f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t\n", role.Name, role.Processes, role.CPUMsPerS, role.MemoryMB, role.InPerS, role.OutPerS, role.StoredPerS, role.AnswersPerS, role.AnswerBytesPerS)
 	}
-	w.Flush()
-	g, b := &r.Gateway, &r.Backend
+	table.Flush()
+	gateway, backend := &r.Gateway, &r.Backend
 	fmt.Fprintf(out, "\none hollow gateway, which holds %.0f backends: %.0f us/s of processor time, %.0f B/s in, %.0f B/s out, %.2f answers/s with %.2f instances/s, %.0f allocations/s of %.0f B/s, %.1f allocations for a change, %.0f KB held\n",
-		g.Backends, g.CPUUsPerS, g.InPerS, g.OutPerS, g.UpdatesPerS, g.InstancesPerS, g.AllocsPerS, g.AllocBytesPerS, g.AllocsPerChange, g.HeldKB)
-	fmt.Fprintf(out, "hollow backends: %.1f calls/s, of which %.2f refused; a call: %.0f us, %.0f B in, %.0f B out; %.1f KB held for each\n", b.CallsPerS, b.RefusedPerS, b.CPUUsPerCall, b.InPerCall, b.OutPerCall, b.HeldKB)
+		gateway.Backends, gateway.CPUUsPerS, gateway.InPerS, gateway.OutPerS, gateway.UpdatesPerS, gateway.InstancesPerS, gateway.AllocsPerS, gateway.AllocBytesPerS, gateway.AllocsPerChange, gateway.HeldKB)
+	fmt.Fprintf(out, "hollow backends: %.1f calls/s, of which %.2f refused; a call: %.0f us, %.0f B in, %.0f B out; %.1f KB held for each\n", backend.CallsPerS, backend.RefusedPerS, backend.CPUUsPerCall, backend.InPerCall, backend.OutPerCall, backend.HeldKB)
 	if m := r.Membership; m != nil {
 		fmt.Fprintf(out, "membership of one gateway: %.1f datagrams/s of %.0f B/s sent, %.1f/s received, %.2f/s dropped; it holds %.1f present\n", m.SentPerS, m.SentBytesPerS, m.ReceivedPerS, m.DroppedPerS, m.Present)
 	}
@@ -243,13 +243,13 @@
 	if r.Requests != nil {
 		fmt.Fprintf(out, "requests through real gateways, by status: %v\n", r.Requests)
 	}
-	switch v := r.Final; {
-	case !v.Checked:
-		fmt.Fprintf(out, "%d gateways hold %d to %d of the %d backends on the writer's list\n", v.Total, v.MinBackends, v.MaxBackends, v.ListedBackends)
-	case v.Matching == v.Total:
-		fmt.Fprintf(out, "all %d gateways hold what the writer's list has for them, %d to %d of %d backends\n", v.Total, v.MinBackends, v.MaxBackends, v.ListedBackends)
+	switch final := r.Final; {
+	case !final.Checked:
+		fmt.Fprintf(out, "%d gateways hold %d to %d of the %d backends on the writer's list\n", final.Total, final.MinBackends, final.MaxBackends, final.ListedBackends)
+	case final.Matching == final.Total:
+		fmt.Fprintf(out, "all %d gateways hold what the writer's list has for them, %d to %d of %d backends\n", final.Total, final.MinBackends, final.MaxBackends, final.ListedBackends)
 	default:
-		fmt.Fprintf(out, "%d of %d gateways hold what the writer's list has for them; the first that does not: %s\n", v.Matching, v.Total, v.FirstMismatch)
+		fmt.Fprintf(out, "%d of %d gateways hold what the writer's list has for them; the first that does not: %s\n", final.Matching, final.Total, final.FirstMismatch)
 	}
 	for _, mark := range r.Events {
 		fmt.Fprintln(out, mark)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -84,35 +84,35 @@
 
 // Run makes a run and returns what it came to. No process that it has started is left
 // when it returns.
-func Run(ctx context.Context, s *Scenario, o Options) (result *Result, err error) {
-	if err := s.Check(); err != nil {
+func Run(ctx context.Context, scenario *Scenario, options Options) (result *Result, err error) {
+	if err := scenario.Check(); err != nil {
 		return nil, err
 	}
 	machine, err := ThisMachine()
 	if err != nil {
 		return nil, fmt.Errorf("what this machine has can't be told: %w", err)
 	}
-	if err := CheckResources(s); err != nil {
+	if err := CheckResources(scenario); err != nil {
 		return nil, err
 	}
-	deadline := s.Length.Std() + s.Quiet.Std() + startMargin + time.Duration(float64(s.Fleet.Backends)/s.Changes.Register*float64(time.Second))
-	ctx, end := context.WithTimeoutCause(ctx, deadline, fmt.Errorf("the run has not ended within its deadline of %v", deadline))
-	defer end()
+	deadline := scenario.Length.Std() + scenario.Quiet.Std() + startMargin + time.Duration(float64(scenario.Fleet.Backends)/scenario.Changes.Register*float64(time.Second))
+	ctx, cancelDeadline := context.WithTimeoutCause(ctx, deadline, fmt.Errorf("the run has not ended within its deadline of %v", deadline))
+	defer cancelDeadline()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	r := &runner{scenario: s, options: o, machine: machine, starter: child.NewStarter(), cancel: cancel, relays: map[int]*link.Relay{},
+	active := &runner{scenario: scenario, options: options, machine: machine, starter: child.NewStarter(), cancel: cancel, relays: map[int]*link.Relay{},
 		http: &http.Client{Timeout: httpTimeout}}
-	defer r.starter.Close()
-	defer r.close()
-	if r.plan, r.claim, err = findPlan(s); err != nil {
+	defer active.starter.Close()
+	defer active.close()
+	if active.plan, active.claim, err = findPlan(scenario); err != nil {
 		return nil, err
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	watching, stop := context.WithCancel(ctx)
-	defer stop()
-	wg.Go(func() { r.watch(watching) })
-	result, err = r.run(ctx)
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
+	wg.Go(func() { active.watch(watchCtx) })
+	result, err = active.run(ctx)
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause // what failed after it is its consequence
 	}
@@ -126,19 +126,19 @@
 )
 
 // findPlan claims a network that no other run uses.
-func findPlan(s *Scenario) (*Plan, net.Listener, error) {
-	var last error
+func findPlan(scenario *Scenario) (*Plan, net.Listener, error) {
+	var lastErr error
 	for range maxNetworkAttempts {
-		p := NewPlan(s, firstNetwork+rand.IntN(endNetwork-firstNetwork))
-		claim, err := net.Listen("tcp", p.claimAddress())
+		plan := NewPlan(scenario, firstNetwork+rand.IntN(endNetwork-firstNetwork))
+		claim, err := net.Listen("tcp", plan.claimAddress())
 		if err == nil {
-			return p, claim, nil
+			return plan, claim, nil
 		}
-		if last = err; !errors.Is(err, syscall.EADDRINUSE) {
+		if lastErr = err; !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, nil, err
 		}
 	}
-	return nil, nil, fmt.Errorf("the networks of %d runs in 127.0.0.0/8 are taken; the last: %w", maxNetworkAttempts, last)
+	return nil, nil, fmt.Errorf("the networks of %d runs in 127.0.0.0/8 are taken; the last: %w", maxNetworkAttempts, lastErr)
 }
 
 // run starts everything, measures, and collects.
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	held, err := r.snapshot(ctx, true)
+	collected, err := r.snapshot(ctx, true)
 	if err != nil {
 		return nil, err
 	}
@@ -174,7 +174,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.result(before, after, held, final, latency, changes), nil
+	return r.result(before, after, collected, final, latency, changes), nil
 }
 
 // start starts the processes in the order in which they need each other: one that asks
@@ -211,33 +211,33 @@
 }
 
 // startServices starts list services, which follow those in the plan that have started.
-func (r *runner) startServices(some []Service) error {
-	for _, s := range some {
-		n := len(r.services)
-		if s.RelayListen != "" {
-			relay, err := link.NewRelay(s.RelayListen, r.plan.Services[s.SourceIndex].Listen, link.Limits{MaxConnections: relayConnections, BufferBytes: relayBuffer}, r.scenario.Seed+uint64(n))
+func (r *runner) startServices(services []Service) error {
+	for _, service := range services {
+		index := len(r.services)
+		if service.RelayListen != "" {
+			relay, err := link.NewRelay(service.RelayListen, r.plan.Services[service.SourceIndex].Listen, link.Limits{MaxConnections: relayConnections, BufferBytes: relayBuffer}, r.scenario.Seed+uint64(index))
 			if err != nil {
 				return err
 			}
-			r.relays[n] = relay
+			r.relays[index] = relay
 		}
 		role := roleFollower
-		if s.MemberNumber > 0 {
+		if service.MemberNumber > 0 {
 			role = roleMember
 		}
-		p, err := r.newProcess(s.Name, role)
+		proc, err := r.newProcess(service.Name, role)
 		if err != nil {
 			return err
 		}
-		config, err := r.plan.serviceConfig(n, p.dir)
+		config, err := r.plan.serviceConfig(index, proc.dir)
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(p.dir, "config.json"), config, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(proc.dir, "config.json"), config, 0o600); err != nil {
 			return err
 		}
-		r.services = append(r.services, p)
-		if err := r.startService(p); err != nil {
+		r.services = append(r.services, proc)
+		if err := r.startService(proc); err != nil {
 			return err
 		}
 	}
@@ -266,20 +266,20 @@
 
 // startHosts starts processes of hollow ones and waits until all that they have is there.
 func (r *runner) startHosts(ctx context.Context, role string, configs []HostConfig) (hosts []*host, err error) {
-	for _, c := range configs {
-		p, err := r.newProcess(c.Name, role)
+	for _, config := range configs {
+		proc, err := r.newProcess(config.Name, role)
 		if err != nil {
 			return hosts, err
 		}
-		h, err := startHost(p, r.options.HostCommand, c, r.recordChanges, r.processDied)
+		started, err := startHost(proc, r.options.HostCommand, config, r.recordChanges, r.processDied)
 		if err != nil {
 			return hosts, err
 		}
-		hosts = append(hosts, h)
+		hosts = append(hosts, started)
 	}
-	for _, h := range hosts {
+	for _, starting := range hosts {
 		select {
-		case <-h.ready:
+		case <-starting.ready:
 		case <-ctx.Done():
 			return hosts, ctx.Err()
 		}
@@ -290,25 +290,25 @@
 // startReal starts the gateways that serve requests, and the load on them.
 func (r *runner) startReal(ctx context.Context) error {
 	var addresses []string
-	for n := range r.scenario.Fleet.RealGateways {
-		p, err := r.newProcess(fmt.Sprintf("real%d", n), roleReal)
+	for index := range r.scenario.Fleet.RealGateways {
+		proc, err := r.newProcess(fmt.Sprintf("real%d", index), roleReal)
 		if err != nil {
 			return err
 		}
-		number := r.scenario.Fleet.Gateways + n
+		number := r.scenario.Fleet.Gateways + index
 		config, err := r.plan.gatewayConfig(number, r.scenario.place(number), r.scenario.scopesOf(number))
 		if err != nil {
 			return err
 		}
-		path := filepath.Join(p.dir, "config.json")
+		path := filepath.Join(proc.dir, "config.json")
 		if err := os.WriteFile(path, config, 0o600); err != nil {
 			return err
 		}
-		r.realGateways = append(r.realGateways, p)
-		if err := p.start(exec.Command(r.options.GatewayPath, "--config", path), nil, r.processDied); err != nil {
+		r.realGateways = append(r.realGateways, proc)
+		if err := proc.start(exec.Command(r.options.GatewayPath, "--config", path), nil, r.processDied); err != nil {
 			return err
 		}
-		addresses = append(addresses, r.plan.realGatewayAddress(n, portGateway))
+		addresses = append(addresses, r.plan.realGatewayAddress(index, portGateway))
 	}
 	for n, p := range r.realGateways {
 		if err := r.awaitReady(ctx, p, "http://"+addresses[n]+"/health/ready"); err != nil {
@@ -322,9 +322,9 @@
 }
 
 // awaitReady waits until an address answers yes.
-func (r *runner) awaitReady(ctx context.Context, p *process, url string) error {
-	end := time.Now().Add(readyTimeout + r.scenario.Fleet.Lease.Std())
-	for time.Now().Before(end) {
+func (r *runner) awaitReady(ctx context.Context, proc *process, url string) error {
+	deadline := time.Now().Add(readyTimeout + r.scenario.Fleet.Lease.Std())
+	for time.Now().Before(deadline) {
 		if resp, err := r.http.Get(url); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -335,16 +335,16 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%s is not ready; it said:\n%s", p.name, p.logTail())
+	return fmt.Errorf("%s is not ready; it said:\n%s", proc.name, proc.logTail())
 }
 
-func pause(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+func pause(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	}
 }
@@ -362,13 +362,13 @@
 
 // add makes a process that the run's bounds hold for.
 func (r *runner) newProcess(name, role string) (*process, error) {
-	p, err := newProcess(name, role, r.options.Dir, r.starter)
+	proc, err := newProcess(name, role, r.options.Dir, r.starter)
 	if err == nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.processes = append(r.processes, p)
+		r.processes = append(r.processes, proc)
 	}
-	return p, err
+	return proc, err
 }
 
 func (r *runner) allProcesses() []*process {
@@ -404,19 +404,19 @@
 	r.mu.Lock()
 	r.measuringSince = time.Now()
 	r.mu.Unlock()
-	began := time.Now()
+	startedAt := time.Now()
 	if err := r.setChangeRate(r.scenario.Changes.PerS); err != nil {
 		return err
 	}
 	for _, step := range r.scenario.faultSteps() {
-		if err := pause(ctx, time.Until(began.Add(step.at))); err != nil {
+		if err := pause(ctx, time.Until(startedAt.Add(step.at))); err != nil {
 			return err
 		}
 		if err := r.applyStep(step); err != nil {
 			return fmt.Errorf("%s: %w", step.fault.Kind, err)
 		}
 	}
-	if err := pause(ctx, time.Until(began.Add(r.scenario.Length.Std()))); err != nil {
+	if err := pause(ctx, time.Until(startedAt.Add(r.scenario.Length.Std()))); err != nil {
 		return err
 	}
 	if err := r.setChangeRate(0); err != nil {
@@ -430,14 +430,14 @@
 
 // awaitSettled waits until every backend serves that was not stopped, or the time is over.
 func (r *runner) awaitSettled(ctx context.Context) error {
-	for end := time.Now().Add(r.scenario.Quiet.Std()); time.Now().Before(end); {
+	for deadline := time.Now().Add(r.scenario.Quiet.Std()); time.Now().Before(deadline); {
 		settled := true
-		for _, h := range r.backends {
-			s, err := h.readSample(false)
+		for _, backendHost := range r.backends {
+			sample, err := backendHost.readSample(false)
 			if err != nil {
 				return err
 			}
-			settled = settled && s.Settled
+			settled = settled && sample.Settled
 		}
 		if settled {
 			return nil
@@ -453,16 +453,16 @@
 
 // restarts sets how many changes of the list restarts of backends make in a second.
 func (r *runner) setChangeRate(changesPerS float64) error {
-	each := changesPerS / changesPerRestart / float64(len(r.backends))
-	return sendAll(r.backends, Command{RestartsPerS: &each})
+	perHost := changesPerS / changesPerRestart / float64(len(r.backends))
+	return sendAll(r.backends, Command{RestartsPerS: &perHost})
 }
 
-func sendAll(hosts []*host, c Command) error {
-	var all []error
-	for _, h := range hosts {
-		all = append(all, h.send(c))
+func sendAll(hosts []*host, command Command) error {
+	var failures []error
+	for _, target := range hosts {
+		failures = append(failures, target.send(command))
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
 // step is the beginning or the end of a fault.
@@ -473,12 +473,12 @@
 }
 
 // steps are those of all faults, in their order.
-func (s *Scenario) faultSteps() (all []faultStep) {
+func (s *Scenario) faultSteps() (steps []faultStep) {
 	for _, f := range s.Faults {
-		all = append(all, faultStep{f.At.Std(), f, false}, faultStep{(f.At + f.For).Std(), f, true})
+		steps = append(steps, faultStep{f.At.Std(), f, false}, faultStep{(f.At + f.For).Std(), f, true})
 	}
-	slices.SortStableFunc(all, func(a, b faultStep) int { return int(a.at - b.at) })
-	return all
+	slices.SortStableFunc(steps, func(a, b faultStep) int { return int(a.at - b.at) })
+	return steps
 }
 
 func (f *Fault) selection() *Selection {
@@ -492,63 +492,63 @@
 }
 
 // inject begins or ends a fault.
-func (r *runner) applyStep(at faultStep) error {
-	f := at.fault
-	word := "begins"
-	if at.ends {
-		word = "ends"
-	}
-	r.logEvent("%s %s", f.Kind, word)
-	switch f.Kind {
+func (r *runner) applyStep(step faultStep) error {
+	fault := step.fault
+	verb := "begins"
+	if step.ends {
+		verb = "ends"
+	}
+	r.logEvent("%s %s", fault.Kind, verb)
+	switch fault.Kind {
 	case FaultRack, FaultZone, FaultGateways:
-		c := Command{Stop: f.selection()}
-		if at.ends {
-			c = Command{Resume: f.selection()}
+		command := Command{Stop: fault.selection()}
+		if step.ends {
+			command = Command{Resume: fault.selection()}
 		}
 		hosts := r.gateways
-		if f.Kind != FaultGateways {
+		if fault.Kind != FaultGateways {
 			hosts = slices.Concat(r.gateways, r.backends)
 		}
-		return sendAll(hosts, c)
+		return sendAll(hosts, command)
 	case FaultRestarts:
-		rate := f.ChangesPerS
-		if at.ends {
+		rate := fault.ChangesPerS
+		if step.ends {
 			rate = r.scenario.Changes.PerS
 		}
 		return r.setChangeRate(rate)
 	case FaultRegionCut:
-		how := link.Condition{Kind: link.Dropped}
-		if at.ends {
-			how = link.Condition{Kind: link.Up}
+		condition := link.Condition{Kind: link.Dropped}
+		if step.ends {
+			condition = link.Condition{Kind: link.Up}
 		}
-		for n, relay := range r.relays {
-			if r.plan.Services[n].Region != f.Region {
+		for index, relay := range r.relays {
+			if r.plan.Services[index].Region != fault.Region {
 				continue
 			}
-			if err := errors.Join(relay.Set(link.Forward, how), relay.Set(link.Reverse, how)); err != nil {
+			if err := errors.Join(relay.Set(link.Forward, condition), relay.Set(link.Reverse, condition)); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	return r.applyKill(f, at.ends)
+	return r.applyKill(fault, step.ends)
 }
 
 // injectKill kills a list service, or starts it again.
-func (r *runner) applyKill(f *Fault, ends bool) error {
-	for _, p := range r.services {
-		p.mu.Lock()
-		meant := p.killed
-		p.mu.Unlock()
+func (r *runner) applyKill(fault *Fault, ends bool) error {
+	for _, proc := range r.services {
+		proc.mu.Lock()
+		killed := proc.killed
+		proc.mu.Unlock()
 		switch {
-		case ends && meant:
-			if err := r.startService(p); err != nil {
+		case ends && killed:
+			if err := r.startService(proc); err != nil {
 				return err
 			}
-			r.logEvent("%s was started again", p.name)
-		case !ends && (p.name == f.Process || f.Process == processWriter && p.name == r.writerName()):
-			p.kill()
-			r.logEvent("%s was killed", p.name)
+			r.logEvent("%s was started again", proc.name)
+		case !ends && (proc.name == fault.Process || fault.Process == processWriter && proc.name == r.writerName()):
+			proc.kill()
+			r.logEvent("%s was killed", proc.name)
 			return nil
 		}
 	}
@@ -557,12 +557,12 @@
 
 // writer is the name of the member that answers writes.
 func (r *runner) writerName() string {
-	s, err := r.backends[0].readSample(false)
+	sample, err := r.backends[0].readSample(false)
 	if err != nil {
 		return ""
 	}
 	for _, service := range r.plan.Services {
-		if service.Listen == s.Writer {
+		if service.Listen == sample.Writer {
 			return service.Name
 		}
 	}
@@ -588,15 +588,15 @@
 	r.mu.Unlock()
 	changes = slices.DeleteFunc(changes, func(c Change) bool { return c.Version <= since })
 	sortChanges(changes)
-	all := &Latency{}
-	for _, h := range r.gateways {
-		l, err := h.readLatency(changes)
+	total := &Latency{}
+	for _, gatewayHost := range r.gateways {
+		partial, err := gatewayHost.readLatency(changes)
 		if err != nil {
 			return nil, nil, err
 		}
-		all.merge(l)
+		total.merge(partial)
 	}
-	return all, changes, nil
+	return total, changes, nil
 }
 
 // Final is how the gateways' lists compare to the writer's at the end.
@@ -614,15 +614,15 @@
 // compareViews looks until all gateways hold what the writer's list has for them, or the
 // time is over.
 func (r *runner) compareViews(ctx context.Context) (*FinalComparison, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	for {
-		f, err := r.compareOnce(ctx)
+		comparison, err := r.compareOnce(ctx)
 		if err != nil {
 			return nil, err
 		}
-		f.Elapsed = time.Since(began)
-		if f.Matching == f.Total || !f.Checked || f.Elapsed > r.scenario.Quiet.Std() {
-			return f, nil
+		comparison.Elapsed = time.Since(startedAt)
+		if comparison.Matching == comparison.Total || !comparison.Checked || comparison.Elapsed > r.scenario.Quiet.Std() {
+			return comparison, nil
 		}
 		if err := pause(ctx, viewPollInterval); err != nil {
 			return nil, err
@@ -635,28 +635,28 @@
 	if err != nil {
 		return nil, err
 	}
-	shares := newListParts(list)
-	f := &FinalComparison{Checked: r.scenario.Reading.Subset == 0, ListedBackends: len(list.Instances)}
-	for _, h := range r.gateways {
-		views, err := h.readViews()
+	parts := newListParts(list)
+	comparison := &FinalComparison{Checked: r.scenario.Reading.Subset == 0, ListedBackends: len(list.Instances)}
+	for _, gatewayHost := range r.gateways {
+		views, err := gatewayHost.readViews()
 		if err != nil {
 			return nil, err
 		}
-		for _, v := range views {
-			if f.Total == 0 || v.Count < f.MinBackends {
-				f.MinBackends = v.Count
+		for _, view := range views {
+			if comparison.Total == 0 || view.Count < comparison.MinBackends {
+				comparison.MinBackends = view.Count
 			}
-			f.MaxBackends = max(f.MaxBackends, v.Count)
-			f.Total++
-			want := shares.expectedView(r.plan.Gateways[v.Gateway])
-			if v.Count == want.Count && v.Digest == want.Digest {
-				f.Matching++
-			} else if f.FirstMismatch == "" {
-				f.FirstMismatch = fmt.Sprintf("gateway %d holds %d at version %d, and the writer has %d for it at %d", v.Gateway, v.Count, v.Version, want.Count, want.Version)
+			comparison.MaxBackends = max(comparison.MaxBackends, view.Count)
+			comparison.Total++
+			expected := parts.expectedView(r.plan.Gateways[view.Gateway])
+			if view.Count == expected.Count && view.Digest == expected.Digest {
+				comparison.Matching++
+			} else if comparison.FirstMismatch == "" {
+				comparison.FirstMismatch = fmt.Sprintf("gateway %d holds %d at version %d, and the writer has %d for it at %d", view.Gateway, view.Count, view.Version, expected.Count, expected.Version)
 			}
 		}
 	}
-	return f, nil
+	return comparison, nil
 }
 
 // wholeList reads the list from the member that writes.
@@ -678,8 +678,8 @@
 		return registry.Listing{}, err
 	}
 	defer resp.Body.Close()
-	const most = 1 << 30
-	text, err := io.ReadAll(io.LimitReader(resp.Body, most))
+	const maxBytes = 1 << 30
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 	if err != nil {
 		return registry.Listing{}, err
 	}
@@ -691,25 +691,25 @@
 
 // watch bounds the memory of all processes together, and writes a line each second.
 func (r *runner) watch(ctx context.Context) {
-	began := time.Now()
-	t := time.NewTicker(watchInterval)
-	defer t.Stop()
+	startedAt := time.Now()
+	ticker := time.NewTicker(watchInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		use, err := readUsage("self")
+		own, err := readUsage("self")
 		if err != nil {
 			r.cancel(err)
 			return
 		}
-		memory, cpu := use.MemoryMB, use.CPU
+		memory, cpu := own.MemoryMB, own.CPU
 		for _, p := range r.allProcesses() {
-			u := p.usage()
-			memory += u.MemoryMB
-			cpu += u.CPU
+			childUsage := p.usage()
+			memory += childUsage.MemoryMB
+			cpu += childUsage.CPU
 		}
 		r.mu.Lock()
 		r.peakMB = max(r.peakMB, memory)
@@ -720,7 +720,7 @@
 			return
 		}
 		if r.options.Progress != nil {
-			fmt.Fprintf(r.options.Progress, "%4.0f s  %-22s %d changes answered, %.0f MB, %.1f s of processor time\n", time.Since(began).Seconds(), phase, changes, memory, cpu.Seconds())
+			fmt.Fprintf(r.options.Progress, "%4.0f s  %-22s %d changes answered, %.0f MB, %.1f s of processor time\n", time.Since(startedAt).Seconds(), phase, changes, memory, cpu.Seconds())
 		}
 	}
 }
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -56,47 +56,47 @@
 // TestRunWithScopes lets gateways read parts of the list: each holds just the backends of
 // its services in its zone, and is told of no other change.
 func TestRunWithScopes(t *testing.T) {
-	s := smallScenario()
-	s.Reading = Reading{Services: 2, Within: WithinZone}
-	r, err := Run(t.Context(), s, testOptions(t))
+	scenario := smallScenario()
+	scenario.Reading = Reading{Services: 2, Within: WithinZone}
+	result, err := Run(t.Context(), scenario, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why := r.Failure(); why != "" {
-		t.Error(why)
+	if reason := result.Failure(); reason != "" {
+		t.Error(reason)
 	}
-	plan := NewPlan(s, firstNetwork)
-	for _, g := range plan.Gateways {
+	plan := NewPlan(scenario, firstNetwork)
+	for _, gateway := range plan.Gateways {
 		reads := 0
-		for _, b := range plan.Backends {
-			if g.Reads(b) {
+		for _, backend := range plan.Backends {
+			if gateway.Reads(backend) {
 				reads++
 			}
 		}
-		if reads < r.Final.MinBackends || reads > r.Final.MaxBackends {
-			t.Errorf("gateway %d reads %d backends, and all hold %d to %d", g.Number, reads, r.Final.MinBackends, r.Final.MaxBackends)
+		if reads < result.Final.MinBackends || reads > result.Final.MaxBackends {
+			t.Errorf("gateway %d reads %d backends, and all hold %d to %d", gateway.Number, reads, result.Final.MinBackends, result.Final.MaxBackends)
 		}
 	}
-	if r.Final.MaxBackends >= s.Fleet.Backends/2 || r.Final.Matching != 5 || r.Final.Total != 5 {
-		t.Errorf("%+v", r.Final)
+	if result.Final.MaxBackends >= scenario.Fleet.Backends/2 || result.Final.Matching != 5 || result.Final.Total != 5 {
+		t.Errorf("%+v", result.Final)
 	}
-	if whole := int64(r.Changes * s.Fleet.Gateways); r.Propagation.Count == 0 || r.Propagation.Count >= whole/2 {
-		t.Errorf("%d readings of %d changes by %d gateways that read a sixth", r.Propagation.Count, r.Changes, s.Fleet.Gateways)
+	if whole := int64(result.Changes * scenario.Fleet.Gateways); result.Propagation.Count == 0 || result.Propagation.Count >= whole/2 {
+		t.Errorf("%d readings of %d changes by %d gateways that read a sixth", result.Propagation.Count, result.Changes, scenario.Fleet.Gateways)
 	}
 }
 
 // TestRunWithSubset lets gateways use three of the ten backends of a service.
 func TestRunWithSubset(t *testing.T) {
-	s := smallScenario()
-	s.Length = Duration(time.Second / 2)
-	s.Fleet.Members, s.Fleet.Followers, s.Fleet.Services = 1, 0, 2
-	s.Changes.PerS = 0
-	s.Reading = Reading{Services: 1, Within: WithinAll, Subset: 3}
-	r, err := Run(t.Context(), s, testOptions(t))
+	scenario := smallScenario()
+	scenario.Length = Duration(time.Second / 2)
+	scenario.Fleet.Members, scenario.Fleet.Followers, scenario.Fleet.Services = 1, 0, 2
+	scenario.Changes.PerS = 0
+	scenario.Reading = Reading{Services: 1, Within: WithinAll, Subset: 3}
+	result, err := Run(t.Context(), scenario, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := r.Final; f.Checked || f.MinBackends != 3 || f.MaxBackends != 3 || f.Total != 5 || f.ListedBackends != 20 {
+	if f := result.Final; f.Checked || f.MinBackends != 3 || f.MaxBackends != 3 || f.Total != 5 || f.ListedBackends != 20 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -122,74 +122,74 @@
 }
 
 func smallScenario() *Scenario {
-	s := Default()
-	s.Length, s.Quiet = Duration(2*time.Second), Duration(20*time.Second)
-	s.Fleet.Gateways, s.Fleet.Backends, s.Fleet.Services, s.Fleet.Lease = 5, 20, 4, Duration(time.Second)
-	s.Changes.PerS, s.Changes.Drain, s.Changes.Down = 15, Duration(100*time.Millisecond), Duration(100*time.Millisecond)
-	s.Hosts.Gateways = 3
-	return &s
+	scenario := Default()
+	scenario.Length, scenario.Quiet = Duration(2*time.Second), Duration(20*time.Second)
+	scenario.Fleet.Gateways, scenario.Fleet.Backends, scenario.Fleet.Services, scenario.Fleet.Lease = 5, 20, 4, Duration(time.Second)
+	scenario.Changes.PerS, scenario.Changes.Drain, scenario.Changes.Down = 15, Duration(100*time.Millisecond), Duration(100*time.Millisecond)
+	scenario.Hosts.Gateways = 3
+	return &scenario
 }
 
 // TestRun makes a small run: each change that was answered comes to each gateway, all of
 // them hold the writer's list at the end, and no process is left.
 func TestRun(t *testing.T) {
-	s := smallScenario()
-	s.Fleet.Membership = true
-	r, err := Run(t.Context(), s, testOptions(t))
+	scenario := smallScenario()
+	scenario.Fleet.Membership = true
+	result, err := Run(t.Context(), scenario, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why := r.Failure(); why != "" {
-		t.Error(why)
+	if reason := result.Failure(); reason != "" {
+		t.Error(reason)
 	}
-	if r.Changes < 6 || r.Changes%changesPerRestart != 0 {
-		t.Errorf("%d changes in 2 s, at 15 a second", r.Changes)
+	if result.Changes < 6 || result.Changes%changesPerRestart != 0 {
+		t.Errorf("%d changes in 2 s, at 15 a second", result.Changes)
 	}
-	if want := int64(r.Changes * s.Fleet.Gateways); r.Propagation.Count != want {
-		t.Errorf("%d changes were read %d times by %d gateways", r.Changes, r.Propagation.Count, s.Fleet.Gateways)
+	if want := int64(result.Changes * scenario.Fleet.Gateways); result.Propagation.Count != want {
+		t.Errorf("%d changes were read %d times by %d gateways", result.Changes, result.Propagation.Count, scenario.Fleet.Gateways)
 	}
-	if r.VersionDelta != int64(r.Changes) {
-		t.Errorf("%d changes and %d versions: leases ran out", r.Changes, r.VersionDelta)
+	if result.VersionDelta != int64(result.Changes) {
+		t.Errorf("%d changes and %d versions: leases ran out", result.Changes, result.VersionDelta)
 	}
-	if r.Final.ListedBackends != 20 || r.Final.Total != 5 {
-		t.Errorf("%+v", r.Final)
+	if result.Final.ListedBackends != 20 || result.Final.Total != 5 {
+		t.Errorf("%+v", result.Final)
 	}
-	if r.Membership.Present < 4.9 {
-		t.Errorf("gateways hold %g of 5 present", r.Membership.Present)
+	if result.Membership.Present < 4.9 {
+		t.Errorf("gateways hold %g of 5 present", result.Membership.Present)
 	}
 	for name, processes := range map[string]int{roleWriter: 1, roleMember: 2, roleFollower: 1, roleGateways: 2, roleBackends: 1} {
-		if role, ok := r.Role(name); !ok || role.Processes != processes || role.InPerS <= 0 || role.OutPerS <= 0 || role.MemoryMB <= 0 {
+		if role, ok := result.Role(name); !ok || role.Processes != processes || role.InPerS <= 0 || role.OutPerS <= 0 || role.MemoryMB <= 0 {
 			t.Errorf("%s: %+v", name, role)
 		}
 	}
-	if left := childProcesses(t); len(left) > 0 {
-		t.Errorf("left: %s", left)
+	if remaining := childProcesses(t); len(remaining) > 0 {
+		t.Errorf("left: %s", remaining)
 	}
 }
 
 // TestRunWithFaults strikes a rack, a region's link and a list service.
 func TestRunWithFaults(t *testing.T) {
-	s := smallScenario()
-	s.Length = Duration(6 * time.Second)
+	scenario := smallScenario()
+	scenario.Length = Duration(6 * time.Second)
 	const second = Duration(time.Second)
-	s.Faults = []*Fault{
+	scenario.Faults = []*Fault{
 		{Kind: FaultRack, At: second / 10, For: 2 * second, Gateways: 2, Backends: 5},
 		{Kind: FaultRegionCut, At: 2 * second, For: second, Region: "r0"},
 		{Kind: FaultKill, At: 3 * second, For: second, Process: processWriter},
 		{Kind: FaultRestarts, At: 4 * second, For: second, ChangesPerS: 30},
 	}
-	r, err := Run(t.Context(), s, testOptions(t))
+	result, err := Run(t.Context(), scenario, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why := r.Failure(); why != "" {
-		t.Error(why)
+	if reason := result.Failure(); reason != "" {
+		t.Error(reason)
 	}
-	if r.Final.ListedBackends != 20 || r.Final.Total != 5 || r.Final.Matching != 5 {
-		t.Errorf("%+v", r.Final)
+	if result.Final.ListedBackends != 20 || result.Final.Total != 5 || result.Final.Matching != 5 {
+		t.Errorf("%+v", result.Final)
 	}
 	var marks []string
-	for _, mark := range r.Events {
+	for _, mark := range result.Events {
 		_, what, _ := strings.Cut(mark, " s: ")
 		if !strings.Contains(mark, "wrote at the beginning") { // whether another member was chosen is the group's matter
 			marks = append(marks, what)
@@ -204,27 +204,27 @@
 	if !slices.Equal(marks, want) {
 		t.Errorf("%q, want %q", marks, want)
 	}
-	if left := childProcesses(t); len(left) > 0 {
-		t.Errorf("left: %s", left)
+	if remaining := childProcesses(t); len(remaining) > 0 {
+		t.Errorf("left: %s", remaining)
 	}
 }
 
 // TestRunEndsWhole ends runs early and from outside: nothing is left of them.
-func TestRunEndsWhole(t *testing.T) {
-	o := testOptions(t)
+func TestInterruptedRunLeavesNoProcesses(t *testing.T) {
+	options := testOptions(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	if _, err := Run(ctx, smallScenario(), o); err == nil {
+	if _, err := Run(ctx, smallScenario(), options); err == nil {
 		t.Error("a run that was ended has a result")
 	}
-	if left := childProcesses(t); len(left) > 0 {
-		t.Errorf("left: %s", left)
+	if remaining := childProcesses(t); len(remaining) > 0 {
+		t.Errorf("left: %s", remaining)
 	}
-	o.RegistryPath = "/bin/false"
-	if _, err := Run(t.Context(), smallScenario(), o); err == nil || !strings.Contains(err.Error(), "ended by itself") {
+	options.RegistryPath = "/bin/false"
+	if _, err := Run(t.Context(), smallScenario(), options); err == nil || !strings.Contains(err.Error(), "ended by itself") {
 		t.Errorf("%v", err)
 	}
-	if left := childProcesses(t); len(left) > 0 {
-		t.Errorf("left: %s", left)
+	if remaining := childProcesses(t); len(remaining) > 0 {
+		t.Errorf("left: %s", remaining)
 	}
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -136,90 +136,90 @@
 	if len(text) > maxTextBytes {
 		return nil, fmt.Errorf("%s: %d bytes are no scenario", name, len(text))
 	}
-	s := Default()
-	if err := scenario.Decode(name, text, &s); err != nil {
+	parsed := Default()
+	if err := scenario.Decode(name, text, &parsed); err != nil {
 		return nil, err
 	}
-	if err := s.Check(); err != nil {
+	if err := parsed.Check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return &s, nil
+	return &parsed, nil
 }
 
 // Check finds what can't be run on any machine.
 func (s *Scenario) Check() error {
-	var all []error
-	want := func(ok bool, format string, args ...any) {
+	var problems []error
+	require := func(ok bool, format string, args ...any) {
 		if !ok {
-			all = append(all, fmt.Errorf(format, args...))
+			problems = append(problems, fmt.Errorf(format, args...))
 		}
 	}
-	f := &s.Fleet
-	want(s.Length > 0 && s.Length.Std() <= maxLength, "length: %v is not from 1ns to %v", s.Length, maxLength)
-	want(s.Quiet > 0 && s.Quiet.Std() <= maxLength, "quiet: %v is not from 1ns to %v", s.Quiet, maxLength)
-	want(f.Members == 1 || f.Members == 3 || f.Members == 5, "fleet.members: %d is not 1, 3 or 5", f.Members)
-	want(f.Followers >= 0, "fleet.followers: %d is below 0", f.Followers)
-	want(f.Regions >= 1, "fleet.regions: %d is none", f.Regions)
-	want(f.Zones >= 1, "fleet.zones: %d is none", f.Zones)
-	want(f.Gateways >= 1 && f.Gateways <= maxHollowGateways, "fleet.gateways: %d is not from 1 to %d", f.Gateways, maxHollowGateways)
-	want(f.RealGateways >= 0, "fleet.real_gateways: %d is below 0", f.RealGateways)
-	want(f.Backends >= 1 && f.Backends <= maxHollowBackends, "fleet.backends: %d is not from 1 to %d", f.Backends, maxHollowBackends)
-	want(f.Services >= 1 && f.Services <= f.Backends, "fleet.services: %d is not from 1 to the %d backends", f.Services, f.Backends)
-	want(f.Lease.Std() >= minLease && f.Lease.Std() <= maxLease, "fleet.lease: %v is not from %v to %v", f.Lease, minLease, maxLease)
-	c := &s.Changes
-	want(c.PerS >= 0, "changes.per_s: %g is below 0", c.PerS)
-	want(c.Drain >= 0 && c.Down >= 0, "changes: drain %v and down %v must not be below 0", c.Drain, c.Down)
-	want(c.Requests >= 0, "changes.requests: %g is below 0", c.Requests)
-	want(c.Register > 0, "changes.register: %g is none", c.Register)
-	r := &s.Reading
-	want(r.Services >= 0 && r.Services <= f.Services, "reading.services: %d is not from 0 to the %d services", r.Services, f.Services)
-	want(slices.Contains([]string{WithinAll, WithinRegion, WithinZone}, r.Within), "reading.within: %q is not %s, %s or %s", r.Within, WithinAll, WithinRegion, WithinZone)
-	want(r.Services > 0 || r.Within == WithinAll, "reading.within: %q needs reading.services", r.Within)
-	want(r.Subset >= 0 && (r.Subset == 0 || r.Services > 0), "reading.subset: %d needs reading.services, and is not below 0", r.Subset)
-	h := &s.Hosts
-	want(h.Gateways >= 1 && h.Backends >= 1 && h.Connections >= 1, "hosts: each has to allow something")
+	fleet := &s.Fleet
+	require(s.Length > 0 && s.Length.Std() <= maxLength, "length: %v is not from 1ns to %v", s.Length, maxLength)
+	require(s.Quiet > 0 && s.Quiet.Std() <= maxLength, "quiet: %v is not from 1ns to %v", s.Quiet, maxLength)
+	require(fleet.Members == 1 || fleet.Members == 3 || fleet.Members == 5, "fleet.members: %d is not 1, 3 or 5", fleet.Members)
+	require(fleet.Followers >= 0, "fleet.followers: %d is below 0", fleet.Followers)
+	require(fleet.Regions >= 1, "fleet.regions: %d is none", fleet.Regions)
+	require(fleet.Zones >= 1, "fleet.zones: %d is none", fleet.Zones)
+	require(fleet.Gateways >= 1 && fleet.Gateways <= maxHollowGateways, "fleet.gateways: %d is not from 1 to %d", fleet.Gateways, maxHollowGateways)
+	require(fleet.RealGateways >= 0, "fleet.real_gateways: %d is below 0", fleet.RealGateways)
+	require(fleet.Backends >= 1 && fleet.Backends <= maxHollowBackends, "fleet.backends: %d is not from 1 to %d", fleet.Backends, maxHollowBackends)
+	require(fleet.Services >= 1 && fleet.Services <= fleet.Backends, "fleet.services: %d is not from 1 to the %d backends", fleet.Services, fleet.Backends)
+	require(fleet.Lease.Std() >= minLease && fleet.Lease.Std() <= maxLease, "fleet.lease: %v is not from %v to %v", fleet.Lease, minLease, maxLease)
+	changes := &s.Changes
+	require(changes.PerS >= 0, "changes.per_s: %g is below 0", changes.PerS)
+	require(changes.Drain >= 0 && changes.Down >= 0, "changes: drain %v and down %v must not be below 0", changes.Drain, changes.Down)
+	require(changes.Requests >= 0, "changes.requests: %g is below 0", changes.Requests)
+	require(changes.Register > 0, "changes.register: %g is none", changes.Register)
+	reading := &s.Reading
+	require(reading.Services >= 0 && reading.Services <= fleet.Services, "reading.services: %d is not from 0 to the %d services", reading.Services, fleet.Services)
+	require(slices.Contains([]string{WithinAll, WithinRegion, WithinZone}, reading.Within), "reading.within: %q is not %s, %s or %s", reading.Within, WithinAll, WithinRegion, WithinZone)
+	require(reading.Services > 0 || reading.Within == WithinAll, "reading.within: %q needs reading.services", reading.Within)
+	require(reading.Subset >= 0 && (reading.Subset == 0 || reading.Services > 0), "reading.subset: %d needs reading.services, and is not below 0", reading.Subset)
+	hosts := &s.Hosts
+	require(hosts.Gateways >= 1 && hosts.Backends >= 1 && hosts.Connections >= 1, "hosts: each has to allow something")
 	for n, fault := range s.Faults {
 		if err := s.checkFault(fault); err != nil {
-			all = append(all, fmt.Errorf("fault[%d]: %w", n, err))
+			problems = append(problems, fmt.Errorf("fault[%d]: %w", n, err))
 		}
 	}
-	return errors.Join(all...)
+	return errors.Join(problems...)
 }
 
-func (s *Scenario) checkFault(f *Fault) error {
-	if _, known := faultDescriptions[f.Kind]; !known {
-		return fmt.Errorf("kind: there is no %q", f.Kind)
+func (s *Scenario) checkFault(fault *Fault) error {
+	if _, known := faultDescriptions[fault.Kind]; !known {
+		return fmt.Errorf("kind: there is no %q", fault.Kind)
 	}
-	if f.At < 0 || f.For <= 0 || f.At+f.For > s.Length {
-		return fmt.Errorf("%s: at %v for %v is not within the length of %v", f.Kind, f.At, f.For, s.Length)
+	if fault.At < 0 || fault.For <= 0 || fault.At+fault.For > s.Length {
+		return fmt.Errorf("%s: at %v for %v is not within the length of %v", fault.Kind, fault.At, fault.For, s.Length)
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case FaultRack:
-		if f.Gateways < 0 || f.Gateways > s.Fleet.Gateways || f.Backends < 0 || f.Backends > s.Fleet.Backends || f.Gateways+f.Backends == 0 {
-			return fmt.Errorf("rack: %d gateways and %d backends are none or more than there are", f.Gateways, f.Backends)
+		if fault.Gateways < 0 || fault.Gateways > s.Fleet.Gateways || fault.Backends < 0 || fault.Backends > s.Fleet.Backends || fault.Gateways+fault.Backends == 0 {
+			return fmt.Errorf("rack: %d gateways and %d backends are none or more than there are", fault.Gateways, fault.Backends)
 		}
 	case FaultZone:
-		if !slices.Contains(s.zoneNames(), f.Zone) {
-			return fmt.Errorf("zone: %q is not one of %s", f.Zone, strings.Join(s.zoneNames(), ", "))
+		if !slices.Contains(s.zoneNames(), fault.Zone) {
+			return fmt.Errorf("zone: %q is not one of %s", fault.Zone, strings.Join(s.zoneNames(), ", "))
 		}
 	case FaultRegionCut:
 		if s.Fleet.Followers == 0 {
 			return errors.New("region_cut: there are no followers to cut off")
 		}
-		if !slices.Contains(s.regionNames(), f.Region) {
-			return fmt.Errorf("region: %q is not one of %s", f.Region, strings.Join(s.regionNames(), ", "))
+		if !slices.Contains(s.regionNames(), fault.Region) {
+			return fmt.Errorf("region: %q is not one of %s", fault.Region, strings.Join(s.regionNames(), ", "))
 		}
 	case FaultGateways:
-		if f.Region != "" && !slices.Contains(s.regionNames(), f.Region) {
-			return fmt.Errorf("region: %q is not one of %s", f.Region, strings.Join(s.regionNames(), ", "))
+		if fault.Region != "" && !slices.Contains(s.regionNames(), fault.Region) {
+			return fmt.Errorf("region: %q is not one of %s", fault.Region, strings.Join(s.regionNames(), ", "))
 		}
 	case FaultRestarts:
-		if f.ChangesPerS < 0 {
-			return fmt.Errorf("changes_per_s: %g is below 0", f.ChangesPerS)
+		if fault.ChangesPerS < 0 {
+			return fmt.Errorf("changes_per_s: %g is below 0", fault.ChangesPerS)
 		}
 	case FaultKill:
-		if f.Process != processWriter && !slices.Contains(s.serviceNames(), f.Process) {
-			return fmt.Errorf("who: %q is not %s or one of %s", f.Process, processWriter, strings.Join(s.serviceNames(), ", "))
+		if fault.Process != processWriter && !slices.Contains(s.serviceNames(), fault.Process) {
+			return fmt.Errorf("who: %q is not %s or one of %s", fault.Process, processWriter, strings.Join(s.serviceNames(), ", "))
 		}
 	}
 	return nil
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -32,28 +32,28 @@
 }
 
 func (r *runner) snapshot(ctx context.Context, collect bool) (*snapshot, error) {
-	s := &snapshot{at: time.Now(), writer: r.writerName()}
+	taken := &snapshot{at: time.Now(), writer: r.writerName()}
 	for n, p := range r.services {
-		u := serviceUsage{p.usage(), r.counters(ctx, r.plan.Services[n].Control)}
-		s.version = max(s.version, u.counters["version"])
-		s.services = append(s.services, u)
+		usage := serviceUsage{p.usage(), r.counters(ctx, r.plan.Services[n].Control)}
+		taken.version = max(taken.version, usage.counters["version"])
+		taken.services = append(taken.services, usage)
 	}
 	for _, p := range r.realGateways {
-		s.realGateways = append(s.realGateways, p.usage())
+		taken.realGateways = append(taken.realGateways, p.usage())
 	}
 	for _, group := range []struct {
 		hosts []*host
 		into  *[]hostUsage
-	}{{r.gateways, &s.gateways}, {r.backends, &s.backends}} {
-		for _, h := range group.hosts {
-			sample, err := h.readSample(collect)
+	}{{r.gateways, &taken.gateways}, {r.backends, &taken.backends}} {
+		for _, source := range group.hosts {
+			sample, err := source.readSample(collect)
 			if err != nil {
 				return nil, err
 			}
-			*group.into = append(*group.into, hostUsage{h.usage(), sample})
+			*group.into = append(*group.into, hostUsage{source.usage(), sample})
 		}
 	}
-	return s, nil
+	return taken, nil
 }
 
 // counters reads a list service's, by their names.
@@ -76,16 +76,16 @@
 
 // parseCounters reads lines "registry.NAME:NUMBER|KIND".
 func parseCounters(text string) map[string]int64 {
-	all := map[string]int64{}
+	counters := map[string]int64{}
 	for line := range strings.Lines(text) {
 		name, value, found := strings.Cut(strings.TrimPrefix(line, "registry."), ":")
-		var n int64
+		var parsed int64
 		if !found {
 			continue
 		}
-		if _, err := fmt.Sscan(strings.SplitN(value, "|", 2)[0], &n); err == nil {
-			all[name] = n
+		if _, err := fmt.Sscan(strings.SplitN(value, "|", 2)[0], &parsed); err == nil {
+			counters[name] = parsed
 		}
 	}
-	return all
+	return counters
 }
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -36,7 +36,7 @@
 const minSizes = 2
 
 // Check finds what can't be swept over a scenario. All its sizes have to fit this machine.
-func (w *Sweep) Check(s *Scenario) error {
+func (w *Sweep) Check(scenario *Scenario) error {
 	if quantities[w.Quantity] == nil {
 		return fmt.Errorf("there is no quantity %q; there are %s", w.Quantity, strings.Join(Quantities(), ", "))
 	}
@@ -46,27 +46,27 @@
 	if (w.Against == "") != (len(w.AgainstSizes) == 0) || w.Against != "" && (quantities[w.Against] == nil || w.Against == w.Quantity || len(w.AgainstSizes) < minSizes) {
 		return fmt.Errorf("against %q with %d sizes: it takes another quantity with at least %d", w.Against, len(w.AgainstSizes), minSizes)
 	}
-	var all []error
-	for _, at := range w.points() {
-		one := w.scenarioAt(s, at)
-		err := one.Check()
+	var problems []error
+	for _, point := range w.points() {
+		variant := w.scenarioAt(scenario, point)
+		err := variant.Check()
 		if err == nil {
-			err = CheckResources(one)
+			err = CheckResources(variant)
 		}
 		if err != nil {
-			all = append(all, fmt.Errorf("%s: %w", w.label(at), err))
+			problems = append(problems, fmt.Errorf("%s: %w", w.label(point), err))
 		}
 	}
-	return errors.Join(all...)
+	return errors.Join(problems...)
 }
 
 // points are the sizes of all runs; Y is not used.
 func (w *Sweep) points() (all []Point) {
-	others := w.AgainstSizes
+	otherSizes := w.AgainstSizes
 	if w.Against == "" {
-		others = []float64{0}
+		otherSizes = []float64{0}
 	}
-	for _, z := range others {
+	for _, z := range otherSizes {
 		for _, x := range w.Sizes {
 			all = append(all, Point{X: x, Z: z})
 		}
@@ -75,13 +75,13 @@
 }
 
 // at is the scenario of one run.
-func (w *Sweep) scenarioAt(s *Scenario, p Point) *Scenario {
-	one := *s
-	quantities[w.Quantity](&one, p.X)
+func (w *Sweep) scenarioAt(scenario *Scenario, point Point) *Scenario {
+	variant := *scenario
+	quantities[w.Quantity](&variant, point.X)
 	if w.Against != "" {
-		quantities[w.Against](&one, p.Z)
+		quantities[w.Against](&variant, point.Z)
 	}
-	return &one
+	return &variant
 }
 
 func (w *Sweep) label(p Point) string {
@@ -92,13 +92,13 @@
 }
 
 // figure is one that a sweep follows.
-type metric struct {
+type sweepMetric struct {
 	name  string
 	value func(*Result) float64
 }
 
 // figures are those of a sweep's table.
-var metrics = []metric{
+var sweepMetrics = []sweepMetric{
 	{"gateway: CPU us/s", func(r *Result) float64 { return r.Gateway.CPUUsPerS }},
 	{"gateway: in B/s", func(r *Result) float64 { return r.Gateway.InPerS }},
 	{"gateway: out B/s", func(r *Result) float64 { return r.Gateway.OutPerS }},
@@ -157,45 +157,45 @@
 // Run makes the runs, one after the other, and fits their figures. Each result is
 // written to results as a line of JSON. With an error, the table has what was measured
 // before it.
-func (w *Sweep) Run(ctx context.Context, s *Scenario, o Options, results io.Writer) (*Table, error) {
-	t := &Table{Sweep: w, Fits: map[string]Fit{}}
-	dir := o.Dir
-	var failed error
-	for n, at := range w.points() {
-		if o.Progress != nil {
-			fmt.Fprintf(o.Progress, "%s:\n", w.label(at))
+func (w *Sweep) Run(ctx context.Context, scenario *Scenario, options Options, results io.Writer) (*Table, error) {
+	table := &Table{Sweep: w, Fits: map[string]Fit{}}
+	dir := options.Dir
+	var runErr error
+	for index, point := range w.points() {
+		if options.Progress != nil {
+			fmt.Fprintf(options.Progress, "%s:\n", w.label(point))
 		}
-		o.Dir = filepath.Join(dir, fmt.Sprint(n))
-		r, err := Run(ctx, w.scenarioAt(s, at), o)
+		options.Dir = filepath.Join(dir, fmt.Sprint(index))
+		result, err := Run(ctx, w.scenarioAt(scenario, point), options)
 		if err != nil {
-			failed = fmt.Errorf("%s: %w", w.label(at), err)
+			runErr = fmt.Errorf("%s: %w", w.label(point), err)
 			break
 		}
-		t.Points, t.Results = append(t.Points, at), append(t.Results, r)
-		if why := r.Failure(); why != "" {
-			t.Failures = append(t.Failures, w.label(at)+": "+why)
+		table.Points, table.Results = append(table.Points, point), append(table.Results, result)
+		if reason := result.Failure(); reason != "" {
+			table.Failures = append(table.Failures, w.label(point)+": "+reason)
 		}
-		if err := r.JSON(results); err != nil {
-			return t, err
+		if err := result.JSON(results); err != nil {
+			return table, err
 		}
 	}
-	t.fit()
-	return t, failed
+	table.fit()
+	return table, runErr
 }
 
 func (t *Table) fit() {
 	if len(t.Points) < minSizes {
 		return
 	}
-	for _, f := range metrics {
+	for _, metric := range sweepMetrics {
 		points := slices.Clone(t.Points)
 		for n, r := range t.Results {
-			points[n].Y = f.value(r)
+			points[n].Y = metric.value(r)
 		}
 		if t.Sweep.Against != "" {
-			t.Fits[f.name] = FitTwo(points)
+			t.Fits[metric.name] = FitTwo(points)
 		} else {
-			t.Fits[f.name] = FitOne(points)
+			t.Fits[metric.name] = FitOne(points)
 		}
 	}
 }
@@ -207,40 +207,40 @@
 		return
 	}
 	fmt.Fprintln(out)
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "figure")
+	columns := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(columns, "figure")
 	for _, p := range t.Points {
-		fmt.Fprintf(w, "\t%s", t.Sweep.label(p))
-	}
-	fmt.Fprintln(w, "\tform")
-	for _, f := range metrics {
-		none := true
-		line := f.name
-		for _, r := range t.Results {
-			y := f.value(r)
-			none = none && y == 0
+		fmt.Fprintf(columns, "\t%s", t.Sweep.label(p))
+	}
+	fmt.Fprintln(columns, "\tform")
+	for _, metric := range sweepMetrics {
+		allZero := true
+		line := metric.name
+		for _, result := range t.Results {
+			y := metric.value(result)
+			allZero = allZero && y == 0
 			line += fmt.Sprintf("\t%.4g", y)
 		}
-		if fit, there := t.Fits[f.name]; there {
+		if fit, found := t.Fits[metric.name]; found {
 			line += "\t" + fit.String()
 		}
-		if !none {
-			fmt.Fprintln(w, line)
+		if !allZero {
+			fmt.Fprintln(columns, line)
 		}
 	}
-	w.Flush()
-	for n, r := range t.Results {
-		lists := fmt.Sprintf("%d of %d gateways hold the writer's list", r.Final.Matching, r.Final.Total)
-		if !r.Final.Checked {
-			lists = fmt.Sprintf("gateways hold %d to %d backends", r.Final.MinBackends, r.Final.MaxBackends)
+	columns.Flush()
+	for index, result := range t.Results {
+		listState := fmt.Sprintf("%d of %d gateways hold the writer's list", result.Final.Matching, result.Final.Total)
+		if !result.Final.Checked {
+			listState = fmt.Sprintf("gateways hold %d to %d backends", result.Final.MinBackends, result.Final.MaxBackends)
 		}
 		fmt.Fprintf(out, "%s: %d changes in %.1f s to %d readings, %d missing; %s; at most %.0f MB\n",
-			t.Sweep.label(t.Points[n]), r.Changes, r.Seconds, r.Propagation.Count, r.Propagation.Missing, lists, r.PeakMB)
-		for _, mark := range r.Events {
-			fmt.Fprintf(out, "%s: %s\n", t.Sweep.label(t.Points[n]), mark)
+			t.Sweep.label(t.Points[index]), result.Changes, result.Seconds, result.Propagation.Count, result.Propagation.Missing, listState, result.PeakMB)
+		for _, mark := range result.Events {
+			fmt.Fprintf(out, "%s: %s\n", t.Sweep.label(t.Points[index]), mark)
 		}
 	}
-	for _, why := range t.Failures {
-		fmt.Fprintln(out, "does not add up:", why)
+	for _, reason := range t.Failures {
+		fmt.Fprintln(out, "does not add up:", reason)
 	}
 }
