--- a/internal/results/results.go
+++ b/internal/results/results.go
@@ -1,6 +1,5 @@
-// Package results adds up what a play came to: worth served by class, plan and
-// window of the day, latencies from the moment in which a client meant to send,
-// and what it cost.
+// Package results tallies the results of a play: outcomes and worth served by class, plan and
+// time window, latencies from the intended send time, and costs.
 package results
 
 import (
@@ -15,20 +14,20 @@
 	"dunlintray/internal/scenario"
 )
 
-// Window is the length of the stretches that are told apart.
+// WindowLength is the length of the time windows that are reported separately.
 const WindowLength = 5 * time.Second
 
-// Outcome is how a client's wish ended, over all its tries.
+// Outcome is the final outcome of a client's operation, after all its requests.
 type Outcome int
 
-// The outcomes.
+// Values of Outcome.
 const (
 	Served  Outcome = iota // within the aim
-	Late                   // served between aim and deadline
-	Refused                // told that trying again is harmless
+	Late                   // served after the aim, within the deadline
+	Refused                // final answer with no effect
 	Failed
-	Abandoned // the client gave up early
-	Lost      // no answer in time, or none at all
+	Abandoned // the client cancelled
+	Lost      // no answer within the deadline and a grace period
 	outcomeCount
 )
 
@@ -36,55 +35,55 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Line is what one class, plan or window came to.
+// Line is the result of a class, a plan, a window or the whole play.
 type Line struct {
-	Kind       string            `json:"kind"` // class, plan or window
+	Kind       string            `json:"kind"` // total, class, plan or window
 	Name       string            `json:"name"`
-	Offered    float64           `json:"offered"` // worth that one gateway which saw all would let in
+	Offered    float64           `json:"offered"` // worth that a single gateway with full knowledge would admit
 	Earned     float64           `json:"earned"`
 	Operations int               `json:"asked"`
 	Counts     [outcomeCount]int `json:"-"`
 	Ended      map[string]int    `json:"ended"`
-	P50Ms      float64           `json:"p50_ms,omitempty"` // latencies of what was served
+	P50Ms      float64           `json:"p50_ms,omitempty"` // of served operations
 	P99Ms      float64           `json:"p99_ms,omitempty"`
 	MaxMs      float64           `json:"max_ms,omitempty"`
 
 	latency *hdrhistogram.Histogram
 }
 
-// Share is the part of the worth that was served.
+// ServedFraction returns the fraction of the offered worth that was served, from 0 to 1.
 func (l *Line) ServedFraction() float64 {
 	if l.Offered == 0 {
 		return 0
 	}
-	return min(1, l.Earned/l.Offered) // stores that were full when something was sent on may have been empty when it was asked
+	return min(1, l.Earned/l.Offered) // quota exhausted when the request was offered may have been refilled when it was forwarded
 }
 
-// Costs are what the day took beside the requests. All are counts.
+// Costs are counts over the whole play, except for BeyondQuota.
 type Costs struct {
-	Requests             int     `json:"tries"` // of clients, their retries among them
+	Requests             int     `json:"tries"` // of clients, including client retries
 	Attempts             int     `json:"attempts"`
-	RejectedAttempts     int     `json:"turned_away"` // attempts
+	RejectedAttempts     int     `json:"turned_away"` // by backends
 	Handshakes           int     `json:"handshakes"`
 	CrossZone            int     `json:"cross_zone"` // attempts
 	CounterCalls         int     `json:"counter_calls"`
 	RejectedCounterCalls int     `json:"counter_calls_turned_away"`
 	Probes               int     `json:"probes"`
 	Datagrams            int     `json:"datagrams"`
-	BeyondQuota          float64 `json:"beyond_quota"` // cost of what was sent on beyond quotas, in worth
+	BeyondQuota          float64 `json:"beyond_quota"` // penalty for requests forwarded beyond quotas, in worth
 	FallenBackends       int     `json:"fallen_backends"`
 }
 
-// Gateway is what one gateway used.
+// Gateway is the resource usage of a gateway process.
 type Gateway struct {
-	Kind         string  `json:"kind"` // gateway
+	Kind         string  `json:"kind"` // always "gateway"
 	Name         string  `json:"name"`
 	Starts       int     `json:"starts"`
 	CPUSeconds   float64 `json:"cpu_s"`
-	PeakMemoryMB float64 `json:"memory_mb"` // resident, most
+	PeakMemoryMB float64 `json:"memory_mb"` // maximum resident set size
 }
 
-// Tally adds up one play.
+// Tally accumulates the results of one play. It is not safe for concurrent use.
 type Tally struct {
 	Costs      Costs
 	Gateways   []Gateway
@@ -97,10 +96,11 @@
 	recent     [outcomeCount]int
 }
 
-// Latencies are kept in microseconds with two digits, up to two minutes.
+// newHistogram returns a histogram of microseconds, up to two minutes, with two significant
+// digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 2) }
 
-// New returns a tally for a scenario.
+// New returns an empty tally for the classes and plans of a scenario.
 func New(source *scenario.Scenario) *Tally {
 	tally := &Tally{total: Line{Kind: "total", Name: source.Name, latency: newHistogram()}, lateness: newHistogram(), listDelays: newHistogram()}
 	for _, class := range source.Classes {
@@ -112,11 +112,11 @@
 	return tally
 }
 
-// openWindows is how many windows keep their latencies one by one; of older ones,
-// in which nothing is under way any more, only what was made of them.
+// maxDetailedWindows is the number of recent windows that keep a latency histogram. Operations
+// of older windows have ended; those keep only their percentiles.
 const maxDetailedWindows = 24
 
-// window is that of a moment of the day.
+// window returns the line of the window that contains a time since the start of the play.
 func (t *Tally) window(at time.Duration) *Line {
 	index := int(at / WindowLength)
 	for len(t.windows) <= index {
@@ -128,7 +128,7 @@
 	return &t.windows[index]
 }
 
-// seal makes of the latencies what is told of them.
+// summarize computes the percentiles of the line and releases its histogram.
 func (l *Line) summarize() {
 	if l.latency == nil {
 		return
@@ -145,42 +145,45 @@
 	apply(t.window(at))
 }
 
-// Offered adds a client's wish, made at a moment of the day.
+// RecordOperation records that a client began an operation at a time since the start of the
+// play.
 func (t *Tally) RecordOperation(at time.Duration, class, plan int, worth float64) {
 	t.forEachLine(at, class, plan, func(line *Line) { line.Offered += worth; line.Operations++ })
 }
 
-// Ended adds how it ended, after how long since it was meant to be sent.
+// RecordOutcome records the outcome of the operation that began at the given time, the worth
+// earned and the latency since its intended send time.
 func (t *Tally) RecordOutcome(at time.Duration, class, plan int, outcome Outcome, worth float64, latency time.Duration) {
 	t.recent[outcome]++
 	t.forEachLine(at, class, plan, func(line *Line) {
 		line.Counts[outcome]++
 		line.Earned += worth
 		if (outcome == Served || outcome == Late) && line.latency != nil {
-			line.latency.RecordValue(max(1, latency.Microseconds())) // beyond two minutes nothing is served
+			line.latency.RecordValue(max(1, latency.Microseconds())) // at most two minutes, the limit of the histogram
 		}
 	})
 }
 
-// Acted adds how late the emulation itself did what was due.
+// RecordLateness records the delay between the due time of an emulator event and its
+// execution.
 func (t *Tally) RecordLateness(late time.Duration) {
 	t.lateness.RecordValue(min(max(1, late.Microseconds()), 120_000_000))
 }
 
-// Heard adds how long after a change of the list a gateway was told of it.
+// RecordListDelay records the time from a change of the list until a gateway received it.
 func (t *Tally) RecordListDelay(delay time.Duration) {
 	t.listDelays.RecordValue(min(max(1, delay.Microseconds()), 120_000_000))
 }
 
-// Lateness is how late the emulation was at a percentile of what it did.
+// Lateness returns a percentile, from 0 to 100, of the recorded lateness of the emulator.
 func (t *Tally) Lateness(percentile float64) time.Duration {
 	return time.Duration(t.lateness.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// Share is the part of all worth that was served.
+// ServedFraction returns the fraction of all offered worth that was served, from 0 to 1.
 func (t *Tally) ServedFraction() float64 { return t.total.ServedFraction() }
 
-// Recent tells how wishes ended since the last call, for a live view.
+// TakeRecent returns the number of operations by outcome since the last call, and resets it.
 func (t *Tally) TakeRecent() map[string]int {
 	counts := map[string]int{}
 	for o, n := range t.recent {
@@ -190,7 +193,7 @@
 	return counts
 }
 
-// Lines are all lines, the total first.
+// Lines returns all lines: the total, then classes, plans and windows.
 func (t *Tally) Lines() []Line {
 	all := append([]Line{t.total}, t.classes...)
 	all = append(all, t.plans...)
@@ -206,7 +209,7 @@
 	return all
 }
 
-// JSON writes one line for each class, plan, window and gateway, and the costs.
+// JSON writes a line of JSON for each class, plan, window and gateway, and one for the costs.
 func (t *Tally) JSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	for _, l := range t.Lines() {
@@ -229,7 +232,7 @@
 	}{"costs", t.Costs, float64(t.listDelays.ValueAtQuantile(50)) / 1e3, float64(t.listDelays.Max()) / 1e3, t.Lateness(99).Seconds() * 1e3, t.Lateness(100).Seconds() * 1e3})
 }
 
-// Table writes it for people.
+// Table writes the results as a table for people, with the most recent windows only.
 func (t *Tally) Table(out io.Writer) {
 	tab := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "\tworth\tasked\tserved\tlate\trefused\tfailed\tleft\tlost\tp50\tp99\tmax")
--- a/internal/results/results_test.go
+++ b/internal/results/results_test.go
@@ -10,8 +10,8 @@
 	"dunlintray/internal/scenario"
 )
 
-// What is told adds up, by class, plan and window, and a long day takes no more
-// than its lines.
+// TestTallySumsAgreeAcrossGroups checks that outcomes add up by class, plan and window, and
+// that old windows release their histograms.
 func TestTallySumsAgreeAcrossGroups(t *testing.T) {
 	testScenario := scenario.Default()
 	tally := New(&testScenario)
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// backendFleet are the hollow backends of a process. One goroutine has the churn; others
+// backendFleet runs the hollow backends of a process. One goroutine owns the churn; others
 // make its calls.
 type backendFleet struct {
 	config   *BackendHost
@@ -22,18 +22,18 @@
 
 	commands      chan Command
 	stateRequests chan chan churnState
-	calls         atomic.Int64 // calls
+	calls         atomic.Int64 // made so far
 	refused       atomic.Int64
 	ended         chan struct{}
 }
 
-// churnState is what the churn tells.
+// churnState is a snapshot of the churn.
 type churnState struct {
 	serving int
 	settled bool
 }
 
-// answer is how a call went.
+// callResult is the outcome of a call.
 type callResult struct {
 	call       call
 	status     int
@@ -57,8 +57,8 @@
 	return fleet, nil
 }
 
-// warmSince is for how long backends are said to have been up at the start of a run: real
-// gateways send little to cold ones.
+// initialUptime is the age that backends report at the start of a run, so that real gateways
+// do not treat them as cold.
 const initialUptime = 10 * time.Minute
 
 const changeReportInterval = 200 * time.Millisecond // between two reports of changes
@@ -90,12 +90,13 @@
 	f.loop(ctx, calls, answers, ready, changed)
 }
 
-// loop has the churn.
+// loop owns the churn: it starts due calls, handles their results and executes commands until
+// ctx is done.
 func (f *backendFleet) loop(ctx context.Context, calls chan<- call, answers <-chan callResult, ready func(), changed func([]Change)) {
 	startedAt := time.Now()
 	now := func() time.Duration { return time.Since(startedAt) }
 	f.churn.start(now(), startedAt.Add(-initialUptime).UnixMilli())
-	var queue []call // that wait for a connection
+	var queue []call // due calls that wait for a connection
 	var changes []Change
 	reported := false
 	timer := time.NewTimer(0)
@@ -107,7 +108,7 @@
 		var sendTo chan<- call
 		var nextCall call
 		for len(queue) > 0 && queue[0].incarnation != queue[0].backend.incarnation {
-			queue = queue[1:] // it was stopped meanwhile
+			queue = queue[1:] // the backend was stopped after the call became due
 		}
 		if len(queue) > 0 {
 			sendTo, nextCall = calls, queue[0]
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	backendCallTimeout = 5 * time.Second // for an answer to a backend
-	maxRedirects       = 2               // in a row; then the next member is asked
+	backendCallTimeout = 5 * time.Second // for the registry's answer
+	maxRedirects       = 2               // in a row, before the call fails
 	maxCallBodyBytes   = 4 << 10
 )
 
-// caller makes the calls of hollow backends over HTTP. It calls the list service that
-// writes, which it finds as a backend does: by what others answer.
+// writeClient makes the registry calls of hollow backends over HTTP. It follows redirects to
+// the writer and rotates through the members when one does not answer.
 type writeClient struct {
 	http           *http.Client
 	members        []string
-	backendAddress string // the address that all its backends are reached at
+	backendAddress string // at which all backends of the process answer requests
 
 	mu         sync.Mutex
-	nextMember int    // of the members
-	writer     string // that answered last, or was named
+	nextMember int    // index in members
+	writer     string // address of the member that answered last or was named by a redirect
 }
 
 func newWriteClient(members []string, answers string, connections int) *writeClient {
@@ -40,14 +40,15 @@
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// target is whom to call now.
+// target returns the address for the next call.
 func (c *writeClient) target() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writer
 }
 
-// failed goes on to the next member, unless another call has found a writer meanwhile.
+// rotate switches to the next member after a failed call to address, unless another call has
+// changed the writer meanwhile.
 func (c *writeClient) rotate(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,8 +64,8 @@
 	c.writer = writer
 }
 
-// do makes a call, and returns the status and the version that it was answered with; 0
-// stands for no answer.
+// do makes a call and returns the status and the version of the answer. Status 0 means that
+// there was no valid answer.
 func (c *writeClient) do(ctx context.Context, outgoing call) (status int, version int64) {
 	for range maxRedirects {
 		address := c.target()
@@ -130,5 +131,5 @@
 	return c.http.Do(req)
 }
 
-// machineType is that of all backends; the gateways' settings know it.
+// machineType is the machine type of all backends; the gateways' settings define it.
 const machineType = "std"
--- a/internal/scale/churn.go
+++ b/internal/scale/churn.go
@@ -8,7 +8,7 @@
 	"dunlintray/internal/registry"
 )
 
-// callKind is what a hollow backend asks of the list service.
+// callKind is the kind of a backend's registry call.
 type callKind int
 
 const (
@@ -18,62 +18,63 @@
 	callLeave
 )
 
-// phase is what a hollow backend does.
+// phase is the state of a hollow backend.
 type phase int
 
 const (
-	phaseStopped  phase = iota // says nothing
-	phaseJoining               // registers
-	phaseServing               // renews
-	phaseDraining              // leaves soon
+	phaseStopped  phase = iota // makes no calls
+	phaseJoining               // registers next
+	phaseServing               // renews its lease
+	phaseDraining              // sends its drain call next
 	phaseLeaving
-	phaseDown // registers anew soon
+	phaseDown // waits to register again
 )
 
-// call is one to make for a backend.
+// call is a registry call to make for a backend.
 type call struct {
 	backend     *churningBackend
 	kind        callKind
 	startedAtMs int64
-	incarnation int // of the backend; an answer to an earlier life's call is void
+	incarnation int // of the backend; results for an earlier incarnation are ignored
 }
 
-// churner is one hollow backend. The churn alone changes it.
+// churningBackend is the state of one hollow backend. It is owned by churn.
 type churningBackend struct {
 	Backend
 	phase       phase
-	startedAtMs int64 // Unix milliseconds of the present process
-	version     int64 // that it was told last
+	startedAtMs int64 // Unix milliseconds; identifies the backend's current process
+	version     int64 // of the last answer
 	incarnation int
-	due         time.Duration // when it calls next
-	index       int           // in the queue; -1: not there
-	calling     bool          // a call is under way
+	due         time.Duration // time of the next call
+	index       int           // in the queue; -1: not queued
+	calling     bool          // a call is in flight
 }
 
-// churnSettings are how hollow backends behave.
+// churnSettings configures the behavior of hollow backends.
 type churnSettings struct {
 	RenewInterval     time.Duration // between two renewals
 	DrainTime         time.Duration
 	DownTime          time.Duration
-	RegistrationsPerS float64 // registrations a second at the start
+	RegistrationsPerS float64 // at the start of the run
 }
 
-// Pauses before a call that failed is made again.
+// Bounds of the delay before a failed call is retried.
 const (
 	minRetryDelay = 300 * time.Millisecond
 	maxRetryDelay = 1500 * time.Millisecond
 )
 
-// churn decides which hollow backend calls when. It is a state machine: all times are of
-// the caller's monotonic clock, but for the start of a process, which is Unix time.
+// churn is a state machine that schedules the registry calls of hollow backends. Its times are
+// relative to the caller's monotonic clock, except for start times of processes, which are in
+// Unix milliseconds.
 type churn struct {
 	settings     churnSettings
 	random       *rand.Rand
 	backends     []*churningBackend
 	serving      int
 	queue        dueQueue
-	restartsPerS float64       // a second
-	nextRestart  time.Duration // the next restart
+	restartsPerS float64
+	nextRestart  time.Duration // time of the next restart
 }
 
 func newChurn(backends []Backend, settings churnSettings, random *rand.Rand) *churn {
@@ -84,21 +85,22 @@
 	return c
 }
 
-// start lets the backends register, spread over time.
+// start schedules the first registration of each backend, at the configured rate.
 func (c *churn) start(now time.Duration, startedAtMs int64) {
 	for n, backend := range c.backends {
 		c.join(backend, now+time.Duration(float64(n)/c.settings.RegistrationsPerS*float64(time.Second)), startedAtMs)
 	}
 }
 
-// join begins a life of a backend, which registers at a moment.
+// join begins a new incarnation of a backend, which registers at the given time.
 func (c *churn) join(backend *churningBackend, at time.Duration, startedAtMs int64) {
 	backend.incarnation++
 	backend.phase, backend.startedAtMs, backend.calling = phaseJoining, max(startedAtMs, backend.startedAtMs+1), false
 	c.schedule(backend, at)
 }
 
-// stop ends the chosen backends without a word, as a lost machine does.
+// stop stops the selected backends without deregistering them, as a machine failure does, and
+// returns their number.
 func (c *churn) stop(selected func(Backend) bool) (stopped int) {
 	for _, backend := range c.backends {
 		if backend.phase != phaseStopped && selected(backend.Backend) {
@@ -112,7 +114,8 @@
 	return stopped
 }
 
-// resume lets the chosen backends that were stopped register anew, all at once.
+// resume schedules immediate registration of the selected backends that are stopped, and
+// returns their number.
 func (c *churn) resume(now time.Duration, startedAtMs int64, selected func(Backend) bool) (resumed int) {
 	for _, backend := range c.backends {
 		if backend.phase == phaseStopped && selected(backend.Backend) {
@@ -123,21 +126,21 @@
 	return resumed
 }
 
-// setRestarts changes how many backends restart in a second.
+// setRestarts sets the number of restarts per second.
 func (c *churn) setRestarts(now time.Duration, perS float64) {
 	if c.restartsPerS = perS; perS > 0 {
 		c.nextRestart = now + c.restartInterval()
 	}
 }
 
-// restartGap is drawn, so that restarts do not fall together with the drains and the
-// registrations of those before them.
+// restartInterval returns a random time until the next restart, so that restarts do not
+// synchronize with the drains and registrations of earlier ones.
 func (c *churn) restartInterval() time.Duration {
 	mean := time.Duration(float64(time.Second) / c.restartsPerS)
 	return c.between(mean/2, mean+mean/2)
 }
 
-// settled says whether every backend that is not stopped serves.
+// settled reports whether all backends that are not stopped serve.
 func (c *churn) settled() bool {
 	running := 0
 	for _, b := range c.backends {
@@ -148,7 +151,7 @@
 	return c.serving == running
 }
 
-// wake is when something is due; ok is false where nothing is.
+// nextDue returns the time of the next call or restart; ok is false if none is scheduled.
 func (c *churn) nextDue() (at time.Duration, ok bool) {
 	if len(c.queue) > 0 {
 		at, ok = c.queue[0].due, true
@@ -159,7 +162,7 @@
 	return at, ok
 }
 
-// calls returns those that are due.
+// dueCalls removes the calls that are due from the queue and returns them.
 func (c *churn) dueCalls(now time.Duration) (due []call) {
 	for c.restartsPerS > 0 && c.nextRestart <= now {
 		c.nextRestart += c.restartInterval()
@@ -183,7 +186,7 @@
 	return due
 }
 
-// restart lets one backend drain that serves and has no call under way.
+// restart drains a random backend that serves and has no call in flight.
 func (c *churn) restart(now time.Duration) {
 	const maxAttempts = 50
 	for range maxAttempts {
@@ -197,7 +200,7 @@
 	}
 }
 
-// answered takes in how a call went, and says whether the list has changed by it.
+// handleResult processes the result of a call and reports whether the call changed the list.
 func (c *churn) handleResult(now time.Duration, startedAtMs int64, outgoing call, status int, version int64) (changed bool) {
 	backend := outgoing.backend
 	if backend.incarnation != outgoing.incarnation {
@@ -209,20 +212,20 @@
 		changed = version != backend.version
 		backend.version = version
 		c.advance(backend, now, outgoing.kind, startedAtMs)
-	case status == 404 && outgoing.kind == callRenew: // its lease ran out
+	case status == 404 && outgoing.kind == callRenew: // its lease has expired
 		c.uncountServing(backend)
 		backend.phase = phaseJoining
 		c.schedule(backend, now)
-	case status == 404 || status == 409: // it has left, or the list knows a later start
+	case status == 404 || status == 409: // it has left, or the registry knows a later start
 		c.uncountServing(backend)
 		c.join(backend, now+c.between(minRetryDelay, maxRetryDelay), startedAtMs)
-	default: // nobody answers now
+	default: // temporary failure
 		c.schedule(backend, now+c.between(minRetryDelay, maxRetryDelay))
 	}
 	return changed
 }
 
-// advance goes on after a call that was answered well.
+// advance moves a backend to its next state after a successful call.
 func (c *churn) advance(backend *churningBackend, now time.Duration, kind callKind, startedAtMs int64) {
 	switch kind {
 	case callRegister:
@@ -265,7 +268,7 @@
 	}
 }
 
-// dueQueue has the backends by when they call next.
+// dueQueue is a heap of backends, ordered by the time of their next call.
 type dueQueue []*churningBackend
 
 func (q dueQueue) Len() int           { return len(q) }
@@ -288,7 +291,7 @@
 	return backend
 }
 
-// registration is the body of a call that registers.
+// registration is the body of a registration call.
 type registration struct {
 	HostPort    string `json:"hostPort"`
 	Zone        string `json:"zone"`
@@ -299,7 +302,7 @@
 	Region      string `json:"region,omitempty"`
 }
 
-// ownCall is the body of the other calls.
+// lifecycleCall is the body of renewals and drain calls.
 type lifecycleCall struct {
 	StartedAtMs int64              `json:"startedAtMs"`
 	Lifecycle   registry.Lifecycle `json:"lifecycle,omitempty"`
--- a/internal/scale/churn_test.go
+++ b/internal/scale/churn_test.go
@@ -8,8 +8,8 @@
 	"dunlintray/internal/registry"
 )
 
-// answerAll answers each call that is due up to an end as a list service would, with
-// versions that go on, and returns the calls by kind.
+// answerDueCalls answers all calls that are due until the given time, as a registry does, with
+// increasing versions. It returns the number of calls by kind.
 func answerDueCalls(t *testing.T, churning *churn, until time.Duration, version *int64) map[callKind]int {
 	t.Helper()
 	counts := map[callKind]int{}
@@ -52,7 +52,7 @@
 	for kind, n := range answerDueCalls(t, churning, 15*time.Second, &version) {
 		counts[kind] += n
 	}
-	restarts := counts[callDrain] // at drawn moments
+	restarts := counts[callDrain] // at random times
 	if restarts < 90 || restarts > 110 || counts[callLeave] != restarts || counts[callRegister] != restarts || !churning.settled() {
 		t.Errorf("%v, settled %v", counts, churning.settled())
 	}
@@ -126,7 +126,7 @@
 	life := &gatewayLife{updates: []receivedUpdate{{4, 5e6}, {6, 14e6}, {8, 20.5e6}}}
 	var got Latency
 	life.addLatencies(gateway, changes, &got)
-	// 3 was on its first list, 6 is of another service, and 9 never came.
+	// Version 3 is in the first list, 6 is of another service, and 9 never arrived.
 	if got.Count() != 2 || got.Missing != 1 || got.Max != 4*time.Millisecond || got.Counts[4] != 1 || got.Counts[0] != 1 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/scale/config.go
+++ b/internal/scale/config.go
@@ -9,10 +9,10 @@
 	"dunlintray/internal/scenario"
 )
 
-// object is a JSON object; its keys are written in order.
+// jsonObject is a JSON object under construction.
 type jsonObject = map[string]any
 
-// serviceConfig is the configuration of a list service.
+// serviceConfig returns the configuration file of the registry process at index.
 func (p *Plan) serviceConfig(index int, dir string) ([]byte, error) {
 	service := &p.Services[index]
 	config := jsonObject{"listen": service.Listen, "control": service.Control, "lease_ms": p.Scenario.Fleet.Lease.Std().Milliseconds(),
@@ -40,22 +40,22 @@
 	return json.MarshalIndent(config, "", " ")
 }
 
-// What a list service may have beside what the scenario says.
+// Limits of a registry process beyond the scenario's own numbers.
 const (
 	spareInstances      = 100
-	listReadsPerS       = 100 // as the list service's own default
+	listReadsPerS       = 100 // the registry's default
 	minSubscribedScopes = 4096
 )
 
-// Of a gateway's configuration that no hollow one uses.
+// Settings that the gateway's configuration requires and hollow gateways do not use.
 const (
 	gatewaySockets    = 4096
 	gatewayMemoryMB   = 64
-	datagramLimitPerS = 100 // that a gateway takes in; as the emulator's default
+	datagramLimitPerS = 100 // received; the emulator's default
 )
 
-// gatewayConfig is the configuration of a hollow gateway, or of a real one, which has the
-// numbers behind the hollow ones. The fleet of the settings is what the membership knows.
+// gatewayConfig returns the configuration of a hollow gateway, or of a real one; real gateways
+// are numbered after the hollow ones. Only hollow gateways take part in the membership.
 func (p *Plan) gatewayConfig(number int, place Place, scopes []registry.Scope) ([]byte, error) {
 	fleet := &p.Scenario.Fleet
 	emulation := scenario.Default()
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// There is no counter, and the gateway may read a part of the list.
+	// A run has no counter service, and a gateway may read only a part of the list.
 	var config jsonObject
 	if err := json.Unmarshal(text, &config); err != nil {
 		return nil, err
@@ -86,7 +86,7 @@
 	delete(config, "counter")
 	delete(config, "peers_all")
 	if len(scopes) > 0 && realIndex >= 0 {
-		config["scopes"] = []string{scopes[0].String()} // a gateway that serves has one service
+		config["scopes"] = []string{scopes[0].String()} // a real gateway serves one service
 	}
 	if size := p.Scenario.Reading.Subset; size > 0 {
 		config["subset"] = jsonObject{"size": size}
@@ -94,7 +94,8 @@
 	return json.Marshal(config)
 }
 
-// hostConfigs are the configurations of the processes of hollow gateways and backends.
+// hostConfigs returns the configurations of the processes of hollow gateways and of hollow
+// backends.
 func (p *Plan) hostConfigs() (gateways, backends []HostConfig, err error) {
 	spec := p.Scenario
 	for host := range p.GatewayHosts {
@@ -121,5 +122,5 @@
 	return gateways, backends, nil
 }
 
-// renewals is how often a backend renews in a lease.
+// renewalsPerLease is the number of renewals that a backend sends per lease period.
 const renewalsPerLease = 3
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -6,44 +6,45 @@
 	"slices"
 )
 
-// Point is a measurement: of a quantity X, and of another one Z where two were varied.
+// Point is a measurement Y at size X of a quantity and, if a second quantity varies, at size Z
+// of it.
 type Point struct{ X, Z, Y float64 }
 
-// Form is how a figure depends on one or two quantities.
+// Form is the shape of a metric's dependence on one or two quantities.
 type Form string
 
-// The forms.
+// Values of Form.
 const (
 	Constant Form = "constant"
 	Linear   Form = "linear"
-	Product  Form = "product" // of the two quantities
-	Sum      Form = "sum"     // of a linear part of each
-	Bent     Form = "bent"    // linear, with another slope from a point on
-	Unclear  Form = "unclear" // none of these fits
+	Product  Form = "product" // linear in X·Z
+	Sum      Form = "sum"     // linear in X and in Z
+	Bent     Form = "bent"    // piecewise linear in X with two slopes
+	Unclear  Form = "unclear" // no form fits
 )
 
-// Fit is a form with its coefficients: Y = Base + Slope·X, or Base + Slope·X·Z, or
-// Base + Slope·X + Other·Z; behind a bend, the slope in X is Other.
+// Fit is a form with its coefficients: Y = Base + Slope·X, or Base + Slope·X·Z, or Base +
+// Slope·X + SecondSlope·Z. For Bent, SecondSlope is the slope in X above Bend.
 type Fit struct {
 	Form        Form    `json:"form"`
 	Base        float64 `json:"base"`
 	Slope       float64 `json:"slope"`
 	SecondSlope float64 `json:"other,omitempty"`
-	Bend        float64 `json:"bend,omitempty"` // X at the bend
+	Bend        float64 `json:"bend,omitempty"` // X at which the slope changes
 	Residual    float64 `json:"residual"`       // root mean square, relative to each point's Y
-	MaxResidual float64 `json:"worst"`          // the largest, relative
+	MaxResidual float64 `json:"worst"`          // relative
 }
 
 // Tolerances of a fit.
 const (
-	fitTolerance          = 0.15 // relative root mean square residual that a form may leave
-	residualFloorFraction = 0.02 // of the largest Y: a residual is never taken relative to less
-	minImprovement        = 2.0  // a form with more coefficients must leave so much less
+	fitTolerance          = 0.15 // maximum relative root mean square residual
+	residualFloorFraction = 0.02 // of the largest Y: minimum that residuals are relative to
+	minImprovement        = 2.0  // factor by which a form with more coefficients must reduce the residual
 	minBendPoints         = 4    // points
-	constantRange         = 0.15 // what Y may differ in all, relative, to be constant whatever the noise
+	constantRange         = 0.15 // maximum relative range of Y that counts as constant
 )
 
-// At is the figure that the fit expects.
+// At returns the fitted value at x and z.
 func (f Fit) At(x, z float64) float64 {
 	switch f.Form {
 	case Constant:
@@ -73,8 +74,8 @@
 	return fmt.Sprintf("bent at %.4g: %.4g + %.4g x up to it, then %.4g x; %s", f.Bend, f.Base, f.Slope, f.SecondSlope, residual)
 }
 
-// FitOne fits a figure of one quantity: constant, linear, or bent, the first of these
-// that holds within the tolerance and is not much worse than the next.
+// FitOne fits a metric of one quantity. It returns the first of constant, linear and bent that
+// is within the tolerance and not much worse than the next form, or Unclear.
 func FitOne(points []Point) Fit {
 	points = slices.Clone(points)
 	slices.SortFunc(points, func(a, b Point) int { return compare(a.X, b.X) })
@@ -93,7 +94,7 @@
 	return linear
 }
 
-// bestBend fits two slopes that meet at one of the points. What goes up and down is no bend.
+// bestBend fits two slopes that meet at one of the points and have the same sign.
 func bestBend(points []Point) (best Fit, ok bool) {
 	if len(points) < minBendPoints {
 		return best, false
@@ -107,7 +108,7 @@
 	return best, ok
 }
 
-// FitTwo fits a figure of two quantities.
+// FitTwo fits a metric of two quantities.
 func FitTwo(points []Point) Fit {
 	constant := solve(points, Constant, 0, func(Point) []float64 { return []float64{1} })
 	if spread(points) <= constantRange {
@@ -118,7 +119,7 @@
 	product := solve(points, Product, 0, func(p Point) []float64 { return []float64{1, p.X * p.Z} })
 	sum := solve(points, Sum, 0, func(p Point) []float64 { return []float64{1, p.X, p.Z} })
 	best := constant
-	for _, candidate := range []Fit{linear, linearInZ, product} { // as many coefficients
+	for _, candidate := range []Fit{linear, linearInZ, product} { // forms with two coefficients
 		if candidate.Residual < constant.Residual/minImprovement && candidate.Residual < best.Residual {
 			best = candidate
 		}
@@ -142,7 +143,7 @@
 	return 0
 }
 
-// spread is by how much the figures differ, relative to their mean.
+// spread returns the range of Y, relative to its mean.
 func spread(points []Point) float64 {
 	lowest, highest, sum := math.Inf(1), math.Inf(-1), 0.0
 	for _, p := range points {
@@ -154,8 +155,8 @@
 	return (highest - lowest) / math.Abs(sum/float64(len(points)))
 }
 
-// solve finds the coefficients that leave the least sum of squares, each residual
-// relative to its point, so that small sizes count as much as large ones.
+// solve fits the coefficients of a form by least squares. Residuals are relative to each
+// point's Y, so that small sizes count as much as large ones.
 func solve(points []Point, form Form, bend float64, terms func(Point) []float64) Fit {
 	maxAbs := 0.0
 	for _, p := range points {
@@ -165,7 +166,7 @@
 		return 1 / max(math.Abs(p.Y), residualFloorFraction*maxAbs, math.SmallestNonzeroFloat64*1e16)
 	}
 	unknowns := len(terms(Point{}))
-	matrix := make([][]float64, unknowns) // normal equations, with the right side as the last column
+	matrix := make([][]float64, unknowns) // normal equations, augmented with the right-hand side
 	for row := range matrix {
 		matrix[row] = make([]float64, unknowns+1)
 	}
@@ -196,8 +197,8 @@
 	return fit
 }
 
-// eliminate solves linear equations by Gauss's method; an unknown that they leave open
-// is 0.
+// eliminate solves a system of linear equations by Gaussian elimination. Undetermined unknowns
+// are 0.
 func eliminate(matrix [][]float64) []float64 {
 	size := len(matrix)
 	for column := range size {
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// made returns points of a figure at sizes, each off by up to a share of it.
+// noisyPoints returns points at the given sizes, each off by up to the fraction noise of its
+// value.
 func noisyPoints(sizes []float64, noise float64, value func(x float64) float64) (all []Point) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, x := range sizes {
--- a/internal/scale/follow.go
+++ b/internal/scale/follow.go
@@ -9,20 +9,21 @@
 	"dunlintray/internal/registry"
 )
 
-// update is one answer that told a gateway something new.
+// receivedUpdate records that a gateway received an update of the list.
 type receivedUpdate struct {
 	version    int64
 	receivedAt int64 // Unix nanoseconds
 }
 
-// life is what one process of a hollow gateway was told, from its first list to its end.
+// gatewayLife records the updates that a hollow gateway received between a start and the
+// following stop.
 type gatewayLife struct {
 	updates []receivedUpdate
-	endedAt int64 // Unix nanoseconds; 0: it goes on
+	endedAt int64 // Unix nanoseconds; 0: still running
 }
 
-// latency counts how long changes took from their answer to a gateway that reads a part
-// of the list. The changes are in the order of their versions.
+// addLatencies adds to total the time from each change that gateway reads until gateway
+// received it. changes must be sorted by version.
 func (l *gatewayLife) addLatencies(gateway Gateway, changes []Change, total *Latency) {
 	if len(l.updates) == 0 {
 		return
@@ -45,7 +46,7 @@
 	}
 }
 
-// sortChanges orders changes by version.
+// sortChanges sorts changes by version.
 func sortChanges(all []Change) {
 	slices.SortFunc(all, func(a, b Change) int {
 		switch {
@@ -58,7 +59,7 @@
 	})
 }
 
-// digest is the sum over instances of a hash of each, so that their order is all one.
+// digest is the sum of the hashes of a set of instances; it does not depend on their order.
 type digest uint64
 
 func (d *digest) add(id string, lifecycle registry.Lifecycle) {
@@ -69,7 +70,7 @@
 	*d += digest(hash.Sum64())
 }
 
-// share is a part of a list: how many instances, and their digest.
+// listPart summarizes a part of the list.
 type listPart struct {
 	count  int
 	digest digest
@@ -80,7 +81,8 @@
 	s.digest.add(instance.ID, instance.Lifecycle)
 }
 
-// shares are the parts of the writer's list that gateways can read.
+// listParts summarizes the writer's list as a whole and for each scope that a gateway can
+// read.
 type listParts struct {
 	version int64
 	whole   listPart
@@ -100,8 +102,8 @@
 	return parts
 }
 
-// of is what a gateway holds that has the writer's list. Its scopes are of different
-// services, so that none has a part of another.
+// expectedView returns the view of a gateway that holds the writer's list. The gateway's
+// scopes must be of different services, so that they do not overlap.
 func (s *listParts) expectedView(gateway Gateway) View {
 	sum := s.whole
 	if len(gateway.Scopes) > 0 {
--- a/internal/scale/gateways.go
+++ b/internal/scale/gateways.go
@@ -12,28 +12,28 @@
 	"dunlintray/internal/registry"
 )
 
-// gatewayFleet are the hollow gateways of a process.
+// gatewayFleet runs the hollow gateways of a process.
 type gatewayFleet struct {
 	all              []*hollowGateway
-	synced           atomic.Int64 // those with a list
+	synced           atomic.Int64 // gateways that have received a list
 	updates          atomic.Int64
 	updatedInstances atomic.Int64
 
 	wg  sync.WaitGroup
-	mu  sync.Mutex // of what follows
+	mu  sync.Mutex // guards ctx
 	ctx context.Context
 }
 
-// hollow is one hollow gateway, over all its lives.
+// hollowGateway is one hollow gateway over all its restarts.
 type hollowGateway struct {
 	HostedGateway
 	fleet *gatewayFleet
 
 	mu      sync.Mutex
 	lives   []*gatewayLife
-	gateway *gateway.Hollow // of the present life; nil: it is stopped
+	gateway *gateway.Hollow // nil while the gateway is stopped
 	stop    context.CancelFunc
-	done    chan struct{} // closed when the present life has ended
+	done    chan struct{} // closed when the current life has ended
 }
 
 func newGatewayFleet(config *GatewayHost) (*gatewayFleet, error) {
@@ -52,7 +52,7 @@
 	f.mu.Unlock()
 	for _, hollow := range f.all {
 		if err := hollow.start(ctx); err != nil {
-			panic(err) // of a configuration that this program wrote
+			panic(err) // the run wrote the configuration
 		}
 	}
 	for ctx.Err() == nil && int(f.synced.Load()) < len(f.all) {
@@ -66,7 +66,7 @@
 	f.wg.Wait()
 }
 
-// start begins a life of the gateway.
+// start begins a new life of the gateway.
 func (h *hollowGateway) start(ctx context.Context) error {
 	life := &gatewayLife{}
 	running, err := gateway.NewHollow(h.Config, h.Scopes, func(update registry.Update) { h.recordUpdate(life, update) })
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// heard takes note of an answer.
+// recordUpdate records an update that the gateway received.
 func (h *hollowGateway) recordUpdate(life *gatewayLife, update registry.Update) {
 	now := time.Now().UnixNano()
 	h.fleet.updates.Add(1)
@@ -101,7 +101,7 @@
 	life.updates = append(life.updates, receivedUpdate{update.Generation, now})
 }
 
-// end ends the present life, as a kill does: nobody is told.
+// kill ends the current life without notifying the registry or other gateways.
 func (h *hollowGateway) kill() {
 	h.mu.Lock()
 	stop, done := h.stop, h.done
@@ -147,7 +147,7 @@
 	for _, hollow := range f.all {
 		hollow.mu.Lock()
 		for _, life := range hollow.lives {
-			sample.HeapBytes -= uint64(cap(life.updates)) * uint64(unsafe.Sizeof(receivedUpdate{})) // the measurement's own
+			sample.HeapBytes -= uint64(cap(life.updates)) * uint64(unsafe.Sizeof(receivedUpdate{})) // records of the measurement itself
 		}
 		running := hollow.gateway
 		hollow.mu.Unlock()
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// mostLine is the longest line of what processes tell each other.
+// maxLineBytes limits a line of the protocol between a run and its host processes.
 const maxLineBytes = 64 << 20
 
-// hosted is what a process has: hollow gateways or backends.
+// workload is the set of hollow gateways or backends of a process.
 type workload interface {
 	run(ctx context.Context, ready func(), changed func([]Change))
 	execute(c Command)
@@ -25,9 +25,9 @@
 	latency(changes []Change) *Latency
 }
 
-// RunHost is a process of hollow gateways or backends: it reads its configuration and
-// then commands from in, a line each, and reports to out. It ends with ctx, or when in
-// does, as it does when the program that started it has ended.
+// RunHost runs a process of hollow gateways or backends. It reads its configuration and then
+// commands from in, one per line, and writes reports to out. It returns when ctx is done or in
+// ends, so that it does not outlive the program that started it.
 func RunHost(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<16)
 	text, err := readLine(lines)
@@ -106,7 +106,7 @@
 	}
 }
 
-// readLine reads a line of bounded length.
+// readLine reads a line of at most maxLineBytes.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
@@ -123,7 +123,7 @@
 	}
 }
 
-// reporter writes reports, whole lines each.
+// reporter writes reports to a stream, one per line. It is safe for concurrent use.
 type reporter struct {
 	mu        sync.Mutex
 	out       *json.Encoder
@@ -134,20 +134,20 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.out.Encode(report) != nil {
-		r.onFailure() // nobody listens any more
+		r.onFailure() // the reader has gone
 	}
 }
 
-// held is what the process holds after a collection: heap and stacks.
+// heldBytes returns the size of heap and stacks after a garbage collection.
 func heldBytes() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what finalizers let go
+	runtime.GC() // collects what the finalizers of the first run released
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// use fills in what the process has used.
+// fillUsage sets the resource usage of the process in sample.
 func fillUsage(sample *Sample, collect bool) {
 	if collect {
 		runtime.GC()
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -9,14 +9,13 @@
 	"time"
 )
 
-// load is a little traffic through real gateways: requests at a steady rate, on
-// connections that are kept.
+// load sends requests to real gateways at a steady rate over kept-alive connections.
 type load struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu       sync.Mutex
-	statuses map[int]int64 // answers by status; 0: no answer
+	statuses map[int]int64 // by status; 0: no answer
 }
 
 const (
@@ -24,7 +23,7 @@
 	loadWorkers = 16
 )
 
-// startLoad spreads requests over gateways until stop is called.
+// startLoad distributes requests over the gateways until stop is called.
 func startLoad(gateways []string, requestsPerS float64) *load {
 	ctx, cancel := context.WithCancel(context.Background())
 	traffic := &load{cancel: cancel, statuses: map[int]int64{}}
@@ -63,7 +62,8 @@
 	return traffic
 }
 
-// ask makes one request of the class and a plan that the gateways' settings have.
+// sendRequest sends a request with a class and a plan that the gateways' settings define. It
+// returns the status of the answer, or 0 without one.
 func sendRequest(ctx context.Context, client *http.Client, gateway string, sequence int) (status int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+gateway+"/browse", nil)
 	if err != nil {
@@ -89,7 +89,7 @@
 	l.statuses[status]++
 }
 
-// stop ends the load and returns how requests were answered, by status.
+// stop ends the load and returns the number of answers by status; 0 stands for no answer.
 func (l *load) stop() map[int]int64 {
 	l.cancel()
 	l.wg.Wait()
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -11,29 +11,29 @@
 	"dunlintray/internal/registry"
 )
 
-// Place is a hollow gateway's or backend's: its number, zone and region.
+// Place is the number and the location of a hollow gateway or backend.
 type Place struct {
 	Number int    `json:"number"`
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
 }
 
-// Backend is one hollow backend.
+// Backend is a hollow backend.
 type Backend struct {
 	Place
 	Service string `json:"service"`
 }
 
-// ID is a backend's name on the list.
+// ID returns the backend's instance ID in the registry.
 func (b Backend) ID() string { return fmt.Sprintf("b-%06d", b.Number) }
 
-// Gateway is one hollow gateway and what it reads.
+// Gateway is a hollow gateway and the scopes that it reads.
 type Gateway struct {
 	Place
 	Scopes []registry.Scope `json:"scopes,omitempty"` // none: the whole list
 }
 
-// Reads says whether a backend is of the part of the list that the gateway reads.
+// Reads reports whether the gateway's scopes include the backend.
 func (g Gateway) Reads(backend Backend) bool {
 	instance := registry.Instance{Service: backend.Service, Region: backend.Region, Zone: backend.Zone}
 	for _, scope := range g.Scopes {
@@ -44,7 +44,7 @@
 	return len(g.Scopes) == 0
 }
 
-// Plan is a scenario laid out over processes and addresses.
+// Plan assigns processes and addresses to a scenario.
 type Plan struct {
 	Scenario     *Scenario
 	Services     []Service // members first
@@ -52,19 +52,19 @@
 	Backends     []Backend
 	GatewayHosts int
 	BackendHosts int
-	network      int // all addresses are in 127.net.0.0/16
+	network      int // all addresses are in 127.network.0.0/16
 }
 
-// Service is one list service's process.
+// Service is a registry process.
 type Service struct {
 	Name         string
 	Region       string // of a follower
-	MemberNumber int    // its number in the group, from 1; 0: a follower
+	MemberNumber int    // in the group, from 1; 0: a follower
 	Listen       string
 	Control      string
-	Group        string // address of a member for the others
-	SourceIndex  int    // of a follower: the place among Services of the member that it copies
-	RelayListen  string // of a follower: where a relay to that member listens; empty: it calls the member itself
+	Group        string // listen address of a member for the other members
+	SourceIndex  int    // of a follower: index in Plan.Services of the member that it follows
+	RelayListen  string // of a follower: listen address of the relay to that member; empty: direct connection
 }
 
 // Ports of the processes.
@@ -76,7 +76,7 @@
 	portPeer      = 7946
 	portGateway   = 8081
 	portAnswers   = 8090
-	portClaim     = 8080 // as the emulator's plays have it: a run and a play never share a net
+	portClaim     = 8080 // shared with the emulator, so that a run and a play never use the same network
 	hostsPerBlock = 200  // addresses 1 to 200 of a /24
 )
 
@@ -92,10 +92,10 @@
 	return netip.MustParseAddrPort(p.address(4, gateway, portPeer))
 }
 
-// mostPeers is how many addresses there are for datagrams: the blocks from 4 to 254.
+// maxPeers is the number of addresses for membership datagrams, in the blocks from 4 to 254.
 const maxPeers = (255 - 4) * hostsPerBlock
 
-// NewPlan lays a scenario out in 127.net.0.0/16.
+// NewPlan assigns the processes of a scenario to addresses in 127.network.0.0/16.
 func NewPlan(scenario *Scenario, network int) *Plan {
 	plan := &Plan{Scenario: scenario, network: network}
 	for n := range scenario.Fleet.Members {
@@ -128,19 +128,19 @@
 
 func processCount(total, perProcess int) int { return (total + perProcess - 1) / perProcess }
 
-// places is the number of zones in all regions.
+// zoneCount returns the number of zones in all regions.
 func (s *Scenario) zoneCount() int { return s.Fleet.Regions * s.Fleet.Zones }
 
-// place is where the gateway or backend of a number stands: they are dealt out to the
-// zones in turn.
+// place returns the location of the gateway or backend with the given number. Zones are
+// assigned round-robin.
 func (s *Scenario) place(number int) Place {
 	slot := number % s.zoneCount()
 	region, zone := slot%s.Fleet.Regions, slot/s.Fleet.Regions
 	return Place{Number: number, Zone: zoneName(region, zone), Region: regionName(region)}
 }
 
-// scopesOf are those that the gateway of a number reads: services in a row, so that all
-// are read by about as many gateways.
+// scopesOf returns the scopes that the gateway with the given number reads. Consecutive
+// gateways read consecutive services, so that each service has about as many readers.
 func (s *Scenario) scopesOf(number int) (scopes []registry.Scope) {
 	for offset := range s.Reading.Services {
 		scopes = append(scopes, s.scope(s.place(number), (number*s.Reading.Services+offset)%s.Fleet.Services))
@@ -159,7 +159,7 @@
 	return scope
 }
 
-// cuts says whether a fault cuts a region off.
+// hasRegionCut reports whether a fault disconnects the region.
 func (s *Scenario) hasRegionCut(region string) bool {
 	for _, f := range s.Faults {
 		if f.Kind == FaultRegionCut && f.Region == region {
@@ -169,8 +169,8 @@
 	return false
 }
 
-// Registries are the list services that a gateway of a region reads from: its followers,
-// and the members where it has none.
+// Registries returns the addresses that a gateway of a region reads the list from: the
+// region's followers, or the members if it has none.
 func (p *Plan) Registries(region string) (all []string) {
 	for _, s := range p.Services {
 		if s.Region == region && s.MemberNumber == 0 {
@@ -183,7 +183,7 @@
 	return all
 }
 
-// Members are the addresses of the members' list services.
+// Members returns the registry addresses of the members.
 func (p *Plan) Members() (all []string) {
 	for _, s := range p.Services {
 		if s.MemberNumber > 0 {
@@ -193,41 +193,42 @@
 	return all
 }
 
-// Processes is how many processes a run has beside its own.
+// Processes returns the number of processes that a run starts.
 func (p *Plan) Processes() int {
 	return len(p.Services) + p.GatewayHosts + p.BackendHosts + p.Scenario.Fleet.RealGateways
 }
 
-// Estimates for what a run takes, as measured on the machines it was written on.
+// Resource estimates for a run.
 const (
 	serviceMemoryMB        = 40
 	hostMemoryMB           = 40
 	realGatewayMemoryMB    = 64
-	hollowGatewayKB        = 150 // of a hollow gateway, without its list
-	hollowGatewayBackendKB = 1.2 // KB of a hollow gateway for each backend that it holds
-	hollowGatewayPeerKB    = 0.5 // of a hollow gateway for each other with membership
+	hollowGatewayKB        = 150 // without its list
+	hollowGatewayBackendKB = 1.2 // for each backend that the gateway holds
+	hollowGatewayPeerKB    = 0.5 // for each other gateway, with membership
 	hollowBackendKB        = 1.5
-	serviceBackendKB       = 3.0 // KB of a list service for each backend
+	serviceBackendKB       = 3.0 // for each backend
 	baseFiles              = 200
-	hollowGatewayFiles     = 2 // of a hollow gateway: its watch, and another while it changes
+	hollowGatewayFiles     = 2 // descriptors: a watch, and another during reconnection
 	membershipFiles        = 1
-	maxMemoryFraction      = 0.5 // of the machine
+	maxMemoryFraction      = 0.5 // of the machine's memory
 	serviceSpareFiles      = 100
 )
 
-// connections is how many a list service must take: its readers, its followers, the
-// backends' processes and the run itself, with room for those that change over.
+// connectionLimit returns the number of connections that a registry process must accept: those
+// of its readers, its followers, the backend processes and the run, with a reserve for
+// reconnection.
 func (p *Plan) connectionLimit() int {
 	readers := 2*(p.Scenario.Fleet.Gateways+p.Scenario.Fleet.RealGateways) + len(p.Services)
 	return readers + 2*p.BackendHosts*p.Scenario.Hosts.Connections + serviceSpareFiles
 }
 
-// watchers is how many watches a list service must take.
+// watcherLimit returns the number of concurrent watches that a registry process must accept.
 func (p *Plan) watcherLimit() int {
 	return 2*(p.Scenario.Fleet.Gateways+p.Scenario.Fleet.RealGateways) + len(p.Services)
 }
 
-// held estimates how many backends a hollow gateway holds.
+// backendsPerGateway estimates the number of backends that a hollow gateway holds.
 func (p *Plan) backendsPerGateway() float64 {
 	scenario := p.Scenario
 	backends := float64(scenario.Fleet.Backends)
@@ -254,13 +255,13 @@
 	return totalKB/1024 + float64(serviceMemoryMB*len(p.Services)+hostMemoryMB*(p.GatewayHosts+p.BackendHosts+1)+realGatewayMemoryMB*fleet.RealGateways)
 }
 
-// Machine is what there is.
+// Machine is the capacity of a machine.
 type Machine struct {
 	MemoryMB float64
-	Files    int // descriptors of one process
+	Files    int // maximum open descriptors of a process
 }
 
-// ThisMachine reads what there is.
+// ThisMachine returns the capacity of the machine that the program runs on.
 func ThisMachine() (Machine, error) {
 	var machine Machine
 	var limit syscall.Rlimit
@@ -284,10 +285,11 @@
 	return machine, nil
 }
 
-// mostMemoryMB is what a run may use.
+// memoryLimitMB returns the memory that a run may use.
 func (m Machine) memoryLimitMB() float64 { return maxMemoryFraction * m.MemoryMB }
 
-// Fits says what a scenario asks that this machine does not have, or that no run may use.
+// CheckResources returns an error if the scenario needs more than this machine has, or more
+// than a run may use.
 func CheckResources(scenario *Scenario) error {
 	machine, err := ThisMachine()
 	if err != nil {
@@ -296,7 +298,8 @@
 	return NewPlan(scenario, firstNetwork).CheckResources(machine)
 }
 
-// Fits says what a plan asks that a machine does not have, or that no run may use.
+// CheckResources returns an error if the plan needs more than the machine has, or more than a
+// run may use.
 func (p *Plan) CheckResources(machine Machine) error {
 	var problems []error
 	fleet := &p.Scenario.Fleet
--- a/internal/scale/proc.go
+++ b/internal/scale/proc.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Use is what the system tells of a process.
+// ResourceUsage is the usage of a process as /proc reports it.
 type ResourceUsage struct {
-	CPU                     time.Duration // user and system, in steps of clockTick
-	MemoryMB                float64       // resident
-	ReadBytes, WrittenBytes uint64        // bytes of read and write calls: sockets, and files such as logs
-	StoredBytes             uint64        // bytes written to storage
+	CPU                     time.Duration // user and system time, in units of clockTick
+	MemoryMB                float64       // resident set size
+	ReadBytes, WrittenBytes uint64        // by read and write calls, on sockets and on files
+	StoredBytes             uint64        // written to storage
 }
 
 // clockTick is the unit of processor time in /proc/PID/stat.
@@ -22,15 +22,15 @@
 
 var errMalformedStat = errors.New("its figures can't be read")
 
-// readUse reads the figures of a process; "self" is this one.
+// readUsage reads the usage of the process with the given ID; "self" is the calling process.
 func readUsage(pid string) (ResourceUsage, error) {
 	var usage ResourceUsage
 	stat, err := os.ReadFile("/proc/" + pid + "/stat")
 	if err != nil {
 		return usage, err
 	}
-	// The name, in parentheses, may hold anything; user and system time are the twelfth and
-	// thirteenth fields behind it.
+	// The command name is in parentheses and may contain spaces. User and system time are the
+	// twelfth and thirteenth fields after it.
 	_, rest, found := bytes.Cut(stat, []byte(") "))
 	fields := strings.Fields(string(rest))
 	const user, system = 11, 12
@@ -55,7 +55,7 @@
 	return usage, nil
 }
 
-// readKeys reads a file of lines "key: number".
+// readCounters reads a file of lines "key: number".
 func readCounters(path string) (map[string]uint64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -18,8 +18,8 @@
 	"dunlintray/internal/child"
 )
 
-// process is one of a run's, over all its lives. It is killed at the end of the run, and
-// by the system if the run is.
+// process is a child process of the run over all its restarts. It is killed at the end of the
+// run, and by the operating system if the run dies.
 type process struct {
 	name    string
 	role    string
@@ -28,10 +28,10 @@
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd
-	ended        chan struct{} // closed when the present life has ended
-	earlierUsage ResourceUsage // of the lives before the present one
-	lastUsage    ResourceUsage // of the present one, as it was last read
-	killed       bool          // the present life was ended by the run
+	ended        chan struct{} // closed when the current life has ended
+	earlierUsage ResourceUsage // of lives before the current one
+	lastUsage    ResourceUsage // of the current life, when last read
+	killed       bool          // the run ended the current life
 }
 
 func newProcess(name, role, dir string, starter *child.Starter) (*process, error) {
@@ -39,8 +39,8 @@
 	return p, os.MkdirAll(p.dir, 0o700)
 }
 
-// start begins a life. What the process writes goes to its log, but for standard output
-// where out is not nil.
+// start begins a new life. Standard error, and standard output if out is nil, are appended to
+// the process's log. died is called if the process ends without kill.
 func (p *process) start(cmd *exec.Cmd, out io.Writer, died func(*process, error)) error {
 	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -76,7 +76,7 @@
 
 func (p *process) logPath() string { return filepath.Join(p.dir, "log") }
 
-// use returns what the process has used, over all its lives.
+// usage returns the usage of the process, over all its lives.
 func (p *process) usage() ResourceUsage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +95,7 @@
 	return total
 }
 
-// kill ends the present life at once and waits for its end.
+// kill ends the current life and waits for its end.
 func (p *process) kill() {
 	p.usage()
 	p.mu.Lock()
@@ -114,7 +114,7 @@
 	<-ended
 }
 
-// lastWords are the end of what the process has written.
+// logTail returns the last lines of the process's log.
 func (p *process) logTail() string {
 	text, err := os.ReadFile(p.logPath())
 	if err != nil {
@@ -125,8 +125,7 @@
 	return string(bytes.Join(all[max(0, len(all)-maxLines):], []byte("\n")))
 }
 
-// host is a process of hollow gateways or backends, and the run's side of what they tell
-// each other.
+// host is a process of hollow gateways or backends, and the run's end of the protocol with it.
 type host struct {
 	*process
 	in      io.WriteCloser
@@ -136,12 +135,12 @@
 	latency chan *Latency
 }
 
-const reportTimeout = 60 * time.Second // for a report: a collection of garbage, or a look through all changes
+const reportTimeout = 60 * time.Second // includes a garbage collection, or a search through all changes
 
 var errNoReport = errors.New("it does not report")
 
-// startHost starts a process of hollow ones; changed is called with the changes that it
-// reports.
+// startHost starts a host process and sends its configuration. changed is called with the
+// changes that the process reports.
 func startHost(proc *process, command []string, config HostConfig, changed func([]Change), died func(*process, error)) (*host, error) {
 	started := &host{process: proc, ready: make(chan struct{}), samples: make(chan *Sample, 1), views: make(chan []View, 1), latency: make(chan *Latency, 1)}
 	cmd := exec.Command(command[0], command[1:]...)
@@ -194,7 +193,8 @@
 	return nil
 }
 
-// answerOf waits for a report.
+// awaitReport returns the next report of a kind, or an error if the process ends or does not
+// report within reportTimeout.
 func awaitReport[T any](source *host, reports <-chan T) (T, error) {
 	timer := time.NewTimer(reportTimeout)
 	defer timer.Stop()
@@ -222,7 +222,7 @@
 	return awaitReport(h, h.views)
 }
 
-// changesInLine is how many changes a process is told in one line.
+// maxChangesPerLine limits the number of changes in one command.
 const maxChangesPerLine = 10_000
 
 func (h *host) readLatency(changes []Change) (*Latency, error) {
--- a/internal/scale/protocol.go
+++ b/internal/scale/protocol.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// HostConfig is what a process of hollow gateways or backends is told at its start, on
-// the first line of its standard input.
+// HostConfig configures a process of hollow gateways or backends. It is the first line of the
+// process's standard input.
 type HostConfig struct {
 	Name     string       `json:"name"`
 	Seed     uint64       `json:"seed"`
@@ -15,22 +15,22 @@
 	Backends *BackendHost `json:"backends,omitempty"`
 }
 
-// GatewayHost is a process of hollow gateways.
+// GatewayHost configures a process of hollow gateways.
 type GatewayHost struct {
 	Gateways []HostedGateway `json:"gateways"`
 }
 
-// HostedGateway is one of them.
+// HostedGateway is one hollow gateway of a GatewayHost.
 type HostedGateway struct {
 	Gateway
-	Config json.RawMessage `json:"config"` // as a gateway's file has it
+	Config json.RawMessage `json:"config"` // the gateway's configuration file
 }
 
-// BackendsHost is a process of hollow backends.
+// BackendHost configures a process of hollow backends.
 type BackendHost struct {
 	Backends          []Backend     `json:"backends"`
-	Members           []string      `json:"members"` // list services that they call
-	AnswerAddress     string        `json:"answers"` // where all of them answer requests
+	Members           []string      `json:"members"` // addresses of the registry members
+	AnswerAddress     string        `json:"answers"` // address at which all backends of the process answer requests
 	Connections       int           `json:"connections"`
 	RenewInterval     time.Duration `json:"renew"`
 	DrainTime         time.Duration `json:"drain"`
@@ -38,29 +38,31 @@
 	RegistrationsPerS float64       `json:"register"`
 }
 
-// Command is one line that a process of hollow ones is told.
+// Command is one line sent to a process of hollow gateways or backends. One of its fields is
+// set.
 type Command struct {
-	RestartsPerS *float64       `json:"restarts,omitempty"` // backends restart so often in a second
-	Stop         *Selection     `json:"stop,omitempty"`     // without a word
+	RestartsPerS *float64       `json:"restarts,omitempty"` // restarts of backends per second
+	Stop         *Selection     `json:"stop,omitempty"`     // stop without deregistering
 	Resume       *Selection     `json:"resume,omitempty"`
 	Sample       *SampleRequest `json:"sample,omitempty"`
-	Views        bool           `json:"views,omitempty"`   // tell what gateways hold
-	Changes      []Change       `json:"changes,omitempty"` // tell when the gateways heard of these
-	Latency      bool           `json:"latency,omitempty"` // the changes are complete
+	Views        bool           `json:"views,omitempty"`   // request a report of what the gateways hold
+	Changes      []Change       `json:"changes,omitempty"` // append these changes to those of the next latency report
+	Latency      bool           `json:"latency,omitempty"` // request a latency report; all changes have been sent
 }
 
-// Sampler asks for a sample.
+// SampleRequest requests a Sample.
 type SampleRequest struct {
-	Collect bool `json:"collect"` // after a collection of garbage, so that what is held is told
+	Collect bool `json:"collect"` // run the garbage collector first, so that the sample shows retained memory
 }
 
-// Chosen are hollow gateways and backends.
+// Selection selects hollow gateways and backends. A unit that matches any of its fields is
+// selected.
 type Selection struct {
-	Gateways    int    `json:"gateways"` // with numbers below it
+	Gateways    int    `json:"gateways"` // gateways with numbers below this
 	Backends    int    `json:"backends"`
 	Zone        string `json:"zone,omitempty"`
-	Region      string `json:"region,omitempty"` // gateways alone
-	AllGateways bool   `json:"all,omitempty"`    // gateways alone
+	Region      string `json:"region,omitempty"` // gateways only
+	AllGateways bool   `json:"all,omitempty"`    // all gateways, no backends
 }
 
 func (c *Selection) includesGateway(p Place) bool {
@@ -71,19 +73,20 @@
 	return b.Number < c.Backends || c.Zone != "" && b.Zone == c.Zone
 }
 
-// Change is one of the list that a backend was answered.
+// Change is a change of the list that the registry acknowledged to a backend.
 type Change struct {
 	Version    int64  `json:"v"`
-	AnsweredAt int64  `json:"at"` // Unix nanoseconds of the answer
+	AnsweredAt int64  `json:"at"` // Unix nanoseconds
 	Backend    int    `json:"b"`
 	Service    string `json:"s"`
 	Zone       string `json:"z"`
 	Region     string `json:"r"`
 }
 
-// Report is one line that a process of hollow ones tells. One of its parts is there.
+// Report is one line sent by a process of hollow gateways or backends. One of its fields is
+// set.
 type Report struct {
-	Ready   bool     `json:"ready,omitempty"` // all are there: on the list, or with a list
+	Ready   bool     `json:"ready,omitempty"` // all backends are registered, or all gateways have a list
 	Changes []Change `json:"changes,omitempty"`
 	Sample  *Sample  `json:"sample,omitempty"`
 	Views   []View   `json:"views,omitempty"`
@@ -91,53 +94,55 @@
 	Failure string   `json:"failed,omitempty"`
 }
 
-// Sample is what a process of hollow ones has used since its start, and holds.
+// Sample is the resource usage of a process of hollow gateways or backends since its start,
+// and its current state.
 type Sample struct {
 	CPU              time.Duration `json:"cpu"`
 	Mallocs          uint64        `json:"mallocs"`
-	AllocatedBytes   uint64        `json:"allocated"` // bytes
-	HeapBytes        uint64        `json:"heap"`      // bytes in use, less what the measurement itself keeps
+	AllocatedBytes   uint64        `json:"allocated"` // cumulative
+	HeapBytes        uint64        `json:"heap"`      // in use, excluding the measurement's own records
 	StackBytes       uint64        `json:"stacks"`
-	BaselineBytes    uint64        `json:"empty"` // heap and stacks before the first hollow one
-	ReadBytes        uint64        `json:"in"`    // bytes read by system calls
+	BaselineBytes    uint64        `json:"empty"` // heap and stacks before the first hollow gateway or backend
+	ReadBytes        uint64        `json:"in"`    // by system calls
 	WrittenBytes     uint64        `json:"out"`
-	Updates          int64         `json:"told"`    // answers that told something new to gateways
-	UpdatedInstances int64         `json:"entries"` // instances in them
-	Calls            int64         `json:"calls"`   // of backends
-	Refused          int64         `json:"refused"` // of them, answered other than with 200, or not
-	Serving          int           `json:"serving"` // backends
-	Settled          bool          `json:"settled"` // every backend that was not stopped serves
-	Synced           int           `json:"listed"`  // gateways with a list
-	Writer           string        `json:"writer"`  // the list service that answers writes
+	Updates          int64         `json:"told"`    // received by gateways
+	UpdatedInstances int64         `json:"entries"` // instances in those updates
+	Calls            int64         `json:"calls"`   // made by backends
+	Refused          int64         `json:"refused"` // calls without an answer, or with a status other than 200
+	Serving          int           `json:"serving"` // serving backends
+	Settled          bool          `json:"settled"` // all backends that are not stopped serve
+	Synced           int           `json:"listed"`  // gateways that have received a list
+	Writer           string        `json:"writer"`  // address of the registry process that accepts writes
 	Members          MemberSample  `json:"members"`
 }
 
-// MemberSample is the membership of the gateways of a process, added up.
+// MemberSample sums up the membership statistics of the gateways of a process.
 type MemberSample struct {
 	Agents    int   `json:"agents"`
 	Sent      int64 `json:"sent"`
 	SentBytes int64 `json:"sentBytes"`
 	Received  int64 `json:"received"`
 	Dropped   int64 `json:"dropped"`
-	Present   int64 `json:"present"` // members that each holds present, added up
+	Present   int64 `json:"present"` // members considered present, summed over gateways
 }
 
-// View is what a gateway holds of the list.
+// View summarizes the list that a gateway holds.
 type View struct {
 	Gateway int    `json:"gateway"`
 	Version int64  `json:"version"`
 	Count   int    `json:"count"`
-	Digest  uint64 `json:"digest"` // of names and lifecycles
+	Digest  uint64 `json:"digest"` // of instance IDs and lifecycles
 }
 
-// Latency counts how long changes took to gateways.
+// Latency is a histogram of the time from the registry's answer to a change until a gateway
+// received the change.
 type Latency struct {
 	Counts  map[int]int64 `json:"counts"` // by milliseconds
 	Max     time.Duration `json:"most"`
-	Missing int64         `json:"missing"` // changes that a gateway was never told, one for each gateway
+	Missing int64         `json:"missing"` // pairs of a change and a gateway that did not receive it
 }
 
-// mostMillis is the last count, for all that took longer.
+// maxLatencyMs is the last bucket of Latency.Counts; it also counts longer times.
 const maxLatencyMs = 120_000
 
 func (l *Latency) add(took time.Duration) {
@@ -159,7 +164,7 @@
 	l.Missing += other.Missing
 }
 
-// All is how many there are.
+// Count returns the number of recorded times.
 func (l *Latency) Count() (n int64) {
 	for _, k := range l.Counts {
 		n += k
@@ -167,7 +172,8 @@
 	return n
 }
 
-// Quantile is the time that a share of them took at most, to the millisecond.
+// Quantile returns an upper bound of the given quantile, from 0 to 1, with a resolution of a
+// millisecond.
 func (l *Latency) Quantile(quantile float64) time.Duration {
 	rank := int64(math.Ceil(quantile * float64(l.Count())))
 	for ms := range maxLatencyMs + 1 {
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -9,54 +9,54 @@
 	"time"
 )
 
-// Result is what a run came to. Rates are of the measurement alone.
+// Result is the result of a run. Rates refer to the measurement.
 type Result struct {
 	Scenario     *Scenario        `json:"scenario"`
-	Seconds      float64          `json:"seconds"` // of the measurement
+	Seconds      float64          `json:"seconds"` // length of the measurement
 	Roles        []Role           `json:"roles"`
 	Gateway      HollowGateway    `json:"gateway"`
 	Backend      HollowBackend    `json:"backend"`
 	Membership   *Membership      `json:"membership,omitempty"`
-	Requests     map[int]int64    `json:"requests,omitempty"` // through real gateways, by status; 0: no answer
-	Changes      int              `json:"changes"`            // of the list, that backends were answered
-	VersionDelta int64            `json:"versions"`           // by which the list went on; more than changes where leases ran out
+	Requests     map[int]int64    `json:"requests,omitempty"` // to real gateways, by status of the answer; 0: no answer
+	Changes      int              `json:"changes"`            // of the list, acknowledged to backends
+	VersionDelta int64            `json:"versions"`           // increase of the list's version; above Changes if leases expired
 	Propagation  LatencySummary   `json:"told"`
 	Final        *FinalComparison `json:"final"`
-	PeakMB       float64          `json:"mostMB"` // of all processes at once
+	PeakMB       float64          `json:"mostMB"` // maximum memory of all processes together
 	Events       []string         `json:"marks,omitempty"`
 
-	// Unsettled says that not all backends served at the end: writes were not answered.
+	// Unsettled is true if not all backends served at the end, as their registry calls failed.
 	Unsettled bool `json:"unsettled,omitempty"`
 }
 
-// Role is what the processes of a role used, each, in the mean.
+// Role is the mean usage of the processes of a role.
 type Role struct {
 	Name            string  `json:"name"`
 	Processes       int     `json:"processes"`
-	CPUMsPerS       float64 `json:"cpuMsPerS"` // of processor time in a second
+	CPUMsPerS       float64 `json:"cpuMsPerS"` // milliseconds of processor time per second
 	MemoryMB        float64 `json:"memoryMB"`  // resident, at the end
 	InPerS          float64 `json:"inPerS"`    // bytes read
-	OutPerS         float64 `json:"outPerS"`   // bytes written, to storage too
+	OutPerS         float64 `json:"outPerS"`   // bytes written, including those to storage
 	StoredPerS      float64 `json:"storedPerS"`
-	AnswersPerS     float64 `json:"answersPerS"` // of a list service, to calls and watches
+	AnswersPerS     float64 `json:"answersPerS"` // of a registry process, to calls and watches
 	AnswerBytesPerS float64 `json:"answerBytesPerS"`
 }
 
-// HollowGateway is what one hollow gateway cost, in the mean.
+// HollowGateway is the mean usage of a hollow gateway.
 type HollowGateway struct {
 	CPUUsPerS       float64 `json:"cpuUsPerS"`
 	InPerS          float64 `json:"inPerS"` // bytes
 	OutPerS         float64 `json:"outPerS"`
-	UpdatesPerS     float64 `json:"toldPerS"`    // answers with news
-	InstancesPerS   float64 `json:"entriesPerS"` // instances in them
+	UpdatesPerS     float64 `json:"toldPerS"`    // updates of the list received
+	InstancesPerS   float64 `json:"entriesPerS"` // instances in those updates
 	AllocsPerS      float64 `json:"allocsPerS"`
-	AllocsPerChange float64 `json:"allocsPerChange"` // of the list, all of them that there were
+	AllocsPerChange float64 `json:"allocsPerChange"` // for each change of the list, whether the gateway reads it or not
 	AllocBytesPerS  float64 `json:"allocBytesPerS"`
 	HeldKB          float64 `json:"heldKB"` // heap and stacks
 	Backends        float64 `json:"backends"`
 }
 
-// HollowBackend is what one hollow backend cost, in the mean.
+// HollowBackend is the mean usage of a hollow backend.
 type HollowBackend struct {
 	CallsPerS    float64 `json:"callsPerS"`   // of all backends together
 	RefusedPerS  float64 `json:"refusedPerS"` // of all backends together
@@ -66,16 +66,17 @@
 	HeldKB       float64 `json:"heldKB"`
 }
 
-// Membership is what one gateway's part in it cost, in the mean.
+// Membership is the mean membership statistics of a hollow gateway.
 type Membership struct {
 	SentPerS      float64 `json:"sentPerS"` // datagrams
 	SentBytesPerS float64 `json:"sentBytesPerS"`
 	ReceivedPerS  float64 `json:"receivedPerS"`
 	DroppedPerS   float64 `json:"droppedPerS"`
-	Present       float64 `json:"present"` // members that one holds present, itself too
+	Present       float64 `json:"present"` // members considered present, including itself
 }
 
-// LatencySummary is the time from a change's answer to each gateway's news.
+// LatencySummary summarizes the time from the registry's answer to a change until each gateway
+// received it.
 type LatencySummary struct {
 	Count   int64         `json:"readings"`
 	P50     time.Duration `json:"p50"`
@@ -84,7 +85,7 @@
 	Missing int64         `json:"missing"`
 }
 
-// result puts a run's figures together.
+// result computes the result of the run from its snapshots.
 func (r *runner) result(before, after, collected *snapshot, final *FinalComparison, latency *Latency, changes []Change) *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +140,7 @@
 	return n
 }
 
-// addDifference adds what was used between two samples.
+// addDifference adds the usage between two samples to sum.
 func addDifference(sum, before, after *Sample) {
 	sum.CPU += after.CPU - before.CPU
 	sum.Mallocs += after.Mallocs - before.Mallocs
@@ -156,7 +157,7 @@
 	sum.Members.Dropped += after.Members.Dropped - before.Members.Dropped
 }
 
-// roles are the means over the processes of each role.
+// roles returns the mean usage of the processes of each role.
 func (r *runner) roles(before, after *snapshot, seconds float64) []Role {
 	var all []Role
 	add := func(name string, start, end ResourceUsage, answers, answerBytes int64) {
@@ -201,8 +202,8 @@
 	return all
 }
 
-// sinceCount is by how much a counter went on; one that began anew with its process counts
-// from 0.
+// counterDelta returns the increase of a counter. If the process restarted and its counter is
+// lower than before, the increase is its current value.
 func counterDelta(before, after serviceUsage, name string) int64 {
 	if after.counters[name] < before.counters[name] {
 		return after.counters[name]
@@ -210,7 +211,8 @@
 	return after.counters[name] - before.counters[name]
 }
 
-// Role returns the figures of a role; without processes of it, ok is false.
+// Role returns the usage of the role with the given name; ok is false if no process has the
+// role.
 func (r *Result) Role(name string) (role Role, ok bool) {
 	for _, role := range r.Roles {
 		if role.Name == name {
@@ -220,7 +222,7 @@
 	return Role{}, false
 }
 
-// Report writes the table.
+// Report writes the result as a table.
 func (r *Result) Report(out io.Writer) {
 	fleet := &r.Scenario.Fleet
 	fmt.Fprintf(out, "\n%s: %d hollow gateways before %d hollow backends in %d services, %d regions of %d zones; %d members, %d followers in each region, %d real gateways\n",
@@ -256,10 +258,10 @@
 	}
 }
 
-// JSON writes the result as one line.
+// JSON writes the result as a line of JSON.
 func (r *Result) JSON(out io.Writer) error { return json.NewEncoder(out).Encode(r) }
 
-// Failed says why the run's counts do not add up; empty: they do.
+// Failure describes why the run failed its checks; empty: it passed.
 func (r *Result) Failure() string {
 	switch {
 	case r.Unsettled:
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -21,29 +21,29 @@
 	"dunlintray/internal/registry"
 )
 
-// Options are what a run needs beside its scenario.
+// Options configure a run, in addition to its scenario.
 type Options struct {
-	RegistryPath string    // path of the list service's program
-	GatewayPath  string    // path of the gateway's
-	HostCommand  []string  // command of a process of hollow ones, which calls RunHost
-	Dir          string    // for configurations, logs and data; each process has a folder in it
-	Progress     io.Writer // a line each second; nil: none
+	RegistryPath string    // program of the registry
+	GatewayPath  string    // program of the gateway; unused without real gateways
+	HostCommand  []string  // command and arguments of a host process, which calls RunHost
+	Dir          string    // for configurations, logs and data; each process has a subdirectory
+	Progress     io.Writer // receives a line per second; may be nil
 }
 
-// Times of a run.
+// Timeouts and intervals of a run.
 const (
-	readyTimeout        = 90 * time.Second // for a process to be ready
+	readyTimeout        = 90 * time.Second // until a process is ready
 	readyPollInterval   = 50 * time.Millisecond
-	startMargin         = 4 * time.Minute // of a run's deadline, beside registrations, length and quiet
-	settleTime          = time.Second     // between the last list and the measurement
-	tailTime            = time.Second     // after the last restart has ended, for its changes to be told
+	startMargin         = 4 * time.Minute // part of the run's deadline, besides registrations, Length and Quiet
+	settleTime          = time.Second     // between the start of the last process and the measurement
+	tailTime            = time.Second     // after the last restart, for its changes to reach the gateways
 	settledPollInterval = 200 * time.Millisecond
-	viewPollInterval    = time.Second // between two looks whether all hold the writer's list
-	watchInterval       = time.Second // between two looks at memory, and two lines
+	viewPollInterval    = time.Second // between comparisons of the gateways' lists to the writer's
+	watchInterval       = time.Second // between memory checks, and progress lines
 	httpTimeout         = 10 * time.Second
 )
 
-// The roles of processes.
+// Names of the roles of processes.
 const (
 	roleWriter   = "list service, writes"
 	roleMember   = "list service, member"
@@ -53,7 +53,7 @@
 	roleReal     = "real gateways"
 )
 
-// runner is a run under way.
+// runner is a run in progress.
 type runner struct {
 	scenario *Scenario
 	options  Options
@@ -68,22 +68,23 @@
 	gateways     []*host
 	backends     []*host
 	realGateways []*process
-	relays       map[int]*link.Relay // by the follower's place among the services
+	relays       map[int]*link.Relay // by index in services
 	load         *load
 
-	unsettled bool // at the end, not all backends served
+	unsettled bool // not all backends served when Quiet was over
 
 	mu             sync.Mutex
 	processes      []*process // of all roles
 	changes        []Change
-	peakMB         float64 // MB of all processes at once
+	peakMB         float64 // memory of all processes together
 	events         []string
-	measuringSince time.Time // the measurement
+	measuringSince time.Time // start of the measurement
 	phase          string
 }
 
-// Run makes a run and returns what it came to. No process that it has started is left
-// when it returns.
+// Run runs a scenario and returns its result. All processes that it started have ended when it
+// returns. It returns an error if the scenario is invalid, exceeds the machine's resources, or
+// if a process ends unexpectedly.
 func Run(ctx context.Context, scenario *Scenario, options Options) (result *Result, err error) {
 	if err := scenario.Check(); err != nil {
 		return nil, err
@@ -114,18 +115,19 @@
 	wg.Go(func() { active.watch(watchCtx) })
 	result, err = active.run(ctx)
 	if cause := context.Cause(ctx); cause != nil {
-		err = cause // what failed after it is its consequence
+		err = cause // the first failure; err is a consequence
 	}
 	return result, err
 }
 
-// The loopback networks that runs are laid out in, and how many are tried.
+// Range of loopback networks for runs.
 const (
 	firstNetwork, endNetwork = 16, 250
 	maxNetworkAttempts       = 20
 )
 
-// findPlan claims a network that no other run uses.
+// findPlan claims a loopback network that no other run uses. The returned listener holds the
+// claim until it is closed.
 func findPlan(scenario *Scenario) (*Plan, net.Listener, error) {
 	var lastErr error
 	for range maxNetworkAttempts {
@@ -141,7 +143,7 @@
 	return nil, nil, fmt.Errorf("the networks of %d runs in 127.0.0.0/8 are taken; the last: %w", maxNetworkAttempts, lastErr)
 }
 
-// run starts everything, measures, and collects.
+// run starts all processes, measures, and collects the result.
 func (r *runner) run(ctx context.Context) (*Result, error) {
 	if err := r.start(ctx); err != nil {
 		return nil, err
@@ -177,8 +179,8 @@
 	return r.result(before, after, collected, final, latency, changes), nil
 }
 
-// start starts the processes in the order in which they need each other: one that asks
-// before it can be answered would wait for longer than the other needs.
+// start starts the processes in the order of their dependencies, as a client that starts
+// before its server delays its retries.
 func (r *runner) start(ctx context.Context) error {
 	gateways, backends, err := r.plan.hostConfigs()
 	if err != nil {
@@ -210,7 +212,7 @@
 	return r.startReal(ctx)
 }
 
-// startServices starts list services, which follow those in the plan that have started.
+// startServices starts registry processes, which must be the next ones in the plan.
 func (r *runner) startServices(services []Service) error {
 	for _, service := range services {
 		index := len(r.services)
@@ -244,7 +246,7 @@
 	return nil
 }
 
-// awaitServices waits until all that have started answer reads.
+// awaitServices waits until all started registry processes answer reads.
 func (r *runner) awaitServices(ctx context.Context) error {
 	for n, p := range r.services {
 		if err := r.awaitReady(ctx, p, "http://"+r.plan.Services[n].Control+"/control/ready"); err != nil {
@@ -254,7 +256,7 @@
 	return nil
 }
 
-// Of a relay between a follower and the member that it copies.
+// Limits of the relay between a follower and its member.
 const (
 	relayConnections = 16
 	relayBuffer      = 1 << 20
@@ -264,7 +266,8 @@
 	return p.start(exec.Command(r.options.RegistryPath, "--config", filepath.Join(p.dir, "config.json")), nil, r.processDied)
 }
 
-// startHosts starts processes of hollow ones and waits until all that they have is there.
+// startHosts starts host processes and waits until their gateways have a list or their
+// backends are registered.
 func (r *runner) startHosts(ctx context.Context, role string, configs []HostConfig) (hosts []*host, err error) {
 	for _, config := range configs {
 		proc, err := r.newProcess(config.Name, role)
@@ -287,7 +290,7 @@
 	return hosts, nil
 }
 
-// startReal starts the gateways that serve requests, and the load on them.
+// startReal starts the real gateways and the load on them.
 func (r *runner) startReal(ctx context.Context) error {
 	var addresses []string
 	for index := range r.scenario.Fleet.RealGateways {
@@ -321,7 +324,7 @@
 	return nil
 }
 
-// awaitReady waits until an address answers yes.
+// awaitReady polls a URL until it answers with status 200.
 func (r *runner) awaitReady(ctx context.Context, proc *process, url string) error {
 	deadline := time.Now().Add(readyTimeout + r.scenario.Fleet.Lease.Std())
 	for time.Now().Before(deadline) {
@@ -349,7 +352,7 @@
 	}
 }
 
-// died ends the run: a process has ended that nobody has ended.
+// processDied ends the run after a process has ended unexpectedly.
 func (r *runner) processDied(p *process, err error) {
 	r.cancel(fmt.Errorf("%s has ended by itself (%v); it said:\n%s", p.name, err, p.logTail()))
 }
@@ -360,7 +363,7 @@
 	r.changes = append(r.changes, changes...)
 }
 
-// add makes a process that the run's bounds hold for.
+// newProcess creates a process that counts toward the run's memory limit.
 func (r *runner) newProcess(name, role string) (*process, error) {
 	proc, err := newProcess(name, role, r.options.Dir, r.starter)
 	if err == nil {
@@ -377,7 +380,7 @@
 	return slices.Clone(r.processes)
 }
 
-// close ends all processes, by their ids.
+// close ends all processes of the run.
 func (r *runner) close() {
 	if r.load != nil {
 		r.load.stop()
@@ -398,8 +401,8 @@
 	r.http.CloseIdleConnections()
 }
 
-// measure lets backends restart and faults come for the length of the run, and then
-// waits until what was begun has ended.
+// measure runs restarts and faults for the length of the run, then waits until the backends
+// have settled.
 func (r *runner) measure(ctx context.Context) error {
 	r.mu.Lock()
 	r.measuringSince = time.Now()
@@ -428,7 +431,7 @@
 	return pause(ctx, tailTime)
 }
 
-// awaitSettled waits until every backend serves that was not stopped, or the time is over.
+// awaitSettled waits until all backends that are not stopped serve, for at most Quiet.
 func (r *runner) awaitSettled(ctx context.Context) error {
 	for deadline := time.Now().Add(r.scenario.Quiet.Std()); time.Now().Before(deadline); {
 		settled := true
@@ -451,7 +454,8 @@
 	return nil
 }
 
-// restarts sets how many changes of the list restarts of backends make in a second.
+// setChangeRate sets the number of changes of the list per second that restarts of backends
+// make.
 func (r *runner) setChangeRate(changesPerS float64) error {
 	perHost := changesPerS / changesPerRestart / float64(len(r.backends))
 	return sendAll(r.backends, Command{RestartsPerS: &perHost})
@@ -465,14 +469,14 @@
 	return errors.Join(failures...)
 }
 
-// step is the beginning or the end of a fault.
+// faultStep is the beginning or the end of a fault.
 type faultStep struct {
 	at    time.Duration
 	fault *Fault
 	ends  bool
 }
 
-// steps are those of all faults, in their order.
+// faultSteps returns the beginnings and ends of all faults, sorted by time.
 func (s *Scenario) faultSteps() (steps []faultStep) {
 	for _, f := range s.Faults {
 		steps = append(steps, faultStep{f.At.Std(), f, false}, faultStep{(f.At + f.For).Std(), f, true})
@@ -491,7 +495,7 @@
 	return &Selection{Region: f.Region, AllGateways: f.Region == ""}
 }
 
-// inject begins or ends a fault.
+// applyStep begins or ends a fault.
 func (r *runner) applyStep(step faultStep) error {
 	fault := step.fault
 	verb := "begins"
@@ -534,7 +538,7 @@
 	return r.applyKill(fault, step.ends)
 }
 
-// injectKill kills a list service, or starts it again.
+// applyKill kills a registry process, or starts it again.
 func (r *runner) applyKill(fault *Fault, ends bool) error {
 	for _, proc := range r.services {
 		proc.mu.Lock()
@@ -555,7 +559,7 @@
 	return nil
 }
 
-// writer is the name of the member that answers writes.
+// writerName returns the name of the member that accepts writes; empty: unknown.
 func (r *runner) writerName() string {
 	sample, err := r.backends[0].readSample(false)
 	if err != nil {
@@ -581,7 +585,8 @@
 	r.phase = phase
 }
 
-// latency asks the gateways when they heard of the changes since a version.
+// latency returns when the gateways received the changes after version since, and these
+// changes.
 func (r *runner) latency(since int64) (*Latency, []Change, error) {
 	r.mu.Lock()
 	changes := slices.Clone(r.changes)
@@ -599,20 +604,20 @@
 	return total, changes, nil
 }
 
-// Final is how the gateways' lists compare to the writer's at the end.
+// FinalComparison compares the gateways' lists to the writer's at the end of a run.
 type FinalComparison struct {
-	Matching       int           `json:"same"` // gateways that hold just what the writer's list has for them
+	Matching       int           `json:"same"` // gateways that hold exactly what they read of the writer's list
 	Total          int           `json:"of"`
-	Checked        bool          `json:"checked"` // a subset is the gateway's own choice, and is not compared
+	Checked        bool          `json:"checked"` // false with subsets, which a gateway selects itself
 	Elapsed        time.Duration `json:"took"`
-	MinBackends    int           `json:"least"` // backends that a gateway holds
+	MinBackends    int           `json:"least"` // held by a gateway
 	MaxBackends    int           `json:"most"`
-	ListedBackends int           `json:"listed"`          // backends on the writer's list
-	FirstMismatch  string        `json:"first,omitempty"` // of those that differ
+	ListedBackends int           `json:"listed"`          // on the writer's list
+	FirstMismatch  string        `json:"first,omitempty"` // empty: none
 }
 
-// compareViews looks until all gateways hold what the writer's list has for them, or the
-// time is over.
+// compareViews compares the gateways' lists to the writer's until all match, for at most
+// Quiet.
 func (r *runner) compareViews(ctx context.Context) (*FinalComparison, error) {
 	startedAt := time.Now()
 	for {
@@ -659,7 +664,7 @@
 	return comparison, nil
 }
 
-// wholeList reads the list from the member that writes.
+// readWriterList reads the whole list from the writer.
 func (r *runner) readWriterList(ctx context.Context) (registry.Listing, error) {
 	address := r.plan.Services[0].Listen
 	if name := r.writerName(); name != "" {
@@ -689,7 +694,8 @@
 	return registry.ParseListing(text)
 }
 
-// watch bounds the memory of all processes together, and writes a line each second.
+// watch cancels the run when its processes exceed the memory limit or usage cannot be read,
+// and writes a progress line per second.
 func (r *runner) watch(ctx context.Context) {
 	startedAt := time.Now()
 	ticker := time.NewTicker(watchInterval)
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// hostVariable makes the test binary a process of hollow ones.
+// hostVariable makes the test binary run as a host process.
 const hostVariable = "SCALE_TEST_HOST"
 
-// registryProgram is the list service, built once for all tests.
+// registryProgram is the path of the registry program, built once for all tests.
 var registryProgram string
 
 func TestMain(m *testing.M) {
@@ -27,7 +27,7 @@
 		}
 		return
 	}
-	os.Setenv(hostVariable, "1") // of the processes that tests start
+	os.Setenv(hostVariable, "1") // inherited by the processes that tests start
 	os.Exit(func() int {
 		dir, err := os.MkdirTemp("", "scale-test-")
 		if err != nil {
@@ -53,8 +53,8 @@
 	return Options{RegistryPath: registryProgram, HostCommand: []string{self}, Dir: t.TempDir()}
 }
 
-// TestRunWithScopes lets gateways read parts of the list: each holds just the backends of
-// its services in its zone, and is told of no other change.
+// TestRunWithScopes checks that each gateway that reads parts of the list holds exactly the
+// backends of its services in its zone, and receives no other changes.
 func TestRunWithScopes(t *testing.T) {
 	scenario := smallScenario()
 	scenario.Reading = Reading{Services: 2, Within: WithinZone}
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestRunWithSubset lets gateways use three of the ten backends of a service.
+// TestRunWithSubset checks that gateways select three of the ten backends of a service.
 func TestRunWithSubset(t *testing.T) {
 	scenario := smallScenario()
 	scenario.Length = Duration(time.Second / 2)
@@ -101,7 +101,7 @@
 	}
 }
 
-// children are the processes that this one has started and that still run.
+// childProcesses returns the stat lines of the running children of this process.
 func childProcesses(t *testing.T) (all []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -111,7 +111,7 @@
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // it ended meanwhile
 		}
 		_, rest, _ := strings.Cut(string(text), ") ")
 		if fields := strings.Fields(rest); len(fields) > 1 && fields[1] == strconv.Itoa(os.Getpid()) {
@@ -130,8 +130,8 @@
 	return &scenario
 }
 
-// TestRun makes a small run: each change that was answered comes to each gateway, all of
-// them hold the writer's list at the end, and no process is left.
+// TestRun checks that each acknowledged change reaches each gateway, that all gateways hold
+// the writer's list at the end, and that no process remains.
 func TestRun(t *testing.T) {
 	scenario := smallScenario()
 	scenario.Fleet.Membership = true
@@ -167,7 +167,8 @@
 	}
 }
 
-// TestRunWithFaults strikes a rack, a region's link and a list service.
+// TestRunWithFaults checks that a run recovers from a rack failure, a cut of a region and a
+// killed writer, and logs each fault.
 func TestRunWithFaults(t *testing.T) {
 	scenario := smallScenario()
 	scenario.Length = Duration(6 * time.Second)
@@ -191,14 +192,14 @@
 	var marks []string
 	for _, mark := range result.Events {
 		_, what, _ := strings.Cut(mark, " s: ")
-		if !strings.Contains(mark, "wrote at the beginning") { // whether another member was chosen is the group's matter
+		if !strings.Contains(mark, "wrote at the beginning") { // depends on the group's election
 			marks = append(marks, what)
 		}
 	}
 	want := []string{"rack begins", "region_cut begins", "rack ends", "region_cut ends", "kill begins", "member0 was killed", "kill ends", "member0 was started again", "restarts begins", "restarts ends"}
 	for n := range want {
 		if n < len(marks) && strings.HasPrefix(want[n], "member") {
-			want[n] = marks[n][:len("member0")] + want[n][len("member0"):] // whichever wrote
+			want[n] = marks[n][:len("member0")] + want[n][len("member0"):] // any member may be the writer
 		}
 	}
 	if !slices.Equal(marks, want) {
@@ -209,7 +210,8 @@
 	}
 }
 
-// TestRunEndsWhole ends runs early and from outside: nothing is left of them.
+// TestInterruptedRunLeavesNoProcesses checks that neither a cancelled run nor one whose
+// registry process ends leaves processes.
 func TestInterruptedRunLeavesNoProcesses(t *testing.T) {
 	options := testOptions(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -1,6 +1,6 @@
-// Package scale measures what control costs as a fleet grows: real list services, a few
-// real gateways, and hollow gateways and backends, many in one process, that run the
-// real client code and take no traffic.
+// Package scale measures the cost of the control plane as a fleet grows. It runs real registry
+// processes and a few real gateways next to hollow gateways and backends, which share
+// processes, run the real client code and carry no traffic.
 package scale
 
 import (
@@ -13,15 +13,15 @@
 	"dunlintray/internal/scenario"
 )
 
-// Duration is written as in the scenarios of the emulator: "250ms".
+// Duration is a time span that scenarios write as a string such as "250ms".
 type Duration = scenario.Duration
 
-// Scenario is one fleet and what happens on it.
+// Scenario describes a fleet, its load and the faults that occur during a run.
 type Scenario struct {
 	Name   string   `toml:"name" json:"name"`
 	Seed   uint64   `toml:"seed" json:"seed"`
-	Length Duration `toml:"length" json:"length"` // of the measurement, while backends restart
-	Quiet  Duration `toml:"quiet" json:"quiet"`   // at most, after it, until all readers hold the writer's list
+	Length Duration `toml:"length" json:"length"` // of the measurement, during which backends restart
+	Quiet  Duration `toml:"quiet" json:"quiet"`   // maximum time after the measurement until all gateways match the writer's list
 
 	Fleet   Fleet    `toml:"fleet" json:"fleet"`
 	Changes Changes  `toml:"changes" json:"changes"`
@@ -30,76 +30,78 @@
 	Faults  []*Fault `toml:"fault" json:"faults,omitempty"`
 }
 
-// Fleet is what there is.
+// Fleet describes the processes, hollow gateways and hollow backends of a run.
 type Fleet struct {
-	Members      int      `toml:"members" json:"members"`     // list services that agree on the list: 1, 3 or 5
-	Followers    int      `toml:"followers" json:"followers"` // in each region; 0: gateways read from the members
+	Members      int      `toml:"members" json:"members"`     // registry processes that form the consensus group: 1, 3 or 5
+	Followers    int      `toml:"followers" json:"followers"` // registry followers per region; 0: gateways read from the members
 	Regions      int      `toml:"regions" json:"regions"`
-	Zones        int      `toml:"zones" json:"zones"` // in each region
+	Zones        int      `toml:"zones" json:"zones"` // per region
 	Gateways     int      `toml:"gateways" json:"gateways"`
-	RealGateways int      `toml:"real_gateways" json:"realGateways"` // processes that serve requests
+	RealGateways int      `toml:"real_gateways" json:"realGateways"` // gateway processes that serve requests
 	Backends     int      `toml:"backends" json:"backends"`
-	Services     int      `toml:"services" json:"services"` // that the backends are spread over
+	Services     int      `toml:"services" json:"services"` // over which the backends are distributed
 	Membership   bool     `toml:"membership" json:"membership"`
-	Lease        Duration `toml:"lease" json:"lease"` // of a backend, which renews it three times in each
+	Lease        Duration `toml:"lease" json:"lease"` // of a backend, which renews it three times per lease period
 }
 
-// Changes are the restarts of backends. Each is three changes of the list: one drains,
-// leaves, and registers anew.
+// Changes configures restarts of backends. A restart makes three changes of the list: the
+// backend drains, leaves and registers again.
 type Changes struct {
-	PerS     float64  `toml:"per_s" json:"perS"`         // of the list
-	Drain    Duration `toml:"drain" json:"drain"`        // between draining and leaving
-	Down     Duration `toml:"down" json:"down"`          // between leaving and registering
-	Requests float64  `toml:"requests" json:"requests"`  // a second, at all real gateways together
-	Register float64  `toml:"register" json:"registerS"` // registrations a second at the start
+	PerS     float64  `toml:"per_s" json:"perS"`         // changes of the list per second
+	Drain    Duration `toml:"drain" json:"drain"`        // time between draining and leaving
+	Down     Duration `toml:"down" json:"down"`          // time between leaving and registering
+	Requests float64  `toml:"requests" json:"requests"`  // requests per second, over all real gateways
+	Register float64  `toml:"register" json:"registerS"` // registrations per second at the start of the run
 }
 
-// Reading is which part of the list a gateway reads.
+// Reading configures the part of the list that a gateway reads.
 type Reading struct {
-	Services int    `toml:"services" json:"services"` // that each gateway reads; 0: the whole list
-	Within   string `toml:"within" json:"within"`     // all, region or zone: of the backends of a service, those that a gateway reads
-	Subset   int    `toml:"subset" json:"subset"`     // backends of them that a gateway uses; 0: all
+	Services int    `toml:"services" json:"services"` // services per gateway; 0: the whole list
+	Within   string `toml:"within" json:"within"`     // WithinAll, WithinRegion or WithinZone
+	Subset   int    `toml:"subset" json:"subset"`     // backends that a gateway selects from those that it reads; 0: all
 }
 
-// Hosts are the processes that hollow gateways and backends live in.
+// Hosts limits the processes that run hollow gateways and backends.
 type Hosts struct {
-	Gateways    int `toml:"gateways" json:"gateways"` // in one process, at most
+	Gateways    int `toml:"gateways" json:"gateways"` // maximum per process
 	Backends    int `toml:"backends" json:"backends"`
-	Connections int `toml:"connections" json:"connections"` // of the backends of one process to the list service
+	Connections int `toml:"connections" json:"connections"` // maximum connections from one backend process to the registry
 }
 
-// The parts of a service's backends that a gateway can read.
+// Values of Reading.Within: where the backends that a gateway reads are located, relative to
+// the gateway.
 const (
 	WithinAll    = "all"
 	WithinRegion = "region"
 	WithinZone   = "zone"
 )
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a run. It begins at At after the start of the measurement and lasts
+// for For.
 type Fault struct {
 	Kind string   `toml:"kind" json:"kind"`
 	At   Duration `toml:"at" json:"at"`
 	For  Duration `toml:"for" json:"for"`
 
-	Gateways    int     `toml:"gateways,omitempty" json:"gateways,omitempty"` // of a rack
-	Backends    int     `toml:"backends,omitempty" json:"backends,omitempty"` // of a rack
+	Gateways    int     `toml:"gateways,omitempty" json:"gateways,omitempty"` // rack: number of gateways
+	Backends    int     `toml:"backends,omitempty" json:"backends,omitempty"` // rack: number of backends
 	Zone        string  `toml:"zone,omitempty" json:"zone,omitempty"`
 	Region      string  `toml:"region,omitempty" json:"region,omitempty"`
-	Process     string  `toml:"who,omitempty" json:"who,omitempty"`            // the process that is killed
-	ChangesPerS float64 `toml:"changes_per_s,omitempty" json:"perS,omitempty"` // of restarts
+	Process     string  `toml:"who,omitempty" json:"who,omitempty"`            // kill: name of the registry process, or "writer"
+	ChangesPerS float64 `toml:"changes_per_s,omitempty" json:"perS,omitempty"` // restarts: changes of the list per second
 }
 
-// The kinds of faults.
+// Values of Fault.Kind.
 const (
-	FaultRack      = "rack"       // gateways and backends stop at once, and start again
-	FaultZone      = "zone"       // those of a zone do
-	FaultRegionCut = "region_cut" // nothing passes between the followers of a region and the group
+	FaultRack      = "rack"       // a number of gateways and backends stop together, then start again
+	FaultZone      = "zone"       // the gateways and backends of a zone stop together, then start again
+	FaultRegionCut = "region_cut" // a region's followers lose their connection to the members
 	FaultRestarts  = "restarts"   // backends restart at another rate
-	FaultKill      = "kill"       // a list service is killed, and started again
-	FaultGateways  = "gateways"   // all hollow gateways of a region, or of all, end and start again at once
+	FaultKill      = "kill"       // a registry process is killed, then started again
+	FaultGateways  = "gateways"   // all hollow gateways, or those of a region, stop and start again together
 )
 
-// faultKinds tells what each kind is.
+// faultDescriptions maps each fault kind to its description.
 var faultDescriptions = map[string]string{
 	FaultRack:      "a number of hollow gateways and backends stop at once, and start again after for",
 	FaultZone:      "the hollow gateways and backends of a zone stop at once, and start again after for",
@@ -109,19 +111,19 @@
 	FaultGateways:  "the hollow gateways of a region, or of all, stop at once, and start again after for",
 }
 
-// Bounds of what a scenario may ask.
+// Limits of a scenario.
 const (
-	maxHollowGateways = 1 << 16 // the membership numbers gateways with 16 bits
+	maxHollowGateways = 1 << 16 // the membership protocol numbers gateways with 16 bits
 	maxHollowBackends = 1 << 20
 	maxProcesses      = 200
 	maxLength         = time.Hour
-	minLease          = 500 * time.Millisecond // of the list services
+	minLease          = 500 * time.Millisecond // minimum that the registry accepts
 	maxLease          = 10 * time.Minute
-	maxTextBytes      = 1 << 20 // bytes of a scenario
-	changesPerRestart = 3       // changes of the list for a restart
+	maxTextBytes      = 1 << 20 // size of a scenario file
+	changesPerRestart = 3       // drain, leave and register
 )
 
-// Default is a small fleet.
+// Default returns the scenario of a small fleet.
 func Default() Scenario {
 	const second = Duration(time.Second)
 	return Scenario{Name: "default", Seed: 1, Length: 10 * second, Quiet: 15 * second,
@@ -131,7 +133,8 @@
 		Hosts:   Hosts{Gateways: 100, Backends: 2500, Connections: 32}}
 }
 
-// Parse reads a scenario; what it leaves out is as in Default.
+// Parse reads a scenario in TOML and checks it. Missing keys have the values of Default. name
+// appears in errors.
 func Parse(name string, text []byte) (*Scenario, error) {
 	if len(text) > maxTextBytes {
 		return nil, fmt.Errorf("%s: %d bytes are no scenario", name, len(text))
@@ -146,7 +149,8 @@
 	return &parsed, nil
 }
 
-// Check finds what can't be run on any machine.
+// Check returns the errors of all invalid values, joined. It does not check whether this
+// machine can run the scenario; see CheckResources.
 func (s *Scenario) Check() error {
 	var problems []error
 	require := func(ok bool, format string, args ...any) {
@@ -225,7 +229,7 @@
 	return nil
 }
 
-// whoWriter names the member that writes when a fault comes.
+// processWriter is the Fault.Process of the member that is the writer when the fault begins.
 const processWriter = "writer"
 
 func regionName(region int) string     { return fmt.Sprintf("r%d", region) }
@@ -243,8 +247,8 @@
 	return all
 }
 
-// zoneNames are all zones: the first of each region, then the second of each, so that
-// what is dealt out in turn is spread over the regions first.
+// zoneNames returns the names of all zones: the first zone of each region, then the second of
+// each, so that round-robin placement spreads over regions first.
 func (s *Scenario) zoneNames() (all []string) {
 	for zone := range s.Fleet.Zones {
 		for region := range s.Fleet.Regions {
--- a/internal/scale/scenario_test.go
+++ b/internal/scale/scenario_test.go
@@ -34,7 +34,7 @@
 		"[fleet]\nservices = 301":                                          "services",
 		"[fleet]\nlease = \"1ms\"":                                         "lease",
 		"[fleet]\ngatways = 3":                                             "no such key",
-		"[fleet]\ngateways = \"x\"":                                        "x:2:", // the line is told
+		"[fleet]\ngateways = \"x\"":                                        "x:2:", // the error names the line
 		"[changes]\nper_s = -1.0":                                          "per_s",
 		"[changes]\nregister = 0.0":                                        "register",
 		"[reading]\nservices = 11":                                         "reading.services",
@@ -110,7 +110,7 @@
 	scenario := testScenario()
 	scenario.Reading = Reading{Services: 2, Within: WithinZone}
 	plan := NewPlan(scenario, 20)
-	gateway := plan.Gateways[7] // of the second place: region 1, zone 0
+	gateway := plan.Gateways[7] // in region 1, zone 0
 	if gateway.Zone != "r1z0" || len(gateway.Scopes) != 2 || gateway.Scopes[0].String() != "s4@zone=r1z0" || gateway.Scopes[1].String() != "s0@zone=r1z0" {
 		t.Fatalf("%+v", gateway)
 	}
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// snapshot is what all processes have used up to a moment.
+// snapshot is the cumulative resource usage of all processes at a point in time.
 type snapshot struct {
 	at           time.Time
 	version      int64  // of the writer's list
-	writer       string // name of the member that answers writes
+	writer       string // name of the member that accepts writes
 	services     []serviceUsage
 	gateways     []hostUsage
 	backends     []hostUsage
 	realGateways []ResourceUsage
 }
 
-// serviceUse is a list service's; one that is down has no counters.
+// serviceUsage is the usage of a registry process; counters is nil if the process does not
+// answer.
 type serviceUsage struct {
 	ResourceUsage
 	counters map[string]int64
@@ -56,7 +57,8 @@
 	return taken, nil
 }
 
-// counters reads a list service's, by their names.
+// counters reads the counters of a registry process, by name. It returns nil if the process
+// does not answer.
 func (r *runner) counters(ctx context.Context, control string) map[string]int64 {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/control/counters", nil)
 	if err != nil {
@@ -74,7 +76,7 @@
 	return parseCounters(string(text))
 }
 
-// parseCounters reads lines "registry.NAME:NUMBER|KIND".
+// parseCounters parses lines "registry.NAME:NUMBER|KIND".
 func parseCounters(text string) map[string]int64 {
 	counters := map[string]int64{}
 	for line := range strings.Lines(text) {
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -12,7 +12,8 @@
 	"text/tabwriter"
 )
 
-// Quantities are what a sweep can vary, by name: each puts a size into a scenario.
+// quantities maps the name of each quantity that a sweep can vary to a function that sets it
+// in a scenario.
 var quantities = map[string]func(s *Scenario, size float64){
 	"gateways": func(s *Scenario, n float64) { s.Fleet.Gateways = int(n) },
 	"backends": func(s *Scenario, n float64) { s.Fleet.Backends = int(n) },
@@ -22,20 +23,21 @@
 	"subset":   func(s *Scenario, n float64) { s.Reading.Subset = int(n) },
 }
 
-// Quantities are the names of what a sweep can vary.
+// Quantities returns the names of the quantities that a sweep can vary, sorted.
 func Quantities() []string { return slices.Sorted(maps.Keys(quantities)) }
 
-// Sweep is a number of runs that differ in one quantity, or in two.
+// Sweep is a series of runs that differ in one or two quantities.
 type Sweep struct {
 	Quantity     string
 	Sizes        []float64
-	Against      string // another quantity; empty: none
+	Against      string // second quantity; empty: none
 	AgainstSizes []float64
 }
 
 const minSizes = 2
 
-// Check finds what can't be swept over a scenario. All its sizes have to fit this machine.
+// Check returns an error if the sweep is invalid, or if any of its scenarios is invalid or
+// does not fit this machine.
 func (w *Sweep) Check(scenario *Scenario) error {
 	if quantities[w.Quantity] == nil {
 		return fmt.Errorf("there is no quantity %q; there are %s", w.Quantity, strings.Join(Quantities(), ", "))
@@ -60,7 +62,7 @@
 	return errors.Join(problems...)
 }
 
-// points are the sizes of all runs; Y is not used.
+// points returns the sizes of all runs; Y is not set.
 func (w *Sweep) points() (all []Point) {
 	otherSizes := w.AgainstSizes
 	if w.Against == "" {
@@ -74,7 +76,7 @@
 	return all
 }
 
-// at is the scenario of one run.
+// scenarioAt returns the scenario of one run.
 func (w *Sweep) scenarioAt(scenario *Scenario, point Point) *Scenario {
 	variant := *scenario
 	quantities[w.Quantity](&variant, point.X)
@@ -91,13 +93,13 @@
 	return fmt.Sprintf("%s %g, %s %g", w.Quantity, p.X, w.Against, p.Z)
 }
 
-// figure is one that a sweep follows.
+// sweepMetric is a metric of a result that a sweep reports and fits.
 type sweepMetric struct {
 	name  string
 	value func(*Result) float64
 }
 
-// figures are those of a sweep's table.
+// sweepMetrics are the rows of a sweep's table.
 var sweepMetrics = []sweepMetric{
 	{"gateway: CPU us/s", func(r *Result) float64 { return r.Gateway.CPUUsPerS }},
 	{"gateway: in B/s", func(r *Result) float64 { return r.Gateway.InPerS }},
@@ -145,18 +147,17 @@
 	}
 }
 
-// Table is what a sweep came to.
+// Table is the result of a sweep.
 type Table struct {
 	Sweep    *Sweep
 	Points   []Point
 	Results  []*Result
-	Fits     map[string]Fit // by the figure
-	Failures []string       // why counts of runs do not add up
+	Fits     map[string]Fit // by name of the metric
+	Failures []string       // of runs that failed their checks
 }
 
-// Run makes the runs, one after the other, and fits their figures. Each result is
-// written to results as a line of JSON. With an error, the table has what was measured
-// before it.
+// Run makes the runs in sequence and fits their metrics. It writes each result to results as a
+// line of JSON. After an error, the returned table contains the runs before it.
 func (w *Sweep) Run(ctx context.Context, scenario *Scenario, options Options, results io.Writer) (*Table, error) {
 	table := &Table{Sweep: w, Fits: map[string]Fit{}}
 	dir := options.Dir
@@ -200,8 +201,8 @@
 	}
 }
 
-// Report writes the figures by size, and how each grows. Figures that are 0 in all runs
-// are left out.
+// Report writes the metrics by size, and the fit of each. It omits metrics that are 0 in all
+// runs.
 func (t *Table) Report(out io.Writer) {
 	if len(t.Results) == 0 {
 		return
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -1,4 +1,4 @@
-// Package scale has the scenarios of scale runs that ship with the program.
+// Package scale embeds the shipped scenarios of scale runs.
 package scale
 
 import (
@@ -10,8 +10,9 @@
 //go:embed *.toml
 var files embed.FS
 
-// Names are those of the scenarios, in order.
+// Names returns the names of the scenarios, sorted.
 func Names() []string { return shipped.Files{FS: files}.Names() }
 
-// Text is the text of the scenario called name.
+// Text returns the TOML text of the scenario called name. It returns an error if there is
+// none.
 func Text(name string) ([]byte, error) { return shipped.Files{FS: files}.Text(name) }
