--- a/internal/results/results_test.go
+++ b/internal/results/results_test.go
@@ -43,7 +43,7 @@
 		sums[parsed.Kind+" served"] += float64(parsed.Ended["served"])
 		if parsed.Kind == "window" {
 			if windows++; parsed.P99Ms < parsed.P50Ms || parsed.MaxMs < parsed.P99Ms || parsed.Ended["served"] > 0 && parsed.P50Ms == 0 {
-				t.Errorf("%+v", parsed)
+				t.Errorf("window percentiles out of order or missing: %+v", parsed)
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 	for kind, want := range map[string]float64{"asked": operations, "earned": 2 * served, "served": served} {
 		for _, group := range []string{"total", "class", "plan", "window"} {
 			if sums[group+" "+kind] != want {
-				t.Errorf("%s %s: %g, not %g", group, kind, sums[group+" "+kind], want)
+				t.Errorf("%s %s: %g, want %g", group, kind, sums[group+" "+kind], want)
 			}
 		}
 	}
@@ -62,10 +62,10 @@
 		}
 	}
 	if windows != operations/5 || detailed > maxDetailedWindows+1 {
-		t.Errorf("%d windows, %d with all latencies", windows, detailed)
+		t.Errorf("%d windows, %d with a histogram", windows, detailed)
 	}
 	if p := tally.Lateness(99); p < 1900*time.Microsecond || p > 2100*time.Microsecond {
-		t.Errorf("late by %v", p)
+		t.Errorf("lateness at p99 is %v, want about 2 ms", p)
 	}
 	var table bytes.Buffer
 	tally.Table(&table)
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -120,7 +120,7 @@
 	if body != nil {
 		text, err := json.Marshal(body)
 		if err != nil {
-			return nil, fmt.Errorf("a call of %s: %w", backend.ID(), err)
+			return nil, fmt.Errorf("encode registry call of backend %s: %w", backend.ID(), err)
 		}
 		reader = bytes.NewReader(text)
 	}
--- a/internal/scale/churn_test.go
+++ b/internal/scale/churn_test.go
@@ -26,7 +26,7 @@
 				answered = *version
 			}
 			if changed := churning.handleResult(at, int64(at/time.Millisecond), outgoing, 200, answered); changed != (outgoing.kind != callRenew) {
-				t.Fatalf("call %d at %v: changed is %v", outgoing.kind, at, changed)
+				t.Fatalf("call kind %d at %v: changed is %v", outgoing.kind, at, changed)
 			}
 		}
 	}
@@ -39,12 +39,14 @@
 	return newChurn(NewPlan(&scenario, 20).Backends, settings, rand.New(rand.NewPCG(1, 1)))
 }
 
+// TestChurnRestartsBackendsAtConfiguredRate checks that restarts occur at the configured rate
+// and that each drains, leaves and registers once, while all other backends renew.
 func TestChurnRestartsBackendsAtConfiguredRate(t *testing.T) {
 	churning := testChurn(100)
 	version := int64(0)
 	churning.start(0, 1)
 	if counts := answerDueCalls(t, churning, time.Second, &version); counts[callRegister] != 100 || !churning.settled() {
-		t.Fatalf("%v", counts)
+		t.Fatalf("calls by kind %v, want 100 registrations and all backends serving", counts)
 	}
 	churning.setRestarts(time.Second, 10)
 	counts := answerDueCalls(t, churning, 11*time.Second, &version)
@@ -54,16 +56,18 @@
 	}
 	restarts := counts[callDrain] // at random times
 	if restarts < 90 || restarts > 110 || counts[callLeave] != restarts || counts[callRegister] != restarts || !churning.settled() {
-		t.Errorf("%v, settled %v", counts, churning.settled())
+		t.Errorf("calls by kind %v, settled %v", counts, churning.settled())
 	}
 	if counts[callRenew] < 300 || counts[callRenew] > 500 {
-		t.Errorf("%d renewals of 100 backends in 14 s, one each 3 s", counts[callRenew])
+		t.Errorf("%d renewals by 100 backends in 14 s, one every 3 s each", counts[callRenew])
 	}
 	if len(churning.queue) != 100 {
-		t.Errorf("%d of 100 backends have something to do", len(churning.queue))
+		t.Errorf("%d of 100 backends are scheduled", len(churning.queue))
 	}
 }
 
+// TestChurnRecoversFromFailedCalls checks which call follows a failed one, and that results
+// for a stopped process are ignored.
 func TestChurnRecoversFromFailedCalls(t *testing.T) {
 	churning := testChurn(1)
 	backend := churning.backends[0]
@@ -72,51 +76,53 @@
 		t.Helper()
 		at, ok := churning.nextDue()
 		if !ok {
-			t.Fatal("nothing is due")
+			t.Fatal("no call is scheduled")
 		}
 		calls := churning.dueCalls(at)
 		if len(calls) != 1 {
-			t.Fatalf("%d calls", len(calls))
+			t.Fatalf("%d calls are due, want 1", len(calls))
 		}
 		return calls[0], churning.handleResult(at, 2000, calls[0], status, version)
 	}
 	if outgoing, _ := complete(503, 0); outgoing.kind != callRegister {
-		t.Fatal(outgoing)
+		t.Fatalf("first call: %+v, want a registration", outgoing)
 	}
 	if outgoing, changed := complete(200, 5); outgoing.kind != callRegister || outgoing.startedAtMs != 1000 || !changed {
-		t.Fatalf("%+v: a registration that failed is made again", outgoing)
+		t.Fatalf("%+v: a failed registration was not retried", outgoing)
 	}
 	if outgoing, changed := complete(200, 5); outgoing.kind != callRenew || changed {
-		t.Fatal("a renewal changes nothing")
+		t.Fatalf("%+v, changed %v: want a renewal that changes nothing", outgoing, changed)
 	}
 	complete(404, 0)
 	if outgoing, changed := complete(200, 9); outgoing.kind != callRegister || outgoing.startedAtMs != 1000 || !changed {
-		t.Fatalf("%+v: after its lease it registers anew, as the same process", outgoing)
+		t.Fatalf("%+v: after its lease expired, want a registration of the same process", outgoing)
 	}
 	complete(409, 0)
 	if outgoing, _ := complete(200, 10); outgoing.kind != callRegister || outgoing.startedAtMs != 2000 {
-		t.Fatalf("%+v: after a conflict it is another process", outgoing)
+		t.Fatalf("%+v: after a conflict, want a registration of a new process", outgoing)
 	}
 	if !churning.settled() || churning.serving != 1 {
-		t.Errorf("%d serve", churning.serving)
+		t.Errorf("%d backends serve, want 1", churning.serving)
 	}
 	at, _ := churning.nextDue()
 	outgoing := churning.dueCalls(at)[0]
 	if churning.stop(func(Backend) bool { return true }) != 1 || churning.serving != 0 || !churning.settled() {
-		t.Error("it is not stopped")
+		t.Error("the backend was not stopped")
 	}
 	if churning.handleResult(at, 3000, outgoing, 200, 11) || backend.phase != phaseStopped {
-		t.Error("an answer to a process that was stopped is void")
+		t.Error("the answer to a call of a stopped process was not ignored")
 	}
 	if _, ok := churning.nextDue(); ok {
-		t.Error("a stopped one has something to do")
+		t.Error("a stopped backend is scheduled")
 	}
 	churning.resume(at, 4000, func(Backend) bool { return true })
 	if outgoing, _ := complete(200, 12); outgoing.kind != callRegister || outgoing.startedAtMs != 4000 || !churning.settled() {
-		t.Errorf("%+v", outgoing)
+		t.Errorf("%+v: after resume, want a registration of a new process", outgoing)
 	}
 }
 
+// TestLatencyCountsChangesThatGatewayReads checks that only changes in a gateway's scopes
+// after its first list count, and that missing ones are reported.
 func TestLatencyCountsChangesThatGatewayReads(t *testing.T) {
 	gateway := Gateway{Scopes: []registry.Scope{{Service: "s1"}}}
 	newChange := func(version, at int64, service string) Change {
@@ -136,7 +142,7 @@
 	life.endedAt = 25e6
 	got = Latency{}
 	if life.addLatencies(gateway, changes, &got); got.Missing != 0 {
-		t.Errorf("%+v: a gateway that has ended misses nothing", got)
+		t.Errorf("%+v: want no missing changes after the gateway stopped", got)
 	}
 	var merged Latency
 	merged.merge(&got)
@@ -146,6 +152,8 @@
 	}
 }
 
+// TestExpectedViewMatchesGatewayScopes checks that an expected view covers exactly the
+// gateway's scopes and that its digest detects lifecycle changes in any order of instances.
 func TestExpectedViewMatchesGatewayScopes(t *testing.T) {
 	list := registry.Listing{Generation: 7, Instances: []registry.Instance{
 		{ID: "a", Service: "s0", Region: "r0", Zone: "r0z0", Lifecycle: registry.Ready},
@@ -163,14 +171,14 @@
 		}
 	}
 	if all := viewOf(registry.Scope{Service: "s0"}, registry.Scope{Service: "s1"}); all != whole || whole.Count != 3 {
-		t.Errorf("all services are %+v, the whole list is %+v", all, whole)
+		t.Errorf("the view of all services is %+v, of the whole list %+v", all, whole)
 	}
 	list.Instances[0], list.Instances[1] = list.Instances[1], list.Instances[0]
 	if again := viewOf(); again != whole {
-		t.Errorf("the order of a list tells: %+v and %+v", whole, again)
+		t.Errorf("the view depends on the order of the list: %+v and %+v", whole, again)
 	}
 	list.Instances[0].Lifecycle = registry.Terminating
 	if other := viewOf(); other.Digest == whole.Digest {
-		t.Error("a drain does not tell")
+		t.Error("a change of lifecycle did not change the digest")
 	}
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -59,6 +59,7 @@
 	return f.Base + f.Slope*x
 }
 
+// String returns the form, its coefficients and its residuals in words.
 func (f Fit) String() string {
 	residual := fmt.Sprintf("residual %.1f%%, worst %.1f%%", 100*f.Residual, 100*f.MaxResidual)
 	switch f.Form {
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -23,6 +23,8 @@
 	}
 }
 
+// TestFitOne checks that the form and the coefficients of a metric of one quantity are
+// recovered from noisy points.
 func TestFitOne(t *testing.T) {
 	sizes := []float64{10, 30, 100, 300, 1000}
 	for _, test := range []struct {
@@ -63,18 +65,23 @@
 	}
 }
 
+// TestFitOneReportsUnclearForm checks that points of no form are not reported as linear.
 func TestFitOneReportsUnclearForm(t *testing.T) {
 	if f := FitOne([]Point{{X: 1, Y: 10}, {X: 3, Y: 100}, {X: 10, Y: 5}, {X: 30, Y: 200}, {X: 100, Y: 1}}); f.Form != Unclear {
 		t.Errorf("%v", f)
 	}
 }
 
+// TestFitOneRejectsBendWithOppositeSlopes checks that a fall followed by a rise is not
+// reported as a bend.
 func TestFitOneRejectsBendWithOppositeSlopes(t *testing.T) {
 	if f := FitOne([]Point{{X: 300, Y: 17}, {X: 1000, Y: 12}, {X: 3000, Y: 8}, {X: 10000, Y: 14}}); f.Form != Unclear {
 		t.Errorf("%v", f)
 	}
 }
 
+// TestFitTwo checks that the form of a metric of two quantities is recovered from noisy
+// points.
 func TestFitTwo(t *testing.T) {
 	for _, test := range []struct {
 		value func(x, z float64) float64
@@ -99,7 +106,7 @@
 		}
 		checkNear(t, string(test.want), fit.At(100, 3), test.value(100, 3), 0.05)
 		if test.want == Sum && test.value(0, 0) == 10 && fit.Slope != 0 {
-			t.Errorf("a figure of the other quantity alone: %v", fit)
+			t.Errorf("a metric of the second quantity alone has a slope in the first: %v", fit)
 		}
 	}
 }
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -46,7 +46,7 @@
 	case config.Backends != nil:
 		hosted, err = newBackendFleet(config.Backends, config.Seed)
 	default:
-		err = errors.New("scale-host: it has neither gateways nor backends")
+		err = errors.New("scale-host: its configuration has neither gateways nor backends")
 	}
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 			return nil, err
 		}
 		if line = append(line, part...); len(line) > maxLineBytes {
-			return nil, fmt.Errorf("a line of over %d bytes", maxLineBytes)
+			return nil, fmt.Errorf("protocol line exceeds %d bytes", maxLineBytes)
 		}
 		if !more {
 			return line, nil
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -293,7 +293,7 @@
 func CheckResources(scenario *Scenario) error {
 	machine, err := ThisMachine()
 	if err != nil {
-		return fmt.Errorf("what this machine has can't be told: %w", err)
+		return fmt.Errorf("determine the machine's resources: %w", err)
 	}
 	return NewPlan(scenario, firstNetwork).CheckResources(machine)
 }
@@ -323,7 +323,7 @@
 		problems = append(problems, fmt.Errorf("membership of %d gateways, and there are addresses for %d", fleet.Gateways, maxPeers))
 	}
 	if len(problems) > 0 {
-		return fmt.Errorf("the scenario does not fit: %w", errors.Join(problems...))
+		return fmt.Errorf("scenario exceeds the machine's resources: %w", errors.Join(problems...))
 	}
 	return nil
 }
--- a/internal/scale/proc.go
+++ b/internal/scale/proc.go
@@ -20,7 +20,7 @@
 // clockTick is the unit of processor time in /proc/PID/stat.
 const clockTick = time.Second / 100
 
-var errMalformedStat = errors.New("its figures can't be read")
+var errMalformedStat = errors.New("malformed line in /proc/PID/stat")
 
 // readUsage reads the usage of the process with the given ID; "self" is the calling process.
 func readUsage(pid string) (ResourceUsage, error) {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -137,7 +137,7 @@
 
 const reportTimeout = 60 * time.Second // includes a garbage collection, or a search through all changes
 
-var errNoReport = errors.New("it does not report")
+var errNoReport = errors.New("no report from the host process")
 
 // startHost starts a host process and sends its configuration. changed is called with the
 // changes that the process reports.
@@ -188,7 +188,7 @@
 
 func (h *host) send(c Command) error {
 	if err := json.NewEncoder(h.in).Encode(c); err != nil {
-		return fmt.Errorf("%s: %w; it said:\n%s", h.name, err, h.logTail())
+		return fmt.Errorf("%s: %w; end of its log:\n%s", h.name, err, h.logTail())
 	}
 	return nil
 }
@@ -205,7 +205,7 @@
 	case <-timer.C:
 	}
 	var zero T
-	return zero, fmt.Errorf("%s: %w; it said:\n%s", source.name, errNoReport, source.logTail())
+	return zero, fmt.Errorf("%s: %w; end of its log:\n%s", source.name, errNoReport, source.logTail())
 }
 
 func (h *host) readSample(collect bool) (*Sample, error) {
--- a/internal/scale/protocol.go
+++ b/internal/scale/protocol.go
@@ -91,7 +91,7 @@
 	Sample  *Sample  `json:"sample,omitempty"`
 	Views   []View   `json:"views,omitempty"`
 	Latency *Latency `json:"latency,omitempty"`
-	Failure string   `json:"failed,omitempty"`
+	Failure string   `json:"failed,omitempty"` // never set; kept for the protocol
 }
 
 // Sample is the resource usage of a process of hollow gateways or backends since its start,
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -22,8 +22,8 @@
 	VersionDelta int64            `json:"versions"`           // increase of the list's version; above Changes if leases expired
 	Propagation  LatencySummary   `json:"told"`
 	Final        *FinalComparison `json:"final"`
-	PeakMB       float64          `json:"mostMB"` // maximum memory of all processes together
-	Events       []string         `json:"marks,omitempty"`
+	PeakMB       float64          `json:"mostMB"`          // maximum memory of all processes together
+	Events       []string         `json:"marks,omitempty"` // faults and other notable events, with their times
 
 	// Unsettled is true if not all backends served at the end, as their registry calls failed.
 	Unsettled bool `json:"unsettled,omitempty"`
@@ -33,11 +33,11 @@
 type Role struct {
 	Name            string  `json:"name"`
 	Processes       int     `json:"processes"`
-	CPUMsPerS       float64 `json:"cpuMsPerS"` // milliseconds of processor time per second
-	MemoryMB        float64 `json:"memoryMB"`  // resident, at the end
-	InPerS          float64 `json:"inPerS"`    // bytes read
-	OutPerS         float64 `json:"outPerS"`   // bytes written, including those to storage
-	StoredPerS      float64 `json:"storedPerS"`
+	CPUMsPerS       float64 `json:"cpuMsPerS"`   // milliseconds of processor time per second
+	MemoryMB        float64 `json:"memoryMB"`    // resident, at the end
+	InPerS          float64 `json:"inPerS"`      // bytes read
+	OutPerS         float64 `json:"outPerS"`     // bytes written, including those to storage
+	StoredPerS      float64 `json:"storedPerS"`  // bytes written to storage
 	AnswersPerS     float64 `json:"answersPerS"` // of a registry process, to calls and watches
 	AnswerBytesPerS float64 `json:"answerBytesPerS"`
 }
@@ -267,7 +267,7 @@
 	case r.Unsettled:
 		return "not all backends served at the end"
 	case r.Propagation.Missing > 0:
-		return fmt.Sprintf("%d changes did not come to a gateway", r.Propagation.Missing)
+		return fmt.Sprintf("%d changes did not reach a gateway", r.Propagation.Missing)
 	case r.Final.Checked && r.Final.Matching < r.Final.Total:
 		return fmt.Sprintf("%d gateways do not hold what the writer's list has for them", r.Final.Total-r.Final.Matching)
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -91,13 +91,13 @@
 	}
 	machine, err := ThisMachine()
 	if err != nil {
-		return nil, fmt.Errorf("what this machine has can't be told: %w", err)
+		return nil, fmt.Errorf("determine the machine's resources: %w", err)
 	}
 	if err := CheckResources(scenario); err != nil {
 		return nil, err
 	}
 	deadline := scenario.Length.Std() + scenario.Quiet.Std() + startMargin + time.Duration(float64(scenario.Fleet.Backends)/scenario.Changes.Register*float64(time.Second))
-	ctx, cancelDeadline := context.WithTimeoutCause(ctx, deadline, fmt.Errorf("the run has not ended within its deadline of %v", deadline))
+	ctx, cancelDeadline := context.WithTimeoutCause(ctx, deadline, fmt.Errorf("run did not end within its deadline of %v", deadline))
 	defer cancelDeadline()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -140,7 +140,7 @@
 			return nil, nil, err
 		}
 	}
-	return nil, nil, fmt.Errorf("the networks of %d runs in 127.0.0.0/8 are taken; the last: %w", maxNetworkAttempts, lastErr)
+	return nil, nil, fmt.Errorf("no free network in 127.0.0.0/8 after %d attempts: %w", maxNetworkAttempts, lastErr)
 }
 
 // run starts all processes, measures, and collects the result.
@@ -338,7 +338,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%s is not ready; it said:\n%s", proc.name, proc.logTail())
+	return fmt.Errorf("%s did not become ready within %v; end of its log:\n%s", proc.name, readyTimeout+r.scenario.Fleet.Lease.Std(), proc.logTail())
 }
 
 func pause(ctx context.Context, duration time.Duration) error {
@@ -354,7 +354,7 @@
 
 // processDied ends the run after a process has ended unexpectedly.
 func (r *runner) processDied(p *process, err error) {
-	r.cancel(fmt.Errorf("%s has ended by itself (%v); it said:\n%s", p.name, err, p.logTail()))
+	r.cancel(fmt.Errorf("%s ended unexpectedly (%v); end of its log:\n%s", p.name, err, p.logTail()))
 }
 
 func (r *runner) recordChanges(changes []Change) {
@@ -606,11 +606,11 @@
 
 // FinalComparison compares the gateways' lists to the writer's at the end of a run.
 type FinalComparison struct {
-	Matching       int           `json:"same"` // gateways that hold exactly what they read of the writer's list
-	Total          int           `json:"of"`
+	Matching       int           `json:"same"`    // gateways that hold exactly what they read of the writer's list
+	Total          int           `json:"of"`      // gateways compared
 	Checked        bool          `json:"checked"` // false with subsets, which a gateway selects itself
-	Elapsed        time.Duration `json:"took"`
-	MinBackends    int           `json:"least"` // held by a gateway
+	Elapsed        time.Duration `json:"took"`    // until all matched, or until the comparison ended
+	MinBackends    int           `json:"least"`   // held by a gateway
 	MaxBackends    int           `json:"most"`
 	ListedBackends int           `json:"listed"`          // on the writer's list
 	FirstMismatch  string        `json:"first,omitempty"` // empty: none
@@ -689,7 +689,7 @@
 		return registry.Listing{}, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return registry.Listing{}, fmt.Errorf("the writer's list: %s: %.200s", resp.Status, text)
+		return registry.Listing{}, fmt.Errorf("read the writer's list: %s: %.200s", resp.Status, text)
 	}
 	return registry.ParseListing(text)
 }
@@ -722,7 +722,7 @@
 		phase, changes := r.phase, len(r.changes)
 		r.mu.Unlock()
 		if memory > r.machine.memoryLimitMB() {
-			r.cancel(fmt.Errorf("all processes hold %.0f MB, over %.0f, half of the machine's", memory, r.machine.memoryLimitMB()))
+			r.cancel(fmt.Errorf("all processes hold %.0f MB, over the limit of %.0f MB, half of the machine's", memory, r.machine.memoryLimitMB()))
 			return
 		}
 		if r.options.Progress != nil {
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -74,14 +74,14 @@
 			}
 		}
 		if reads < result.Final.MinBackends || reads > result.Final.MaxBackends {
-			t.Errorf("gateway %d reads %d backends, and all hold %d to %d", gateway.Number, reads, result.Final.MinBackends, result.Final.MaxBackends)
+			t.Errorf("gateway %d reads %d backends, but gateways hold %d to %d", gateway.Number, reads, result.Final.MinBackends, result.Final.MaxBackends)
 		}
 	}
 	if result.Final.MaxBackends >= scenario.Fleet.Backends/2 || result.Final.Matching != 5 || result.Final.Total != 5 {
 		t.Errorf("%+v", result.Final)
 	}
 	if whole := int64(result.Changes * scenario.Fleet.Gateways); result.Propagation.Count == 0 || result.Propagation.Count >= whole/2 {
-		t.Errorf("%d readings of %d changes by %d gateways that read a sixth", result.Propagation.Count, result.Changes, scenario.Fleet.Gateways)
+		t.Errorf("%d latencies of %d changes at %d gateways that each read a sixth", result.Propagation.Count, result.Changes, scenario.Fleet.Gateways)
 	}
 }
 
@@ -143,19 +143,19 @@
 		t.Error(reason)
 	}
 	if result.Changes < 6 || result.Changes%changesPerRestart != 0 {
-		t.Errorf("%d changes in 2 s, at 15 a second", result.Changes)
+		t.Errorf("%d changes in 2 s at 15 per second, want a multiple of 3 from 6", result.Changes)
 	}
 	if want := int64(result.Changes * scenario.Fleet.Gateways); result.Propagation.Count != want {
-		t.Errorf("%d changes were read %d times by %d gateways", result.Changes, result.Propagation.Count, scenario.Fleet.Gateways)
+		t.Errorf("%d changes were received %d times by %d gateways", result.Changes, result.Propagation.Count, scenario.Fleet.Gateways)
 	}
 	if result.VersionDelta != int64(result.Changes) {
-		t.Errorf("%d changes and %d versions: leases ran out", result.Changes, result.VersionDelta)
+		t.Errorf("%d changes and %d versions: leases expired", result.Changes, result.VersionDelta)
 	}
 	if result.Final.ListedBackends != 20 || result.Final.Total != 5 {
 		t.Errorf("%+v", result.Final)
 	}
 	if result.Membership.Present < 4.9 {
-		t.Errorf("gateways hold %g of 5 present", result.Membership.Present)
+		t.Errorf("gateways consider %g of 5 members present", result.Membership.Present)
 	}
 	for name, processes := range map[string]int{roleWriter: 1, roleMember: 2, roleFollower: 1, roleGateways: 2, roleBackends: 1} {
 		if role, ok := result.Role(name); !ok || role.Processes != processes || role.InPerS <= 0 || role.OutPerS <= 0 || role.MemoryMB <= 0 {
@@ -163,7 +163,7 @@
 		}
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
-		t.Errorf("left: %s", remaining)
+		t.Errorf("running processes remain: %s", remaining)
 	}
 }
 
@@ -206,7 +206,7 @@
 		t.Errorf("%q, want %q", marks, want)
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
-		t.Errorf("left: %s", remaining)
+		t.Errorf("running processes remain: %s", remaining)
 	}
 }
 
@@ -217,16 +217,16 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	if _, err := Run(ctx, smallScenario(), options); err == nil {
-		t.Error("a run that was ended has a result")
+		t.Error("a cancelled run returned a result")
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
-		t.Errorf("left: %s", remaining)
+		t.Errorf("running processes remain: %s", remaining)
 	}
 	options.RegistryPath = "/bin/false"
-	if _, err := Run(t.Context(), smallScenario(), options); err == nil || !strings.Contains(err.Error(), "ended by itself") {
+	if _, err := Run(t.Context(), smallScenario(), options); err == nil || !strings.Contains(err.Error(), "ended unexpectedly") {
 		t.Errorf("%v", err)
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
-		t.Errorf("left: %s", remaining)
+		t.Errorf("running processes remain: %s", remaining)
 	}
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -137,7 +137,7 @@
 // appears in errors.
 func Parse(name string, text []byte) (*Scenario, error) {
 	if len(text) > maxTextBytes {
-		return nil, fmt.Errorf("%s: %d bytes are no scenario", name, len(text))
+		return nil, fmt.Errorf("%s: scenario of %d bytes exceeds the limit of %d", name, len(text), maxTextBytes)
 	}
 	parsed := Default()
 	if err := scenario.Decode(name, text, &parsed); err != nil {
@@ -163,8 +163,8 @@
 	require(s.Quiet > 0 && s.Quiet.Std() <= maxLength, "quiet: %v is not from 1ns to %v", s.Quiet, maxLength)
 	require(fleet.Members == 1 || fleet.Members == 3 || fleet.Members == 5, "fleet.members: %d is not 1, 3 or 5", fleet.Members)
 	require(fleet.Followers >= 0, "fleet.followers: %d is below 0", fleet.Followers)
-	require(fleet.Regions >= 1, "fleet.regions: %d is none", fleet.Regions)
-	require(fleet.Zones >= 1, "fleet.zones: %d is none", fleet.Zones)
+	require(fleet.Regions >= 1, "fleet.regions: %d is below 1", fleet.Regions)
+	require(fleet.Zones >= 1, "fleet.zones: %d is below 1", fleet.Zones)
 	require(fleet.Gateways >= 1 && fleet.Gateways <= maxHollowGateways, "fleet.gateways: %d is not from 1 to %d", fleet.Gateways, maxHollowGateways)
 	require(fleet.RealGateways >= 0, "fleet.real_gateways: %d is below 0", fleet.RealGateways)
 	require(fleet.Backends >= 1 && fleet.Backends <= maxHollowBackends, "fleet.backends: %d is not from 1 to %d", fleet.Backends, maxHollowBackends)
@@ -174,14 +174,14 @@
 	require(changes.PerS >= 0, "changes.per_s: %g is below 0", changes.PerS)
 	require(changes.Drain >= 0 && changes.Down >= 0, "changes: drain %v and down %v must not be below 0", changes.Drain, changes.Down)
 	require(changes.Requests >= 0, "changes.requests: %g is below 0", changes.Requests)
-	require(changes.Register > 0, "changes.register: %g is none", changes.Register)
+	require(changes.Register > 0, "changes.register: %g is not above 0", changes.Register)
 	reading := &s.Reading
 	require(reading.Services >= 0 && reading.Services <= fleet.Services, "reading.services: %d is not from 0 to the %d services", reading.Services, fleet.Services)
 	require(slices.Contains([]string{WithinAll, WithinRegion, WithinZone}, reading.Within), "reading.within: %q is not %s, %s or %s", reading.Within, WithinAll, WithinRegion, WithinZone)
 	require(reading.Services > 0 || reading.Within == WithinAll, "reading.within: %q needs reading.services", reading.Within)
 	require(reading.Subset >= 0 && (reading.Subset == 0 || reading.Services > 0), "reading.subset: %d needs reading.services, and is not below 0", reading.Subset)
 	hosts := &s.Hosts
-	require(hosts.Gateways >= 1 && hosts.Backends >= 1 && hosts.Connections >= 1, "hosts: each has to allow something")
+	require(hosts.Gateways >= 1 && hosts.Backends >= 1 && hosts.Connections >= 1, "hosts: gateways %d, backends %d and connections %d must each be at least 1", hosts.Gateways, hosts.Backends, hosts.Connections)
 	for n, fault := range s.Faults {
 		if err := s.checkFault(fault); err != nil {
 			problems = append(problems, fmt.Errorf("fault[%d]: %w", n, err))
@@ -192,7 +192,7 @@
 
 func (s *Scenario) checkFault(fault *Fault) error {
 	if _, known := faultDescriptions[fault.Kind]; !known {
-		return fmt.Errorf("kind: there is no %q", fault.Kind)
+		return fmt.Errorf("kind: unknown fault %q", fault.Kind)
 	}
 	if fault.At < 0 || fault.For <= 0 || fault.At+fault.For > s.Length {
 		return fmt.Errorf("%s: at %v for %v is not within the length of %v", fault.Kind, fault.At, fault.For, s.Length)
--- a/internal/scale/scenario_test.go
+++ b/internal/scale/scenario_test.go
@@ -9,6 +9,8 @@
 	scales "dunlintray/scale"
 )
 
+// TestShippedScenariosParse checks that all embedded scenarios are valid and named after their
+// files.
 func TestShippedScenariosParse(t *testing.T) {
 	for _, name := range scales.Names() {
 		text, err := scales.Text(name)
@@ -21,11 +23,13 @@
 			continue
 		}
 		if parsed.Name != name {
-			t.Errorf("%s has the name %q", name, parsed.Name)
+			t.Errorf("scenario %s has the name %q", name, parsed.Name)
 		}
 	}
 }
 
+// TestParseRejectsInvalidScenarios checks that invalid values are rejected with an error that
+// names the key, the value or the line.
 func TestParseRejectsInvalidScenarios(t *testing.T) {
 	for text, want := range map[string]string{
 		"length = \"0s\"":                                                  "length",
@@ -51,9 +55,9 @@
 	} {
 		_, err := Parse("x", []byte(text))
 		if err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q was accepted", text)
 		} else if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, which does not say %q", text, err, want)
+			t.Errorf("%q: error %v, want it to contain %q", text, err, want)
 		}
 	}
 }
@@ -64,6 +68,8 @@
 	return &scenario
 }
 
+// TestPlanSpreadsEvenly checks that backends are spread evenly over zones, that addresses are
+// unique, and that only followers of a cut region use a relay.
 func TestPlanSpreadsEvenly(t *testing.T) {
 	scenario := testScenario()
 	scenario.Faults = []*Fault{{Kind: FaultRegionCut, Region: "r1", For: Duration(time.Second)}}
@@ -73,7 +79,7 @@
 		zones[backend.Zone]++
 		services[backend.Service+backend.Zone]++
 		if backend.Region != backend.Zone[:2] {
-			t.Fatalf("%+v: its zone is not of its region", backend)
+			t.Fatalf("%+v: its zone is not in its region", backend)
 		}
 	}
 	for zone, n := range zones {
@@ -82,18 +88,18 @@
 		}
 	}
 	if len(services) != 5*6 {
-		t.Errorf("services have backends in %d zones, not in all", len(services))
+		t.Errorf("backends in %d pairs of service and zone, want 30", len(services))
 	}
 	seen := map[string]bool{}
 	for _, service := range plan.Services {
 		for _, address := range []string{service.Listen, service.Control, service.Group, service.RelayListen} {
 			if address != "" && seen[address] {
-				t.Errorf("%s stands twice", address)
+				t.Errorf("address %s is assigned twice", address)
 			}
 			seen[address] = true
 		}
 		if (service.RelayListen != "") != (service.Region == "r1") {
-			t.Errorf("%s of %q has the link %q, and only r1 is cut off", service.Name, service.Region, service.RelayListen)
+			t.Errorf("%s of %q has the relay address %q, but only r1 is cut off", service.Name, service.Region, service.RelayListen)
 		}
 	}
 	if got := plan.Registries("r1"); len(got) != 2 || got[0] != plan.Services[5].Listen {
@@ -106,6 +112,8 @@
 	}
 }
 
+// TestScopesSelectZoneBackends checks that a gateway reads exactly the backends of its
+// services in its zone.
 func TestScopesSelectZoneBackends(t *testing.T) {
 	scenario := testScenario()
 	scenario.Reading = Reading{Services: 2, Within: WithinZone}
@@ -121,13 +129,15 @@
 		}
 	}
 	if readCount != 8 || plan.backendsPerGateway() != 8 {
-		t.Errorf("it reads %d backends and the plan expects %g, not 8", readCount, plan.backendsPerGateway())
+		t.Errorf("the gateway reads %d backends and the plan estimates %g, want 8", readCount, plan.backendsPerGateway())
 	}
 	if !(Gateway{}).Reads(plan.Backends[0]) {
-		t.Error("a gateway without scopes reads the whole list")
+		t.Error("a gateway without scopes does not read the whole list")
 	}
 }
 
+// TestCheckResourcesRejectsOversizedScenarios checks that scenarios beyond a machine's
+// processes, memory, descriptors or addresses are rejected.
 func TestCheckResourcesRejectsOversizedScenarios(t *testing.T) {
 	machine := Machine{MemoryMB: 24_000, Files: 20_000}
 	scenario := testScenario()
@@ -146,11 +156,13 @@
 		scenario := testScenario()
 		change(scenario)
 		if err := NewPlan(scenario, 20).CheckResources(machine); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, which does not say %q", err, want)
+			t.Errorf("error %v, want it to contain %q", err, want)
 		}
 	}
 }
 
+// TestSweepCheckRejectsInvalidSweeps checks that invalid quantities and sizes are rejected,
+// and that a sweep leaves the base scenario unchanged.
 func TestSweepCheckRejectsInvalidSweeps(t *testing.T) {
 	scenario := testScenario()
 	good := Sweep{Quantity: "gateways", Sizes: []float64{3, 9}, Against: "changes", AgainstSizes: []float64{1, 3}}
@@ -167,7 +179,7 @@
 		{Quantity: "gateways", Sizes: []float64{1, 3}, Against: "gateways", AgainstSizes: []float64{1, 3}}, {Quantity: "gateways", Sizes: []float64{1, 3}, Against: "changes"},
 		{Quantity: "backends", Sizes: []float64{100, 2_000_000}}} {
 		if bad.Check(scenario) == nil {
-			t.Errorf("%+v is taken", bad)
+			t.Errorf("%+v was accepted", bad)
 		}
 	}
 }
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -43,10 +43,10 @@
 		return fmt.Errorf("there is no quantity %q; there are %s", w.Quantity, strings.Join(Quantities(), ", "))
 	}
 	if len(w.Sizes) < minSizes {
-		return fmt.Errorf("%d sizes of %s are too few", len(w.Sizes), w.Quantity)
+		return fmt.Errorf("%d sizes of %s are too few: at least %d are required", len(w.Sizes), w.Quantity, minSizes)
 	}
 	if (w.Against == "") != (len(w.AgainstSizes) == 0) || w.Against != "" && (quantities[w.Against] == nil || w.Against == w.Quantity || len(w.AgainstSizes) < minSizes) {
-		return fmt.Errorf("against %q with %d sizes: it takes another quantity with at least %d", w.Against, len(w.AgainstSizes), minSizes)
+		return fmt.Errorf("against %q with %d sizes: another quantity with at least %d sizes is required", w.Against, len(w.AgainstSizes), minSizes)
 	}
 	var problems []error
 	for _, point := range w.points() {
