--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -13,7 +13,7 @@
 // Guards against invalid command lines that are accepted, and errors that do not name the cause.
 func TestParseValidatesFlags(t *testing.T) {
 	t.Setenv("SOME_CONFIG", "env.json")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args   string
 		config string
 		check  bool
@@ -28,12 +28,12 @@
 		{"--config=", "", false, "SOME_CONFIG is not set"},
 		{"--colour", "", false, "colour"},
 	} {
-		options, err := Parse("some", "SOME_CONFIG", strings.Fields(c.args), &bytes.Buffer{})
+		options, err := Parse("some", "SOME_CONFIG", strings.Fields(test.args), &bytes.Buffer{})
 		switch {
-		case c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)):
-			t.Errorf("%q: %v", c.args, err)
-		case c.err == "" && (err != nil || options.Config != c.config || options.Check != c.check):
-			t.Errorf("%q: %+v %v", c.args, options, err)
+		case test.err != "" && (err == nil || !strings.Contains(err.Error(), test.err)):
+			t.Errorf("%q: %v", test.args, err)
+		case test.err == "" && (err != nil || options.Config != test.config || options.Check != test.check):
+			t.Errorf("%q: %+v %v", test.args, options, err)
 		}
 	}
 	var out bytes.Buffer
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -79,12 +79,12 @@
 	accepted := make(chan *net.TCPConn, 64)
 	go func() {
 		for {
-			c, err := listener.Accept()
+			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			c.SetDeadline(time.Now().Add(waitTimeout))
-			accepted <- c.(*net.TCPConn)
+			connection.SetDeadline(time.Now().Add(waitTimeout))
+			accepted <- connection.(*net.TCPConn)
 		}
 	}()
 	return listener.Addr().String(), accepted
@@ -103,26 +103,26 @@
 
 func dial(t *testing.T, relay *Relay) *net.TCPConn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", relay.Address(), waitTimeout)
+	connection, err := net.DialTimeout("tcp", relay.Address(), waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(waitTimeout))
-	return c.(*net.TCPConn)
+	t.Cleanup(func() { connection.Close() })
+	connection.SetDeadline(time.Now().Add(waitTimeout))
+	return connection.(*net.TCPConn)
 }
 
-func write(t *testing.T, c net.Conn, text string) {
+func write(t *testing.T, connection net.Conn, text string) {
 	t.Helper()
-	if _, err := io.WriteString(c, text); err != nil {
+	if _, err := io.WriteString(connection, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func expect(t *testing.T, c net.Conn, want string) {
+func expect(t *testing.T, connection net.Conn, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
-	if n, err := io.ReadFull(c, got); err != nil || string(got) != want {
+	if n, err := io.ReadFull(connection, got); err != nil || string(got) != want {
 		t.Fatalf("read %q, %v; want %q", got[:n], err, want)
 	}
 }
@@ -167,24 +167,24 @@
 					if now := relay.Stats().Bytes[direction]; now != before {
 						t.Errorf("%d bytes passed", now-before)
 					}
-					c, err := net.DialTimeout("tcp", relay.Address(), 200*time.Millisecond)
+					connection, err := net.DialTimeout("tcp", relay.Address(), 200*time.Millisecond)
 					for attempts := 0; kind == Dropped && err == nil && attempts < 2; attempts++ {
 						// The backlog has room for one more if a connection was being accepted at the change.
-						defer c.Close()
-						c, err = net.DialTimeout("tcp", relay.Address(), 200*time.Millisecond)
+						defer connection.Close()
+						connection, err = net.DialTimeout("tcp", relay.Address(), 200*time.Millisecond)
 					}
 					if (err == nil) != (kind == Stalled) {
 						t.Errorf("a new connection: %v", err)
 					}
 					if kind == Stalled {
 						// Writes fill the buffers and block then.
-						ends := [2]net.Conn{c, <-accepted}
+						ends := [2]net.Conn{connection, <-accepted}
 						ends[direction].SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
 						n, err := io.Copy(ends[direction], io.LimitReader(zeros{}, 1<<30))
 						if !errors.Is(err, os.ErrDeadlineExceeded) || n > 64<<20 {
 							t.Errorf("%d bytes were written, then %v", n, err)
 						}
-						c.Close()
+						connection.Close()
 					}
 					relay.Set(direction, Condition{Kind: Up})
 					expect(t, to, "held")
@@ -194,15 +194,15 @@
 							t.Errorf("an established connection: %v", err)
 						}
 					}
-					c, err := net.DialTimeout("tcp", relay.Address(), waitTimeout)
+					connection, err := net.DialTimeout("tcp", relay.Address(), waitTimeout)
 					if errors.Is(err, syscall.ECONNREFUSED) != (kind == Refused) || (err == nil) != (kind == Reset) && !isReset(err) {
 						t.Fatalf("a new connection: %v", err)
 					}
 					if err == nil {
-						if _, err := c.Read(make([]byte, 1)); !isReset(err) {
+						if _, err := connection.Read(make([]byte, 1)); !isReset(err) {
 							t.Errorf("a new connection: %v", err)
 						}
-						c.Close()
+						connection.Close()
 					}
 					relay.Set(direction, Condition{Kind: Up})
 				case Cut:
--- a/internal/world/gateways.go
+++ b/internal/world/gateways.go
@@ -259,9 +259,9 @@
 		for _, entry := range event.Entries {
 			listed[entry.Backend] = true
 		}
-		for _, b := range em.Referee.KnownBackends(event.Gateway) {
-			if !listed[b] {
-				em.Referee.BackendStateReceived(em.now, event.Gateway, b, referee.Gone, -1)
+		for _, backend := range em.Referee.KnownBackends(event.Gateway) {
+			if !listed[backend] {
+				em.Referee.BackendStateReceived(em.now, event.Gateway, backend, referee.Gone, -1)
 			}
 		}
 	}
--- a/internal/world/links_test.go
+++ b/internal/world/links_test.go
@@ -65,7 +65,7 @@
 	service := func(k int) Endpoint { return Endpoint{scenario.Registries, k} }
 	gateway := func(n int) Endpoint { return Endpoint{scenario.Gateways, n} }
 	backends := ProcessLink{Endpoint{scenario.Backends, 0}, service(0)}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		at   time.Duration
 		wire ProcessLink
 		way  link.Direction
@@ -93,11 +93,11 @@
 		{21200 * time.Millisecond, backends, link.Forward, link.Cut},
 		{30 * time.Second, backends, link.Forward, link.Up},
 	} {
-		if other := runUntil(em, c.at, conditions); len(other) > 0 {
-			t.Errorf("%v: %v", c.at, other)
+		if other := runUntil(em, test.at, conditions); len(other) > 0 {
+			t.Errorf("%v: %v", test.at, other)
 		}
-		if got := conditions[relayDirection{c.wire, c.way}].Kind; got != c.want {
-			t.Errorf("at %v, %v, way %d: %q, not %q", c.at, c.wire, c.way, got, c.want)
+		if got := conditions[relayDirection{test.wire, test.way}].Kind; got != test.want {
+			t.Errorf("at %v, %v, way %d: %q, not %q", test.at, test.wire, test.way, got, test.want)
 		}
 	}
 	for at, condition := range conditions {
@@ -134,7 +134,7 @@
 		}
 		return -1
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		at                     time.Duration
 		from, to               int
 		minTransit, maxTransit time.Duration
@@ -142,8 +142,8 @@
 		{500 * time.Millisecond, 0, 1, 0, 100 * time.Millisecond}, {1501 * time.Millisecond, 0, 1, -1, -1}, {2300 * time.Millisecond, 1, 0, 0, 100 * time.Millisecond},
 		{4100 * time.Millisecond, 1, 0, 500 * time.Millisecond, 600 * time.Millisecond}, {4900 * time.Millisecond, 0, 1, 0, 100 * time.Millisecond},
 	} {
-		if took := transit(c.at, c.from, c.to); took < c.minTransit || took > c.maxTransit {
-			t.Errorf("at %v from n%d to n%d: %v", c.at, c.from, c.to, took)
+		if took := transit(test.at, test.from, test.to); took < test.minTransit || took > test.maxTransit {
+			t.Errorf("at %v from n%d to n%d: %v", test.at, test.from, test.to, took)
 		}
 	}
 	links := map[gatewayLink]LinkState{}
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -165,7 +165,7 @@
 		return s
 	}
 	rules := []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most, referee.Drain, referee.List, referee.Cold, referee.Ceiling, referee.Stop, referee.Peer, referee.Door}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		s     *scenario.Scenario
 		tries []string // beside answers, attempts and processes
 	}{
@@ -189,9 +189,9 @@
 	} {
 		// Faults that slow or break attempts may try these rules too.
 		possible := []string{referee.Copy, referee.Resend, referee.Refusal, referee.Most}
-		without := untried(c.s)
+		untriedRules := untried(test.s)
 		for _, rule := range rules {
-			if tried := !slices.Contains(without, rule); tried != slices.Contains(c.tries, rule) && (name == "quiet" || !slices.Contains(possible, rule)) {
+			if tried := !slices.Contains(untriedRules, rule); tried != slices.Contains(test.tries, rule) && (name == "quiet" || !slices.Contains(possible, rule)) {
 				t.Errorf("%s: %s tried: %v", name, rule, tried)
 			}
 		}
@@ -205,7 +205,7 @@
 	list := func(version int64, full bool, lifecycle Lifecycle, at time.Duration) ListDelivered {
 		return ListDelivered{Gateway: 0, Version: version, Full: full, Entries: []Entry{{Backend: draining, Lifecycle: lifecycle, Started: at}}}
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		events        []Event // version 7 drains the backend; the test registers that before or after these
 		broken, tried bool
 	}{
@@ -224,7 +224,7 @@
 			if early {
 				em.Step(0, registered)
 			}
-			for _, e := range c.events {
+			for _, e := range test.events {
 				em.Step(0, e)
 			}
 			if !early {
@@ -232,7 +232,7 @@
 			}
 			_, counts := em.Referee.Violations()
 			untried := referee.Untried(em.Referee.Trials(), []string{referee.List})
-			if (counts[referee.List] > 0) != c.broken || (len(untried) == 0) != c.tried {
+			if (counts[referee.List] > 0) != test.broken || (len(untried) == 0) != test.tried {
 				t.Errorf("%s, registered first %v: broken %v, untried %v", name, early, counts, untried)
 			}
 		}
@@ -360,15 +360,15 @@
 		return done, rejected
 	}
 	full := cores * duration.Seconds() / work
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		started  time.Duration
 		atOnce   int
 		overfull float64
 		want     float64
 	}{{"warm", -1, 2, 0, full}, {"one alone has one core", -1, 1, 0, full / 2}, {"cold", 0, 2, 0, full / 4}, {"overfull", -1, 8, 0.5, full / 2}} {
-		if done, rejected := served(c.started, c.atOnce, c.overfull); float64(done) < c.want*0.95 || float64(done) > c.want*1.03 || rejected > 0 {
-			t.Errorf("%s: %d served, %d rejected, want %.0f served", c.name, done, rejected, c.want)
+		if done, rejected := served(test.started, test.atOnce, test.overfull); float64(done) < test.want*0.95 || float64(done) > test.want*1.03 || rejected > 0 {
+			t.Errorf("%s: %d served, %d rejected, want %.0f served", test.name, done, rejected, test.want)
 		}
 	}
 	if _, rejected := served(-1, 17, 0); rejected == 0 {
