--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -346,20 +346,20 @@
 // loadStoppedMember reads the configuration of a stopped group member. Its server is nil if the
 // group does not replicate the list.
 func loadStoppedMember(path string) (*config, *registry.Server, group.Config, error) {
-	c, err := readConfig(path)
+	parsed, err := readConfig(path)
 	if err != nil {
 		return nil, nil, group.Config{}, err
 	}
-	if c.Group == nil {
+	if parsed.Group == nil {
 		return nil, nil, group.Config{}, fmt.Errorf("configuration %s: not of a group member: group is missing", path)
 	}
 	var server *registry.Server
-	if c.Group.RegistryAddresses != nil {
+	if parsed.Group.RegistryAddresses != nil {
 		var seed [32]byte
 		crand.Read(seed[:])
-		server = registry.NewGroupMember(c.Listen, c.storeLimits(), c.serverLimits(), time.Now(), rand.New(rand.NewChaCha8(seed)))
+		server = registry.NewGroupMember(parsed.Listen, parsed.storeLimits(), parsed.serverLimits(), time.Now(), rand.New(rand.NewChaCha8(seed)))
 	}
-	return c, server, c.Group.memberConfig(), os.MkdirAll(c.Group.DataDir, 0o700)
+	return parsed, server, parsed.Group.memberConfig(), os.MkdirAll(parsed.Group.DataDir, 0o700)
 }
 
 // recoverGroup turns the only remaining member into a group of one.
@@ -367,7 +367,7 @@
 	if len(args) != 2 || args[1] != "--others-are-lost" {
 		return errors.New("recover CONFIG --others-are-lost: CONFIG is the configuration of the only remaining member. Entries that the others committed without it are lost, and the others must not run again")
 	}
-	c, server, member, err := loadStoppedMember(args[0])
+	parsed, server, member, err := loadStoppedMember(args[0])
 	if err != nil {
 		return err
 	}
@@ -375,11 +375,11 @@
 	if server != nil {
 		list = server
 	}
-	recovery, err := group.Recover(member, wal.Dir(c.Group.DataDir), list)
+	recovery, err := group.Recover(member, wal.Dir(parsed.Group.DataDir), list)
 	if err != nil {
 		return fmt.Errorf("recover: %w", err)
 	}
-	fmt.Fprintf(out, "member %d is now the only member of the group, with generation %s\n", c.Group.Self, recovery.Generation)
+	fmt.Fprintf(out, "member %d is now the only member of the group, with generation %s\n", parsed.Group.Self, recovery.Generation)
 	fmt.Fprintf(out, "its last entry is %d of term %d; entries committed after that, if any, are lost although they were answered\n", recovery.LastIndex, recovery.Term)
 	if recovery.LastIndex > recovery.CommitIndex {
 		fmt.Fprintf(out, "entries %d to %d were not known to be committed; they are committed now\n", recovery.CommitIndex+1, recovery.LastIndex)
@@ -395,7 +395,7 @@
 	if len(args) != 2 {
 		return errors.New("takeover CONFIG DATA_DIR: CONFIG is the configuration of a group of one, DATA_DIR the folder of the writer or follower whose list the group takes over")
 	}
-	c, server, member, err := loadStoppedMember(args[0])
+	parsed, server, member, err := loadStoppedMember(args[0])
 	switch {
 	case err != nil:
 		return err
@@ -405,7 +405,7 @@
 	if _, err := os.Stat(args[1]); err != nil {
 		return fmt.Errorf("takeover: %w", err)
 	}
-	log, store, err := registry.Open(wal.Dir(args[1]), int64(c.Limits.DataMB)<<20, c.storeLimits(), 0)
+	log, store, err := registry.Open(wal.Dir(args[1]), int64(parsed.Limits.DataMB)<<20, parsed.storeLimits(), 0)
 	if err != nil {
 		return fmt.Errorf("takeover: %s: %w", args[1], err)
 	}
@@ -417,7 +417,7 @@
 	if err != nil {
 		return fmt.Errorf("takeover: %s: %w", args[1], err)
 	}
-	if err := group.Bootstrap(member, wal.Dir(c.Group.DataDir), server); err != nil {
+	if err := group.Bootstrap(member, wal.Dir(parsed.Group.DataDir), server); err != nil {
 		return fmt.Errorf("takeover: %w", err)
 	}
 	if copied {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -27,8 +27,8 @@
 	n.tokens--
 	n.stats.Received++
 	n.stats.ReceivedBytes += int64(len(data))
-	d, err := decode(data, n.config.Members)
-	if err != nil || d.from != from || from == n.config.Self || !n.plausible(d) {
+	message, err := decode(data, n.config.Members)
+	if err != nil || message.from != from || from == n.config.Self || !n.plausible(message) {
 		n.stats.Malformed++
 		return n.takeActions()
 	}
@@ -36,25 +36,25 @@
 		return n.takeActions()
 	}
 	sender := &n.members[from]
-	if d.start < sender.Start {
+	if message.start < sender.Start {
 		// An earlier process sent the datagram. If it still runs, it must learn of the later one.
 		n.stats.Stale++
 		n.send(from, datagram{kind: gossip}, []entry{n.entryOf(from)})
 		return n.takeActions()
 	}
-	for _, e := range d.entries {
+	for _, e := range message.entries {
 		n.applyEntry(e)
 	}
 	if n.superseded {
 		return n.takeActions()
 	}
-	if sender.Start != d.start && !(sender.State == Left && sender.Start >= d.start) {
-		n.setState(from, Alive, 0, d.start) // a member that sends is alive
+	if sender.Start != message.start && !(sender.State == Left && sender.Start >= message.start) {
+		n.setState(from, Alive, 0, message.start) // a member that sends is alive
 	}
-	sender.digest, sender.digestKnown, sender.receivedAt, n.receivedAt = d.digest, true, n.now, n.now
-	n.handle(from, d)
+	sender.digest, sender.digestKnown, sender.receivedAt, n.receivedAt = message.digest, true, n.now, n.now
+	n.handle(from, message)
 	// Without a pending update, dissemination alone would not make the two views equal.
-	if d.digest != n.digest && len(n.updates) == 0 && n.now-n.comparedAt >= n.stretch(Period) {
+	if message.digest != n.digest && len(n.updates) == 0 && n.now-n.comparedAt >= n.stretch(Period) {
 		n.sendSums(from)
 	}
 	return n.takeActions()
@@ -69,40 +69,40 @@
 }
 
 // handle answers a datagram and applies its effect on probes, depending on its kind.
-func (n *Node) handle(from int, d datagram) {
-	switch d.kind {
+func (n *Node) handle(from int, message datagram) {
+	switch message.kind {
 	case ping:
-		if d.subject == n.config.Self {
-			n.send(from, datagram{kind: ack, sequence: d.sequence, subject: n.config.Self}, n.entryToRefute(from))
+		if message.subject == n.config.Self {
+			n.send(from, datagram{kind: ack, sequence: message.sequence, subject: n.config.Self}, n.entryToRefute(from))
 		}
 	case pingRequest:
-		if len(n.relays) >= n.config.Members || d.subject == n.config.Self {
+		if len(n.relays) >= n.config.Members || message.subject == n.config.Self {
 			return
 		}
 		n.sequence++
-		n.relays = append(n.relays, relay{from, d.sequence, d.subject, n.sequence, n.now + directProbeTimeout})
-		n.send(d.subject, datagram{kind: ping, sequence: n.sequence, subject: d.subject}, n.entryToRefute(d.subject))
+		n.relays = append(n.relays, relay{from, message.sequence, message.subject, n.sequence, n.now + directProbeTimeout})
+		n.send(message.subject, datagram{kind: ping, sequence: n.sequence, subject: message.subject}, n.entryToRefute(message.subject))
 	case ack:
-		if p := n.probe; p != nil && p.sequence == d.sequence && d.subject == p.target {
+		if p := n.probe; p != nil && p.sequence == message.sequence && message.subject == p.target {
 			n.probe = nil
 			n.health = max(n.health-1, 0)
 			return
 		}
 		n.relays = slices.DeleteFunc(n.relays, func(r relay) bool {
-			if r.pingSequence != d.sequence || r.target != from {
+			if r.pingSequence != message.sequence || r.target != from {
 				return false
 			}
 			n.send(r.requester, datagram{kind: ack, sequence: r.requesterSequence, subject: from}, nil)
 			return true
 		})
 	case nack:
-		if p := n.probe; p != nil && p.sequence == d.sequence && d.subject == p.target {
+		if p := n.probe; p != nil && p.sequence == message.sequence && message.subject == p.target {
 			p.awaitingNack = slices.DeleteFunc(p.awaitingNack, func(helper int) bool { return helper == from })
 		}
 	case viewSums:
 		sent := 0
-		for i, sum := range d.sums {
-			first := d.subject + i*maxEntries
+		for i, sum := range message.sums {
+			first := message.subject + i*maxEntries
 			if first >= n.config.Members || sent == maxPartsPerAnswer {
 				break
 			}
@@ -114,7 +114,7 @@
 	case viewPart:
 		// Return the entries that are missing or older at the sender, in one datagram.
 		var newer []entry
-		for _, e := range d.entries {
+		for _, e := range message.entries {
 			if m := &n.members[e.member]; m.State != Unknown && supersedes(n.entryOf(e.member), &member{Member: Member{e.member, e.state, e.incarnation, e.start, 0}}) {
 				newer = append(newer, n.entryOf(e.member))
 			}
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,8 +6,8 @@
 )
 
 // setState changes the state of a member and queues it for dissemination.
-func (n *Node) setState(i int, state State, incarnation uint32, start int64) {
-	m := &n.members[i]
+func (n *Node) setState(number int, state State, incarnation uint32, start int64) {
+	m := &n.members[number]
 	n.digest ^= n.memberHash(m.Member)
 	changed := m.State != state || m.Start != start
 	if changed {
@@ -27,7 +27,7 @@
 		n.setSuspicionDeadline(m)
 	}
 	n.digest ^= n.memberHash(m.Member)
-	n.enqueue(n.entryOf(i))
+	n.enqueue(n.entryOf(number))
 	if changed {
 		n.actions.Changed = append(n.actions.Changed, m.Member)
 	}
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -16,13 +16,13 @@
 	// MaxDatagramBytes is the size of the largest datagram.
 	MaxDatagramBytes = 256
 
-	magic      = 0xd7
-	headBytes  = 25
-	entryBytes = 15
-	sumBytes   = 4 // of the checksum, and of one sum
-	maxSums    = (MaxDatagramBytes - headBytes - sumBytes) / sumBytes
-	maxEntries = (MaxDatagramBytes - headBytes - sumBytes) / entryBytes
-	maxStart   = 1<<48 - 1
+	magic       = 0xd7
+	headerBytes = 25
+	entryBytes  = 15
+	sumBytes    = 4 // of the checksum, and of one sum
+	maxSums     = (MaxDatagramBytes - headerBytes - sumBytes) / sumBytes
+	maxEntries  = (MaxDatagramBytes - headerBytes - sumBytes) / entryBytes
+	maxStart    = 1<<48 - 1
 )
 
 // kind is the type of a datagram.
@@ -93,63 +93,63 @@
 }
 
 func (d *datagram) encode() []byte {
-	b := make([]byte, 0, headBytes+len(d.entries)*entryBytes+sumBytes)
-	b = append(b, magic, byte(d.kind))
-	b = binary.LittleEndian.AppendUint16(b, uint16(d.from))
-	b = appendUint48(b, d.start)
-	b = binary.LittleEndian.AppendUint32(b, d.sequence)
-	b = binary.LittleEndian.AppendUint16(b, uint16(d.subject))
-	b = binary.LittleEndian.AppendUint64(b, d.digest)
-	b = append(b, byte(len(d.entries)+len(d.sums)))
+	data := make([]byte, 0, headerBytes+len(d.entries)*entryBytes+sumBytes)
+	data = append(data, magic, byte(d.kind))
+	data = binary.LittleEndian.AppendUint16(data, uint16(d.from))
+	data = appendUint48(data, d.start)
+	data = binary.LittleEndian.AppendUint32(data, d.sequence)
+	data = binary.LittleEndian.AppendUint16(data, uint16(d.subject))
+	data = binary.LittleEndian.AppendUint64(data, d.digest)
+	data = append(data, byte(len(d.entries)+len(d.sums)))
 	for _, s := range d.sums {
-		b = binary.LittleEndian.AppendUint32(b, s)
+		data = binary.LittleEndian.AppendUint32(data, s)
 	}
 	for _, e := range d.entries {
-		b = binary.LittleEndian.AppendUint16(b, uint16(e.member))
-		b = append(b, byte(e.state))
-		b = binary.LittleEndian.AppendUint32(b, e.incarnation)
-		b = appendUint48(b, e.start)
-		b = binary.LittleEndian.AppendUint16(b, uint16(e.suspectedBy))
+		data = binary.LittleEndian.AppendUint16(data, uint16(e.member))
+		data = append(data, byte(e.state))
+		data = binary.LittleEndian.AppendUint32(data, e.incarnation)
+		data = appendUint48(data, e.start)
+		data = binary.LittleEndian.AppendUint16(data, uint16(e.suspectedBy))
 	}
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	return binary.LittleEndian.AppendUint32(data, crc32.Checksum(data, castagnoli))
 }
 
 // decode decodes a datagram. It returns errMalformed for a wrong size or checksum, an unknown kind
 // or state, and a member number that is not below members.
 func decode(data []byte, members int) (datagram, error) {
-	var d datagram
-	if len(data) < headBytes+sumBytes || len(data) > MaxDatagramBytes || data[0] != magic {
-		return d, errMalformed
+	var message datagram
+	if len(data) < headerBytes+sumBytes || len(data) > MaxDatagramBytes || data[0] != magic {
+		return message, errMalformed
 	}
 	body := data[:len(data)-sumBytes]
 	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(data[len(body):]) {
-		return d, errMalformed
+		return message, errMalformed
 	}
-	d = datagram{kind: kind(data[1]), from: int(binary.LittleEndian.Uint16(data[2:])), start: uint48(data[4:]), sequence: binary.LittleEndian.Uint32(data[10:]),
+	message = datagram{kind: kind(data[1]), from: int(binary.LittleEndian.Uint16(data[2:])), start: uint48(data[4:]), sequence: binary.LittleEndian.Uint32(data[10:]),
 		subject: int(binary.LittleEndian.Uint16(data[14:])), digest: binary.LittleEndian.Uint64(data[16:])}
 	count := int(data[24])
-	if d.kind < ping || d.kind > viewSums || d.from >= members || d.subject >= members {
-		return d, errMalformed
+	if message.kind < ping || message.kind > viewSums || message.from >= members || message.subject >= members {
+		return message, errMalformed
 	}
-	if d.kind == viewSums {
-		if count > maxSums || len(body) != headBytes+count*sumBytes {
-			return d, errMalformed
+	if message.kind == viewSums {
+		if count > maxSums || len(body) != headerBytes+count*sumBytes {
+			return message, errMalformed
 		}
-		for offset := headBytes; offset < len(body); offset += sumBytes {
-			d.sums = append(d.sums, binary.LittleEndian.Uint32(body[offset:]))
+		for offset := headerBytes; offset < len(body); offset += sumBytes {
+			message.sums = append(message.sums, binary.LittleEndian.Uint32(body[offset:]))
 		}
-		return d, nil
+		return message, nil
 	}
-	if len(body) != headBytes+count*entryBytes {
-		return d, errMalformed
+	if len(body) != headerBytes+count*entryBytes {
+		return message, errMalformed
 	}
-	for offset := headBytes; offset < len(body); offset += entryBytes {
+	for offset := headerBytes; offset < len(body); offset += entryBytes {
 		e := entry{member: int(binary.LittleEndian.Uint16(body[offset:])), state: State(body[offset+2]), incarnation: binary.LittleEndian.Uint32(body[offset+3:]), start: uint48(body[offset+7:]),
 			suspectedBy: int(binary.LittleEndian.Uint16(body[offset+13:]))}
 		if e.member >= members || e.suspectedBy >= members || e.state < Alive || e.state > Left {
-			return d, errMalformed
+			return message, errMalformed
 		}
-		d.entries = append(d.entries, e)
+		message.entries = append(message.entries, e)
 	}
-	return d, nil
+	return message, nil
 }
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	for i, v := range views {
+	for i, view := range views {
 		if groupOf[i] == i {
 			report.Groups = append(report.Groups, nil)
 			for j, other := range views {
@@ -71,8 +71,8 @@
 			}
 		}
 		for _, other := range views {
-			if v.holdsPresent(other.Self) && !other.holdsPresent(v.Self) {
-				report.OneWay = append(report.OneWay, [2]int{v.Self, other.Self})
+			if view.holdsPresent(other.Self) && !other.holdsPresent(view.Self) {
+				report.OneWay = append(report.OneWay, [2]int{view.Self, other.Self})
 			}
 		}
 	}
--- a/internal/views/views_test.go
+++ b/internal/views/views_test.go
@@ -57,16 +57,16 @@
 		var views []View
 		want := map[int][]int{}
 		var missing []int
-		for a := range members {
-			if dead[a] || !asked[a] {
+		for gateway := range members {
+			if dead[gateway] || !asked[gateway] {
 				continue
 			}
-			v := View{Self: a, Present: make([]bool, members)}
-			for b := range members {
-				v.Present[b] = !dead[b] && side[a] == side[b]
+			v := View{Self: gateway, Present: make([]bool, members)}
+			for other := range members {
+				v.Present[other] = !dead[other] && side[gateway] == side[other]
 			}
 			views = append(views, v)
-			want[side[a]] = append(want[side[a]], a)
+			want[side[gateway]] = append(want[side[gateway]], gateway)
 		}
 		if len(views) == 0 {
 			return
