--- a/cmd/dunlintray/main_test.go
+++ b/cmd/dunlintray/main_test.go
@@ -381,7 +381,7 @@
 		{[]string{a}, 0, "suspect  0s"},
 		{[]string{a}, 0, "divided for 1.5s: hears little\n"},
 		{[]string{a, b}, 0, "n0: divided for 1.5s: hears little\nn1: divided for 1.5s: hears little\npresent in no view: n2\nall 2 agree\n"},
-		{[]string{a, c, b}, 0, "likely partition: n0 n1 | n2\n"},
+		{[]string{a, c, b}, 0, "likely cut: n0 n1 | n2\n"},
 		{[]string{a, off, b}, 1, off + " does not tell: no: 404"},
 		{[]string{a, b, gateway(1, "alive alive alive")}, 1, "both say that they are n1; only the first is compared\npresent in no view: n2\nall 2 agree"},
 		{[]string{"--json", a, c}, 0, `{"self":2`},
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -132,7 +132,7 @@
 		for _, g := range r.Groups {
 			sides = append(sides, formatMembers(g))
 		}
-		fmt.Fprintf(w, "likely partition: %s\n", strings.Join(sides, " | "))
+		fmt.Fprintf(w, "likely cut: %s\n", strings.Join(sides, " | "))
 		if len(r.Bridges) > 0 {
 			fmt.Fprintf(w, "on both sides: %s\n", formatMembers(r.Bridges))
 		}
--- a/internal/views/views_test.go
+++ b/internal/views/views_test.go
@@ -27,11 +27,11 @@
 		"all present":                    {[]View{view(0, 3, 0, 1, 2), view(1, 3, 0, 1, 2), view(2, 3, 0, 1, 2)}, []string{"all 3 agree"}},
 		"one died":                       {[]View{view(0, 3, 0, 1), view(1, 3, 0, 1)}, []string{"present in no view: n2", "all 2 agree"}},
 		"one view is older":              {[]View{view(0, 3, 0, 1, 2), view(1, 3, 0, 1)}, []string{"n2: present in the views of n0; absent in the views of n1", "no partition"}},
-		"partitioned in two":             {[]View{view(0, 4, 0, 1), view(1, 4, 0, 1), view(2, 4, 2, 3), view(3, 4, 2, 3)}, []string{"n0: present in the views of n0 n1; absent in the views of n2 n3", "likely partition: n0 n1 | n2 n3"}},
-		"partitioned, one view a side":   {[]View{view(0, 4, 0, 1), view(3, 4, 2, 3)}, []string{"likely partition: n0 | n3"}},
-		"considered present by no other": {[]View{view(0, 3, 0, 1), view(1, 3, 0, 1), view(2, 3, 0, 1, 2)}, []string{"n2 considers n0 present, but n0 does not consider n2 present", "likely partition: n0 n1 | n2", "on both sides: n0 n1"}},
+		"partitioned in two":             {[]View{view(0, 4, 0, 1), view(1, 4, 0, 1), view(2, 4, 2, 3), view(3, 4, 2, 3)}, []string{"n0: present in the views of n0 n1; absent in the views of n2 n3", "likely cut: n0 n1 | n2 n3"}},
+		"partitioned, one view a side":   {[]View{view(0, 4, 0, 1), view(3, 4, 2, 3)}, []string{"likely cut: n0 | n3"}},
+		"considered present by no other": {[]View{view(0, 3, 0, 1), view(1, 3, 0, 1), view(2, 3, 0, 1, 2)}, []string{"n2 considers n0 present, but n0 does not consider n2 present", "likely cut: n0 n1 | n2", "on both sides: n0 n1"}},
 		"with the view of a bridge":      {[]View{view(0, 3, 0, 2), view(1, 3, 1, 2), view(2, 3, 0, 1, 2)}, []string{"n0: present in the views of n0 n2; absent in the views of n1", "no partition among the compared gateways"}},
-		"without the view of a bridge":   {[]View{view(0, 3, 0, 2), view(1, 3, 1, 2)}, []string{"likely partition: n0 | n1", "on both sides: n2"}},
+		"without the view of a bridge":   {[]View{view(0, 3, 0, 2), view(1, 3, 1, 2)}, []string{"likely cut: n0 | n1", "on both sides: n2"}},
 	} {
 		var out strings.Builder
 		Compare(c.views).Write(&out)
