--- a/internal/views/views_test.go
+++ b/internal/views/views_test.go
@@ -40,8 +40,8 @@
 				t.Errorf("%s: %q is not in\n%s", name, line, &out)
 			}
 		}
-		if strings.Contains(out.String(), "likely partition") != strings.Contains(strings.Join(c.lines, "\n"), "likely partition") {
-			t.Errorf("%s: a likely partition is missing or not expected in\n%s", name, &out)
+		if strings.Contains(out.String(), "likely cut") != strings.Contains(strings.Join(c.lines, "\n"), "likely cut") {
+			t.Errorf("%s: a likely cut is missing or not expected in\n%s", name, &out)
 		}
 	}
 }
