--- a/internal/scale/gateways.go
+++ b/internal/scale/gateways.go
@@ -14,10 +14,10 @@
 
 // gatewayFleet are the hollow gateways of a process.
 type gatewayFleet struct {
-	all     []*hollow
-	listed  atomic.Int64 // those with a list
-	told    atomic.Int64
-	entries atomic.Int64
+	all              []*hollowGateway
+	synced           atomic.Int64 // those with a list
+	updates          atomic.Int64
+	updatedInstances atomic.Int64
 
 	wg  sync.WaitGroup
 	mu  sync.Mutex // of what follows
@@ -25,40 +25,40 @@
 }
 
 // hollow is one hollow gateway, over all its lives.
-type hollow struct {
+type hollowGateway struct {
 	HostedGateway
-	of *gatewayFleet
+	fleet *gatewayFleet
 
 	mu      sync.Mutex
-	lives   []*life
+	lives   []*gatewayLife
 	gateway *gateway.Hollow // of the present life; nil: it is stopped
 	stop    context.CancelFunc
 	done    chan struct{} // closed when the present life has ended
 }
 
-func newGatewayFleet(c *GatewayHost) (*gatewayFleet, error) {
-	f := &gatewayFleet{}
-	for _, g := range c.Gateways {
-		f.all = append(f.all, &hollow{HostedGateway: g, of: f})
+func newGatewayFleet(config *GatewayHost) (*gatewayFleet, error) {
+	fleet := &gatewayFleet{}
+	for _, hosted := range config.Gateways {
+		fleet.all = append(fleet.all, &hollowGateway{HostedGateway: hosted, fleet: fleet})
 	}
-	return f, nil
+	return fleet, nil
 }
 
-const listedPace = 20 * time.Millisecond
+const syncPollInterval = 20 * time.Millisecond
 
 func (f *gatewayFleet) run(ctx context.Context, ready func(), _ func([]Change)) {
 	f.mu.Lock()
 	f.ctx = ctx
 	f.mu.Unlock()
-	for _, h := range f.all {
-		if err := h.start(ctx); err != nil {
+	for _, hollow := range f.all {
+		if err := hollow.start(ctx); err != nil {
 			panic(err) // of a configuration that this program wrote
 		}
 	}
-	for ctx.Err() == nil && int(f.listed.Load()) < len(f.all) {
+	for ctx.Err() == nil && int(f.synced.Load()) < len(f.all) {
 		select {
 		case <-ctx.Done():
-		case <-time.After(listedPace):
+		case <-time.After(syncPollInterval):
 		}
 	}
 	ready()
@@ -67,9 +67,9 @@
 }
 
 // start begins a life of the gateway.
-func (h *hollow) start(ctx context.Context) error {
-	l := &life{}
-	g, err := gateway.NewHollow(h.Config, h.Scopes, func(t registry.Update) { h.heard(l, t) })
+func (h *hollowGateway) start(ctx context.Context) error {
+	life := &gatewayLife{}
+	running, err := gateway.NewHollow(h.Config, h.Scopes, func(update registry.Update) { h.recordUpdate(life, update) })
 	if err != nil {
 		return fmt.Errorf("gateway %d: %w", h.Number, err)
 	}
@@ -77,32 +77,32 @@
 	done := make(chan struct{})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lives, h.gateway, h.stop, h.done = append(h.lives, l), g, stop, done
-	h.of.wg.Go(func() {
+	h.lives, h.gateway, h.stop, h.done = append(h.lives, life), running, stop, done
+	h.fleet.wg.Go(func() {
 		defer close(done)
-		g.Run(ctx)
+		running.Run(ctx)
 	})
 	return nil
 }
 
 // heard takes note of an answer.
-func (h *hollow) heard(l *life, t registry.Update) {
+func (h *hollowGateway) recordUpdate(life *gatewayLife, update registry.Update) {
 	now := time.Now().UnixNano()
-	h.of.told.Add(1)
-	h.of.entries.Add(int64(len(t.Changes.Instances)))
+	h.fleet.updates.Add(1)
+	h.fleet.updatedInstances.Add(int64(len(update.Changes.Instances)))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if l.ended != 0 {
+	if life.endedAt != 0 {
 		return
 	}
-	if len(l.told) == 0 {
-		h.of.listed.Add(1)
+	if len(life.updates) == 0 {
+		h.fleet.synced.Add(1)
 	}
-	l.told = append(l.told, update{t.Generation, now})
+	life.updates = append(life.updates, receivedUpdate{update.Generation, now})
 }
 
 // end ends the present life, as a kill does: nobody is told.
-func (h *hollow) end() {
+func (h *hollowGateway) kill() {
 	h.mu.Lock()
 	stop, done := h.stop, h.done
 	if h.gateway == nil {
@@ -110,93 +110,93 @@
 		return
 	}
 	h.gateway = nil
-	l := h.lives[len(h.lives)-1]
-	l.ended = time.Now().UnixNano()
-	if len(l.told) > 0 {
-		h.of.listed.Add(-1)
+	life := h.lives[len(h.lives)-1]
+	life.endedAt = time.Now().UnixNano()
+	if len(life.updates) > 0 {
+		h.fleet.synced.Add(-1)
 	}
 	h.mu.Unlock()
 	stop()
 	<-done
 }
 
-func (f *gatewayFleet) obey(c Command) {
+func (f *gatewayFleet) execute(command Command) {
 	f.mu.Lock()
 	ctx := f.ctx
 	f.mu.Unlock()
-	for _, h := range f.all {
+	for _, hollow := range f.all {
 		switch {
-		case c.Stop != nil && c.Stop.gateway(h.Place):
-			f.wg.Go(h.end)
-		case c.Resume != nil && c.Resume.gateway(h.Place) && h.present() == nil:
-			if err := h.start(ctx); err != nil {
+		case command.Stop != nil && command.Stop.includesGateway(hollow.Place):
+			f.wg.Go(hollow.kill)
+		case command.Resume != nil && command.Resume.includesGateway(hollow.Place) && hollow.current() == nil:
+			if err := hollow.start(ctx); err != nil {
 				panic(err)
 			}
 		}
 	}
 }
 
-func (h *hollow) present() *gateway.Hollow {
+func (h *hollowGateway) current() *gateway.Hollow {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.gateway
 }
 
-func (f *gatewayFleet) sample(s *Sample) {
-	s.Told, s.Entries, s.Listed = f.told.Load(), f.entries.Load(), int(f.listed.Load())
-	for _, h := range f.all {
-		h.mu.Lock()
-		for _, l := range h.lives {
-			s.Heap -= uint64(cap(l.told)) * uint64(unsafe.Sizeof(update{})) // the measurement's own
+func (f *gatewayFleet) sample(sample *Sample) {
+	sample.Updates, sample.UpdatedInstances, sample.Synced = f.updates.Load(), f.updatedInstances.Load(), int(f.synced.Load())
+	for _, hollow := range f.all {
+		hollow.mu.Lock()
+		for _, life := range hollow.lives {
+			sample.HeapBytes -= uint64(cap(life.updates)) * uint64(unsafe.Sizeof(receivedUpdate{})) // the measurement's own
 		}
-		g := h.gateway
-		h.mu.Unlock()
-		if g == nil {
+		running := hollow.gateway
+		hollow.mu.Unlock()
+		if running == nil {
 			continue
 		}
-		view, on := g.Members()
-		if !on {
+		view, enabled := running.Members()
+		if !enabled {
 			continue
 		}
-		s.Members.Agents++
-		s.Members.Sent += view.Stats.Sent
-		s.Members.SentBytes += view.Stats.SentBytes
-		s.Members.Received += view.Stats.Received
-		s.Members.Dropped += view.Stats.Dropped
+		sample.Members.Agents++
+		sample.Members.Sent += view.Stats.Sent
+		sample.Members.SentBytes += view.Stats.SentBytes
+		sample.Members.Received += view.Stats.Received
+		sample.Members.Dropped += view.Stats.Dropped
 		for _, m := range view.Members {
 			if m.Present() {
-				s.Members.Present++
+				sample.Members.Present++
 			}
 		}
 	}
 }
 
 func (f *gatewayFleet) views() (all []View) {
-	for _, h := range f.all {
-		g := h.present()
-		if g == nil {
+	for _, hollow := range f.all {
+		running := hollow.current()
+		if running == nil {
 			continue
 		}
-		held := g.Backends()
-		v := View{Gateway: h.Number, Version: held.Version, Count: len(held.Backends)}
-		var d digest
+		held := running.Backends()
+		view := View{Gateway: hollow.Number, Version: held.Version, Count: len(held.Backends)}
+		var sum digest
 		for _, b := range held.Backends {
-			d.add(b.ID, b.Lifecycle)
+			sum.add(b.ID, b.Lifecycle)
 		}
-		v.Digest = uint64(d)
-		all = append(all, v)
+		view.Digest = uint64(sum)
+		all = append(all, view)
 	}
 	return all
 }
 
 func (f *gatewayFleet) latency(changes []Change) *Latency {
-	l := &Latency{}
-	for _, h := range f.all {
-		h.mu.Lock()
-		for _, life := range h.lives {
-			life.latency(h.Gateway, changes, l)
+	total := &Latency{}
+	for _, hollow := range f.all {
+		hollow.mu.Lock()
+		for _, life := range hollow.lives {
+			life.addLatencies(hollow.Gateway, changes, total)
 		}
-		h.mu.Unlock()
+		hollow.mu.Unlock()
 	}
-	return l
+	return total
 }
