--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	for i, v := range views {
+	for i, view := range views {
 		if groupOf[i] == i {
 			report.Groups = append(report.Groups, nil)
 			for j, other := range views {
@@ -71,8 +71,8 @@
 			}
 		}
 		for _, other := range views {
-			if v.holdsPresent(other.Self) && !other.holdsPresent(v.Self) {
-				report.OneWay = append(report.OneWay, [2]int{v.Self, other.Self})
+			if view.holdsPresent(other.Self) && !other.holdsPresent(view.Self) {
+				report.OneWay = append(report.OneWay, [2]int{view.Self, other.Self})
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 		for _, g := range r.Groups {
 			sides = append(sides, formatMembers(g))
 		}
-		fmt.Fprintf(w, "likely partition: %s\n", strings.Join(sides, " | "))
+		fmt.Fprintf(w, "likely cut: %s\n", strings.Join(sides, " | "))
 		if len(r.Bridges) > 0 {
 			fmt.Fprintf(w, "on both sides: %s\n", formatMembers(r.Bridges))
 		}
