--- a/internal/play/loop.go
+++ b/internal/play/loop.go
@@ -49,14 +49,14 @@
 	if e.options.Progress == nil {
 		return
 	}
-	recent := e.world.Tally.Recent()
+	recent := e.world.Tally.TakeRecent()
 	_, counts := e.world.Referee.Violations()
 	broken := 0
 	for _, n := range counts {
 		broken += n
 	}
 	fmt.Fprintf(e.options.Progress, "%4.0f s  served %4d  late %3d  refused %4d  failed %3d  left %3d  lost %3d  worth so far %.3f  rules broken %d\n",
-		(e.now() - e.startedAt).Seconds(), recent["served"], recent["late"], recent["refused"], recent["failed"], recent["left"], recent["lost"], e.world.Tally.Share(), broken)
+		(e.now() - e.startedAt).Seconds(), recent["served"], recent["late"], recent["refused"], recent["failed"], recent["left"], recent["lost"], e.world.Tally.ServedFraction(), broken)
 }
 
 // post queues an event for the loop. It blocks while the queue is full.
@@ -98,7 +98,7 @@
 // performAll carries out actions and records how late they are.
 func (e *engine) performAll(actions []world.Action) {
 	for _, action := range actions {
-		e.world.Tally.Acted(e.now() - action.Due)
+		e.world.Tally.RecordLateness(e.now() - action.Due)
 		if err := e.perform(action.Operation); err != nil && e.failed == nil {
 			e.failed = err
 		}
@@ -156,8 +156,8 @@
 	case world.SendList:
 		e.proxies[action.Gateway][0].setList(action.Entries)
 	case world.SetListDelivery:
-		for _, agent := range e.proxies[action.Gateway] {
-			agent.setMode(action)
+		for _, proxy := range e.proxies[action.Gateway] {
+			proxy.setMode(action)
 		}
 	case world.Start:
 		if err := e.startGateway(action.Gateway); err != nil {
--- a/internal/play/processes.go
+++ b/internal/play/processes.go
@@ -63,9 +63,9 @@
 		err := cmd.Wait()
 		p.mu.Lock()
 		p.exit = err
-		p.usage.CPUS += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
+		p.usage.CPUSeconds += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
 		if rusage, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.usage.MemoryMB = max(p.usage.MemoryMB, float64(rusage.Maxrss)/1024)
+			p.usage.PeakMemoryMB = max(p.usage.PeakMemoryMB, float64(rusage.Maxrss)/1024)
 		}
 		p.mu.Unlock()
 		close(ended)
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -16,77 +16,78 @@
 )
 
 const (
-	callWait     = 5 * time.Second // for an answer to a backend
-	mostRedirect = 2               // in a row; then the next member is asked
-	mostCallBody = 4 << 10
+	backendCallTimeout = 5 * time.Second // for the registry's answer
+	maxRedirects       = 2               // in a row, before the call fails
+	maxCallBodyBytes   = 4 << 10
 )
 
-// caller makes the calls of hollow backends over HTTP. It calls the list service that
-// writes, which it finds as a backend does: by what others answer.
-type caller struct {
-	http    *http.Client
-	members []string
-	answers string // the address that all its backends are reached at
+// writeClient makes the registry calls of hollow backends over HTTP. It follows redirects to
+// the writer and rotates through the members when one does not answer.
+type writeClient struct {
+	http           *http.Client
+	members        []string
+	backendAddress string // at which all backends of the process answer requests
 
-	mu     sync.Mutex
-	next   int    // of the members
-	writer string // that answered last, or was named
+	mu         sync.Mutex
+	nextMember int    // index in members
+	writer     string // address of the member that answered last or was named by a redirect
 }
 
-func newCaller(members []string, answers string, connections int) *caller {
-	return &caller{members: members, answers: answers, writer: members[0],
-		http: &http.Client{Timeout: callWait,
+func newWriteClient(members []string, answers string, connections int) *writeClient {
+	return &writeClient{members: members, backendAddress: answers, writer: members[0],
+		http: &http.Client{Timeout: backendCallTimeout,
 			Transport:     &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: connections, MaxConnsPerHost: connections},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// target is whom to call now.
-func (c *caller) target() string {
+// target returns the address for the next call.
+func (c *writeClient) target() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writer
 }
 
-// failed goes on to the next member, unless another call has found a writer meanwhile.
-func (c *caller) failed(asked string) {
+// rotate switches to the next member after a failed call to address, unless another call has
+// changed the writer meanwhile.
+func (c *writeClient) rotate(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writer == asked {
-		c.next++
-		c.writer = c.members[c.next%len(c.members)]
+	if c.writer == address {
+		c.nextMember++
+		c.writer = c.members[c.nextMember%len(c.members)]
 	}
 }
 
-func (c *caller) named(writer string) {
+func (c *writeClient) setWriter(writer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writer = writer
 }
 
-// do makes a call, and returns the status and the version that it was answered with; 0
-// stands for no answer.
-func (c *caller) do(ctx context.Context, k call) (status int, version int64) {
-	for range mostRedirect {
+// do makes a call and returns the status and the version of the answer. Status 0 means that
+// there was no valid answer.
+func (c *writeClient) do(ctx context.Context, outgoing call) (status int, version int64) {
+	for range maxRedirects {
 		address := c.target()
-		resp, err := c.send(ctx, address, k)
+		resp, err := c.send(ctx, address, outgoing)
 		if err != nil {
-			c.failed(address)
+			c.rotate(address)
 			return 0, 0
 		}
-		text, err := io.ReadAll(io.LimitReader(resp.Body, mostCallBody))
+		text, err := io.ReadAll(io.LimitReader(resp.Body, maxCallBodyBytes))
 		resp.Body.Close()
 		switch {
 		case err != nil:
 			return 0, 0
 		case resp.StatusCode == http.StatusTemporaryRedirect:
 			if to, err := url.Parse(resp.Header.Get("Location")); err == nil && to.Host != "" {
-				c.named(to.Host)
+				c.setWriter(to.Host)
 				continue
 			}
-			c.failed(address)
+			c.rotate(address)
 			return resp.StatusCode, 0
 		case resp.StatusCode == http.StatusServiceUnavailable:
-			c.failed(address)
+			c.rotate(address)
 		}
 		var answer struct {
 			Version int64 `json:"version"`
@@ -99,27 +100,27 @@
 	return 0, 0
 }
 
-func (c *caller) send(ctx context.Context, address string, k call) (*http.Response, error) {
-	b := k.backend
-	path := "http://" + address + registry.Path + "/" + b.ID()
-	method, body := http.MethodPost, any(ownCall{StartedAtMs: k.started})
-	switch k.kind {
+func (c *writeClient) send(ctx context.Context, address string, outgoing call) (*http.Response, error) {
+	backend := outgoing.backend
+	path := "http://" + address + registry.Path + "/" + backend.ID()
+	method, body := http.MethodPost, any(lifecycleCall{StartedAtMs: outgoing.startedAtMs})
+	switch outgoing.kind {
 	case callRegister:
-		method, body = http.MethodPut, registration{HostPort: c.answers, Zone: b.Zone, MachineType: machineType, StartedAtMs: k.started, Service: b.Service, Region: b.Region}
+		method, body = http.MethodPut, registration{HostPort: c.backendAddress, Zone: backend.Zone, MachineType: machineType, StartedAtMs: outgoing.startedAtMs, Service: backend.Service, Region: backend.Region}
 	case callRenew:
 		path += "/renew"
 	case callDrain:
 		path += "/lifecycle"
-		body = ownCall{StartedAtMs: k.started, Lifecycle: registry.Terminating}
+		body = lifecycleCall{StartedAtMs: outgoing.startedAtMs, Lifecycle: registry.Terminating}
 	case callLeave:
 		method, body = http.MethodDelete, nil
-		path += "?startedAtMs=" + strconv.FormatInt(k.started, 10)
+		path += "?startedAtMs=" + strconv.FormatInt(outgoing.startedAtMs, 10)
 	}
 	var reader io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
 		if err != nil {
-			return nil, fmt.Errorf("a call of %s: %w", b.ID(), err)
+			return nil, fmt.Errorf("encode registry call of backend %s: %w", backend.ID(), err)
 		}
 		reader = bytes.NewReader(text)
 	}
@@ -130,5 +131,5 @@
 	return c.http.Do(req)
 }
 
-// machineType is that of all backends; the gateways' settings know it.
+// machineType is the machine type of all backends; the gateways' settings define it.
 const machineType = "std"
--- a/internal/scale/follow.go
+++ b/internal/scale/follow.go
@@ -9,43 +9,44 @@
 	"dunlintray/internal/registry"
 )
 
-// update is one answer that told a gateway something new.
-type update struct {
-	version int64
-	at      int64 // Unix nanoseconds
+// receivedUpdate records that a gateway received an update of the list.
+type receivedUpdate struct {
+	version    int64
+	receivedAt int64 // Unix nanoseconds
 }
 
-// life is what one process of a hollow gateway was told, from its first list to its end.
-type life struct {
-	told  []update
-	ended int64 // Unix nanoseconds; 0: it goes on
+// gatewayLife records the updates that a hollow gateway received between a start and the
+// following stop.
+type gatewayLife struct {
+	updates []receivedUpdate
+	endedAt int64 // Unix nanoseconds; 0: still running
 }
 
-// latency counts how long changes took from their answer to a gateway that reads a part
-// of the list. The changes are in the order of their versions.
-func (l *life) latency(g Gateway, changes []Change, into *Latency) {
-	if len(l.told) == 0 {
+// addLatencies adds to total the time from each change that gateway reads until gateway
+// received it. changes must be sorted by version.
+func (l *gatewayLife) addLatencies(gateway Gateway, changes []Change, total *Latency) {
+	if len(l.updates) == 0 {
 		return
 	}
-	at := 0
+	index := 0
 	for _, change := range changes {
-		place := Backend{Place{Number: change.Backend, Zone: change.Zone, Region: change.Region}, change.Service}
-		if change.Version <= l.told[0].version || !g.Reads(place) || l.ended != 0 && change.At >= l.ended {
+		backend := Backend{Place{Number: change.Backend, Zone: change.Zone, Region: change.Region}, change.Service}
+		if change.Version <= l.updates[0].version || !gateway.Reads(backend) || l.endedAt != 0 && change.AnsweredAt >= l.endedAt {
 			continue
 		}
-		for at < len(l.told) && l.told[at].version < change.Version {
-			at++
+		for index < len(l.updates) && l.updates[index].version < change.Version {
+			index++
 		}
 		switch {
-		case at < len(l.told):
-			into.add(max(0, time.Duration(l.told[at].at-change.At)))
-		case l.ended == 0:
-			into.Missing++
+		case index < len(l.updates):
+			total.add(max(0, time.Duration(l.updates[index].receivedAt-change.AnsweredAt)))
+		case l.endedAt == 0:
+			total.Missing++
 		}
 	}
 }
 
-// sortChanges orders changes by version.
+// sortChanges sorts changes by version.
 func sortChanges(all []Change) {
 	slices.SortFunc(all, func(a, b Change) int {
 		switch {
@@ -58,59 +59,60 @@
 	})
 }
 
-// digest is the sum over instances of a hash of each, so that their order is all one.
+// digest is the sum of the hashes of a set of instances; it does not depend on their order.
 type digest uint64
 
 func (d *digest) add(id string, lifecycle registry.Lifecycle) {
-	h := fnv.New64a()
-	io.WriteString(h, id)
-	io.WriteString(h, " ")
-	io.WriteString(h, string(lifecycle))
-	*d += digest(h.Sum64())
+	hash := fnv.New64a()
+	io.WriteString(hash, id)
+	io.WriteString(hash, " ")
+	io.WriteString(hash, string(lifecycle))
+	*d += digest(hash.Sum64())
 }
 
-// share is a part of a list: how many instances, and their digest.
-type share struct {
+// listPart summarizes a part of the list.
+type listPart struct {
 	count  int
 	digest digest
 }
 
-func (s *share) add(i registry.Instance) {
+func (s *listPart) add(instance registry.Instance) {
 	s.count++
-	s.digest.add(i.ID, i.Lifecycle)
+	s.digest.add(instance.ID, instance.Lifecycle)
 }
 
-// shares are the parts of the writer's list that gateways can read.
-type shares struct {
+// listParts summarizes the writer's list as a whole and for each scope that a gateway can
+// read.
+type listParts struct {
 	version int64
-	whole   share
-	scopes  map[registry.Scope]share
+	whole   listPart
+	scopes  map[registry.Scope]listPart
 }
 
-func newShares(list registry.Listing) *shares {
-	all := &shares{version: list.Generation, scopes: map[registry.Scope]share{}}
-	for _, i := range list.Instances {
-		all.whole.add(i)
-		for _, scope := range []registry.Scope{{Service: i.Service}, {Service: i.Service, Region: i.Region}, {Service: i.Service, Zone: i.Zone}} {
-			part := all.scopes[scope]
-			part.add(i)
-			all.scopes[scope] = part
+func newListParts(list registry.Listing) *listParts {
+	parts := &listParts{version: list.Generation, scopes: map[registry.Scope]listPart{}}
+	for _, instance := range list.Instances {
+		parts.whole.add(instance)
+		for _, scope := range []registry.Scope{{Service: instance.Service}, {Service: instance.Service, Region: instance.Region}, {Service: instance.Service, Zone: instance.Zone}} {
+			part := parts.scopes[scope]
+			part.add(instance)
+			parts.scopes[scope] = part
 		}
 	}
-	return all
+	return parts
 }
 
-// of is what a gateway holds that has the writer's list. Its scopes are of different
-// services, so that none has a part of another.
-func (s *shares) of(g Gateway) View {
+// expectedView returns the view of a gateway that holds the writer's list. The gateway's
+// scopes must be of different services, so that they do not overlap.
+func (s *listParts) expectedView(gateway Gateway) View {
 	sum := s.whole
-	if len(g.Scopes) > 0 {
-		sum = share{}
-		for _, scope := range g.Scopes {
+	if len(gateway.Scopes) > 0 {
+		sum = listPart{}
+		for _, scope := range gateway.Scopes {
 			part := s.scopes[scope]
 			sum.count += part.count
 			sum.digest += part.digest
 		}
 	}
-	return View{Gateway: g.Number, Version: s.version, Count: sum.count, Digest: uint64(sum.digest)}
+	return View{Gateway: gateway.Number, Version: s.version, Count: sum.count, Digest: uint64(sum.digest)}
 }
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// mostLine is the longest line of what processes tell each other.
-const mostLine = 64 << 20
+// maxLineBytes limits a line of the protocol between a run and its host processes.
+const maxLineBytes = 64 << 20
 
-// hosted is what a process has: hollow gateways or backends.
-type hosted interface {
+// workload is the set of hollow gateways or backends of a process.
+type workload interface {
 	run(ctx context.Context, ready func(), changed func([]Change))
-	obey(c Command)
+	execute(c Command)
 	sample(s *Sample)
 	views() []View
 	latency(changes []Change) *Latency
 }
 
-// RunHost is a process of hollow gateways or backends: it reads its configuration and
-// then commands from in, a line each, and reports to out. It ends with ctx, or when in
-// does, as it does when the program that started it has ended.
+// RunHost runs a process of hollow gateways or backends. It reads its configuration and then
+// commands from in, one per line, and writes reports to out. It returns when ctx is done or in
+// ends, so that it does not outlive the program that started it.
 func RunHost(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<16)
 	text, err := readLine(lines)
@@ -38,39 +38,39 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("scale-host: its configuration: %w", err)
 	}
-	empty := held()
-	var h hosted
+	baseline := heldBytes()
+	var hosted workload
 	switch {
 	case config.Gateways != nil:
-		h, err = newGatewayFleet(config.Gateways)
+		hosted, err = newGatewayFleet(config.Gateways)
 	case config.Backends != nil:
-		h, err = newBackendFleet(config.Backends, config.Seed)
+		hosted, err = newBackendFleet(config.Backends, config.Seed)
 	default:
-		err = errors.New("scale-host: it has neither gateways nor backends")
+		err = errors.New("scale-host: its configuration has neither gateways nor backends")
 	}
 	if err != nil {
 		return err
 	}
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	reports := &reporter{out: json.NewEncoder(out), failed: stop}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	reports := &reporter{out: json.NewEncoder(out), onFailure: cancel}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer stop()
+	defer cancel()
 	wg.Go(func() {
-		h.run(ctx, func() { reports.tell(Report{Ready: true}) }, func(changes []Change) { reports.tell(Report{Changes: changes}) })
+		hosted.run(ctx, func() { reports.send(Report{Ready: true}) }, func(changes []Change) { reports.send(Report{Changes: changes}) })
 	})
 	commands := make(chan Command)
 	go func() {
 		defer close(commands)
 		for {
 			text, err := readLine(lines)
-			var c Command
-			if err != nil || json.Unmarshal(text, &c) != nil {
+			var command Command
+			if err != nil || json.Unmarshal(text, &command) != nil {
 				return
 			}
 			select {
-			case commands <- c:
+			case commands <- command:
 			case <-ctx.Done():
 				return
 			}
@@ -78,35 +78,35 @@
 	}()
 	var changes []Change
 	for {
-		var c Command
+		var command Command
 		var ok bool
 		select {
 		case <-ctx.Done():
 			return nil
-		case c, ok = <-commands:
+		case command, ok = <-commands:
 		}
 		if !ok {
 			return nil
 		}
-		changes = append(changes, c.Changes...)
+		changes = append(changes, command.Changes...)
 		switch {
-		case c.Sample != nil:
-			s := Sample{Empty: empty}
-			use(&s, c.Sample.Collect)
-			h.sample(&s)
-			reports.tell(Report{Sample: &s})
-		case c.Views:
-			reports.tell(Report{Views: h.views()})
-		case c.Latency:
-			reports.tell(Report{Latency: h.latency(changes)})
+		case command.Sample != nil:
+			sample := Sample{BaselineBytes: baseline}
+			fillUsage(&sample, command.Sample.Collect)
+			hosted.sample(&sample)
+			reports.send(Report{Sample: &sample})
+		case command.Views:
+			reports.send(Report{Views: hosted.views()})
+		case command.Latency:
+			reports.send(Report{Latency: hosted.latency(changes)})
 			changes = nil
 		default:
-			h.obey(c)
+			hosted.execute(command)
 		}
 	}
 }
 
-// readLine reads a line of bounded length.
+// readLine reads a line of at most maxLineBytes.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
@@ -114,8 +114,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if line = append(line, part...); len(line) > mostLine {
-			return nil, fmt.Errorf("a line of over %d bytes", mostLine)
+		if line = append(line, part...); len(line) > maxLineBytes {
+			return nil, fmt.Errorf("protocol line exceeds %d bytes", maxLineBytes)
 		}
 		if !more {
 			return line, nil
@@ -123,44 +123,44 @@
 	}
 }
 
-// reporter writes reports, whole lines each.
+// reporter writes reports to a stream, one per line. It is safe for concurrent use.
 type reporter struct {
-	mu     sync.Mutex
-	out    *json.Encoder
-	failed func()
+	mu        sync.Mutex
+	out       *json.Encoder
+	onFailure func()
 }
 
-func (r *reporter) tell(report Report) {
+func (r *reporter) send(report Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.out.Encode(report) != nil {
-		r.failed() // nobody listens any more
+		r.onFailure() // the reader has gone
 	}
 }
 
-// held is what the process holds after a collection: heap and stacks.
-func held() uint64 {
-	var m runtime.MemStats
+// heldBytes returns the size of heap and stacks after a garbage collection.
+func heldBytes() uint64 {
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what finalizers let go
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc + m.StackInuse
+	runtime.GC() // collects what the finalizers of the first run released
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc + stats.StackInuse
 }
 
-// use fills in what the process has used.
-func use(s *Sample, collect bool) {
+// fillUsage sets the resource usage of the process in sample.
+func fillUsage(sample *Sample, collect bool) {
 	if collect {
 		runtime.GC()
 		runtime.GC()
 	}
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	s.Mallocs, s.Allocated, s.Heap, s.Stacks = m.Mallocs, m.TotalAlloc, m.HeapAlloc, m.StackInuse
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	sample.Mallocs, sample.AllocatedBytes, sample.HeapBytes, sample.StackBytes = stats.Mallocs, stats.TotalAlloc, stats.HeapAlloc, stats.StackInuse
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
-		s.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+		sample.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	}
-	if u, err := readUse("self"); err == nil {
-		s.In, s.Out = u.In, u.Out
+	if processUsage, err := readUsage("self"); err == nil {
+		sample.ReadBytes, sample.WrittenBytes = processUsage.ReadBytes, processUsage.WrittenBytes
 	}
 }
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -9,14 +9,13 @@
 	"time"
 )
 
-// load is a little traffic through real gateways: requests at a steady rate, on
-// connections that are kept.
+// load sends requests to real gateways at a steady rate over kept-alive connections.
 type load struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu       sync.Mutex
-	statuses map[int]int64 // answers by status; 0: no answer
+	statuses map[int]int64 // by status; 0: no answer
 }
 
 const (
@@ -24,54 +23,55 @@
 	loadWorkers = 16
 )
 
-// startLoad spreads requests over gateways until stop is called.
-func startLoad(gateways []string, perS float64) *load {
+// startLoad distributes requests over the gateways until stop is called.
+func startLoad(gateways []string, requestsPerS float64) *load {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &load{cancel: cancel, statuses: map[int]int64{}}
+	traffic := &load{cancel: cancel, statuses: map[int]int64{}}
 	client := &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: loadWorkers, DisableCompression: true}}
 	due := make(chan int)
-	l.wg.Go(func() {
-		t := time.NewTicker(time.Duration(float64(time.Second) / perS))
-		defer t.Stop()
-		for n := 0; ; n++ {
+	traffic.wg.Go(func() {
+		ticker := time.NewTicker(time.Duration(float64(time.Second) / requestsPerS))
+		defer ticker.Stop()
+		for sequence := 0; ; sequence++ {
 			select {
 			case <-ctx.Done():
 				return
-			case <-t.C:
+			case <-ticker.C:
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case due <- n:
+			case due <- sequence:
 			}
 		}
 	})
 	for range loadWorkers {
-		l.wg.Go(func() {
+		traffic.wg.Go(func() {
 			for {
 				select {
 				case <-ctx.Done():
 					return
-				case n := <-due:
-					if status := ask(ctx, client, gateways[n%len(gateways)], n); ctx.Err() == nil {
-						l.count(status)
+				case sequence := <-due:
+					if status := sendRequest(ctx, client, gateways[sequence%len(gateways)], sequence); ctx.Err() == nil {
+						traffic.count(status)
 					}
 				}
 			}
 		})
 	}
-	return l
+	return traffic
 }
 
-// ask makes one request of the class and a plan that the gateways' settings have.
-func ask(ctx context.Context, client *http.Client, gateway string, n int) (status int) {
+// sendRequest sends a request with a class and a plan that the gateways' settings define. It
+// returns the status of the answer, or 0 without one.
+func sendRequest(ctx context.Context, client *http.Client, gateway string, sequence int) (status int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+gateway+"/browse", nil)
 	if err != nil {
 		return 0
 	}
 	const customers = 40
-	for key, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%016x", n+1), "X-Service-Class": "browse", "X-Tier": "basic",
-		"X-Api-Key": fmt.Sprintf("%016x", n%customers+1), "X-Time-Left-Ms": "1500", "X-Call-Terms": "units=1,spread=1,first=0"} {
+	for key, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%016x", sequence+1), "X-Service-Class": "browse", "X-Tier": "basic",
+		"X-Api-Key": fmt.Sprintf("%016x", sequence%customers+1), "X-Time-Left-Ms": "1500", "X-Call-Terms": "units=1,spread=1,first=0"} {
 		req.Header.Set(key, value)
 	}
 	resp, err := client.Do(req)
@@ -89,7 +89,7 @@
 	l.statuses[status]++
 }
 
-// stop ends the load and returns how requests were answered, by status.
+// stop ends the load and returns the number of answers by status; 0 stands for no answer.
 func (l *load) stop() map[int]int64 {
 	l.cancel()
 	l.wg.Wait()
--- a/internal/scale/proc.go
+++ b/internal/scale/proc.go
@@ -9,65 +9,65 @@
 	"time"
 )
 
-// Use is what the system tells of a process.
-type Use struct {
-	CPU      time.Duration // user and system, in steps of clockTick
-	MemoryMB float64       // resident
-	In, Out  uint64        // bytes of read and write calls: sockets, and files such as logs
-	Stored   uint64        // bytes written to storage
+// ResourceUsage is the usage of a process as /proc reports it.
+type ResourceUsage struct {
+	CPU                     time.Duration // user and system time, in units of clockTick
+	MemoryMB                float64       // resident set size
+	ReadBytes, WrittenBytes uint64        // by read and write calls, on sockets and on files
+	StoredBytes             uint64        // written to storage
 }
 
 // clockTick is the unit of processor time in /proc/PID/stat.
 const clockTick = time.Second / 100
 
-var errNoProcess = errors.New("its figures can't be read")
+var errMalformedStat = errors.New("malformed line in /proc/PID/stat")
 
-// readUse reads the figures of a process; "self" is this one.
-func readUse(pid string) (Use, error) {
-	var u Use
+// readUsage reads the usage of the process with the given ID; "self" is the calling process.
+func readUsage(pid string) (ResourceUsage, error) {
+	var usage ResourceUsage
 	stat, err := os.ReadFile("/proc/" + pid + "/stat")
 	if err != nil {
-		return u, err
+		return usage, err
 	}
-	// The name, in parentheses, may hold anything; user and system time are the twelfth and
-	// thirteenth fields behind it.
+	// The command name is in parentheses and may contain spaces. User and system time are the
+	// twelfth and thirteenth fields after it.
 	_, rest, found := bytes.Cut(stat, []byte(") "))
 	fields := strings.Fields(string(rest))
 	const user, system = 11, 12
 	if !found || len(fields) <= system {
-		return u, errNoProcess
+		return usage, errMalformedStat
 	}
 	var userTicks, systemTicks int64
 	if _, err := fmt.Sscan(fields[user]+" "+fields[system], &userTicks, &systemTicks); err != nil {
-		return u, err
+		return usage, err
 	}
-	u.CPU = time.Duration(userTicks+systemTicks) * clockTick
-	io, err := readKeys("/proc/" + pid + "/io")
+	usage.CPU = time.Duration(userTicks+systemTicks) * clockTick
+	ioCounters, err := readCounters("/proc/" + pid + "/io")
 	if err != nil {
-		return u, err
+		return usage, err
 	}
-	u.In, u.Out, u.Stored = io["rchar"], io["wchar"], io["write_bytes"]
-	status, err := readKeys("/proc/" + pid + "/status")
+	usage.ReadBytes, usage.WrittenBytes, usage.StoredBytes = ioCounters["rchar"], ioCounters["wchar"], ioCounters["write_bytes"]
+	status, err := readCounters("/proc/" + pid + "/status")
 	if err != nil {
-		return u, err
+		return usage, err
 	}
-	u.MemoryMB = float64(status["VmRSS"]) / 1024
-	return u, nil
+	usage.MemoryMB = float64(status["VmRSS"]) / 1024
+	return usage, nil
 }
 
-// readKeys reads a file of lines "key: number".
-func readKeys(path string) (map[string]uint64, error) {
+// readCounters reads a file of lines "key: number".
+func readCounters(path string) (map[string]uint64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	all := map[string]uint64{}
+	counters := map[string]uint64{}
 	for line := range strings.Lines(string(text)) {
 		key, value, _ := strings.Cut(line, ":")
-		var n uint64
-		if _, err := fmt.Sscan(value, &n); err == nil {
-			all[key] = n
+		var parsed uint64
+		if _, err := fmt.Sscan(value, &parsed); err == nil {
+			counters[key] = parsed
 		}
 	}
-	return all, nil
+	return counters, nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -21,29 +21,29 @@
 	"dunlintray/internal/registry"
 )
 
-// Options are what a run needs beside its scenario.
+// Options configure a run, in addition to its scenario.
 type Options struct {
-	Registry string    // path of the list service's program
-	Gateway  string    // path of the gateway's
-	Host     []string  // command of a process of hollow ones, which calls RunHost
-	Dir      string    // for configurations, logs and data; each process has a folder in it
-	Live     io.Writer // a line each second; nil: none
+	RegistryPath string    // program of the registry
+	GatewayPath  string    // program of the gateway; unused without real gateways
+	HostCommand  []string  // command and arguments of a host process, which calls RunHost
+	Dir          string    // for configurations, logs and data; each process has a subdirectory
+	Progress     io.Writer // receives a line per second; may be nil
 }
 
-// Times of a run.
+// Timeouts and intervals of a run.
 const (
-	readyWait   = 90 * time.Second // for a process to be ready
-	readyPace   = 50 * time.Millisecond
-	startMargin = 4 * time.Minute // of a run's deadline, beside registrations, length and quiet
-	settleTime  = time.Second     // between the last list and the measurement
-	tailTime    = time.Second     // after the last restart has ended, for its changes to be told
-	settledPace = 200 * time.Millisecond
-	viewPace    = time.Second // between two looks whether all hold the writer's list
-	watchPace   = time.Second // between two looks at memory, and two lines
-	callTimeout = 10 * time.Second
+	readyTimeout        = 90 * time.Second // until a process is ready
+	readyPollInterval   = 50 * time.Millisecond
+	startMargin         = 4 * time.Minute // part of the run's deadline, besides registrations, Length and Quiet
+	settleTime          = time.Second     // between the start of the last process and the measurement
+	tailTime            = time.Second     // after the last restart, for its changes to reach the gateways
+	settledPollInterval = 200 * time.Millisecond
+	viewPollInterval    = time.Second // between comparisons of the gateways' lists to the writer's
+	watchInterval       = time.Second // between memory checks, and progress lines
+	httpTimeout         = 10 * time.Second
 )
 
-// The roles of processes.
+// Names of the roles of processes.
 const (
 	roleWriter   = "list service, writes"
 	roleMember   = "list service, member"
@@ -53,95 +53,97 @@
 	roleReal     = "real gateways"
 )
 
-// runner is a run under way.
+// runner is a run in progress.
 type runner struct {
-	s       *Scenario
-	o       Options
-	plan    *Plan
-	machine Machine
-	claim   net.Listener
-	starter *child.Starter
-	http    *http.Client
-	cancel  context.CancelCauseFunc
-
-	services []*process
-	gateways []*host
-	backends []*host
-	reals    []*process
-	links    map[int]*link.Relay // by the follower's place among the services
-	load     *load
-
-	unsettled bool // at the end, not all backends served
-
-	mu      sync.Mutex
-	started []*process // of all roles
-	changes []Change
-	most    float64 // MB of all processes at once
-	marks   []string
-	began   time.Time // the measurement
-	phase   string
-}
-
-// Run makes a run and returns what it came to. No process that it has started is left
-// when it returns.
-func Run(ctx context.Context, s *Scenario, o Options) (result *Result, err error) {
-	if err := s.Check(); err != nil {
+	scenario *Scenario
+	options  Options
+	plan     *Plan
+	machine  Machine
+	claim    net.Listener
+	starter  *child.Starter
+	http     *http.Client
+	cancel   context.CancelCauseFunc
+
+	services     []*process
+	gateways     []*host
+	backends     []*host
+	realGateways []*process
+	relays       map[int]*link.Relay // by index in services
+	load         *load
+
+	unsettled bool // not all backends served when Quiet was over
+
+	mu             sync.Mutex
+	processes      []*process // of all roles
+	changes        []Change
+	peakMB         float64 // memory of all processes together
+	events         []string
+	measuringSince time.Time // start of the measurement
+	phase          string
+}
+
+// Run runs a scenario and returns its result. All processes that it started have ended when it
+// returns. It returns an error if the scenario is invalid, exceeds the machine's resources, or
+// if a process ends unexpectedly.
+func Run(ctx context.Context, scenario *Scenario, options Options) (result *Result, err error) {
+	if err := scenario.Check(); err != nil {
 		return nil, err
 	}
 	machine, err := ThisMachine()
 	if err != nil {
-		return nil, fmt.Errorf("what this machine has can't be told: %w", err)
+		return nil, fmt.Errorf("determine the machine's resources: %w", err)
 	}
-	if err := Fits(s); err != nil {
+	if err := CheckResources(scenario); err != nil {
 		return nil, err
 	}
-	deadline := s.Length.Std() + s.Quiet.Std() + startMargin + time.Duration(float64(s.Fleet.Backends)/s.Changes.Register*float64(time.Second))
-	ctx, end := context.WithTimeoutCause(ctx, deadline, fmt.Errorf("the run has not ended within its deadline of %v", deadline))
-	defer end()
+	deadline := scenario.Length.Std() + scenario.Quiet.Std() + startMargin + time.Duration(float64(scenario.Fleet.Backends)/scenario.Changes.Register*float64(time.Second))
+	ctx, cancelDeadline := context.WithTimeoutCause(ctx, deadline, fmt.Errorf("run did not end within its deadline of %v", deadline))
+	defer cancelDeadline()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	r := &runner{s: s, o: o, machine: machine, starter: child.NewStarter(), cancel: cancel, links: map[int]*link.Relay{},
-		http: &http.Client{Timeout: callTimeout}}
-	defer r.starter.Close()
-	defer r.close()
-	if r.plan, r.claim, err = findPlan(s); err != nil {
+	active := &runner{scenario: scenario, options: options, machine: machine, starter: child.NewStarter(), cancel: cancel, relays: map[int]*link.Relay{},
+		http: &http.Client{Timeout: httpTimeout}}
+	defer active.starter.Close()
+	defer active.close()
+	if active.plan, active.claim, err = findPlan(scenario); err != nil {
 		return nil, err
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	watching, stop := context.WithCancel(ctx)
-	defer stop()
-	wg.Go(func() { r.watch(watching) })
-	result, err = r.run(ctx)
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
+	wg.Go(func() { active.watch(watchCtx) })
+	result, err = active.run(ctx)
 	if cause := context.Cause(ctx); cause != nil {
-		err = cause // what failed after it is its consequence
+		err = cause // the first failure; err is a consequence
 	}
 	return result, err
 }
 
-// The loopback networks that runs are laid out in, and how many are tried.
+// Range of loopback networks for runs.
 const (
-	firstNet, pastLastNet = 16, 250
-	netsTried             = 20
+	firstNetwork, endNetwork = 16, 250
+	maxNetworkAttempts       = 20
 )
 
-// findPlan claims a network that no other run uses.
-func findPlan(s *Scenario) (*Plan, net.Listener, error) {
-	var last error
-	for range netsTried {
-		p := NewPlan(s, firstNet+rand.IntN(pastLastNet-firstNet))
-		claim, err := net.Listen("tcp", p.claim())
+// findPlan claims a loopback network that no other run uses. The returned listener holds the
+// claim until it is closed.
+func findPlan(scenario *Scenario) (*Plan, net.Listener, error) {
+	var lastErr error
+	for range maxNetworkAttempts {
+		plan := NewPlan(scenario, firstNetwork+rand.IntN(endNetwork-firstNetwork))
+		claim, err := net.Listen("tcp", plan.claimAddress())
 		if err == nil {
-			return p, claim, nil
+			return plan, claim, nil
 		}
-		if last = err; !errors.Is(err, syscall.EADDRINUSE) {
+		if lastErr = err; !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, nil, err
 		}
 	}
-	return nil, nil, fmt.Errorf("the networks of %d runs in 127.0.0.0/8 are taken; the last: %w", netsTried, last)
+	return nil, nil, fmt.Errorf("no free network in 127.0.0.0/8 after %d attempts: %w", maxNetworkAttempts, lastErr)
 }
 
-// run starts everything, measures, and collects.
+// run starts all processes, measures, and collects the result.
 func (r *runner) run(ctx context.Context) (*Result, error) {
 	if err := r.start(ctx); err != nil {
 		return nil, err
@@ -166,7 +168,7 @@
 	if err != nil {
 		return nil, err
 	}
-	held, err := r.snapshot(ctx, true)
+	collected, err := r.snapshot(ctx, true)
 	if err != nil {
 		return nil, err
 	}
@@ -174,18 +176,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.result(before, after, held, final, latency, changes), nil
+	return r.result(before, after, collected, final, latency, changes), nil
 }
 
-// start starts the processes in the order in which they need each other: one that asks
-// before it can be answered would wait for longer than the other needs.
+// start starts the processes in the order of their dependencies, as a client that starts
+// before its server delays its retries.
 func (r *runner) start(ctx context.Context) error {
 	gateways, backends, err := r.plan.hostConfigs()
 	if err != nil {
 		return err
 	}
 	r.setPhase("starting members")
-	members, followers := r.plan.Services[:r.s.Fleet.Members], r.plan.Services[r.s.Fleet.Members:]
+	members, followers := r.plan.Services[:r.scenario.Fleet.Members], r.plan.Services[r.scenario.Fleet.Members:]
 	if err := r.startServices(members); err != nil {
 		return err
 	}
@@ -210,41 +212,41 @@
 	return r.startReal(ctx)
 }
 
-// startServices starts list services, which follow those in the plan that have started.
-func (r *runner) startServices(some []Service) error {
-	for _, s := range some {
-		n := len(r.services)
-		if s.Link != "" {
-			relay, err := link.NewRelay(s.Link, r.plan.Services[s.Copies].Listen, link.Limits{MaxConnections: relayConnections, BufferBytes: relayBuffer}, r.s.Seed+uint64(n))
+// startServices starts registry processes, which must be the next ones in the plan.
+func (r *runner) startServices(services []Service) error {
+	for _, service := range services {
+		index := len(r.services)
+		if service.RelayListen != "" {
+			relay, err := link.NewRelay(service.RelayListen, r.plan.Services[service.SourceIndex].Listen, link.Limits{MaxConnections: relayConnections, BufferBytes: relayBuffer}, r.scenario.Seed+uint64(index))
 			if err != nil {
 				return err
 			}
-			r.links[n] = relay
+			r.relays[index] = relay
 		}
 		role := roleFollower
-		if s.Member > 0 {
+		if service.MemberNumber > 0 {
 			role = roleMember
 		}
-		p, err := r.add(s.Name, role)
+		proc, err := r.newProcess(service.Name, role)
 		if err != nil {
 			return err
 		}
-		config, err := r.plan.serviceConfig(n, p.dir)
+		config, err := r.plan.serviceConfig(index, proc.dir)
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(p.dir, "config.json"), config, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(proc.dir, "config.json"), config, 0o600); err != nil {
 			return err
 		}
-		r.services = append(r.services, p)
-		if err := r.startService(p); err != nil {
+		r.services = append(r.services, proc)
+		if err := r.startService(proc); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// awaitServices waits until all that have started answer reads.
+// awaitServices waits until all started registry processes answer reads.
 func (r *runner) awaitServices(ctx context.Context) error {
 	for n, p := range r.services {
 		if err := r.awaitReady(ctx, p, "http://"+r.plan.Services[n].Control+"/control/ready"); err != nil {
@@ -254,32 +256,33 @@
 	return nil
 }
 
-// Of a relay between a follower and the member that it copies.
+// Limits of the relay between a follower and its member.
 const (
 	relayConnections = 16
 	relayBuffer      = 1 << 20
 )
 
 func (r *runner) startService(p *process) error {
-	return p.start(exec.Command(r.o.Registry, "--config", filepath.Join(p.dir, "config.json")), nil, r.died)
+	return p.start(exec.Command(r.options.RegistryPath, "--config", filepath.Join(p.dir, "config.json")), nil, r.processDied)
 }
 
-// startHosts starts processes of hollow ones and waits until all that they have is there.
+// startHosts starts host processes and waits until their gateways have a list or their
+// backends are registered.
 func (r *runner) startHosts(ctx context.Context, role string, configs []HostConfig) (hosts []*host, err error) {
-	for _, c := range configs {
-		p, err := r.add(c.Name, role)
+	for _, config := range configs {
+		proc, err := r.newProcess(config.Name, role)
 		if err != nil {
 			return hosts, err
 		}
-		h, err := startHost(p, r.o.Host, c, r.changed, r.died)
+		started, err := startHost(proc, r.options.HostCommand, config, r.recordChanges, r.processDied)
 		if err != nil {
 			return hosts, err
 		}
-		hosts = append(hosts, h)
+		hosts = append(hosts, started)
 	}
-	for _, h := range hosts {
+	for _, starting := range hosts {
 		select {
-		case <-h.ready:
+		case <-starting.ready:
 		case <-ctx.Done():
 			return hosts, ctx.Err()
 		}
@@ -287,97 +290,97 @@
 	return hosts, nil
 }
 
-// startReal starts the gateways that serve requests, and the load on them.
+// startReal starts the real gateways and the load on them.
 func (r *runner) startReal(ctx context.Context) error {
 	var addresses []string
-	for n := range r.s.Fleet.RealGateways {
-		p, err := r.add(fmt.Sprintf("real%d", n), roleReal)
+	for index := range r.scenario.Fleet.RealGateways {
+		proc, err := r.newProcess(fmt.Sprintf("real%d", index), roleReal)
 		if err != nil {
 			return err
 		}
-		number := r.s.Fleet.Gateways + n
-		config, err := r.plan.gatewayConfig(number, r.s.place(number), r.s.scopesOf(number))
+		number := r.scenario.Fleet.Gateways + index
+		config, err := r.plan.gatewayConfig(number, r.scenario.place(number), r.scenario.scopesOf(number))
 		if err != nil {
 			return err
 		}
-		path := filepath.Join(p.dir, "config.json")
+		path := filepath.Join(proc.dir, "config.json")
 		if err := os.WriteFile(path, config, 0o600); err != nil {
 			return err
 		}
-		r.reals = append(r.reals, p)
-		if err := p.start(exec.Command(r.o.Gateway, "--config", path), nil, r.died); err != nil {
+		r.realGateways = append(r.realGateways, proc)
+		if err := proc.start(exec.Command(r.options.GatewayPath, "--config", path), nil, r.processDied); err != nil {
 			return err
 		}
-		addresses = append(addresses, r.plan.realGateway(n, portGateway))
+		addresses = append(addresses, r.plan.realGatewayAddress(index, portGateway))
 	}
-	for n, p := range r.reals {
+	for n, p := range r.realGateways {
 		if err := r.awaitReady(ctx, p, "http://"+addresses[n]+"/health/ready"); err != nil {
 			return err
 		}
 	}
-	if len(addresses) > 0 && r.s.Changes.Requests > 0 {
-		r.load = startLoad(addresses, r.s.Changes.Requests)
+	if len(addresses) > 0 && r.scenario.Changes.Requests > 0 {
+		r.load = startLoad(addresses, r.scenario.Changes.Requests)
 	}
 	return nil
 }
 
-// awaitReady waits until an address answers yes.
-func (r *runner) awaitReady(ctx context.Context, p *process, url string) error {
-	end := time.Now().Add(readyWait + r.s.Fleet.Lease.Std())
-	for time.Now().Before(end) {
+// awaitReady polls a URL until it answers with status 200.
+func (r *runner) awaitReady(ctx context.Context, proc *process, url string) error {
+	deadline := time.Now().Add(readyTimeout + r.scenario.Fleet.Lease.Std())
+	for time.Now().Before(deadline) {
 		if resp, err := r.http.Get(url); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
-		if err := pause(ctx, readyPace); err != nil {
+		if err := pause(ctx, readyPollInterval); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("%s is not ready; it said:\n%s", p.name, p.lastWords())
+	return fmt.Errorf("%s did not become ready within %v; end of its log:\n%s", proc.name, readyTimeout+r.scenario.Fleet.Lease.Std(), proc.logTail())
 }
 
-func pause(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+func pause(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	}
 }
 
-// died ends the run: a process has ended that nobody has ended.
-func (r *runner) died(p *process, err error) {
-	r.cancel(fmt.Errorf("%s has ended by itself (%v); it said:\n%s", p.name, err, p.lastWords()))
+// processDied ends the run after a process has ended unexpectedly.
+func (r *runner) processDied(p *process, err error) {
+	r.cancel(fmt.Errorf("%s ended unexpectedly (%v); end of its log:\n%s", p.name, err, p.logTail()))
 }
 
-func (r *runner) changed(changes []Change) {
+func (r *runner) recordChanges(changes []Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.changes = append(r.changes, changes...)
 }
 
-// add makes a process that the run's bounds hold for.
-func (r *runner) add(name, role string) (*process, error) {
-	p, err := newProcess(name, role, r.o.Dir, r.starter)
+// newProcess creates a process that counts toward the run's memory limit.
+func (r *runner) newProcess(name, role string) (*process, error) {
+	proc, err := newProcess(name, role, r.options.Dir, r.starter)
 	if err == nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.started = append(r.started, p)
+		r.processes = append(r.processes, proc)
 	}
-	return p, err
+	return proc, err
 }
 
-func (r *runner) everyone() []*process {
+func (r *runner) allProcesses() []*process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.started)
+	return slices.Clone(r.processes)
 }
 
-// close ends all processes, by their ids.
+// close ends all processes of the run.
 func (r *runner) close() {
 	if r.load != nil {
 		r.load.stop()
@@ -386,10 +389,10 @@
 		h.kill()
 		h.in.Close()
 	}
-	for _, p := range slices.Concat(r.services, r.reals) {
+	for _, p := range slices.Concat(r.services, r.realGateways) {
 		p.kill()
 	}
-	for _, relay := range r.links {
+	for _, relay := range r.relays {
 		relay.Close()
 	}
 	if r.claim != nil {
@@ -398,28 +401,28 @@
 	r.http.CloseIdleConnections()
 }
 
-// measure lets backends restart and faults come for the length of the run, and then
-// waits until what was begun has ended.
+// measure runs restarts and faults for the length of the run, then waits until the backends
+// have settled.
 func (r *runner) measure(ctx context.Context) error {
 	r.mu.Lock()
-	r.began = time.Now()
+	r.measuringSince = time.Now()
 	r.mu.Unlock()
-	began := time.Now()
-	if err := r.restarts(r.s.Changes.PerS); err != nil {
+	startedAt := time.Now()
+	if err := r.setChangeRate(r.scenario.Changes.PerS); err != nil {
 		return err
 	}
-	for _, step := range r.s.steps() {
-		if err := pause(ctx, time.Until(began.Add(step.at))); err != nil {
+	for _, step := range r.scenario.faultSteps() {
+		if err := pause(ctx, time.Until(startedAt.Add(step.at))); err != nil {
 			return err
 		}
-		if err := r.inject(step); err != nil {
+		if err := r.applyStep(step); err != nil {
 			return fmt.Errorf("%s: %w", step.fault.Kind, err)
 		}
 	}
-	if err := pause(ctx, time.Until(began.Add(r.s.Length.Std()))); err != nil {
+	if err := pause(ctx, time.Until(startedAt.Add(r.scenario.Length.Std()))); err != nil {
 		return err
 	}
-	if err := r.restarts(0); err != nil {
+	if err := r.setChangeRate(0); err != nil {
 		return err
 	}
 	if err := r.awaitSettled(ctx); err != nil {
@@ -428,151 +431,152 @@
 	return pause(ctx, tailTime)
 }
 
-// awaitSettled waits until every backend serves that was not stopped, or the time is over.
+// awaitSettled waits until all backends that are not stopped serve, for at most Quiet.
 func (r *runner) awaitSettled(ctx context.Context) error {
-	for end := time.Now().Add(r.s.Quiet.Std()); time.Now().Before(end); {
+	for deadline := time.Now().Add(r.scenario.Quiet.Std()); time.Now().Before(deadline); {
 		settled := true
-		for _, h := range r.backends {
-			s, err := h.sample(false)
+		for _, backendHost := range r.backends {
+			sample, err := backendHost.readSample(false)
 			if err != nil {
 				return err
 			}
-			settled = settled && s.Settled
+			settled = settled && sample.Settled
 		}
 		if settled {
 			return nil
 		}
-		if err := pause(ctx, settledPace); err != nil {
+		if err := pause(ctx, settledPollInterval); err != nil {
 			return err
 		}
 	}
-	r.mark("not all backends serve")
+	r.logEvent("not all backends serve")
 	r.unsettled = true
 	return nil
 }
 
-// restarts sets how many changes of the list restarts of backends make in a second.
-func (r *runner) restarts(changesPerS float64) error {
-	each := changesPerS / changesRestart / float64(len(r.backends))
-	return tellAll(r.backends, Command{Restarts: &each})
+// setChangeRate sets the number of changes of the list per second that restarts of backends
+// make.
+func (r *runner) setChangeRate(changesPerS float64) error {
+	perHost := changesPerS / changesPerRestart / float64(len(r.backends))
+	return sendAll(r.backends, Command{RestartsPerS: &perHost})
 }
 
-func tellAll(hosts []*host, c Command) error {
-	var all []error
-	for _, h := range hosts {
-		all = append(all, h.tell(c))
+func sendAll(hosts []*host, command Command) error {
+	var failures []error
+	for _, target := range hosts {
+		failures = append(failures, target.send(command))
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
-// step is the beginning or the end of a fault.
-type step struct {
+// faultStep is the beginning or the end of a fault.
+type faultStep struct {
 	at    time.Duration
 	fault *Fault
 	ends  bool
 }
 
-// steps are those of all faults, in their order.
-func (s *Scenario) steps() (all []step) {
+// faultSteps returns the beginnings and ends of all faults, sorted by time.
+func (s *Scenario) faultSteps() (steps []faultStep) {
 	for _, f := range s.Faults {
-		all = append(all, step{f.At.Std(), f, false}, step{(f.At + f.For).Std(), f, true})
+		steps = append(steps, faultStep{f.At.Std(), f, false}, faultStep{(f.At + f.For).Std(), f, true})
 	}
-	slices.SortStableFunc(all, func(a, b step) int { return int(a.at - b.at) })
-	return all
+	slices.SortStableFunc(steps, func(a, b faultStep) int { return int(a.at - b.at) })
+	return steps
 }
 
-func (f *Fault) chosen() *Chosen {
+func (f *Fault) selection() *Selection {
 	switch f.Kind {
 	case FaultRack:
-		return &Chosen{Gateways: f.Gateways, Backends: f.Backends}
+		return &Selection{Gateways: f.Gateways, Backends: f.Backends}
 	case FaultZone:
-		return &Chosen{Zone: f.Zone}
+		return &Selection{Zone: f.Zone}
 	}
-	return &Chosen{Region: f.Region, All: f.Region == ""}
+	return &Selection{Region: f.Region, AllGateways: f.Region == ""}
 }
 
-// inject begins or ends a fault.
-func (r *runner) inject(at step) error {
-	f := at.fault
-	word := "begins"
-	if at.ends {
-		word = "ends"
+// applyStep begins or ends a fault.
+func (r *runner) applyStep(step faultStep) error {
+	fault := step.fault
+	verb := "begins"
+	if step.ends {
+		verb = "ends"
 	}
-	r.mark("%s %s", f.Kind, word)
-	switch f.Kind {
+	r.logEvent("%s %s", fault.Kind, verb)
+	switch fault.Kind {
 	case FaultRack, FaultZone, FaultGateways:
-		c := Command{Stop: f.chosen()}
-		if at.ends {
-			c = Command{Resume: f.chosen()}
+		command := Command{Stop: fault.selection()}
+		if step.ends {
+			command = Command{Resume: fault.selection()}
 		}
 		hosts := r.gateways
-		if f.Kind != FaultGateways {
+		if fault.Kind != FaultGateways {
 			hosts = slices.Concat(r.gateways, r.backends)
 		}
-		return tellAll(hosts, c)
+		return sendAll(hosts, command)
 	case FaultRestarts:
-		rate := f.ChangesPS
-		if at.ends {
-			rate = r.s.Changes.PerS
+		rate := fault.ChangesPerS
+		if step.ends {
+			rate = r.scenario.Changes.PerS
 		}
-		return r.restarts(rate)
+		return r.setChangeRate(rate)
 	case FaultRegionCut:
-		how := link.Condition{Kind: link.Dropped}
-		if at.ends {
-			how = link.Condition{Kind: link.Up}
+		condition := link.Condition{Kind: link.Dropped}
+		if step.ends {
+			condition = link.Condition{Kind: link.Up}
 		}
-		for n, relay := range r.links {
-			if r.plan.Services[n].Region != f.Region {
+		for index, relay := range r.relays {
+			if r.plan.Services[index].Region != fault.Region {
 				continue
 			}
-			if err := errors.Join(relay.Set(link.Forward, how), relay.Set(link.Reverse, how)); err != nil {
+			if err := errors.Join(relay.Set(link.Forward, condition), relay.Set(link.Reverse, condition)); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	return r.injectKill(f, at.ends)
+	return r.applyKill(fault, step.ends)
 }
 
-// injectKill kills a list service, or starts it again.
-func (r *runner) injectKill(f *Fault, ends bool) error {
-	for _, p := range r.services {
-		p.mu.Lock()
-		meant := p.meant
-		p.mu.Unlock()
+// applyKill kills a registry process, or starts it again.
+func (r *runner) applyKill(fault *Fault, ends bool) error {
+	for _, proc := range r.services {
+		proc.mu.Lock()
+		killed := proc.killed
+		proc.mu.Unlock()
 		switch {
-		case ends && meant:
-			if err := r.startService(p); err != nil {
+		case ends && killed:
+			if err := r.startService(proc); err != nil {
 				return err
 			}
-			r.mark("%s was started again", p.name)
-		case !ends && (p.name == f.Who || f.Who == whoWriter && p.name == r.writer()):
-			p.kill()
-			r.mark("%s was killed", p.name)
+			r.logEvent("%s was started again", proc.name)
+		case !ends && (proc.name == fault.Process || fault.Process == processWriter && proc.name == r.writerName()):
+			proc.kill()
+			r.logEvent("%s was killed", proc.name)
 			return nil
 		}
 	}
 	return nil
 }
 
-// writer is the name of the member that answers writes.
-func (r *runner) writer() string {
-	s, err := r.backends[0].sample(false)
+// writerName returns the name of the member that accepts writes; empty: unknown.
+func (r *runner) writerName() string {
+	sample, err := r.backends[0].readSample(false)
 	if err != nil {
 		return ""
 	}
 	for _, service := range r.plan.Services {
-		if service.Listen == s.Writer {
+		if service.Listen == sample.Writer {
 			return service.Name
 		}
 	}
 	return ""
 }
 
-func (r *runner) mark(format string, args ...any) {
+func (r *runner) logEvent(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.marks = append(r.marks, fmt.Sprintf("%.1f s: ", time.Since(r.began).Seconds())+fmt.Sprintf(format, args...))
+	r.events = append(r.events, fmt.Sprintf("%.1f s: ", time.Since(r.measuringSince).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func (r *runner) setPhase(phase string) {
@@ -581,88 +585,89 @@
 	r.phase = phase
 }
 
-// latency asks the gateways when they heard of the changes since a version.
+// latency returns when the gateways received the changes after version since, and these
+// changes.
 func (r *runner) latency(since int64) (*Latency, []Change, error) {
 	r.mu.Lock()
 	changes := slices.Clone(r.changes)
 	r.mu.Unlock()
 	changes = slices.DeleteFunc(changes, func(c Change) bool { return c.Version <= since })
 	sortChanges(changes)
-	all := &Latency{}
-	for _, h := range r.gateways {
-		l, err := h.latencyOf(changes)
+	total := &Latency{}
+	for _, gatewayHost := range r.gateways {
+		partial, err := gatewayHost.readLatency(changes)
 		if err != nil {
 			return nil, nil, err
 		}
-		all.merge(l)
+		total.merge(partial)
 	}
-	return all, changes, nil
+	return total, changes, nil
 }
 
-// Final is how the gateways' lists compare to the writer's at the end.
-type Final struct {
-	Same    int           `json:"same"` // gateways that hold just what the writer's list has for them
-	Of      int           `json:"of"`
-	Checked bool          `json:"checked"` // a subset is the gateway's own choice, and is not compared
-	Took    time.Duration `json:"took"`
-	Least   int           `json:"least"` // backends that a gateway holds
-	Most    int           `json:"most"`
-	Listed  int           `json:"listed"`          // backends on the writer's list
-	First   string        `json:"first,omitempty"` // of those that differ
+// FinalComparison compares the gateways' lists to the writer's at the end of a run.
+type FinalComparison struct {
+	Matching       int           `json:"same"`    // gateways that hold exactly what they read of the writer's list
+	Total          int           `json:"of"`      // gateways compared
+	Checked        bool          `json:"checked"` // false with subsets, which a gateway selects itself
+	Elapsed        time.Duration `json:"took"`    // until all matched, or until the comparison ended
+	MinBackends    int           `json:"least"`   // held by a gateway
+	MaxBackends    int           `json:"most"`
+	ListedBackends int           `json:"listed"`          // on the writer's list
+	FirstMismatch  string        `json:"first,omitempty"` // empty: none
 }
 
-// compareViews looks until all gateways hold what the writer's list has for them, or the
-// time is over.
-func (r *runner) compareViews(ctx context.Context) (*Final, error) {
-	began := time.Now()
+// compareViews compares the gateways' lists to the writer's until all match, for at most
+// Quiet.
+func (r *runner) compareViews(ctx context.Context) (*FinalComparison, error) {
+	startedAt := time.Now()
 	for {
-		f, err := r.compareOnce(ctx)
+		comparison, err := r.compareOnce(ctx)
 		if err != nil {
 			return nil, err
 		}
-		f.Took = time.Since(began)
-		if f.Same == f.Of || !f.Checked || f.Took > r.s.Quiet.Std() {
-			return f, nil
+		comparison.Elapsed = time.Since(startedAt)
+		if comparison.Matching == comparison.Total || !comparison.Checked || comparison.Elapsed > r.scenario.Quiet.Std() {
+			return comparison, nil
 		}
-		if err := pause(ctx, viewPace); err != nil {
+		if err := pause(ctx, viewPollInterval); err != nil {
 			return nil, err
 		}
 	}
 }
 
-func (r *runner) compareOnce(ctx context.Context) (*Final, error) {
-	list, err := r.wholeList(ctx)
+func (r *runner) compareOnce(ctx context.Context) (*FinalComparison, error) {
+	list, err := r.readWriterList(ctx)
 	if err != nil {
 		return nil, err
 	}
-	shares := newShares(list)
-	f := &Final{Checked: r.s.Reading.Subset == 0, Listed: len(list.Instances)}
-	for _, h := range r.gateways {
-		views, err := h.view()
+	parts := newListParts(list)
+	comparison := &FinalComparison{Checked: r.scenario.Reading.Subset == 0, ListedBackends: len(list.Instances)}
+	for _, gatewayHost := range r.gateways {
+		views, err := gatewayHost.readViews()
 		if err != nil {
 			return nil, err
 		}
-		for _, v := range views {
-			if f.Of == 0 || v.Count < f.Least {
-				f.Least = v.Count
+		for _, view := range views {
+			if comparison.Total == 0 || view.Count < comparison.MinBackends {
+				comparison.MinBackends = view.Count
 			}
-			f.Most = max(f.Most, v.Count)
-			f.Of++
-			want := shares.of(r.plan.Gateways[v.Gateway])
-			if v.Count == want.Count && v.Digest == want.Digest {
-				f.Same++
-			} else if f.First == "" {
-				f.First = fmt.Sprintf("gateway %d holds %d at version %d, and the writer has %d for it at %d", v.Gateway, v.Count, v.Version, want.Count, want.Version)
+			comparison.MaxBackends = max(comparison.MaxBackends, view.Count)
+			comparison.Total++
+			expected := parts.expectedView(r.plan.Gateways[view.Gateway])
+			if view.Count == expected.Count && view.Digest == expected.Digest {
+				comparison.Matching++
+			} else if comparison.FirstMismatch == "" {
+				comparison.FirstMismatch = fmt.Sprintf("gateway %d holds %d at version %d, and the writer has %d for it at %d", view.Gateway, view.Count, view.Version, expected.Count, expected.Version)
 			}
 		}
 	}
-	return f, nil
+	return comparison, nil
 }
 
-// wholeList reads the list from the member that writes.
-func (r *runner) wholeList(ctx context.Context) (registry.Listing, error) {
+// readWriterList reads the whole list from the writer.
+func (r *runner) readWriterList(ctx context.Context) (registry.Listing, error) {
 	address := r.plan.Services[0].Listen
-	if name := r.writer(); name != "" {
+	if name := r.writerName(); name != "" {
 		for _, s := range r.plan.Services {
 			if s.Name == name {
 				address = s.Listen
@@ -678,49 +683,50 @@
 		return registry.Listing{}, err
 	}
 	defer resp.Body.Close()
-	const most = 1 << 30
-	text, err := io.ReadAll(io.LimitReader(resp.Body, most))
+	const maxBytes = 1 << 30
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 	if err != nil {
 		return registry.Listing{}, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return registry.Listing{}, fmt.Errorf("the writer's list: %s: %.200s", resp.Status, text)
+		return registry.Listing{}, fmt.Errorf("read the writer's list: %s: %.200s", resp.Status, text)
 	}
 	return registry.ParseListing(text)
 }
 
-// watch bounds the memory of all processes together, and writes a line each second.
+// watch cancels the run when its processes exceed the memory limit or usage cannot be read,
+// and writes a progress line per second.
 func (r *runner) watch(ctx context.Context) {
-	began := time.Now()
-	t := time.NewTicker(watchPace)
-	defer t.Stop()
+	startedAt := time.Now()
+	ticker := time.NewTicker(watchInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		use, err := readUse("self")
+		own, err := readUsage("self")
 		if err != nil {
 			r.cancel(err)
 			return
 		}
-		memory, cpu := use.MemoryMB, use.CPU
-		for _, p := range r.everyone() {
-			u := p.use()
-			memory += u.MemoryMB
-			cpu += u.CPU
+		memory, cpu := own.MemoryMB, own.CPU
+		for _, p := range r.allProcesses() {
+			childUsage := p.usage()
+			memory += childUsage.MemoryMB
+			cpu += childUsage.CPU
 		}
 		r.mu.Lock()
-		r.most = max(r.most, memory)
+		r.peakMB = max(r.peakMB, memory)
 		phase, changes := r.phase, len(r.changes)
 		r.mu.Unlock()
-		if memory > r.machine.mostMemoryMB() {
-			r.cancel(fmt.Errorf("all processes hold %.0f MB, over %.0f, half of the machine's", memory, r.machine.mostMemoryMB()))
+		if memory > r.machine.memoryLimitMB() {
+			r.cancel(fmt.Errorf("all processes hold %.0f MB, over the limit of %.0f MB, half of the machine's", memory, r.machine.memoryLimitMB()))
 			return
 		}
-		if r.o.Live != nil {
-			fmt.Fprintf(r.o.Live, "%4.0f s  %-22s %d changes answered, %.0f MB, %.1f s of processor time\n", time.Since(began).Seconds(), phase, changes, memory, cpu.Seconds())
+		if r.options.Progress != nil {
+			fmt.Fprintf(r.options.Progress, "%4.0f s  %-22s %d changes answered, %.0f MB, %.1f s of processor time\n", time.Since(startedAt).Seconds(), phase, changes, memory, cpu.Seconds())
 		}
 	}
 }
