--- a/internal/play/play.go
+++ b/internal/play/play.go
@@ -177,8 +177,8 @@
 		result.InvalidReason = fmt.Sprintf("the emulator paused for %v, over the limit of %v", e.loopGap.Round(time.Millisecond), maxLoopGap)
 	}
 	for processLink, relay := range e.linkRelays {
-		if s := relay.Stats(); s.MaxLateness > maxLoopGap || s.Rejected > 0 {
-			result.InvalidReason = fmt.Sprintf("the relay from %v was late by %v and turned %d connections away", processLink, s.MaxLateness.Round(time.Millisecond), s.Rejected)
+		if stats := relay.Stats(); stats.MaxLateness > maxLoopGap || stats.Rejected > 0 {
+			result.InvalidReason = fmt.Sprintf("the relay from %v was late by %v and turned %d connections away", processLink, stats.MaxLateness.Round(time.Millisecond), stats.Rejected)
 		}
 	}
 	return result, nil
--- a/internal/scenario/actor.go
+++ b/internal/scenario/actor.go
@@ -63,7 +63,7 @@
 type LinkFault struct {
 	From, To          Actor
 	Forward, Backward bool
-	Condition            link.Condition
+	Condition         link.Condition
 }
 
 // linkFaultKinds holds the links that a run emulates, and the faults that each supports.
