--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -42,12 +42,12 @@
 }
 
 func newBackendFleet(config *BackendHost, seed uint64) (*backendFleet, error) {
-	door, err := net.Listen("tcp", config.AnswerAddress)
+	listener, err := net.Listen("tcp", config.AnswerAddress)
 	if err != nil {
 		return nil, err
 	}
 	settings := churnSettings{RenewInterval: config.RenewInterval, DrainTime: config.DrainTime, DownTime: config.DownTime, RegistrationsPerS: config.RegistrationsPerS}
-	fleet := &backendFleet{config: config, listener: door, client: newWriteClient(config.Members, config.AnswerAddress, config.Connections),
+	fleet := &backendFleet{config: config, listener: listener, client: newWriteClient(config.Members, config.AnswerAddress, config.Connections),
 		churn:    newChurn(config.Backends, settings, rand.New(rand.NewPCG(seed, 1))),
 		commands: make(chan Command, 1), stateRequests: make(chan chan churnState), ended: make(chan struct{})}
 	fleet.server = &http.Server{ReadHeaderTimeout: backendCallTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -69,7 +69,7 @@
 	defer wg.Wait()
 	wg.Go(func() { f.server.Serve(f.listener) })
 	defer f.server.Close()
-	calls, answers := make(chan call), make(chan callResult)
+	calls, results := make(chan call), make(chan callResult)
 	for range f.config.Connections {
 		wg.Go(func() {
 			for {
@@ -79,7 +79,7 @@
 				case outgoing := <-calls:
 					status, version := f.client.do(ctx, outgoing)
 					select {
-					case answers <- callResult{outgoing, status, version, time.Now().UnixNano()}:
+					case results <- callResult{outgoing, status, version, time.Now().UnixNano()}:
 					case <-ctx.Done():
 						return
 					}
@@ -87,12 +87,12 @@
 			}
 		})
 	}
-	f.loop(ctx, calls, answers, ready, changed)
+	f.loop(ctx, calls, results, ready, changed)
 }
 
 // loop owns the churn: it starts due calls, handles their results and executes commands until
 // ctx is done.
-func (f *backendFleet) loop(ctx context.Context, calls chan<- call, answers <-chan callResult, ready func(), changed func([]Change)) {
+func (f *backendFleet) loop(ctx context.Context, calls chan<- call, results <-chan callResult, ready func(), changed func([]Change)) {
 	startedAt := time.Now()
 	now := func() time.Duration { return time.Since(startedAt) }
 	f.churn.start(now(), startedAt.Add(-initialUptime).UnixMilli())
@@ -121,7 +121,7 @@
 			return
 		case sendTo <- nextCall:
 			queue = queue[1:]
-		case result := <-answers:
+		case result := <-results:
 			f.calls.Add(1)
 			if result.status != http.StatusOK {
 				f.refused.Add(1)
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -33,8 +33,8 @@
 	writer     string // address of the member that answered last or was named by a redirect
 }
 
-func newWriteClient(members []string, answers string, connections int) *writeClient {
-	return &writeClient{members: members, backendAddress: answers, writer: members[0],
+func newWriteClient(members []string, backendAddress string, connections int) *writeClient {
+	return &writeClient{members: members, backendAddress: backendAddress, writer: members[0],
 		http: &http.Client{Timeout: backendCallTimeout,
 			Transport:     &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: connections, MaxConnsPerHost: connections},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
--- a/internal/scale/churn.go
+++ b/internal/scale/churn.go
@@ -78,11 +78,11 @@
 }
 
 func newChurn(backends []Backend, settings churnSettings, random *rand.Rand) *churn {
-	c := &churn{settings: settings, random: random}
+	created := &churn{settings: settings, random: random}
 	for _, b := range backends {
-		c.backends = append(c.backends, &churningBackend{Backend: b, index: -1})
+		created.backends = append(created.backends, &churningBackend{Backend: b, index: -1})
 	}
-	return c
+	return created
 }
 
 // start schedules the first registration of each backend, at the configured rate.
--- a/internal/scale/follow.go
+++ b/internal/scale/follow.go
@@ -76,9 +76,9 @@
 	digest digest
 }
 
-func (s *listPart) add(instance registry.Instance) {
-	s.count++
-	s.digest.add(instance.ID, instance.Lifecycle)
+func (p *listPart) add(instance registry.Instance) {
+	p.count++
+	p.digest.add(instance.ID, instance.Lifecycle)
 }
 
 // listParts summarizes the writer's list as a whole and for each scope that a gateway can
@@ -104,15 +104,15 @@
 
 // expectedView returns the view of a gateway that holds the writer's list. The gateway's
 // scopes must be of different services, so that they do not overlap.
-func (s *listParts) expectedView(gateway Gateway) View {
-	sum := s.whole
+func (p *listParts) expectedView(gateway Gateway) View {
+	sum := p.whole
 	if len(gateway.Scopes) > 0 {
 		sum = listPart{}
 		for _, scope := range gateway.Scopes {
-			part := s.scopes[scope]
+			part := p.scopes[scope]
 			sum.count += part.count
 			sum.digest += part.digest
 		}
 	}
-	return View{Gateway: gateway.Number, Version: s.version, Count: sum.count, Digest: uint64(sum.digest)}
+	return View{Gateway: gateway.Number, Version: p.version, Count: sum.count, Digest: uint64(sum.digest)}
 }
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -19,8 +19,8 @@
 // workload is the set of hollow gateways or backends of a process.
 type workload interface {
 	run(ctx context.Context, ready func(), changed func([]Change))
-	execute(c Command)
-	sample(s *Sample)
+	execute(command Command)
+	sample(sample *Sample)
 	views() []View
 	latency(changes []Change) *Latency
 }
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -253,8 +253,8 @@
 	default:
 		fmt.Fprintf(out, "%d of %d gateways hold what the writer's list has for them; the first that does not: %s\n", final.Matching, final.Total, final.FirstMismatch)
 	}
-	for _, mark := range r.Events {
-		fmt.Fprintln(out, mark)
+	for _, event := range r.Events {
+		fmt.Fprintln(out, event)
 	}
 }
 
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -67,14 +67,14 @@
 	}
 	plan := NewPlan(scenario, firstNetwork)
 	for _, gateway := range plan.Gateways {
-		reads := 0
+		readCount := 0
 		for _, backend := range plan.Backends {
 			if gateway.Reads(backend) {
-				reads++
+				readCount++
 			}
 		}
-		if reads < result.Final.MinBackends || reads > result.Final.MaxBackends {
-			t.Errorf("gateway %d reads %d backends, but gateways hold %d to %d", gateway.Number, reads, result.Final.MinBackends, result.Final.MaxBackends)
+		if readCount < result.Final.MinBackends || readCount > result.Final.MaxBackends {
+			t.Errorf("gateway %d reads %d backends, but gateways hold %d to %d", gateway.Number, readCount, result.Final.MinBackends, result.Final.MaxBackends)
 		}
 	}
 	if result.Final.MaxBackends >= scenario.Fleet.Backends/2 || result.Final.Matching != 5 || result.Final.Total != 5 {
@@ -189,21 +189,21 @@
 	if result.Final.ListedBackends != 20 || result.Final.Total != 5 || result.Final.Matching != 5 {
 		t.Errorf("%+v", result.Final)
 	}
-	var marks []string
-	for _, mark := range result.Events {
-		_, what, _ := strings.Cut(mark, " s: ")
-		if !strings.Contains(mark, "wrote at the beginning") { // depends on the group's election
-			marks = append(marks, what)
+	var events []string
+	for _, event := range result.Events {
+		_, text, _ := strings.Cut(event, " s: ")
+		if !strings.Contains(event, "wrote at the beginning") { // depends on the group's election
+			events = append(events, text)
 		}
 	}
 	want := []string{"rack begins", "region_cut begins", "rack ends", "region_cut ends", "kill begins", "member0 was killed", "kill ends", "member0 was started again", "restarts begins", "restarts ends"}
 	for n := range want {
-		if n < len(marks) && strings.HasPrefix(want[n], "member") {
-			want[n] = marks[n][:len("member0")] + want[n][len("member0"):] // any member may be the writer
+		if n < len(events) && strings.HasPrefix(want[n], "member") {
+			want[n] = events[n][:len("member0")] + want[n][len("member0"):] // any member may be the writer
 		}
 	}
-	if !slices.Equal(marks, want) {
-		t.Errorf("%q, want %q", marks, want)
+	if !slices.Equal(events, want) {
+		t.Errorf("%q, want %q", events, want)
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
 		t.Errorf("running processes remain: %s", remaining)
--- a/internal/scale/scenario_test.go
+++ b/internal/scale/scenario_test.go
@@ -169,11 +169,11 @@
 	if err := good.Check(scenario); err != nil {
 		t.Error(err)
 	}
-	if n := len(good.points()); n != 4 {
-		t.Errorf("%d points", n)
+	if count := len(good.points()); count != 4 {
+		t.Errorf("%d points", count)
 	}
-	if one := good.scenarioAt(scenario, Point{X: 9, Z: 3}); one.Fleet.Gateways != 9 || one.Changes.PerS != 3 || scenario.Fleet.Gateways != 12 {
-		t.Errorf("%+v", one)
+	if variant := good.scenarioAt(scenario, Point{X: 9, Z: 3}); variant.Fleet.Gateways != 9 || variant.Changes.PerS != 3 || scenario.Fleet.Gateways != 12 {
+		t.Errorf("%+v", variant)
 	}
 	for _, bad := range []Sweep{{Quantity: "moons", Sizes: []float64{1, 3}}, {Quantity: "gateways", Sizes: []float64{1}}, {Quantity: "gateways", Sizes: []float64{0, 3}},
 		{Quantity: "gateways", Sizes: []float64{1, 3}, Against: "gateways", AgainstSizes: []float64{1, 3}}, {Quantity: "gateways", Sizes: []float64{1, 3}, Against: "changes"},
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -237,8 +237,8 @@
 		}
 		fmt.Fprintf(out, "%s: %d changes in %.1f s to %d readings, %d missing; %s; at most %.0f MB\n",
 			t.Sweep.label(t.Points[index]), result.Changes, result.Seconds, result.Propagation.Count, result.Propagation.Missing, listState, result.PeakMB)
-		for _, mark := range result.Events {
-			fmt.Fprintf(out, "%s: %s\n", t.Sweep.label(t.Points[index]), mark)
+		for _, event := range result.Events {
+			fmt.Fprintf(out, "%s: %s\n", t.Sweep.label(t.Points[index]), event)
 		}
 	}
 	for _, reason := range t.Failures {
