--- a/internal/link/exchange.go
+++ b/internal/link/exchange.go
@@ -7,105 +7,105 @@
 	"sync"
 )
 
-// mostDatagram is the longest that an Exchange reads.
-const mostDatagram = 64 << 10
+// maxDatagramBytes is the maximum size of a datagram that a DatagramRelay reads.
+const maxDatagramBytes = 64 << 10
 
-// Exchange is the network of datagrams between members: it has one address for each,
-// at which the others send to it and from which they hear it, and one at which a
-// datagram is for all. What comes is handed on, and whoever takes it decides what
-// becomes of it.
-type Exchange struct {
-	sockets []*net.UDPConn // by member; the last is that of all
+// DatagramRelay relays UDP datagrams between members. It has one address per member, to which the
+// others send for that member and from which they receive what it sends, and one address for
+// broadcasts. Received datagrams go to a handler, which decides whether and when to deliver them.
+type DatagramRelay struct {
+	sockets []*net.UDPConn // by member; the last is that for broadcasts
 	wg      sync.WaitGroup
 
-	mu   sync.Mutex
-	from map[netip.AddrPort]int // whose process sends from there
-	to   []netip.AddrPort
+	mu             sync.Mutex
+	memberBySource map[netip.AddrPort]int // the member whose process sends from an address
+	addresses      []netip.AddrPort       // by member, where its process receives
 }
 
-// ToAll stands for all members as those whom a datagram is for.
-const ToAll = -1
+// Broadcast is the receiver of a datagram for all members.
+const Broadcast = -1
 
-// NewExchange listens at an address for each member, and at one more for all of them.
-// It hands on what comes from the members' own addresses; each socket has a goroutine
-// that calls take.
-func NewExchange(addresses []string, members []netip.AddrPort, take func(from, to int, data []byte)) (*Exchange, error) {
+// NewDatagramRelay listens at one address for each member and, last, one for broadcasts. members
+// holds the addresses of the members' processes. One goroutine per socket calls handle with each
+// datagram that comes from a member's process; handle owns data. It returns an error if it cannot
+// listen at an address.
+func NewDatagramRelay(addresses []string, members []netip.AddrPort, handle func(from, to int, data []byte)) (*DatagramRelay, error) {
 	if len(addresses) != len(members)+1 {
-		return nil, fmt.Errorf("link: %d addresses for %d members and all", len(addresses), len(members))
+		return nil, fmt.Errorf("link: %d addresses for %d members; want one per member and one for broadcasts", len(addresses), len(members))
 	}
-	x := &Exchange{from: map[netip.AddrPort]int{}, to: append([]netip.AddrPort(nil), members...)}
-	for n, at := range members {
-		x.from[at] = n
+	r := &DatagramRelay{memberBySource: map[netip.AddrPort]int{}, addresses: append([]netip.AddrPort(nil), members...)}
+	for member, address := range members {
+		r.memberBySource[address] = member
 	}
 	for _, text := range addresses {
-		at, err := netip.ParseAddrPort(text)
-		var c *net.UDPConn
+		address, err := netip.ParseAddrPort(text)
+		var socket *net.UDPConn
 		if err == nil {
-			c, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
+			socket, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 		}
 		if err != nil {
-			x.Close()
+			r.Close()
 			return nil, err
 		}
-		x.sockets = append(x.sockets, c)
+		r.sockets = append(r.sockets, socket)
 	}
-	for n, c := range x.sockets {
-		to := n
-		if n == len(members) {
-			to = ToAll
+	for member, socket := range r.sockets {
+		to := member
+		if member == len(members) {
+			to = Broadcast
 		}
-		x.wg.Go(func() { x.read(c, to, take) })
+		r.wg.Go(func() { r.read(socket, to, handle) })
 	}
-	return x, nil
+	return r, nil
 }
 
-// Address is where others send to a member.
-func (x *Exchange) Address(n int) string { return x.sockets[n].LocalAddr().String() }
+// Address returns the address at which the others send to a member.
+func (r *DatagramRelay) Address(member int) string { return r.sockets[member].LocalAddr().String() }
 
-func (x *Exchange) read(c *net.UDPConn, to int, take func(from, to int, data []byte)) {
-	buf := make([]byte, mostDatagram)
+// read passes datagrams from members to handle until the socket is closed.
+func (r *DatagramRelay) read(socket *net.UDPConn, to int, handle func(from, to int, data []byte)) {
+	buf := make([]byte, maxDatagramBytes)
 	for {
-		n, source, err := c.ReadFromUDPAddrPort(buf)
+		size, source, err := socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		x.mu.Lock()
-		from, known := x.from[source]
-		x.mu.Unlock()
+		r.mu.Lock()
+		from, known := r.memberBySource[source]
+		r.mu.Unlock()
 		if known {
-			take(from, to, append([]byte(nil), buf[:n]...))
+			handle(from, to, append([]byte(nil), buf[:size]...))
 		}
 	}
 }
 
-// Also takes what comes from one more address for a member's, as of a second process
-// that has its number.
-func (x *Exchange) Also(n int, at netip.AddrPort) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.from[at] = n
+// AddSource also accepts datagrams from another address as those of a member, such as from a
+// second process with the same member number.
+func (r *DatagramRelay) AddSource(member int, address netip.AddrPort) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.memberBySource[address] = member
 }
 
-// Move delivers what is for a member to another address from now on.
-func (x *Exchange) Move(n int, at netip.AddrPort) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.from[at], x.to[n] = n, at
+// SetAddress changes the address of a member's process.
+func (r *DatagramRelay) SetAddress(member int, address netip.AddrPort) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.memberBySource[address], r.addresses[member] = member, address
 }
 
-// Deliver sends a member what another has sent. One that fails is lost, as datagrams
-// may be.
-func (x *Exchange) Deliver(from, to int, data []byte) {
-	x.mu.Lock()
-	at := x.to[to]
-	x.mu.Unlock()
-	x.sockets[from].WriteToUDPAddrPort(data, at)
+// Deliver sends a datagram of one member to another. A failure to send is not reported.
+func (r *DatagramRelay) Deliver(from, to int, data []byte) {
+	r.mu.Lock()
+	address := r.addresses[to]
+	r.mu.Unlock()
+	r.sockets[from].WriteToUDPAddrPort(data, address)
 }
 
-// Close ends it; nothing is taken when it has returned.
-func (x *Exchange) Close() {
-	for _, c := range x.sockets {
+// Close closes all sockets. After it has returned, the handler is not called.
+func (r *DatagramRelay) Close() {
+	for _, c := range r.sockets {
 		c.Close()
 	}
-	x.wg.Wait()
+	r.wg.Wait()
 }
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -10,7 +10,7 @@
 // ListenerState is how a Listener treats clients that connect.
 type ListenerState int
 
-// The states.
+// The states of a Listener.
 const (
 	Open     ListenerState = iota // connections are accepted
 	Refusing                      // connections are refused
@@ -21,21 +21,21 @@
 // machine does. It is safe for concurrent use.
 type Listener struct {
 	address string
-	take    func(net.Conn)
+	handle  func(net.Conn)
 
-	mu       sync.Mutex
-	state    ListenerState
-	listener *net.TCPListener
-	stuffing net.Conn // fills the backlog of a silent listener
-	wg       sync.WaitGroup
+	mu            sync.Mutex
+	state         ListenerState
+	listener      *net.TCPListener
+	backlogFiller net.Conn // fills the backlog of a silent listener
+	wg            sync.WaitGroup
 }
 
-// stuffWait bounds the dial of the connection that fills a backlog.
-const stuffWait = 50 * time.Millisecond
+// fillerDialTimeout bounds the dial of the connection that fills a backlog.
+const fillerDialTimeout = 50 * time.Millisecond
 
-// NewListener listens at an address and calls take with each connection, from one goroutine.
-func NewListener(address string, take func(net.Conn)) (*Listener, error) {
-	l := &Listener{address: address, take: take}
+// NewListener listens at an address and calls handle with each connection, from one goroutine.
+func NewListener(address string, handle func(net.Conn)) (*Listener, error) {
+	l := &Listener{address: address, handle: handle}
 	return l, l.open()
 }
 
@@ -52,33 +52,33 @@
 	return nil
 }
 
-// Address returns the address at which it listens.
+// Address returns the address at which the listener accepts connections, with the actual port.
 func (l *Listener) Address() string { return l.address }
 
 // accept hands on connections until tcp is closed or its deadline is set.
 func (l *Listener) accept(tcp *net.TCPListener) {
 	for {
-		c, err := tcp.Accept()
+		connection, err := tcp.Accept()
 		if err != nil {
 			return // closed or silent; Set and Close do the rest
 		}
 		l.mu.Lock()
-		out := l.state != Open || l.listener != tcp
+		rejected := l.state != Open || l.listener != tcp
 		l.mu.Unlock()
-		if out {
-			Abort(c)
+		if rejected {
+			Abort(connection)
 			continue
 		}
-		l.take(c)
+		l.handle(connection)
 	}
 }
 
 // Abort closes a connection with a reset.
-func Abort(c net.Conn) {
-	if tcp, ok := c.(*net.TCPConn); ok {
+func Abort(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
 		tcp.SetLinger(0) // a reset in place of an orderly end
 	}
-	c.Close()
+	connection.Close()
 }
 
 // Set changes how the listener treats clients that connect from now on. Connections that were
@@ -90,9 +90,9 @@
 		return nil
 	}
 	l.state = state
-	if l.stuffing != nil {
-		l.stuffing.Close()
-		l.stuffing = nil
+	if l.backlogFiller != nil {
+		l.backlogFiller.Close()
+		l.backlogFiller = nil
 	}
 	if state == Silent {
 		if l.listener == nil {
@@ -109,7 +109,7 @@
 		// follows. A connection that is accepted later still leaves room for one, which is
 		// established and never answered.
 		for range 2 {
-			if l.stuffing, _ = net.DialTimeout("tcp", l.address, stuffWait); l.stuffing != nil {
+			if l.backlogFiller, _ = net.DialTimeout("tcp", l.address, fillerDialTimeout); l.backlogFiller != nil {
 				break
 			}
 		}
@@ -138,15 +138,15 @@
 	return failed
 }
 
-// Close closes the listener. After it has returned, no connection is handed on.
+// Close closes the listener. After it has returned, the handler is not called.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	if l.listener != nil {
 		l.listener.Close()
 		l.listener = nil
 	}
-	if l.stuffing != nil {
-		l.stuffing.Close()
+	if l.backlogFiller != nil {
+		l.backlogFiller.Close()
 	}
 	l.mu.Unlock()
 	l.wg.Wait()
--- a/internal/link/relay.go
+++ b/internal/link/relay.go
@@ -10,73 +10,74 @@
 	"time"
 )
 
-// Way is a direction of a link.
-type Way int
+// Direction is a direction of a link.
+type Direction int
 
-// The ways, as seen by who connects.
+// The directions: Forward is from the process that connects to its target.
 const (
-	There Way = iota
-	Back
+	Forward Direction = iota
+	Reverse
 )
 
-// Limits bound a Relay.
+// Limits are the limits of a Relay.
 type Limits struct {
-	Connections int // at once; more are reset
-	Buffer      int // bytes read ahead, in each direction of each connection
+	MaxConnections int // concurrent connections; further ones are reset
+	BufferBytes    int // bytes read ahead, in each direction of each connection
 }
 
-// Stats are a Relay's figures.
+// Stats are the statistics of a Relay.
 type Stats struct {
-	Connections int           // that stand
-	Most        int           // that stood at once
-	Turned      int64         // connections beyond the limit
-	Bytes       [2]int64      // passed, by way
-	Late        time.Duration // the longest by which a piece was passed on behind its time
+	Connections     int           // open now
+	PeakConnections int           // the most that were open at once
+	Rejected        int64         // connections beyond the limit
+	Bytes           [2]int64      // sent, by Direction
+	MaxLateness     time.Duration // the longest time by which a piece was sent after it was due
 }
 
-// Relay carries the connections of one link.
+// Relay is a TCP proxy on one link that injects faults. It is safe for concurrent use.
 type Relay struct {
-	listener *Listener
-	target   string
-	limits   Limits
-	began    time.Time
-	wg       sync.WaitGroup
+	listener  *Listener
+	target    string
+	limits    Limits
+	startedAt time.Time
+	wg        sync.WaitGroup
 
-	mu      sync.Mutex
-	changed sync.Cond // a fault, a queue, or an end; on mu
-	hows    [2]How
-	conns   map[*conn]bool
-	closed  bool
-	random  *rand.Rand
-	stats   Stats
+	mu           sync.Mutex
+	stateChanged sync.Cond // signals a change of a condition, a queue or a connection's state; uses mu
+	conditions   [2]Condition
+	connections  map[*relayedConnection]bool
+	closed       bool
+	random       *rand.Rand
+	stats        Stats
 }
 
-// conn is a connection with both its sides. All but the ends is under the relay's
-// lock.
-type conn struct {
-	ends  [2]*net.TCPConn // who connected, and whom it is for
-	flows [2]*Flow
-	queue [2][]piece
-	bytes [2]int // in the queue
-	over  bool
+// relayedConnection is a client's connection and the one to the target. The relay's mu guards all
+// fields but ends.
+type relayedConnection struct {
+	ends        [2]*net.TCPConn // of the client and of the target
+	flows       [2]*Flow        // this and the next two by Direction
+	queue       [2][]piece
+	queuedBytes [2]int // in the queue
+	closed      bool
 }
 
-// piece is what was read at once, or an end.
+// piece is the result of one read, or the end of a stream.
 type piece struct {
-	text  []byte
-	due   time.Duration
-	end   bool // its sender says no more
-	reset bool // the connection is reset behind it
+	data        []byte
+	due         time.Duration
+	endOfStream bool // the sender has closed its direction
+	reset       bool // the connection is reset after the piece
 }
 
-// dialWait is for a connection to whom the link leads.
-const dialWait = 2 * time.Second
+// dialTimeout bounds the connection attempt to the target.
+const dialTimeout = 2 * time.Second
 
-// NewRelay carries what comes to an address to another.
+// NewRelay returns a Relay that accepts connections at address and forwards them to target. seed
+// determines the jitter. It returns an error if it cannot listen at address.
 func NewRelay(address, target string, limits Limits, seed uint64) (*Relay, error) {
-	r := &Relay{target: target, limits: limits, began: time.Now(), hows: [2]How{{Kind: Up}, {Kind: Up}}, conns: map[*conn]bool{},
+	r := &Relay{target: target, limits: limits, startedAt: time.Now(), conditions: [2]Condition{{Kind: Up}, {Kind: Up}}, connections: map[*relayedConnection]bool{},
 		random: rand.New(rand.NewPCG(seed, 1))}
-	r.changed.L = &r.mu
+	r.stateChanged.L = &r.mu
 	listener, err := NewListener(address, func(c net.Conn) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -91,153 +92,153 @@
 	return r, nil
 }
 
-// Address is where it listens.
+// Address returns the address at which the relay accepts connections.
 func (r *Relay) Address() string { return r.listener.Address() }
 
-func (r *Relay) now() time.Duration { return time.Since(r.began) }
+func (r *Relay) now() time.Duration { return time.Since(r.startedAt) }
 
-// Set changes how one way of the link carries what is sent from now on. Refused and
-// Reset end the connections that stand; whichever way has them, the link has.
-func (r *Relay) Set(way Way, how How) error {
-	if err := how.Check(); err != nil {
+// Set changes the condition of one direction from now on. Refused and Reset reset the established
+// connections. Dropped, Refused and Reset affect new connections whichever direction they are set
+// for. It returns an error if the condition is invalid or does not apply to TCP connections.
+func (r *Relay) Set(direction Direction, condition Condition) error {
+	if err := condition.Check(); err != nil {
 		return err
 	}
-	if !how.Stream() {
-		return fmt.Errorf("%s is of datagrams, and this relay carries streams", how.Kind)
+	if !condition.AppliesToStreams() {
+		return fmt.Errorf("%s applies to datagrams alone, and this relay carries TCP connections", condition.Kind)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hows[way] = how
-	step := Open
-	for _, h := range r.hows {
-		switch h.Kind {
+	r.conditions[direction] = condition
+	state := Open
+	for _, current := range r.conditions {
+		switch current.Kind {
 		case Dropped:
-			step = max(step, Silent)
+			state = max(state, Silent)
 		case Refused:
-			step = max(step, Refusing)
+			state = max(state, Refusing)
 		}
 	}
-	for c := range r.conns {
-		c.flows[way].Set(r.now(), how)
-		if how.Kind == Refused || how.Kind == Reset {
-			c.abort()
+	for connection := range r.connections {
+		connection.flows[direction].Set(r.now(), condition)
+		if condition.Kind == Refused || condition.Kind == Reset {
+			connection.abort()
 		}
 	}
-	r.changed.Broadcast()
-	return r.listener.Set(step)
+	r.stateChanged.Broadcast()
+	return r.listener.Set(state)
 }
 
-// Stats returns the figures.
+// Stats returns the current statistics.
 func (r *Relay) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.stats
-	s.Connections = len(r.conns)
-	return s
+	stats := r.stats
+	stats.Connections = len(r.connections)
+	return stats
 }
 
-// Close ends the relay and all its connections. Nothing of it is left.
+// Close stops listening, resets all connections and waits for the relay's goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
-	for c := range r.conns {
-		c.abort()
+	for connection := range r.connections {
+		connection.abort()
 	}
-	r.changed.Broadcast()
+	r.stateChanged.Broadcast()
 	r.mu.Unlock()
 	r.listener.Close()
 	r.wg.Wait()
 }
 
-// connect finds the other side for a connection, and carries it until it ends.
-func (r *Relay) connect(from *net.TCPConn) {
-	c := &conn{ends: [2]*net.TCPConn{from, nil}}
+// connect dials the target for a client's connection and relays between both until they end.
+func (r *Relay) connect(client *net.TCPConn) {
+	connection := &relayedConnection{ends: [2]*net.TCPConn{client, nil}}
 	r.mu.Lock()
-	full := len(r.conns) >= r.limits.Connections
+	full := len(r.connections) >= r.limits.MaxConnections
 	if full {
-		r.stats.Turned++
+		r.stats.Rejected++
 	}
-	ends := func(h How) bool { return h.Kind == Reset || h.Kind == Refused } // it may have come in the moment of the change
-	if full || r.closed || ends(r.hows[There]) || ends(r.hows[Back]) {
+	endsConnections := func(condition Condition) bool { return condition.Kind == Reset || condition.Kind == Refused } // the client may have connected just before the condition changed
+	if full || r.closed || endsConnections(r.conditions[Forward]) || endsConnections(r.conditions[Reverse]) {
 		r.mu.Unlock()
-		Abort(from)
+		Abort(client)
 		return
 	}
-	for way := range c.flows {
-		c.flows[way] = NewFlow(r.hows[way], rand.New(rand.NewPCG(r.random.Uint64(), 2)))
+	for direction := range connection.flows {
+		connection.flows[direction] = NewFlow(r.conditions[direction], rand.New(rand.NewPCG(r.random.Uint64(), 2)))
 	}
-	r.conns[c] = true // also while its other side is sought
-	r.stats.Most = max(r.stats.Most, len(r.conns))
+	r.connections[connection] = true // counts while it dials, too
+	r.stats.PeakConnections = max(r.stats.PeakConnections, len(r.connections))
 	r.mu.Unlock()
-	to, err := net.DialTimeout("tcp", r.target, dialWait)
+	server, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	r.mu.Lock()
-	if err != nil || c.over {
-		delete(r.conns, c)
-		c.abort()
+	if err != nil || connection.closed {
+		delete(r.connections, connection)
+		connection.abort()
 		r.mu.Unlock()
 		if err == nil {
-			Abort(to)
+			Abort(server)
 		}
 		return
 	}
-	c.ends[1] = to.(*net.TCPConn)
+	connection.ends[1] = server.(*net.TCPConn)
 	r.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, way := range []Way{There, Back} {
-		wg.Go(func() { r.read(c, way) })
-		wg.Go(func() { r.write(c, way) })
+	for _, direction := range []Direction{Forward, Reverse} {
+		wg.Go(func() { r.read(connection, direction) })
+		wg.Go(func() { r.write(connection, direction) })
 	}
 	wg.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.conns, c)
-	if !c.over { // both sides have said their last, which may still be on its way
-		c.over = true
-		c.ends[0].Close()
-		c.ends[1].Close()
+	delete(r.connections, connection)
+	if !connection.closed { // both directions have ended in order; the last bytes may still be in flight
+		connection.closed = true
+		connection.ends[0].Close()
+		connection.ends[1].Close()
 	}
 }
 
-// abort resets both sides. The caller has the lock.
-func (c *conn) abort() {
-	if c.over {
+// abort resets both sides. The caller holds the relay's mu.
+func (connection *relayedConnection) abort() {
+	if connection.closed {
 		return
 	}
-	c.over = true
-	for _, end := range c.ends {
+	connection.closed = true
+	for _, end := range connection.ends {
 		if end != nil {
 			Abort(end)
 		}
 	}
 }
 
-// read takes in what one side sends, as far as there is room for it and the link
-// does not hold it.
-func (r *Relay) read(c *conn, way Way) {
-	from := c.ends[way]
+// read queues what one side sends, as long as the buffer has room and the flow is not blocked.
+func (r *Relay) read(connection *relayedConnection, direction Direction) {
+	source := connection.ends[direction]
 	for {
 		r.mu.Lock()
-		for !c.over && (c.flows[way].Holds() || c.bytes[way] >= r.limits.Buffer) {
-			r.changed.Wait()
+		for !connection.closed && (connection.flows[direction].Blocked() || connection.queuedBytes[direction] >= r.limits.BufferBytes) {
+			r.stateChanged.Wait()
 		}
-		text := make([]byte, min(c.flows[way].Piece(), max(r.limits.Buffer-c.bytes[way], 1)))
-		over := c.over
+		buffer := make([]byte, min(connection.flows[direction].ReadSize(), max(r.limits.BufferBytes-connection.queuedBytes[direction], 1)))
+		over := connection.closed
 		r.mu.Unlock()
 		if over {
 			return
 		}
-		n, err := from.Read(text)
+		n, err := source.Read(buffer)
 		r.mu.Lock()
 		if n > 0 {
-			pass, due, reset := c.flows[way].Take(r.now(), n)
-			c.queue[way] = append(c.queue[way], piece{text: text[:pass], due: due, reset: reset})
-			c.bytes[way] += pass
+			pass, due, reset := connection.flows[direction].Schedule(r.now(), n)
+			connection.queue[direction] = append(connection.queue[direction], piece{data: buffer[:pass], due: due, reset: reset})
+			connection.queuedBytes[direction] += pass
 		}
 		if err != nil {
-			_, due, _ := c.flows[way].Take(r.now(), 0)
-			c.queue[way] = append(c.queue[way], piece{due: due, end: errors.Is(err, io.EOF), reset: !errors.Is(err, io.EOF)})
+			_, due, _ := connection.flows[direction].Schedule(r.now(), 0)
+			connection.queue[direction] = append(connection.queue[direction], piece{due: due, endOfStream: errors.Is(err, io.EOF), reset: !errors.Is(err, io.EOF)})
 		}
-		r.changed.Broadcast()
+		r.stateChanged.Broadcast()
 		r.mu.Unlock()
 		if err != nil {
 			return
@@ -245,61 +246,62 @@
 	}
 }
 
-// write passes on what was read, each piece at its time, unless the link holds it.
-func (r *Relay) write(c *conn, way Way) {
-	to := c.ends[1-way]
+// write sends the queued pieces to the other side, each when it is due.
+func (r *Relay) write(connection *relayedConnection, direction Direction) {
+	destination := connection.ends[1-direction]
 	for {
-		p, ok := r.next(c, way)
+		p, ok := r.next(connection, direction)
 		if !ok {
 			return
 		}
-		_, err := to.Write(p.text)
+		_, err := destination.Write(p.data)
 		switch {
 		case err != nil || p.reset:
 			r.mu.Lock()
-			c.abort()
-			r.changed.Broadcast()
+			connection.abort()
+			r.stateChanged.Broadcast()
 			r.mu.Unlock()
 			return
-		case p.end:
-			to.CloseWrite()
+		case p.endOfStream:
+			destination.CloseWrite()
 			return
 		}
 		r.mu.Lock()
-		c.bytes[way] -= len(p.text)
-		r.stats.Bytes[way] += int64(len(p.text))
-		r.changed.Broadcast()
+		connection.queuedBytes[direction] -= len(p.data)
+		r.stats.Bytes[direction] += int64(len(p.data))
+		r.stateChanged.Broadcast()
 		r.mu.Unlock()
 	}
 }
 
-// next waits for the next piece to be passed on.
-func (r *Relay) next(c *conn, way Way) (piece, bool) {
+// next waits until a piece is due and not blocked, and removes it from the queue. It returns false
+// if the connection is closed.
+func (r *Relay) next(connection *relayedConnection, direction Direction) (piece, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waited := false
-	for !c.over {
-		if len(c.queue[way]) == 0 || c.flows[way].Holds() {
+	for !connection.closed {
+		if len(connection.queue[direction]) == 0 || connection.flows[direction].Blocked() {
 			waited = false
-			r.changed.Wait()
+			r.stateChanged.Wait()
 			continue
 		}
-		p := c.queue[way][0]
-		if in := p.due - r.now(); in > 0 {
+		p := connection.queue[direction][0]
+		if wait := p.due - r.now(); wait > 0 {
 			waited = true
-			alarm := time.AfterFunc(in, func() {
+			timer := time.AfterFunc(wait, func() {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				r.changed.Broadcast()
+				r.stateChanged.Broadcast()
 			})
-			r.changed.Wait()
-			alarm.Stop()
+			r.stateChanged.Wait()
+			timer.Stop()
 			continue
 		} else if waited {
-			r.stats.Late = max(r.stats.Late, -in)
+			r.stats.MaxLateness = max(r.stats.MaxLateness, -wait)
 		}
-		c.queue[way][0] = piece{}
-		c.queue[way] = c.queue[way][1:]
+		connection.queue[direction][0] = piece{}
+		connection.queue[direction] = connection.queue[direction][1:]
 		return p, true
 	}
 	return piece{}, false
--- a/internal/play/loop.go
+++ b/internal/play/loop.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"syscall"
 	"time"
@@ -17,11 +16,11 @@
 	defer timer.Stop()
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
-	e.began = e.now()
-	e.carry(e.w.Begin(e.began))
-	last := e.began
-	for e.failed == nil && !e.w.Done() {
-		if next, ok := e.w.Next(); ok {
+	e.startedAt = e.now()
+	e.performAll(e.world.Begin(e.startedAt))
+	last := e.startedAt
+	for e.failed == nil && !e.world.Done() {
+		if next, ok := e.world.Next(); ok {
 			timer.Reset(max(0, next-e.now()))
 		}
 		select {
@@ -34,177 +33,177 @@
 				e.step(<-e.events)
 			}
 		case <-timer.C:
-			e.step(stamped{e.now(), world.Tick{}})
+			e.step(timedEvent{e.now(), world.Tick{}})
 		case <-second.C:
-			e.live()
+			e.printProgress()
 		}
 		now := e.now()
-		e.gap = max(e.gap, now-last)
+		e.loopGap = max(e.loopGap, now-last)
 		last = now
 	}
 	return e.failed
 }
 
-// live writes the counts of the last second.
-func (e *engine) live() {
-	if e.o.Live == nil {
+// printProgress writes the counts of the last second.
+func (e *engine) printProgress() {
+	if e.options.Progress == nil {
 		return
 	}
-	r := e.w.Tally.Recent()
-	_, counts := e.w.Judge.Violations()
+	recent := e.world.Tally.TakeRecent()
+	_, counts := e.world.Referee.Violations()
 	broken := 0
 	for _, n := range counts {
 		broken += n
 	}
-	fmt.Fprintf(e.o.Live, "%4.0f s  served %4d  late %3d  refused %4d  failed %3d  left %3d  lost %3d  worth so far %.3f  rules broken %d\n",
-		(e.now() - e.began).Seconds(), r["served"], r["late"], r["refused"], r["failed"], r["left"], r["lost"], e.w.Tally.Share(), broken)
+	fmt.Fprintf(e.options.Progress, "%4.0f s  served %4d  late %3d  refused %4d  failed %3d  left %3d  lost %3d  worth so far %.3f  rules broken %d\n",
+		(e.now() - e.startedAt).Seconds(), recent["served"], recent["late"], recent["refused"], recent["failed"], recent["left"], recent["lost"], e.world.Tally.ServedFraction(), broken)
 }
 
 // post queues an event for the loop. It blocks while the queue is full.
 func (e *engine) post(event any) {
 	select {
-	case e.events <- stamped{e.now(), event}:
+	case e.events <- timedEvent{e.now(), event}:
 	case <-e.ctx.Done():
 	}
 }
 
 // step passes an event to the emulator and carries out the actions that it returns.
-func (e *engine) step(event stamped) {
-	var what any = event.e
-	switch x := event.e.(type) {
+func (e *engine) step(event timedEvent) {
+	var input any = event.event
+	switch received := event.event.(type) {
 	case opened:
-		e.served[x.conn.id] = x.conn
-		what = x.Opened
+		e.conns[received.conn.id] = received.conn
+		input = received.Opened
 	case closed:
-		delete(e.served, x.conn.id)
-		what = world.Closed{Conn: x.conn.id}
+		delete(e.conns, received.conn.id)
+		input = world.Closed{Conn: received.conn.id}
 	case serviceExited:
 		// The exit of an earlier process may arrive after the next has started.
-		if x.life == e.lives[x.service] && !e.killed[x.service] && e.s.Fleet.Group && x.how == killedOutside && e.failed == nil {
-			// The user has killed it, to see whether the others go on.
-			e.carry([]world.Action{{Due: event.at, Do: world.Mark{Text: e.services[x.service].name + " was killed from outside, and starts again"}}})
-			e.failed = e.startService(x.service)
+		if received.generation == e.generations[received.service] && !e.killed[received.service] && e.scenario.Fleet.Group && received.status == killedOutside && e.failed == nil {
+			// The user killed it, to see how the others cope.
+			e.performAll([]world.Action{{Due: event.at, Operation: world.Mark{Text: e.services[received.service].name + " was killed from outside, and starts again"}}})
+			e.failed = e.startService(received.service)
 			return
 		}
-		if x.life == e.lives[x.service] && !e.killed[x.service] && e.failed == nil {
-			e.failed = fmt.Errorf("%s ended by itself (%s); it said:\n%s", e.services[x.service].name, x.how, e.services[x.service].lastWords())
+		if received.generation == e.generations[received.service] && !e.killed[received.service] && e.failed == nil {
+			e.failed = fmt.Errorf("%s ended by itself (%s); it said:\n%s", e.services[received.service].name, received.status, e.services[received.service].logTail())
 		}
 		return
-	case arrivedAt:
-		what = e.relays.keep(x)
+	case relayedDatagram:
+		input = e.datagrams.store(received)
 	}
-	e.carry(e.w.Step(event.at, what))
+	e.performAll(e.world.Step(event.at, input))
 }
 
-// carry carries out actions and records how late they are.
-func (e *engine) carry(actions []world.Action) {
-	for _, a := range actions {
-		e.w.Tally.Acted(e.now() - a.Due)
-		if err := e.do(a.Do); err != nil && e.failed == nil {
+// performAll carries out actions and records how late they are.
+func (e *engine) performAll(actions []world.Action) {
+	for _, action := range actions {
+		e.world.Tally.RecordLateness(e.now() - action.Due)
+		if err := e.perform(action.Operation); err != nil && e.failed == nil {
 			e.failed = err
 		}
 	}
 }
 
-// do carries out one action.
-func (e *engine) do(action any) error {
-	switch a := action.(type) {
+// perform carries out one action.
+func (e *engine) perform(action any) error {
+	switch action := action.(type) {
 	case world.Send:
-		e.wg.Go(func() { e.callers[a.Gateway].send(a) })
+		e.wg.Go(func() { e.clients[action.Gateway].send(action) })
 	case world.Abandon:
-		for _, c := range e.callers {
-			c.abandon(a.ID)
+		for _, c := range e.clients {
+			c.abandon(action.ID)
 		}
 	case world.Reply:
-		if s := e.served[a.Conn]; s != nil {
-			s.reply(a)
+		if connection := e.conns[action.Conn]; connection != nil {
+			connection.reply(action)
 		}
-	case world.Total:
-		if s := e.served[a.Conn]; s != nil {
-			s.total(a)
+	case world.CounterReply:
+		if connection := e.conns[action.Conn]; connection != nil {
+			connection.replyTotal(action)
 		}
 	case world.Reset:
-		if s := e.served[a.Conn]; s != nil {
-			link.Abort(s.Conn)
-		}
-	case world.Look:
-		looked := world.Looked{ID: a.ID}
-		for _, c := range a.Conns {
-			if s := e.served[c]; s == nil || s.ended() {
-				looked.Ended = append(looked.Ended, c)
+		if connection := e.conns[action.Conn]; connection != nil {
+			link.Abort(connection.Conn)
+		}
+	case world.CheckConnections:
+		checked := world.ConnectionsChecked{ID: action.ID}
+		for _, c := range action.Connections {
+			if connection := e.conns[c]; connection == nil || connection.ended() {
+				checked.Closed = append(checked.Closed, c)
 			}
 		}
-		e.step(stamped{e.now(), looked})
-	case world.Link:
-		p, err := e.peer(between{a.Gateway, a.Peer})
+		e.step(timedEvent{e.now(), checked})
+	case world.SetLinkState:
+		endpoint, err := e.endpoint(gatewayLink{action.Gateway, action.Peer})
 		if err != nil {
 			return err
 		}
-		return p.set(a.State)
-	case world.Rewire:
-		if r := e.wires[a.Wire]; r != nil {
-			return r.Set(a.Way, a.How)
+		return endpoint.set(action.State)
+	case world.SetRelayCondition:
+		if relay := e.linkRelays[action.ProcessLink]; relay != nil {
+			return relay.Set(action.Direction, action.Condition)
 		}
-	case world.Enlist:
-		for g := range e.gateways { // a new backend is there before it is told
-			if _, err := e.peer(between{g, a.Backend}); err != nil {
+	case world.Register:
+		for gateway := range e.gateways { // a new backend listens before it is registered
+			if _, err := e.endpoint(gatewayLink{gateway, action.Backend}); err != nil {
 				return err
 			}
 		}
 		if e.registrar != nil {
-			e.registrar.calls <- a
+			e.registrar.changes <- action
 		}
-	case world.Tell:
-		e.agents[a.Gateway][0].tell(a.Entries)
-	case world.Lists:
-		for _, agent := range e.agents[a.Gateway] {
-			agent.change(a)
+	case world.SendList:
+		e.proxies[action.Gateway][0].setList(action.Entries)
+	case world.SetListDelivery:
+		for _, proxy := range e.proxies[action.Gateway] {
+			proxy.setMode(action)
 		}
 	case world.Start:
-		if err := e.launch(a.Gateway); err != nil {
+		if err := e.startGateway(action.Gateway); err != nil {
 			return err
 		}
 		e.wg.Go(func() {
-			if awaitReady(e.ctx, e.http, e.gateways[a.Gateway], "http://"+e.place.gateway(a.Gateway)+"/health/ready") == nil {
-				e.post(world.Ready(a))
+			if awaitReady(e.ctx, e.http, e.gateways[action.Gateway], "http://"+e.addresses.gateway(action.Gateway)+"/health/ready") == nil {
+				e.post(world.Ready(action))
 			}
 		})
 	case world.Kill:
-		e.gateways[a.Gateway].signal(syscall.SIGKILL)
+		e.gateways[action.Gateway].signal(syscall.SIGKILL)
 	case world.Stop:
-		e.gateways[a.Gateway].signal(syscall.SIGTERM)
+		e.gateways[action.Gateway].signal(syscall.SIGTERM)
 	case world.Freeze:
-		e.gateways[a.Gateway].signal(syscall.SIGSTOP)
+		e.gateways[action.Gateway].signal(syscall.SIGSTOP)
 	case world.Thaw:
-		e.gateways[a.Gateway].signal(syscall.SIGCONT)
+		e.gateways[action.Gateway].signal(syscall.SIGCONT)
 	case world.KillService:
-		e.killed[a.Service] = true
-		e.services[a.Service].signal(syscall.SIGKILL)
+		e.killed[action.Service] = true
+		e.services[action.Service].signal(syscall.SIGKILL)
 	case world.StopService:
-		e.killed[a.Service] = true
-		e.services[a.Service].signal(syscall.SIGTERM)
+		e.killed[action.Service] = true
+		e.services[action.Service].signal(syscall.SIGTERM)
 	case world.FreezeService:
-		e.services[a.Service].signal(syscall.SIGSTOP)
+		e.services[action.Service].signal(syscall.SIGSTOP)
 	case world.ThawService:
-		e.services[a.Service].signal(syscall.SIGCONT)
+		e.services[action.Service].signal(syscall.SIGCONT)
 	case world.StartService:
-		e.services[a.Service].end(0)
-		if err := e.startService(a.Service); err != nil {
+		e.services[action.Service].awaitExit(0)
+		if err := e.startService(action.Service); err != nil {
 			return err
 		}
-		e.killed[a.Service] = false
-	case world.Rude:
-		e.callers[a.Gateway].rude(a)
+		e.killed[action.Service] = false
+	case world.HoldConnections:
+		e.clients[action.Gateway].rude(action)
 	case world.Deliver:
-		e.relays.deliver(a)
+		e.datagrams.deliver(action)
 	case world.Mark:
-		text := fmt.Sprintf("%.1f s: %s", (e.now() - e.began).Seconds(), a.Text)
+		text := fmt.Sprintf("%.1f s: %s", (e.now() - e.startedAt).Seconds(), action.Text)
 		e.marks = append(e.marks, text)
-		if e.o.Live != nil {
-			fmt.Fprintln(e.o.Live, text)
+		if e.options.Progress != nil {
+			fmt.Fprintln(e.options.Progress, text)
 		}
 	default:
-		return errors.New("play: an action of no known kind")
+		return fmt.Errorf("play: unknown action %T", action)
 	}
 	return nil
 }
--- a/internal/play/start.go
+++ b/internal/play/start.go
@@ -16,50 +16,52 @@
 // start starts the emulator's sockets and the fleet, and waits until all gateways are ready.
 func (e *engine) start(ctx context.Context) error {
 	var err error
-	if e.place, e.claim, err = findPlace(e.s.Fleet.Gateways, e.s.Fleet.ListServices, rand.IntN); err != nil {
+	if e.addresses, e.claim, err = claimNetwork(e.scenario.Fleet.Gateways, e.scenario.Fleet.ListServices, rand.IntN); err != nil {
 		return err
 	}
-	for n, at := range world.Wires(e.s) {
-		limits := link.Limits{Connections: wireConnections, Buffer: wireBuffer}
-		target := e.place.registry(at.To.N)
+	for number, processLink := range world.RelayedLinks(e.scenario) {
+		limits := link.Limits{MaxConnections: maxRelayConnections, BufferBytes: relayBufferBytes}
+		target := e.addresses.registry(processLink.To.Number)
 		switch {
-		case at.From.Kind == scenario.Operators:
-			target = e.place.control(at.To.N)
-		case e.s.Fleet.Group && at.From.Kind == scenario.Lists:
-			target = e.place.registryGroup(at.To.N)
+		case processLink.From.Kind == scenario.Operators:
+			target = e.addresses.control(processLink.To.Number)
+		case e.scenario.Fleet.Group && processLink.From.Kind == scenario.Registries:
+			target = e.addresses.registryGroup(processLink.To.Number)
 		}
-		r, err := link.NewRelay(e.place.wire(n), target, limits, e.s.Seed+uint64(n))
+		relay, err := link.NewRelay(e.addresses.linkRelay(number), target, limits, e.scenario.Seed+uint64(number))
 		if err != nil {
 			return err
 		}
-		e.wires[at] = r
+		e.linkRelays[processLink] = relay
 	}
 	if err := e.startServices(ctx); err != nil {
 		return err
 	}
-	relays, err := newRelays(e)
+	relays, err := newDatagramRelays(e)
 	if err != nil {
 		return err
 	}
-	e.relays = relays
-	for g := range e.s.Fleet.Gateways {
-		if err := e.startAround(g); err != nil {
+	e.datagrams = relays
+	for gateway := range e.scenario.Fleet.Gateways {
+		if err := e.startEndpoints(gateway); err != nil {
 			return err
 		}
 	}
-	for g := range e.s.Fleet.Gateways {
-		p, err := e.process("n"+fmt.Sprint(g), e.o.Gateway, e.o.Args...)
+	for gateway := range e.scenario.Fleet.Gateways {
+		started, err := e.process("n"+fmt.Sprint(gateway), e.options.Gateway, e.options.Args...)
 		if err != nil {
 			return err
 		}
-		e.gateways = append(e.gateways, p)
-		if err := e.launch(g); err != nil {
+		e.gateways = append(e.gateways, started)
+		if err := e.startGateway(gateway); err != nil {
 			return err
 		}
 	}
 	ready := make(chan error, len(e.gateways))
-	for g := range e.gateways {
-		go func() { ready <- awaitReady(ctx, e.http, e.gateways[g], "http://"+e.place.gateway(g)+"/health/ready") }()
+	for gateway := range e.gateways {
+		go func() {
+			ready <- awaitReady(ctx, e.http, e.gateways[gateway], "http://"+e.addresses.gateway(gateway)+"/health/ready")
+		}()
 	}
 	// The emulator answers the gateways' calls meanwhile.
 	for waiting := len(e.gateways); waiting > 0; {
@@ -73,10 +75,10 @@
 			e.step(event)
 		}
 	}
-	for g := range e.gateways {
-		e.step(stamped{e.now(), world.Ready{Gateway: g}})
-		if e.s.Fleet.Membership {
-			e.wg.Go(func() { e.pollConnectivity(e.ctx, g) })
+	for gateway := range e.gateways {
+		e.step(timedEvent{e.now(), world.Ready{Gateway: gateway}})
+		if e.scenario.Fleet.Membership {
+			e.wg.Go(func() { e.pollConnectivity(e.ctx, gateway) })
 		}
 	}
 	return nil
@@ -84,143 +86,143 @@
 
 // process prepares a process with a folder of its own.
 func (e *engine) process(name, program string, args ...string) (*process, error) {
-	p := &process{name: name, program: program, args: args, dir: filepath.Join(e.o.Dir, name), use: results.Gateway{Kind: "gateway", Name: name}}
-	return p, os.MkdirAll(p.dir, 0o700)
+	prepared := &process{name: name, program: program, args: args, dir: filepath.Join(e.options.Dir, name), usage: results.Gateway{Kind: "gateway", Name: name}}
+	return prepared, os.MkdirAll(prepared.dir, 0o700)
 }
 
 // startServices starts the registries and waits until they are ready.
 func (e *engine) startServices(ctx context.Context) error {
-	if e.s.Fleet.ListServices == 0 {
+	if e.scenario.Fleet.ListServices == 0 {
 		return nil
 	}
 	e.registrar = newRegistrar(e)
-	for k := range e.s.Fleet.ListServices {
-		p, err := e.process(fmt.Sprintf("list%d", k), e.o.Registry)
+	for number := range e.scenario.Fleet.ListServices {
+		registry, err := e.process(fmt.Sprintf("list%d", number), e.options.Registry)
 		if err != nil {
 			return err
 		}
 		writer := ""
-		if k > 0 && !e.s.Fleet.Group {
-			writer = e.service(world.End{Kind: scenario.Lists, N: k}, 0)
+		if number > 0 && !e.scenario.Fleet.Group {
+			writer = e.registryAddress(world.Endpoint{Kind: scenario.Registries, Number: number}, 0)
 		}
-		config, err := e.s.RegistryConfig(k, e.place.registry(k), e.place.registryControl(k), writer, filepath.Join(p.dir, "data"), e.groupOf(k))
+		config, err := e.scenario.RegistryConfig(number, e.addresses.registry(number), e.addresses.registryControl(number), writer, filepath.Join(registry.dir, "data"), e.groupAddresses(number))
 		if err != nil {
 			return err
 		}
-		e.services, e.configs = append(e.services, p), append(e.configs, config)
-		if err := e.startService(k); err != nil {
+		e.services, e.configs = append(e.services, registry), append(e.configs, config)
+		if err := e.startService(number); err != nil {
 			return err
 		}
 	}
 	// Backends register while the writer still waits for the first registrations.
-	for _, entry := range e.w.Entries() {
-		e.registrar.calls <- world.Enlist{Entry: entry}
+	for _, entry := range e.world.Entries() {
+		e.registrar.changes <- world.Register{Entry: entry}
 	}
 	e.wg.Go(func() { e.registrar.run(e.ctx) })
-	for k, p := range e.services {
-		if err := awaitReady(ctx, e.http, p, "http://"+e.place.registryControl(k)+"/control/ready"); err != nil {
+	for number, registry := range e.services {
+		if err := awaitReady(ctx, e.http, registry, "http://"+e.addresses.registryControl(number)+"/control/ready"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// groupOf returns the addresses at which a registry of a group finds the others.
-func (e *engine) groupOf(k int) scenario.GroupAddresses {
-	at := scenario.GroupAddresses{Listen: e.place.registryGroup(k)}
-	for other := range e.s.Fleet.ListServices {
-		address := e.place.registryGroup(other)
-		if r := e.wires[world.Wire{From: world.End{Kind: scenario.Lists, N: k}, To: world.End{Kind: scenario.Lists, N: other}}]; r != nil {
-			address = r.Address()
+// groupAddresses returns the addresses at which a registry of a group finds the others.
+func (e *engine) groupAddresses(member int) scenario.GroupAddresses {
+	addresses := scenario.GroupAddresses{Listen: e.addresses.registryGroup(member)}
+	for other := range e.scenario.Fleet.ListServices {
+		address := e.addresses.registryGroup(other)
+		if relay := e.linkRelays[world.ProcessLink{From: world.Endpoint{Kind: scenario.Registries, Number: member}, To: world.Endpoint{Kind: scenario.Registries, Number: other}}]; relay != nil {
+			address = relay.Address()
 		}
-		at.Members, at.Lists = append(at.Members, address), append(at.Lists, e.place.registry(other))
+		addresses.Members, addresses.Lists = append(addresses.Members, address), append(addresses.Lists, e.addresses.registry(other))
 	}
-	return at
+	return addresses
 }
 
 // startService starts a process of a registry. The run fails if it exits unexpectedly.
-func (e *engine) startService(k int) error {
-	p := e.services[k]
-	e.lives[k]++
-	life := e.lives[k]
-	return p.start(e.starter, e.configs[k], func(how string) { e.post(serviceExited{k, life, how}) })
+func (e *engine) startService(number int) error {
+	registry := e.services[number]
+	e.generations[number]++
+	generation := e.generations[number]
+	return registry.start(e.starter, e.configs[number], func(status string) { e.post(serviceExited{number, generation, status}) })
 }
 
-// startAround creates the emulated clients, counter, backends and discovery of a gateway.
-func (e *engine) startAround(g int) error {
-	e.callers = append(e.callers, newCallers(e, g, e.place.gateway(g)))
-	counter, err := newPeer(e, g, world.Counter, e.place.counter(g))
+// startEndpoints creates the emulated clients, counter, backends and discovery of a gateway.
+func (e *engine) startEndpoints(gateway int) error {
+	e.clients = append(e.clients, newClientPool(e, gateway, e.addresses.gateway(gateway)))
+	counter, err := newEndpoint(e, gateway, world.Counter, e.addresses.counter(gateway))
 	if err != nil {
 		return err
 	}
-	e.peers[between{g, world.Counter}] = counter
-	for _, entry := range e.w.Entries() {
-		if _, err := e.peer(between{g, entry.Backend}); err != nil {
+	e.endpoints[gatewayLink{gateway, world.Counter}] = counter
+	for _, entry := range e.world.Entries() {
+		if _, err := e.endpoint(gatewayLink{gateway, entry.Backend}); err != nil {
 			return err
 		}
 	}
-	var agents []*agent
-	for k := range max(1, e.s.Fleet.ListServices) {
-		service := ""
-		if e.s.Fleet.ListServices > 0 {
-			service = e.service(world.End{Kind: scenario.Gateways, N: g}, k)
+	var proxies []*discoveryProxy
+	for number := range max(1, e.scenario.Fleet.ListServices) {
+		registryAddress := ""
+		if e.scenario.Fleet.ListServices > 0 {
+			registryAddress = e.registryAddress(world.Endpoint{Kind: scenario.Gateways, Number: gateway}, number)
 		}
-		a, err := newAgent(e, g, e.place.agent(g, k), service)
+		proxy, err := newDiscoveryProxy(e, gateway, e.addresses.discoveryProxy(gateway, number), registryAddress)
 		if err != nil {
 			return err
 		}
-		if service == "" {
-			a.tell(e.w.Entries())
+		if registryAddress == "" {
+			proxy.setList(e.world.Entries())
 		}
-		agents = append(agents, a)
+		proxies = append(proxies, proxy)
 	}
-	e.agents = append(e.agents, agents)
+	e.proxies = append(e.proxies, proxies)
 	return nil
 }
 
-// service returns the address at which a process reaches a registry: that of the relay
+// registryAddress returns the address at which a process reaches a registry: that of the relay
 // between them, if there is one.
-func (e *engine) service(from world.End, k int) string {
-	if r := e.wires[world.Wire{From: from, To: world.End{Kind: scenario.Lists, N: k}}]; r != nil {
-		return r.Address()
+func (e *engine) registryAddress(from world.Endpoint, number int) string {
+	if relay := e.linkRelays[world.ProcessLink{From: from, To: world.Endpoint{Kind: scenario.Registries, Number: number}}]; relay != nil {
+		return relay.Address()
 	}
-	return e.place.registry(k)
+	return e.addresses.registry(number)
 }
 
-// peer returns the emulated end of a link, and creates it if it is new.
-func (e *engine) peer(at between) (*peer, error) {
-	if p := e.peers[at]; p != nil {
-		return p, nil
+// endpoint returns the emulated end of a link, and creates it if it is new.
+func (e *engine) endpoint(link gatewayLink) (*endpoint, error) {
+	if created := e.endpoints[link]; created != nil {
+		return created, nil
 	}
-	p, err := newPeer(e, at.gateway, at.peer, e.place.backend(at.gateway, at.peer))
+	created, err := newEndpoint(e, link.gateway, link.peer, e.addresses.backend(link.gateway, link.peer))
 	if err == nil {
-		e.peers[at] = p
+		e.endpoints[link] = created
 	}
-	return p, err
+	return created, err
 }
 
-// launch starts the next process of a gateway. It begins with the list of backends that the
+// startGateway starts the next process of a gateway. It begins with the list of backends that the
 // process before it was told last.
-func (e *engine) launch(g int) error {
-	a := scenario.Addresses{Listen: e.place.gateway(g), Control: e.place.control(g), Counter: e.place.counter(g),
-		Discovery: e.place.agent(g, 0), PeerListen: e.place.peer(g), PeersAll: e.place.relay(e.s.Fleet.Gateways)}
-	for other := range e.s.Fleet.Gateways {
-		a.Peers = append(a.Peers, e.place.relay(other))
-	}
-	for k := range e.s.Fleet.ListServices {
-		a.Registries = append(a.Registries, e.place.agent(g, k))
-	}
-	known := e.agents[g][0].known()
-	var list any
-	if len(known.Instances) > 0 {
-		list = known
-		e.step(stamped{e.now(), world.Told{Gateway: g, Version: known.Generation, Whole: true, Entries: e.entries(known)}})
-	}
-	config, err := e.s.GatewayConfig(g, a, list)
+func (e *engine) startGateway(gateway int) error {
+	addresses := scenario.Addresses{Listen: e.addresses.gateway(gateway), Control: e.addresses.control(gateway), Counter: e.addresses.counter(gateway),
+		Discovery: e.addresses.discoveryProxy(gateway, 0), PeerListen: e.addresses.peer(gateway), Broadcast: e.addresses.datagramRelay(e.scenario.Fleet.Gateways)}
+	for other := range e.scenario.Fleet.Gateways {
+		addresses.Peers = append(addresses.Peers, e.addresses.datagramRelay(other))
+	}
+	for number := range e.scenario.Fleet.ListServices {
+		addresses.Registries = append(addresses.Registries, e.addresses.discoveryProxy(gateway, number))
+	}
+	lastList := e.proxies[gateway][0].lastList()
+	var known any
+	if len(lastList.Instances) > 0 {
+		known = lastList
+		e.step(timedEvent{e.now(), world.ListDelivered{Gateway: gateway, Version: lastList.Generation, Full: true, Entries: e.entries(lastList)}})
+	}
+	config, err := e.scenario.GatewayConfig(gateway, addresses, known)
 	if err != nil {
 		return err
 	}
-	return e.gateways[g].start(e.starter, config, func(how string) {
-		e.post(world.Exited{Gateway: g, How: how})
+	return e.gateways[gateway].start(e.starter, config, func(status string) {
+		e.post(world.Exited{Gateway: gateway, Cause: status})
 	})
 }
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// change is one change of the history.
 type change struct {
 	version    int64
 	id         string
@@ -79,7 +80,7 @@
 		previous = appendPrevious(previous, p, instance.placement())
 		s.services.addKnown(p.Service)
 	}
-	c := newChange(instance, version, encoded, previous)
+	applied := newChange(instance, version, encoded, previous)
 	s.version = version
 	s.clearCache()
 	if instance.Lifecycle == Gone {
@@ -89,7 +90,7 @@
 		s.putEntry(&entry{Instance: instance, version: version, encoded: encoded, expires: now + s.limits.Lease})
 		delete(s.gone, instance.ID)
 	}
-	s.appendChange(c, c.gone)
+	s.appendChange(applied, applied.gone)
 }
 
 func newChange(instance Instance, version int64, encoded []byte, previous []Placement) change {
@@ -100,7 +101,8 @@
 	return c
 }
 
-// appendPrevious appends from unless it has no service, equals to, or is already present.
+// appendPrevious appends the placement from unless it has no service, is the same as to, or is
+// already present.
 func appendPrevious(previous []Placement, from, to Placement) []Placement {
 	if from.Service == "" || from == to || slices.Contains(previous, from) {
 		return previous
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -11,75 +11,75 @@
 	"time"
 )
 
-// backendFleet are the hollow backends of a process. One goroutine has the churn; others
+// backendFleet runs the hollow backends of a process. One goroutine owns the churn; others
 // make its calls.
 type backendFleet struct {
-	config *BackendsHost
-	caller *caller
-	server *http.Server // answers requests of real gateways, for all backends
-	door   net.Listener
-	churn  *churn
+	config   *BackendHost
+	client   *writeClient
+	server   *http.Server // answers requests of real gateways, for all backends
+	listener net.Listener
+	churn    *churn
 
-	commands chan Command
-	asked    chan chan churnState
-	made     atomic.Int64 // calls
-	refused  atomic.Int64
-	ended    chan struct{}
+	commands      chan Command
+	stateRequests chan chan churnState
+	calls         atomic.Int64 // made so far
+	refused       atomic.Int64
+	ended         chan struct{}
 }
 
-// churnState is what the churn tells.
+// churnState is a snapshot of the churn.
 type churnState struct {
 	serving int
 	settled bool
 }
 
-// answer is how a call went.
-type answer struct {
-	call    call
-	status  int
-	version int64
-	at      int64 // Unix nanoseconds
+// callResult is the outcome of a call.
+type callResult struct {
+	call       call
+	status     int
+	version    int64
+	answeredAt int64 // Unix nanoseconds
 }
 
-func newBackendFleet(c *BackendsHost, seed uint64) (*backendFleet, error) {
-	door, err := net.Listen("tcp", c.Answers)
+func newBackendFleet(config *BackendHost, seed uint64) (*backendFleet, error) {
+	listener, err := net.Listen("tcp", config.AnswerAddress)
 	if err != nil {
 		return nil, err
 	}
-	settings := churnSettings{Renew: c.Renew, Drain: c.Drain, Down: c.Down, Register: c.Register}
-	f := &backendFleet{config: c, door: door, caller: newCaller(c.Members, c.Answers, c.Connections),
-		churn:    newChurn(c.Backends, settings, rand.New(rand.NewPCG(seed, 1))),
-		commands: make(chan Command, 1), asked: make(chan chan churnState), ended: make(chan struct{})}
-	f.server = &http.Server{ReadHeaderTimeout: callWait, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	settings := churnSettings{RenewInterval: config.RenewInterval, DrainTime: config.DrainTime, DownTime: config.DownTime, RegistrationsPerS: config.RegistrationsPerS}
+	fleet := &backendFleet{config: config, listener: listener, client: newWriteClient(config.Members, config.AnswerAddress, config.Connections),
+		churn:    newChurn(config.Backends, settings, rand.New(rand.NewPCG(seed, 1))),
+		commands: make(chan Command, 1), stateRequests: make(chan chan churnState), ended: make(chan struct{})}
+	fleet.server = &http.Server{ReadHeaderTimeout: backendCallTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "served\n")
 	})}
-	return f, nil
+	return fleet, nil
 }
 
-// warmSince is for how long backends are said to have been up at the start of a run: real
-// gateways send little to cold ones.
-const warmSince = 10 * time.Minute
+// initialUptime is the age that backends report at the start of a run, so that real gateways
+// do not treat them as cold.
+const initialUptime = 10 * time.Minute
 
-const changesGap = 200 * time.Millisecond // between two reports of changes
+const changeReportInterval = 200 * time.Millisecond // between two reports of changes
 
 func (f *backendFleet) run(ctx context.Context, ready func(), changed func([]Change)) {
 	defer close(f.ended)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { f.server.Serve(f.door) })
+	wg.Go(func() { f.server.Serve(f.listener) })
 	defer f.server.Close()
-	calls, answers := make(chan call), make(chan answer)
+	calls, results := make(chan call), make(chan callResult)
 	for range f.config.Connections {
 		wg.Go(func() {
 			for {
 				select {
 				case <-ctx.Done():
 					return
-				case k := <-calls:
-					status, version := f.caller.do(ctx, k)
+				case outgoing := <-calls:
+					status, version := f.client.do(ctx, outgoing)
 					select {
-					case answers <- answer{k, status, version, time.Now().UnixNano()}:
+					case results <- callResult{outgoing, status, version, time.Now().UnixNano()}:
 					case <-ctx.Done():
 						return
 					}
@@ -87,59 +87,60 @@
 			}
 		})
 	}
-	f.loop(ctx, calls, answers, ready, changed)
+	f.loop(ctx, calls, results, ready, changed)
 }
 
-// loop has the churn.
-func (f *backendFleet) loop(ctx context.Context, calls chan<- call, answers <-chan answer, ready func(), changed func([]Change)) {
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) }
-	f.churn.start(now(), began.Add(-warmSince).UnixMilli())
-	var due []call // that wait for a connection
+// loop owns the churn: it starts due calls, handles their results and executes commands until
+// ctx is done.
+func (f *backendFleet) loop(ctx context.Context, calls chan<- call, results <-chan callResult, ready func(), changed func([]Change)) {
+	startedAt := time.Now()
+	now := func() time.Duration { return time.Since(startedAt) }
+	f.churn.start(now(), startedAt.Add(-initialUptime).UnixMilli())
+	var queue []call // due calls that wait for a connection
 	var changes []Change
-	told := false
+	reported := false
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	report := time.NewTicker(changesGap)
+	report := time.NewTicker(changeReportInterval)
 	defer report.Stop()
 	for {
-		due = append(due, f.churn.calls(now())...)
-		var out chan<- call
-		var first call
-		for len(due) > 0 && due[0].life != due[0].backend.life {
-			due = due[1:] // it was stopped meanwhile
+		queue = append(queue, f.churn.dueCalls(now())...)
+		var sendTo chan<- call
+		var nextCall call
+		for len(queue) > 0 && queue[0].incarnation != queue[0].backend.incarnation {
+			queue = queue[1:] // the backend was stopped after the call became due
 		}
-		if len(due) > 0 {
-			out, first = calls, due[0]
+		if len(queue) > 0 {
+			sendTo, nextCall = calls, queue[0]
 		}
-		if at, ok := f.churn.wake(); ok {
+		if at, ok := f.churn.nextDue(); ok {
 			timer.Reset(max(0, at-now()))
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case out <- first:
-			due = due[1:]
-		case a := <-answers:
-			f.made.Add(1)
-			if a.status != http.StatusOK {
+		case sendTo <- nextCall:
+			queue = queue[1:]
+		case result := <-results:
+			f.calls.Add(1)
+			if result.status != http.StatusOK {
 				f.refused.Add(1)
 			}
-			if f.churn.answered(now(), time.Now().UnixMilli(), a.call, a.status, a.version) {
-				b := a.call.backend
-				changes = append(changes, Change{Version: a.version, At: a.at, Backend: b.Number, Service: b.Service, Zone: b.Zone, Region: b.Region})
+			if f.churn.handleResult(now(), time.Now().UnixMilli(), result.call, result.status, result.version) {
+				b := result.call.backend
+				changes = append(changes, Change{Version: result.version, AnsweredAt: result.answeredAt, Backend: b.Number, Service: b.Service, Zone: b.Zone, Region: b.Region})
 			}
-		case c := <-f.commands:
-			f.take(c, now())
-		case state := <-f.asked:
+		case command := <-f.commands:
+			f.apply(command, now())
+		case state := <-f.stateRequests:
 			state <- churnState{f.churn.serving, f.churn.settled()}
 		case <-report.C:
 			if len(changes) > 0 {
 				changed(changes)
 				changes = nil
 			}
-			if !told && f.churn.settled() {
-				told = true
+			if !reported && f.churn.settled() {
+				reported = true
 				ready()
 			}
 		case <-timer.C:
@@ -147,32 +148,32 @@
 	}
 }
 
-func (f *backendFleet) take(c Command, now time.Duration) {
-	started := time.Now().UnixMilli()
+func (f *backendFleet) apply(command Command, now time.Duration) {
+	startedAtMs := time.Now().UnixMilli()
 	switch {
-	case c.Restarts != nil:
-		f.churn.setRestarts(now, *c.Restarts)
-	case c.Stop != nil:
-		f.churn.stop(c.Stop.backend)
-	case c.Resume != nil:
-		f.churn.resume(now, started, c.Resume.backend)
+	case command.RestartsPerS != nil:
+		f.churn.setRestarts(now, *command.RestartsPerS)
+	case command.Stop != nil:
+		f.churn.stop(command.Stop.includesBackend)
+	case command.Resume != nil:
+		f.churn.resume(now, startedAtMs, command.Resume.includesBackend)
 	}
 }
 
-func (f *backendFleet) obey(c Command) {
+func (f *backendFleet) execute(command Command) {
 	select {
-	case f.commands <- c:
+	case f.commands <- command:
 	case <-f.ended:
 	}
 }
 
-func (f *backendFleet) sample(s *Sample) {
-	s.Calls, s.Refused, s.Writer = f.made.Load(), f.refused.Load(), f.caller.target()
+func (f *backendFleet) sample(sample *Sample) {
+	sample.Calls, sample.Refused, sample.Writer = f.calls.Load(), f.refused.Load(), f.client.target()
 	state := make(chan churnState, 1)
 	select {
-	case f.asked <- state:
-		told := <-state
-		s.Serving, s.Settled = told.serving, told.settled
+	case f.stateRequests <- state:
+		current := <-state
+		sample.Serving, sample.Settled = current.serving, current.settled
 	case <-f.ended:
 	}
 }
--- a/internal/scale/churn.go
+++ b/internal/scale/churn.go
@@ -8,7 +8,7 @@
 	"dunlintray/internal/registry"
 )
 
-// callKind is what a hollow backend asks of the list service.
+// callKind is the kind of a backend's registry call.
 type callKind int
 
 const (
@@ -18,129 +18,132 @@
 	callLeave
 )
 
-// phase is what a hollow backend does.
+// phase is the state of a hollow backend.
 type phase int
 
 const (
-	phaseStopped  phase = iota // says nothing
-	phaseJoining               // registers
-	phaseServing               // renews
-	phaseDraining              // leaves soon
+	phaseStopped  phase = iota // makes no calls
+	phaseJoining               // registers next
+	phaseServing               // renews its lease
+	phaseDraining              // sends its drain call next
 	phaseLeaving
-	phaseDown // registers anew soon
+	phaseDown // waits to register again
 )
 
-// call is one to make for a backend.
+// call is a registry call to make for a backend.
 type call struct {
-	backend *churner
-	kind    callKind
-	started int64
-	life    int // of the backend; an answer to an earlier life's call is void
+	backend     *churningBackend
+	kind        callKind
+	startedAtMs int64
+	incarnation int // of the backend; results for an earlier incarnation are ignored
 }
 
-// churner is one hollow backend. The churn alone changes it.
-type churner struct {
+// churningBackend is the state of one hollow backend. It is owned by churn.
+type churningBackend struct {
 	Backend
-	phase   phase
-	started int64 // Unix milliseconds of the present process
-	version int64 // that it was told last
-	life    int
-	due     time.Duration // when it calls next
-	index   int           // in the queue; -1: not there
-	out     bool          // a call is under way
+	phase       phase
+	startedAtMs int64 // Unix milliseconds; identifies the backend's current process
+	version     int64 // of the last answer
+	incarnation int
+	due         time.Duration // time of the next call
+	index       int           // in the queue; -1: not queued
+	calling     bool          // a call is in flight
 }
 
-// churnSettings are how hollow backends behave.
+// churnSettings configures the behavior of hollow backends.
 type churnSettings struct {
-	Renew    time.Duration // between two renewals
-	Drain    time.Duration
-	Down     time.Duration
-	Register float64 // registrations a second at the start
+	RenewInterval     time.Duration // between two renewals
+	DrainTime         time.Duration
+	DownTime          time.Duration
+	RegistrationsPerS float64 // at the start of the run
 }
 
-// Pauses before a call that failed is made again.
+// Bounds of the delay before a failed call is retried.
 const (
-	retryLeast = 300 * time.Millisecond
-	retryMost  = 1500 * time.Millisecond
+	minRetryDelay = 300 * time.Millisecond
+	maxRetryDelay = 1500 * time.Millisecond
 )
 
-// churn decides which hollow backend calls when. It is a state machine: all times are of
-// the caller's monotonic clock, but for the start of a process, which is Unix time.
+// churn is a state machine that schedules the registry calls of hollow backends. Its times are
+// relative to the caller's monotonic clock, except for start times of processes, which are in
+// Unix milliseconds.
 type churn struct {
-	settings churnSettings
-	random   *rand.Rand
-	all      []*churner
-	serving  int
-	queue    dueQueue
-	restarts float64       // a second
-	next     time.Duration // the next restart
+	settings     churnSettings
+	random       *rand.Rand
+	backends     []*churningBackend
+	serving      int
+	queue        dueQueue
+	restartsPerS float64
+	nextRestart  time.Duration // time of the next restart
 }
 
 func newChurn(backends []Backend, settings churnSettings, random *rand.Rand) *churn {
-	c := &churn{settings: settings, random: random}
+	created := &churn{settings: settings, random: random}
 	for _, b := range backends {
-		c.all = append(c.all, &churner{Backend: b, index: -1})
+		created.backends = append(created.backends, &churningBackend{Backend: b, index: -1})
 	}
-	return c
+	return created
 }
 
-// start lets the backends register, spread over time.
-func (c *churn) start(now time.Duration, started int64) {
-	for n, b := range c.all {
-		c.join(b, now+time.Duration(float64(n)/c.settings.Register*float64(time.Second)), started)
+// start schedules the first registration of each backend, at the configured rate.
+func (c *churn) start(now time.Duration, startedAtMs int64) {
+	for n, backend := range c.backends {
+		c.join(backend, now+time.Duration(float64(n)/c.settings.RegistrationsPerS*float64(time.Second)), startedAtMs)
 	}
 }
 
-// join begins a life of a backend, which registers at a moment.
-func (c *churn) join(b *churner, at time.Duration, started int64) {
-	b.life++
-	b.phase, b.started, b.out = phaseJoining, max(started, b.started+1), false
-	c.plan(b, at)
+// join begins a new incarnation of a backend, which registers at the given time.
+func (c *churn) join(backend *churningBackend, at time.Duration, startedAtMs int64) {
+	backend.incarnation++
+	backend.phase, backend.startedAtMs, backend.calling = phaseJoining, max(startedAtMs, backend.startedAtMs+1), false
+	c.schedule(backend, at)
 }
 
-// stop ends the chosen backends without a word, as a lost machine does.
-func (c *churn) stop(chosen func(Backend) bool) (stopped int) {
-	for _, b := range c.all {
-		if b.phase != phaseStopped && chosen(b.Backend) {
-			c.leaveServing(b)
-			b.phase = phaseStopped
-			b.life++
-			c.unplan(b)
+// stop stops the selected backends without deregistering them, as a machine failure does, and
+// returns their number.
+func (c *churn) stop(selected func(Backend) bool) (stopped int) {
+	for _, backend := range c.backends {
+		if backend.phase != phaseStopped && selected(backend.Backend) {
+			c.uncountServing(backend)
+			backend.phase = phaseStopped
+			backend.incarnation++
+			c.unschedule(backend)
 			stopped++
 		}
 	}
 	return stopped
 }
 
-// resume lets the chosen backends that were stopped register anew, all at once.
-func (c *churn) resume(now time.Duration, started int64, chosen func(Backend) bool) (resumed int) {
-	for _, b := range c.all {
-		if b.phase == phaseStopped && chosen(b.Backend) {
-			c.join(b, now, started)
+// resume schedules immediate registration of the selected backends that are stopped, and
+// returns their number.
+func (c *churn) resume(now time.Duration, startedAtMs int64, selected func(Backend) bool) (resumed int) {
+	for _, backend := range c.backends {
+		if backend.phase == phaseStopped && selected(backend.Backend) {
+			c.join(backend, now, startedAtMs)
 			resumed++
 		}
 	}
 	return resumed
 }
 
-// setRestarts changes how many backends restart in a second.
+// setRestarts sets the number of restarts per second.
 func (c *churn) setRestarts(now time.Duration, perS float64) {
-	if c.restarts = perS; perS > 0 {
-		c.next = now + c.restartGap()
+	if c.restartsPerS = perS; perS > 0 {
+		c.nextRestart = now + c.restartInterval()
 	}
 }
 
-// restartGap is drawn, so that restarts do not fall together with the drains and the
-// registrations of those before them.
-func (c *churn) restartGap() time.Duration {
-	mean := time.Duration(float64(time.Second) / c.restarts)
+// restartInterval returns a random time until the next restart, so that restarts do not
+// synchronize with the drains and registrations of earlier ones.
+func (c *churn) restartInterval() time.Duration {
+	mean := time.Duration(float64(time.Second) / c.restartsPerS)
 	return c.between(mean/2, mean+mean/2)
 }
 
-// settled says whether every backend that is not stopped serves.
+// settled reports whether all backends that are not stopped serve.
 func (c *churn) settled() bool {
 	running := 0
-	for _, b := range c.all {
+	for _, b := range c.backends {
 		if b.phase != phaseStopped {
 			running++
 		}
@@ -148,28 +151,28 @@
 	return c.serving == running
 }
 
-// wake is when something is due; ok is false where nothing is.
-func (c *churn) wake() (at time.Duration, ok bool) {
+// nextDue returns the time of the next call or restart; ok is false if none is scheduled.
+func (c *churn) nextDue() (at time.Duration, ok bool) {
 	if len(c.queue) > 0 {
 		at, ok = c.queue[0].due, true
 	}
-	if c.restarts > 0 && (!ok || c.next < at) {
-		at, ok = c.next, true
+	if c.restartsPerS > 0 && (!ok || c.nextRestart < at) {
+		at, ok = c.nextRestart, true
 	}
 	return at, ok
 }
 
-// calls returns those that are due.
-func (c *churn) calls(now time.Duration) (all []call) {
-	for c.restarts > 0 && c.next <= now {
-		c.next += c.restartGap()
+// dueCalls removes the calls that are due from the queue and returns them.
+func (c *churn) dueCalls(now time.Duration) (due []call) {
+	for c.restartsPerS > 0 && c.nextRestart <= now {
+		c.nextRestart += c.restartInterval()
 		c.restart(now)
 	}
 	for len(c.queue) > 0 && c.queue[0].due <= now {
-		b := c.queue[0]
-		c.unplan(b)
+		backend := c.queue[0]
+		c.unschedule(backend)
 		kind := callRenew
-		switch b.phase {
+		switch backend.phase {
 		case phaseJoining, phaseDown:
 			kind = callRegister
 		case phaseDraining:
@@ -177,96 +180,96 @@
 		case phaseLeaving:
 			kind = callLeave
 		}
-		b.out = true
-		all = append(all, call{b, kind, b.started, b.life})
+		backend.calling = true
+		due = append(due, call{backend, kind, backend.startedAtMs, backend.incarnation})
 	}
-	return all
+	return due
 }
 
-// restart lets one backend drain that serves and has no call under way.
+// restart drains a random backend that serves and has no call in flight.
 func (c *churn) restart(now time.Duration) {
-	const tries = 50
-	for range tries {
-		b := c.all[c.random.IntN(len(c.all))]
-		if b.phase == phaseServing && !b.out {
-			c.leaveServing(b)
-			b.phase = phaseDraining
-			c.plan(b, now)
+	const maxAttempts = 50
+	for range maxAttempts {
+		backend := c.backends[c.random.IntN(len(c.backends))]
+		if backend.phase == phaseServing && !backend.calling {
+			c.uncountServing(backend)
+			backend.phase = phaseDraining
+			c.schedule(backend, now)
 			return
 		}
 	}
 }
 
-// answered takes in how a call went, and says whether the list has changed by it.
-func (c *churn) answered(now time.Duration, started int64, k call, status int, version int64) (changed bool) {
-	b := k.backend
-	if b.life != k.life {
+// handleResult processes the result of a call and reports whether the call changed the list.
+func (c *churn) handleResult(now time.Duration, startedAtMs int64, outgoing call, status int, version int64) (changed bool) {
+	backend := outgoing.backend
+	if backend.incarnation != outgoing.incarnation {
 		return false
 	}
-	b.out = false
+	backend.calling = false
 	switch {
 	case status == 200:
-		changed = version != b.version
-		b.version = version
-		c.advance(b, now, k.kind, started)
-	case status == 404 && k.kind == callRenew: // its lease ran out
-		c.leaveServing(b)
-		b.phase = phaseJoining
-		c.plan(b, now)
-	case status == 404 || status == 409: // it has left, or the list knows a later start
-		c.leaveServing(b)
-		c.join(b, now+c.between(retryLeast, retryMost), started)
-	default: // nobody answers now
-		c.plan(b, now+c.between(retryLeast, retryMost))
+		changed = version != backend.version
+		backend.version = version
+		c.advance(backend, now, outgoing.kind, startedAtMs)
+	case status == 404 && outgoing.kind == callRenew: // its lease has expired
+		c.uncountServing(backend)
+		backend.phase = phaseJoining
+		c.schedule(backend, now)
+	case status == 404 || status == 409: // it has left, or the registry knows a later start
+		c.uncountServing(backend)
+		c.join(backend, now+c.between(minRetryDelay, maxRetryDelay), startedAtMs)
+	default: // temporary failure
+		c.schedule(backend, now+c.between(minRetryDelay, maxRetryDelay))
 	}
 	return changed
 }
 
-// advance goes on after a call that was answered well.
-func (c *churn) advance(b *churner, now time.Duration, kind callKind, started int64) {
+// advance moves a backend to its next state after a successful call.
+func (c *churn) advance(backend *churningBackend, now time.Duration, kind callKind, startedAtMs int64) {
 	switch kind {
 	case callRegister:
-		b.phase = phaseServing
+		backend.phase = phaseServing
 		c.serving++
-		c.plan(b, now+c.between(c.settings.Renew/2, c.settings.Renew))
+		c.schedule(backend, now+c.between(c.settings.RenewInterval/2, c.settings.RenewInterval))
 	case callRenew:
-		c.plan(b, now+c.settings.Renew)
+		c.schedule(backend, now+c.settings.RenewInterval)
 	case callDrain:
-		b.phase = phaseLeaving
-		c.plan(b, now+c.settings.Drain)
+		backend.phase = phaseLeaving
+		c.schedule(backend, now+c.settings.DrainTime)
 	case callLeave:
-		b.phase = phaseDown
-		b.started = max(started, b.started+1)
-		c.plan(b, now+c.settings.Down)
+		backend.phase = phaseDown
+		backend.startedAtMs = max(startedAtMs, backend.startedAtMs+1)
+		c.schedule(backend, now+c.settings.DownTime)
 	}
 }
 
-func (c *churn) leaveServing(b *churner) {
-	if b.phase == phaseServing {
+func (c *churn) uncountServing(backend *churningBackend) {
+	if backend.phase == phaseServing {
 		c.serving--
 	}
 }
 
-func (c *churn) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(c.random.Int64N(int64(most-least)+1))
+func (c *churn) between(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)+1))
 }
 
-func (c *churn) plan(b *churner, at time.Duration) {
-	if b.due = at; b.index >= 0 {
-		heap.Fix(&c.queue, b.index)
+func (c *churn) schedule(backend *churningBackend, at time.Duration) {
+	if backend.due = at; backend.index >= 0 {
+		heap.Fix(&c.queue, backend.index)
 		return
 	}
-	heap.Push(&c.queue, b)
+	heap.Push(&c.queue, backend)
 }
 
-func (c *churn) unplan(b *churner) {
-	if b.index >= 0 {
-		heap.Remove(&c.queue, b.index)
+func (c *churn) unschedule(backend *churningBackend) {
+	if backend.index >= 0 {
+		heap.Remove(&c.queue, backend.index)
 	}
 }
 
-// dueQueue has the backends by when they call next.
-type dueQueue []*churner
+// dueQueue is a heap of backends, ordered by the time of their next call.
+type dueQueue []*churningBackend
 
 func (q dueQueue) Len() int           { return len(q) }
 func (q dueQueue) Less(i, j int) bool { return q[i].due < q[j].due }
@@ -275,20 +278,20 @@
 	q[i].index, q[j].index = i, j
 }
 func (q *dueQueue) Push(x any) {
-	b := x.(*churner)
-	b.index = len(*q)
-	*q = append(*q, b)
+	backend := x.(*churningBackend)
+	backend.index = len(*q)
+	*q = append(*q, backend)
 }
 func (q *dueQueue) Pop() any {
 	last := len(*q) - 1
-	b := (*q)[last]
+	backend := (*q)[last]
 	(*q)[last] = nil
 	*q = (*q)[:last]
-	b.index = -1
-	return b
+	backend.index = -1
+	return backend
 }
 
-// registration is the body of a call that registers.
+// registration is the body of a registration call.
 type registration struct {
 	HostPort    string `json:"hostPort"`
 	Zone        string `json:"zone"`
@@ -299,8 +302,8 @@
 	Region      string `json:"region,omitempty"`
 }
 
-// ownCall is the body of the other calls.
-type ownCall struct {
+// lifecycleCall is the body of renewals and drain calls.
+type lifecycleCall struct {
 	StartedAtMs int64              `json:"startedAtMs"`
 	Lifecycle   registry.Lifecycle `json:"lifecycle,omitempty"`
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -18,20 +18,20 @@
 	"dunlintray/internal/child"
 )
 
-// process is one of a run's, over all its lives. It is killed at the end of the run, and
-// by the system if the run is.
+// process is a child process of the run over all its restarts. It is killed at the end of the
+// run, and by the operating system if the run dies.
 type process struct {
 	name    string
 	role    string
 	dir     string
 	starter *child.Starter
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{} // closed when the present life has ended
-	spent Use           // of the lives before the present one
-	last  Use           // of the present one, as it was last read
-	meant bool          // the present life was ended by the run
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	ended        chan struct{} // closed when the current life has ended
+	earlierUsage ResourceUsage // of lives before the current one
+	lastUsage    ResourceUsage // of the current life, when last read
+	killed       bool          // the run ended the current life
 }
 
 func newProcess(name, role, dir string, starter *child.Starter) (*process, error) {
@@ -39,10 +39,10 @@
 	return p, os.MkdirAll(p.dir, 0o700)
 }
 
-// start begins a life. What the process writes goes to its log, but for standard output
-// where out is not nil.
+// start begins a new life. Standard error, and standard output if out is nil, are appended to
+// the process's log. died is called if the process ends without kill.
 func (p *process) start(cmd *exec.Cmd, out io.Writer, died func(*process, error)) error {
-	log, err := os.OpenFile(p.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -56,55 +56,55 @@
 	}
 	ended := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.ended, p.meant, p.last = cmd, ended, false, Use{}
+	p.cmd, p.ended, p.killed, p.lastUsage = cmd, ended, false, ResourceUsage{}
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
-		meant := p.meant
-		p.spent.CPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-		p.spent.In, p.spent.Out, p.spent.Stored = p.spent.In+p.last.In, p.spent.Out+p.last.Out, p.spent.Stored+p.last.Stored
-		p.last = Use{}
+		killed := p.killed
+		p.earlierUsage.CPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		p.earlierUsage.ReadBytes, p.earlierUsage.WrittenBytes, p.earlierUsage.StoredBytes = p.earlierUsage.ReadBytes+p.lastUsage.ReadBytes, p.earlierUsage.WrittenBytes+p.lastUsage.WrittenBytes, p.earlierUsage.StoredBytes+p.lastUsage.StoredBytes
+		p.lastUsage = ResourceUsage{}
 		p.mu.Unlock()
 		close(ended)
-		if !meant {
+		if !killed {
 			died(p, err)
 		}
 	}()
 	return nil
 }
 
-func (p *process) log() string { return filepath.Join(p.dir, "log") }
+func (p *process) logPath() string { return filepath.Join(p.dir, "log") }
 
-// use returns what the process has used, over all its lives.
-func (p *process) use() Use {
+// usage returns the usage of the process, over all its lives.
+func (p *process) usage() ResourceUsage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return Use{}
+		return ResourceUsage{}
 	}
 	select {
 	case <-p.ended:
 	default:
-		if u, err := readUse(strconv.Itoa(p.cmd.Process.Pid)); err == nil {
-			p.last = u
+		if current, err := readUsage(strconv.Itoa(p.cmd.Process.Pid)); err == nil {
+			p.lastUsage = current
 		}
 	}
-	u := p.last
-	u.CPU, u.In, u.Out, u.Stored = u.CPU+p.spent.CPU, u.In+p.spent.In, u.Out+p.spent.Out, u.Stored+p.spent.Stored
-	return u
+	total := p.lastUsage
+	total.CPU, total.ReadBytes, total.WrittenBytes, total.StoredBytes = total.CPU+p.earlierUsage.CPU, total.ReadBytes+p.earlierUsage.ReadBytes, total.WrittenBytes+p.earlierUsage.WrittenBytes, total.StoredBytes+p.earlierUsage.StoredBytes
+	return total
 }
 
-// kill ends the present life at once and waits for its end.
+// kill ends the current life and waits for its end.
 func (p *process) kill() {
-	p.use()
+	p.usage()
 	p.mu.Lock()
 	ended := p.ended
 	if ended == nil {
 		p.mu.Unlock()
 		return
 	}
-	p.meant = true
+	p.killed = true
 	select {
 	case <-ended:
 	default:
@@ -114,19 +114,18 @@
 	<-ended
 }
 
-// lastWords are the end of what the process has written.
-func (p *process) lastWords() string {
-	text, err := os.ReadFile(p.log())
+// logTail returns the last lines of the process's log.
+func (p *process) logTail() string {
+	text, err := os.ReadFile(p.logPath())
 	if err != nil {
 		return err.Error()
 	}
-	const lines = 5
+	const maxLines = 5
 	all := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
-	return string(bytes.Join(all[max(0, len(all)-lines):], []byte("\n")))
+	return string(bytes.Join(all[max(0, len(all)-maxLines):], []byte("\n")))
 }
 
-// host is a process of hollow gateways or backends, and the run's side of what they tell
-// each other.
+// host is a process of hollow gateways or backends, and the run's end of the protocol with it.
 type host struct {
 	*process
 	in      io.WriteCloser
@@ -136,105 +135,106 @@
 	latency chan *Latency
 }
 
-const askWait = 60 * time.Second // for a report: a collection of garbage, or a look through all changes
+const reportTimeout = 60 * time.Second // includes a garbage collection, or a search through all changes
 
-var errSilent = errors.New("it does not report")
+var errNoReport = errors.New("no report from the host process")
 
-// startHost starts a process of hollow ones; changed is called with the changes that it
-// reports.
-func startHost(p *process, command []string, config HostConfig, changed func([]Change), died func(*process, error)) (*host, error) {
-	h := &host{process: p, ready: make(chan struct{}), samples: make(chan *Sample, 1), views: make(chan []View, 1), latency: make(chan *Latency, 1)}
+// startHost starts a host process and sends its configuration. changed is called with the
+// changes that the process reports.
+func startHost(proc *process, command []string, config HostConfig, changed func([]Change), died func(*process, error)) (*host, error) {
+	started := &host{process: proc, ready: make(chan struct{}), samples: make(chan *Sample, 1), views: make(chan []View, 1), latency: make(chan *Latency, 1)}
 	cmd := exec.Command(command[0], command[1:]...)
 	var err error
-	if h.in, err = cmd.StdinPipe(); err != nil {
+	if started.in, err = cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
 	out, report, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	err = p.start(cmd, report, died)
+	err = proc.start(cmd, report, died)
 	report.Close()
 	if err != nil {
 		out.Close()
 		return nil, err
 	}
-	go h.read(out, changed)
-	return h, json.NewEncoder(h.in).Encode(config)
+	go started.readReports(out, changed)
+	return started, json.NewEncoder(started.in).Encode(config)
 }
 
-func (h *host) read(out io.ReadCloser, changed func([]Change)) {
+func (h *host) readReports(out io.ReadCloser, changed func([]Change)) {
 	defer out.Close()
 	lines := bufio.NewReaderSize(out, 1<<16)
 	for {
 		text, err := readLine(lines)
-		var r Report
-		if err != nil || json.Unmarshal(text, &r) != nil {
+		var report Report
+		if err != nil || json.Unmarshal(text, &report) != nil {
 			return
 		}
 		switch {
-		case r.Ready:
+		case report.Ready:
 			close(h.ready)
-		case r.Changes != nil:
-			changed(r.Changes)
-		case r.Sample != nil:
-			h.samples <- r.Sample
-		case r.Latency != nil:
-			h.latency <- r.Latency
+		case report.Changes != nil:
+			changed(report.Changes)
+		case report.Sample != nil:
+			h.samples <- report.Sample
+		case report.Latency != nil:
+			h.latency <- report.Latency
 		default:
-			h.views <- r.Views
+			h.views <- report.Views
 		}
 	}
 }
 
-func (h *host) tell(c Command) error {
+func (h *host) send(c Command) error {
 	if err := json.NewEncoder(h.in).Encode(c); err != nil {
-		return fmt.Errorf("%s: %w; it said:\n%s", h.name, err, h.lastWords())
+		return fmt.Errorf("%s: %w; end of its log:\n%s", h.name, err, h.logTail())
 	}
 	return nil
 }
 
-// answerOf waits for a report.
-func answerOf[T any](h *host, reports <-chan T) (T, error) {
-	late := time.NewTimer(askWait)
-	defer late.Stop()
+// awaitReport returns the next report of a kind, or an error if the process ends or does not
+// report within reportTimeout.
+func awaitReport[T any](source *host, reports <-chan T) (T, error) {
+	timer := time.NewTimer(reportTimeout)
+	defer timer.Stop()
 	select {
-	case r := <-reports:
-		return r, nil
-	case <-h.ended:
-	case <-late.C:
+	case report := <-reports:
+		return report, nil
+	case <-source.ended:
+	case <-timer.C:
 	}
-	var none T
-	return none, fmt.Errorf("%s: %w; it said:\n%s", h.name, errSilent, h.lastWords())
+	var zero T
+	return zero, fmt.Errorf("%s: %w; end of its log:\n%s", source.name, errNoReport, source.logTail())
 }
 
-func (h *host) sample(collect bool) (*Sample, error) {
-	if err := h.tell(Command{Sample: &Sampler{Collect: collect}}); err != nil {
+func (h *host) readSample(collect bool) (*Sample, error) {
+	if err := h.send(Command{Sample: &SampleRequest{Collect: collect}}); err != nil {
 		return nil, err
 	}
-	return answerOf(h, h.samples)
+	return awaitReport(h, h.samples)
 }
 
-func (h *host) view() ([]View, error) {
-	if err := h.tell(Command{Views: true}); err != nil {
+func (h *host) readViews() ([]View, error) {
+	if err := h.send(Command{Views: true}); err != nil {
 		return nil, err
 	}
-	return answerOf(h, h.views)
+	return awaitReport(h, h.views)
 }
 
-// changesInLine is how many changes a process is told in one line.
-const changesInLine = 10_000
+// maxChangesPerLine limits the number of changes in one command.
+const maxChangesPerLine = 10_000
 
-func (h *host) latencyOf(changes []Change) (*Latency, error) {
+func (h *host) readLatency(changes []Change) (*Latency, error) {
 	for len(changes) > 0 {
-		n := min(len(changes), changesInLine)
-		if err := h.tell(Command{Changes: changes[:n]}); err != nil {
+		count := min(len(changes), maxChangesPerLine)
+		if err := h.send(Command{Changes: changes[:count]}); err != nil {
 			return nil, err
 		}
-		changes = changes[n:]
+		changes = changes[count:]
 	}
-	if err := h.tell(Command{Latency: true}); err != nil {
+	if err := h.send(Command{Latency: true}); err != nil {
 		return nil, err
 	}
-	return answerOf(h, h.latency)
+	return awaitReport(h, h.latency)
 }
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// hostVariable makes the test binary a process of hollow ones.
+// hostVariable makes the test binary run as a host process.
 const hostVariable = "SCALE_TEST_HOST"
 
-// registryProgram is the list service, built once for all tests.
+// registryProgram is the path of the registry program, built once for all tests.
 var registryProgram string
 
 func TestMain(m *testing.M) {
@@ -27,7 +27,7 @@
 		}
 		return
 	}
-	os.Setenv(hostVariable, "1") // of the processes that tests start
+	os.Setenv(hostVariable, "1") // inherited by the processes that tests start
 	os.Exit(func() int {
 		dir, err := os.MkdirTemp("", "scale-test-")
 		if err != nil {
@@ -50,59 +50,59 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Registry: registryProgram, Host: []string{self}, Dir: t.TempDir()}
+	return Options{RegistryPath: registryProgram, HostCommand: []string{self}, Dir: t.TempDir()}
 }
 
-// TestRunWithScopes lets gateways read parts of the list: each holds just the backends of
-// its services in its zone, and is told of no other change.
+// TestRunWithScopes checks that each gateway that reads parts of the list holds exactly the
+// backends of its services in its zone, and receives no other changes.
 func TestRunWithScopes(t *testing.T) {
-	s := smallScenario()
-	s.Reading = Reading{Services: 2, Within: WithinZone}
-	r, err := Run(t.Context(), s, testOptions(t))
+	scenario := smallScenario()
+	scenario.Reading = Reading{Services: 2, Within: WithinZone}
+	result, err := Run(t.Context(), scenario, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why := r.Failed(); why != "" {
-		t.Error(why)
+	if reason := result.Failure(); reason != "" {
+		t.Error(reason)
 	}
-	plan := NewPlan(s, firstNet)
-	for _, g := range plan.Gateways {
-		reads := 0
-		for _, b := range plan.Backends {
-			if g.Reads(b) {
-				reads++
+	plan := NewPlan(scenario, firstNetwork)
+	for _, gateway := range plan.Gateways {
+		readCount := 0
+		for _, backend := range plan.Backends {
+			if gateway.Reads(backend) {
+				readCount++
 			}
 		}
-		if reads < r.Final.Least || reads > r.Final.Most {
-			t.Errorf("gateway %d reads %d backends, and all hold %d to %d", g.Number, reads, r.Final.Least, r.Final.Most)
+		if readCount < result.Final.MinBackends || readCount > result.Final.MaxBackends {
+			t.Errorf("gateway %d reads %d backends, but gateways hold %d to %d", gateway.Number, readCount, result.Final.MinBackends, result.Final.MaxBackends)
 		}
 	}
-	if r.Final.Most >= s.Fleet.Backends/2 || r.Final.Same != 5 || r.Final.Of != 5 {
-		t.Errorf("%+v", r.Final)
+	if result.Final.MaxBackends >= scenario.Fleet.Backends/2 || result.Final.Matching != 5 || result.Final.Total != 5 {
+		t.Errorf("%+v", result.Final)
 	}
-	if whole := int64(r.Changes * s.Fleet.Gateways); r.Told.Readings == 0 || r.Told.Readings >= whole/2 {
-		t.Errorf("%d readings of %d changes by %d gateways that read a sixth", r.Told.Readings, r.Changes, s.Fleet.Gateways)
+	if whole := int64(result.Changes * scenario.Fleet.Gateways); result.Propagation.Count == 0 || result.Propagation.Count >= whole/2 {
+		t.Errorf("%d latencies of %d changes at %d gateways that each read a sixth", result.Propagation.Count, result.Changes, scenario.Fleet.Gateways)
 	}
 }
 
-// TestRunWithSubset lets gateways use three of the ten backends of a service.
+// TestRunWithSubset checks that gateways select three of the ten backends of a service.
 func TestRunWithSubset(t *testing.T) {
-	s := smallScenario()
-	s.Length = Duration(time.Second / 2)
-	s.Fleet.Members, s.Fleet.Followers, s.Fleet.Services = 1, 0, 2
-	s.Changes.PerS = 0
-	s.Reading = Reading{Services: 1, Within: WithinAll, Subset: 3}
-	r, err := Run(t.Context(), s, testOptions(t))
+	scenario := smallScenario()
+	scenario.Length = Duration(time.Second / 2)
+	scenario.Fleet.Members, scenario.Fleet.Followers, scenario.Fleet.Services = 1, 0, 2
+	scenario.Changes.PerS = 0
+	scenario.Reading = Reading{Services: 1, Within: WithinAll, Subset: 3}
+	result, err := Run(t.Context(), scenario, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := r.Final; f.Checked || f.Least != 3 || f.Most != 3 || f.Of != 5 || f.Listed != 20 {
+	if f := result.Final; f.Checked || f.MinBackends != 3 || f.MaxBackends != 3 || f.Total != 5 || f.ListedBackends != 20 {
 		t.Errorf("%+v", f)
 	}
 }
 
-// children are the processes that this one has started and that still run.
-func children(t *testing.T) (all []string) {
+// childProcesses returns the stat lines of the running children of this process.
+func childProcesses(t *testing.T) (all []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -111,7 +111,7 @@
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // it ended meanwhile
 		}
 		_, rest, _ := strings.Cut(string(text), ") ")
 		if fields := strings.Fields(rest); len(fields) > 1 && fields[1] == strconv.Itoa(os.Getpid()) {
@@ -122,109 +122,111 @@
 }
 
 func smallScenario() *Scenario {
-	s := Default()
-	s.Length, s.Quiet = Duration(2*time.Second), Duration(20*time.Second)
-	s.Fleet.Gateways, s.Fleet.Backends, s.Fleet.Services, s.Fleet.Lease = 5, 20, 4, Duration(time.Second)
-	s.Changes.PerS, s.Changes.Drain, s.Changes.Down = 15, Duration(100*time.Millisecond), Duration(100*time.Millisecond)
-	s.Hosts.Gateways = 3
-	return &s
+	scenario := Default()
+	scenario.Length, scenario.Quiet = Duration(2*time.Second), Duration(20*time.Second)
+	scenario.Fleet.Gateways, scenario.Fleet.Backends, scenario.Fleet.Services, scenario.Fleet.Lease = 5, 20, 4, Duration(time.Second)
+	scenario.Changes.PerS, scenario.Changes.Drain, scenario.Changes.Down = 15, Duration(100*time.Millisecond), Duration(100*time.Millisecond)
+	scenario.Hosts.Gateways = 3
+	return &scenario
 }
 
-// TestRun makes a small run: each change that was answered comes to each gateway, all of
-// them hold the writer's list at the end, and no process is left.
+// TestRun checks that each acknowledged change reaches each gateway, that all gateways hold
+// the writer's list at the end, and that no process remains.
 func TestRun(t *testing.T) {
-	s := smallScenario()
-	s.Fleet.Membership = true
-	r, err := Run(t.Context(), s, testOptions(t))
+	scenario := smallScenario()
+	scenario.Fleet.Membership = true
+	result, err := Run(t.Context(), scenario, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why := r.Failed(); why != "" {
-		t.Error(why)
+	if reason := result.Failure(); reason != "" {
+		t.Error(reason)
 	}
-	if r.Changes < 6 || r.Changes%changesRestart != 0 {
-		t.Errorf("%d changes in 2 s, at 15 a second", r.Changes)
+	if result.Changes < 6 || result.Changes%changesPerRestart != 0 {
+		t.Errorf("%d changes in 2 s at 15 per second, want a multiple of 3 from 6", result.Changes)
 	}
-	if want := int64(r.Changes * s.Fleet.Gateways); r.Told.Readings != want {
-		t.Errorf("%d changes were read %d times by %d gateways", r.Changes, r.Told.Readings, s.Fleet.Gateways)
+	if want := int64(result.Changes * scenario.Fleet.Gateways); result.Propagation.Count != want {
+		t.Errorf("%d changes were received %d times by %d gateways", result.Changes, result.Propagation.Count, scenario.Fleet.Gateways)
 	}
-	if r.Versions != int64(r.Changes) {
-		t.Errorf("%d changes and %d versions: leases ran out", r.Changes, r.Versions)
+	if result.VersionDelta != int64(result.Changes) {
+		t.Errorf("%d changes and %d versions: leases expired", result.Changes, result.VersionDelta)
 	}
-	if r.Final.Listed != 20 || r.Final.Of != 5 {
-		t.Errorf("%+v", r.Final)
+	if result.Final.ListedBackends != 20 || result.Final.Total != 5 {
+		t.Errorf("%+v", result.Final)
 	}
-	if r.Members.Present < 4.9 {
-		t.Errorf("gateways hold %g of 5 present", r.Members.Present)
+	if result.Membership.Present < 4.9 {
+		t.Errorf("gateways consider %g of 5 members present", result.Membership.Present)
 	}
 	for name, processes := range map[string]int{roleWriter: 1, roleMember: 2, roleFollower: 1, roleGateways: 2, roleBackends: 1} {
-		if role, ok := r.Role(name); !ok || role.Processes != processes || role.InPerS <= 0 || role.OutPerS <= 0 || role.MemoryMB <= 0 {
+		if role, ok := result.Role(name); !ok || role.Processes != processes || role.InPerS <= 0 || role.OutPerS <= 0 || role.MemoryMB <= 0 {
 			t.Errorf("%s: %+v", name, role)
 		}
 	}
-	if left := children(t); len(left) > 0 {
-		t.Errorf("left: %s", left)
+	if remaining := childProcesses(t); len(remaining) > 0 {
+		t.Errorf("running processes remain: %s", remaining)
 	}
 }
 
-// TestRunWithFaults strikes a rack, a region's link and a list service.
+// TestRunWithFaults checks that a run recovers from a rack failure, a cut of a region and a
+// killed writer, and logs each fault.
 func TestRunWithFaults(t *testing.T) {
-	s := smallScenario()
-	s.Length = Duration(6 * time.Second)
+	scenario := smallScenario()
+	scenario.Length = Duration(6 * time.Second)
 	const second = Duration(time.Second)
-	s.Faults = []*Fault{
+	scenario.Faults = []*Fault{
 		{Kind: FaultRack, At: second / 10, For: 2 * second, Gateways: 2, Backends: 5},
 		{Kind: FaultRegionCut, At: 2 * second, For: second, Region: "r0"},
-		{Kind: FaultKill, At: 3 * second, For: second, Who: whoWriter},
-		{Kind: FaultRestarts, At: 4 * second, For: second, ChangesPS: 30},
+		{Kind: FaultKill, At: 3 * second, For: second, Process: processWriter},
+		{Kind: FaultRestarts, At: 4 * second, For: second, ChangesPerS: 30},
 	}
-	r, err := Run(t.Context(), s, testOptions(t))
+	result, err := Run(t.Context(), scenario, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why := r.Failed(); why != "" {
-		t.Error(why)
+	if reason := result.Failure(); reason != "" {
+		t.Error(reason)
 	}
-	if r.Final.Listed != 20 || r.Final.Of != 5 || r.Final.Same != 5 {
-		t.Errorf("%+v", r.Final)
+	if result.Final.ListedBackends != 20 || result.Final.Total != 5 || result.Final.Matching != 5 {
+		t.Errorf("%+v", result.Final)
 	}
-	var marks []string
-	for _, mark := range r.Marks {
-		_, what, _ := strings.Cut(mark, " s: ")
-		if !strings.Contains(mark, "wrote at the beginning") { // whether another member was chosen is the group's matter
-			marks = append(marks, what)
+	var events []string
+	for _, event := range result.Events {
+		_, text, _ := strings.Cut(event, " s: ")
+		if !strings.Contains(event, "wrote at the beginning") { // depends on the group's election
+			events = append(events, text)
 		}
 	}
 	want := []string{"rack begins", "region_cut begins", "rack ends", "region_cut ends", "kill begins", "member0 was killed", "kill ends", "member0 was started again", "restarts begins", "restarts ends"}
 	for n := range want {
-		if n < len(marks) && strings.HasPrefix(want[n], "member") {
-			want[n] = marks[n][:len("member0")] + want[n][len("member0"):] // whichever wrote
+		if n < len(events) && strings.HasPrefix(want[n], "member") {
+			want[n] = events[n][:len("member0")] + want[n][len("member0"):] // any member may be the writer
 		}
 	}
-	if !slices.Equal(marks, want) {
-		t.Errorf("%q, want %q", marks, want)
+	if !slices.Equal(events, want) {
+		t.Errorf("%q, want %q", events, want)
 	}
-	if left := children(t); len(left) > 0 {
-		t.Errorf("left: %s", left)
+	if remaining := childProcesses(t); len(remaining) > 0 {
+		t.Errorf("running processes remain: %s", remaining)
 	}
 }
 
-// TestRunEndsWhole ends runs early and from outside: nothing is left of them.
-func TestRunEndsWhole(t *testing.T) {
-	o := testOptions(t)
+// TestInterruptedRunLeavesNoProcesses checks that neither a cancelled run nor one whose
+// registry process ends leaves processes.
+func TestInterruptedRunLeavesNoProcesses(t *testing.T) {
+	options := testOptions(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	if _, err := Run(ctx, smallScenario(), o); err == nil {
-		t.Error("a run that was ended has a result")
+	if _, err := Run(ctx, smallScenario(), options); err == nil {
+		t.Error("a cancelled run returned a result")
 	}
-	if left := children(t); len(left) > 0 {
-		t.Errorf("left: %s", left)
+	if remaining := childProcesses(t); len(remaining) > 0 {
+		t.Errorf("running processes remain: %s", remaining)
 	}
-	o.Registry = "/bin/false"
-	if _, err := Run(t.Context(), smallScenario(), o); err == nil || !strings.Contains(err.Error(), "ended by itself") {
+	options.RegistryPath = "/bin/false"
+	if _, err := Run(t.Context(), smallScenario(), options); err == nil || !strings.Contains(err.Error(), "ended unexpectedly") {
 		t.Errorf("%v", err)
 	}
-	if left := children(t); len(left) > 0 {
-		t.Errorf("left: %s", left)
+	if remaining := childProcesses(t); len(remaining) > 0 {
+		t.Errorf("running processes remain: %s", remaining)
 	}
 }
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -9,54 +9,56 @@
 	"time"
 )
 
-// snapshot is what all processes have used up to a moment.
+// snapshot is the cumulative resource usage of all processes at a point in time.
 type snapshot struct {
-	at       time.Time
-	version  int64  // of the writer's list
-	writer   string // name of the member that answers writes
-	services []serviceUse
-	gateways []hostUse
-	backends []hostUse
-	reals    []Use
+	at           time.Time
+	version      int64  // of the writer's list
+	writer       string // name of the member that accepts writes
+	services     []serviceUsage
+	gateways     []hostUsage
+	backends     []hostUsage
+	realGateways []ResourceUsage
 }
 
-// serviceUse is a list service's; one that is down has no counters.
-type serviceUse struct {
-	Use
+// serviceUsage is the usage of a registry process; counters is nil if the process does not
+// answer.
+type serviceUsage struct {
+	ResourceUsage
 	counters map[string]int64
 }
 
-type hostUse struct {
-	Use
+type hostUsage struct {
+	ResourceUsage
 	*Sample
 }
 
 func (r *runner) snapshot(ctx context.Context, collect bool) (*snapshot, error) {
-	s := &snapshot{at: time.Now(), writer: r.writer()}
+	taken := &snapshot{at: time.Now(), writer: r.writerName()}
 	for n, p := range r.services {
-		u := serviceUse{p.use(), r.counters(ctx, r.plan.Services[n].Control)}
-		s.version = max(s.version, u.counters["version"])
-		s.services = append(s.services, u)
+		usage := serviceUsage{p.usage(), r.counters(ctx, r.plan.Services[n].Control)}
+		taken.version = max(taken.version, usage.counters["version"])
+		taken.services = append(taken.services, usage)
 	}
-	for _, p := range r.reals {
-		s.reals = append(s.reals, p.use())
+	for _, p := range r.realGateways {
+		taken.realGateways = append(taken.realGateways, p.usage())
 	}
 	for _, group := range []struct {
 		hosts []*host
-		into  *[]hostUse
-	}{{r.gateways, &s.gateways}, {r.backends, &s.backends}} {
-		for _, h := range group.hosts {
-			sample, err := h.sample(collect)
+		into  *[]hostUsage
+	}{{r.gateways, &taken.gateways}, {r.backends, &taken.backends}} {
+		for _, source := range group.hosts {
+			sample, err := source.readSample(collect)
 			if err != nil {
 				return nil, err
 			}
-			*group.into = append(*group.into, hostUse{h.use(), sample})
+			*group.into = append(*group.into, hostUsage{source.usage(), sample})
 		}
 	}
-	return s, nil
+	return taken, nil
 }
 
-// counters reads a list service's, by their names.
+// counters reads the counters of a registry process, by name. It returns nil if the process
+// does not answer.
 func (r *runner) counters(ctx context.Context, control string) map[string]int64 {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/control/counters", nil)
 	if err != nil {
@@ -67,25 +69,25 @@
 		return nil
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostText))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxTextBytes))
 	if err != nil {
 		return nil
 	}
 	return parseCounters(string(text))
 }
 
-// parseCounters reads lines "registry.NAME:NUMBER|KIND".
+// parseCounters parses lines "registry.NAME:NUMBER|KIND".
 func parseCounters(text string) map[string]int64 {
-	all := map[string]int64{}
+	counters := map[string]int64{}
 	for line := range strings.Lines(text) {
 		name, value, found := strings.Cut(strings.TrimPrefix(line, "registry."), ":")
-		var n int64
+		var parsed int64
 		if !found {
 			continue
 		}
-		if _, err := fmt.Sscan(strings.SplitN(value, "|", 2)[0], &n); err == nil {
-			all[name] = n
+		if _, err := fmt.Sscan(strings.SplitN(value, "|", 2)[0], &parsed); err == nil {
+			counters[name] = parsed
 		}
 	}
-	return all
+	return counters
 }
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -11,522 +11,523 @@
 	"dunlintray/internal/scenario"
 )
 
+// backendState is the state of a backend's process and machine.
 type backendState int
 
 const (
 	running  backendState = iota
-	crashed               // its process has ended, or fell over
-	vanished              // its machine says nothing
-	ended                 // for good
+	crashed               // its process has ended
+	vanished              // its machine is lost: connections get no response
+	ended                 // it has been replaced
 )
 
-// backend serves requests on its cores, all that are in work at an even share.
-// Work is counted in seconds of one core.
-type backend struct {
-	n, zone, cell int
-	state         backendState
-	fallen        bool
-	listed        bool
-	changed       time.Duration // when lists had to tell something new of it
-	draining      bool
-	drainAt       time.Duration
-	started       time.Duration // below 0: long ago
-	lives         int
-
-	// Troubles, as factors and shares; 0 is none.
-	slow, errors, spoilt, resets float64
-
-	conns   int
-	inWork  workHeap
-	waiting []*work
-	done    float64 // what each request in work has got since the backend is busy
-	asOf    time.Duration
-	wake    uint64 // the newest of its timers
-}
-
-// work is an attempt at a backend.
-type work struct {
-	number uint64
-	id     uint64
-	conn   *conn // nil once the gateway has given it up
-	class  int
-	key    string
-	cost   float64
-	until  float64 // of the backend's done, when it is served
-	reply  Reply
-}
-
-// workHeap is a heap of the work in progress by the time at which it ends.
-type workHeap []*work
-
-func (h workHeap) Len() int           { return len(h) }
-func (h workHeap) Less(a, b int) bool { return h[a].until < h[b].until }
-func (h workHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
-func (h *workHeap) Push(x any)        { *h = append(*h, x.(*work)) }
-func (h *workHeap) Pop() any {
+// emulatedBackend serves its active requests on its cores, each with an equal fraction. Work is in
+// seconds of one core.
+type emulatedBackend struct {
+	number, zone, cell int
+	state              backendState
+	collapsed          bool // it crashed from overload, and stays down
+	listed             bool
+	changedAt          time.Duration // when its entry in the lists changed
+	draining           bool
+	drainingSince      time.Duration
+	startedAt          time.Duration // negative if it started before the run and is warm
+	incarnation        int
+
+	// Effects of active faults, as a factor on its work and as fractions of its requests; 0 is none.
+	slowdown, errorRate, truncationRate, resetRate float64
+
+	connections int
+	active      attemptHeap
+	queued      []*backendAttempt
+	servedWork  float64 // work done for each active request since the backend was last idle
+	updatedAt   time.Duration
+	timerNumber uint64 // of its latest timer; earlier ones have no effect
+}
+
+// backendAttempt is a gateway's attempt at a backend.
+type backendAttempt struct {
+	number     uint64
+	requestID  uint64
+	connection *gatewayConnection // nil once the gateway has abandoned it
+	class      int
+	key        string
+	cost       float64
+	finishAt   float64 // the backend's servedWork at which it is complete
+	reply      Reply
+}
+
+// attemptHeap is a heap of active attempts by finishAt.
+type attemptHeap []*backendAttempt
+
+func (h attemptHeap) Len() int           { return len(h) }
+func (h attemptHeap) Less(a, b int) bool { return h[a].finishAt < h[b].finishAt }
+func (h attemptHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+func (h *attemptHeap) Push(x any)        { *h = append(*h, x.(*backendAttempt)) }
+func (h *attemptHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return last
 }
 
-// add brings a backend; started is below 0 where it has run for long.
-func (w *World) add(started time.Duration) *backend {
-	n := len(w.backends)
-	b := &backend{n: n, zone: n % len(w.s.Fleet.Zones), cell: n % w.s.Backend.Cells, started: started, listed: true}
-	w.backends = append(w.backends, b)
-	w.Judge.Backend(w.now, n, b.zone, b.cell, started >= 0)
-	return b
+// addBackend adds a backend. startedAt is negative if it is warm.
+func (em *Emulator) addBackend(startedAt time.Duration) *emulatedBackend {
+	number := len(em.backends)
+	backend := &emulatedBackend{number: number, zone: number % len(em.scenario.Fleet.Zones), cell: number % em.scenario.Backend.Cells, startedAt: startedAt, listed: true}
+	em.backends = append(em.backends, backend)
+	em.Referee.Backend(em.now, number, backend.zone, backend.cell, startedAt >= 0)
+	return backend
 }
 
-func (b *backend) entry() Entry {
-	e := Entry{Backend: b.n, Zone: b.zone, Cell: b.cell, Started: b.started}
-	if b.draining {
-		e.Lifecycle = Draining
+func (backend *emulatedBackend) entry() Entry {
+	entry := Entry{Backend: backend.number, Zone: backend.zone, Cell: backend.cell, Started: backend.startedAt}
+	if backend.draining {
+		entry.Lifecycle = Draining
 	}
-	return e
+	return entry
 }
 
-// capacity is in cores.
-func (w *World) capacity(b *backend) float64 {
-	c := w.s.Backend.Cores
-	if b.started >= 0 {
-		warm := (w.now - b.started).Seconds() / w.s.Backend.Cold.Seconds()
-		c *= min(1, w.s.Backend.ColdFrom+(1-w.s.Backend.ColdFrom)*warm)
+// capacity returns a backend's current capacity in cores.
+func (em *Emulator) capacity(backend *emulatedBackend) float64 {
+	cores := em.scenario.Backend.Cores
+	if backend.startedAt >= 0 {
+		warmth := (em.now - backend.startedAt).Seconds() / em.scenario.Backend.ColdDuration.Seconds()
+		cores *= min(1, em.scenario.Backend.ColdFrom+(1-em.scenario.Backend.ColdFrom)*warmth)
 	}
-	// The fuller it is beyond its cores, the more is lost.
-	if beyond := float64(len(b.inWork)) - w.s.Backend.Cores; beyond > 0 {
-		c *= 1 - w.s.Backend.Overfull*min(1, beyond/max(1, float64(w.s.Backend.Slots)-w.s.Backend.Cores))
+	// Capacity falls with the number of active requests beyond the cores.
+	if excess := float64(len(backend.active)) - em.scenario.Backend.Cores; excess > 0 {
+		cores *= 1 - em.scenario.Backend.OverloadLoss*min(1, excess/max(1, float64(em.scenario.Backend.Slots)-em.scenario.Backend.Cores))
 	}
-	return c
+	return cores
 }
 
-// rate is how fast each request in work is served.
-func (w *World) rate(b *backend) float64 {
-	if len(b.inWork) == 0 {
+// serviceRate returns the cores that serve each active request.
+func (em *Emulator) serviceRate(backend *emulatedBackend) float64 {
+	if len(backend.active) == 0 {
 		return 0
 	}
-	return min(1, w.capacity(b)/float64(len(b.inWork)))
+	return min(1, em.capacity(backend)/float64(len(backend.active)))
 }
 
-// advance serves what is in work up to now.
-func (w *World) advance(b *backend) {
-	b.done += w.rate(b) * (w.now - b.asOf).Seconds()
-	b.asOf = w.now
-	if len(b.inWork) == 0 {
-		b.done = 0
+// advance serves the active requests up to now.
+func (em *Emulator) advance(backend *emulatedBackend) {
+	backend.servedWork += em.serviceRate(backend) * (em.now - backend.updatedAt).Seconds()
+	backend.updatedAt = em.now
+	if len(backend.active) == 0 {
+		backend.servedWork = 0
 	}
 }
 
-// warmStep is how long a cold backend's capacity is taken as even.
-const warmStep = 20 * time.Millisecond
+// warmUpStep is the time step in which the capacity of a backend that warms up is updated.
+const warmUpStep = 20 * time.Millisecond
 
-// plan sets the timer for the next request to be served.
-func (w *World) plan(b *backend) {
-	b.wake++
-	if len(b.inWork) == 0 || b.state != running {
+// scheduleCompletion sets the timer for the next request to complete.
+func (em *Emulator) scheduleCompletion(backend *emulatedBackend) {
+	backend.timerNumber++
+	if len(backend.active) == 0 || backend.state != running {
 		return
 	}
-	in := time.Duration((b.inWork[0].until - b.done) / w.rate(b) * 1e9)
-	if b.started >= 0 && w.now-b.started < w.s.Backend.Cold.D() {
-		in = min(in, warmStep)
+	delay := time.Duration((backend.active[0].finishAt - backend.servedWork) / em.serviceRate(backend) * 1e9)
+	if backend.startedAt >= 0 && em.now-backend.startedAt < em.scenario.Backend.ColdDuration.Std() {
+		delay = min(delay, warmUpStep)
 	}
-	wake := b.wake
-	w.after(max(in, time.Microsecond), func() {
-		if b.wake == wake {
-			w.serve(b)
+	timerNumber := backend.timerNumber
+	em.after(max(delay, time.Microsecond), func() {
+		if backend.timerNumber == timerNumber {
+			em.completeFinished(backend)
 		}
 	})
 }
 
-// serve ends the requests that have got their work, and takes up others.
-func (w *World) serve(b *backend) {
-	w.advance(b)
-	const close = 1e-9 // seconds; the timer's rounding
-	for len(b.inWork) > 0 && b.inWork[0].until <= b.done+close {
-		w.finish(b, heap.Pop(&b.inWork).(*work))
+// completeFinished replies to the requests that are complete and starts queued ones.
+func (em *Emulator) completeFinished(backend *emulatedBackend) {
+	em.advance(backend)
+	const tolerance = 1e-9 // seconds; covers the rounding of the timer
+	for len(backend.active) > 0 && backend.active[0].finishAt <= backend.servedWork+tolerance {
+		em.finishAttempt(backend, heap.Pop(&backend.active).(*backendAttempt))
 	}
-	for len(b.waiting) > 0 && len(b.inWork) < w.s.Backend.Slots {
-		j := b.waiting[0]
-		b.waiting = b.waiting[1:]
-		j.until = b.done + j.cost
-		heap.Push(&b.inWork, j)
+	for len(backend.queued) > 0 && len(backend.active) < em.scenario.Backend.Slots {
+		attempt := backend.queued[0]
+		backend.queued = backend.queued[1:]
+		attempt.finishAt = backend.servedWork + attempt.cost
+		heap.Push(&backend.active, attempt)
 	}
-	w.plan(b)
+	em.scheduleCompletion(backend)
 }
 
-func (w *World) finish(b *backend, j *work) {
-	if j.key != "" {
-		w.remember(b, j)
+func (em *Emulator) finishAttempt(backend *emulatedBackend, attempt *backendAttempt) {
+	if attempt.key != "" {
+		em.recordKey(backend, attempt)
 	}
-	w.reply(b, j, referee.Whole)
+	em.replyToAttempt(backend, attempt, referee.OutcomeCompleted)
 }
 
-// reply answers on the attempt's connection, one way through the network later.
-func (w *World) reply(b *backend, j *work, how referee.How) {
-	c := j.conn
-	if c == nil {
+// replyToAttempt sends the attempt's reply, which arrives after the network delay.
+func (em *Emulator) replyToAttempt(backend *emulatedBackend, attempt *backendAttempt, outcome referee.Outcome) {
+	connection := attempt.connection
+	if connection == nil {
 		return
 	}
-	if w.s.Backend.LoadReports {
-		busy := min(1, float64(len(b.inWork))/w.s.Backend.Cores)
-		j.reply.Load = &Report{Held: len(b.inWork) + len(b.waiting), Waiting: len(b.waiting), Busy: busy}
+	if em.scenario.Backend.LoadReports {
+		utilization := min(1, float64(len(backend.active))/em.scenario.Backend.Cores)
+		attempt.reply.Load = &LoadReport{Outstanding: len(backend.active) + len(backend.queued), Queued: len(backend.queued), Utilization: utilization}
 	}
-	lives := b.lives
-	w.after(w.delay(c), func() {
-		if j.conn == nil || b.lives != lives || w.links[edge{c.gateway, c.peer}] != Up {
+	incarnation := backend.incarnation
+	em.after(em.networkDelay(connection), func() {
+		if attempt.connection == nil || backend.incarnation != incarnation || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
 			return
 		}
-		if j.reply.Spoilt {
-			how = referee.Broken
+		if attempt.reply.Truncated {
+			outcome = referee.OutcomeBroken
 		}
-		w.Judge.Over(w.now, j.id, j.number, how)
-		w.do(j.reply)
-		c.attempt = nil
-		w.rests(c)
-		if j.reply.Spoilt || j.reply.Close {
-			w.drop(c)
+		em.Referee.AttemptEnded(em.now, attempt.requestID, attempt.number, outcome)
+		em.emit(attempt.reply)
+		connection.attempt = nil
+		em.markIdle(connection)
+		if attempt.reply.Truncated || attempt.reply.Close {
+			em.dropConnection(connection)
 		}
 	})
 }
 
-// delay is one way between a gateway and what it speaks to.
-func (w *World) delay(c *conn) time.Duration {
-	d := w.s.Network.Delay.D()
-	if w.gateways[c.gateway].zone != w.zoneOf(c.peer) {
-		d += w.s.Network.CrossZone.D()
+// networkDelay returns the one-way delay between a gateway and its peer.
+func (em *Emulator) networkDelay(connection *gatewayConnection) time.Duration {
+	delay := em.scenario.Network.Delay.Std()
+	if em.gateways[connection.gateway].zone != em.peerZone(connection.peer) {
+		delay += em.scenario.Network.CrossZone.Std()
 	}
-	return d
+	return delay
 }
 
-// zoneOf is where a peer stands; the counter and the lists stand in the first.
-func (w *World) zoneOf(peer int) int {
+// peerZone returns the zone of a peer. The counter is in the first zone.
+func (em *Emulator) peerZone(peer int) int {
 	if peer == Counter {
 		return 0
 	}
-	return w.backends[peer].zone
+	return em.backends[peer].zone
 }
 
-// counterConnections is how many the counter holds for one gateway, and
-// counterIdle how long one may stand idle there.
+// Limits of the counter: the connections of one gateway, and how long a connection may be idle.
 const (
-	counterConnections = 32
-	counterIdle        = 10 * time.Second
+	maxCounterConnections = 32
+	counterIdleTimeout    = 10 * time.Second
 )
 
-func (w *World) opened(e Opened) {
-	c := &conn{id: e.Conn, gateway: e.Gateway, peer: e.Peer}
-	if w.links[edge{c.gateway, c.peer}] != Up {
-		return // what comes on it is not heard
+func (em *Emulator) connectionOpened(event Opened) {
+	connection := &gatewayConnection{id: event.Conn, gateway: event.Gateway, peer: event.Peer}
+	if em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
+		return // the peer does not see what arrives on it
 	}
-	w.conns[c.id] = c
-	if c.peer == Counter {
-		g := &w.gateways[c.gateway]
-		if g.calls++; g.calls > counterConnections {
-			w.reset(c)
+	em.connections[connection.id] = connection
+	if connection.peer == Counter {
+		gateway := &em.gateways[connection.gateway]
+		if gateway.counterConnections++; gateway.counterConnections > maxCounterConnections {
+			em.resetConnection(connection)
 			return
 		}
 	} else {
-		b := w.backends[c.peer]
-		b.conns++
-		w.Tally.Costs.Handshakes++
-		c.over = b.conns > w.s.Backend.Connections
+		backend := em.backends[connection.peer]
+		backend.connections++
+		em.Tally.Costs.Handshakes++
+		connection.overLimit = backend.connections > em.scenario.Backend.Connections
 	}
-	w.rests(c)
+	em.markIdle(connection)
 }
 
-// rests notes that a connection is idle, and closes it when it has been for long.
-func (w *World) rests(c *conn) {
-	c.idle = w.now
-	keep := w.s.Backend.KeepAlive.D()
-	if c.peer == Counter {
-		keep = counterIdle
+// markIdle records that a connection is idle, and resets it after the peer's idle timeout.
+func (em *Emulator) markIdle(connection *gatewayConnection) {
+	connection.idleSince = em.now
+	timeout := em.scenario.Backend.KeepAlive.Std()
+	if connection.peer == Counter {
+		timeout = counterIdleTimeout
 	}
-	w.after(keep, func() {
-		if w.conns[c.id] == c && c.attempt == nil && c.idle+keep <= w.now {
-			w.reset(c)
+	em.after(timeout, func() {
+		if em.connections[connection.id] == connection && connection.attempt == nil && connection.idleSince+timeout <= em.now {
+			em.resetConnection(connection)
 		}
 	})
 }
 
-func (w *World) reset(c *conn) {
-	w.do(Reset{c.id})
-	w.drop(c)
+func (em *Emulator) resetConnection(connection *gatewayConnection) {
+	em.emit(Reset{connection.id})
+	em.dropConnection(connection)
 }
 
-// drop forgets a connection; what is out on it is over.
-func (w *World) drop(c *conn) {
-	if w.conns[c.id] == nil {
+// dropConnection removes a connection and ends the attempt on it.
+func (em *Emulator) dropConnection(connection *gatewayConnection) {
+	if em.connections[connection.id] == nil {
 		return
 	}
-	delete(w.conns, c.id)
-	if c.peer == Counter {
-		w.gateways[c.gateway].calls--
+	delete(em.connections, connection.id)
+	if connection.peer == Counter {
+		em.gateways[connection.gateway].counterConnections--
 		return
 	}
-	w.backends[c.peer].conns--
-	if j := c.attempt; j != nil {
-		w.Judge.Over(w.now, j.id, j.number, referee.Broken)
-		w.giveUp(j)
+	em.backends[connection.peer].connections--
+	if attempt := connection.attempt; attempt != nil {
+		em.Referee.AttemptEnded(em.now, attempt.requestID, attempt.number, referee.OutcomeBroken)
+		em.abandonAttempt(attempt)
 	}
 }
 
-// giveUp stops what waits for a place; what is in work goes on for nothing.
-func (w *World) giveUp(j *work) {
-	b := w.backends[j.conn.peer]
-	j.conn.attempt = nil
-	j.conn = nil
-	if i := slices.Index(b.waiting, j); i >= 0 {
-		b.waiting = slices.Delete(b.waiting, i, i+1)
+// abandonAttempt removes an attempt from the backend's queue. An active one goes on, and its reply
+// is discarded.
+func (em *Emulator) abandonAttempt(attempt *backendAttempt) {
+	backend := em.backends[attempt.connection.peer]
+	attempt.connection.attempt = nil
+	attempt.connection = nil
+	if i := slices.Index(backend.queued, attempt); i >= 0 {
+		backend.queued = slices.Delete(backend.queued, i, i+1)
 	}
 }
 
-func (w *World) closed(id Conn) {
-	c := w.conns[id]
-	if c == nil {
+func (em *Emulator) connectionClosed(id Conn) {
+	connection := em.connections[id]
+	if connection == nil {
 		return
 	}
-	if j := c.attempt; j != nil {
-		w.Judge.Over(w.now, j.id, j.number, referee.Left)
-		w.giveUp(j)
+	if attempt := connection.attempt; attempt != nil {
+		em.Referee.AttemptEnded(em.now, attempt.requestID, attempt.number, referee.OutcomeAbandoned)
+		em.abandonAttempt(attempt)
 	}
-	w.drop(c)
+	em.dropConnection(connection)
 }
 
-func (w *World) probed(e Probed) {
-	c := w.conns[e.Conn]
-	if c == nil || c.peer == Counter || w.links[edge{c.gateway, c.peer}] != Up {
+func (em *Emulator) probed(event Probed) {
+	connection := em.connections[event.Conn]
+	if connection == nil || connection.peer == Counter || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
 		return
 	}
-	w.Tally.Costs.Probes++
-	b := w.backends[c.peer]
-	r := Reply{Conn: c.id, Status: 200, Body: Body{Seed: 1, Size: 32}, Load: &Report{Held: len(b.inWork) + len(b.waiting), Waiting: len(b.waiting)}}
-	w.after(2*w.delay(c), func() {
-		if w.conns[c.id] == c && w.links[edge{c.gateway, c.peer}] == Up {
-			w.do(r)
-			w.rests(c)
+	em.Tally.Costs.Probes++
+	backend := em.backends[connection.peer]
+	reply := Reply{Conn: connection.id, Status: 200, Body: Body{Seed: 1, Size: 32}, Load: &LoadReport{Outstanding: len(backend.active) + len(backend.queued), Queued: len(backend.queued)}}
+	em.after(2*em.networkDelay(connection), func() {
+		if em.connections[connection.id] == connection && em.links[gatewayLink{connection.gateway, connection.peer}] == Up {
+			em.emit(reply)
+			em.markIdle(connection)
 		}
 	})
 }
 
-// settle has the attempts of a request looked at before they are judged: that a
-// gateway has given one up may still wait at the driver to be read.
-func (w *World) settle(id uint64) {
-	var out []Conn
-	for _, c := range w.conns {
-		if c.attempt != nil && c.attempt.id == id {
-			out = append(out, c.id)
+// checkAttempts has the driver check the connections of a request's attempts before the referee
+// judges them, since the driver may not have read yet that the gateway closed one.
+func (em *Emulator) checkAttempts(id uint64) {
+	var connections []Conn
+	for _, connection := range em.connections {
+		if connection.attempt != nil && connection.attempt.requestID == id {
+			connections = append(connections, connection.id)
 		}
 	}
-	slices.Sort(out)
-	w.do(Look{ID: id, Conns: out})
+	slices.Sort(connections)
+	em.emit(CheckConnections{ID: id, Connections: connections})
 }
 
-func (w *World) looked(e Looked) {
-	for _, c := range e.Ended {
-		w.closed(c)
+func (em *Emulator) connectionsChecked(event ConnectionsChecked) {
+	for _, conn := range event.Closed {
+		em.connectionClosed(conn)
 	}
-	w.Judge.Settle(w.now, e.ID)
+	em.Referee.CheckOverlap(em.now, event.ID)
 }
 
-func (w *World) arrived(e Arrived) {
-	c := w.conns[e.Conn]
-	if c == nil || c.peer == Counter || w.links[edge{c.gateway, c.peer}] != Up {
-		return // it never came
+func (em *Emulator) requestArrived(event Arrived) {
+	connection := em.connections[event.Conn]
+	if connection == nil || connection.peer == Counter || em.links[gatewayLink{connection.gateway, connection.peer}] != Up {
+		return // the request never arrived
 	}
-	b := w.backends[c.peer]
-	number := mix(e.ID, uint64(e.Conn), uint64(w.now))
-	j := &work{number: number, id: e.ID, conn: c, key: e.Key}
-	j.reply = Reply{Conn: c.id, Status: 200, Body: Body{Seed: mix(number, e.ID)}}
-	t := w.clients.open[e.ID]
-	same := e.Same && t != nil && e.Class == w.s.Classes[t.class].Name && e.Key == t.key && e.Body.Size == t.size &&
-		(t.size == 0 || e.Body == t.request().Body)
-	if w.Judge.Arrived(w.now, referee.Attempt{ID: e.ID, Number: number, Gateway: c.gateway, Backend: b.n, First: e.First, Same: same || t == nil, Answer: j.reply.Body.Seed}) {
-		w.after(w.s.Rules.Observe.D(), func() { w.settle(e.ID) })
+	backend := em.backends[connection.peer]
+	number := hash(event.ID, uint64(event.Conn), uint64(em.now))
+	attempt := &backendAttempt{number: number, requestID: event.ID, connection: connection, key: event.Key}
+	attempt.reply = Reply{Conn: connection.id, Status: 200, Body: Body{Seed: hash(number, event.ID)}}
+	request := em.clients.inProgress[event.ID]
+	unchanged := event.Unchanged && request != nil && event.Class == em.scenario.Classes[request.class].Name && event.Key == request.key && event.Body.Size == request.bodyBytes &&
+		(request.bodyBytes == 0 || event.Body == request.message().Body)
+	if em.Referee.AttemptArrived(em.now, referee.Attempt{ID: event.ID, Number: number, Gateway: connection.gateway, Backend: backend.number, FirstByteAt: event.FirstByte, Unchanged: unchanged || request == nil, ResponseID: attempt.reply.Body.Seed}) {
+		em.after(em.scenario.Rules.ObservationSlack.Std(), func() { em.checkAttempts(event.ID) })
 	}
-	c.attempt = j
-	w.Tally.Costs.Attempts++
-	if w.gateways[c.gateway].zone != b.zone {
-		w.Tally.Costs.CrossZone++
+	connection.attempt = attempt
+	em.Tally.Costs.Attempts++
+	if em.gateways[connection.gateway].zone != backend.zone {
+		em.Tally.Costs.CrossZone++
 	}
-	if t == nil {
-		w.fail(b, j, 400)
+	if request == nil {
+		em.failAttempt(backend, attempt, 400)
 		return
 	}
-	w.sentOn(t)
-	class := &w.s.Classes[t.class]
-	j.class = t.class
-	j.cost = t.wish.work
-	if b.slow > 0 {
-		j.cost *= b.slow
-	}
-	if !c.worked {
-		c.worked = true
-		j.cost += w.s.Backend.Handshake.Seconds()
-	}
-	j.reply.Body.Size = class.AnswerBytes
-	if w.Judge.Pressed(w.now, c.gateway, b.n, w.running(), j.cost, class.Work.Seconds(), w.capacity(b)) {
-		w.Tally.Costs.Cold++
-		w.do(Mark{fmt.Sprintf("backend b-%d falls over", b.n)})
-		b.fallen = true
-		w.crash(b)
-		w.list(b, true)
+	em.reachedBackend(request)
+	class := &em.scenario.Classes[request.class]
+	attempt.class = request.class
+	attempt.cost = request.clientOperation.workSeconds
+	if backend.slowdown > 0 {
+		attempt.cost *= backend.slowdown
+	}
+	if !connection.handshakeDone {
+		connection.handshakeDone = true
+		attempt.cost += em.scenario.Backend.Handshake.Seconds()
+	}
+	attempt.reply.Body.Size = class.AnswerBytes
+	if em.Referee.WorkArrived(em.now, connection.gateway, backend.number, em.runningBackends(), attempt.cost, class.Work.Seconds(), em.capacity(backend)) {
+		em.Tally.Costs.FallenBackends++
+		em.emit(Mark{fmt.Sprintf("backend b-%d crashes from overload", backend.number)})
+		backend.collapsed = true
+		em.crashBackend(backend)
+		em.publishBackend(backend, true)
 		return
 	}
-	w.after(w.delay(c), func() { w.enter(b, j) })
+	em.after(em.networkDelay(connection), func() { em.admit(backend, attempt) })
 }
 
-// running counts the backends that take requests.
-func (w *World) running() (n int) {
-	for _, b := range w.backends {
-		if b.state == running && !b.draining {
-			n++
+// runningBackends returns the number of backends that accept requests.
+func (em *Emulator) runningBackends() (count int) {
+	for _, backend := range em.backends {
+		if backend.state == running && !backend.draining {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// enter is a request's coming to the backend's program.
-func (w *World) enter(b *backend, j *work) {
-	if j.conn == nil || b.state != running {
+// admit handles an attempt once it reaches the backend: it fails, rejects, starts or queues it.
+func (em *Emulator) admit(backend *emulatedBackend, attempt *backendAttempt) {
+	if attempt.connection == nil || backend.state != running {
 		return
 	}
-	w.advance(b)
-	draw := func(salt uint64) float64 { return share(mix(j.number, salt)) }
+	em.advance(backend)
+	draw := func(salt uint64) float64 { return unitFraction(hash(attempt.number, salt)) }
 	switch {
-	case b.resets > 0 && draw(1) < b.resets:
-		w.reset(j.conn)
-	case b.errors > 0 && draw(2) < b.errors:
-		w.fail(b, j, 500)
-	case j.conn.over, b.draining && w.now-b.drainAt > w.s.Rules.DrainGrace.D()+w.s.Network.ListDelay.D(),
-		len(b.inWork) >= w.s.Backend.Slots && len(b.waiting) >= w.s.Backend.Queue:
-		w.turn(b, j)
-	case j.key != "" && w.remembers(b, j):
-		w.reply(b, j, referee.Whole) // another attempt has done the work
+	case backend.resetRate > 0 && draw(1) < backend.resetRate:
+		em.resetConnection(attempt.connection)
+	case backend.errorRate > 0 && draw(2) < backend.errorRate:
+		em.failAttempt(backend, attempt, 500)
+	case attempt.connection.overLimit, backend.draining && em.now-backend.drainingSince > em.scenario.Rules.DrainGrace.Std()+em.scenario.Network.ListDelay.Std(),
+		len(backend.active) >= em.scenario.Backend.Slots && len(backend.queued) >= em.scenario.Backend.Queue:
+		em.reject(backend, attempt)
+	case attempt.key != "" && em.keySeen(backend, attempt):
+		em.replyToAttempt(backend, attempt, referee.OutcomeCompleted) // another attempt has already had the effect
 	default:
-		j.reply.Spoilt = b.spoilt > 0 && draw(3) < b.spoilt
-		j.until = b.done + j.cost
-		if len(b.inWork) < w.s.Backend.Slots {
-			heap.Push(&b.inWork, j)
+		attempt.reply.Truncated = backend.truncationRate > 0 && draw(3) < backend.truncationRate
+		attempt.finishAt = backend.servedWork + attempt.cost
+		if len(backend.active) < em.scenario.Backend.Slots {
+			heap.Push(&backend.active, attempt)
 		} else {
-			b.waiting = append(b.waiting, j)
+			backend.queued = append(backend.queued, attempt)
 		}
 	}
-	w.plan(b)
+	em.scheduleCompletion(backend)
 }
 
-func (w *World) turn(b *backend, j *work) {
-	w.Tally.Costs.Turned++
-	j.reply.Status, j.reply.Unseen, j.reply.Body.Size = 503, true, 32
-	j.reply.Close = j.conn.over
-	w.reply(b, j, referee.Turned)
+func (em *Emulator) reject(backend *emulatedBackend, attempt *backendAttempt) {
+	em.Tally.Costs.RejectedAttempts++
+	attempt.reply.Status, attempt.reply.NotStarted, attempt.reply.Body.Size = 503, true, 32
+	attempt.reply.Close = attempt.connection.overLimit
+	em.replyToAttempt(backend, attempt, referee.OutcomeRejected)
 }
 
-func (w *World) fail(b *backend, j *work, status int) {
-	j.reply.Status, j.reply.Body.Size = status, 32
-	w.reply(b, j, referee.Failed)
+func (em *Emulator) failAttempt(backend *emulatedBackend, attempt *backendAttempt, status int) {
+	attempt.reply.Status, attempt.reply.Body.Size = status, 32
+	em.replyToAttempt(backend, attempt, referee.OutcomeFailed)
 }
 
-func (w *World) groupOf(b *backend, class int) group {
-	switch w.s.Classes[class].Scope {
+func (em *Emulator) keyScopeOf(backend *emulatedBackend, class int) keyScope {
+	switch em.scenario.Classes[class].Scope {
 	case "zone":
-		return group{1, b.zone}
+		return keyScope{1, backend.zone}
 	case "cell":
-		return group{2, b.cell}
+		return keyScope{2, backend.cell}
 	}
-	return group{0, 0}
+	return keyScope{0, 0}
 }
 
-func (w *World) remembers(b *backend, j *work) bool {
-	return w.groups[w.groupOf(b, j.class)][j.key] > w.now
+func (em *Emulator) keySeen(backend *emulatedBackend, attempt *backendAttempt) bool {
+	return em.seenKeys[em.keyScopeOf(backend, attempt.class)][attempt.key] > em.now
 }
 
-func (w *World) remember(b *backend, j *work) {
-	at := w.groupOf(b, j.class)
-	keys := w.groups[at]
+func (em *Emulator) recordKey(backend *emulatedBackend, attempt *backendAttempt) {
+	scope := em.keyScopeOf(backend, attempt.class)
+	keys := em.seenKeys[scope]
 	if keys == nil {
 		keys = map[string]time.Duration{}
-		w.groups[at] = keys
+		em.seenKeys[scope] = keys
 	}
-	if _, seen := keys[j.key]; seen {
+	if _, seen := keys[attempt.key]; seen {
 		return
 	}
-	window := w.s.Classes[j.class].Window.D()
-	keys[j.key] = w.now + window
-	w.after(window, func() { delete(keys, j.key) })
+	window := em.scenario.Classes[attempt.class].Window.Std()
+	keys[attempt.key] = em.now + window
+	em.after(window, func() { delete(keys, attempt.key) })
 }
 
-// crash ends the backend's process.
-func (w *World) crash(b *backend) {
-	b.state = crashed
-	w.stopped(b)
-	w.relink()
+// crashBackend ends a backend's process.
+func (em *Emulator) crashBackend(backend *emulatedBackend) {
+	backend.state = crashed
+	em.discardWork(backend)
+	em.updateLinks()
 }
 
-// stopped drops all that a backend that stops has had.
-func (w *World) stopped(b *backend) {
-	b.lives++
-	b.wake++
-	b.inWork, b.waiting, b.done = nil, nil, 0
+// discardWork drops the attempts of a backend that stops.
+func (em *Emulator) discardWork(backend *emulatedBackend) {
+	backend.incarnation++
+	backend.timerNumber++
+	backend.active, backend.queued, backend.servedWork = nil, nil, 0
 }
 
-// start brings a backend back, cold.
-func (w *World) start(b *backend) {
-	if b.fallen || b.state == ended {
+// restartBackend starts a backend again, cold. A collapsed or replaced one stays down.
+func (em *Emulator) restartBackend(backend *emulatedBackend) {
+	if backend.collapsed || backend.state == ended {
 		return
 	}
-	w.stopped(b)
-	b.state = running
-	b.started = w.now
-	b.asOf = w.now
-	b.draining = false
-	b.listed = true
-	w.Judge.Backend(w.now, b.n, b.zone, b.cell, true)
-	w.relink()
-	w.list(b, false)
-}
-
-// relink tells the driver of every link that has changed, and ends the
-// connections along those that have.
-func (w *World) relink() {
-	ended := map[edge]bool{}
-	for g := range w.gateways {
-		for peer := Counter; peer < len(w.backends); peer++ {
-			at := edge{g, peer}
-			state := w.linkState(g, peer)
-			if w.links[at] == state {
+	em.discardWork(backend)
+	backend.state = running
+	backend.startedAt = em.now
+	backend.updatedAt = em.now
+	backend.draining = false
+	backend.listed = true
+	em.Referee.Backend(em.now, backend.number, backend.zone, backend.cell, true)
+	em.updateLinks()
+	em.publishBackend(backend, false)
+}
+
+// updateLinks sends the driver the state of every link that has changed, and drops connections on
+// those links.
+func (em *Emulator) updateLinks() {
+	ended := map[gatewayLink]bool{}
+	for g := range em.gateways {
+		for peer := Counter; peer < len(em.backends); peer++ {
+			key := gatewayLink{g, peer}
+			state := em.linkState(g, peer)
+			if em.links[key] == state {
 				continue
 			}
-			w.links[at] = state
-			w.do(Link{g, peer, state})
-			ended[at] = state != Silent // what stands on a silent one goes on standing, unheard
+			em.links[key] = state
+			em.emit(SetLinkState{g, peer, state})
+			ended[key] = state != Silent // connections stay established on a silent link
 		}
 	}
-	for _, c := range w.conns {
-		if ended[edge{c.gateway, c.peer}] {
-			w.drop(c) // in any order: nothing is done for it but bookkeeping
+	for _, connection := range em.connections {
+		if ended[gatewayLink{connection.gateway, connection.peer}] {
+			em.dropConnection(connection) // the order has no effect: dropping emits no action
 		}
 	}
 }
 
-func (w *World) linkState(g, peer int) LinkState {
-	here, there := w.gateways[g].zone, w.zoneOf(peer)
-	if here != there && (w.cuts[here] > 0 || w.cuts[there] > 0) {
+func (em *Emulator) linkState(gateway, peer int) LinkState {
+	gatewayZone, zoneOfPeer := em.gateways[gateway].zone, em.peerZone(peer)
+	if gatewayZone != zoneOfPeer && (em.zoneCuts[gatewayZone] > 0 || em.zoneCuts[zoneOfPeer] > 0) {
 		return Silent
 	}
-	to := End{scenario.Backends, peer}
+	endpoint := Endpoint{scenario.Backends, peer}
 	if peer == Counter {
-		to = End{scenario.CounterActor, 0}
+		endpoint = Endpoint{scenario.CounterActor, 0}
 	}
-	switch how := w.how(Wire{End{scenario.Gateways, g}, to}, link.There); {
-	case how.Kind == link.Dropped, peer == Counter && w.counter.silent > 0:
+	switch condition := em.condition(ProcessLink{Endpoint{scenario.Gateways, gateway}, endpoint}, link.Forward); {
+	case condition.Kind == link.Dropped, peer == Counter && em.counter.silentFaults > 0:
 		return Silent
-	case how.Kind == link.Refused:
+	case condition.Kind == link.Refused:
 		return Refusing
 	case peer == Counter:
 		return Up
 	}
-	switch w.backends[peer].state {
+	switch em.backends[peer].state {
 	case running:
 		return Up
 	case vanished:
--- a/internal/world/clients.go
+++ b/internal/world/clients.go
@@ -12,38 +12,39 @@
 	"dunlintray/internal/results"
 )
 
-// clients are all who call. What they want, and when, is drawn from a stream of
-// its own, and so it is the same whatever gateways do.
-type clients struct {
-	arrivals  *rand.Rand
-	shifts    *rand.Rand
-	customers [][]customer // by plan
-	reach     [][]float64  // by plan: sums of the customers' weights
-	stores    map[uint64]*quota
-	sends     map[uint64]*quota
-	open      map[uint64]*try
-	pauses    int // of clients that will try again
-	over      bool
-	end       time.Duration
-	next      uint64
+// emulatedClients are all clients. Their arrivals come from a random stream of their own, so that
+// the gateways' behavior does not change them.
+type emulatedClients struct {
+	arrivalRandom     *rand.Rand
+	shiftRandom       *rand.Rand
+	customers         [][]emulatedCustomer // by plan
+	cumulativeWeights [][]float64          // by plan: running sums of the customers' weights
+	offeredQuotas     map[uint64]*quota
+	acceptedQuotas    map[uint64]*quota
+	inProgress        map[uint64]*clientRequest
+	pendingRetries    int // client retries that are scheduled
+	ended             bool
+	endAt             time.Duration
+	requestCount      uint64
 }
 
-type customer struct {
-	id    uint64
-	first int       // gateway of its set
-	share []float64 // sums over the set's gateways
+// emulatedCustomer is a customer of a plan.
+type emulatedCustomer struct {
+	id               uint64
+	firstGateway     int       // of its set of gateways
+	cumulativeShares []float64 // running sums of the weights of the set's gateways
 }
 
-// quota is a customer's store of units.
+// quota is a token bucket of units.
 type quota struct {
-	units float64
-	at    time.Duration
+	units     float64
+	updatedAt time.Duration
 }
 
-// take takes units if the store holds them.
+// take refills the bucket at rate, in units per second and up to burst, and takes units if it holds them.
 func (q *quota) take(now time.Duration, units, rate, burst float64) bool {
-	q.units = min(burst, q.units+rate*(now-q.at).Seconds())
-	q.at = now
+	q.units = min(burst, q.units+rate*(now-q.updatedAt).Seconds())
+	q.updatedAt = now
 	if q.units < units {
 		return false
 	}
@@ -51,366 +52,372 @@
 	return true
 }
 
-// wish is what a client wants, over all its tries.
-type wish struct {
-	at       time.Duration
-	class    int
-	plan     int
-	customer int
-	work     float64 // seconds of one core
-	key      string  // of a keyed class
-	size     int64   // of the body
-	tries    int
-	worth    float64
-	ended    bool
+// clientOperation is what a client wants done, over all its requests.
+type clientOperation struct {
+	startedAt   time.Duration
+	class       int
+	plan        int
+	customer    int
+	workSeconds float64 // seconds of one core
+	key         string  // empty unless the effect of its class is by key
+	bodyBytes   int64
+	requests    int // sent so far
+	worth       float64
+	ended       bool
 }
 
-// try is one request.
-type try struct {
-	*wish
-	id       uint64
-	gateway  int
-	set      int
-	account  uint64
-	left     time.Duration
-	due      time.Duration
-	sent     bool // its first attempt has come to a backend
-	inside   bool // the quota held its units then
-	fresh    bool // it has been sent once more after its connection was closed
-	answered bool
+// clientRequest is one request of an operation.
+type clientRequest struct {
+	*clientOperation
+	id             uint64
+	gateway        int
+	firstGateway   int
+	customerID     uint64
+	remaining      time.Duration
+	deadline       time.Duration
+	reachedBackend bool // an attempt has arrived at a backend
+	withinQuota    bool // the customer's quota held its units when the first attempt arrived
+	resent         bool // it has been sent again since its connection was closed while idle
+	answered       bool
 }
 
-func (w *World) newClients() {
-	c := &w.clients
-	c.arrivals = rand.New(rand.NewPCG(w.s.Seed, streamArrivals))
-	c.shifts = rand.New(rand.NewPCG(w.s.Seed, streamShifts))
-	c.stores, c.sends, c.open = map[uint64]*quota{}, map[uint64]*quota{}, map[uint64]*try{}
-	c.customers = make([][]customer, len(w.s.Plans))
-	c.reach = make([][]float64, len(w.s.Plans))
-	for p, plan := range w.s.Plans {
+func (em *Emulator) newClients() {
+	clients := &em.clients
+	clients.arrivalRandom = rand.New(rand.NewPCG(em.scenario.Seed, streamArrivals))
+	clients.shiftRandom = rand.New(rand.NewPCG(em.scenario.Seed, streamShifts))
+	clients.offeredQuotas, clients.acceptedQuotas, clients.inProgress = map[uint64]*quota{}, map[uint64]*quota{}, map[uint64]*clientRequest{}
+	clients.customers = make([][]emulatedCustomer, len(em.scenario.Plans))
+	clients.cumulativeWeights = make([][]float64, len(em.scenario.Plans))
+	for p, plan := range em.scenario.Plans {
 		for n := range plan.Customers {
-			id := mix(w.s.Seed, uint64(p), uint64(n)) & (1<<33 - 1)
-			c.customers[p] = append(c.customers[p], customer{id: id, first: c.shifts.IntN(w.s.Fleet.Gateways)})
+			id := hash(em.scenario.Seed, uint64(p), uint64(n)) & (1<<33 - 1)
+			clients.customers[p] = append(clients.customers[p], emulatedCustomer{id: id, firstGateway: clients.shiftRandom.IntN(em.scenario.Fleet.Gateways)})
 		}
 	}
-	w.shift()
+	em.redrawCustomers()
 }
 
-// shift draws anew how much each customer asks, and through which gateways.
-func (w *World) shift() {
-	c := &w.clients
-	for p := range c.customers {
-		c.reach[p] = c.reach[p][:0]
+// redrawCustomers draws each customer's fraction of the requests, and through which gateways of its
+// set they go.
+func (em *Emulator) redrawCustomers() {
+	clients := &em.clients
+	for p := range clients.customers {
+		clients.cumulativeWeights[p] = clients.cumulativeWeights[p][:0]
 		sum := 0.0
-		for i := range c.customers[p] {
-			sum += math.Exp(w.s.Load.Skew * c.shifts.NormFloat64())
-			c.reach[p] = append(c.reach[p], sum)
-			k := &c.customers[p][i]
-			k.share = k.share[:0]
-			part := 0.0
-			for range w.s.Plans[p].Spread {
-				part += 0.2 + c.shifts.Float64()
-				k.share = append(k.share, part)
+		for i := range clients.customers[p] {
+			sum += math.Exp(em.scenario.Load.Skew * clients.shiftRandom.NormFloat64())
+			clients.cumulativeWeights[p] = append(clients.cumulativeWeights[p], sum)
+			customer := &clients.customers[p][i]
+			customer.cumulativeShares = customer.cumulativeShares[:0]
+			cumulative := 0.0
+			for range em.scenario.Plans[p].Spread {
+				cumulative += 0.2 + clients.shiftRandom.Float64()
+				customer.cumulativeShares = append(customer.cumulativeShares, cumulative)
 			}
 		}
 	}
 }
 
-func (c *clients) begin(w *World) {
-	c.end = w.now + w.s.Duration.D()
-	if every := w.s.Load.ShiftEvery.D(); every > 0 {
-		var again func()
-		again = func() {
-			w.shift()
-			if w.now+every < c.end {
-				w.after(every, again)
+func (clients *emulatedClients) begin(em *Emulator) {
+	clients.endAt = em.now + em.scenario.Duration.Std()
+	if interval := em.scenario.Load.ShiftEvery.Std(); interval > 0 {
+		var redraw func()
+		redraw = func() {
+			em.redrawCustomers()
+			if em.now+interval < clients.endAt {
+				em.after(interval, redraw)
 			}
 		}
-		w.after(every, again)
+		em.after(interval, redraw)
 	}
-	w.at(c.end, func() { c.over = true })
-	c.arrive(w, w.now, w.now)
+	em.schedule(clients.endAt, func() { clients.ended = true })
+	clients.scheduleArrival(em, em.now, em.now)
 }
 
-// arrive plans the next arrival. They come at random at the highest rate, and
-// those are passed over that the rate of the moment has no room for.
-func (c *clients) arrive(w *World, begin, from time.Duration) {
-	at := from
+// scheduleArrival schedules the next arrival: a Poisson process at the maximum rate, thinned to the
+// rate of the moment.
+func (clients *emulatedClients) scheduleArrival(em *Emulator, startTime, previous time.Duration) {
+	next := previous
 	for {
-		highest := w.s.Load.RequestsPerS * w.mostLoad()
-		if highest <= 0 {
+		maxRate := em.scenario.Load.RequestsPerS * em.maxLoadFactor()
+		if maxRate <= 0 {
 			return
 		}
-		at += time.Duration(c.arrivals.ExpFloat64() / highest * 1e9)
-		if at >= c.end {
+		next += time.Duration(clients.arrivalRandom.ExpFloat64() / maxRate * 1e9)
+		if next >= clients.endAt {
 			return
 		}
-		if c.arrivals.Float64()*w.mostLoad() <= w.load(at-begin) {
+		if clients.arrivalRandom.Float64()*em.maxLoadFactor() <= em.loadFactor(next-startTime) {
 			break
 		}
 	}
-	w.at(at, func() {
-		w.wish()
-		c.arrive(w, begin, w.now)
+	em.schedule(next, func() {
+		em.startOperation()
+		clients.scheduleArrival(em, startTime, em.now)
 	})
 }
 
-// load is the factor on the rate at a moment of the day.
-func (w *World) load(at time.Duration) float64 {
+// loadFactor returns the factor on the request rate at a time since the start of the run.
+func (em *Emulator) loadFactor(elapsed time.Duration) float64 {
 	factor := 1.0
-	if shape := w.s.Load.Shape; len(shape) > 0 {
-		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.D() > at })
+	if shape := em.scenario.Load.Shape; len(shape) > 0 {
+		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.Std() > elapsed })
 		switch {
 		case i == 0:
-			factor = shape[0].Times
+			factor = shape[0].Factor
 		case i == len(shape):
-			factor = shape[i-1].Times
+			factor = shape[i-1].Factor
 		default:
-			a, b := shape[i-1], shape[i]
-			factor = a.Times + (b.Times-a.Times)*float64(at-a.At.D())/float64(b.At-a.At)
+			before, after := shape[i-1], shape[i]
+			factor = before.Factor + (after.Factor-before.Factor)*float64(elapsed-before.At.Std())/float64(after.At-before.At)
 		}
 	}
-	for _, f := range w.s.Faults {
-		if f.Kind == "burst" && at >= f.At.D() && at < (f.At+f.For).D() {
-			factor *= f.Size
+	for _, fault := range em.scenario.Faults {
+		if fault.Kind == "burst" && elapsed >= fault.At.Std() && elapsed < (fault.At+fault.For).Std() {
+			factor *= fault.Size
 		}
 	}
 	return factor
 }
 
-// mostLoad is a bound on load.
-func (w *World) mostLoad() float64 {
-	most := 1.0
-	if len(w.s.Load.Shape) > 0 {
-		most = 0
-		for _, step := range w.s.Load.Shape {
-			most = max(most, step.Times)
+// maxLoadFactor returns an upper bound of loadFactor.
+func (em *Emulator) maxLoadFactor() float64 {
+	maxFactor := 1.0
+	if len(em.scenario.Load.Shape) > 0 {
+		maxFactor = 0
+		for _, step := range em.scenario.Load.Shape {
+			maxFactor = max(maxFactor, step.Factor)
 		}
 	}
-	for _, f := range w.s.Faults {
-		if f.Kind == "burst" {
-			most *= max(1, f.Size)
+	for _, fault := range em.scenario.Faults {
+		if fault.Kind == "burst" {
+			maxFactor *= max(1, fault.Size)
 		}
 	}
-	return most
+	return maxFactor
 }
 
-// pick draws a place by shares that come to about 1.
-func pick(of float64, n int, share func(int) float64) int {
-	for i := range n {
-		if of -= share(i); of < 0 {
+// pickWeighted returns the index at which the running sum of weights, which add up to about 1,
+// exceeds point.
+func pickWeighted(point float64, count int, weight func(int) float64) int {
+	for i := range count {
+		if point -= weight(i); point < 0 {
 			return i
 		}
 	}
-	return n - 1
+	return count - 1
 }
 
-// wish is a client's beginning to want something.
-func (w *World) wish() {
-	c := &w.clients
-	draw := c.arrivals
-	v := &wish{at: w.now}
-	v.class = pick(draw.Float64(), len(w.s.Classes), func(i int) float64 { return w.s.Classes[i].Share })
-	v.plan = pick(draw.Float64(), len(w.s.Plans), func(i int) float64 { return w.s.Plans[i].Share })
-	reach := c.reach[v.plan]
-	v.customer = min(sort.SearchFloat64s(reach, draw.Float64()*reach[len(reach)-1]), len(reach)-1)
-	// The work of a request varies by half of its mean.
-	const spread = 0.472 // of the logarithm, for that
-	v.work = w.s.Classes[v.class].Work.Seconds() * math.Exp(spread*draw.NormFloat64()-spread*spread/2)
-	key := fmt.Sprintf("%016x%016x", draw.Uint64(), draw.Uint64())
-	class, plan := &w.s.Classes[v.class], &w.s.Plans[v.plan]
+// startOperation draws an operation and sends its first request.
+func (em *Emulator) startOperation() {
+	clients := &em.clients
+	random := clients.arrivalRandom
+	operation := &clientOperation{startedAt: em.now}
+	operation.class = pickWeighted(random.Float64(), len(em.scenario.Classes), func(i int) float64 { return em.scenario.Classes[i].RequestFraction })
+	operation.plan = pickWeighted(random.Float64(), len(em.scenario.Plans), func(i int) float64 { return em.scenario.Plans[i].RequestFraction })
+	weights := clients.cumulativeWeights[operation.plan]
+	operation.customer = min(sort.SearchFloat64s(weights, random.Float64()*weights[len(weights)-1]), len(weights)-1)
+	// Work is log-normal with a standard deviation of half its mean.
+	const spread = 0.472 // standard deviation of the logarithm
+	operation.workSeconds = em.scenario.Classes[operation.class].Work.Seconds() * math.Exp(spread*random.NormFloat64()-spread*spread/2)
+	key := fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64())
+	class, plan := &em.scenario.Classes[operation.class], &em.scenario.Plans[operation.plan]
 	if class.Effect == "by_key" {
-		v.key = key
+		operation.key = key
 	}
-	v.size = class.BodyBytes
-	v.worth = class.Worth * plan.Price * float64(class.Units)
-	offered := v.worth
-	if !w.store(c.stores, v).take(w.now, float64(class.Units), plan.Rate, plan.Burst) {
+	operation.bodyBytes = class.BodyBytes
+	operation.worth = class.Worth * plan.Price * float64(class.Units)
+	offered := operation.worth
+	if !em.quotaOf(clients.offeredQuotas, operation).take(em.now, float64(class.Units), plan.Rate, plan.Burst) {
 		offered *= plan.OverWorth
 	}
-	w.Tally.Offered(v.at-w.begin(), v.class, v.plan, offered)
-	w.try(v)
+	em.Tally.RecordOperation(operation.startedAt-em.startTime(), operation.class, operation.plan, offered)
+	em.sendRequest(operation)
 }
 
-func (w *World) begin() time.Duration { return w.clients.end - w.s.Duration.D() }
+func (em *Emulator) startTime() time.Duration { return em.clients.endAt - em.scenario.Duration.Std() }
 
-func (w *World) store(stores map[uint64]*quota, v *wish) *quota {
-	id := w.clients.customers[v.plan][v.customer].id
+func (em *Emulator) quotaOf(stores map[uint64]*quota, operation *clientOperation) *quota {
+	id := em.clients.customers[operation.plan][operation.customer].id
 	q := stores[id]
 	if q == nil {
-		q = &quota{units: w.s.Plans[v.plan].Burst, at: w.now}
+		q = &quota{units: em.scenario.Plans[operation.plan].Burst, updatedAt: em.now}
 		stores[id] = q
 	}
 	return q
 }
 
-// try sends a wish once more, or for the first time.
-func (w *World) try(v *wish) {
-	c := &w.clients
-	c.next++
-	v.tries++
-	class := &w.s.Classes[v.class]
-	k := &c.customers[v.plan][v.customer]
-	t := &try{wish: v, id: mix(w.s.Seed, c.next), set: k.first, account: k.id}
-	t.due = v.at + class.Deadline.D()
-	t.left = t.due - w.now
-	draw := func(salt uint64) float64 { return share(mix(t.id, salt)) }
-	// Through the front: a gateway of the customer's set that it takes for up.
-	part := draw(1) * k.share[len(k.share)-1]
-	at := sort.SearchFloat64s(k.share, part)
-	for step := range k.share {
-		t.gateway = (k.first + (at+step)%len(k.share)) % len(w.gateways)
-		if w.gateways[t.gateway].front {
+// sendRequest sends the first request of an operation, or a client retry.
+func (em *Emulator) sendRequest(operation *clientOperation) {
+	clients := &em.clients
+	clients.requestCount++
+	operation.requests++
+	class := &em.scenario.Classes[operation.class]
+	customer := &clients.customers[operation.plan][operation.customer]
+	request := &clientRequest{clientOperation: operation, id: hash(em.scenario.Seed, clients.requestCount), firstGateway: customer.firstGateway, customerID: customer.id}
+	request.deadline = operation.startedAt + class.Deadline.Std()
+	request.remaining = request.deadline - em.now
+	draw := func(salt uint64) float64 { return unitFraction(hash(request.id, salt)) }
+	// The load balancer takes a gateway of the customer's set that is in rotation.
+	point := draw(1) * customer.cumulativeShares[len(customer.cumulativeShares)-1]
+	index := sort.SearchFloat64s(customer.cumulativeShares, point)
+	for step := range customer.cumulativeShares {
+		request.gateway = (customer.firstGateway + (index+step)%len(customer.cumulativeShares)) % len(em.gateways)
+		if em.gateways[request.gateway].inRotation {
 			break
 		}
 	}
-	c.open[t.id] = t
-	w.Tally.Costs.Tries++
-	w.Judge.Sent(w.now, referee.Request{ID: t.id, Gateway: t.gateway, Class: t.class, Plan: t.plan, Customer: t.account, Units: float64(class.Units), Due: t.due})
-	w.do(Send{Request: t.request()})
-	if draw(2) < w.s.Load.Impatient {
-		w.after(t.left/4, func() {
-			if c.open[t.id] == t && !t.answered {
-				w.Judge.Abandoned(w.now, t.id)
-				w.do(Abandon{t.id})
-				w.ended(t, results.Left, 0)
+	clients.inProgress[request.id] = request
+	em.Tally.Costs.Requests++
+	em.Referee.RequestStarted(em.now, referee.Request{ID: request.id, Gateway: request.gateway, Class: request.class, Plan: request.plan, Customer: request.customerID, Units: float64(class.Units), Deadline: request.deadline})
+	em.emit(Send{Request: request.message()})
+	if draw(2) < em.scenario.Load.AbandonedFraction {
+		em.after(request.remaining/4, func() {
+			if clients.inProgress[request.id] == request && !request.answered {
+				em.Referee.Abandoned(em.now, request.id)
+				em.emit(Abandon{request.id})
+				em.endOperation(request, results.Abandoned, 0)
 			}
 		})
 	}
-	last := t.due + w.s.Rules.LostAfter.D() + 2*w.s.Rules.Observe.D()
-	w.at(last, func() {
-		if c.open[t.id] == t && !t.answered {
-			w.Judge.Overdue(w.now, t.id)
-			w.do(Abandon{t.id})
-			w.ended(t, results.Lost, 0)
+	overdueAt := request.deadline + em.scenario.Rules.LostAfter.Std() + 2*em.scenario.Rules.ObservationSlack.Std()
+	em.schedule(overdueAt, func() {
+		if clients.inProgress[request.id] == request && !request.answered {
+			em.Referee.Overdue(em.now, request.id)
+			em.emit(Abandon{request.id})
+			em.endOperation(request, results.Lost, 0)
 		}
 	})
-	w.at(last+keptFor, func() { w.Judge.Forget(t.id) })
+	em.schedule(overdueAt+requestRetention, func() { em.Referee.Forget(request.id) })
 }
 
-// keptFor is how long the referee knows a request that is over.
-const keptFor = 5 * time.Second
+// requestRetention is how long the referee keeps a request after it has ended.
+const requestRetention = 5 * time.Second
 
-func (t *try) request() Request {
-	return Request{ID: t.id, Gateway: t.gateway, Class: t.class, Plan: t.plan, Customer: t.account, Set: t.set, Left: t.left, Key: t.key,
-		Body: Body{Seed: mix(t.id, 3), Size: t.size}, Repeat: t.tries > 1}
+func (request *clientRequest) message() Request {
+	return Request{ID: request.id, Gateway: request.gateway, Class: request.class, Plan: request.plan, Customer: request.customerID, FirstGateway: request.firstGateway, Remaining: request.remaining, Key: request.key,
+		Body: Body{Seed: hash(request.id, 3), Size: request.bodyBytes}, Retry: request.requests > 1}
 }
 
-func (w *World) sentOn(t *try) {
-	if t.sent {
+// reachedBackend takes a request's units from the customer's quota when its first attempt arrives.
+func (em *Emulator) reachedBackend(request *clientRequest) {
+	if request.reachedBackend {
 		return
 	}
-	t.sent = true
-	class, plan := &w.s.Classes[t.class], &w.s.Plans[t.plan]
-	t.inside = w.store(w.clients.sends, t.wish).take(w.now, float64(class.Units), plan.Rate, plan.Burst)
-	if !t.inside {
-		w.Tally.Costs.Beyond += plan.OverCost * t.worth
+	request.reachedBackend = true
+	class, plan := &em.scenario.Classes[request.class], &em.scenario.Plans[request.plan]
+	request.withinQuota = em.quotaOf(em.clients.acceptedQuotas, request.clientOperation).take(em.now, float64(class.Units), plan.Rate, plan.Burst)
+	if !request.withinQuota {
+		em.Tally.Costs.BeyondQuota += plan.OverCost * request.worth
 	}
 }
 
-func (w *World) answered(e Answered) {
-	t := w.clients.open[e.ID]
-	wrong := errText(e.BodyErr)
-	if t != nil && e.Status == 200 && e.Whole && e.Body.Size != w.s.Classes[t.class].AnswerBytes {
-		wrong = fmt.Sprintf("(%d bytes)", e.Body.Size)
+func (em *Emulator) answered(event Answered) {
+	request := em.clients.inProgress[event.ID]
+	problem := errorText(event.BodyErr)
+	if request != nil && event.Status == 200 && event.Complete && event.Body.Size != em.scenario.Classes[request.class].AnswerBytes {
+		problem = fmt.Sprintf("(%d bytes)", event.Body.Size)
 	}
-	w.Judge.Answered(w.now, e.ID, e.Status, e.Whole, e.Body.Seed, wrong)
-	if t == nil || t.answered {
+	em.Referee.Answered(em.now, event.ID, event.Status, event.Complete, event.Body.Seed, problem)
+	if request == nil || request.answered {
 		return
 	}
-	t.answered = true
-	class := &w.s.Classes[t.class]
-	worth := t.worth
-	if !t.inside {
-		worth *= w.s.Plans[t.plan].OverWorth
+	request.answered = true
+	class := &em.scenario.Classes[request.class]
+	worth := request.worth
+	if !request.withinQuota {
+		worth *= em.scenario.Plans[request.plan].OverWorth
 	}
-	after := w.now - t.at
+	latency := em.now - request.startedAt
 	switch {
-	case e.Status == 200 && e.Whole && after <= class.Aim.D():
-		w.ended(t, results.Served, worth)
-	case e.Status == 200 && e.Whole && w.now <= t.due:
-		w.ended(t, results.Late, worth*class.LateWorth)
-	case e.Status == 429 || e.Status == 503:
-		w.again(t, results.Refused, true, e.Advice)
+	case event.Status == 200 && event.Complete && latency <= class.Aim.Std():
+		em.endOperation(request, results.Served, worth)
+	case event.Status == 200 && event.Complete && em.now <= request.deadline:
+		em.endOperation(request, results.Late, worth*class.LateWorth)
+	case event.Status == 429 || event.Status == 503:
+		em.retryOrEnd(request, results.Refused, true, event.RetryAfter)
 	default:
-		w.again(t, results.Failed, false, 0)
+		em.retryOrEnd(request, results.Failed, false, 0)
 	}
 }
 
-func errText(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-func (w *World) unanswered(e Unanswered) {
-	t := w.clients.open[e.ID]
-	if t == nil || t.answered {
+func (em *Emulator) unanswered(event Unanswered) {
+	request := em.clients.inProgress[event.ID]
+	if request == nil || request.answered {
 		return
 	}
-	if e.Reused && !t.fresh && !w.Judge.Seen(e.ID) {
-		// Its connection was closed while it was idle: the gateway has not read it.
-		t.fresh = true
-		r := t.request()
-		r.Left = max(0, t.due-w.now)
-		w.do(Send{Request: r, Fresh: true})
+	if event.Reused && !request.resent && !em.Referee.ReachedBackend(event.ID) {
+		// The gateway closed the connection while it was idle and has not read the request.
+		request.resent = true
+		message := request.message()
+		message.Remaining = max(0, request.deadline-em.now)
+		em.emit(Send{Request: message, NewConnection: true})
 		return
 	}
-	if e.Sent {
-		w.Judge.Taken(w.now, e.ID)
+	if event.Sent {
+		em.Referee.RequestAccepted(em.now, event.ID)
 	}
-	w.Judge.Closed(w.now, e.ID, !e.Reused)
-	t.answered = true
-	w.again(t, results.Failed, !e.Sent, 0)
+	em.Referee.Closed(em.now, event.ID, !event.Reused)
+	request.answered = true
+	em.retryOrEnd(request, results.Failed, !event.Sent, 0)
 }
 
-// again lets the client try once more if it may and has the time.
-func (w *World) again(t *try, o results.Outcome, harmless bool, advice time.Duration) {
-	class := &w.s.Classes[t.class]
-	pause := w.s.Load.RetryAfter.D() << min(t.tries-1, 10)
-	pause = max(pause, min(advice, mostAdvice))
-	may := harmless || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all" && w.now+pause < t.at+class.Window.D()
-	if may && t.tries <= w.s.Load.Retries && w.now+pause < t.due-leastLeft {
-		delete(w.clients.open, t.id)
-		w.clients.pauses++
-		w.after(pause, func() {
-			w.clients.pauses--
-			w.try(t.wish)
+// retryOrEnd schedules a client retry if one is allowed and there is time for it, and ends the
+// operation otherwise.
+func (em *Emulator) retryOrEnd(request *clientRequest, outcome results.Outcome, notStarted bool, retryAfter time.Duration) {
+	class := &em.scenario.Classes[request.class]
+	pause := em.scenario.Load.RetryAfter.Std() << min(request.requests-1, 10)
+	pause = max(pause, min(retryAfter, maxRetryAfter))
+	allowed := notStarted || class.Effect == "repeatable" || class.Effect == "by_key" && class.Scope == "all" && em.now+pause < request.startedAt+class.Window.Std()
+	if allowed && request.requests <= em.scenario.Load.Retries && em.now+pause < request.deadline-minRetryTime {
+		delete(em.clients.inProgress, request.id)
+		em.clients.pendingRetries++
+		em.after(pause, func() {
+			em.clients.pendingRetries--
+			em.sendRequest(request.clientOperation)
 		})
 		return
 	}
-	w.ended(t, o, 0)
+	em.endOperation(request, outcome, 0)
 }
 
 const (
-	mostAdvice = time.Second           // the longest Retry-After that clients follow
-	leastLeft  = 50 * time.Millisecond // for another try
+	maxRetryAfter = time.Second           // the longest Retry-After that clients follow
+	minRetryTime  = 50 * time.Millisecond // the time that must remain for a client retry
 )
 
-func (w *World) ended(t *try, o results.Outcome, worth float64) {
-	t.answered = true
-	delete(w.clients.open, t.id)
-	if t.wish.ended {
+// endOperation ends a request, and records the outcome of its operation once.
+func (em *Emulator) endOperation(request *clientRequest, outcome results.Outcome, worth float64) {
+	request.answered = true
+	delete(em.clients.inProgress, request.id)
+	if request.clientOperation.ended {
 		return
 	}
-	t.wish.ended = true
-	w.Tally.Ended(t.at-w.begin(), t.class, t.plan, o, worth, w.now-t.at)
+	request.clientOperation.ended = true
+	em.Tally.RecordOutcome(request.startedAt-em.startTime(), request.class, request.plan, outcome, worth, em.now-request.startedAt)
 }
 
-// struck picks the gateways or backends that a fault befalls.
-func (w *World) struck(n int, part float64, zone string, zoneOf func(int) int, fit func(int) bool) []int {
-	var all []int
-	at := slices.Index(w.s.Fleet.Zones, zone)
-	for i := range n {
-		if fit(i) && (zone == "" || zoneOf(i) == at) {
-			all = append(all, i)
+// selectTargets returns the gateways or backends that a fault affects: those of a zone, or a random
+// fraction of all. Only eligible ones count.
+func (em *Emulator) selectTargets(count int, fraction float64, zone string, zoneOf func(int) int, eligible func(int) bool) []int {
+	var candidates []int
+	zoneIndex := slices.Index(em.scenario.Fleet.Zones, zone)
+	for i := range count {
+		if eligible(i) && (zone == "" || zoneOf(i) == zoneIndex) {
+			candidates = append(candidates, i)
 		}
 	}
 	if zone == "" {
-		w.faults.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		all = all[:min(len(all), int(math.Ceil(part*float64(len(all))-1e-9)))]
-		slices.Sort(all)
+		em.faultRandom.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+		candidates = candidates[:min(len(candidates), int(math.Ceil(fraction*float64(len(candidates))-1e-9)))]
+		slices.Sort(candidates)
 	}
-	return all
+	return candidates
 }
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -7,21 +7,23 @@
 	"dunlintray/internal/scenario"
 )
 
-// Wire is a link on which the driver has a relay, from who connects.
-type Wire struct{ From, To End }
+// ProcessLink is a link between two processes, on which the driver can run a relay. From is the
+// process that connects.
+type ProcessLink struct{ From, To Endpoint }
 
-// End is one process at the end of a link.
-type End struct {
-	Kind scenario.ActorKind
-	N    int // backends: 0 stands for all
+// Endpoint is a process at one end of a link.
+type Endpoint struct {
+	Kind   scenario.ActorKind
+	Number int // 0 for all backends together
 }
 
-func (e End) String() string {
+// String returns the name of the process in scenarios, such as "n0", "list1" or "counter".
+func (e Endpoint) String() string {
 	switch e.Kind {
 	case scenario.Gateways:
-		return fmt.Sprintf("n%d", e.N)
-	case scenario.Lists:
-		return fmt.Sprintf("list%d", e.N)
+		return fmt.Sprintf("n%d", e.Number)
+	case scenario.Registries:
+		return fmt.Sprintf("list%d", e.Number)
 	case scenario.Backends:
 		return "backends"
 	case scenario.Operators:
@@ -30,138 +32,141 @@
 	return "counter"
 }
 
-func (w Wire) String() string { return w.From.String() + " to " + w.To.String() }
+// String returns the names of both processes, such as "n0 to list1".
+func (l ProcessLink) String() string { return l.From.String() + " to " + l.To.String() }
 
-// broken is a link's fault that has begun.
-type broken struct {
+// linkFault is an active fault of links.
+type linkFault struct {
 	scenario.LinkFault
-	off bool // one that flaps, for the moment
+	inactive bool // between the active phases of a flapping fault
 }
 
-// has reports whether a process belongs to an actor.
-func (w *World) has(p scenario.Actor, e End) bool {
-	if p.Kind != e.Kind || p.N >= 0 && p.N != e.N {
+// matches reports whether a process belongs to an actor.
+func (em *Emulator) matches(actor scenario.Actor, endpoint Endpoint) bool {
+	if actor.Kind != endpoint.Kind || actor.Number >= 0 && actor.Number != endpoint.Number {
 		return false
 	}
 	switch {
-	case p.Zone < 0:
+	case actor.Zone < 0:
 		return true
-	case e.Kind == scenario.Gateways:
-		return w.gateways[e.N].zone == p.Zone
+	case endpoint.Kind == scenario.Gateways:
+		return em.gateways[endpoint.Number].zone == actor.Zone
 	}
-	return w.backends[e.N].zone == p.Zone
+	return em.backends[endpoint.Number].zone == actor.Zone
 }
 
-// how a link carries what goes one way of it now: of several faults the last.
-func (w *World) how(at Wire, way link.Way) link.How {
-	how := link.How{Kind: link.Up}
-	for _, b := range w.broken {
-		if !b.off && w.has(b.From, at.From) && w.has(b.To, at.To) && (way == link.There && b.There || way == link.Back && b.Back) {
-			how = b.How
+// condition returns the current condition of one direction of a link. Of several active faults
+// the latest applies.
+func (em *Emulator) condition(processLink ProcessLink, direction link.Direction) link.Condition {
+	condition := link.Condition{Kind: link.Up}
+	for _, fault := range em.linkFaults {
+		if !fault.inactive && em.matches(fault.From, processLink.From) && em.matches(fault.To, processLink.To) && (direction == link.Forward && fault.Forward || direction == link.Reverse && fault.Backward) {
+			condition = fault.Condition
 		}
 	}
-	return how
+	return condition
 }
 
-// Wires are the links that need a relay in the scenario: those between processes
-// that a fault is to befall.
-func Wires(s *scenario.Scenario) (all []Wire) {
-	w := &World{s: s, gateways: make([]gateway, s.Fleet.Gateways)}
-	for g := range w.gateways {
-		w.gateways[g].zone = g % len(s.Fleet.Zones)
+// RelayedLinks returns the links between processes that need a relay in a scenario, since one of
+// its faults affects them.
+func RelayedLinks(s *scenario.Scenario) (links []ProcessLink) {
+	em := &Emulator{scenario: s, gateways: make([]emulatedGateway, s.Fleet.Gateways)}
+	for g := range em.gateways {
+		em.gateways[g].zone = g % len(s.Fleet.Zones)
 	}
 	for i := range s.Faults {
-		if scenario.Kinds[s.Faults[i].Kind].Link {
-			l, _, _ := s.Link(&s.Faults[i]) // Check has read it
-			w.broken = append(w.broken, &broken{LinkFault: l})
+		if scenario.FaultKinds[s.Faults[i].Kind].IsLink {
+			parsed, _, _ := s.Link(&s.Faults[i]) // Check has parsed it
+			em.linkFaults = append(em.linkFaults, &linkFault{LinkFault: parsed})
 		}
 	}
-	for _, at := range w.wires() {
-		if w.how(at, link.There).Kind != link.Up || w.how(at, link.Back).Kind != link.Up {
-			all = append(all, at)
+	for _, processLink := range em.processLinks() {
+		if em.condition(processLink, link.Forward).Kind != link.Up || em.condition(processLink, link.Reverse).Kind != link.Up {
+			links = append(links, processLink)
 		}
 	}
-	return all
+	return links
 }
 
-// wires are all links between processes on which a relay can stand.
-func (w *World) wires() (all []Wire) {
-	for g := range w.gateways {
-		all = append(all, Wire{End{scenario.Operators, 0}, End{scenario.Gateways, g}})
+// processLinks returns all links between processes that can have a relay.
+func (em *Emulator) processLinks() (all []ProcessLink) {
+	for g := range em.gateways {
+		all = append(all, ProcessLink{Endpoint{scenario.Operators, 0}, Endpoint{scenario.Gateways, g}})
 	}
-	for k := range w.s.Fleet.ListServices {
-		to := End{scenario.Lists, k}
-		for g := range w.gateways {
-			all = append(all, Wire{End{scenario.Gateways, g}, to})
+	for service := range em.scenario.Fleet.ListServices {
+		to := Endpoint{scenario.Registries, service}
+		for g := range em.gateways {
+			all = append(all, ProcessLink{Endpoint{scenario.Gateways, g}, to})
 		}
-		if w.s.Fleet.Group {
-			all = append(all, Wire{End{scenario.Backends, 0}, to})
-			for other := range w.s.Fleet.ListServices {
-				if other != k {
-					all = append(all, Wire{End{scenario.Lists, other}, to})
+		if em.scenario.Fleet.Group {
+			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
+			for other := range em.scenario.Fleet.ListServices {
+				if other != service {
+					all = append(all, ProcessLink{Endpoint{scenario.Registries, other}, to})
 				}
 			}
 			continue
 		}
-		if k == 0 {
-			all = append(all, Wire{End{scenario.Backends, 0}, to})
-			for other := 1; other < w.s.Fleet.ListServices; other++ {
-				all = append(all, Wire{End{scenario.Lists, other}, to})
+		if service == 0 {
+			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
+			for other := 1; other < em.scenario.Fleet.ListServices; other++ {
+				all = append(all, ProcessLink{Endpoint{scenario.Registries, other}, to})
 			}
 		}
 	}
 	return all
 }
 
-// breakLink begins a link's fault, and plans its end.
-func (w *World) breakLink(f *scenario.Fault) {
-	l, _, _ := w.s.Link(f) // Check has read it
-	b := &broken{LinkFault: l}
-	w.broken = append(w.broken, b)
-	end := w.now + f.For.D()
-	w.rewire()
-	w.at(end, func() {
-		for i := range w.broken {
-			if w.broken[i] == b {
-				w.broken = append(w.broken[:i:i], w.broken[i+1:]...)
+// beginLinkFault starts a fault of links and schedules its end.
+func (em *Emulator) beginLinkFault(fault *scenario.Fault) {
+	parsed, _, _ := em.scenario.Link(fault) // Check has parsed it
+	active := &linkFault{LinkFault: parsed}
+	em.linkFaults = append(em.linkFaults, active)
+	end := em.now + fault.For.Std()
+	em.updateRelays()
+	em.schedule(end, func() {
+		for i := range em.linkFaults {
+			if em.linkFaults[i] == active {
+				em.linkFaults = append(em.linkFaults[:i:i], em.linkFaults[i+1:]...)
 				break
 			}
 		}
-		w.do(Mark{fmt.Sprintf("links from %s to %s are up again", f.From, f.To)})
-		w.rewire()
+		em.emit(Mark{fmt.Sprintf("links from %s to %s are up again", fault.From, fault.To)})
+		em.updateRelays()
 	})
-	if f.Flap == 0 {
+	if fault.Flap == 0 {
 		return
 	}
-	var swing func()
-	swing = func() {
-		if w.now < end {
-			b.off = !b.off
-			w.rewire()
-			w.after(f.Flap.D(), swing)
+	var toggle func()
+	toggle = func() {
+		if em.now < end {
+			active.inactive = !active.inactive
+			em.updateRelays()
+			em.after(fault.Flap.Std(), toggle)
 		}
 	}
-	w.after(f.Flap.D(), swing)
+	em.after(fault.Flap.Std(), toggle)
 }
 
-// rewire tells the driver of every link that carries otherwise than before.
-func (w *World) rewire() {
-	for _, at := range w.wires() {
-		for _, way := range []link.Way{link.There, link.Back} {
-			how := w.how(at, way)
-			before, known := w.wired[wiredWay{at, way}]
-			if known && before == how || !known && how.Kind == link.Up {
+// updateRelays sends the driver the condition of every link direction that has changed.
+func (em *Emulator) updateRelays() {
+	for _, processLink := range em.processLinks() {
+		for _, direction := range []link.Direction{link.Forward, link.Reverse} {
+			condition := em.condition(processLink, direction)
+			previous, known := em.relayConditions[relayDirection{processLink, direction}]
+			if known && previous == condition || !known && condition.Kind == link.Up {
 				continue
 			}
-			w.wired[wiredWay{at, way}] = how
-			w.do(Rewire{Wire: at, Way: way, How: how})
+			em.relayConditions[relayDirection{processLink, direction}] = condition
+			em.emit(SetRelayCondition{ProcessLink: processLink, Direction: direction, Condition: condition})
 		}
 	}
-	w.relink()
-	w.ground()
+	em.updateLinks()
+	em.reportReachability()
 }
 
-type wiredWay struct {
-	Wire
-	way link.Way
+// relayDirection is one direction of a link.
+type relayDirection struct {
+	ProcessLink
+	direction link.Direction
 }
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -11,64 +11,68 @@
 	"dunlintray/internal/scenario"
 )
 
-// World is one fleet's surroundings.
-type World struct {
-	Judge *referee.Referee
-	Tally *results.Tally
-
-	s        *scenario.Scenario
-	now      time.Duration
-	timers   timers
-	order    uint64 // of timers due at the same moment
-	out      []Action
-	begun    bool
-	gateways []gateway
-	backends []*backend
-	groups   map[group]map[string]time.Duration // keys seen, until when
-	conns    map[Conn]*conn
-	links    map[edge]LinkState
-	counter  counter
-	clients  clients
-	peers    peers
-	faults   *rand.Rand
-	cuts     map[int]int // zones that are cut off, by how many faults
-	heard    map[edge]Entry
-	hushed   int      // faults that hold all lists
-	said     []string // connectivity that each gateway reported last
-	broken   []*broken
-
-	struckServices map[int]bool          // list services that a fault has
-	wired          map[wiredWay]link.How // as the driver was told
-	stale          int
+// Emulator emulates the environment of one fleet. It is not safe for concurrent use.
+type Emulator struct {
+	Referee *referee.Referee
+	Tally   *results.Tally
+
+	scenario      *scenario.Scenario
+	now           time.Duration
+	timers        timers
+	timerSequence uint64 // orders timers that are due at the same time
+	actions       []Action
+	started       bool
+	gateways      []emulatedGateway
+	backends      []*emulatedBackend
+	seenKeys      map[keyScope]map[string]time.Duration // by scope and key, until when duplicates are detected
+	connections   map[Conn]*gatewayConnection
+	links         map[gatewayLink]LinkState
+	counter       emulatedCounter
+	clients       emulatedClients
+	peers         peers
+	faultRandom   *rand.Rand
+	zoneCuts      map[int]int           // by zone, the number of faults that cut it off
+	delivered     map[gatewayLink]Entry // the last entry of each backend that each gateway received
+	pausedLists   int                   // active faults that pause all lists
+	reported      []string              // by gateway, the connectivity that it reported last
+	linkFaults    []*linkFault
+
+	faultyServices  map[int]bool                      // service registries with an active fault
+	relayConditions map[relayDirection]link.Condition // as last sent to the driver
+	staleLists      int                               // active faults that make full lists stale
 }
 
-type edge struct{ gateway, peer int }
-
-type group struct{ kind, n int }
-
-// conn is a connection from a gateway to a backend or the counter.
-type conn struct {
-	id      Conn
-	gateway int
-	peer    int
-	over    bool // the backend has no room for it
-	worked  bool // its handshake has been paid
-	attempt *work
-	idle    time.Duration // since when it has been
-	last    time.Duration // of the counter's answers on it
+// gatewayLink is the link between a gateway and a backend or the counter.
+type gatewayLink struct{ gateway, peer int }
+
+// keyScope is the scope in which an idempotency key is unique: all backends, a zone or a cell.
+type keyScope struct{ kind, number int }
+
+// gatewayConnection is a connection from a gateway to a backend or the counter.
+type gatewayConnection struct {
+	id            Conn
+	gateway       int
+	peer          int
+	overLimit     bool // it exceeds the backend's connection limit
+	handshakeDone bool // the cost of its handshake has been charged
+	attempt       *backendAttempt
+	idleSince     time.Duration
+	lastReply     time.Duration // when the counter's latest reply on it is due
 }
 
+// timer runs a function at a time.
 type timer struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
+// timers is a heap by due time.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
 func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].order < t[j].order
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].sequence < t[j].sequence
 }
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
@@ -80,142 +84,141 @@
 	return last
 }
 
-// Streams of what is drawn, so that one does not shift another.
+// Random streams, one per purpose, so that draws of one do not change those of another.
 const (
 	streamArrivals = iota + 1
 	streamFaults
 	streamShifts
 )
 
-// New returns the world of a scenario, which begins with Begin. The scenario has
-// to be one that Check finds no fault with.
-func New(s *scenario.Scenario) *World {
-	w := &World{s: s, Judge: referee.New(s), Tally: results.New(s), groups: map[group]map[string]time.Duration{}, conns: map[Conn]*conn{},
-		links: map[edge]LinkState{}, faults: rand.New(rand.NewPCG(s.Seed, streamFaults)), cuts: map[int]int{}, heard: map[edge]Entry{}, wired: map[wiredWay]link.How{}, struckServices: map[int]bool{}}
-	w.counter.names = map[string]*number{}
-	w.gateways = make([]gateway, s.Fleet.Gateways)
-	for g := range w.gateways {
-		w.gateways[g] = gateway{zone: g % len(s.Fleet.Zones), state: starting, process: true}
+// New returns an Emulator for a scenario, which must have passed Scenario.Check. Begin starts it.
+func New(s *scenario.Scenario) *Emulator {
+	em := &Emulator{scenario: s, Referee: referee.New(s), Tally: results.New(s), seenKeys: map[keyScope]map[string]time.Duration{}, connections: map[Conn]*gatewayConnection{},
+		links: map[gatewayLink]LinkState{}, faultRandom: rand.New(rand.NewPCG(s.Seed, streamFaults)), zoneCuts: map[int]int{}, delivered: map[gatewayLink]Entry{}, relayConditions: map[relayDirection]link.Condition{}, faultyServices: map[int]bool{}}
+	em.counter.counts = map[string]*count{}
+	em.gateways = make([]emulatedGateway, s.Fleet.Gateways)
+	for g := range em.gateways {
+		em.gateways[g] = emulatedGateway{zone: g % len(s.Fleet.Zones), state: starting, hasProcess: true}
 	}
 	for range s.Fleet.Backends {
-		w.add(-1)
+		em.addBackend(-1)
 	}
-	w.peers.inbox = make([]quota, s.Fleet.Gateways)
-	w.said = make([]string, s.Fleet.Gateways)
-	w.newClients()
-	return w
+	em.peers.receiveQuotas = make([]quota, s.Fleet.Gateways)
+	em.reported = make([]string, s.Fleet.Gateways)
+	em.newClients()
+	return em
 }
 
-// Zone is where a gateway stands.
-func (w *World) Zone(g int) int { return w.gateways[g].zone }
+// Zone returns the zone of a gateway.
+func (em *Emulator) Zone(gateway int) int { return em.gateways[gateway].zone }
 
-// Entries is the list as discovery has it.
-func (w *World) Entries() []Entry {
+// Entries returns the list of backends as discovery has it.
+func (em *Emulator) Entries() []Entry {
 	var all []Entry
-	for _, b := range w.backends {
-		if b.listed {
-			all = append(all, b.entry())
+	for _, backend := range em.backends {
+		if backend.listed {
+			all = append(all, backend.entry())
 		}
 	}
 	return all
 }
 
-// Begin starts the day; gateways have been started and are ready, or will be.
-func (w *World) Begin(now time.Duration) []Action {
-	w.now = now
-	w.begun = true
-	w.ground()
-	for i := range w.s.Faults {
-		f := &w.s.Faults[i]
-		w.at(now+f.At.D(), func() { w.strike(f) })
+// Begin starts the run and returns the first actions. The driver has started the gateways; they
+// need not be ready yet.
+func (em *Emulator) Begin(now time.Duration) []Action {
+	em.now = now
+	em.started = true
+	em.reportReachability()
+	for i := range em.scenario.Faults {
+		fault := &em.scenario.Faults[i]
+		em.schedule(now+fault.At.Std(), func() { em.beginFault(fault) })
 	}
-	w.clients.begin(w)
-	return w.take()
+	em.clients.begin(em)
+	return em.takeActions()
 }
 
-// Step tells the world of an event, and of the time. An event's time is never
-// before one that was told earlier.
-func (w *World) Step(now time.Duration, e Event) []Action {
-	for len(w.timers) > 0 && w.timers[0].at <= now {
-		t := heap.Pop(&w.timers).(timer)
-		w.now = max(w.now, t.at)
-		t.do()
+// Step advances the time to now, handles an event and returns the resulting actions. Times must
+// not decrease from call to call. It panics on an event of an unknown type.
+func (em *Emulator) Step(now time.Duration, event Event) []Action {
+	for len(em.timers) > 0 && em.timers[0].at <= now {
+		due := heap.Pop(&em.timers).(timer)
+		em.now = max(em.now, due.at)
+		due.run()
 	}
-	w.now = max(w.now, now)
-	switch e := e.(type) {
+	em.now = max(em.now, now)
+	switch event := event.(type) {
 	case Tick:
 	case Opened:
-		w.opened(e)
+		em.connectionOpened(event)
 	case Closed:
-		w.closed(e.Conn)
+		em.connectionClosed(event.Conn)
 	case Arrived:
-		w.arrived(e)
+		em.requestArrived(event)
 	case Probed:
-		w.probed(e)
+		em.probed(event)
 	case Called:
-		w.called(e)
-	case Looked:
-		w.looked(e)
-	case Taken:
-		w.Judge.Taken(w.now, e.ID)
+		em.counterCalled(event)
+	case ConnectionsChecked:
+		em.connectionsChecked(event)
+	case RequestWritten:
+		em.Referee.RequestAccepted(em.now, event.ID)
 	case Answered:
-		w.answered(e)
+		em.answered(event)
 	case Unanswered:
-		w.unanswered(e)
-	case Extra:
-		w.Judge.Extra(w.now, e.Gateway, e.ID)
-	case Told:
-		w.told(e)
-	case Enlisted:
-		w.Judge.Enlisted(w.now, e.Backend, states[e.Lifecycle], e.Started, e.Version)
+		em.unanswered(event)
+	case UnexpectedData:
+		em.Referee.SurplusBytes(em.now, event.Gateway, event.ID)
+	case ListDelivered:
+		em.listDelivered(event)
+	case Registered:
+		em.Referee.Registered(em.now, event.Backend, refereeStates[event.Lifecycle], event.Started, event.Version)
 	case Datagram:
-		w.datagram(e)
+		em.datagramSent(event)
 	case Connectivity:
-		w.connectivity(e)
+		em.connectivityReported(event)
 	case Ready:
-		w.ready(e.Gateway)
+		em.gatewayReady(event.Gateway)
 	case Exited:
-		w.exited(e)
+		em.gatewayExited(event)
 	default:
-		panic("world: an event of no known kind")
+		panic("world: unknown event type")
 	}
-	return w.take()
+	return em.takeActions()
 }
 
-// Next is when something is due that no event brings.
-func (w *World) Next() (time.Duration, bool) {
-	if len(w.timers) == 0 {
+// Next returns when the next timer is due, and false if there is none.
+func (em *Emulator) Next() (time.Duration, bool) {
+	if len(em.timers) == 0 {
 		return 0, false
 	}
-	return w.timers[0].at, true
+	return em.timers[0].at, true
 }
 
-// Done says whether the day is over and all requests have ended.
-func (w *World) Done() bool {
-	return w.begun && w.clients.over && len(w.clients.open) == 0 && w.clients.pauses == 0
+// Done reports whether the scenario's duration is over and all requests have ended.
+func (em *Emulator) Done() bool {
+	return em.started && em.clients.ended && len(em.clients.inProgress) == 0 && em.clients.pendingRetries == 0
 }
 
-// End judges what only the whole day shows.
-func (w *World) End(now time.Duration) { w.Judge.End(now) }
+// End has the Referee check the rules that apply to the run as a whole.
+func (em *Emulator) End(now time.Duration) { em.Referee.End(now) }
 
-func (w *World) take() []Action {
-	out := w.out
-	w.out = nil
-	return out
+func (em *Emulator) takeActions() []Action {
+	taken := em.actions
+	em.actions = nil
+	return taken
 }
 
-func (w *World) do(action any) { w.out = append(w.out, Action{w.now, action}) }
+func (em *Emulator) emit(action any) { em.actions = append(em.actions, Action{em.now, action}) }
 
-func (w *World) at(at time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.timers, timer{at, w.order, do})
+func (em *Emulator) schedule(at time.Duration, run func()) {
+	em.timerSequence++
+	heap.Push(&em.timers, timer{at, em.timerSequence, run})
 }
 
-func (w *World) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (em *Emulator) after(delay time.Duration, run func()) { em.schedule(em.now+delay, run) }
 
-// mix spreads the bits of its arguments, so that what is drawn for a request
-// depends on nothing but the request.
-func mix(parts ...uint64) uint64 {
+// hash mixes its arguments into 64 bits. Draws that use it depend on the arguments alone.
+func hash(parts ...uint64) uint64 {
 	h := uint64(0x9e3779b97f4a7c15)
 	for _, p := range parts {
 		h ^= p
@@ -226,5 +229,5 @@
 	return h
 }
 
-// share is a number from 0 to 1 out of such bits.
-func share(bits uint64) float64 { return float64(bits>>11) / (1 << 53) }
+// unitFraction maps the bits of a hash to a number in [0, 1).
+func unitFraction(bits uint64) float64 { return float64(bits>>11) / (1 << 53) }
