--- a/internal/play/agents.go
+++ b/internal/play/agents.go
@@ -221,8 +221,10 @@
 	})
 }
 
+// backendName returns the ID of a backend in lists.
 func backendName(n int) string { return fmt.Sprintf("b-%d", n) }
 
+// parseBackendName returns the number of the backend with an ID, and reports whether it is valid.
 func parseBackendName(id string) (int, bool) {
 	var n int
 	if _, err := fmt.Sscanf(id, "b-%d", &n); err != nil || n < 0 {
@@ -269,7 +271,7 @@
 // each backend would itself. It retries until the registry confirms a change.
 type registrar struct {
 	engine        *engine
-	registry      int // the registry that it calls first
+	registry      int // number of the registry that it calls first
 	changes       chan world.Register
 	registrations map[int]*registration
 }
@@ -277,7 +279,7 @@
 // registration is a backend's last change.
 type registration struct {
 	world.Register
-	confirmed bool // by the registry
+	confirmed bool // the registry has answered with status 200
 }
 
 const (
--- a/internal/play/clients.go
+++ b/internal/play/clients.go
@@ -262,8 +262,8 @@
 // rudeInterval is the time between two bytes of a rude client, and between its connections.
 const rudeInterval = 100 * time.Millisecond
 
-// rude opens connections that send nothing, or a head byte by byte, and opens them
-// again when they are closed.
+// rude emulates clients that hold connections: half of them send nothing, the others a request head
+// byte by byte. Each reconnects when its connection is closed.
 func (p *clientPool) rude(behaviour world.HoldConnections) {
 	ctx, cancel := context.WithTimeout(p.engine.ctx, behaviour.Duration)
 	var wg sync.WaitGroup
--- a/internal/play/links.go
+++ b/internal/play/links.go
@@ -22,7 +22,7 @@
 type endpoint struct {
 	engine   *engine
 	gateway  int
-	peer     int // of the backend, or world.Counter
+	peer     int // number of the backend, or world.Counter
 	listener *link.Listener
 
 	mu    sync.Mutex
@@ -50,6 +50,7 @@
 	return p, err
 }
 
+// accept registers a new connection with the emulator and starts to read from it.
 func (p *endpoint) accept(accepted net.Conn) {
 	connection := &endpointConn{Conn: accepted, id: world.Conn(p.engine.lastConn.Add(1)), endpoint: p}
 	p.mu.Lock()
@@ -81,6 +82,7 @@
 	return p.listener.Set(listenerStates[state])
 }
 
+// close closes the listener and all connections.
 func (p *endpoint) close() {
 	p.listener.Close()
 	p.mu.Lock()
@@ -208,6 +210,7 @@
 	s.endpoint.engine.wg.Go(func() { s.write(head.String(), body, r) })
 }
 
+// write writes a response, and closes the connection's sending side after one that ends it.
 func (s *endpointConn) write(head string, body io.Reader, r world.Reply) {
 	out := bufio.NewWriterSize(s.Conn, maxShortBody)
 	out.WriteString(head)
--- a/internal/play/links_test.go
+++ b/internal/play/links_test.go
@@ -7,8 +7,8 @@
 	"dunlintray/internal/link"
 )
 
-// A connection that a gateway has ended is seen to be, though nobody has read that.
-func TestEnded(t *testing.T) {
+// ended detects a connection that the other side has closed or reset, before anything read that.
+func TestEndedDetectsUnreadCloseAndReset(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 		}
 		c.do(near)
 		if got := (&endpointConn{Conn: far}).ended(); got != c.want {
-			t.Errorf("%s: ended is %v", name, got)
+			t.Errorf("after %s: ended is %v, want %v", name, got, c.want)
 		}
 		near.Close()
 		far.Close()
--- a/internal/play/loop.go
+++ b/internal/play/loop.go
@@ -10,7 +10,7 @@
 	"dunlintray/internal/world"
 )
 
-// loop runs the day: it passes events to the emulator and carries out its actions.
+// loop passes events to the emulator and carries out its actions, until the emulator is done.
 func (e *engine) loop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/play/machine.go
+++ b/internal/play/machine.go
@@ -24,7 +24,7 @@
 	descriptorsPerLink   = 2    // the listener, and the connections that fill its queue on a silent link
 )
 
-// machineResources are the resources of the machineResources that are available.
+// machineResources are the available resources of a machine.
 type machineResources struct {
 	cores       int
 	memoryMB    int
@@ -66,6 +66,7 @@
 	return resources.check(s)
 }
 
+// check returns an error that names each resource of which the scenario needs more than m has.
 func (m machineResources) check(s *scenario.Scenario) error {
 	maxFactor := 1.0
 	if len(s.Load.Shape) > 0 {
--- a/internal/play/machine_test.go
+++ b/internal/play/machine_test.go
@@ -10,8 +10,8 @@
 	"dunlintray/internal/scenario"
 )
 
-// A scenario that asks too much is refused with what it asks.
-func TestFits(t *testing.T) {
+// check rejects a scenario that needs more than the machine has, and names the resource.
+func TestCheckNamesMissingResources(t *testing.T) {
 	plenty := machineResources{cores: 64, memoryMB: 1 << 20, descriptors: 1 << 20}
 	for _, c := range []struct {
 		change func(*machineResources)
@@ -29,17 +29,17 @@
 		s.Faults = []scenario.Fault{{Kind: "burst", Size: 2}, {Kind: "rude", Size: 10}}
 		err := m.check(&s)
 		if (c.want == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%+v: %v", m, err)
+			t.Errorf("%+v: error %v, want %q", m, err, c.want)
 		}
 	}
 	if m, err := thisMachine(); err != nil || m.cores == 0 || m.memoryMB == 0 || m.descriptors == 0 {
-		t.Errorf("%+v %v", m, err)
+		t.Errorf("resources of this machine: %+v, error %v", m, err)
 	}
 }
 
-// Where addresses are taken, others are found, or it is said that none were.
-func TestFindPlace(t *testing.T) {
-	const one, other = endNetwork, endNetwork + 1 // which no run draws that goes on beside this test
+// claimNetwork skips networks that are in use, and returns an error if it finds no other.
+func TestClaimNetworkSkipsNetworksInUse(t *testing.T) {
+	const one, other = endNetwork, endNetwork + 1 // no run beside this test chooses these
 	l, err := net.Listen("tcp", addressPlan{one}.registry(0))
 	if err != nil {
 		t.Fatal(err)
@@ -48,13 +48,13 @@
 	draws := []int{one, one, other}
 	p, claim, err := claimNetwork(2, 1, func(int) int { d := draws[0]; draws = draws[1:]; return d - firstNetwork })
 	if err != nil || p.network != other {
-		t.Fatalf("%+v %v", p, err)
+		t.Fatalf("claimed %+v, error %v", p, err)
 	}
 	defer claim.Close()
-	// What another run has claimed is taken, also before it has started anything.
+	// A claimed network is in use even before its run has started a process.
 	for _, taken := range []int{one, other} {
 		if p, _, err := claimNetwork(2, 1, func(int) int { return taken - firstNetwork }); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("%+v %v", p, err)
+			t.Errorf("claimed %+v, error %v, want EADDRINUSE", p, err)
 		}
 	}
 }
--- a/internal/play/play.go
+++ b/internal/play/play.go
@@ -1,6 +1,6 @@
-// Package play runs a scenario on real processes. It starts gateways and registries, and
-// connects them over loopback sockets to the emulator of package world. It carries out the
-// emulator's actions and reports events to it; all decisions are the emulator's.
+// Package play runs a scenario on real processes: it starts gateways and service registries, and
+// connects them over loopback sockets to the emulator of package world. The emulator makes all
+// decisions; this package reports events to it and carries out its actions.
 package play
 
 import (
@@ -35,9 +35,9 @@
 	Tally               *results.Tally
 	Violations          []referee.Violation
 	Counts              map[string]int // of violations, by rule
-	Marks               []string       // log of the faults, in order
+	Marks               []string       // log of the faults and other notable events, in order
 	InvalidReason       string         // why the run is invalid; empty: it is valid
-	EndedEarly          bool           // the context ended before the day was over
+	EndedEarly          bool           // the context ended before the run was complete
 	Trials              []referee.Trial
 	MinCeilingRemaining float64 // smallest distance to a ceiling: 1 far, 0 at the limit
 	LowCustomers        int     // customers that came to under a third of their ceiling's bucket
@@ -59,7 +59,7 @@
 // closed is the event of a connection that has ended.
 type closed struct{ conn *endpointConn }
 
-// serviceExited is the event of a registry whose process has ended.
+// serviceExited is the event of a service registry whose process has exited.
 type serviceExited struct {
 	service    int
 	generation int    // which of its processes, from 1
@@ -81,7 +81,7 @@
 	options   Options
 	world     *world.Emulator
 	addresses addressPlan
-	claim     net.Listener // reserves the addresses of place
+	claim     net.Listener // reserves the network of addresses
 	epoch     time.Time
 	ctx       context.Context // cancelled at the end of the run
 	wg        sync.WaitGroup
@@ -93,11 +93,11 @@
 
 	gateways    []*process
 	services    []*process
-	configs     [][]byte     // configurations of the services
-	killed      map[int]bool // services that a fault has ended; owned by the loop
-	generations map[int]int  // processes started by service; owned by the loop
+	configs     [][]byte     // of the services
+	killed      map[int]bool // services that a fault has killed or stopped; owned by the loop
+	generations map[int]int  // number of processes started, by service; owned by the loop
 	clients     []*clientPool
-	proxies     [][]*discoveryProxy // by gateway, one for each list service
+	proxies     [][]*discoveryProxy // by gateway, one for each service registry
 	endpoints   map[gatewayLink]*endpoint
 	datagrams   *datagramRelays
 	linkRelays  map[world.ProcessLink]*link.Relay // on links that have faults
@@ -105,7 +105,7 @@
 
 	// Owned by the loop:
 	conns     map[world.Conn]*endpointConn
-	startedAt time.Duration // when the day began
+	startedAt time.Duration // when the loop started
 	marks     []string
 	loopGap   time.Duration // longest time between two readings of the clock
 	failed    error
@@ -123,8 +123,8 @@
 // eventQueueLength is the length of the queue of the loop. Senders block when it is full.
 const eventQueueLength = 1 << 14
 
-// Run runs a scenario until its day is over or ctx ends. When it returns, all processes
-// that it started have ended.
+// Run runs a scenario until its duration has passed and all requests have ended, or until ctx
+// ends. When it returns, all processes that it started have exited.
 func Run(ctx context.Context, s *scenario.Scenario, options Options) (*Result, error) {
 	e := &engine{scenario: s, options: options, epoch: time.Now(), events: make(chan timedEvent, eventQueueLength), endpoints: map[gatewayLink]*endpoint{}, linkRelays: map[world.ProcessLink]*link.Relay{},
 		conns: map[world.Conn]*endpointConn{}, killed: map[int]bool{}, generations: map[int]int{}, methods: map[string]string{},
--- a/internal/play/processes.go
+++ b/internal/play/processes.go
@@ -156,6 +156,7 @@
 // machine uses, with ports below the ephemeral range.
 type addressPlan struct{ network int }
 
+// address returns the address with a port on the host with number n in a block of the network.
 func (p addressPlan) address(block, n, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", p.network, block+n/200, 1+n%200, port)
 }
--- a/internal/play/relays.go
+++ b/internal/play/relays.go
@@ -7,8 +7,8 @@
 	"dunlintray/internal/world"
 )
 
-// datagramRelays is the network between gateways: the exchange that datagramRelays their datagrams, and
-// the contents of those in transit.
+// datagramRelays is the network between gateways: the relay of their datagrams, and the contents
+// of those in transit.
 type datagramRelays struct {
 	*link.DatagramRelay
 
@@ -35,13 +35,13 @@
 			members = append(members, netip.MustParseAddrPort(e.addresses.peer(gateway)))
 		}
 	}
-	exchange, err := link.NewDatagramRelay(addresses, members, func(from, to int, data []byte) {
+	relay, err := link.NewDatagramRelay(addresses, members, func(from, to int, data []byte) {
 		if to == link.Broadcast {
 			to = world.Broadcast
 		}
 		e.post(relayedDatagram{world.Datagram{From: from, To: to, Bytes: len(data)}, data})
 	})
-	return &datagramRelays{DatagramRelay: exchange}, err
+	return &datagramRelays{DatagramRelay: relay}, err
 }
 
 // store keeps the contents of a datagram, and returns the event with its number.
--- a/internal/play/start.go
+++ b/internal/play/start.go
@@ -202,7 +202,7 @@
 }
 
 // startGateway starts the next process of a gateway. It begins with the list of backends that the
-// process before it was told last.
+// process before it received last.
 func (e *engine) startGateway(gateway int) error {
 	addresses := scenario.Addresses{Listen: e.addresses.gateway(gateway), Control: e.addresses.control(gateway), Counter: e.addresses.counter(gateway),
 		Discovery: e.addresses.discoveryProxy(gateway, 0), PeerListen: e.addresses.peer(gateway), Broadcast: e.addresses.datagramRelay(e.scenario.Fleet.Gateways)}
--- a/internal/play/stop.go
+++ b/internal/play/stop.go
@@ -7,7 +7,7 @@
 )
 
 // stopFleet stops all processes and returns the gateways that had to be killed. If the run
-// was cut short, the gateways have less time, and none are reported.
+// is not complete, the gateways have less time, and none are returned.
 func (e *engine) stopFleet(completed bool) (hung []int) {
 	wait := 2 * time.Second
 	if completed {
--- a/internal/referee/attempts.go
+++ b/internal/referee/attempts.go
@@ -8,7 +8,7 @@
 	inFlight    bool // it has not ended
 	mayRun      bool // it has arrived and was not rejected
 	complete    bool // its response was written completely
-	interrupted bool // it was cut short through no fault of the gateway
+	interrupted bool // the backend or the network broke it
 }
 
 // AttemptArrived judges an attempt that has arrived completely. If it returns true, the caller has
--- a/internal/referee/ceiling.go
+++ b/internal/referee/ceiling.go
@@ -12,13 +12,13 @@
 	at    time.Duration
 	low   bool // it has been under a third of its capacity
 
-	requestedRemaining *float64 // units that would be left if all requests were sent on; nil: not counted yet
+	requestedRemaining *float64 // units that would remain if all requests were forwarded; nil: not computed yet
 	requestedAt        time.Duration
 	counterChangedAt   time.Duration // value of Referee.counterChangedAt when requestedRemaining was set
 	overRequested      bool          // requestedRemaining has been under the permitted minimum
 }
 
-// spendCeiling takes a request's units from its customer's ceiling, and judges what is left.
+// spendCeiling takes a request's units from its customer's ceiling, and judges what remains.
 func (r *Referee) spendCeiling(now time.Duration, rec *record) {
 	plan := &r.scenario.Plans[rec.Plan]
 	if plan.CeilingRate == 0 {
--- a/internal/referee/processes.go
+++ b/internal/referee/processes.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Excuse reports that a fault begins at a gateway. It need not answer the requests that it
-// has accepted, nor those that arrive until Back.
+// has accepted, nor those that arrive until FaultEnded.
 func (r *Referee) Excuse(now time.Duration, gateway int) {
 	r.gateways[gateway].excused = true
 	for _, rec := range r.requests {
--- a/internal/referee/referee.go
+++ b/internal/referee/referee.go
@@ -1,6 +1,6 @@
-// Package referee checks from outside whether gateways keep the rules. It observes what
-// clients send and receive, what arrives at backends, and what gateways are told, all in the
-// order of the emulator's events. It is pure: callers pass the time.
+// Package referee checks from outside whether gateways keep the rules. It judges what clients send
+// and receive, what arrives at backends and what gateways receive, in the order in which its caller
+// reports that, and does no I/O.
 package referee
 
 import (
@@ -14,13 +14,13 @@
 // The names of the rules, as violations have them.
 const (
 	Answer   = "answer"   // each accepted request gets one complete, correct, final response in time
-	Twice    = "twice"    // and no further one
+	Twice    = "twice"    // no request gets a further response
 	Copy     = "copy"     // one attempt of a request is in progress at a time
 	Resend   = "resend"   // retries only as the class permits
-	Refusal  = "refusal"  // a response that permits a retry only if no attempt may have run
+	Refusal  = "refusal"  // a gateway refuses a request only if no attempt may have run, unless a repeat is harmless
 	Most     = "most"     // no more attempts than the settings permit
 	Drain    = "drain"    // no new requests to a backend that drains
-	List     = "list"     // what a registry has confirmed is in its lists
+	List     = "list"     // lists have the drains and departures that a registry has confirmed
 	Cold     = "cold"     // no cold backend fails from overload
 	Ceiling  = "ceiling"  // no customer exceeds its plan's ceiling
 	Unknown  = "unknown"  // no request that no client sent, and none to a backend that no list named
@@ -30,7 +30,7 @@
 	Peer     = "peer"     // datagrams between gateways are short
 	Door     = "door"     // at most one new connection in 200 is closed without a response
 	View     = "view"     // gateways hold the right members present, some time after each change
-	Standing = "standing" // and report their connectivity correctly, without flapping
+	Standing = "standing" // gateways report their connectivity correctly, without flapping
 )
 
 const (
@@ -67,7 +67,7 @@
 
 // gateway is the state of a gateway.
 type gateway struct {
-	excused         bool                  // it is down, frozen or cut off by a fault
+	excused         bool                  // a fault has stopped, frozen or isolated it
 	stoppingAt      time.Duration         // when it was told to stop; below 0: it was not
 	backends        map[int]backendNotice // by backend
 	listVersion     int64                 // of the last list that it received
--- a/internal/referee/requests.go
+++ b/internal/referee/requests.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// Abandoned reports that a client has left before its response, which it is owed no more.
+// Abandoned reports that a client has closed its connection before the response, which is no longer
+// required.
 func (r *Referee) Abandoned(now time.Duration, id uint64) {
 	if rec := r.requests[id]; rec != nil && !rec.answered {
 		rec.note(now, "its client closed the connection", 0)
--- a/internal/referee/trials.go
+++ b/internal/referee/trials.go
@@ -11,7 +11,7 @@
 type Trial struct {
 	Name        string // of the rule, or RULE/PART
 	Description string // what is counted
-	Tried       int
+	Tried       int    // number of those situations
 }
 
 // Rule returns the rule that is tested.
--- a/internal/referee/types.go
+++ b/internal/referee/types.go
@@ -55,7 +55,7 @@
 	return b.String()
 }
 
-// State is the state of a backend as lists have it.
+// State is the state of a backend in lists.
 type State int
 
 // The states, in the order in which a backend goes through them.
--- a/internal/scenario/draw.go
+++ b/internal/scenario/draw.go
@@ -13,12 +13,13 @@
 	meanFaultInterval = 2500 * time.Millisecond // mean interval between faults
 	minFaultDuration  = 300 * time.Millisecond
 	maxFaultDuration  = 5 * time.Second
-	recoveryDivisor   = 4 // the fraction 1/recoveryDivisor at the end of the day has no faults
+	recoveryDivisor   = 4 // the last 1/recoveryDivisor of the scenario's duration has no faults
 	faultFreeStart    = time.Second
 )
 
 // Draw replaces the scenario's faults by a random schedule, which its seed determines. Each fault
-// is valid for the fleet and lasts a bounded time; the last quarter of the day has none.
+// is valid for the fleet and lasts a bounded time; the last quarter of the
+// scenario's duration has none.
 func (s *Scenario) Draw() {
 	random := rand.New(rand.NewPCG(s.Seed, randomStream))
 	kinds := []string{"kill", "gone", "freeze", "slow_start", "crash_loop", "crash", "vanish", "replace", "slow", "errors", "resets", "counter_silent", "counter_empty", "list_late", "list_stale", "link", "link", "link"}
@@ -61,6 +62,7 @@
 // randomStream separates these draws from those of the emulator, which use the same seed.
 const randomStream = 101
 
+// drawLink draws the parameters of a link fault.
 func (s *Scenario) drawLink(fault *Fault, random *rand.Rand) {
 	pairs := [][2]string{{"gateways", "counter"}, {"gateways", "backends"}, {"gateways", "gateways"}}
 	if s.Fleet.ListServices > 0 {
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -209,6 +209,7 @@
 	return problems
 }
 
+// checkLoad checks the load, the classes and the plans; see Check.
 func (s *Scenario) checkLoad(want func(bool, string, string, ...any), fraction func(string, float64)) {
 	load := s.Load
 	want(load.RequestsPerS > 0 && load.RequestsPerS <= 1e6, "load.requests_per_s", "%g is not from 0 to a million", load.RequestsPerS)
@@ -269,6 +270,7 @@
 	want(total > 0.999 && total < 1.001, "plan", "the shares are %g together, not 1", total)
 }
 
+// checkFaults checks the faults; see Check.
 func (s *Scenario) checkFaults(want func(bool, string, string, ...any), fraction func(string, float64)) {
 	for i, fault := range s.Faults {
 		key := func(k string) string { return fmt.Sprintf("fault[%d].%s", i, k) }
@@ -324,6 +326,7 @@
 	}
 }
 
+// isName reports whether s can be the name of a class or a plan.
 func isName(s string) bool {
 	return s != "" && len(s) <= 32 && strings.Trim(s, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Scenario describes a fleet and one emulated day on it.
+// Scenario describes a fleet, its load and its faults over a period of time.
 type Scenario struct {
 	Name          string   `toml:"name"`
 	Seed          uint64   `toml:"seed"`     // of all random draws
-	Duration      Duration `toml:"duration"` // the period in which clients make new requests
+	Duration      Duration `toml:"duration"` // the period in which clients send new requests
 	RequiredRules []string `toml:"tried"`    // rules that the run has to exercise; it fails if one is not
 
 	Fleet   Fleet   `toml:"fleet"`
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -108,7 +108,7 @@
 		}
 		for _, f := range s.Faults {
 			if f.At < Duration(faultFreeStart) || f.For > Duration(maxFaultDuration) || f.At+f.For > s.Duration*3/4+Duration(time.Millisecond) {
-				t.Errorf("seed %d: fault %+v is out of bounds in a day of %v", seed, f, s.Duration)
+				t.Errorf("seed %d: fault %+v is out of bounds in a duration of %v", seed, f, s.Duration)
 			}
 			drawn[f.Kind], drawn[f.From+f.To], drawn[f.Effect], drawn[f.Target] = true, true, true, true
 		}
