--- a/internal/play/loop.go
+++ b/internal/play/loop.go
@@ -176,22 +176,22 @@
 		e.gateways[action.Gateway].signal(syscall.SIGSTOP)
 	case world.Thaw:
 		e.gateways[action.Gateway].signal(syscall.SIGCONT)
-	case world.KillService:
-		e.killed[action.Service] = true
-		e.services[action.Service].signal(syscall.SIGKILL)
-	case world.StopService:
-		e.killed[action.Service] = true
-		e.services[action.Service].signal(syscall.SIGTERM)
-	case world.FreezeService:
-		e.services[action.Service].signal(syscall.SIGSTOP)
-	case world.ThawService:
-		e.services[action.Service].signal(syscall.SIGCONT)
-	case world.StartService:
-		e.services[action.Service].awaitExit(0)
-		if err := e.startService(action.Service); err != nil {
+	case world.KillRegistry:
+		e.killed[action.Registry] = true
+		e.services[action.Registry].signal(syscall.SIGKILL)
+	case world.StopRegistry:
+		e.killed[action.Registry] = true
+		e.services[action.Registry].signal(syscall.SIGTERM)
+	case world.FreezeRegistry:
+		e.services[action.Registry].signal(syscall.SIGSTOP)
+	case world.ThawRegistry:
+		e.services[action.Registry].signal(syscall.SIGCONT)
+	case world.StartRegistry:
+		e.services[action.Registry].awaitExit(0)
+		if err := e.startService(action.Registry); err != nil {
 			return err
 		}
-		e.killed[action.Service] = false
+		e.killed[action.Registry] = false
 	case world.HoldConnections:
 		e.clients[action.Gateway].rude(action)
 	case world.Deliver:
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -128,55 +128,55 @@
 		em.applyToGateways(fault, targets)
 		return
 	}
-	for service := range em.scenario.Fleet.ListServices {
-		if !em.matches(actor, Endpoint{actor.Kind, service}) || em.faultyServices[service] {
+	for registry := range em.scenario.Fleet.ListServices {
+		if !em.matches(actor, Endpoint{actor.Kind, registry}) || em.faultyRegistries[registry] {
 			continue
 		}
-		em.faultyServices[service] = true
+		em.faultyRegistries[registry] = true
 		em.reportReachability()
 		restored := func() {
-			delete(em.faultyServices, service)
+			delete(em.faultyRegistries, registry)
 			em.reportReachability()
 		}
 		switch fault.Kind {
 		case "kill":
-			em.emit(KillService{service})
+			em.emit(KillRegistry{registry})
 		case "restart":
-			em.emit(StopService{service})
+			em.emit(StopRegistry{registry})
 		case "slow_start":
-			em.emit(KillService{service})
-			em.after(restartDelay, func() { em.emit(StartService{service}); em.emit(FreezeService{service}) })
+			em.emit(KillRegistry{registry})
+			em.after(restartDelay, func() { em.emit(StartRegistry{registry}); em.emit(FreezeRegistry{registry}) })
 		case "crash_loop":
-			em.crashLoopService(service, fault.Flap.Std(), em.now+fault.For.Std(), restored)
+			em.crashLoopRegistry(registry, fault.Flap.Std(), em.now+fault.For.Std(), restored)
 			continue
 		default:
-			em.emit(FreezeService{service})
+			em.emit(FreezeRegistry{registry})
 		}
 		em.after(fault.For.Std(), func() {
 			restored()
 			switch fault.Kind {
 			case "freeze", "slow_start":
-				em.emit(ThawService{service})
+				em.emit(ThawRegistry{registry})
 				return
 			case "gone": // until now its connections stayed established without data
-				em.emit(KillService{service})
+				em.emit(KillRegistry{registry})
 			}
-			em.emit(StartService{service})
+			em.emit(StartRegistry{registry})
 		})
 	}
 }
 
-// crashLoopService kills and restarts a service registry at each interval until end, and then
+// crashLoopRegistry kills and restarts a service registry at each interval until end, and then
 // calls done.
-func (em *Emulator) crashLoopService(service int, interval, end time.Duration, done func()) {
-	em.emit(KillService{service})
+func (em *Emulator) crashLoopRegistry(registry int, interval, end time.Duration, done func()) {
+	em.emit(KillRegistry{registry})
 	em.after(restartDelay, func() {
-		em.emit(StartService{service})
+		em.emit(StartRegistry{registry})
 		if em.now+interval >= end {
 			done()
 			return
 		}
-		em.after(interval, func() { em.crashLoopService(service, interval, end, done) })
+		em.after(interval, func() { em.crashLoopRegistry(registry, interval, end, done) })
 	})
 }
 
--- a/internal/world/fleet.go
+++ b/internal/world/fleet.go
@@ -19,7 +19,7 @@
 	for n := range em.gateways {
 		report.Running[n] = em.gateways[n].state == up && !em.gateways[n].frozen
 	}
-	report.ServicesReachable = len(em.zoneCuts) == 0 && len(em.linkFaults) == 0 && len(em.faultyServices) == 0 && em.counter.silentFaults == 0 && em.pausedLists == 0
+	report.ServicesReachable = len(em.zoneCuts) == 0 && len(em.linkFaults) == 0 && len(em.faultyRegistries) == 0 && em.counter.silentFaults == 0 && em.pausedLists == 0
 	em.Referee.TopologyChanged(em.now, report)
 }
 
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -93,21 +93,21 @@
 	for g := range em.gateways {
 		all = append(all, ProcessLink{Endpoint{scenario.Operators, 0}, Endpoint{scenario.Gateways, g}})
 	}
-	for service := range em.scenario.Fleet.ListServices {
-		to := Endpoint{scenario.Registries, service}
+	for registry := range em.scenario.Fleet.ListServices {
+		to := Endpoint{scenario.Registries, registry}
 		for g := range em.gateways {
 			all = append(all, ProcessLink{Endpoint{scenario.Gateways, g}, to})
 		}
 		if em.scenario.Fleet.Group {
 			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
 			for other := range em.scenario.Fleet.ListServices {
-				if other != service {
+				if other != registry {
 					all = append(all, ProcessLink{Endpoint{scenario.Registries, other}, to})
 				}
 			}
 			continue
 		}
-		if service == 0 {
+		if registry == 0 {
 			all = append(all, ProcessLink{Endpoint{scenario.Backends, 0}, to})
 			for other := 1; other < em.scenario.Fleet.ListServices; other++ {
 				all = append(all, ProcessLink{Endpoint{scenario.Registries, other}, to})
--- a/internal/world/types.go
+++ b/internal/world/types.go
@@ -208,16 +208,16 @@
 	Freeze struct{ Gateway int }
 	// Thaw resumes a gateway's process.
 	Thaw struct{ Gateway int }
-	// KillService kills a service registry's process.
-	KillService struct{ Service int }
-	// StopService asks a service registry's process to shut down.
-	StopService struct{ Service int }
-	// StartService starts a service registry's process.
-	StartService struct{ Service int }
-	// FreezeService suspends a service registry's process.
-	FreezeService struct{ Service int }
-	// ThawService resumes a service registry's process.
-	ThawService struct{ Service int }
+	// KillRegistry kills a service registry's process.
+	KillRegistry struct{ Registry int }
+	// StopRegistry asks a service registry's process to shut down.
+	StopRegistry struct{ Registry int }
+	// StartRegistry starts a service registry's process.
+	StartRegistry struct{ Registry int }
+	// FreezeRegistry suspends a service registry's process.
+	FreezeRegistry struct{ Registry int }
+	// ThawRegistry resumes a service registry's process.
+	ThawRegistry struct{ Registry int }
 	// HoldConnections keeps connections to a gateway open that send nothing or a request head that
 	// never ends, and closes them after Duration.
 	HoldConnections struct {
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -37,9 +37,9 @@
 	reported      []string              // by gateway, the connectivity that it reported last
 	linkFaults    []*linkFault
 
-	faultyServices  map[int]bool                      // service registries with an active fault
-	relayConditions map[relayDirection]link.Condition // as last sent to the driver
-	staleLists      int                               // active faults that make full lists stale
+	faultyRegistries map[int]bool                      // service registries with an active fault
+	relayConditions  map[relayDirection]link.Condition // as last sent to the driver
+	staleLists       int                               // active faults that make full lists stale
 }
 
 // gatewayLink is the link between a gateway and a backend or the counter.
@@ -94,7 +94,7 @@
 // New returns an Emulator for a scenario, which must have passed Scenario.Check. Begin starts it.
 func New(s *scenario.Scenario) *Emulator {
 	em := &Emulator{scenario: s, Referee: referee.New(s), Tally: results.New(s), seenKeys: map[keyScope]map[string]time.Duration{}, connections: map[Conn]*gatewayConnection{},
-		links: map[gatewayLink]LinkState{}, faultRandom: rand.New(rand.NewPCG(s.Seed, streamFaults)), zoneCuts: map[int]int{}, delivered: map[gatewayLink]Entry{}, relayConditions: map[relayDirection]link.Condition{}, faultyServices: map[int]bool{}}
+		links: map[gatewayLink]LinkState{}, faultRandom: rand.New(rand.NewPCG(s.Seed, streamFaults)), zoneCuts: map[int]int{}, delivered: map[gatewayLink]Entry{}, relayConditions: map[relayDirection]link.Condition{}, faultyRegistries: map[int]bool{}}
 	em.counter.counts = map[string]*count{}
 	em.gateways = make([]emulatedGateway, s.Fleet.Gateways)
 	for g := range em.gateways {
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -85,7 +85,7 @@
 	for next, ok := em.Next(); ok && next < 13*time.Second; next, ok = em.Next() {
 		for _, a := range em.Step(next, Tick{}) {
 			switch operation := a.Operation.(type) {
-			case KillService, StartService, FreezeService, ThawService, Freeze, Start:
+			case KillRegistry, StartRegistry, FreezeRegistry, ThawRegistry, Freeze, Start:
 				got = append(got, fmt.Sprintf("%v %T %v", a.Due, operation, operation))
 			case Kill:
 				got = append(got, fmt.Sprintf("%v %T %v", a.Due, operation, operation))
@@ -93,15 +93,15 @@
 			}
 		}
 	}
-	want := `1s world.FreezeService {1}
-2s world.KillService {0}
-2s world.KillService {2}
-3s world.KillService {1}
-3s world.StartService {1}
-4s world.StartService {0}
-4s world.StartService {2}
-6s world.FreezeService {0}
-7s world.ThawService {0}
+	want := `1s world.FreezeRegistry {1}
+2s world.KillRegistry {0}
+2s world.KillRegistry {2}
+3s world.KillRegistry {1}
+3s world.StartRegistry {1}
+4s world.StartRegistry {0}
+4s world.StartRegistry {2}
+6s world.FreezeRegistry {0}
+7s world.ThawRegistry {0}
 8s world.Freeze {2}
 9s world.Kill {2}
 9.1s world.Start {2}
