--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -295,7 +295,7 @@
 		}
 	}
 	writer.QueryPeers(ctx, current.Peers)
-	if fence := writer.Fenced(); fence != nil {
+	if fence := writer.Fence(); fence != nil {
 		slog.Error("another writer was promoted in place of this one; configure this one as its follower", "writer", fence.Writer, "epoch", fence.Epoch)
 	}
 	go reload(ctx, path, current, hangups, func(next *config) { writer.SetLimits(next.storeLimits(), next.serverLimits()) })
@@ -413,14 +413,14 @@
 	if store == nil {
 		return fmt.Errorf("takeover: %s: the folder contains no list", args[1])
 	}
-	copied, err := server.TakeOver(store)
+	fromFollower, err := server.TakeOver(store)
 	if err != nil {
 		return fmt.Errorf("takeover: %s: %w", args[1], err)
 	}
 	if err := group.Bootstrap(member, wal.Dir(parsed.Group.DataDir), server); err != nil {
 		return fmt.Errorf("takeover: %w", err)
 	}
-	if copied {
+	if fromFollower {
 		fmt.Fprintln(out, "the folder holds a follower's copy: writes that the follower had not copied are lost, and the list has a new history")
 	}
 	fmt.Fprintln(out, "the list was taken over; start this member, and add others to it. Do not start the writer again")
--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -54,8 +54,8 @@
 
 // notLeader returns the error of a call that only the leader can process.
 func (g *Group) notLeader() error {
-	if at := g.members.Members[g.leader].Address; at != "" {
-		return &NotLeaderError{at}
+	if address := g.members.Members[g.leader].Address; address != "" {
+		return &NotLeaderError{address}
 	}
 	return ErrNoLeader
 }
@@ -259,7 +259,8 @@
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&request); err != nil || request.Number == 0 || request.Address == "" {
-			http.Error(w, fmt.Sprintf("invalid member: a number from 1 and an address are required: %v", err), http.StatusBadRequest)
+			http.Error(w, fmt.Sprintf("invalid member: a number from 1 and an address are required: %v",
+				cmp.Or(err, fmt.Errorf("got number %d and address %.80q", request.Number, request.Address))), http.StatusBadRequest)
 			return
 		}
 		err = g.Add(ctx, request.Number, request.Member)
--- a/internal/group/client.go
+++ b/internal/group/client.go
@@ -110,7 +110,7 @@
 			return status, response, nil
 		}
 		if err == nil {
-			err = fmt.Errorf("%s: %d: %s", address, status, bytes.TrimSpace(response))
+			err = fmt.Errorf("%s: status %d: %s", address, status, bytes.TrimSpace(response))
 		}
 		c.recordFailure(address, err)
 		if lastFailure == nil || ctx.Err() == nil {
@@ -161,7 +161,7 @@
 		return result, err
 	}
 	if err := json.Unmarshal(text, &result); err != nil {
-		return result, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+		return result, fmt.Errorf("status %d: %s", status, bytes.TrimSpace(text))
 	}
 	return result, nil
 }
@@ -175,7 +175,7 @@
 	case status == http.StatusNotFound:
 		return record, false, nil
 	case status != http.StatusOK:
-		return record, false, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+		return record, false, fmt.Errorf("status %d: %s", status, bytes.TrimSpace(text))
 	}
 	return record, true, json.Unmarshal(text, &record)
 }
@@ -187,7 +187,7 @@
 	case err != nil:
 		return listing, err
 	case status != http.StatusOK:
-		return listing, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+		return listing, fmt.Errorf("status %d: %s", status, bytes.TrimSpace(text))
 	}
 	return listing, json.Unmarshal(text, &listing)
 }
@@ -199,7 +199,7 @@
 	case err != nil:
 		return units, err
 	case status != http.StatusOK:
-		return units, fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+		return units, fmt.Errorf("status %d: %s", status, bytes.TrimSpace(text))
 	}
 	return units, json.Unmarshal(text, &units)
 }
@@ -226,7 +226,7 @@
 func (c *Client) changeMembers(ctx context.Context, method, path string, body []byte) error {
 	status, text, err := c.call(ctx, method, path, body)
 	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("%d: %s", status, bytes.TrimSpace(text))
+		err = fmt.Errorf("status %d: %s", status, bytes.TrimSpace(text))
 	}
 	return err
 }
@@ -238,7 +238,7 @@
 	case err != nil:
 		return status, err
 	case code != http.StatusOK:
-		return status, fmt.Errorf("%d: %s", code, bytes.TrimSpace(text))
+		return status, fmt.Errorf("status %d: %s", code, bytes.TrimSpace(text))
 	}
 	return status, json.Unmarshal(text, &status)
 }
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -154,7 +154,7 @@
 	log          DurableLog
 	stateMachine StateMachine
 	confState    *raftpb.ConfState
-	applied      uint64
+	applied      uint64                 // index of the last applied entry
 	incarnations map[uint64]incarnation // latest known incarnation by member, this one included
 	err          error
 }
@@ -236,8 +236,8 @@
 	return c, err
 }
 
-func (l incarnation) encode() []byte {
-	text, err := json.Marshal(l)
+func (i incarnation) encode() []byte {
+	text, err := json.Marshal(i)
 	if err != nil {
 		panic(err) // unreachable: all fields can be encoded
 	}
@@ -311,7 +311,7 @@
 	return out, c.compact()
 }
 
-// persist writes new state to the durable log, and then to raft's storage.
+// persist writes a Ready to the durable log, and then to raft's storage in memory.
 func (c *core) persist(rd raft.Ready) error {
 	var batch [][]byte
 	size := 0
@@ -415,8 +415,9 @@
 	})
 }
 
-func emitAll(emit func([]byte) error, parts ...[][]byte) error {
-	for _, records := range parts {
+// emitAll emits the records of each batch in order.
+func emitAll(emit func([]byte) error, batches ...[][]byte) error {
+	for _, records := range batches {
 		for _, r := range records {
 			if err := emit(r); err != nil {
 				return err
@@ -479,8 +480,8 @@
 	return change, nil
 }
 
-// compact replaces the log by a snapshot when one is due. After a failure the next call tries
-// again.
+// compact replaces the log by a snapshot when one is due. It logs a failure to write it, and the
+// next call retries.
 func (c *core) compact() error {
 	if !c.log.SnapshotDue() {
 		return nil
@@ -522,6 +523,7 @@
 	return nil
 }
 
+// tagged returns a record: the byte of its kind, followed by the body.
 func tagged(kind byte, body []byte) []byte { return append([]byte{kind}, body...) }
 
 func mustMarshal(m proto.Message) []byte {
@@ -532,6 +534,7 @@
 	return b
 }
 
+// snapshotRecords returns the log records of a snapshot.
 func snapshotRecords(meta *raftpb.SnapshotMetadata, lines [][]byte) [][]byte {
 	records := [][]byte{tagged(kindSnapshot, mustMarshal(meta))}
 	for _, l := range lines {
--- a/internal/group/offline.go
+++ b/internal/group/offline.go
@@ -154,8 +154,8 @@
 // initialMembers returns the members that the configuration names.
 func (c *Config) initialMembers() map[uint64]Member {
 	members := map[uint64]Member{}
-	for n, at := range c.Members {
-		members[n] = Member{Address: at, RegistryAddress: c.RegistryAddresses[n]}
+	for n, address := range c.Members {
+		members[n] = Member{Address: address, RegistryAddress: c.RegistryAddresses[n]}
 	}
 	return members
 }
--- a/internal/group/peer.go
+++ b/internal/group/peer.go
@@ -46,7 +46,7 @@
 	stop             context.CancelFunc
 	onUnreachable    func()
 	onSnapshotStatus func(raft.SnapshotStatus)
-	onRefused        func(why string)
+	onRefused        func(reason string)
 }
 
 func newPeer(group string, self, number uint64, address string, post func(func())) *peer {
@@ -157,13 +157,13 @@
 
 // decodeMessages decodes messages to self. It fails if one is not from another member.
 func decodeMessages(data []byte, self uint64, members map[uint64]Member) (messages []*raftpb.Message, err error) {
-	parts, err := splitLines(data)
+	encoded, err := splitLines(data)
 	if err != nil {
 		return nil, errMessages
 	}
-	for _, part := range parts {
+	for _, text := range encoded {
 		m := &raftpb.Message{}
-		if err := proto.Unmarshal(part, m); err != nil || m.Type == nil || m.GetTo() != self || m.GetFrom() == self || members[m.GetFrom()].Address == "" || raft.IsLocalMsg(m.GetType()) {
+		if err := proto.Unmarshal(text, m); err != nil || m.Type == nil || m.GetTo() != self || m.GetFrom() == self || members[m.GetFrom()].Address == "" || raft.IsLocalMsg(m.GetType()) {
 			return nil, errMessages
 		}
 		messages = append(messages, m)
--- a/internal/group/server.go
+++ b/internal/group/server.go
@@ -19,7 +19,7 @@
 	"dunlintray/internal/ledger"
 )
 
-// HTTP paths of the clients' calls.
+// HTTP paths of the calls by clients.
 const (
 	CommandsPath = "/ledger/commands"
 	RecordsPath  = "/ledger/records"
@@ -175,7 +175,7 @@
 	json.NewEncoder(w).Encode(result)
 }
 
-// Listing holds records of the ledger at an index.
+// Listing holds records of the ledger as of an index of the log.
 type Listing struct {
 	Index    uint64          `json:"index"`
 	Complete bool            `json:"whole"` // all records; otherwise those that have changed
@@ -258,7 +258,7 @@
 	writeJSON(w, sessions)
 }
 
-// Units holds all units of the fleet and the rules for them at an index.
+// Units holds all units of the fleet and the rules for them, as of an index of the log.
 type Units struct {
 	Index         uint64        `json:"index"`
 	Rules         []budget.Rule `json:"rules"`
@@ -331,9 +331,9 @@
 	writeLine("members", int64(len(status.Members)), "g")
 	writeLine("voters", int64(len(status.Voters)), "g")
 	writeLine("takes_part", map[bool]int64{true: 1}[status.TakesPart], "g")
-	for value := range status.Members {
-		if lag, known := status.Lag[value]; known {
-			writeLine(fmt.Sprintf("lag.%d", value), int64(lag), "g")
+	for number := range status.Members {
+		if lag, known := status.Lag[number]; known {
+			writeLine(fmt.Sprintf("lag.%d", number), int64(lag), "g")
 		}
 	}
 	io.WriteString(w, lines.String())
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -26,44 +26,44 @@
 
 // newAgentFleet reserves n loopback addresses. The agents are not started yet.
 func newAgentFleet(t *testing.T, n int) *agentFleet {
-	x := &agentFleet{t: t, agents: make([]*Agent, n), stop: make([]context.CancelFunc, n), ended: make([]chan struct{}, n), reportedPresent: make([][]bool, n)}
+	fleet := &agentFleet{t: t, agents: make([]*Agent, n), stop: make([]context.CancelFunc, n), ended: make([]chan struct{}, n), reportedPresent: make([][]bool, n)}
 	for range n {
-		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
+		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		x.peers = append(x.peers, c.LocalAddr().(*net.UDPAddr).AddrPort())
+		defer conn.Close()
+		fleet.peers = append(fleet.peers, conn.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
-	return x
+	return fleet
 }
 
 // start starts an agent as member i until the test ends.
-func (x *agentFleet) start(i int) *Agent {
-	x.t.Helper()
-	a, err := NewAgent(AgentConfig{Self: i, Listen: x.peers[i], Peers: x.peers, Start: time.Now(), MaxReceiveRate: 50}, rand.New(rand.NewPCG(uint64(i), 1)), func(present []bool) {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		x.reportedPresent[i] = present
+func (f *agentFleet) start(i int) *Agent {
+	f.t.Helper()
+	agent, err := NewAgent(AgentConfig{Self: i, Listen: f.peers[i], Peers: f.peers, Start: time.Now(), MaxReceiveRate: 50}, rand.New(rand.NewPCG(uint64(i), 1)), func(present []bool) {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.reportedPresent[i] = present
 	})
 	if err != nil {
-		x.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	x.agents[i], x.stop[i], x.ended[i] = a, stop, ended
-	go func() { defer close(ended); a.Run(ctx) }()
-	x.t.Cleanup(func() { stop(); <-ended })
-	return a
+	f.agents[i], f.stop[i], f.ended[i] = agent, stop, ended
+	go func() { defer close(ended); agent.Run(ctx) }()
+	f.t.Cleanup(func() { stop(); <-ended })
+	return agent
 }
 
 // waitForState waits until all observers have a member in a state.
-func (x *agentFleet) waitForState(observers []int, member int, state State) {
-	x.t.Helper()
+func (f *agentFleet) waitForState(observers []int, member int, state State) {
+	f.t.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		agreed := true
 		for _, i := range observers {
-			v := x.agents[i].View()
+			v := f.agents[i].View()
 			agreed = agreed && len(v.Members) > member && v.Members[member].State == state
 		}
 		if agreed {
@@ -71,9 +71,9 @@
 		}
 		if time.Now().After(end) {
 			for _, i := range observers {
-				x.t.Logf("member %d has %v", i, x.agents[i].View().Members)
+				f.t.Logf("member %d has %v", i, f.agents[i].View().Members)
 			}
-			x.t.Fatalf("member %d did not become %v within %v", member, state, waitTimeout)
+			f.t.Fatalf("member %d did not become %v within %v", member, state, waitTimeout)
 		}
 	}
 }
@@ -117,10 +117,10 @@
 
 // A member number beyond the peers, a duplicate address and a rate of zero are errors.
 func TestNewAgentRejectsInvalidConfig(t *testing.T) {
-	a := netip.MustParseAddrPort("127.0.0.1:1")
-	for _, c := range []AgentConfig{{Self: 1, Peers: []netip.AddrPort{a}, MaxReceiveRate: 9}, {Peers: []netip.AddrPort{a, a}, MaxReceiveRate: 9}, {Peers: []netip.AddrPort{a}}} {
-		if _, err := NewAgent(c, nil, nil); err == nil {
-			t.Errorf("no error for %+v", c)
+	peer := netip.MustParseAddrPort("127.0.0.1:1")
+	for _, config := range []AgentConfig{{Self: 1, Peers: []netip.AddrPort{peer}, MaxReceiveRate: 9}, {Peers: []netip.AddrPort{peer, peer}, MaxReceiveRate: 9}, {Peers: []netip.AddrPort{peer}}} {
+		if _, err := NewAgent(config, nil, nil); err == nil {
+			t.Errorf("no error for %+v", config)
 		}
 	}
 }
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -60,10 +60,10 @@
 	return &simulatedFleet{t: t, random: rand.New(rand.NewPCG(seed, 1)), nodes: make([]*Node, n), frozen: make([]bool, n), maxReceiveRate: 100, lastStart: 1_700_000_000_000}
 }
 
-func (f *simulatedFleet) push(d event) {
+func (f *simulatedFleet) push(e event) {
 	f.pushed++
-	d.order = f.pushed
-	heap.Push(&f.queue, d)
+	e.order = f.pushed
+	heap.Push(&f.queue, e)
 }
 
 // start starts a new process of member i.
@@ -134,26 +134,26 @@
 // done returned true; if done is nil, it returns true.
 func (f *simulatedFleet) run(until time.Duration, done func() bool) bool {
 	for len(f.queue) > 0 && f.queue[0].at <= until {
-		d := heap.Pop(&f.queue).(event)
-		f.now = d.at
-		n := f.nodes[d.to]
+		next := heap.Pop(&f.queue).(event)
+		f.now = next.at
+		n := f.nodes[next.to]
 		if n == nil {
 			continue
 		}
-		if f.frozen[d.to] {
-			d.at = f.now + 50*time.Millisecond // events wait while the node is frozen
-			f.push(d)
+		if f.frozen[next.to] {
+			next.at = f.now + 50*time.Millisecond // events wait while the node is frozen
+			f.push(next)
 			continue
 		}
-		if d.data == nil {
-			if d.from == -1 && f.now >= n.Next() {
-				f.deliver(d.to, n.Tick(f.now))
+		if next.data == nil {
+			if next.from == -1 && f.now >= n.Next() {
+				f.deliver(next.to, n.Tick(f.now))
 			}
-			if f.nodes[d.to] == n {
-				f.push(event{at: max(n.Next(), f.now+time.Millisecond), from: -1, to: d.to})
+			if f.nodes[next.to] == n {
+				f.push(event{at: max(n.Next(), f.now+time.Millisecond), from: -1, to: next.to})
 			}
 		} else {
-			f.deliver(d.to, n.Receive(f.now, d.from, d.data))
+			f.deliver(next.to, n.Receive(f.now, next.from, next.data))
 		}
 		if done != nil && done() {
 			return true
--- a/internal/registry/agreed.go
+++ b/internal/registry/agreed.go
@@ -205,7 +205,7 @@
 // TakeOver replaces the list by that of source: a writer's with its history, or a follower's
 // copy under a new history, as readers may have seen changes that the follower has not. It
 // reports whether source was a follower's copy.
-func (s *Server) TakeOver(source *Store) (copied bool, err error) {
+func (s *Server) TakeOver(source *Store) (fromFollower bool, err error) {
 	if source.fence != nil {
 		return false, fmt.Errorf("another writer, %s, has replaced the writer of this list", source.fence.Writer)
 	}
--- a/internal/registry/agreed_test.go
+++ b/internal/registry/agreed_test.go
@@ -105,7 +105,7 @@
 	}
 	random := rand.New(rand.NewPCG(seed, 2))
 	acknowledged, lastStart := map[string]int64{}, int64(0)
-	answered := 0
+	acknowledgedWrites := 0
 	for range 150 {
 		lastStart++
 		instance := Instance{ID: fmt.Sprint("s-", random.IntN(5)), HostPort: "127.0.0.1:1", Zone: "a", MachineType: "m", Weight: 1, StartedAtMs: lastStart}
@@ -119,7 +119,7 @@
 				return fmt.Errorf("acknowledged with %+v, expected Ready", result)
 			}
 			acknowledged[instance.ID] = lastStart
-			answered++
+			acknowledgedWrites++
 		}
 		if err := group.checkMembers(acknowledged, lastStart); err != nil {
 			return err
@@ -134,8 +134,8 @@
 			}
 		}
 	}
-	if answered < 30 {
-		return fmt.Errorf("%d writes were acknowledged, expected at least 30", answered)
+	if acknowledgedWrites < 30 {
+		return fmt.Errorf("%d writes were acknowledged, expected at least 30", acknowledgedWrites)
 	}
 	return nil
 }
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -113,7 +113,7 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkRecovery opens a data directory from a log, from a log with ten times the records, and
+// BenchmarkRecovery opens a folder with a log, from a log with ten times the records, and
 // from a snapshot.
 func BenchmarkRecovery(b *testing.B) {
 	const maxBytes = 4 << 30
--- a/internal/registry/control.go
+++ b/internal/registry/control.go
@@ -36,15 +36,15 @@
 	mux.HandleFunc("GET /control/where", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		position := struct {
-			History string `json:"history"`
-			Version int64  `json:"version"`
-			Epoch   int64  `json:"epoch"`
-			Writer  string `json:"writer,omitempty"`
-			Fenced  string `json:"fencedBy,omitempty"`
-			AgeMs   *int64 `json:"ageMs,omitempty"`
+			History  string `json:"history"`
+			Version  int64  `json:"version"`
+			Epoch    int64  `json:"epoch"`
+			Writer   string `json:"writer,omitempty"`
+			FencedBy string `json:"fencedBy,omitempty"`
+			AgeMs    *int64 `json:"ageMs,omitempty"`
 		}{History: s.store.history, Version: s.store.version, Epoch: s.store.epoch}
 		if s.store.fence != nil {
-			position.Fenced = s.store.fence.Writer
+			position.FencedBy = s.store.fence.Writer
 		}
 		s.mu.Unlock()
 		if writer := s.writer.Load(); writer != nil {
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -100,7 +100,7 @@
 
 // Serve is Server.Serve for a follower: it also replicates the writer and, after a promotion,
 // notifies the old writer.
-func (f *Follower) Serve(ctx context.Context, listener, operatorListener net.Listener) error {
+func (f *Follower) Serve(ctx context.Context, listener, controlListener net.Listener) error {
 	background, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -116,5 +116,5 @@
 		}
 	})
 	wg.Go(func() { f.client.Run(copyContext, f.sources) })
-	return f.Server.Serve(ctx, listener, operatorListener)
+	return f.Server.Serve(ctx, listener, controlListener)
 }
--- a/internal/registry/handlers.go
+++ b/internal/registry/handlers.go
@@ -72,7 +72,7 @@
 	case errors.As(err, &tooLarge):
 		return request, refuse(http.StatusRequestEntityTooLarge, "the request body exceeds the maximum of %d bytes", maxRequestBytes)
 	case err != nil:
-		return request, refuse(http.StatusBadRequest, "the request body could not be read completely")
+		return request, refuse(http.StatusBadRequest, "the request body could not be read completely: %v", err)
 	}
 	if err := decode(body, &request); err != nil {
 		return request, refuse(http.StatusBadRequest, "%v", err)
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -97,15 +97,15 @@
 	case err != nil || address.Port() == 0:
 		return fmt.Errorf("hostPort: %.80q is not a numeric address with a port", i.HostPort)
 	case !isName(i.Zone):
-		return fmt.Errorf("zone: %.80q is not a name of 1 to %d letters", i.Zone, maxNameBytes)
+		return fmt.Errorf("zone: %.80q is not a name of 1 to %d bytes", i.Zone, maxNameBytes)
 	case !isName(i.MachineType):
-		return fmt.Errorf("machineType: %.80q is not a name of 1 to %d letters", i.MachineType, maxNameBytes)
+		return fmt.Errorf("machineType: %.80q is not a name of 1 to %d bytes", i.MachineType, maxNameBytes)
 	case i.Cell < 0 || i.Cell >= maxCells:
-		return fmt.Errorf("cell: %d is out of range", i.Cell)
+		return fmt.Errorf("cell: %d is not from 0 to %d", i.Cell, maxCells-1)
 	case !i.Lifecycle.known():
 		return fmt.Errorf("lifecycle: %.80q is not known", i.Lifecycle)
 	case !(i.Weight >= 0 && i.Weight <= maxWeight) || math.IsNaN(i.Weight):
-		return fmt.Errorf("weight: %g is out of range", i.Weight)
+		return fmt.Errorf("weight: %g is not from 0 to %g", i.Weight, maxWeight)
 	case i.StartedAtMs < 0 || i.StartedAtMs > maxExactInteger:
 		return fmt.Errorf("startedAtMs: %d is out of range", i.StartedAtMs)
 	case i.Drained && i.Lifecycle != Gone:
@@ -113,7 +113,7 @@
 	case i.Service != "" && !isServiceName(i.Service):
 		return fmt.Errorf("service: %.80q is not 1 to %d characters of a-z, A-Z, 0-9, dot, dash and underscore", i.Service, maxNameBytes)
 	case i.Region != "" && !isName(i.Region):
-		return fmt.Errorf("region: %.80q is not a name of 1 to %d letters", i.Region, maxNameBytes)
+		return fmt.Errorf("region: %.80q is not a name of 1 to %d bytes", i.Region, maxNameBytes)
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
 	if listing.Generation < 0 || listing.Generation > maxExactInteger {
-		return Listing{}, fmt.Errorf("list: generation %d is out of range", listing.Generation)
+		return Listing{}, fmt.Errorf("list: generation %d is not from 0 to %d", listing.Generation, int64(maxExactInteger))
 	}
 	ids := make([]string, 0, len(listing.Instances))
 	for _, instance := range listing.Instances {
--- a/internal/registry/keeper.go
+++ b/internal/registry/keeper.go
@@ -11,7 +11,7 @@
 	"dunlintray/internal/wal"
 )
 
-// WALKind is the kind of write-ahead log in a registry's data directory.
+// WALKind is the kind of write-ahead log in a registry's folder.
 const WALKind = "registry"
 
 const (
@@ -43,7 +43,7 @@
 	done   chan struct{}
 }
 
-// Open opens the log in a data directory and restores the store from it. The store is nil
+// Open opens the log in a folder and restores the store from it. The store is nil
 // if the log is empty. maxBytes bounds the size of the log. The caller closes the log unless
 // it passes it to Server.Persist.
 func Open(fs wal.FS, maxBytes int64, limits Limits, now time.Duration) (*wal.Log, *Store, error) {
@@ -76,11 +76,11 @@
 }
 
 // Persist makes the server persist its changes in log, which it closes at the end of Serve.
-// If fresh is true, Persist records the beginning of the history. Call it before Serve.
-func (s *Server) Persist(log *wal.Log, fresh bool) error {
+// If newHistory is true, Persist records the beginning of the history. Call it before Serve.
+func (s *Server) Persist(log *wal.Log, newHistory bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if fresh {
+	if newHistory {
 		begin := Begin{History: s.store.history, Version: s.store.version, BaseVersion: s.store.baseVersion, Epoch: s.store.epoch, Writer: true}
 		if _, err := log.Append([][]byte{encodeRecord(Record{Begin: &begin})}); err != nil {
 			return err
@@ -271,7 +271,7 @@
 	return p.appendRecords([][]byte{encodeRecord(record)})
 }
 
-// Compact writes a snapshot of a data directory that no process uses, and returns the
+// Compact writes a snapshot of a folder that no process uses, and returns the
 // statistics of its log. maxBytes bounds the size of the log.
 func Compact(fs wal.FS, maxBytes int64) (wal.Stats, error) {
 	log, store, err := Open(fs, maxBytes, Limits{Lease: time.Second, Instances: 1 << 30, History: 1 << 30, HistoryBytes: 1 << 40, EmptyServices: 1 << 30}, 0)
--- a/internal/registry/keeper_test.go
+++ b/internal/registry/keeper_test.go
@@ -15,7 +15,7 @@
 	"dunlintray/internal/wal"
 )
 
-// faultyFS is a directory whose disk can be full or fail to sync.
+// faultyFS is a folder whose disk can be full or fail to sync.
 type faultyFS struct {
 	wal.FS
 	diskFull, failSync atomic.Bool
@@ -49,7 +49,7 @@
 	return f.File.Sync()
 }
 
-// startPersistent runs a writer, or a follower if writer is set, on a data directory.
+// startPersistent runs a writer, or a follower if writer is set, on a folder.
 func startPersistent(t *testing.T, dir wal.FS, address, writer string) (*testServer, *Follower) {
 	t.Helper()
 	log, store, err := Open(dir, 64<<20, testLimits, 0)
@@ -66,12 +66,12 @@
 		server.run(t, follower.Serve, address)
 		return server, follower
 	}
-	fresh := store == nil
-	if fresh {
+	newHistory := store == nil
+	if newHistory {
 		store = newTestStore(testLimits, 0)
 	}
 	server := &testServer{Server: NewWriter(address, store, testServerLimits, time.Now(), random)}
-	if err := server.Persist(log, fresh); err != nil {
+	if err := server.Persist(log, newHistory); err != nil {
 		t.Fatal(err)
 	}
 	server.run(t, server.Server.Serve, address)
@@ -269,7 +269,7 @@
 	}
 	writer.stopAndWait(t)
 
-	// A writer queries its peers before it accepts writes, and a fenced writer can become a follower.
+	// A writer queries its peers before it accepts writes, and a fence writer can become a follower.
 	follower.stopAndWait(t)
 	follower, _ = startPersistent(t, followerDir, "127.0.0.1:0", "127.0.0.1:1")
 	if listing := follower.list(t, ""); len(listing.Instances) != 3 {
@@ -278,8 +278,8 @@
 	follower.register(t, "s-5", 5)
 	fresh := NewWriter("w", newTestStore(testLimits, 0), testServerLimits, time.Now(), rand.New(rand.NewPCG(1, 1)))
 	fresh.QueryPeers(t.Context(), []string{"127.0.0.1:1", follower.address})
-	if fenced := fresh.Fenced(); fenced == nil || fenced.Epoch != 2 {
-		t.Errorf("fence from the peers: %+v", fenced)
+	if fence := fresh.Fence(); fence == nil || fence.Epoch != 2 {
+		t.Errorf("fence from the peers: %+v", fence)
 	}
 	writer, _ = startPersistent(t, oldDir, "127.0.0.1:0", follower.address)
 	waitUntil(t, "the old writer replicates the new one", hasInstance(writer, "s-5"))
@@ -296,7 +296,7 @@
 		t.Errorf("fence: %d %s", code, text)
 	}
 	if code := promote(); code != 409 {
-		t.Errorf("promotion of a fenced writer: status %d", code)
+		t.Errorf("promotion of a fence writer: status %d", code)
 	}
 }
 
--- a/internal/registry/promote.go
+++ b/internal/registry/promote.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -68,7 +69,8 @@
 			err = decode(body, &fence)
 		}
 		if err != nil || fence.Epoch < 1 || fence.History == "" || len(fence.History) > maxNameBytes || len(fence.Writer) > maxNameBytes {
-			s.writeError(w, refuse(http.StatusBadRequest, "invalid fence: %v", err))
+			s.writeError(w, refuse(http.StatusBadRequest, "invalid fence: %v",
+				cmp.Or(err, fmt.Errorf("epoch %d is below 1, or history %.80q or writer %.80q is missing or has more than %d bytes", fence.Epoch, fence.History, fence.Writer, maxNameBytes))))
 			return
 		}
 		if err := s.applyFence(fence); err != nil {
@@ -92,8 +94,8 @@
 	s.writeAnswer(w, body)
 }
 
-// Fenced returns the fence with the writer that has replaced this one, or nil.
-func (s *Server) Fenced() *Fence {
+// Fence returns the fence with the writer that has replaced this one, or nil.
+func (s *Server) Fence() *Fence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.store.fence
@@ -125,8 +127,8 @@
 	return errors.As(err, &refusal) && refusal.Status == http.StatusConflict
 }
 
-// callFence gets the writer that a registry process knows. If tell is not nil, it notifies
-// the process of that writer first.
+// callFence gets the writer that a registry process knows. If fence is not nil, it notifies
+// the process of that fence first.
 func callFence(ctx context.Context, address string, fence *Fence) (Fence, error) {
 	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
--- a/internal/registry/saved.go
+++ b/internal/registry/saved.go
@@ -72,14 +72,14 @@
 	if err := decode(encoded, &record); err != nil {
 		return record, err
 	}
-	parts := 0
+	fieldsSet := 0
 	for _, set := range []bool{record.Begin != nil, record.Entry != nil, record.Change != nil, record.Copy != nil, record.Fence != nil, record.Empty != nil} {
 		if set {
-			parts++
+			fieldsSet++
 		}
 	}
-	if parts != 1 {
-		return record, fmt.Errorf("record: %d fields are set, expected 1", parts)
+	if fieldsSet != 1 {
+		return record, fmt.Errorf("record: %d fields are set, expected 1", fieldsSet)
 	}
 	return record, nil
 }
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -42,7 +42,7 @@
 	changed         chan struct{} // closed and replaced when watchers are woken
 	lastWake        time.Time
 	wakePending     bool
-	loggedLapses    int64
+	loggedLapses    int64 // Stats.Lapsed as last logged
 	lapsesLoggedAt  time.Time
 	listingTokens   float64 // full listings that the rate limit admits now
 	listingTokensAt time.Time
@@ -105,7 +105,7 @@
 	}
 }
 
-// logLapses logs the number of lapsed leases at most once a second.
+// logLapses logs how many instances have lapsed, at most once a second.
 func (s *Server) logLapses() {
 	s.mu.Lock()
 	stats := s.store.Stats()
@@ -200,10 +200,10 @@
 }
 
 // Serve serves readers and writers on listener, and the control endpoints on
-// operatorListener unless that is nil, until ctx ends. Then it ends the watches spread over
+// controlListener unless that is nil, until ctx ends. Then it ends the watches spread over
 // time, so that the readers do not reconnect elsewhere all at once. It returns an error if a
 // listener or the persister fails, or if shutdown times out.
-func (s *Server) Serve(ctx context.Context, listener, operatorListener net.Listener) error {
+func (s *Server) Serve(ctx context.Context, listener, controlListener net.Listener) error {
 	tickContext, stopTicks := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -232,9 +232,9 @@
 	connections := s.limits.Connections
 	s.mu.Unlock()
 	wg.Go(func() { serveErrors <- server.Serve(netutil.LimitListener(listener, connections)) })
-	if operatorListener != nil {
+	if controlListener != nil {
 		control := &http.Server{Handler: s.controlHandler(), ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes}
-		wg.Go(func() { serveErrors <- control.Serve(netutil.LimitListener(operatorListener, 16)) })
+		wg.Go(func() { serveErrors <- control.Serve(netutil.LimitListener(controlListener, 16)) })
 		defer control.Close()
 	}
 	var persistErr error
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -15,9 +15,10 @@
 	EmptyServices int // known services without instances; 0 means 4096
 }
 
+// An instance lapses when it is removed because its lease has expired.
 const (
-	lapseFractionPerSecond = 0.05 // share of the list that may lapse per second
-	lapseBurstFraction     = 0.1  // share of the list that may lapse at once
+	lapseFractionPerSecond = 0.05 // fraction of the list that may lapse per second
+	lapseBurstFraction     = 0.1  // fraction of the list that may lapse at once
 	pauseLeaseDivisor      = 4    // a gap between ticks above lease/pauseLeaseDivisor counts as a pause of the process
 	maxCachedAnswers       = 64
 )
@@ -49,7 +50,7 @@
 
 	gatheringUntil time.Duration // the list is incomplete before this time
 	lastTick       time.Duration
-	lapseCredit    float64 // leases that may lapse now
+	lapseCredit    float64 // instances that may lapse now
 	stats          Stats
 }
 
@@ -60,8 +61,8 @@
 	History, Bytes       int // changes kept, and their size in bytes
 	Registered           int64
 	Renewed              int64
-	Lapsed               int64
-	Overdue              int   // expired leases that have not lapsed yet because of the rate limit
+	Lapsed               int64 // instances removed because their leases had expired
+	Overdue              int   // instances with expired leases that the rate limit keeps in the list
 	Pauses               int64 // detected pauses of the process, after each of which all leases were renewed
 	ChangesEncoded       int64
 	AnswersEncoded       int64
--- a/internal/registry/subscriptions.go
+++ b/internal/registry/subscriptions.go
@@ -80,7 +80,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, refuse(http.StatusRequestEntityTooLarge, "the subscription exceeds the maximum of %d bytes", maxBytes)
 	case err != nil:
-		return nil, refuse(http.StatusBadRequest, "the request body could not be read completely")
+		return nil, refuse(http.StatusBadRequest, "the request body could not be read completely: %v", err)
 	}
 	var request subscriptionRequest
 	if err := decode(data, &request); err != nil {
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -51,7 +51,7 @@
 	Records         int // records of the log after the snapshot
 	Bytes           int64
 	Last            uint64 // sequence of the last record
-	Closed          bool   // the log was closed regularly
+	Closed          bool   // Close had ended the log
 	TruncatedFile   string // file with a torn end; empty: none
 	TruncatedAt     int64
 	TruncatedBytes  int64
@@ -59,7 +59,7 @@
 	Duration        time.Duration
 
 	segments  []segment
-	snapshots []uint64
+	snapshots []uint64 // sequences of all snapshots, in ascending order
 }
 
 // segment is a file of the log.
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -57,9 +57,9 @@
 	mu           sync.Mutex // guards the fields below
 	file         File       // the newest segment
 	segments     []segment  // the newest last
-	snapshots    []uint64
-	lastSequence uint64 // sequence
-	err          error
+	snapshots    []uint64   // sequences of the snapshots on disk, the newest last
+	lastSequence uint64     // of the last record
+	err          error      // ErrFailed or errClosed; calls return it
 	stats        Stats
 	scratch      []byte
 }
@@ -312,7 +312,7 @@
 			err = errors.Join(err, file.Close(), l.fs.Remove(tempName))
 		}
 	}()
-	const batch = 64 << 10 // approximate bytes per frame
+	const batchBytes = 64 << 10 // approximate, per frame
 	var pending [][]byte
 	count, pendingBytes := uint64(0), 0
 	write := func(data []byte) error {
@@ -340,7 +340,7 @@
 		if len(record) > maxFrameBytes-4 {
 			return fmt.Errorf("wal: snapshot record of %d bytes exceeds the limit of %d", len(record), maxFrameBytes-4)
 		}
-		if pendingBytes+len(record)+4 > batch {
+		if pendingBytes+len(record)+4 > batchBytes {
 			if err := flush(); err != nil {
 				return err
 			}
--- a/internal/world/body.go
+++ b/internal/world/body.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// Body describes the content of a body: the hexadecimal digits of Seed and a space, repeated up to
-// Size bytes. A receiver can verify a body of any size without storing it.
+// Body describes the body of an HTTP message: the 16 hexadecimal digits of Seed and a space, repeated
+// up to Size bytes. A receiver can verify a body of any size without storing it.
 type Body struct {
 	Seed uint64
 	Size int64
