--- a/cmd/dunlintray/defects_test.go
+++ b/cmd/dunlintray/defects_test.go
@@ -19,59 +19,60 @@
 	"dunlintray/scenarios"
 )
 
-// defect is one that is planted into a program.
+// defect is a fault that is planted into a daemon by edits of its sources, and the rule that has to
+// report it.
 type defect struct {
 	Name     string
 	Rule     string
 	Scenario string
-	Program  string // gateway, if empty
+	Program  string // gateway by default
 	Edit     []struct{ File, Old, New string }
 }
 
 func readDefects(t *testing.T) []defect {
 	t.Helper()
-	var all struct{ Defect []defect }
+	var file struct{ Defect []defect }
 	text, err := os.ReadFile("testdata/defects.toml")
 	if err == nil {
-		err = toml.Unmarshal(text, &all)
+		err = toml.Unmarshal(text, &file)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all.Defect
+	return file.Defect
 }
 
-// plant builds the defect's program, from sources of which the compiler sees others,
-// and returns its path.
-func (d defect) plant(t *testing.T) string {
+// build builds the daemon with the edited sources as an overlay, and returns the path of the
+// executable.
+func (d defect) build(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	texts := map[string]string{}
-	for _, e := range d.Edit {
-		path, err := filepath.Abs(filepath.Join("../..", e.File))
+	for _, edit := range d.Edit {
+		path, err := filepath.Abs(filepath.Join("../..", edit.File))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, read := texts[path]; !read {
+		if _, found := texts[path]; !found {
 			text, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
 			texts[path] = string(text)
 		}
-		if n := strings.Count(texts[path], e.Old); n != 1 {
-			t.Fatalf("%s: its place stands %d times in %s", d.Name, n, e.File)
+		if n := strings.Count(texts[path], edit.Old); n != 1 {
+			t.Fatalf("%s: the text to replace occurs %d times in %s, want 1", d.Name, n, edit.File)
 		}
-		texts[path] = strings.Replace(texts[path], e.Old, e.New, 1)
+		texts[path] = strings.Replace(texts[path], edit.Old, edit.New, 1)
 	}
 	var overlay struct{ Replace map[string]string }
 	overlay.Replace = map[string]string{}
 	for path, text := range texts {
-		file := filepath.Join(dir, fmt.Sprint(len(overlay.Replace), ".go"))
-		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		editedPath := filepath.Join(dir, fmt.Sprint(len(overlay.Replace), ".go"))
+		if err := os.WriteFile(editedPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		overlay.Replace[path] = file
+		overlay.Replace[path] = editedPath
 	}
 	text, err := json.Marshal(overlay)
 	if err == nil {
@@ -80,12 +81,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := filepath.Join(dir, "program")
-	build := exec.Command("go", "build", "-overlay", filepath.Join(dir, "overlay.json"), "-o", program, "../"+d.program())
+	executable := filepath.Join(dir, "program")
+	build := exec.Command("go", "build", "-overlay", filepath.Join(dir, "overlay.json"), "-o", executable, "../"+d.program())
 	if text, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%s: %v\n%s", d.Name, err, text)
 	}
-	return program
+	return executable
 }
 
 func (d defect) program() string {
@@ -95,125 +96,125 @@
 	return d.Program
 }
 
-// number is a number out of the environment.
-func number(name string, otherwise int) int {
+// environmentInt returns the integer in an environment variable, or defaultValue if there is none.
+func environmentInt(name string, defaultValue int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return defaultValue
 }
 
-// playing plays a scenario that ships with the programs given, the tests' own where
-// there is none.
-func playing(t *testing.T, name string, seed uint64, programs map[string]string) *play.Result {
+// playScenario plays a shipped scenario with the executables given by name of the daemon, and with
+// those of the tests otherwise.
+func playScenario(t *testing.T, name string, seed uint64, executables map[string]string) *play.Result {
 	t.Helper()
-	s, err := read(name)
+	s, err := readScenario(name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Seed = seed
-	o := play.Options{Gateway: bin + "/gateway", Registry: bin + "/registry", Dir: t.TempDir()}
-	if p := programs["gateway"]; p != "" {
-		o.Gateway = p
+	options := play.Options{Gateway: daemonDir + "/gateway", Registry: daemonDir + "/registry", Dir: t.TempDir()}
+	if path := executables["gateway"]; path != "" {
+		options.Gateway = path
 	}
-	if p := programs["registry"]; p != "" {
-		o.Registry = p
+	if path := executables["registry"]; path != "" {
+		options.Registry = path
 	}
-	r, err := play.Run(t.Context(), s, o)
+	result, err := play.Run(t.Context(), s, options)
 	if err != nil {
 		t.Fatalf("%s, seed %d: %v", name, seed, err)
 	}
-	return r
+	return result
 }
 
-// Every planted defect still fits the sources: the text that it replaces occurs once.
+// The text that each planted defect replaces occurs once in its source.
 func TestDefectsFitTheSources(t *testing.T) {
 	for _, d := range readDefects(t) {
-		for _, e := range d.Edit {
-			text, err := os.ReadFile(filepath.Join("../..", e.File))
+		for _, edit := range d.Edit {
+			text, err := os.ReadFile(filepath.Join("../..", edit.File))
 			if err != nil {
 				t.Errorf("%s: %v", d.Name, err)
 				continue
 			}
-			if n := strings.Count(string(text), e.Old); n != 1 {
-				t.Errorf("%s: the text that it replaces occurs %d times in %s", d.Name, n, e.File)
+			if n := strings.Count(string(text), edit.Old); n != 1 {
+				t.Errorf("%s: the text to replace occurs %d times in %s, want 1", d.Name, n, edit.File)
 			}
 		}
 	}
 }
 
-// Each planted defect is named by its rule on a scenario that ships. Of all of them
-// a few are played here; DEFECTS=all plays all, or those whose names have its text,
-// at DEFECT_SEEDS seeds, and tells what each did to the worth.
+// The rule of each planted defect reports it on a shipped scenario. Without DEFECTS a few are
+// played; DEFECTS=all plays all, and another value those whose names contain it. DEFECT_SEEDS sets
+// the number of seeds and DEFECT_PLAYS the plays at once.
 func TestPlantedDefects(t *testing.T) {
-	all := readDefects(t)
+	defects := readDefects(t)
 	for _, rule := range referee.Rules() {
-		if !slices.ContainsFunc(all, func(d defect) bool { return d.Rule == rule }) {
-			t.Errorf("no defect is planted against the rule %s", rule)
+		if !slices.ContainsFunc(defects, func(d defect) bool { return d.Rule == rule }) {
+			t.Errorf("no defect is planted against rule %s", rule)
 		}
 	}
-	want, told := os.LookupEnv("DEFECTS")
-	few := []string{"a list service drops the drain of a registration", "local shares have no end while the counter is silent", "a key of a zone is sent to another"}
-	places := make(chan struct{}, number("DEFECT_PLAYS", len(few)))
+	selection, selected := os.LookupEnv("DEFECTS")
+	defaultSelection := []string{"a list service drops the drain of a registration", "local shares have no end while the counter is silent", "a key of a zone is sent to another"}
+	slots := make(chan struct{}, environmentInt("DEFECT_PLAYS", len(defaultSelection)))
 	var mu sync.Mutex
-	sound := map[string]func() *play.Result{}
-	for _, d := range all {
-		if told && want != "all" && !strings.Contains(d.Name, want) || !told && !slices.Contains(few, d.Name) {
+	soundPlays := map[string]func() *play.Result{}
+	for _, d := range defects {
+		if selected && selection != "all" && !strings.Contains(d.Name, selection) || !selected && !slices.Contains(defaultSelection, d.Name) {
 			continue
 		}
 		t.Run(d.Name, func(t *testing.T) {
 			t.Parallel()
-			places <- struct{}{}
-			defer func() { <-places }()
-			program := d.plant(t)
-			for seed := range uint64(number("DEFECT_SEEDS", 1)) {
-				r := playing(t, d.Scenario, seed+1, map[string]string{d.program(): program})
-				if r.Counts[d.Rule] == 0 {
-					t.Errorf("%s, seed %d: told as %v, not as %s", d.Scenario, seed+1, r.Counts, d.Rule)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			executable := d.build(t)
+			for seed := range uint64(environmentInt("DEFECT_SEEDS", 1)) {
+				result := playScenario(t, d.Scenario, seed+1, map[string]string{d.program(): executable})
+				if result.Counts[d.Rule] == 0 {
+					t.Errorf("%s, seed %d: broken rules are %v, want %s among them", d.Scenario, seed+1, result.Counts, d.Rule)
 				}
-				if !told {
+				if !selected {
 					continue
 				}
 				key := fmt.Sprint(d.Scenario, seed)
 				mu.Lock()
-				if sound[key] == nil {
-					sound[key] = sync.OnceValue(func() *play.Result { return playing(t, d.Scenario, seed+1, nil) })
+				if soundPlays[key] == nil {
+					soundPlays[key] = sync.OnceValue(func() *play.Result { return playScenario(t, d.Scenario, seed+1, nil) })
 				}
-				without := sound[key]
+				soundPlay := soundPlays[key]
 				mu.Unlock()
-				for _, v := range without().Violations {
-					t.Errorf("%s, seed %d, without the defect (late: %q): %v", d.Scenario, seed+1, without().InvalidReason, v)
+				for _, violation := range soundPlay().Violations {
+					t.Errorf("%s, seed %d, without the defect (invalid: %q): %v", d.Scenario, seed+1, soundPlay().InvalidReason, violation)
 				}
-				t.Logf("| %s | %s | %s %d | %d | %.3f | %.3f |", d.Name, d.Rule, d.Scenario, seed+1, r.Counts[d.Rule], without().Tally.ServedFraction(), r.Tally.ServedFraction())
+				t.Logf("| %s | %s | %s %d | %d | %.3f | %.3f |", d.Name, d.Rule, d.Scenario, seed+1, result.Counts[d.Rule], soundPlay().Tally.ServedFraction(), result.Tally.ServedFraction())
 			}
 		})
 	}
 }
 
-// The programs as they are break no rule on any scenario that ships, and try what
-// each is there to try, at seeds from SOUND_FIRST to SOUND_SEEDS.
+// The daemons break no rule on any shipped scenario and exercise its required rules, at the seeds
+// from SOUND_FIRST to SOUND_SEEDS. SOUND_ONLY selects scenarios by name.
 func TestSoundOnAllScenarios(t *testing.T) {
-	seeds := number("SOUND_SEEDS", 0)
+	seeds := environmentInt("SOUND_SEEDS", 0)
 	if seeds == 0 {
-		t.Skip("SOUND_SEEDS asks for it")
+		t.Skip("SOUND_SEEDS is not set")
 	}
-	for seed := uint64(number("SOUND_FIRST", 1)) - 1; seed < uint64(seeds); seed++ {
+	for seed := uint64(environmentInt("SOUND_FIRST", 1)) - 1; seed < uint64(seeds); seed++ {
 		for _, name := range scenarios.Names() {
 			if only := os.Getenv("SOUND_ONLY"); only != "" && !slices.Contains(strings.Split(only, ","), name) {
 				continue
 			}
-			r := playing(t, name, seed+1, nil)
-			s, err := read(name)
+			result := playScenario(t, name, seed+1, nil)
+			s, err := readScenario(name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if untried := referee.Untried(r.Trials, s.RequiredRules); len(untried) > 0 {
-				t.Errorf("%s, seed %d: not tried: %v", name, seed+1, untried)
+			if untried := referee.Untried(result.Trials, s.RequiredRules); len(untried) > 0 {
+				t.Errorf("%s, seed %d: rules not exercised: %v", name, seed+1, untried)
 			}
-			for _, v := range r.Violations {
-				t.Errorf("%s, seed %d: %v", name, seed+1, v)
+			for _, violation := range result.Violations {
+				t.Errorf("%s, seed %d: %v", name, seed+1, violation)
 			}
-			t.Logf("| %s %d | %.3f | %.2f | %.2f | %s |", name, seed+1, r.Tally.ServedFraction(), r.MinCeilingRemaining, r.MaxColdBudgetUsed, r.InvalidReason)
+			t.Logf("| %s %d | %.3f | %.2f | %.2f | %s |", name, seed+1, result.Tally.ServedFraction(), result.MinCeilingRemaining, result.MaxColdBudgetUsed, result.InvalidReason)
 		}
 	}
 }
--- a/cmd/dunlintray/ledger.go
+++ b/cmd/dunlintray/ledger.go
@@ -16,7 +16,7 @@
 	"dunlintray/internal/ledger"
 )
 
-// ledgerCmd calls a group of list services for the ledger that they agree on.
+// ledgerCmd reads and writes the replicated ledger of a group of service registries.
 type ledgerCmd struct {
 	Get    ledgerGetCmd    `cmd:"" help:"Print a record, as all that was agreed on before left it."`
 	List   ledgerListCmd   `cmd:"" help:"Print all records under a prefix."`
@@ -24,73 +24,75 @@
 	Delete ledgerDeleteCmd `cmd:"" help:"Take a record away."`
 }
 
-// membersArg are the members to ask, any of which will do.
-type membersArg struct {
+// groupFlags names the members of a group. Any of them accepts a call.
+type groupFlags struct {
 	Group string        `required:"" help:"Addresses of members, with commas between." placeholder:"ADDRESS,..."`
 	Wait  time.Duration `help:"How long to try." default:"10s"`
 }
 
-func (m *membersArg) client(ctx context.Context) (*group.Client, context.Context, func()) {
-	c := group.NewClient(strings.Split(m.Group, ","))
+// client returns a client of the group, a context that expires after the wait flag, and a
+// function that releases both.
+func (m *groupFlags) client(ctx context.Context) (*group.Client, context.Context, func()) {
+	client := group.NewClient(strings.Split(m.Group, ","))
 	ctx, cancel := context.WithTimeout(ctx, m.Wait)
-	return c, ctx, func() { cancel(); c.Close() }
+	return client, ctx, func() { cancel(); client.Close() }
 }
 
 type ledgerGetCmd struct {
-	membersArg
+	groupFlags
 	Name string `arg:""`
 }
 
 func (c *ledgerGetCmd) Run(ctx context.Context, out io.Writer) error {
-	client, ctx, end := c.client(ctx)
-	defer end()
-	r, there, err := client.Get(ctx, c.Name)
+	client, ctx, closeClient := c.client(ctx)
+	defer closeClient()
+	record, found, err := client.Get(ctx, c.Name)
 	switch {
 	case err != nil:
 		return err
-	case !there:
+	case !found:
 		return fmt.Errorf("there is no record %s", c.Name)
 	}
-	return json.NewEncoder(out).Encode(r)
+	return json.NewEncoder(out).Encode(record)
 }
 
 type ledgerListCmd struct {
-	membersArg
+	groupFlags
 	Prefix string `arg:"" optional:""`
 }
 
 func (c *ledgerListCmd) Run(ctx context.Context, out io.Writer) error {
-	client, ctx, end := c.client(ctx)
-	defer end()
-	l, err := client.List(ctx, c.Prefix)
+	client, ctx, closeClient := c.client(ctx)
+	defer closeClient()
+	list, err := client.List(ctx, c.Prefix)
 	if err != nil {
 		return err
 	}
-	e := json.NewEncoder(out)
-	for _, r := range l.Records {
-		if err := e.Encode(r.Record); err != nil {
+	encoder := json.NewEncoder(out)
+	for _, record := range list.Records {
+		if err := encoder.Encode(record.Record); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// change makes a command and tells what it came to.
-func (m *membersArg) change(ctx context.Context, out io.Writer, command ledger.Command) error {
-	client, ctx, end := m.client(ctx)
-	defer end()
-	r, err := client.Do(ctx, command)
+// change runs a command in the group and prints its result.
+func (m *groupFlags) change(ctx context.Context, out io.Writer, command ledger.Command) error {
+	client, ctx, closeClient := m.client(ctx)
+	defer closeClient()
+	result, err := client.Do(ctx, command)
 	switch {
 	case err != nil:
 		return fmt.Errorf("it is not known whether it was done: %w", err)
-	case r.Code != ledger.OK:
-		return fmt.Errorf("%s: %s", r.Code, r.Text)
+	case result.Code != ledger.OK:
+		return fmt.Errorf("%s: %s", result.Code, result.Text)
 	}
-	return json.NewEncoder(out).Encode(r)
+	return json.NewEncoder(out).Encode(result)
 }
 
 type ledgerPutCmd struct {
-	membersArg
+	groupFlags
 	Name   string  `arg:""`
 	Value  string  `arg:"" help:"JSON."`
 	Expect *uint64 `help:"The version that the record has to have; 0: none."`
@@ -101,7 +103,7 @@
 }
 
 type ledgerDeleteCmd struct {
-	membersArg
+	groupFlags
 	Name   string  `arg:""`
 	Expect *uint64 `help:"The version that the record has to have."`
 }
@@ -110,7 +112,7 @@
 	return c.change(ctx, out, ledger.Command{Op: ledger.Delete, Name: c.Name, Expect: c.Expect})
 }
 
-// groupCmd looks at the members themselves, and changes who they are.
+// groupCmd shows and changes the members of a group.
 type groupCmd struct {
 	Show     groupShowCmd     `cmd:"" help:"Show how members stand: the writer, its term, who lags."`
 	Add      groupAddCmd      `cmd:"" help:"Add a member, which is filled and then votes."`
@@ -118,10 +120,10 @@
 	Transfer groupTransferCmd `cmd:"" help:"Have another member write."`
 }
 
-// changeMembers has the group change its members, and then writes the line done.
-func (m *membersArg) changeMembers(ctx context.Context, out io.Writer, change func(context.Context, *group.Client) error, done string) error {
-	client, ctx, end := m.client(ctx)
-	defer end()
+// changeMembers runs a membership change in the group and prints done on success.
+func (m *groupFlags) changeMembers(ctx context.Context, out io.Writer, change func(context.Context, *group.Client) error, done string) error {
+	client, ctx, closeClient := m.client(ctx)
+	defer closeClient()
 	if err := change(ctx, client); err != nil {
 		return err
 	}
@@ -130,7 +132,7 @@
 }
 
 type groupAddCmd struct {
-	membersArg
+	groupFlags
 	Number  uint64 `arg:"" help:"A number that none has had."`
 	Address string `arg:"" help:"Where members and callers will reach it."`
 	List    string `help:"Its list service's address, where the group has the list."`
@@ -143,7 +145,7 @@
 }
 
 type groupRemoveCmd struct {
-	membersArg
+	groupFlags
 	Number uint64 `arg:""`
 }
 
@@ -154,7 +156,7 @@
 }
 
 type groupTransferCmd struct {
-	membersArg
+	groupFlags
 	Number uint64 `arg:""`
 }
 
@@ -169,6 +171,7 @@
 	Wait    time.Duration `help:"How long each may take." default:"3s"`
 }
 
+// errMembersDiffer reports a group without one writer that all its members agree on.
 var errMembersDiffer = errors.New("members name different writers in one term, or none that answers")
 
 func (c *groupShowCmd) Run(ctx context.Context, out io.Writer) error {
@@ -177,32 +180,32 @@
 	tab := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "member\tnumber\tis\tgroup\tterm\twriter\tapplied\tcommitted\trecords\tsessions\tcommit p50/p99/most ms\tlag")
 	writers := map[uint64]uint64{} // by term
-	newest, writes, differ := uint64(0), false, false
-	for _, at := range c.Members {
-		within, cancel := context.WithTimeout(ctx, c.Wait)
-		s, err := client.Status(within, at)
+	newestTerm, writerAnswered, differ := uint64(0), false, false
+	for _, address := range c.Members {
+		memberCtx, cancel := context.WithTimeout(ctx, c.Wait)
+		status, err := client.Status(memberCtx, address)
 		cancel()
 		if err != nil {
-			fmt.Fprintf(tab, "%s\tno answer: %v\n", at, err)
+			fmt.Fprintf(tab, "%s\tno answer: %v\n", address, err)
 			continue
 		}
 		var lag []string
-		for _, n := range slices.Sorted(maps.Keys(s.Lag)) {
-			lag = append(lag, fmt.Sprintf("%d:%d", n, s.Lag[n]))
+		for _, n := range slices.Sorted(maps.Keys(status.Lag)) {
+			lag = append(lag, fmt.Sprintf("%d:%d", n, status.Lag[n]))
 		}
-		fmt.Fprintf(tab, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f/%.1f/%.1f\t%s\n", at, s.Self, s.Role(), s.Group, s.Term, s.Writer, s.Applied, s.Committed, s.Ledger.Records, s.Ledger.Sessions,
-			float64(s.CommitP50Us)/1e3, float64(s.CommitP99Us)/1e3, float64(s.CommitMaxUs)/1e3, strings.Join(lag, " "))
-		before, told := writers[s.Term]
-		differ = differ || told && s.Writer != 0 && before != 0 && before != s.Writer
-		if writers[s.Term] = max(before, s.Writer); s.Term > newest {
-			newest, writes = s.Term, false
+		fmt.Fprintf(tab, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f/%.1f/%.1f\t%s\n", address, status.Self, status.Role(), status.Group, status.Term, status.Writer, status.Applied, status.Committed, status.Ledger.Records, status.Ledger.Sessions,
+			float64(status.CommitP50Us)/1e3, float64(status.CommitP99Us)/1e3, float64(status.CommitMaxUs)/1e3, strings.Join(lag, " "))
+		writer, known := writers[status.Term]
+		differ = differ || known && status.Writer != 0 && writer != 0 && writer != status.Writer
+		if writers[status.Term] = max(writer, status.Writer); status.Term > newestTerm {
+			newestTerm, writerAnswered = status.Term, false
 		}
-		writes = writes || s.Term == newest && s.Writer == s.Self
+		writerAnswered = writerAnswered || status.Term == newestTerm && status.Writer == status.Self
 	}
 	if err := tab.Flush(); err != nil {
 		return err
 	}
-	if differ || !writes {
+	if differ || !writerAnswered {
 		return errMembersDiffer
 	}
 	return nil
--- a/cmd/dunlintray/ledger_test.go
+++ b/cmd/dunlintray/ledger_test.go
@@ -11,23 +11,23 @@
 	"dunlintray/internal/wal"
 )
 
-// An operator reads and writes the ledger of a group, here of one, and sees how its
-// members stand.
+// The ledger and group commands work against a group of one member, and report conflicts, invalid
+// values, unknown members and members that do not answer.
 func TestLedgerCommands(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, dir := l.Addr().String(), t.TempDir()
-	g, err := group.Open(group.Config{Name: "one", Self: 1, Members: map[uint64]string{1: at}, Dir: dir, DataMB: 64, Limits: ledger.DefaultLimits}, wal.Dir(dir))
+	address, dir := listener.Addr().String(), t.TempDir()
+	member, err := group.Open(group.Config{Name: "one", Self: 1, Members: map[uint64]string{1: address}, Dir: dir, DataMB: 64, Limits: ledger.DefaultLimits}, wal.Dir(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan error, 2)
-	go func() { ended <- g.Run(ctx) }()
-	go func() { ended <- g.Serve(ctx, l) }()
-	for _, c := range []struct {
+	errs := make(chan error, 2)
+	go func() { errs <- member.Run(ctx) }()
+	go func() { errs <- member.Serve(ctx, listener) }()
+	for _, test := range []struct {
 		args   string
 		status int
 		want   string
@@ -51,15 +51,15 @@
 		{"group remove --group AT 2", 0, "member 2 is taken out; its number is never given again\n"},
 		{"group show 127.0.0.1:1", 1, "no answer"},
 	} {
-		status, text := command(t.Context(), strings.Fields(strings.ReplaceAll(c.args, "AT", at))...)
-		if status != c.status || !strings.Contains(text, c.want) {
-			t.Errorf("%s: ended with %d, not %d:\n%s", c.args, status, c.status, text)
+		status, text := runCommand(t.Context(), strings.Fields(strings.ReplaceAll(test.args, "AT", address))...)
+		if status != test.status || !strings.Contains(text, test.want) {
+			t.Errorf("%s: exit status %d, want %d with %q:\n%s", test.args, status, test.status, test.want, text)
 		}
 	}
 	stop()
 	for range 2 {
-		if err := <-ended; err != nil {
-			t.Error(err)
+		if err := <-errs; err != nil {
+			t.Errorf("stopping the member: %v", err)
 		}
 	}
 }
--- a/cmd/dunlintray/main.go
+++ b/cmd/dunlintray/main.go
@@ -1,5 +1,6 @@
-// Dunlintray is the operators' tool: it runs a whole fleet on this machine, real
-// gateways in an emulated world, and speaks to gateways that run elsewhere.
+// Dunlintray is the operators' tool. It runs a fleet of real gateways in an
+// emulated world on this machine, and calls gateways and service registries that
+// run elsewhere.
 package main
 
 import (
@@ -29,11 +30,11 @@
 	"dunlintray/scenarios"
 )
 
-// How the command ends, beside 0 and 1 for errors.
+// Exit statuses, besides 0 for success and 1 for other errors.
 const (
-	exitBroken = 2 // a rule was broken
-	exitLate   = 3 // the play does not count
-	exitTried  = 4 // a rule that was to be tried was not
+	exitViolation   = 2 // a rule was broken, or a scale run failed
+	exitInvalidPlay = 3 // the machine was too slow for a valid play
+	exitUntried     = 4 // a required rule was never exercised
 )
 
 type cli struct {
@@ -54,19 +55,20 @@
 	ScaleHost scaleHostCmd `cmd:"" hidden:"" help:"A process of a scale run."`
 }
 
-// programs are the daemons that a fleet is made of, and where it writes.
-type programs struct {
+// fleetFlags are the flags of commands that run a fleet: paths of its daemons, and
+// where it writes.
+type fleetFlags struct {
 	Gateway  string `help:"Path of the gateway's program." placeholder:"PATH" type:"path"`
 	Registry string `help:"Path of the list service's program." placeholder:"PATH" type:"path"`
 	Dir      string `help:"Folder for configurations and logs; without it, one that is removed unless something goes wrong." type:"path" placeholder:"DIR"`
 	JSON     string `name:"json" help:"File for the results, as lines of JSON; - for standard output." placeholder:"FILE"`
 	Quiet    bool   `help:"Show nothing while it runs."`
 
-	must []string // rules that have to be tried
+	requiredRules []string // rules that the play has to exercise
 }
 
 type upCmd struct {
-	programs
+	fleetFlags
 	Members  bool          `help:"Gateways tell each other who is present."`
 	Lists    int           `name:"list-services" help:"Number of list services. 3 or 5 agree on the list and choose who writes; of 1 or 2 the first does." default:"2"`
 	Gateways int           `help:"Number of gateways." default:"3"`
@@ -76,8 +78,8 @@
 	Seed     uint64        `help:"Of all that is drawn." default:"1"`
 }
 
-// longUp is for how long a fleet runs that nobody ends.
-const longUp = 24 * time.Hour
+// maxUpDuration ends a fleet that is not interrupted.
+const maxUpDuration = 24 * time.Hour
 
 func (c *upCmd) Run(ctx context.Context, out io.Writer) error {
 	s := scenario.Default()
@@ -87,22 +89,22 @@
 	for i := range s.Plans {
 		s.Plans[i].Spread = min(s.Plans[i].Spread, c.Gateways)
 	}
-	// More load has more customers, each with the quota that it would have.
-	more := c.Rate / s.Load.RequestsPerS
+	// The load scales the number of customers and keeps the quota of each.
+	factor := c.Rate / s.Load.RequestsPerS
 	for i := range s.Plans {
-		s.Plans[i].Customers = max(1, int(float64(s.Plans[i].Customers)*more))
+		s.Plans[i].Customers = max(1, int(float64(s.Plans[i].Customers)*factor))
 	}
 	s.Load.RequestsPerS = c.Rate
 	s.Duration = scenario.Duration(c.For)
 	if c.For == 0 {
-		s.Duration = scenario.Duration(longUp)
+		s.Duration = scenario.Duration(maxUpDuration)
 	}
 	if problems := s.Check(); len(problems) > 0 {
-		var all []error
-		for _, p := range problems {
-			all = append(all, p)
+		var errs []error
+		for _, problem := range problems {
+			errs = append(errs, problem)
 		}
-		return errors.Join(all...)
+		return errors.Join(errs...)
 	}
 	fmt.Fprintf(out, "%d gateways and %d list services before %d emulated backends, %.0f requests a second; Ctrl-C ends it\n",
 		s.Fleet.Gateways, s.Fleet.ListServices, s.Fleet.Backends, s.Load.RequestsPerS)
@@ -110,7 +112,7 @@
 }
 
 type playCmd struct {
-	programs
+	fleetFlags
 	Scenario string   `arg:"" help:"A file, or the name of a scenario that ships: ${scenarios}."`
 	Seed     *uint64  `help:"Another seed than the scenario's."`
 	Faults   string   `help:"random: faults drawn by the seed, in place of the scenario's." enum:"own,random" default:"own"`
@@ -118,7 +120,7 @@
 }
 
 func (c *playCmd) Run(ctx context.Context, out io.Writer) error {
-	s, err := read(c.Scenario)
+	s, err := readScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -126,7 +128,7 @@
 		s.Seed = *c.Seed
 	}
 	if c.Faults == "random" {
-		// What was drawn can be played again by the seed, or from what is printed.
+		// The printed faults, or the seed, reproduce the play.
 		s.Draw()
 		s.RequiredRules = nil
 		fmt.Fprintf(out, "# play %s --seed %d --faults random\n", c.Scenario, s.Seed)
@@ -139,15 +141,15 @@
 	if len(c.Tried) > 0 {
 		s.RequiredRules = c.Tried
 	}
-	if err := knownRules(s.RequiredRules); err != nil {
+	if err := checkRuleNames(s.RequiredRules); err != nil {
 		return err
 	}
-	c.must = s.RequiredRules
+	c.requiredRules = s.RequiredRules
 	return c.run(ctx, s, out)
 }
 
-// knownRules finds rules that are to be tried and that there are not.
-func knownRules(names []string) error {
+// checkRuleNames returns an error for the first name that is not a rule of the referee.
+func checkRuleNames(names []string) error {
 	for _, name := range names {
 		if !referee.IsRule(name) {
 			return fmt.Errorf("tried: there is no rule %q; there are %s", name, strings.Join(referee.Rules(), ", "))
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// read reads a scenario that ships, or a file.
-func read(name string) (*scenario.Scenario, error) {
+// readScenario reads a shipped scenario by its name, or any scenario from a file.
+func readScenario(name string) (*scenario.Scenario, error) {
 	if slices.Contains(scenarios.Names(), name) {
 		text, err := scenarios.Text(name)
 		if err != nil {
@@ -168,22 +170,23 @@
 	return scenario.Read(name)
 }
 
-// ending is an error with the status that the command ends with.
-type ending struct {
+// exitError is an error that sets the exit status of the command.
+type exitError struct {
 	status int
 	text   string
 }
 
-func (e ending) Error() string { return e.text }
+func (e exitError) Error() string { return e.text }
 
-// beside finds a daemon in the folder of this program.
-func beside(path *string, name string) error {
+// findDaemon defaults path to the daemon of that name in the directory of this executable,
+// and checks that the file exists.
+func findDaemon(path *string, name string) error {
 	if *path == "" {
-		self, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		*path = filepath.Join(filepath.Dir(self), name)
+		*path = filepath.Join(filepath.Dir(executable), name)
 	}
 	if _, err := os.Stat(*path); err != nil {
 		return fmt.Errorf("the program %s: %w (build all with: go build -o bin/ ./cmd/...)", name, err)
@@ -191,14 +194,14 @@
 	return nil
 }
 
-func (c *programs) run(ctx context.Context, s *scenario.Scenario, out io.Writer) (err error) {
+func (c *fleetFlags) run(ctx context.Context, s *scenario.Scenario, out io.Writer) (err error) {
 	if err := play.CheckMachine(s); err != nil {
 		return err
 	}
-	if err := beside(&c.Gateway, "gateway"); err != nil {
+	if err := findDaemon(&c.Gateway, "gateway"); err != nil {
 		return err
 	}
-	if err := beside(&c.Registry, "registry"); err != nil {
+	if err := findDaemon(&c.Registry, "registry"); err != nil {
 		return err
 	}
 	if c.Dir == "" {
@@ -213,13 +216,13 @@
 			}
 		}()
 	}
-	o := play.Options{Gateway: c.Gateway, Registry: c.Registry, Dir: c.Dir}
+	options := play.Options{Gateway: c.Gateway, Registry: c.Registry, Dir: c.Dir}
 	if !c.Quiet {
-		o.Progress = out
+		options.Progress = out
 	}
-	result, err := play.Run(ctx, s, o)
+	result, err := play.Run(ctx, s, options)
 	if errors.Is(err, context.Canceled) {
-		return errors.New("ended before all gateways were ready")
+		return errors.New("interrupted before all gateways were ready")
 	}
 	if err != nil {
 		return err
@@ -230,28 +233,29 @@
 	result.Report(out)
 	switch {
 	case len(result.Violations) > 0:
-		return ending{exitBroken, "rules were broken"}
+		return exitError{exitViolation, "rules were broken"}
 	case result.InvalidReason != "":
-		return ending{exitLate, "this play does not count: " + result.InvalidReason}
+		return exitError{exitInvalidPlay, "invalid play: " + result.InvalidReason}
 	}
-	if untried := referee.Untried(result.Trials, c.must); len(untried) > 0 && !result.EndedEarly {
-		return ending{exitTried, "not tried: " + strings.Join(untried, ", ")}
+	if untried := referee.Untried(result.Trials, c.requiredRules); len(untried) > 0 && !result.EndedEarly {
+		return exitError{exitUntried, "not tried: " + strings.Join(untried, ", ")}
 	}
 	return nil
 }
 
-func (c *programs) write(result *play.Result, out io.Writer) error {
+// write writes the result as lines of JSON to the file of the json flag, or to out for "-".
+func (c *fleetFlags) write(result *play.Result, out io.Writer) error {
 	switch c.JSON {
 	case "":
 		return nil
 	case "-":
 		return result.JSON(out)
 	}
-	f, err := os.Create(c.JSON)
+	file, err := os.Create(c.JSON)
 	if err != nil {
 		return err
 	}
-	return errors.Join(result.JSON(f), f.Close())
+	return errors.Join(result.JSON(file), file.Close())
 }
 
 type configCmd struct {
@@ -264,11 +268,11 @@
 }
 
 func (c *checkCmd) Run(out io.Writer) error {
-	s, err := read(c.File)
+	s, err := readScenario(c.File)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(play.CheckMachine(s), knownRules(s.RequiredRules)); err != nil {
+	if err := errors.Join(play.CheckMachine(s), checkRuleNames(s.RequiredRules)); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, c.File, "is good")
@@ -282,23 +286,23 @@
 }
 
 func (c *printCmd) Run(out io.Writer) error {
-	d := scenario.Default()
-	s := &d
+	defaults := scenario.Default()
+	s := &defaults
 	if c.Scenario != "" {
 		var err error
-		if s, err = read(c.Scenario); err != nil {
+		if s, err = readScenario(c.Scenario); err != nil {
 			return err
 		}
 	}
 	switch {
 	case c.Faults:
 		for _, name := range scenario.FaultKindNames() {
-			k := scenario.FaultKinds[name]
+			kind := scenario.FaultKinds[name]
 			size := ""
-			if k.SizeMeaning != "" {
-				size = "; size: " + k.SizeMeaning
+			if kind.SizeMeaning != "" {
+				size = "; size: " + kind.SizeMeaning
 			}
-			fmt.Fprintf(out, "%-15s %s%s\n", name, k.Description, size)
+			fmt.Fprintf(out, "%-15s %s%s\n", name, kind.Description, size)
 		}
 		return nil
 	case c.Gateway != nil:
@@ -321,21 +325,22 @@
 	Backend string `arg:"" optional:"" help:"For online and offline: the backend's id."`
 }
 
-const callWait = 5 * time.Second
+// callTimeout bounds one call of a control address.
+const callTimeout = 5 * time.Second
 
 func (c *callCmd) Run(ctx context.Context, out io.Writer) error {
-	byHand := c.What == "online" || c.What == "offline"
-	if byHand != (c.Backend != "") {
+	isOverride := c.What == "online" || c.What == "offline"
+	if isOverride != (c.Backend != "") {
 		return fmt.Errorf("%s: a backend's id goes with online and offline, and with nothing else", c.What)
 	}
 	method, path := http.MethodGet, "/control/"+c.What
 	if c.What == "promote" {
 		method = http.MethodPost
 	}
-	if byHand {
+	if isOverride {
 		method, path = http.MethodPost, "/control/backends/"+url.PathEscape(c.Backend)+"/"+c.What
 	}
-	ctx, cancel := context.WithTimeout(ctx, callWait)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, nil)
 	if err != nil {
@@ -346,12 +351,12 @@
 		return err
 	}
 	defer resp.Body.Close()
-	const most = 1 << 20
-	if _, err := io.Copy(out, io.LimitReader(resp.Body, most)); err != nil {
+	const maxResponseBytes = 1 << 20
+	if _, err := io.Copy(out, io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
 		return err
 	}
 	if resp.StatusCode >= 300 {
-		return fmt.Errorf("no: %s", resp.Status)
+		return fmt.Errorf("%s http://%s%s: status %s", method, c.Address, path, resp.Status)
 	}
 	return nil
 }
@@ -361,12 +366,12 @@
 func (versionCmd) Run(out io.Writer) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("this program was built without its version")
+		return errors.New("no build information in this executable")
 	}
 	version := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" || s.Key == "vcs.time" || s.Key == "vcs.modified" && s.Value == "true" {
-			version += " " + strings.TrimPrefix(s.Key, "vcs.") + "=" + s.Value
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" || setting.Key == "vcs.time" || setting.Key == "vcs.modified" && setting.Value == "true" {
+			version += " " + strings.TrimPrefix(setting.Key, "vcs.") + "=" + setting.Value
 		}
 	}
 	_, err := fmt.Fprintln(out, "dunlintray", version, info.GoVersion)
@@ -375,15 +380,15 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	context.AfterFunc(ctx, stop) // a second Ctrl-C ends the program at once
+	context.AfterFunc(ctx, stop) // a second interrupt ends the program at once
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run runs the command and returns the status that it ends with.
+// run parses args, runs the command and returns its exit status.
 func run(ctx context.Context, args []string, out, errs io.Writer) int {
-	var c cli
+	var commands cli
 	exited := -1
-	parser, err := kong.New(&c, kong.Name("dunlintray"), kong.Description("A fleet of gateways on one machine, and calls to those that run."),
+	parser, err := kong.New(&commands, kong.Name("dunlintray"), kong.Description("A fleet of gateways on one machine, and calls to those that run."),
 		kong.Writers(out, errs), kong.Exit(func(status int) { exited = status }), kong.Vars{"scenarios": strings.Join(scenarios.Names(), ", "),
 			"scales": strings.Join(scales.Names(), ", "), "quantities": strings.Join(scale.Quantities(), ", ")},
 		kong.BindTo(ctx, (*context.Context)(nil)), kong.BindTo(out, (*io.Writer)(nil)))
@@ -391,18 +396,18 @@
 		fmt.Fprintln(errs, "dunlintray:", err)
 		return 1
 	}
-	k, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if exited >= 0 {
-		return exited // help was asked for
+		return exited // kong has printed the help text
 	}
 	if err == nil {
-		err = k.Run()
+		err = parsed.Run()
 	}
-	var end ending
+	var exit exitError
 	switch {
-	case errors.As(err, &end):
+	case errors.As(err, &exit):
 		fmt.Fprintln(errs, "dunlintray:", err)
-		return end.status
+		return exit.status
 	case err != nil:
 		fmt.Fprintln(errs, "dunlintray:", err)
 		return 1
--- a/cmd/dunlintray/members.go
+++ b/cmd/dunlintray/members.go
@@ -21,91 +21,92 @@
 }
 
 const (
-	mostAsked   = 32     // gateways at once
-	mostMembers = 10_000 // of a fleet
+	maxConcurrentCalls = 32     // gateways called at once
+	maxMembers         = 10_000 // member numbers of a fleet
 )
 
 func (c *membersCmd) Run(ctx context.Context, out io.Writer) error {
-	type told struct {
+	type gatewayAnswer struct {
 		text []byte
 		view gateway.MembersView
 		err  error
 	}
-	all := make([]told, len(c.Address))
+	answers := make([]gatewayAnswer, len(c.Address))
 	var wg sync.WaitGroup
-	places := make(chan struct{}, mostAsked)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for n, address := range c.Address {
 		wg.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			t := &all[n]
-			if t.text, t.err = askMembers(ctx, address); t.err == nil {
-				t.err = json.Unmarshal(t.text, &t.view)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			a := &answers[n]
+			if a.text, a.err = fetchMembers(ctx, address); a.err == nil {
+				a.err = json.Unmarshal(a.text, &a.view)
 			}
 		})
 	}
 	wg.Wait()
-	var found []views.View
-	asked := map[int]string{}
+	var compared []views.View
+	addresses := map[int]string{}
 	failed := 0
-	for n, t := range all {
-		switch twice := asked[t.view.Self]; {
-		case t.err != nil:
-			if len(all) == 1 {
-				return t.err
+	for n, answer := range answers {
+		switch firstAddress := addresses[answer.view.Self]; {
+		case answer.err != nil:
+			if len(answers) == 1 {
+				return answer.err
 			}
 			failed++
-			fmt.Fprintf(out, "%s does not tell: %v\n", c.Address[n], t.err)
+			fmt.Fprintf(out, "%s did not answer: %v\n", c.Address[n], answer.err)
 		case c.JSON:
-			if _, err := out.Write(t.text); err != nil {
+			if _, err := out.Write(answer.text); err != nil {
 				return err
 			}
-		case len(all) == 1:
-			return showMembers(out, t.view)
-		case twice != "":
-			// One number given to two gateways, or one gateway asked twice.
+		case len(answers) == 1:
+			return showMembers(out, answer.view)
+		case firstAddress != "":
+			// Two gateways share a number, or two addresses reach one gateway.
 			failed++
-			fmt.Fprintf(out, "%s and %s both say that they are n%d; only the first is compared\n", twice, c.Address[n], t.view.Self)
+			fmt.Fprintf(out, "%s and %s both say that they are n%d; only the first is compared\n", firstAddress, c.Address[n], answer.view.Self)
 		default:
-			asked[t.view.Self] = c.Address[n]
-			fmt.Fprintf(out, "n%d: %s\n", t.view.Self, standing(t.view))
-			found = append(found, viewOf(t.view))
+			addresses[answer.view.Self] = c.Address[n]
+			fmt.Fprintf(out, "n%d: %s\n", answer.view.Self, partitionState(answer.view))
+			compared = append(compared, viewOf(answer.view))
 		}
 	}
 	if !c.JSON {
-		views.Compare(found).Write(out)
+		views.Compare(compared).Write(out)
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d gateways did not tell", failed, len(all))
+		return fmt.Errorf("%d of %d gateways did not answer, or repeat the number of another", failed, len(answers))
 	}
 	return nil
 }
 
+// viewOf converts the answer of a gateway to the view that is compared: suspects count as present.
 func viewOf(v gateway.MembersView) views.View {
-	out := views.View{Self: v.Self}
+	view := views.View{Self: v.Self}
 	for _, m := range v.Members {
-		if m.Number < 0 || m.Number >= mostMembers {
-			continue // no fleet has it
+		if m.Number < 0 || m.Number >= maxMembers {
+			continue // bounds the memory that a wrong answer can take
 		}
-		for len(out.Present) <= m.Number {
-			out.Present = append(out.Present, false)
+		for len(view.Present) <= m.Number {
+			view.Present = append(view.Present, false)
 		}
-		out.Present[m.Number] = m.State == membership.Alive.String() || m.State == membership.Suspect.String()
+		view.Present[m.Number] = m.State == membership.Alive.String() || m.State == membership.Suspect.String()
 	}
-	return out
+	return view
 }
 
-// standing is how a gateway says that it stands.
-func standing(v gateway.MembersView) string {
+// partitionState describes the partition state that a gateway reports.
+func partitionState(v gateway.MembersView) string {
 	if v.State == "" {
-		return "does not say how it stands" // an earlier program
+		return "does not report its partition state" // a build without that field
 	}
 	return fmt.Sprintf("%s for %v: %s", v.State, (time.Duration(v.StateForMs) * time.Millisecond).Round(100*time.Millisecond), v.Reason)
 }
 
-// askMembers asks one gateway.
-func askMembers(ctx context.Context, address string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait)
+// fetchMembers returns the encoded membership view of one gateway.
+func fetchMembers(ctx context.Context, address string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/control/members", nil)
 	if err != nil {
@@ -116,20 +117,20 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	const most = 1 << 20
-	text, err := io.ReadAll(io.LimitReader(resp.Body, most))
+	const maxResponseBytes = 1 << 20
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("no: %s: %.200s", resp.Status, text)
+		err = fmt.Errorf("status %s: %.200s", resp.Status, text)
 	}
 	return text, err
 }
 
-// showMembers shows one gateway's view.
+// showMembers prints the view of one gateway as a table.
 func showMembers(out io.Writer, v gateway.MembersView) error {
 	if !v.On {
-		fmt.Fprintln(out, "takes no part yet: another process has its address")
+		fmt.Fprintln(out, "membership is not active yet: another process has its address")
 	}
-	fmt.Fprintln(out, standing(v))
+	fmt.Fprintln(out, partitionState(v))
 	tab := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "gateway\tstate\tfor\tincarnation\tstarted")
 	for _, m := range v.Members {
@@ -140,6 +141,6 @@
 		fmt.Fprintf(tab, "%d\t%s\t%v\t%d\t%s\n", m.Number, m.State, (time.Duration(m.StateForMs) * time.Millisecond).Round(100*time.Millisecond), m.Incarnation, started)
 	}
 	tab.Flush()
-	_, err := fmt.Fprintf(out, "%d of %d members that were heard agree with gateway %d\n", v.AgreeingViews, v.ReceivedViews, v.Self)
+	_, err := fmt.Fprintf(out, "%d of %d received views agree with gateway %d\n", v.AgreeingViews, v.ReceivedViews, v.Self)
 	return err
 }
--- a/cmd/dunlintray/permits_test.go
+++ b/cmd/dunlintray/permits_test.go
@@ -20,26 +20,27 @@
 	"dunlintray/internal/testnet"
 )
 
-const patience = 20 * time.Second
+// waitTimeout bounds each wait of a test.
+const waitTimeout = 20 * time.Second
 
-// eventually waits until something is so.
-func eventually(t *testing.T, what string, is func() bool) {
+// waitFor waits until condition holds.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("never: ", what)
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", waitTimeout, description)
 		}
 	}
 }
 
-// daemon starts a program with a configuration, and ends it with the test.
-func daemon(t *testing.T, program string, config []byte) *exec.Cmd {
+// startDaemon starts a daemon with a configuration, and kills it at the end of the test.
+func startDaemon(t *testing.T, program string, config []byte) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(filepath.Join(bin, program), "--config", path, "--log-level", "error")
+	cmd := exec.Command(filepath.Join(daemonDir, program), "--config", path, "--log-level", "error")
 	cmd.Env = append(os.Environ(), "TMPDIR="+t.TempDir())
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -48,62 +49,62 @@
 	return cmd
 }
 
-// slow is a backend that holds its answers while it is told to.
-type slow struct {
+// pausableBackend is a backend that withholds its answers while pause is set.
+type pausableBackend struct {
 	*httptest.Server
 	served atomic.Int64
-	hold   atomic.Pointer[chan struct{}]
+	pause  atomic.Pointer[chan struct{}] // closed to resume
 }
 
-func newSlow(t *testing.T) *slow {
-	s := &slow{}
-	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.served.Add(1)
-		if hold := s.hold.Load(); hold != nil {
-			<-*hold
+func newPausableBackend(t *testing.T) *pausableBackend {
+	b := &pausableBackend{}
+	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		b.served.Add(1)
+		if pause := b.pause.Load(); pause != nil {
+			<-*pause
 		}
 	}))
-	t.Cleanup(s.Close)
-	return s
+	t.Cleanup(b.Close)
+	return b
 }
 
-// drainable is a group of one list service, gateways that follow it, and two backends.
-type drainable struct {
+// drainFleet is a group of one service registry, gateways that read it, and two backends.
+type drainFleet struct {
 	t        *testing.T
-	list     string
-	member   string
+	registry string // address of the service registry
+	member   string // address of the group member
 	gateways []*exec.Cmd
-	listen   []string
-	control  []string
-	backends map[string]*slow
+	listen   []string // addresses of the gateways
+	control  []string // control addresses of the gateways
+	backends map[string]*pausableBackend
 }
 
-func newDrainable(t *testing.T, n int) *drainable {
+func newDrainFleet(t *testing.T, n int) *drainFleet {
 	t.Helper()
-	d := &drainable{t: t, list: testnet.TCP(t), member: testnet.TCP(t), backends: map[string]*slow{"b-0": newSlow(t), "b-1": newSlow(t)}}
-	registry, err := json.Marshal(map[string]any{"listen": d.list, "lease_ms": 500, "group": map[string]any{"name": "g", "self": 1, "listen": d.member, "members": map[string]string{"1": d.member},
-		"lists": map[string]string{"1": d.list}, "data_dir": t.TempDir()}})
+	d := &drainFleet{t: t, registry: testnet.TCP(t), member: testnet.TCP(t), backends: map[string]*pausableBackend{"b-0": newPausableBackend(t), "b-1": newPausableBackend(t)}}
+	registry, err := json.Marshal(map[string]any{"listen": d.registry, "lease_ms": 500, "group": map[string]any{"name": "g", "self": 1, "listen": d.member, "members": map[string]string{"1": d.member},
+		"lists": map[string]string{"1": d.registry}, "data_dir": t.TempDir()}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	daemon(t, "registry", registry)
+	startDaemon(t, "registry", registry)
 	s := scenario.Default()
 	s.Fleet.Gateways = n
-	for k := range s.Classes { // a request that is held outlives every call
-		s.Classes[k].Aim, s.Classes[k].Deadline = scenario.Duration(patience), scenario.Duration(patience)
+	for k := range s.Classes { // so that a paused request outlives every call
+		s.Classes[k].Aim, s.Classes[k].Deadline = scenario.Duration(waitTimeout), scenario.Duration(waitTimeout)
 	}
 	for k := range n {
 		d.listen, d.control = append(d.listen, testnet.TCP(t)), append(d.control, testnet.TCP(t))
-		config, err := s.GatewayConfig(k, scenario.Addresses{Listen: d.listen[k], Control: d.control[k], Counter: testnet.TCP(t), Registries: []string{d.list}}, nil)
+		config, err := s.GatewayConfig(k, scenario.Addresses{Listen: d.listen[k], Control: d.control[k], Counter: testnet.TCP(t), Registries: []string{d.registry}}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.gateways = append(d.gateways, daemon(t, "gateway", config))
+		d.gateways = append(d.gateways, startDaemon(t, "gateway", config))
 	}
-	at := "http://" + d.list + "/registry/instances/"
-	eventually(t, "backends are on the list", func() bool {
+	instancesURL := "http://" + d.registry + "/registry/instances/"
+	waitFor(t, "backends are registered", func() bool {
 		for id, b := range d.backends {
-			req, _ := http.NewRequest(http.MethodPut, at+id, strings.NewReader(fmt.Sprintf(`{"hostPort":%q,"zone":"a","machineType":"m","startedAtMs":5}`, b.Listener.Addr())))
+			req, _ := http.NewRequest(http.MethodPut, instancesURL+id, strings.NewReader(fmt.Sprintf(`{"hostPort":%q,"zone":"a","machineType":"m","startedAtMs":5}`, b.Listener.Addr())))
 			resp, err := http.DefaultClient.Do(req)
 			if err != nil {
 				return false
@@ -115,72 +116,71 @@
 		}
 		return true
 	})
-	renewing := time.NewTicker(100 * time.Millisecond)
-	t.Cleanup(renewing.Stop)
+	renewals := time.NewTicker(100 * time.Millisecond)
+	t.Cleanup(renewals.Stop)
 	go func() {
-		for range renewing.C {
+		for range renewals.C {
 			for id := range d.backends {
-				if resp, err := http.Post(at+id+"/renew", "application/json", strings.NewReader(`{"startedAtMs":5}`)); err == nil {
+				if resp, err := http.Post(instancesURL+id+"/renew", "application/json", strings.NewReader(`{"startedAtMs":5}`)); err == nil {
 					resp.Body.Close()
 				}
 			}
 		}
 	}()
 	for k := range n {
-		eventually(t, "the gateway has the list", func() bool {
+		waitFor(t, "the gateway has both backends as Ready", func() bool {
 			resp, err := http.Get("http://" + d.control[k] + "/control/backends")
 			if err != nil {
 				return false
 			}
 			defer resp.Body.Close()
-			var b bytes.Buffer
-			b.ReadFrom(resp.Body)
-			return strings.Count(b.String(), `"Ready"`) == 2
+			var body bytes.Buffer
+			body.ReadFrom(resp.Body)
+			return strings.Count(body.String(), `"Ready"`) == 2
 		})
 	}
 	return d
 }
 
-// call makes a call of the tool's, which has to end so and say this.
-func (d *drainable) call(status int, want, args string) (text string) {
+// runCommand runs the tool and checks its exit status and that its output contains want. In args,
+// AT, LISTS and GW stand for the flags with the addresses of the fleet.
+func (d *drainFleet) runCommand(status int, want, args string) (text string) {
 	d.t.Helper()
-	words := strings.Fields(strings.NewReplacer("AT", "--group "+d.member, "LISTS", "--lists "+d.list, "GW", "--gateways "+strings.Join(d.control, ",")).Replace(args))
+	fields := strings.Fields(strings.NewReplacer("AT", "--group "+d.member, "LISTS", "--lists "+d.registry, "GW", "--gateways "+strings.Join(d.control, ",")).Replace(args))
 	if strings.HasPrefix(args, "drain") {
-		words = append(words, "--why", "a test")
+		fields = append(fields, "--why", "a test")
 	}
-	got, text := command(d.t.Context(), words...)
+	got, text := runCommand(d.t.Context(), fields...)
 	if got != status || !strings.Contains(text, want) {
-		d.t.Fatalf("%s: ended with %d, not %d, saying %s", args, got, status, text)
+		d.t.Fatalf("%s: exit status %d, want %d with %q:\n%s", args, got, status, want, text)
 	}
 	return text
 }
 
-// DRAIN_GATEWAYS tells before how many gateways backends are drained, to measure how
-// long that takes.
+// Measures how long a drain takes with the number of gateways in DRAIN_GATEWAYS.
 func TestDrainTime(t *testing.T) {
-	n := number("DRAIN_GATEWAYS", 0)
+	n := environmentInt("DRAIN_GATEWAYS", 0)
 	if n == 0 {
-		t.Skip("DRAIN_GATEWAYS asks for it")
+		t.Skip("DRAIN_GATEWAYS is not set")
 	}
-	d := newDrainable(t, n)
+	d := newDrainFleet(t, n)
 	for range 5 {
-		began := time.Now()
-		text := d.call(0, "drained", "drain AT LISTS GW --as ann b-0")
-		t.Logf("%d gateways: %v from the call to the end; %s", n, time.Since(began).Round(time.Millisecond), text[strings.Index(text, "drained"):])
-		d.call(0, "is ready", "undrain AT LISTS --as ann b-0")
+		startedAt := time.Now()
+		text := d.runCommand(0, "drained", "drain AT LISTS GW --as ann b-0")
+		t.Logf("%d gateways: %v from the call to the end; %s", n, time.Since(startedAt).Round(time.Millisecond), text[strings.Index(text, "drained"):])
+		d.runCommand(0, "is ready", "undrain AT LISTS --as ann b-0")
 	}
 }
 
-// Two operators take backends out before gateways and a list service that really run: no
-// more than the rule allows, and drained is only said once each gateway has heard of it
-// and holds nothing there.
-func TestDrain(t *testing.T) {
-	d := newDrainable(t, 2)
-	backends, control, call := d.backends, d.control, d.call
-	var number atomic.Int64
-	ask := func(gateway int) (status int) {
-		req, _ := http.NewRequest(http.MethodPost, "http://"+d.listen[gateway]+"/pay", strings.NewReader("x")) // which is sent once
-		for name, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%016x", number.Add(1)), "X-Service-Class": "pay", "X-Tier": "basic", "X-Api-Key": fmt.Sprintf("%016x", number.Load()),
+// Two operators drain backends of a real fleet. No more are unavailable than the rule allows, and a
+// backend is only reported as drained once each gateway has the change and no requests in flight.
+func TestDrainWaitsForAllGateways(t *testing.T) {
+	d := newDrainFleet(t, 2)
+	backends, control, runCommand := d.backends, d.control, d.runCommand
+	var requestNumber atomic.Int64
+	send := func(gateway int) (status int) {
+		req, _ := http.NewRequest(http.MethodPost, "http://"+d.listen[gateway]+"/pay", strings.NewReader("x")) // a class without retries
+		for name, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%016x", requestNumber.Add(1)), "X-Service-Class": "pay", "X-Tier": "basic", "X-Api-Key": fmt.Sprintf("%016x", requestNumber.Load()),
 			"X-Time-Left-Ms": "15000", "X-Call-Terms": "units=1,spread=1,first=1"} {
 			req.Header.Set(name, value)
 		}
@@ -191,23 +191,23 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	rules := file(t, "[[rule]]\nkind = \"backend\"\nmost_out = 1\n")
-	call(1, "colour", "permits rules AT "+file(t, "[[rule]]\ncolour = 1\n"))
-	call(0, "1 rules are in force", "permits rules AT "+rules)
-	call(0, "0 of 2 units are out", "permits show AT")
-	call(1, "that anybody has seen", "drain AT LISTS GW --as ann b-9")
+	rules := writeFile(t, "[[rule]]\nkind = \"backend\"\nmost_out = 1\n")
+	runCommand(1, "colour", "permits rules AT "+writeFile(t, "[[rule]]\ncolour = 1\n"))
+	runCommand(0, "1 rules are active", "permits rules AT "+rules)
+	runCommand(0, "0 of 2 units are unavailable", "permits show AT")
+	runCommand(1, "that anybody has seen", "drain AT LISTS GW --as ann b-9")
 
-	// A request is out at a backend of one gateway.
-	hold := make(chan struct{})
-	release := sync.OnceFunc(func() { close(hold) })
+	// A request is in flight at one backend.
+	pause := make(chan struct{})
+	release := sync.OnceFunc(func() { close(pause) })
 	t.Cleanup(release)
 	for _, b := range backends {
-		b.hold.Store(&hold)
+		b.pause.Store(&pause)
 	}
 	answer := make(chan int, 1)
-	go func() { answer <- ask(0) }()
+	go func() { answer <- send(0) }()
 	busy, idle := "", ""
-	eventually(t, "a request is out", func() bool {
+	waitFor(t, "a request reaches a backend", func() bool {
 		for id, b := range backends {
 			if b.served.Load() > 0 {
 				busy = id
@@ -216,41 +216,41 @@
 		return busy != ""
 	})
 	idle = map[string]string{"b-0": "b-1", "b-1": "b-0"}[busy]
-	call(1, control[0]+": 1 requests are out there", "drain AT LISTS GW --as ann --within 500ms "+busy)
-	call(1, "1 out at most, and 2 would be", "drain AT LISTS GW --as bob "+idle)
-	call(1, "is out by permit", "drain AT LISTS GW --as bob "+busy)
+	runCommand(1, control[0]+": 1 requests are in flight there", "drain AT LISTS GW --as ann --within 500ms "+busy)
+	runCommand(1, "1 out at most, and 2 would be", "drain AT LISTS GW --as bob "+idle)
+	runCommand(1, "is out by permit", "drain AT LISTS GW --as bob "+busy)
 	for _, b := range backends {
-		b.hold.Store(nil)
+		b.pause.Store(nil)
 	}
 	release()
 	if status := <-answer; status != 200 {
-		t.Errorf("the request that was out at a backend that drains: %d", status)
+		t.Errorf("request in flight at a draining backend: status %d, want 200", status)
 	}
-	call(1, "those with these ranks were not named: [1]", "drain AT LISTS --as ann --gateways "+control[0]+" "+busy)
-	call(0, "drained: 2 gateways", "drain AT LISTS GW --as ann "+busy)
-	before := backends[busy].served.Load()
+	runCommand(1, "not named are ranks [1]", "drain AT LISTS --as ann --gateways "+control[0]+" "+busy)
+	runCommand(0, "drained: 2 gateways", "drain AT LISTS GW --as ann "+busy)
+	servedBefore := backends[busy].served.Load()
 	for n := range 40 {
-		if status := ask(n % 2); status != 200 {
-			t.Errorf("beside a backend that is drained: %d", status)
+		if status := send(n % 2); status != 200 {
+			t.Errorf("request while a backend is drained: status %d, want 200", status)
 		}
 	}
-	if got := backends[busy].served.Load() - before; got != 0 {
-		t.Errorf("%d requests came after the yes", got)
+	if got := backends[busy].served.Load() - servedBefore; got != 0 {
+		t.Errorf("%d requests reached the backend after it was reported as drained", got)
 	}
-	call(0, "held", "permits show AT")
-	call(1, "is held by ann", "undrain AT LISTS --as bob "+busy)
-	call(0, "is ready", "undrain AT LISTS --as ann "+busy)
-	call(0, "0 of 2 units are out", "permits AT")
+	runCommand(0, "held", "permits show AT")
+	runCommand(1, "is held by ann", "undrain AT LISTS --as bob "+busy)
+	runCommand(0, "is ready", "undrain AT LISTS --as ann "+busy)
+	runCommand(0, "0 of 2 units are unavailable", "permits AT")
 
-	// A gateway that can't be heard is named, and never taken for a yes.
+	// A gateway that does not answer is named, and the drain stays unconfirmed.
 	if err := d.gateways[1].Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	call(1, control[1]+": it can't be heard", "drain AT LISTS GW --as bob --within 500ms "+idle)
+	runCommand(1, control[1]+": no answer", "drain AT LISTS GW --as bob --within 500ms "+idle)
 	if err := d.gateways[1].Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	call(0, "drained: 2 gateways", "drain AT LISTS GW --as bob "+idle)
-	call(1, "is ready", "permits forget AT backend "+busy)
-	call(0, "is ready", "undrain AT LISTS --as bob "+idle)
+	runCommand(0, "drained: 2 gateways", "drain AT LISTS GW --as bob "+idle)
+	runCommand(1, "is ready", "permits forget AT backend "+busy)
+	runCommand(0, "is ready", "undrain AT LISTS --as bob "+idle)
 }
--- a/cmd/dunlintray/scale.go
+++ b/cmd/dunlintray/scale.go
@@ -20,7 +20,7 @@
 	Sweep scaleSweepCmd `cmd:"" help:"Run a scenario at several sizes of one quantity, and tell how each figure grows."`
 }
 
-// scaleFlags change a scenario of a scale run.
+// scaleFlags select a scenario of a scale run and override parts of it.
 type scaleFlags struct {
 	Scenario string `arg:"" optional:"" help:"A file, or the name of one that ships: ${scales}." default:"small"`
 	Registry string `help:"Path of the list service's program." placeholder:"PATH" type:"path"`
@@ -50,42 +50,43 @@
 	BackendsPer *int           `name:"backends-in-process" help:"Hollow backends in one process, at most."`
 }
 
-// set puts a flag in force where it was given.
-func set[T any](to *T, flag *T) {
+// override sets target to the value of flag, if flag was given.
+func override[T any](target *T, flag *T) {
 	if flag != nil {
-		*to = *flag
+		*target = *flag
 	}
 }
 
-func (c *scaleFlags) read() (*scale.Scenario, error) {
-	s, err := readScale(c.Scenario)
+// readScenario reads the scenario and applies the flags that were given.
+func (c *scaleFlags) readScenario() (*scale.Scenario, error) {
+	s, err := readScaleScenario(c.Scenario)
 	if err != nil {
 		return nil, err
 	}
-	set(&s.Fleet.Gateways, c.Gateways)
-	set(&s.Fleet.RealGateways, c.Real)
-	set(&s.Fleet.Backends, c.Backends)
-	set(&s.Fleet.Services, c.Services)
-	set(&s.Fleet.Regions, c.Regions)
-	set(&s.Fleet.Zones, c.Zones)
-	set(&s.Fleet.Members, c.Members)
-	set(&s.Fleet.Followers, c.Followers)
-	set(&s.Fleet.Membership, c.Membership)
-	set(&s.Fleet.Lease, (*scenario.Duration)(c.Lease))
-	set(&s.Length, (*scenario.Duration)(c.Length))
-	set(&s.Changes.PerS, c.Changes)
-	set(&s.Changes.Register, c.Register)
-	set(&s.Reading.Services, c.Scopes)
-	set(&s.Reading.Within, c.Within)
-	set(&s.Reading.Subset, c.Subset)
-	set(&s.Seed, c.Seed)
-	set(&s.Hosts.Gateways, c.GatewaysPer)
-	set(&s.Hosts.Backends, c.BackendsPer)
+	override(&s.Fleet.Gateways, c.Gateways)
+	override(&s.Fleet.RealGateways, c.Real)
+	override(&s.Fleet.Backends, c.Backends)
+	override(&s.Fleet.Services, c.Services)
+	override(&s.Fleet.Regions, c.Regions)
+	override(&s.Fleet.Zones, c.Zones)
+	override(&s.Fleet.Members, c.Members)
+	override(&s.Fleet.Followers, c.Followers)
+	override(&s.Fleet.Membership, c.Membership)
+	override(&s.Fleet.Lease, (*scenario.Duration)(c.Lease))
+	override(&s.Length, (*scenario.Duration)(c.Length))
+	override(&s.Changes.PerS, c.Changes)
+	override(&s.Changes.Register, c.Register)
+	override(&s.Reading.Services, c.Scopes)
+	override(&s.Reading.Within, c.Within)
+	override(&s.Reading.Subset, c.Subset)
+	override(&s.Seed, c.Seed)
+	override(&s.Hosts.Gateways, c.GatewaysPer)
+	override(&s.Hosts.Backends, c.BackendsPer)
 	return s, s.Check()
 }
 
-// readScale reads a scenario that ships, or a file.
-func readScale(name string) (*scale.Scenario, error) {
+// readScaleScenario reads a shipped scenario by its name, or any scenario from a file.
+func readScaleScenario(name string) (*scale.Scenario, error) {
 	if slices.Contains(scales.Names(), name) {
 		text, err := scales.Text(name)
 		if err != nil {
@@ -100,26 +101,27 @@
 	return scale.Parse(name, text)
 }
 
-// options are what runs need; clean removes the folder, if it is the command's own.
-func (c *scaleFlags) options(out io.Writer, real bool) (o scale.Options, clean func(failed bool), err error) {
-	if err := beside(&c.Registry, "registry"); err != nil {
-		return o, nil, err
+// options returns the options of runs, and a function that removes the directory, if the
+// command made it and no run failed.
+func (c *scaleFlags) options(out io.Writer, needsGateway bool) (options scale.Options, cleanUp func(failed bool), err error) {
+	if err := findDaemon(&c.Registry, "registry"); err != nil {
+		return options, nil, err
 	}
-	if real {
-		if err := beside(&c.Gateway, "gateway"); err != nil {
-			return o, nil, err
+	if needsGateway {
+		if err := findDaemon(&c.Gateway, "gateway"); err != nil {
+			return options, nil, err
 		}
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
-		return o, nil, err
+		return options, nil, err
 	}
-	clean = func(bool) {}
+	cleanUp = func(bool) {}
 	if c.Dir == "" {
 		if c.Dir, err = os.MkdirTemp("", "dunlintray-scale-"); err != nil {
-			return o, nil, err
+			return options, nil, err
 		}
-		clean = func(failed bool) {
+		cleanUp = func(failed bool) {
 			if failed {
 				fmt.Fprintln(out, "logs are in", c.Dir)
 				return
@@ -127,54 +129,54 @@
 			os.RemoveAll(c.Dir)
 		}
 	}
-	o = scale.Options{RegistryPath: c.Registry, GatewayPath: c.Gateway, HostCommand: []string{self, "scale-host"}, Dir: c.Dir}
+	options = scale.Options{RegistryPath: c.Registry, GatewayPath: c.Gateway, HostCommand: []string{executable, "scale-host"}, Dir: c.Dir}
 	if !c.Quiet {
-		o.Progress = out
+		options.Progress = out
 	}
-	return o, clean, nil
+	return options, cleanUp, nil
 }
 
-// results opens the file for results; without one, they are written nowhere.
+// results opens the file for results, or discards them if none is named.
 func (c *scaleFlags) results() (io.WriteCloser, error) {
 	if c.JSON == "" {
-		return nowhere{io.Discard}, nil
+		return discardCloser{io.Discard}, nil
 	}
 	return os.Create(c.JSON)
 }
 
-type nowhere struct{ io.Writer }
+type discardCloser struct{ io.Writer }
 
-func (nowhere) Close() error { return nil }
+func (discardCloser) Close() error { return nil }
 
 type scaleRunCmd struct{ scaleFlags }
 
 func (c *scaleRunCmd) Run(ctx context.Context, out io.Writer) (err error) {
-	s, err := c.read()
+	s, err := c.readScenario()
 	if err == nil {
 		err = scale.CheckResources(s)
 	}
 	if err != nil {
 		return err
 	}
-	o, clean, err := c.options(out, s.Fleet.RealGateways > 0)
+	options, cleanUp, err := c.options(out, s.Fleet.RealGateways > 0)
 	if err != nil {
 		return err
 	}
-	defer func() { clean(err != nil) }()
+	defer func() { cleanUp(err != nil) }()
 	results, err := c.results()
 	if err != nil {
 		return err
 	}
-	r, err := scale.Run(ctx, s, o)
+	result, err := scale.Run(ctx, s, options)
 	if err != nil {
 		return errors.Join(err, results.Close())
 	}
-	r.Report(out)
-	if err := errors.Join(r.JSON(results), results.Close()); err != nil {
+	result.Report(out)
+	if err := errors.Join(result.JSON(results), results.Close()); err != nil {
 		return err
 	}
-	if why := r.Failure(); why != "" {
-		return ending{exitBroken, why}
+	if reason := result.Failure(); reason != "" {
+		return exitError{exitViolation, reason}
 	}
 	return nil
 }
@@ -188,7 +190,7 @@
 }
 
 func (c *scaleSweepCmd) Run(ctx context.Context, out io.Writer) (err error) {
-	s, err := c.read()
+	s, err := c.readScenario()
 	if err != nil {
 		return err
 	}
@@ -196,17 +198,17 @@
 	if err := sweep.Check(s); err != nil {
 		return err
 	}
-	o, clean, err := c.options(out, s.Fleet.RealGateways > 0)
+	options, cleanUp, err := c.options(out, s.Fleet.RealGateways > 0)
 	if err != nil {
 		return err
 	}
-	defer func() { clean(err != nil) }()
+	defer func() { cleanUp(err != nil) }()
 	results, err := c.results()
 	if err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "$ dunlintray", strings.Join(os.Args[1:], " "))
-	table, err := sweep.Run(ctx, s, o, results)
+	table, err := sweep.Run(ctx, s, options, results)
 	if table != nil {
 		table.Report(out)
 	}
@@ -214,12 +216,13 @@
 		return err
 	}
 	if len(table.Failures) > 0 {
-		return ending{exitBroken, strings.Join(table.Failures, "; ")}
+		return exitError{exitViolation, strings.Join(table.Failures, "; ")}
 	}
 	return nil
 }
 
-// scaleHostCmd is a process of a scale run, which starts it.
+// scaleHostCmd runs the hollow gateways or backends of a scale run, which starts it as a
+// child process.
 type scaleHostCmd struct{}
 
 func (scaleHostCmd) Run(ctx context.Context, out io.Writer) error {
--- a/cmd/dunlintray/scale_test.go
+++ b/cmd/dunlintray/scale_test.go
@@ -16,43 +16,43 @@
 	"dunlintray/internal/scale"
 )
 
-// TestScale runs a small fleet with a real gateway under load, and reads the results.
-func TestScale(t *testing.T) {
+// A scale run of a small fleet with a real gateway under load reports and records its measurements.
+func TestScaleRun(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "results.json")
-	var out, errs bytes.Buffer
-	status := run(t.Context(), []string{"scale", "--registry", filepath.Join(bin, "registry"), "--gateway", filepath.Join(bin, "gateway"), "--dir", dir, "--json", path,
-		"--gateways", "3", "--real-gateways", "1", "--backends", "6", "--services", "2", "--members", "1", "--followers", "0", "--changes", "6", "--lease", "1s", "--length", "1s"}, &out, &errs)
+	var stdout, stderr bytes.Buffer
+	status := run(t.Context(), []string{"scale", "--registry", filepath.Join(daemonDir, "registry"), "--gateway", filepath.Join(daemonDir, "gateway"), "--dir", dir, "--json", path,
+		"--gateways", "3", "--real-gateways", "1", "--backends", "6", "--services", "2", "--members", "1", "--followers", "0", "--changes", "6", "--lease", "1s", "--length", "1s"}, &stdout, &stderr)
 	if status != 0 {
-		t.Fatalf("status %d: %s%s", status, &out, &errs)
+		t.Fatalf("status %d: %s%s", status, &stdout, &stderr)
 	}
 	for _, want := range []string{"measuring", "all 3 gateways hold what the writer's list has for them, 6 to 6 of 6 backends", "0 missing", "requests through real gateways, by status: map[200:"} {
-		if !strings.Contains(out.String(), want) {
-			t.Errorf("it does not say %q:\n%s", want, &out)
+		if !strings.Contains(stdout.String(), want) {
+			t.Errorf("the output lacks %q:\n%s", want, &stdout)
 		}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r scale.Result
-	if err := json.Unmarshal(text, &r); err != nil {
+	var result scale.Result
+	if err := json.Unmarshal(text, &result); err != nil {
 		t.Fatal(err)
 	}
-	if r.Scenario.Fleet.Gateways != 3 || r.Gateway.HeldKB <= 0 || r.Requests[200] == 0 {
-		t.Errorf("%s", text)
+	if result.Scenario.Fleet.Gateways != 3 || result.Gateway.HeldKB <= 0 || result.Requests[200] == 0 {
+		t.Errorf("want 3 gateways, memory of the gateway above 0 and requests with status 200: %s", text)
 	}
 }
 
-// TestScaleKilled kills a run: the system ends its processes with it.
-func TestScaleKilled(t *testing.T) {
-	self, err := os.Executable()
+// The child processes of a scale run end when it is killed.
+func TestScaleChildrenEndWithKilledRun(t *testing.T) {
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(self, "scale", "--registry", filepath.Join(bin, "registry"), "--dir", t.TempDir(), "--real-gateways", "0",
+	cmd := exec.Command(executable, "scale", "--registry", filepath.Join(daemonDir, "registry"), "--dir", t.TempDir(), "--real-gateways", "0",
 		"--gateways", "3", "--backends", "6", "--services", "2", "--lease", "1s", "--length", "1m")
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,28 +61,28 @@
 	}
 	defer cmd.Wait()
 	defer cmd.Process.Kill()
-	for in := bufio.NewScanner(out); in.Scan() && !strings.Contains(in.Text(), "measuring"); {
+	for scanner := bufio.NewScanner(stdout); scanner.Scan() && !strings.Contains(scanner.Text(), "measuring"); {
 	}
-	left := childrenOf(t, cmd.Process.Pid)
-	if len(left) != 6 { // three members, a follower, and a process each of gateways and of backends
-		t.Errorf("it has the processes %v", left)
+	running := childrenOf(t, cmd.Process.Pid)
+	if len(running) != 6 { // three members, a follower, and a process each of gateways and of backends
+		t.Errorf("child processes %v, want 6", running)
 	}
 	cmd.Process.Kill()
 	cmd.Wait()
-	const patience = 5 * time.Second
-	for end := time.Now().Add(patience); len(left) > 0 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		left = slices.DeleteFunc(left, func(pid string) bool {
+	const endTimeout = 5 * time.Second
+	for deadline := time.Now().Add(endTimeout); len(running) > 0 && time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		running = slices.DeleteFunc(running, func(pid string) bool {
 			text, err := os.ReadFile("/proc/" + pid + "/stat")
 			return err != nil || strings.Contains(string(text), ") Z ")
 		})
 	}
-	if len(left) > 0 {
-		t.Errorf("%v after it, the processes %v are left", patience, left)
+	if len(running) > 0 {
+		t.Errorf("processes %[2]v still run %[1]v after the run was killed", endTimeout, running)
 	}
 }
 
-// childrenOf are the processes that one has started and that run.
-func childrenOf(t *testing.T, pid int) (all []string) {
+// childrenOf returns the ids of the running child processes of pid.
+func childrenOf(t *testing.T, pid int) (pids []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -91,17 +91,18 @@
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // the process has ended
 		}
 		_, rest, _ := strings.Cut(string(text), ") ")
 		if fields := strings.Fields(rest); len(fields) > 1 && fields[1] == strconv.Itoa(pid) {
-			all = append(all, filepath.Base(filepath.Dir(path)))
+			pids = append(pids, filepath.Base(filepath.Dir(path)))
 		}
 	}
-	return all
+	return pids
 }
 
-func TestScaleRefuses(t *testing.T) {
+// A scale run with impossible settings is rejected with status 1 and a message that names them.
+func TestScaleRejectsInvalidRuns(t *testing.T) {
 	for want, args := range map[string][]string{
 		"no such file":            {"scale", "moonshot"},
 		"fleet.members":           {"scale", "--members", "2"},
@@ -115,9 +116,9 @@
 		"the limit is":            {"scale", "--gateways", "12000", "--scopes", "1", "--within", "zone"},
 		"put more hollow ones in": {"scale", "--gateways", "300", "--gateways-in-process", "1"},
 	} {
-		var out, errs bytes.Buffer
-		if status := run(t.Context(), args, &out, &errs); status != 1 || !strings.Contains(errs.String(), want) {
-			t.Errorf("%q: status %d, %s, which does not say %q", args, status, &errs, want)
+		var stdout, stderr bytes.Buffer
+		if status := run(t.Context(), args, &stdout, &stderr); status != 1 || !strings.Contains(stderr.String(), want) {
+			t.Errorf("%q: exit status %d, want 1 with %q: %s", args, status, want, &stderr)
 		}
 	}
 }
