--- a/internal/play/agents.go
+++ b/internal/play/agents.go
@@ -18,84 +18,84 @@
 	"dunlintray/internal/world"
 )
 
-// agent stands between one gateway and what tells it lists: the world itself, or
-// a list service, whose answers it passes on with the addresses that this gateway
-// has. So the referee knows what each gateway was told, and lists can be late.
-type agent struct {
-	e       *engine
+// discoveryProxy serves the list of backends to one gateway: the emulator's list, or that of a
+// service registry, in which it replaces the backends' addresses by those of this gateway's
+// endpoints. It reports each list that the gateway receives, and can delay lists.
+type discoveryProxy struct {
+	engine  *engine
 	gateway int
-	service string // address of the list service; empty: the world tells
+	service string // address of the service registry; empty: the emulator provides the list
 	server  *http.Server
 
-	mu      sync.Mutex
-	changed chan struct{} // closed at each change
-	held    bool
-	stale   []byte // the whole list from before, with its head
-	header  http.Header
-	isStale bool
-	last    registry.Listing // the world's list, or the last whole one
-	lists   int64
+	mu          sync.Mutex
+	changed     chan struct{} // closed at each change
+	withheld    bool          // responses wait until it is false
+	staleList   []byte        // an earlier full list, with its headers
+	staleHeader http.Header
+	serveStale  bool
+	list        registry.Listing // the emulator's list, or the last full one of the registry
+	generation  int64
 }
 
 const (
-	mostList   = 8 << 20 // bytes of a list
-	mostAsking = 16      // calls of one gateway at once
+	maxListBytes       = 8 << 20
+	maxConcurrentCalls = 16
 )
 
-func newAgent(e *engine, gateway int, address, service string) (*agent, error) {
-	l, err := net.Listen("tcp", address)
+func newDiscoveryProxy(e *engine, gateway int, address, service string) (*discoveryProxy, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{e: e, gateway: gateway, service: service, changed: make(chan struct{})}
-	a.server = &http.Server{Handler: http.HandlerFunc(a.serve), ReadHeaderTimeout: time.Second, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
-	e.wg.Go(func() { a.server.Serve(l) })
-	return a, nil
+	p := &discoveryProxy{engine: e, gateway: gateway, service: service, changed: make(chan struct{})}
+	p.server = &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: time.Second, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+	e.wg.Go(func() { p.server.Serve(listener) })
+	return p, nil
 }
 
-// set carries out what the world says of this gateway's lists.
-func (a *agent) set(change func()) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// update changes the proxy's state and wakes the requests that wait for a change.
+func (p *discoveryProxy) update(change func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	change()
-	close(a.changed)
-	a.changed = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
+func (p *discoveryProxy) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != registry.Path || r.Method != http.MethodGet {
 		http.NotFound(w, r)
 		return
 	}
 	since := r.URL.Query().Get("since")
-	var text []byte
-	var l registry.Listing
+	var body []byte
+	var list registry.Listing
 	var header http.Header
 	status := http.StatusOK
 	for {
-		a.mu.Lock()
-		held, changed, stale := a.held, a.changed, a.isStale && since == ""
-		text, header = a.stale, a.header
-		a.mu.Unlock()
-		if !held {
+		p.mu.Lock()
+		withheld, changed, serveStale := p.withheld, p.changed, p.serveStale && since == ""
+		body, header = p.staleList, p.staleHeader
+		p.mu.Unlock()
+		if !withheld {
 			var err error
 			switch {
-			case stale && text != nil:
-				err = json.Unmarshal(text, &l)
-			case a.service != "":
-				text, l, header, status, err = a.forward(r)
+			case serveStale && body != nil:
+				err = json.Unmarshal(body, &list)
+			case p.service != "":
+				body, list, header, status, err = p.forward(r)
 			default:
-				text, l, err = a.own(r)
+				body, list, err = p.localList(r)
 			}
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusBadGateway)
 				return
 			}
-			a.mu.Lock()
-			held = a.held // it may have been meanwhile
-			a.mu.Unlock()
+			p.mu.Lock()
+			withheld = p.withheld // it may have changed during the call
+			p.mu.Unlock()
 		}
-		if !held {
+		if !withheld {
 			break
 		}
 		select {
@@ -108,28 +108,29 @@
 		w.Header()[key] = values
 	}
 	w.WriteHeader(status)
-	if _, err := w.Write(text); err != nil || status != http.StatusOK {
+	if _, err := w.Write(body); err != nil || status != http.StatusOK {
 		return
 	}
 	http.NewResponseController(w).Flush()
-	a.e.post(world.ListDelivered{Gateway: a.gateway, Version: l.Generation, Full: l.Reset, Entries: a.e.entries(l)})
+	p.engine.post(world.ListDelivered{Gateway: p.gateway, Version: list.Generation, Full: list.Reset, Entries: p.engine.entries(list)})
 }
 
-// forward asks the list service.
-func (a *agent) forward(r *http.Request) ([]byte, registry.Listing, http.Header, int, error) {
-	var l registry.Listing
-	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+a.service+r.URL.RequestURI(), nil)
+// forward passes a request on to the service registry. It returns the body to send, the list in
+// it if the status is 200, the headers to copy and the status.
+func (p *discoveryProxy) forward(r *http.Request) ([]byte, registry.Listing, http.Header, int, error) {
+	var list registry.Listing
+	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+p.service+r.URL.RequestURI(), nil)
 	if err != nil {
-		return nil, l, nil, 0, err
+		return nil, list, nil, 0, err
 	}
-	resp, err := a.e.http.Do(req)
+	resp, err := p.engine.http.Do(req)
 	if err != nil {
-		return nil, l, nil, 0, err
+		return nil, list, nil, 0, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostList))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
-		return nil, l, nil, 0, err
+		return nil, list, nil, 0, err
 	}
 	header := http.Header{}
 	for _, key := range []string{registry.HistoryHeader, registry.AgeHeader, "Retry-After"} {
@@ -138,90 +139,93 @@
 		}
 	}
 	if resp.StatusCode != http.StatusOK {
-		return text, l, header, resp.StatusCode, nil
+		return body, list, header, resp.StatusCode, nil
 	}
-	if err := json.Unmarshal(text, &l); err != nil {
-		return nil, l, nil, 0, err
+	if err := json.Unmarshal(body, &list); err != nil {
+		return nil, list, nil, 0, err
 	}
-	for i := range l.Instances {
-		if n, ok := backendOf(l.Instances[i].ID); ok {
-			l.Instances[i].HostPort = a.e.place.backend(a.gateway, n)
+	for i := range list.Instances {
+		if backend, ok := parseBackendName(list.Instances[i].ID); ok {
+			list.Instances[i].HostPort = p.engine.addresses.backend(p.gateway, backend)
 		}
 	}
-	if text, err = json.Marshal(l); err != nil {
-		return nil, l, nil, 0, err
+	if body, err = json.Marshal(list); err != nil {
+		return nil, list, nil, 0, err
 	}
-	if l.Reset {
-		a.mu.Lock()
-		if !a.isStale {
-			a.last, a.stale, a.header = l, text, header
+	if list.Reset {
+		p.mu.Lock()
+		if !p.serveStale {
+			p.list, p.staleList, p.staleHeader = list, body, header
 		}
-		a.mu.Unlock()
+		p.mu.Unlock()
 	}
-	return text, l, header, resp.StatusCode, nil
+	return body, list, header, resp.StatusCode, nil
 }
 
-// own answers with what the world has told, at once or when there is news.
-func (a *agent) own(r *http.Request) ([]byte, registry.Listing, error) {
+// localList returns the emulator's list, at once or when it changes from the generation that the
+// gateway has. After the request's timeout it returns an empty update.
+func (p *discoveryProxy) localList(r *http.Request) ([]byte, registry.Listing, error) {
 	query := r.URL.Query()
 	wait, _ := strconv.Atoi(query.Get("timeout_ms"))
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
 	if err != nil {
 		since = -1
 	}
-	end := time.NewTimer(time.Duration(min(max(wait, 0), 60_000)) * time.Millisecond)
-	defer end.Stop()
+	timeout := time.NewTimer(time.Duration(min(max(wait, 0), 60_000)) * time.Millisecond)
+	defer timeout.Stop()
 	for {
-		a.mu.Lock()
-		l, changed := a.last, a.changed
-		a.mu.Unlock()
-		if l.Generation != since {
-			text, err := json.Marshal(l)
-			return text, l, err
+		p.mu.Lock()
+		list, changed := p.list, p.changed
+		p.mu.Unlock()
+		if list.Generation != since {
+			body, err := json.Marshal(list)
+			return body, list, err
 		}
 		select {
 		case <-changed:
-		case <-end.C:
-			l.Reset, l.Instances = false, []registry.Instance{}
-			text, err := json.Marshal(l)
-			return text, l, err
+		case <-timeout.C:
+			list.Reset, list.Instances = false, []registry.Instance{}
+			body, err := json.Marshal(list)
+			return body, list, err
 		case <-r.Context().Done():
-			return nil, l, r.Context().Err()
+			return nil, list, r.Context().Err()
 		}
 	}
 }
 
-// tell gives the agent the world's list.
-func (a *agent) tell(entries []world.Entry) {
-	a.set(func() {
-		a.lists++
-		a.last = registry.Listing{Generation: a.lists, Reset: true, Instances: []registry.Instance{}}
+// setList sets the emulator's list.
+func (p *discoveryProxy) setList(entries []world.Entry) {
+	p.update(func() {
+		p.generation++
+		p.list = registry.Listing{Generation: p.generation, Reset: true, Instances: []registry.Instance{}}
 		for _, entry := range entries {
-			a.last.Instances = append(a.last.Instances, a.e.instance(entry, a.gateway))
+			p.list.Instances = append(p.list.Instances, p.engine.instance(entry, p.gateway))
 		}
 	})
 }
 
-// known is the whole list that the gateway was told last.
-func (a *agent) known() registry.Listing {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.last
+// lastList returns the full list that the gateway received last.
+func (p *discoveryProxy) lastList() registry.Listing {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.list
 }
 
-// change carries out Lists.
-func (a *agent) change(l world.SetListDelivery) {
-	a.set(func() {
-		a.held = l.Paused
-		if a.isStale = l.Stale; l.Stale && a.service == "" {
-			a.stale, _ = json.Marshal(a.last) // of plain fields
+// setMode sets whether responses are held back, and whether full lists are stale.
+func (p *discoveryProxy) setMode(delivery world.SetListDelivery) {
+	p.update(func() {
+		p.withheld = delivery.Paused
+		if p.serveStale = delivery.Stale; delivery.Stale && p.service == "" {
+			p.staleList, _ = json.Marshal(p.list) // encoding its plain fields can't fail
 		}
 	})
 }
 
+// backendName returns the ID of a backend in lists.
 func backendName(n int) string { return fmt.Sprintf("b-%d", n) }
 
-func backendOf(id string) (int, bool) {
+// parseBackendName returns the number of the backend with an ID, and reports whether it is valid.
+func parseBackendName(id string) (int, bool) {
 	var n int
 	if _, err := fmt.Sscanf(id, "b-%d", &n); err != nil || n < 0 {
 		return 0, false
@@ -231,164 +235,164 @@
 
 var lifecycles = map[world.Lifecycle]registry.Lifecycle{world.Serving: registry.Ready, world.Draining: registry.Terminating, world.Gone: registry.Gone}
 
-// instance is how lists write an entry for a gateway.
+// instance returns the form that an entry has in the lists for a gateway.
 func (e *engine) instance(entry world.Entry, gateway int) registry.Instance {
-	i := registry.Instance{ID: backendName(entry.Backend), HostPort: e.place.backend(gateway, entry.Backend), Zone: e.s.Fleet.Zones[entry.Zone], MachineType: "std",
+	instance := registry.Instance{ID: backendName(entry.Backend), HostPort: e.addresses.backend(gateway, entry.Backend), Zone: e.scenario.Fleet.Zones[entry.Zone], MachineType: "std",
 		Cell: entry.Cell, Lifecycle: lifecycles[entry.Lifecycle], Weight: 1}
 	if entry.Started >= 0 {
-		i.StartedAtMs = e.epoch.Add(entry.Started).UnixMilli()
+		instance.StartedAtMs = e.epoch.Add(entry.Started).UnixMilli()
 	}
-	return i
+	return instance
 }
 
-// entries are a list's instances as the world knows them.
-func (e *engine) entries(l registry.Listing) []world.Entry {
-	var all []world.Entry
-	for _, i := range l.Instances {
-		n, ok := backendOf(i.ID)
+// entries returns the instances of a list in the emulator's form.
+func (e *engine) entries(list registry.Listing) []world.Entry {
+	var entries []world.Entry
+	for _, instance := range list.Instances {
+		backend, ok := parseBackendName(instance.ID)
 		if !ok {
 			continue
 		}
-		entry := world.Entry{Backend: n, Cell: i.Cell, Started: -1}
+		entry := world.Entry{Backend: backend, Cell: instance.Cell, Started: -1}
 		for lifecycle, name := range lifecycles {
-			if name == i.Lifecycle {
+			if name == instance.Lifecycle {
 				entry.Lifecycle = lifecycle
 			}
 		}
-		if i.StartedAtMs > 0 {
-			entry.Started = time.UnixMilli(i.StartedAtMs).Sub(e.epoch.Round(0))
+		if instance.StartedAtMs > 0 {
+			entry.Started = time.UnixMilli(instance.StartedAtMs).Sub(e.epoch.Round(0))
 		}
-		all = append(all, entry)
+		entries = append(entries, entry)
 	}
-	return all
+	return entries
 }
 
-// registrar speaks to the list services for all backends: it registers, renews,
-// drains and leaves, as each backend would by itself. What is not answered as done
-// is said again until it is.
+// registrar registers, renews, drains and deregisters all backends at the service registries, as
+// each backend would itself. It retries until the registry confirms a change.
 type registrar struct {
-	e     *engine
-	to    int // the list service that is asked first
-	calls chan world.Register
-	have  map[int]*standing
+	engine        *engine
+	registry      int // number of the registry that it calls first
+	changes       chan world.Register
+	registrations map[int]*registration
 }
 
-// standing is a backend's last word.
-type standing struct {
+// registration is a backend's last change.
+type registration struct {
 	world.Register
-	done bool // it was answered as done
+	confirmed bool // the registry has answered with status 200
 }
 
 const (
-	registrarCalls = 4096                   // changes that may wait to be told
-	sayAgain       = 100 * time.Millisecond // what was not answered as done
+	maxQueuedChanges          = 4096
+	registrationRetryInterval = 100 * time.Millisecond
 )
 
 func newRegistrar(e *engine) *registrar {
-	return &registrar{e: e, calls: make(chan world.Register, registrarCalls), have: map[int]*standing{}}
+	return &registrar{engine: e, changes: make(chan world.Register, maxQueuedChanges), registrations: map[int]*registration{}}
 }
 
 func (r *registrar) run(ctx context.Context) {
 	renew := time.NewTicker(scenario.LeaseMs * time.Millisecond / 3)
 	defer renew.Stop()
-	again := time.NewTicker(sayAgain)
-	defer again.Stop()
+	retry := time.NewTicker(registrationRetryInterval)
+	defer retry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case change := <-r.calls:
-			b := &standing{Register: change}
-			r.have[change.Backend] = b
-			r.tell(ctx, b)
-		case <-again.C:
-			for _, b := range r.have {
-				if !b.done && !r.tell(ctx, b) {
-					break // nobody is there
+		case change := <-r.changes:
+			registered := &registration{Register: change}
+			r.registrations[change.Backend] = registered
+			r.register(ctx, registered)
+		case <-retry.C:
+			for _, registered := range r.registrations {
+				if !registered.confirmed && !r.register(ctx, registered) {
+					break // no registry answers
 				}
 			}
 		case <-renew.C:
-			for _, b := range r.have {
-				if !b.done {
+			for _, registered := range r.registrations {
+				if !registered.confirmed {
 					continue
 				}
-				i := r.e.instance(b.Entry, 0)
-				status, _ := r.call(ctx, http.MethodPost, i.ID+"/renew", map[string]any{"startedAtMs": i.StartedAtMs})
+				instance := r.engine.instance(registered.Entry, 0)
+				status, _ := r.call(ctx, http.MethodPost, instance.ID+"/renew", map[string]any{"startedAtMs": instance.StartedAtMs})
 				if status == http.StatusNotFound {
-					r.tell(ctx, b)
+					r.register(ctx, registered)
 				}
 				if status == 0 {
-					break // nobody is there
+					break // no registry answers
 				}
 			}
 		}
 	}
 }
 
-// tell says a backend's word, and returns whether anybody was there.
-func (r *registrar) tell(ctx context.Context, b *standing) bool {
-	i := r.e.instance(b.Entry, 0)
-	if b.Lost {
-		delete(r.have, b.Backend) // it says nothing more, and its lease runs out
+// register sends a backend's last change, and reports whether the registry answered.
+func (r *registrar) register(ctx context.Context, registered *registration) bool {
+	instance := r.engine.instance(registered.Entry, 0)
+	if registered.Lost {
+		delete(r.registrations, registered.Backend) // it renews no more, and its lease expires
 		return true
 	}
 	var status int
 	var version int64
-	if b.Lifecycle == world.Gone {
-		status, version = r.call(ctx, http.MethodDelete, i.ID+"?startedAtMs="+strconv.FormatInt(i.StartedAtMs, 10), nil)
+	if registered.Lifecycle == world.Gone {
+		status, version = r.call(ctx, http.MethodDelete, instance.ID+"?startedAtMs="+strconv.FormatInt(instance.StartedAtMs, 10), nil)
 	} else {
-		status, version = r.call(ctx, http.MethodPut, i.ID, map[string]any{"hostPort": i.HostPort, "zone": i.Zone, "machineType": i.MachineType, "cell": i.Cell,
-			"lifecycle": i.Lifecycle, "weight": i.Weight, "startedAtMs": i.StartedAtMs})
+		status, version = r.call(ctx, http.MethodPut, instance.ID, map[string]any{"hostPort": instance.HostPort, "zone": instance.Zone, "machineType": instance.MachineType, "cell": instance.Cell,
+			"lifecycle": instance.Lifecycle, "weight": instance.Weight, "startedAtMs": instance.StartedAtMs})
 	}
-	if b.done = status == http.StatusOK; b.done {
-		r.e.post(world.Registered{Entry: b.Entry, Version: version})
-		if b.Lifecycle == world.Gone {
-			delete(r.have, b.Backend)
+	if registered.confirmed = status == http.StatusOK; registered.confirmed {
+		r.engine.post(world.Registered{Entry: registered.Entry, Version: version})
+		if registered.Lifecycle == world.Gone {
+			delete(r.registrations, registered.Backend)
 		}
 	}
 	return status != 0
 }
 
-// call makes a call to the writer, by any service where they form a group, and returns
-// the status, 0 where there was none, and the version that the answer names.
+// call calls the writer; if the registries form a group, any of them forwards the call. It returns
+// the response's status, 0 if there was none, and the version of the list in it.
 func (r *registrar) call(ctx context.Context, method, path string, body any) (status int, version int64) {
-	if !r.e.s.Fleet.Group {
-		return r.callOne(ctx, method, path, body)
+	if !r.engine.scenario.Fleet.Group {
+		return r.callRegistry(ctx, method, path, body)
 	}
-	for range r.e.s.Fleet.ListServices {
-		status, version = r.callOne(ctx, method, path, body)
+	for range r.engine.scenario.Fleet.ListServices {
+		status, version = r.callRegistry(ctx, method, path, body)
 		if status != 0 && status != http.StatusServiceUnavailable {
 			return status, version
 		}
-		r.to = (r.to + 1) % r.e.s.Fleet.ListServices
+		r.registry = (r.registry + 1) % r.engine.scenario.Fleet.ListServices
 	}
 	return 0, 0
 }
 
-func (r *registrar) callOne(ctx context.Context, method, path string, body any) (status int, version int64) {
+// callRegistry makes one call to the current registry; see call.
+func (r *registrar) callRegistry(ctx context.Context, method, path string, body any) (status int, version int64) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	var text bytes.Buffer
+	var content bytes.Buffer
 	if body != nil {
-		if err := json.NewEncoder(&text).Encode(body); err != nil {
+		if err := json.NewEncoder(&content).Encode(body); err != nil {
 			return 0, 0
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.e.service(world.Endpoint{Kind: scenario.Backends}, r.to)+registry.Path+"/"+path, &text)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.engine.registryAddress(world.Endpoint{Kind: scenario.Backends}, r.registry)+registry.Path+"/"+path, &content)
 	if err != nil {
 		return 0, 0
 	}
-	resp, err := r.e.http.Do(req)
+	resp, err := r.engine.http.Do(req)
 	if err != nil {
 		return 0, 0
 	}
 	defer resp.Body.Close()
-	var answer struct {
+	var reply struct {
 		Version int64 `json:"version"`
 	}
-	if resp.StatusCode == http.StatusOK && json.NewDecoder(io.LimitReader(resp.Body, mostList)).Decode(&answer) != nil {
-		return 0, 0 // it was cut, and may not have been done
+	if resp.StatusCode == http.StatusOK && json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&reply) != nil {
+		return 0, 0 // the response was truncated, and the change may not have taken effect
 	}
 	io.Copy(io.Discard, resp.Body)
-	return resp.StatusCode, answer.Version
+	return resp.StatusCode, reply.Version
 }
--- a/internal/referee/types.go
+++ b/internal/referee/types.go
@@ -17,7 +17,7 @@
 	Deadline time.Duration // when the client stops waiting
 }
 
-// Attempt is one try of a request that has arrived completely at a backend.
+// Attempt is an attempt of a request that has arrived completely at a backend.
 type Attempt struct {
 	ID          uint64 // of the request, as the attempt has it
 	Number      uint64 // of the attempt, unique
@@ -55,7 +55,7 @@
 	return b.String()
 }
 
-// State is the state of a backend as lists have it.
+// State is the state of a backend in lists.
 type State int
 
 // The states, in the order in which a backend goes through them.
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// backendFleet are the hollow backends of a process. One goroutine has the churn; others
+// backendFleet runs the hollow backends of a process. One goroutine owns the churn; others
 // make its calls.
 type backendFleet struct {
 	config   *BackendHost
@@ -22,18 +22,18 @@
 
 	commands      chan Command
 	stateRequests chan chan churnState
-	calls         atomic.Int64 // calls
+	calls         atomic.Int64 // made so far
 	refused       atomic.Int64
 	ended         chan struct{}
 }
 
-// churnState is what the churn tells.
+// churnState is a snapshot of the churn.
 type churnState struct {
 	serving int
 	settled bool
 }
 
-// answer is how a call went.
+// callResult is the outcome of a call.
 type callResult struct {
 	call       call
 	status     int
@@ -42,12 +42,12 @@
 }
 
 func newBackendFleet(config *BackendHost, seed uint64) (*backendFleet, error) {
-	door, err := net.Listen("tcp", config.AnswerAddress)
+	listener, err := net.Listen("tcp", config.AnswerAddress)
 	if err != nil {
 		return nil, err
 	}
 	settings := churnSettings{RenewInterval: config.RenewInterval, DrainTime: config.DrainTime, DownTime: config.DownTime, RegistrationsPerS: config.RegistrationsPerS}
-	fleet := &backendFleet{config: config, listener: door, client: newWriteClient(config.Members, config.AnswerAddress, config.Connections),
+	fleet := &backendFleet{config: config, listener: listener, client: newWriteClient(config.Members, config.AnswerAddress, config.Connections),
 		churn:    newChurn(config.Backends, settings, rand.New(rand.NewPCG(seed, 1))),
 		commands: make(chan Command, 1), stateRequests: make(chan chan churnState), ended: make(chan struct{})}
 	fleet.server = &http.Server{ReadHeaderTimeout: backendCallTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -57,8 +57,8 @@
 	return fleet, nil
 }
 
-// warmSince is for how long backends are said to have been up at the start of a run: real
-// gateways send little to cold ones.
+// initialUptime is the age that backends report at the start of a run, so that real gateways
+// do not treat them as cold.
 const initialUptime = 10 * time.Minute
 
 const changeReportInterval = 200 * time.Millisecond // between two reports of changes
@@ -69,7 +69,7 @@
 	defer wg.Wait()
 	wg.Go(func() { f.server.Serve(f.listener) })
 	defer f.server.Close()
-	calls, answers := make(chan call), make(chan callResult)
+	calls, results := make(chan call), make(chan callResult)
 	for range f.config.Connections {
 		wg.Go(func() {
 			for {
@@ -79,7 +79,7 @@
 				case outgoing := <-calls:
 					status, version := f.client.do(ctx, outgoing)
 					select {
-					case answers <- callResult{outgoing, status, version, time.Now().UnixNano()}:
+					case results <- callResult{outgoing, status, version, time.Now().UnixNano()}:
 					case <-ctx.Done():
 						return
 					}
@@ -87,15 +87,16 @@
 			}
 		})
 	}
-	f.loop(ctx, calls, answers, ready, changed)
+	f.loop(ctx, calls, results, ready, changed)
 }
 
-// loop has the churn.
-func (f *backendFleet) loop(ctx context.Context, calls chan<- call, answers <-chan callResult, ready func(), changed func([]Change)) {
+// loop owns the churn: it starts due calls, handles their results and executes commands until
+// ctx is done.
+func (f *backendFleet) loop(ctx context.Context, calls chan<- call, results <-chan callResult, ready func(), changed func([]Change)) {
 	startedAt := time.Now()
 	now := func() time.Duration { return time.Since(startedAt) }
 	f.churn.start(now(), startedAt.Add(-initialUptime).UnixMilli())
-	var queue []call // that wait for a connection
+	var queue []call // due calls that wait for a connection
 	var changes []Change
 	reported := false
 	timer := time.NewTimer(0)
@@ -107,7 +108,7 @@
 		var sendTo chan<- call
 		var nextCall call
 		for len(queue) > 0 && queue[0].incarnation != queue[0].backend.incarnation {
-			queue = queue[1:] // it was stopped meanwhile
+			queue = queue[1:] // the backend was stopped after the call became due
 		}
 		if len(queue) > 0 {
 			sendTo, nextCall = calls, queue[0]
@@ -120,7 +121,7 @@
 			return
 		case sendTo <- nextCall:
 			queue = queue[1:]
-		case result := <-answers:
+		case result := <-results:
 			f.calls.Add(1)
 			if result.status != http.StatusOK {
 				f.refused.Add(1)
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// hostVariable makes the test binary a process of hollow ones.
+// hostVariable makes the test binary run as a host process.
 const hostVariable = "SCALE_TEST_HOST"
 
-// registryProgram is the list service, built once for all tests.
+// registryProgram is the path of the registry program, built once for all tests.
 var registryProgram string
 
 func TestMain(m *testing.M) {
@@ -27,7 +27,7 @@
 		}
 		return
 	}
-	os.Setenv(hostVariable, "1") // of the processes that tests start
+	os.Setenv(hostVariable, "1") // inherited by the processes that tests start
 	os.Exit(func() int {
 		dir, err := os.MkdirTemp("", "scale-test-")
 		if err != nil {
@@ -53,8 +53,8 @@
 	return Options{RegistryPath: registryProgram, HostCommand: []string{self}, Dir: t.TempDir()}
 }
 
-// TestRunWithScopes lets gateways read parts of the list: each holds just the backends of
-// its services in its zone, and is told of no other change.
+// TestRunWithScopes checks that each gateway that reads parts of the list holds exactly the
+// backends of its services in its zone, and receives no other changes.
 func TestRunWithScopes(t *testing.T) {
 	scenario := smallScenario()
 	scenario.Reading = Reading{Services: 2, Within: WithinZone}
@@ -67,25 +67,25 @@
 	}
 	plan := NewPlan(scenario, firstNetwork)
 	for _, gateway := range plan.Gateways {
-		reads := 0
+		readCount := 0
 		for _, backend := range plan.Backends {
 			if gateway.Reads(backend) {
-				reads++
+				readCount++
 			}
 		}
-		if reads < result.Final.MinBackends || reads > result.Final.MaxBackends {
-			t.Errorf("gateway %d reads %d backends, and all hold %d to %d", gateway.Number, reads, result.Final.MinBackends, result.Final.MaxBackends)
+		if readCount < result.Final.MinBackends || readCount > result.Final.MaxBackends {
+			t.Errorf("gateway %d reads %d backends, but gateways hold %d to %d", gateway.Number, readCount, result.Final.MinBackends, result.Final.MaxBackends)
 		}
 	}
 	if result.Final.MaxBackends >= scenario.Fleet.Backends/2 || result.Final.Matching != 5 || result.Final.Total != 5 {
 		t.Errorf("%+v", result.Final)
 	}
 	if whole := int64(result.Changes * scenario.Fleet.Gateways); result.Propagation.Count == 0 || result.Propagation.Count >= whole/2 {
-		t.Errorf("%d readings of %d changes by %d gateways that read a sixth", result.Propagation.Count, result.Changes, scenario.Fleet.Gateways)
+		t.Errorf("%d latencies of %d changes at %d gateways that each read a sixth", result.Propagation.Count, result.Changes, scenario.Fleet.Gateways)
 	}
 }
 
-// TestRunWithSubset lets gateways use three of the ten backends of a service.
+// TestRunWithSubset checks that gateways select three of the ten backends of a service.
 func TestRunWithSubset(t *testing.T) {
 	scenario := smallScenario()
 	scenario.Length = Duration(time.Second / 2)
@@ -101,7 +101,7 @@
 	}
 }
 
-// children are the processes that this one has started and that still run.
+// childProcesses returns the stat lines of the running children of this process.
 func childProcesses(t *testing.T) (all []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -111,7 +111,7 @@
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // it ended meanwhile
 		}
 		_, rest, _ := strings.Cut(string(text), ") ")
 		if fields := strings.Fields(rest); len(fields) > 1 && fields[1] == strconv.Itoa(os.Getpid()) {
@@ -130,8 +130,8 @@
 	return &scenario
 }
 
-// TestRun makes a small run: each change that was answered comes to each gateway, all of
-// them hold the writer's list at the end, and no process is left.
+// TestRun checks that each acknowledged change reaches each gateway, that all gateways hold
+// the writer's list at the end, and that no process remains.
 func TestRun(t *testing.T) {
 	scenario := smallScenario()
 	scenario.Fleet.Membership = true
@@ -143,19 +143,19 @@
 		t.Error(reason)
 	}
 	if result.Changes < 6 || result.Changes%changesPerRestart != 0 {
-		t.Errorf("%d changes in 2 s, at 15 a second", result.Changes)
+		t.Errorf("%d changes in 2 s at 15 per second, want a multiple of 3 from 6", result.Changes)
 	}
 	if want := int64(result.Changes * scenario.Fleet.Gateways); result.Propagation.Count != want {
-		t.Errorf("%d changes were read %d times by %d gateways", result.Changes, result.Propagation.Count, scenario.Fleet.Gateways)
+		t.Errorf("%d changes were received %d times by %d gateways", result.Changes, result.Propagation.Count, scenario.Fleet.Gateways)
 	}
 	if result.VersionDelta != int64(result.Changes) {
-		t.Errorf("%d changes and %d versions: leases ran out", result.Changes, result.VersionDelta)
+		t.Errorf("%d changes and %d versions: leases expired", result.Changes, result.VersionDelta)
 	}
 	if result.Final.ListedBackends != 20 || result.Final.Total != 5 {
 		t.Errorf("%+v", result.Final)
 	}
 	if result.Membership.Present < 4.9 {
-		t.Errorf("gateways hold %g of 5 present", result.Membership.Present)
+		t.Errorf("gateways consider %g of 5 members present", result.Membership.Present)
 	}
 	for name, processes := range map[string]int{roleWriter: 1, roleMember: 2, roleFollower: 1, roleGateways: 2, roleBackends: 1} {
 		if role, ok := result.Role(name); !ok || role.Processes != processes || role.InPerS <= 0 || role.OutPerS <= 0 || role.MemoryMB <= 0 {
@@ -163,11 +163,12 @@
 		}
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
-		t.Errorf("left: %s", remaining)
+		t.Errorf("running processes remain: %s", remaining)
 	}
 }
 
-// TestRunWithFaults strikes a rack, a region's link and a list service.
+// TestRunWithFaults checks that a run recovers from a rack failure, a cut of a region and a
+// killed writer, and logs each fault.
 func TestRunWithFaults(t *testing.T) {
 	scenario := smallScenario()
 	scenario.Length = Duration(6 * time.Second)
@@ -188,43 +189,44 @@
 	if result.Final.ListedBackends != 20 || result.Final.Total != 5 || result.Final.Matching != 5 {
 		t.Errorf("%+v", result.Final)
 	}
-	var marks []string
-	for _, mark := range result.Events {
-		_, what, _ := strings.Cut(mark, " s: ")
-		if !strings.Contains(mark, "wrote at the beginning") { // whether another member was chosen is the group's matter
-			marks = append(marks, what)
+	var events []string
+	for _, event := range result.Events {
+		_, text, _ := strings.Cut(event, " s: ")
+		if !strings.Contains(event, "wrote at the beginning") { // depends on the group's election
+			events = append(events, text)
 		}
 	}
 	want := []string{"rack begins", "region_cut begins", "rack ends", "region_cut ends", "kill begins", "member0 was killed", "kill ends", "member0 was started again", "restarts begins", "restarts ends"}
 	for n := range want {
-		if n < len(marks) && strings.HasPrefix(want[n], "member") {
-			want[n] = marks[n][:len("member0")] + want[n][len("member0"):] // whichever wrote
+		if n < len(events) && strings.HasPrefix(want[n], "member") {
+			want[n] = events[n][:len("member0")] + want[n][len("member0"):] // any member may be the writer
 		}
 	}
-	if !slices.Equal(marks, want) {
-		t.Errorf("%q, want %q", marks, want)
+	if !slices.Equal(events, want) {
+		t.Errorf("%q, want %q", events, want)
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
-		t.Errorf("left: %s", remaining)
+		t.Errorf("running processes remain: %s", remaining)
 	}
 }
 
-// TestRunEndsWhole ends runs early and from outside: nothing is left of them.
+// TestInterruptedRunLeavesNoProcesses checks that neither a cancelled run nor one whose
+// registry process ends leaves processes.
 func TestInterruptedRunLeavesNoProcesses(t *testing.T) {
 	options := testOptions(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	if _, err := Run(ctx, smallScenario(), options); err == nil {
-		t.Error("a run that was ended has a result")
+		t.Error("a cancelled run returned a result")
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
-		t.Errorf("left: %s", remaining)
+		t.Errorf("running processes remain: %s", remaining)
 	}
 	options.RegistryPath = "/bin/false"
-	if _, err := Run(t.Context(), smallScenario(), options); err == nil || !strings.Contains(err.Error(), "ended by itself") {
+	if _, err := Run(t.Context(), smallScenario(), options); err == nil || !strings.Contains(err.Error(), "ended unexpectedly") {
 		t.Errorf("%v", err)
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
-		t.Errorf("left: %s", remaining)
+		t.Errorf("running processes remain: %s", remaining)
 	}
 }
