--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -11,23 +11,23 @@
 	"dunlintray/internal/capacity"
 )
 
-// tables are those of the page that the arithmetic gives.
+// tables returns the tables of the page that the model computes from slopes.
 func tables(slopes capacity.Slopes) map[string]string {
 	target, assumptions := capacity.DefaultTarget(), capacity.DefaultAssumptions()
 	model := capacity.Model{Target: target, Assumptions: assumptions, Slopes: slopes}
-	figures := model.Figures()
+	estimates := model.Estimates()
 	return map[string]string{
 		capacity.AssumptionTable: assumptions.Table(target, slopes),
-		capacity.FigureTable:     capacity.Table(figures),
-		capacity.RankingTable:    capacity.Ranking(figures),
-		capacity.MissingTable:    capacity.Table(model.Missing()),
-		capacity.ScopedTable:     capacity.Table(model.Scoped()),
-		capacity.ScopedRanking:   capacity.Ranking(model.Scoped()),
+		capacity.EstimateTable:   capacity.Table(estimates),
+		capacity.RankingTable:    capacity.Ranking(estimates),
+		capacity.MissingTable:    capacity.Table(model.MissingEstimates()),
+		capacity.ScopedTable:     capacity.Table(model.ScopedEstimates()),
+		capacity.ScopedRanking:   capacity.Ranking(model.ScopedEstimates()),
 	}
 }
 
-// TestCapacityPage prints the tables that follow from the page's slopes and holds the page
-// to them.
+// The tables of the page are those that the model computes from its slopes. CAPACITY_UPDATE writes
+// them.
 func TestCapacityPage(t *testing.T) {
 	page, err := capacity.ReadPage(pagePath)
 	if err != nil {
@@ -50,8 +50,8 @@
 			}
 			continue
 		}
-		if have, err := page.Table(name); err != nil || have != want {
-			t.Errorf("table %s is not what the slopes come to (CAPACITY_UPDATE=1 writes it): %v\n%s", name, err, firstDifference(have, want))
+		if got, err := page.Table(name); err != nil || got != want {
+			t.Errorf("table %s differs from the model (CAPACITY_UPDATE=1 writes it): error %v\n%s", name, err, firstDifference(got, want))
 		}
 	}
 	if update {
@@ -61,19 +61,20 @@
 	}
 }
 
-func firstDifference(have, want string) string {
-	a, b := strings.Split(have, "\n"), strings.Split(want, "\n")
-	for n := range min(len(a), len(b)) {
-		if a[n] != b[n] {
-			return fmt.Sprintf("have %s\nwant %s", a[n], b[n])
+// firstDifference describes the first line in which two texts differ.
+func firstDifference(got, want string) string {
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
+	for n := range min(len(gotLines), len(wantLines)) {
+		if gotLines[n] != wantLines[n] {
+			return fmt.Sprintf("got  %s\nwant %s", gotLines[n], wantLines[n])
 		}
 	}
-	return fmt.Sprintf("%d lines, not %d", len(a), len(b))
+	return fmt.Sprintf("%d lines, want %d", len(gotLines), len(wantLines))
 }
 
-// TestPlantedSlope plants a slope of twice the size, and one of half, in each row of the
-// page: the comparison has to find all of them.
-func TestPlantedSlope(t *testing.T) {
+// The comparison with the page finds values of half and of twice the size, for each row that has a
+// tolerance.
+func TestCompareFindsChangedSlopes(t *testing.T) {
 	page, err := capacity.ReadPage(pagePath)
 	if err != nil {
 		t.Fatal(err)
@@ -84,40 +85,42 @@
 	}
 	compared := 0
 	for name, row := range slopes {
-		if row.Within == 0 {
+		if row.Tolerance == 0 {
 			continue
 		}
 		compared++
-		if err := slopes.Compare(row.Measured); err != nil {
-			t.Errorf("the page does not agree with itself: %v", err)
+		if err := slopes.Compare(row.Measurement); err != nil {
+			t.Errorf("the page compared with itself: %v", err)
 		}
 		for _, factor := range []float64{2, 0.5} {
-			planted := row.Measured
+			planted := row.Measurement
 			planted.Points = nil
-			for _, p := range row.Points {
-				planted.Points = append(planted.Points, capacity.Point{Size: p.Size, Value: factor * p.Value})
+			for _, point := range row.Points {
+				planted.Points = append(planted.Points, capacity.Point{Size: point.Size, Value: factor * point.Value})
 			}
 			if slopes.Compare(planted) == nil {
-				t.Errorf("%s: %g times the page's figures are not found", name, factor)
+				t.Errorf("slope %s: values of %g times those of the page pass the comparison", name, factor)
 			}
 		}
 	}
 	if compared < 10 {
-		t.Errorf("the page has %d slopes to compare", compared)
+		t.Errorf("the page has %d slopes with a tolerance, want at least 10", compared)
 	}
 }
 
-func points(f func(x float64) float64) (all []capacity.Point) {
+// points returns the values of a function at four sizes.
+func points(f func(x float64) float64) (values []capacity.Point) {
 	for _, size := range []int{100, 300, 900, 2_700} {
-		all = append(all, capacity.Point{Size: size, Value: f(float64(size))})
+		values = append(values, capacity.Point{Size: size, Value: f(float64(size))})
 	}
-	return all
+	return values
 }
 
-func TestFit(t *testing.T) {
-	for _, c := range []struct {
+// NewFit finds the form, the parameters and the bend of exact curves.
+func TestNewFit(t *testing.T) {
+	for _, test := range []struct {
 		name        string
-		f           func(x float64) float64
+		curve       func(x float64) float64
 		form        capacity.Form
 		base, slope float64
 		bend        int
@@ -129,20 +132,20 @@
 		{"square", func(x float64) float64 { return 0.5 * x * x }, capacity.Quadratic, 0.5, 2, 0},
 		{"root", func(x float64) float64 { return 2 * math.Sqrt(x) }, capacity.Power, 2, 0.5, 0},
 	} {
-		fit := capacity.NewFit(points(c.f))
-		if fit.Form != c.form || fit.BendAt != c.bend {
-			t.Errorf("%s: %+v", c.name, fit)
+		fit := capacity.NewFit(points(test.curve))
+		if fit.Form != test.form || fit.BendAt != test.bend {
+			t.Errorf("%s: got %+v, want %s with base %g, slope %g and bend at %d", test.name, fit, test.form, test.base, test.slope, test.bend)
 		}
-		if c.bend == 0 && (math.Abs(fit.Base-c.base) > 0.05*c.base+1e-6 || math.Abs(fit.Slope-c.slope) > 0.01*c.slope+1e-6 || fit.Residual > 0.05) {
-			t.Errorf("%s: %+v", c.name, fit)
+		if test.bend == 0 && (math.Abs(fit.Base-test.base) > 0.05*test.base+1e-6 || math.Abs(fit.Slope-test.slope) > 0.01*test.slope+1e-6 || fit.Residual > 0.05) {
+			t.Errorf("%s: got %+v, want %s with base %g, slope %g and bend at %d", test.name, fit, test.form, test.base, test.slope, test.bend)
 		}
 	}
 }
 
-// TestPageRefuses reads pages that are not what they have to be.
-func TestPageRefuses(t *testing.T) {
-	m := capacity.Measured{Name: "a_b", Unit: "B by backends", Within: 1.5, Command: "go test ./x", Points: points(func(x float64) float64 { return 7 + 3*x })}
-	write := func(row string) *capacity.Page {
+// Slopes rejects malformed, duplicate and inconsistent rows, and Compare an unknown slope.
+func TestPageRejectsInvalidRows(t *testing.T) {
+	measurement := capacity.Measurement{Name: "a_b", Unit: "B by backends", Tolerance: 1.5, Command: "go test ./x", Points: points(func(x float64) float64 { return 7 + 3*x })}
+	newPage := func(row string) *capacity.Page {
 		path := filepath.Join(t.TempDir(), "page.md")
 		text := "<!-- slopes -->\n" + row + "\n<!-- end of slopes -->\n<!-- times -->\n<!-- end of times -->\n"
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
@@ -154,43 +157,44 @@
 		}
 		return page
 	}
-	good := m.Row()
-	slopes, err := write(good).Slopes()
+	row := measurement.Row()
+	slopes, err := newPage(row).Slopes()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := slopes.Compare(m); err != nil {
-		t.Error(err)
+	if err := slopes.Compare(measurement); err != nil {
+		t.Errorf("a measurement compared with its own row: %v", err)
 	}
-	other := m
-	other.Name = "c_d"
-	if slopes.Compare(other) == nil {
-		t.Error("a slope that the page has not is compared")
+	unknown := measurement
+	unknown.Name = "c_d"
+	if slopes.Compare(unknown) == nil {
+		t.Error("a slope that is not on the page passes the comparison")
 	}
-	for _, c := range []struct{ from, to string }{
-		{"307", "907"},           // a fit of other values
-		{"100: 307;", "100 307"}, // no pair
+	for _, test := range []struct{ from, to string }{
+		{"307", "907"},           // the fit does not match
+		{"100: 307;", "100 307"}, // no size
 		{"| 1.5 |", "| 0.5 |"},
 		{"| 1.5 |", "| x |"},
 		{"| `go test", "| | `go test"},
-		{good, good + "\n" + good},
+		{row, row + "\n" + row},
 	} {
-		if !strings.Contains(good, c.from) {
-			t.Fatalf("%q is not in %q", c.from, good)
+		if !strings.Contains(row, test.from) {
+			t.Fatalf("%q is not in row %q", test.from, row)
 		}
-		if _, err := write(strings.Replace(good, c.from, c.to, 1)).Slopes(); err == nil {
-			t.Errorf("%q in place of %q is taken", c.to, c.from)
+		if _, err := newPage(strings.Replace(row, test.from, test.to, 1)).Slopes(); err == nil {
+			t.Errorf("a row with %q in place of %q is accepted", test.to, test.from)
 		}
 	}
 	if _, err := (&capacity.Page{}).Slopes(); err == nil {
-		t.Error("a page without tables is taken")
+		t.Error("a page without tables is accepted")
 	}
 }
 
+// Number keeps three significant digits, and all digits before the point.
 func TestNumber(t *testing.T) {
-	for v, want := range map[float64]string{0: "0", 1: "1", 0.01234: "0.0123", 12.34: "12.3", 123.4: "123", 1234.5: "1,234", 31_000_000: "31,000,000", 99.96: "100", 1e-5: "0.00001"} {
-		if got := capacity.Number(v); got != want {
-			t.Errorf("%g: %s, not %s", v, got, want)
+	for value, want := range map[float64]string{0: "0", 1: "1", 0.01234: "0.0123", 12.34: "12.3", 123.4: "123", 1234.5: "1,234", 31_000_000: "31,000,000", 99.96: "100", 1e-5: "0.00001"} {
+		if got := capacity.Number(value); got != want {
+			t.Errorf("Number(%g) = %s, want %s", value, got, want)
 		}
 	}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Point is the value of a quantity at one size.
+// Point is a measured value of a quantity at one size.
 type Point struct {
 	Size  int
 	Value float64
@@ -14,7 +14,7 @@
 // Form is how a quantity grows with its size.
 type Form string
 
-// The forms. A product is told by rows of a quantity that is linear in each of two sizes.
+// Forms of growth.
 const (
 	Constant  Form = "constant"
 	Linear    Form = "linear"
@@ -23,40 +23,40 @@
 )
 
 const (
-	constantWithin = 0.10 // relative deviation from the mean, up to which a quantity is constant
-	linearWithin   = 0.35 // relative deviation from the line, up to which it may be linear
-	linearSurely   = 0.10 // and up to which it is, even if a power lies nearer
-	linearFactor   = 2.0  // of the deviation from a power, up to which the line is taken beyond that
-	exponentWithin = 0.25 // distance of the exponent from 2, up to which it is quadratic
-	exactly        = 1e-9 // of the smallest value, below which a base is the arithmetic's
-	bendAbove      = 0.50 // relative change of the local slope that counts as a bend
+	maxConstantResidual  = 0.10 // up to which a quantity is constant
+	maxLinearResidual    = 0.35 // up to which a quantity may be linear
+	sureLinearResidual   = 0.10 // up to which a quantity is linear, even if a power fits better
+	maxLinearPowerRatio  = 2.0  // of the residuals of line and power, beyond sureLinearResidual
+	maxQuadraticDistance = 0.25 // of the exponent from 2, up to which a power is quadratic
+	minRelativeBase      = 1e-9 // of the smallest value, below which a base is a rounding error
+	minBend              = 0.50 // relative change of the local slope that counts as a bend
 )
 
 // Fit is a form fitted to points.
 type Fit struct {
 	Form     Form
 	Base     float64 // the value at size 0; of a constant, the value
-	Slope    float64 // for each unit of size; of a power, the exponent
+	Slope    float64 // per unit of size; of a power, the exponent
 	Residual float64 // the largest relative deviation of a point from the fit
-	BendAt   int     // the first size beyond which the local slope is another; 0: it does not bend
+	BendAt   int     // the first size after which the local slope differs; 0: none
 }
 
-// NewFit fits the simplest form that stays near the points: constant, then a line, then a
-// power of the size. Deviations are relative, so that small sizes count as much as large ones.
+// NewFit fits the simplest form that is close to the points: a constant, a line or a power of the
+// size. Deviations are relative, so that small sizes count as much as large ones.
 func NewFit(points []Point) Fit {
-	if constant := fitConstant(points); constant.Residual <= constantWithin {
+	if constant := fitConstant(points); constant.Residual <= maxConstantResidual {
 		return constant
 	}
 	line, power := fitLine(points), fitPower(points)
-	near := line.Residual <= linearSurely || line.Residual <= linearWithin && line.Residual <= linearFactor*power.Residual
-	if near && line.Slope > 0 {
-		line.BendAt = bend(points)
+	isLinear := line.Residual <= sureLinearResidual || line.Residual <= maxLinearResidual && line.Residual <= maxLinearPowerRatio*power.Residual
+	if isLinear && line.Slope > 0 {
+		line.BendAt = bendSize(points)
 		return line
 	}
 	return power
 }
 
-// At is the fitted value at a size.
+// At returns the fitted value at a size.
 func (f Fit) At(size float64) float64 {
 	switch f.Form {
 	case Constant:
@@ -69,15 +69,15 @@
 
 func fitConstant(points []Point) Fit {
 	sum := 0.0
-	for _, p := range points {
-		sum += p.Value
+	for _, point := range points {
+		sum += point.Value
 	}
-	f := Fit{Form: Constant, Base: sum / float64(len(points))}
-	f.Residual = f.worst(points)
-	return f
+	fit := Fit{Form: Constant, Base: sum / float64(len(points))}
+	fit.Residual = fit.maxDeviation(points)
+	return fit
 }
 
-// fitLine is least squares on relative deviations.
+// fitLine fits a line by least squares of relative deviations.
 func fitLine(points []Point) Fit {
 	var w, wx, wy, wxx, wxy float64
 	for _, p := range points {
@@ -87,15 +87,15 @@
 		wxx, wxy = wxx+weight*x*x, wxy+weight*x*y
 	}
 	slope := (w*wxy - wx*wy) / (w*wxx - wx*wx)
-	f := Fit{Form: Linear, Slope: slope, Base: (wy - slope*wx) / w}
-	if smallest := points[0].Value; math.Abs(f.Base) < exactly*math.Abs(smallest) {
-		f.Base = 0
+	fit := Fit{Form: Linear, Slope: slope, Base: (wy - slope*wx) / w}
+	if smallest := points[0].Value; math.Abs(fit.Base) < minRelativeBase*math.Abs(smallest) {
+		fit.Base = 0
 	}
-	f.Residual = f.worst(points)
-	return f
+	fit.Residual = fit.maxDeviation(points)
+	return fit
 }
 
-// fitPower is least squares on logarithms.
+// fitPower fits a power by least squares of logarithms.
 func fitPower(points []Point) Fit {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
@@ -103,37 +103,38 @@
 		n, sx, sy, sxx, sxy = n+1, sx+x, sy+y, sxx+x*x, sxy+x*y
 	}
 	exponent := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	f := Fit{Form: Power, Slope: exponent, Base: math.Exp((sy - exponent*sx) / n)}
-	if math.Abs(exponent-2) < exponentWithin {
-		f.Form = Quadratic
+	fit := Fit{Form: Power, Slope: exponent, Base: math.Exp((sy - exponent*sx) / n)}
+	if math.Abs(exponent-2) < maxQuadraticDistance {
+		fit.Form = Quadratic
 	}
-	f.Residual = f.worst(points)
-	return f
+	fit.Residual = fit.maxDeviation(points)
+	return fit
 }
 
-func (f Fit) worst(points []Point) (most float64) {
+// maxDeviation returns the largest relative deviation of a point from the fit.
+func (f Fit) maxDeviation(points []Point) (largest float64) {
 	for _, p := range points {
-		most = max(most, math.Abs(f.At(float64(p.Size))-p.Value)/math.Abs(p.Value))
+		largest = max(largest, math.Abs(f.At(float64(p.Size))-p.Value)/math.Abs(p.Value))
 	}
-	return most
+	return largest
 }
 
-// bend returns the size beyond which the slope between two points is another than before
-// it and stays so to the last point; 0: there is none.
-func bend(points []Point) int {
-	local := func(n int) float64 {
+// bendSize returns the first size at which the slope between adjacent points changes by more than
+// minBend, or 0.
+func bendSize(points []Point) int {
+	localSlope := func(n int) float64 {
 		return (points[n+1].Value - points[n].Value) / float64(points[n+1].Size-points[n].Size)
 	}
 	for n := 1; n+1 < len(points); n++ {
-		before, after := local(n-1), local(n)
-		if before > 0 && math.Abs(after/before-1) > bendAbove {
+		previous, next := localSlope(n-1), localSlope(n)
+		if previous > 0 && math.Abs(next/previous-1) > minBend {
 			return points[n].Size
 		}
 	}
 	return 0
 }
 
-// String tells the fit as the page does.
+// String returns the fit in the notation of the page.
 func (f Fit) String() string {
 	switch f.Form {
 	case Constant:
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -36,17 +36,17 @@
 	timesCommand  = "go test -run - -bench Times -benchtime 1x ./internal/capacity"
 )
 
-// full asks for all sizes of the page, not only for those that a few seconds allow;
-// update writes what was measured into the page.
+// full measures all sizes of the page and not only the small ones; update writes the measurements
+// to the page.
 var full, update = os.Getenv("CAPACITY_FULL") != "", os.Getenv("CAPACITY_UPDATE") != ""
 
-// quantity is something that grows with a size, the other sizes held.
+// quantity is a cost that is measured as a function of one size, with all other sizes constant.
 type quantity struct {
-	name, unit string
-	within     float64
-	sizes      []int
-	often      int // so many of the sizes are measured at each run of the tests, the smallest
-	measure    func(t testing.TB, size int) float64
+	name, unit   string
+	tolerance    float64 // factor; 0: not compared
+	sizes        []int
+	defaultSizes int // number of sizes, from the smallest, that each test run measures
+	measure      func(t testing.TB, size int) float64
 }
 
 var (
@@ -57,7 +57,7 @@
 	rateSizes     = []int{1, 3, 9, 27, 81}
 )
 
-// quantities are counts, bytes and allocations; none of them is a time.
+// quantities are counts, bytes and allocations, which are reproducible and compared with the page.
 var quantities = []quantity{
 	{"module_bytes_backend", "B by backends", 1.25, backendSizes, 4, func(t testing.TB, n int) float64 {
 		return retained(func() any { return newModule(n) })
@@ -76,14 +76,14 @@
 		defer runtime.KeepAlive(&list)
 		return retained(func() any {
 			f := registry.NewFeed([]string{"127.0.0.1:1"}, random())
-			if _, err := f.Answered(copied(list), "h", 0); err != nil {
+			if _, err := f.Answered(deepCopy(list), "h", 0); err != nil {
 				t.Fatal(err)
 			}
 			return f
 		})
 	}},
 	{"drops_comparisons", "comparisons for a whole list that lacks n instances and has n that changed (Feed.Answered)", 1.1, []int{274, 823, 2_469, 7_407}, 3, func(t testing.TB, n int) float64 {
-		return float64(listThatDrops(n).answer(t).Compared())
+		return float64(newShrinkingList(n).updatedFeed(t).Compared())
 	}},
 	{"list_bytes_instance", "B of a whole list by instances", 1.2, backendSizes, 2, func(t testing.TB, n int) float64 {
 		return float64(len(read(t, filledStore(t, n, n), -1)))
@@ -115,40 +115,39 @@
 		return retained(func() any { return filledLedger(0, n) })
 	}},
 	{"change_allocations_watcher", "allocations of a change by watchers", 1.5, watcherSizes, 4, func(t testing.TB, n int) float64 {
-		return watched(t, n, 8).allocations
+		return changeCost(t, n, 8).allocations
 	}},
 	{"service_bytes_watcher", "B of heap by watchers, their sockets included", 1.25, socketSizes, 2, func(t testing.TB, n int) float64 {
-		return watched(t, n, 1).heap
+		return changeCost(t, n, 1).heap
 	}},
 	{"service_bytes_connection", "B of heap by idle connections of backends, their sockets included", 1.25, socketSizes, 2, connectionBytes},
 	{"renewal_allocations", "allocations of a renewal by instances", 1.5, []int{823, 2_469, 7_407, 22_222}, 2, func(t testing.TB, n int) float64 {
-		return renewals(t, n, 400).allocations
+		return renewalCost(t, n, 400).allocations
 	}},
 	{"renewal_wire", "B on the wire of a renewal, both ways, by instances", 1.2, []int{823, 2_469, 7_407, 22_222}, 1, func(t testing.TB, n int) float64 {
-		return renewals(t, n, 1).bytes
+		return renewalCost(t, n, 1).bytes
 	}},
 	{"watch_wire", "B on the wire of a watch call with one change, both ways, by instances of the list", 1.2, []int{823, 2_469, 7_407, 22_222}, 1, watchWire},
 }
 
-// times are of the processor; they are never compared, nor is what stacks take, which the
-// runtime keeps for later goroutines.
+// times are processor times and the memory of stacks. They vary between runs and are not compared.
 var times = []quantity{
 	{"service_stacks_watcher", "B of stacks by watchers, their own included", 0, socketSizes, 0, func(t testing.TB, n int) float64 {
-		return watched(t, n, 1).stacks
+		return changeCost(t, n, 1).stacks
 	}},
 	{"decision_us", "us of a decision by backends", 0, backendSizes, 0, func(t testing.TB, n int) float64 {
-		m := newModuleWith(unlimited(), n)
+		m := newModuleWith(settingsWithoutQuota(), n)
 		return micros(func() { m.mustServe(t) })
 	}},
 	{"decision_us_plans", "us of a decision among 7,407 backends by plans, three classes each", 0, []int{1, 3, 9, 27}, 0, func(t testing.TB, n int) float64 {
-		set := unlimited()
-		plan := set.Plans[0]
-		set.Plans = nil
+		settings := settingsWithoutQuota()
+		plan := settings.Plans[0]
+		settings.Plans = nil
 		for k := range n {
 			plan.Price = 1 + 0.01*float64(k)
-			set.Plans = append(set.Plans, plan)
+			settings.Plans = append(settings.Plans, plan)
 		}
-		m := newModuleWith(set, 7_407)
+		m := newModuleWith(settings, 7_407)
 		return micros(func() { m.mustServe(t) })
 	}},
 	{"housekeeping_us_backend", "us of a round of housekeeping by backends", 0, backendSizes, 0, func(t testing.TB, n int) float64 {
@@ -174,7 +173,7 @@
 			}
 		})
 	}},
-	{"drops_us", "us of a whole list that lacks n instances and has n that changed (Feed.Answered)", 0, []int{274, 823, 2_469, 7_407}, 0, dropped},
+	{"drops_us", "us of a whole list that lacks n instances and has n that changed (Feed.Answered)", 0, []int{274, 823, 2_469, 7_407}, 0, shrinkMicros},
 	{"tick_us", "us of a look at all leases by instances", 0, backendSizes, 0, func(t testing.TB, n int) float64 {
 		s, now := filledStore(t, n, 0), time.Duration(0)
 		return micros(func() {
@@ -193,21 +192,21 @@
 		})
 	}},
 	{"renewal_us", "us of a renewal, service and caller's socket, by instances", 0, []int{823, 2_469, 7_407, 22_222}, 0, func(t testing.TB, n int) float64 {
-		return renewals(t, n, 5_000).micros
+		return renewalCost(t, n, 5_000).micros
 	}},
 	{"change_us_watcher", "us of a change, service and readers' sockets, by watchers", 0, watcherSizes, 0, func(t testing.TB, n int) float64 {
-		return watched(t, n, 50).micros
+		return changeCost(t, n, 50).micros
 	}},
 	{"reader_us", "us of a watch call with one change at its reader, client and the service's socket, by instances known", 0, []int{823, 2_469, 7_407, 22_222}, 0, readerTime},
 }
 
-// TestMain keeps the services' lines out of the results.
+// TestMain discards the log lines of the services.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	os.Exit(m.Run())
 }
 
-// TestSlopes measures each quantity and holds it to the page's.
+// Each measured quantity is within its tolerance of the page.
 func TestSlopes(t *testing.T) {
 	page, err := capacity.ReadPage(pagePath)
 	if err != nil {
@@ -215,10 +214,10 @@
 	}
 	for _, q := range slices.Concat(quantities, scopedQuantities) {
 		t.Run(q.name, func(t *testing.T) {
-			m := q.run(t, full || update)
-			t.Log(m.Row())
+			measurement := q.run(t, full || update)
+			t.Log(measurement.Row())
 			if update {
-				if err := page.Put(m); err != nil {
+				if err := page.SetRow(measurement); err != nil {
 					t.Fatal(err)
 				}
 				return
@@ -227,7 +226,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := slopes.Compare(m); err != nil {
+			if err := slopes.Compare(measurement); err != nil {
 				t.Error(err)
 			}
 		})
@@ -239,7 +238,7 @@
 	}
 }
 
-// BenchmarkTimes measures processor times, whose table is for readers and for the figures.
+// BenchmarkTimes measures processor times and, with CAPACITY_UPDATE, writes them to the page.
 func BenchmarkTimes(b *testing.B) {
 	page, err := capacity.ReadPage(pagePath)
 	if err != nil {
@@ -247,12 +246,12 @@
 	}
 	for _, q := range slices.Concat(times, scopedTimes) {
 		b.Run(q.name, func(b *testing.B) {
-			m := q.run(b, true)
-			b.Log(m.Row())
-			for _, p := range m.Points {
-				b.ReportMetric(p.Value, fmt.Sprint("us/", p.Size))
+			measurement := q.run(b, true)
+			b.Log(measurement.Row())
+			for _, point := range measurement.Points {
+				b.ReportMetric(point.Value, fmt.Sprint("us/", point.Size))
 			}
-			if err := page.Put(m); err != nil {
+			if err := page.SetRow(measurement); err != nil {
 				b.Fatal(err)
 			}
 		})
@@ -264,13 +263,14 @@
 	}
 }
 
-func (q quantity) run(t testing.TB, all bool) capacity.Measured {
-	m := capacity.Measured{Name: q.name, Unit: q.unit, Within: q.within, Command: slopesCommand}
-	if q.within == 0 {
+// run measures the quantity at all its sizes, or at the default ones.
+func (q quantity) run(t testing.TB, all bool) capacity.Measurement {
+	m := capacity.Measurement{Name: q.name, Unit: q.unit, Tolerance: q.tolerance, Command: slopesCommand}
+	if q.tolerance == 0 {
 		m.Command = timesCommand
 	}
 	for n, size := range q.sizes {
-		if all || n < q.often {
+		if all || n < q.defaultSizes {
 			m.Points = append(m.Points, capacity.Point{Size: size, Value: q.measure(t, size)})
 		}
 	}
@@ -280,95 +280,97 @@
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
 const (
-	retainedLeast = 1 << 20 // bytes that a measurement wants to see, so that what others leave does not count
-	retainedMost  = 64      // copies at most, for that
-	retainedTimes = 3       // measurements, of which the middle one counts
+	minRetainedBytes  = 1 << 20 // of all copies, so that garbage of other code has little weight
+	maxRetainedCopies = 64
+	retainedRounds    = 3 // of which the median counts
 )
 
-// retained is how many bytes of the heap hold what f returns.
+// retained returns the heap bytes that one result of f retains.
 func retained(f func() any) float64 {
 	before := heapInUse()
 	first := f()
-	size := max(heapInUse()-before, 1)
+	firstSize := max(heapInUse()-before, 1)
 	runtime.KeepAlive(first)
-	copies := int(min(max(retainedLeast/size, 1), retainedMost))
-	var each []float64
-	for range retainedTimes {
+	copies := int(min(max(minRetainedBytes/firstSize, 1), maxRetainedCopies))
+	var sizes []float64
+	for range retainedRounds {
 		kept := make([]any, copies)
 		before := heapInUse()
 		for n := range kept {
 			kept[n] = f()
 		}
-		each = append(each, float64(heapInUse()-before)/float64(copies))
+		sizes = append(sizes, float64(heapInUse()-before)/float64(copies))
 		runtime.KeepAlive(kept)
 	}
-	slices.Sort(each)
-	return each[len(each)/2]
+	slices.Sort(sizes)
+	return sizes[len(sizes)/2]
 }
 
-// heapInUse is what is in use of it.
+// heapInUse returns the allocated heap bytes after a garbage collection.
 func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return int64(m.HeapAlloc)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
 }
 
-// stacksInUse is what stacks take.
+// stacksInUse returns the bytes of stacks after a garbage collection.
 func stacksInUse() int64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return int64(m.StackInuse)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.StackInuse)
 }
 
+// mallocs returns the number of allocations of this process so far.
 func mallocs() float64 {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.Mallocs)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.Mallocs)
 }
 
-// processor is the processor time of this process so far.
-func processor() time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+// processorTime returns the processor time of this process so far.
+func processorTime() time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
 const (
-	measuredFor    = 100 * time.Millisecond // of processor time, at least, and three calls
-	measuredRounds = 5                      // of which the least counts: others use the machine too
+	minMeasuredTime  = 100 * time.Millisecond // processor time of a round
+	minMeasuredCalls = 3                      // of a round
+	measuredRounds   = 5                      // of which the fastest counts
 )
 
-// micros is the processor time of one call of f.
+// micros returns the processor time of one call of f in microseconds.
 func micros(f func()) float64 {
 	f()
-	least := math.Inf(1)
+	fastest := math.Inf(1)
 	for range measuredRounds {
-		began, calls := processor(), 0
-		for calls < 3 || processor()-began < measuredFor {
+		startTime, calls := processorTime(), 0
+		for calls < minMeasuredCalls || processorTime()-startTime < minMeasuredTime {
 			f()
 			calls++
 		}
-		least = min(least, float64((processor()-began).Nanoseconds())/1e3/float64(calls))
+		fastest = min(fastest, float64((processorTime()-startTime).Nanoseconds())/1e3/float64(calls))
 	}
-	return least
+	return fastest
 }
 
-// module is a decision module whose requests are all served at once.
+// module is a decision module with a simulated counter and backends that serve each request at once.
 type module struct {
 	*rules.Gateway
-	now    float64
-	next   rules.RequestID
-	counts int
-	out    []rules.Action
-	totals map[uint64]float64
+	now          float64 // seconds
+	lastRequest  rules.RequestID
+	counterCalls int
+	actions      []rules.Action     // of the latest event
+	totals       map[uint64]float64 // of the counter, by name
 }
 
-// testSettings are those of the configuration that ships, for the fleet of the target.
+// testSettings returns the settings of the example configuration, for the fleet of the target.
 func testSettings() rules.Settings {
 	text, err := os.ReadFile("../../docs/examples/gateway.json")
 	if err != nil {
@@ -378,94 +380,95 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		panic(err)
 	}
-	d, err := wire.ParseDeployment(config.Settings)
+	deployment, err := wire.ParseDeployment(config.Settings)
 	if err != nil {
 		panic(err)
 	}
-	d.Fleet = 8700
-	return d.Settings
+	deployment.Fleet = 8700
+	return deployment.Settings
 }
 
 func newModule(backends int) *module { return newModuleWith(testSettings(), backends) }
 
-func newModuleWith(set rules.Settings, backends int) *module {
+// newModuleWith returns a module whose backends are all warm.
+func newModuleWith(settings rules.Settings, backends int) *module {
 	m := &module{now: 1000, totals: map[uint64]float64{}}
-	m.Gateway, _ = rules.New(set, 7, m.now, nil)
-	m.list(backends)
-	m.now += 100 // all backends are warm
+	m.Gateway, _ = rules.New(settings, 7, m.now, nil)
+	m.setBackends(backends)
+	m.now += 100 // the backends become warm
 	return m
 }
 
-func (m *module) list(backends int) {
-	news := rules.Backends{Kind: rules.FullList}
+func (m *module) setBackends(backends int) {
+	update := rules.Backends{Kind: rules.FullList}
 	for n := range backends {
-		news.Entries = append(news.Entries, rules.Backend{ID: rules.BackendID(n + 1), State: rules.Ready, Weight: 1})
+		update.Entries = append(update.Entries, rules.Backend{ID: rules.BackendID(n + 1), State: rules.Ready, Weight: 1})
 	}
-	m.handle(news)
+	m.handle(update)
 }
 
-func (m *module) handle(ev rules.Event) {
-	m.out = m.Handle(m.now, ev, m.out[:0])
+// handle passes an event to the module and keeps its actions.
+func (m *module) handle(event rules.Event) {
+	m.actions = m.Handle(m.now, event, m.actions[:0])
 }
 
-// unlimited are settings whose first plan has no quota, so that each request is a decision.
-func unlimited() rules.Settings {
-	set := testSettings()
-	set.Plans[0].Rate = 0
-	return set
+// settingsWithoutQuota returns settings whose first plan has no quota, so that each request needs a decision.
+func settingsWithoutQuota() rules.Settings {
+	settings := testSettings()
+	settings.Plans[0].Rate = 0
+	return settings
 }
 
 func (m *module) mustServe(t testing.TB) {
 	if !m.serve(1) {
-		t.Fatal("a request was not sent to any backend")
+		t.Fatal("a request without quota was not sent to a backend")
 	}
 }
 
-// serve lets a customer ask once. Its request is granted and served, unless the customer is
-// over its quota.
+// serve sends a request of a customer. It reports whether the request was served; one that is over
+// the quota is not.
 func (m *module) serve(customer rules.CustomerID) (served bool) {
-	m.next++
-	id := m.next
+	m.lastRequest++
+	id := m.lastRequest
 	m.handle(rules.Request{ID: id, Customer: customer, Units: 1, GatewayCount: 16, Deadline: m.now + 1})
 	for {
-		again := false
-		for _, action := range m.out {
+		restart := false // since the actions of a counter reply replace those that are ranged over
+		for _, action := range m.actions {
 			switch a := action.(type) {
 			case rules.Count:
-				m.counts++
+				m.counterCalls++
 				m.totals[a.Name] += a.Amount
 				m.handle(rules.CounterReply{Name: a.Name, Total: m.totals[a.Name], Took: 0.001})
-				again = true
+				restart = true
 			case rules.Send:
 				m.now += 0.0001
 				m.handle(rules.AttemptEnd{Request: a.Request, Backend: a.Backend, Outcome: rules.Served, Took: 0.0001, Done: true})
 				return true
 			}
-			if again {
+			if restart {
 				break
 			}
 		}
-		if !again {
+		if !restart {
 			return false
 		}
 	}
 }
 
-// advance lets time pass to the next round of housekeeping, whose calls to the counter are
-// answered.
+// advance moves the time, runs a round of housekeeping and answers its calls to the counter.
 func (m *module) advance(seconds float64) {
 	m.now += seconds
 	m.handle(rules.Timer{})
 	var calls []rules.Count
-	for _, action := range m.out {
-		if c, ok := action.(rules.Count); ok {
-			calls = append(calls, c)
+	for _, action := range m.actions {
+		if call, ok := action.(rules.Count); ok {
+			calls = append(calls, call)
 		}
 	}
-	for _, c := range calls {
-		m.counts++
-		m.totals[c.Name] += c.Amount
-		m.handle(rules.CounterReply{Name: c.Name, Total: m.totals[c.Name], Took: 0.001})
+	for _, call := range calls {
+		m.counterCalls++
+		m.totals[call.Name] += call.Amount
+		m.handle(rules.CounterReply{Name: call.Name, Total: m.totals[call.Name], Took: 0.001})
 	}
 }
 
@@ -484,7 +487,7 @@
 }
 
 func decisionAllocations(t testing.TB, n int) float64 {
-	m := newModuleWith(unlimited(), n)
+	m := newModuleWith(settingsWithoutQuota(), n)
 	m.mustServe(t)
 	const rounds = 200
 	before := mallocs()
@@ -505,43 +508,45 @@
 	return (mallocs() - before) / rounds
 }
 
-// counterCalls counts the calls that so many customers' requests lead to, whose gateways
-// are asked in turn and share one counter.
+// counterCalls returns the number of counter calls for the requests of customers, which they send to
+// 16 gateways with one counter in turn.
 func counterCalls(customers, secondsApart, rounds int) float64 {
 	const gateways = 16
 	totals := map[uint64]float64{}
-	var all []*module
+	var modules []*module
 	for rank := range gateways {
-		set := testSettings()
-		set.Rank = rank
-		set.Plans[0].Rate, set.Plans[0].Burst = 10, 50
-		set.Plans[0].CeilingRate = 0
-		m := newModuleWith(set, 10)
+		settings := testSettings()
+		settings.Rank = rank
+		settings.Plans[0].Rate, settings.Plans[0].Burst = 10, 50
+		settings.Plans[0].CeilingRate = 0
+		m := newModuleWith(settings, 10)
 		m.totals = totals
-		all = append(all, m)
+		modules = append(modules, m)
 	}
 	const step = 0.05
-	due := float64(secondsApart) / gateways // until the next gateway is asked
-	wait := 0.0
+	interval := float64(secondsApart) / gateways // between requests at two gateways
+	elapsed := 0.0
 	for range rounds {
-		for _, asked := range all {
-			for c := range customers {
-				asked.serve(rules.CustomerID(c + 1))
+		for _, receiver := range modules {
+			for customer := range customers {
+				receiver.serve(rules.CustomerID(customer + 1))
 			}
-			for wait += due; wait >= step; wait -= step {
-				for _, m := range all {
+			for elapsed += interval; elapsed >= step; elapsed -= step {
+				for _, m := range modules {
 					m.advance(step)
 				}
 			}
 		}
 	}
-	counts := 0
-	for _, m := range all {
-		counts += m.counts
+	calls := 0
+	for _, m := range modules {
+		calls += m.counterCalls
 	}
-	return float64(counts)
+	return float64(calls)
 }
 
+// instance returns the n-th instance of the test list, with a start time in milliseconds after a
+// fixed base.
 func instance(n int, started int64) registry.Instance {
 	return registry.Instance{ID: fmt.Sprintf("checkout-%06d", n), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", n>>16&255, n>>8&255, n&255),
 		Zone: fmt.Sprintf("eu-1%c", 'a'+n%3), MachineType: "std", Lifecycle: registry.Ready, Weight: 1, StartedAtMs: 1764600000000 + started}
@@ -553,7 +558,7 @@
 	}
 }
 
-// filledStore is a store with so many instances, that keeps so many changes.
+// filledStore returns a store with a number of instances that keeps a number of changes.
 func filledStore(t testing.TB, instances, history int) *registry.Store {
 	limits := registry.Limits{Lease: time.Hour, Instances: instances, History: history, HistoryBytes: 1 << 40}
 	s := registry.NewStore(limits, "h", 1000, -limits.Lease)
@@ -563,12 +568,13 @@
 	return s
 }
 
+// read returns the body of the answer with the changes since a version, or of the whole list for -1.
 func read(t testing.TB, s *registry.Store, since int64) []byte {
-	a, err := s.Read(0, since, "")
+	answer, err := s.Read(0, since, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a.Body
+	return answer.Body
 }
 
 func parsedList(t testing.TB, n int) registry.Listing {
@@ -579,22 +585,22 @@
 	return list
 }
 
-// copied returns a list with texts of its own, as each answer has them.
-func copied(l registry.Listing) registry.Listing {
-	own := registry.Listing{Generation: l.Generation, Reset: l.Reset}
-	for _, i := range l.Instances {
+// deepCopy returns a list that shares no strings with the original, like a parsed answer.
+func deepCopy(list registry.Listing) registry.Listing {
+	clone := registry.Listing{Generation: list.Generation, Reset: list.Reset}
+	for _, i := range list.Instances {
 		i.ID, i.HostPort, i.Zone, i.MachineType = string([]byte(i.ID)), string([]byte(i.HostPort)), string([]byte(i.Zone)), string([]byte(i.MachineType))
 		i.Lifecycle = registry.Lifecycle([]byte(i.Lifecycle))
-		own.Instances = append(own.Instances, i)
+		clone.Instances = append(clone.Instances, i)
 	}
-	return own
+	return clone
 }
 
-// dropping is a list, and one behind it that lacks some of its instances and has the
-// others changed.
-type dropping struct{ first, second registry.Listing }
+// shrinkingList is a list and a later one that lacks half of its instances and changes the others.
+type shrinkingList struct{ first, second registry.Listing }
 
-func listThatDrops(n int) (d dropping) {
+// newShrinkingList returns a list of 2n instances and a later one of n.
+func newShrinkingList(n int) (d shrinkingList) {
 	d.first, d.second = registry.Listing{Generation: 1, Reset: true}, registry.Listing{Generation: 2, Reset: true}
 	for k := range 2 * n {
 		d.first.Instances = append(d.first.Instances, instance(k, 1))
@@ -605,8 +611,8 @@
 	return d
 }
 
-// feed returns a feed that has the first list.
-func (d dropping) feed(t testing.TB) *registry.Feed {
+// feed returns a feed with the first list.
+func (d shrinkingList) feed(t testing.TB) *registry.Feed {
 	f := registry.NewFeed([]string{"127.0.0.1:1"}, random())
 	if _, err := f.Answered(d.first, "h", 0); err != nil {
 		t.Fatal(err)
@@ -614,8 +620,8 @@
 	return f
 }
 
-// answer returns a feed that has taken both lists.
-func (d dropping) answer(t testing.TB) *registry.Feed {
+// updatedFeed returns a feed that received both lists.
+func (d shrinkingList) updatedFeed(t testing.TB) *registry.Feed {
 	f := d.feed(t)
 	if _, err := f.Answered(d.second, "h", 0); err != nil {
 		t.Fatal(err)
@@ -623,27 +629,28 @@
 	return f
 }
 
-// dropped is the time that the second list takes.
-func dropped(t testing.TB, n int) float64 {
-	d := listThatDrops(n)
-	least := math.Inf(1)
+// shrinkMicros returns the processor time of taking in the second list in microseconds.
+func shrinkMicros(t testing.TB, n int) float64 {
+	d := newShrinkingList(n)
+	fastest := math.Inf(1)
 	for range 10 * measuredRounds {
 		f := d.feed(t)
-		began := processor()
+		startTime := processorTime()
 		if _, err := f.Answered(d.second, "h", 0); err != nil {
 			t.Fatal(err)
 		}
-		least = min(least, float64((processor()-began).Nanoseconds())/1e3)
+		fastest = min(fastest, float64((processorTime()-startTime).Nanoseconds())/1e3)
 	}
-	return least
+	return fastest
 }
 
-// service is a list service on sockets of this machine.
+// service is a service registry on local sockets.
 type service struct {
-	version            int64 // of the list at the start
-	address, operators string
-	stop               context.CancelFunc
-	ended              chan error
+	version         int64 // of the list at the start
+	address         string
+	operatorAddress string
+	stop            context.CancelFunc
+	result          chan error // of Serve
 }
 
 func newService(t testing.TB, instances, connections int) *service {
@@ -659,29 +666,29 @@
 }
 
 func newServiceOf(t testing.TB, l net.Listener, store *registry.Store, connections int) *service {
-	operators, err := net.Listen("tcp", "127.0.0.1:0")
+	operatorListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &service{version: store.Stats().Version, address: l.Addr().String(), operators: operators.Addr().String(), ended: make(chan error, 1)}
+	s := &service{version: store.Stats().Version, address: l.Addr().String(), operatorAddress: operatorListener.Addr().String(), result: make(chan error, 1)}
 	limits := registry.ServerLimits{Connections: connections, Watchers: connections, ListingsPerSecond: 1000}
 	server := registry.NewWriter("self", store, limits, time.Now(), random())
 	var ctx context.Context
 	ctx, s.stop = context.WithCancel(context.Background())
-	go func() { s.ended <- server.Serve(ctx, l, operators) }()
+	go func() { s.result <- server.Serve(ctx, l, operatorListener) }()
 	return s
 }
 
-// close ends the service. Connections are to be closed before it.
+// close stops the service. The caller closes its connections first.
 func (s *service) close() {
 	s.stop()
-	<-s.ended
+	<-s.result
 }
 
-// awaitWatchers returns when so many watchers wait.
+// awaitWatchers returns once the service has a number of waiting watchers.
 func (s *service) awaitWatchers(t testing.TB, watchers int) {
 	for want := fmt.Sprintf("registry.watchers:%d|g\n", watchers); ; {
-		resp, err := http.Get("http://" + s.operators + "/control/counters")
+		resp, err := http.Get("http://" + s.operatorAddress + "/control/counters")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -705,54 +712,55 @@
 	return conn
 }
 
-// answered reads one answer into a buffer, and returns its bytes and where its body begins.
-func answered(conn net.Conn, in []byte) (n, body int, err error) {
+// readAnswer reads one HTTP response into buffer, and returns its length and the offset of its body.
+func readAnswer(conn net.Conn, buffer []byte) (n, body int, err error) {
 	for {
-		m, err := conn.Read(in[n:])
-		if n += m; err != nil {
+		received, err := conn.Read(buffer[n:])
+		if n += received; err != nil {
 			return n, 0, err
 		}
-		head := bytes.Index(in[:n], []byte("\r\n\r\n"))
+		head := bytes.Index(buffer[:n], []byte("\r\n\r\n"))
 		if head < 0 {
 			continue
 		}
 		body = head + 4
-		at := bytes.Index(in[:head], []byte("Content-Length: "))
-		length, _ := number(in[at+len("Content-Length: "):])
+		at := bytes.Index(buffer[:head], []byte("Content-Length: "))
+		length, _ := parseDigits(buffer[at+len("Content-Length: "):])
 		if n >= body+length {
 			return n, body, nil
 		}
 	}
 }
 
-// number reads the digits that a text begins with.
-func number(text []byte) (value, digits int) {
+// parseDigits parses the digits at the start of a text, and returns their value and their number.
+func parseDigits(text []byte) (value, digits int) {
 	for ; digits < len(text) && text[digits] >= '0' && text[digits] <= '9'; digits++ {
 		value = 10*value + int(text[digits]-'0')
 	}
 	return value, digits
 }
 
+// cost is what one operation of a service costs.
 type cost struct{ allocations, bytes, micros, heap, stacks float64 }
 
-const changesFirst = 2 // which find connections that are new
+const warmUpChanges = 2 // not measured, since connections are new
 
-// watcher asks for changes and asks again when it is told, without allocating anything.
+// watcher waits for changes of the list in a loop, without allocations.
 type watcher struct {
 	net.Conn
-	in, request []byte
-	prefix      string // of what is asked
+	buffer, request []byte
+	prefix          string // of the query
 }
 
 func newWatcher(t testing.TB, address string, version int64) *watcher {
-	w := &watcher{Conn: dial(t, address), in: make([]byte, 4096), request: make([]byte, 0, 256)}
-	if err := w.ask(version); err != nil {
+	w := &watcher{Conn: dial(t, address), buffer: make([]byte, 4096), request: make([]byte, 0, 256)}
+	if err := w.watch(version); err != nil {
 		t.Fatal(err)
 	}
 	return w
 }
 
-func (w *watcher) ask(version int64) error {
+func (w *watcher) watch(version int64) error {
 	w.request = append(w.request[:0], "GET "+registry.Path+"?"...)
 	w.request = append(append(w.request, w.prefix...), "since="...)
 	w.request = append(strconv.AppendInt(w.request, version, 10), "&timeout_ms=60000 HTTP/1.1\r\nHost: a\r\n\r\n"...)
@@ -760,91 +768,93 @@
 	return err
 }
 
-func (w *watcher) run(told chan<- struct{}) {
+// run reports each change and waits for the next one, until its connection is closed.
+func (w *watcher) run(notified chan<- struct{}) {
 	for {
-		n, body, err := answered(w, w.in)
+		n, body, err := readAnswer(w, w.buffer)
 		if err != nil {
 			return
 		}
-		version, _ := number(w.in[body+len(`{"generation":`) : n])
-		if w.ask(int64(version)) != nil {
+		version, _ := parseDigits(w.buffer[body+len(`{"generation":`) : n])
+		if w.watch(int64(version)) != nil {
 			return
 		}
-		told <- struct{}{}
+		notified <- struct{}{}
 	}
 }
 
-// watched is what a change costs with so many watchers, each of which asks again when it
-// has been told.
-func watched(t testing.TB, watchers, changes int) (c cost) {
+// changeCost returns the cost of a change with a number of watchers, each of which waits again after
+// it.
+func changeCost(t testing.TB, watchers, changes int) (result cost) {
 	s := newService(t, 200, 2*watchers+10)
 	defer s.close()
-	told := make(chan struct{}, watchers)
+	notified := make(chan struct{}, watchers)
 	heapBefore, stacksBefore := heapInUse(), stacksInUse()
 	for range watchers {
 		w := newWatcher(t, s.address, s.version)
 		defer w.Close()
-		go w.run(told)
+		go w.run(notified)
 	}
 	s.awaitWatchers(t, watchers)
-	c.heap = float64(heapInUse()-heapBefore) - float64(watchers)*(4096+256) // the watchers' own buffers
-	c.stacks = float64(stacksInUse() - stacksBefore)
+	result.heap = float64(heapInUse()-heapBefore) - float64(watchers)*(4096+256) // less the buffers of the watchers
+	result.stacks = float64(stacksInUse() - stacksBefore)
 	writer := dial(t, s.address)
 	defer writer.Close()
 	var mallocsBefore float64
-	var began time.Duration
-	for n := range changesFirst + changes {
-		if n == changesFirst {
-			mallocsBefore, began = mallocs(), processor()
+	var startTime time.Duration
+	for n := range warmUpChanges + changes {
+		if n == warmUpChanges {
+			mallocsBefore, startTime = mallocs(), processorTime()
 		}
 		change(t, writer, n, 2)
 		for range watchers {
-			<-told
+			<-notified
 		}
 	}
-	c.allocations = (mallocs() - mallocsBefore) / float64(changes)
-	c.micros = float64((processor() - began).Microseconds()) / float64(changes)
-	return c
+	result.allocations = (mallocs() - mallocsBefore) / float64(changes)
+	result.micros = float64((processorTime() - startTime).Microseconds()) / float64(changes)
+	return result
 }
 
-// change registers another start of an instance.
+// change registers an instance with another start time.
 func change(t testing.TB, writer net.Conn, n int, started int64) {
 	i := instance(n, started)
 	body := fmt.Sprintf(`{"hostPort":%q,"zone":%q,"machineType":"std","startedAtMs":%d}`, i.HostPort, i.Zone, i.StartedAtMs)
 	put(t, writer, i.ID, body)
 }
 
-// put makes a registration.
+// put sends a registration and reads the response.
 func put(t testing.TB, writer net.Conn, id, body string) {
 	fmt.Fprintf(writer, "PUT %s/%s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", registry.Path, id, len(body), body)
-	in := make([]byte, 4096)
-	if k, _, err := answered(writer, in); err != nil || !bytes.HasPrefix(in, []byte("HTTP/1.1 200")) {
-		t.Fatalf("%v: %s", err, in[:k])
+	buffer := make([]byte, 4096)
+	if k, _, err := readAnswer(writer, buffer); err != nil || !bytes.HasPrefix(buffer, []byte("HTTP/1.1 200")) {
+		t.Fatalf("%v: %s", err, buffer[:k])
 	}
 }
 
+// connectionBytes returns the heap bytes of idle connections that have renewed a lease.
 func connectionBytes(t testing.TB, n int) float64 {
 	s := newService(t, n, 2*n)
 	defer s.close()
 	before := heapInUse()
-	in := make([]byte, 4096)
+	buffer := make([]byte, 4096)
 	for k := range n {
 		conn := dial(t, s.address)
 		defer conn.Close()
-		renew(t, conn, k, in)
+		renew(t, conn, k, buffer)
 	}
 	return float64(heapInUse() - before)
 }
 
-// renew renews an instance's lease and returns the bytes of call and answer.
-func renew(t testing.TB, conn net.Conn, k int, in []byte) int {
+// renew renews the lease of an instance and returns the bytes of request and response.
+func renew(t testing.TB, conn net.Conn, k int, buffer []byte) int {
 	request := renewal(k)
 	if _, err := conn.Write(request); err != nil {
 		t.Fatal(err)
 	}
-	n, _, err := answered(conn, in)
-	if err != nil || !bytes.HasPrefix(in, []byte("HTTP/1.1 200")) {
-		t.Fatalf("%v: %s", err, in[:n])
+	n, _, err := readAnswer(conn, buffer)
+	if err != nil || !bytes.HasPrefix(buffer, []byte("HTTP/1.1 200")) {
+		t.Fatalf("%v: %s", err, buffer[:n])
 	}
 	return len(request) + n
 }
@@ -853,35 +863,35 @@
 	return fmt.Appendf(nil, "POST %s/checkout-%06d/renew HTTP/1.1\r\nHost: 10.0.0.1:8500\r\nContent-Length: 29\r\n\r\n{\"startedAtMs\":1764600000001}", registry.Path, k)
 }
 
-// renewals is what a renewal costs at a service with so many instances.
-func renewals(t testing.TB, instances, rounds int) (c cost) {
+// renewalCost returns the cost of a renewal at a service with a number of instances.
+func renewalCost(t testing.TB, instances, rounds int) (result cost) {
 	s := newService(t, instances, 10)
 	defer s.close()
 	conn := dial(t, s.address)
 	defer conn.Close()
-	in := make([]byte, 4096)
+	buffer := make([]byte, 4096)
 	requests := make([][]byte, rounds)
 	for n := range requests {
 		requests[n] = renewal(n % instances)
 	}
 	for k := range 100 {
-		c.bytes = float64(renew(t, conn, k, in))
+		result.bytes = float64(renew(t, conn, k, buffer))
 	}
-	before, began := mallocs(), processor()
+	before, startTime := mallocs(), processorTime()
 	for _, request := range requests {
 		if _, err := conn.Write(request); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := answered(conn, in); err != nil {
+		if _, _, err := readAnswer(conn, buffer); err != nil {
 			t.Fatal(err)
 		}
 	}
-	c.allocations = (mallocs() - before) / float64(rounds)
-	c.micros = float64((processor() - began).Microseconds()) / float64(rounds)
-	return c
+	result.allocations = (mallocs() - before) / float64(rounds)
+	result.micros = float64((processorTime() - startTime).Microseconds()) / float64(rounds)
+	return result
 }
 
-// countingConn counts what passes a connection, both ways.
+// countingConn counts the bytes that pass a connection, both ways.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -899,7 +909,7 @@
 	return n, err
 }
 
-// countingListener counts what passes the first connection.
+// countingListener counts the bytes that pass the first connection.
 type countingListener struct {
 	net.Listener
 	accepted atomic.Int64
@@ -914,7 +924,7 @@
 	return conn, err
 }
 
-// watchWire is what a watch call of the real client comes to on its connection.
+// watchWire returns the bytes on the wire of a watch call of the client with one change.
 func watchWire(t testing.TB, instances int) float64 {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -923,14 +933,14 @@
 	counted := &countingListener{Listener: inner}
 	s := newServiceOn(t, counted, instances, 10)
 	defer s.close()
-	heard := make(chan struct{}, 1)
+	updated := make(chan struct{}, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	client := registry.NewClient([]string{s.address}, random(), func(registry.Update) { heard <- struct{}{} })
+	client := registry.NewClient([]string{s.address}, random(), func(registry.Update) { updated <- struct{}{} })
 	wg.Go(func() { client.Run(ctx, nil) })
-	<-heard
+	<-updated
 	writer := dial(t, s.address)
 	defer writer.Close()
 	const rounds = 10
@@ -940,13 +950,14 @@
 			before = counted.bytes.Load()
 		}
 		change(t, writer, 0, int64(n+2))
-		<-heard
+		<-updated
 	}
-	return float64(counted.bytes.Load()-before) / rounds // the next call may have begun before or after
+	// The next request of the client may already be counted.
+	return float64(counted.bytes.Load()-before) / rounds
 }
 
-// readerTime is the time that a call takes at the real client, whose service is a loop
-// that writes answers with one change each.
+// readerTime returns the processor time of a watch call at the client, whose service is a loop that
+// writes answers with one change each.
 func readerTime(t testing.TB, instances int) float64 {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -983,22 +994,22 @@
 		}
 	}()
 	const rounds = 2000
-	heard := make(chan int, 1)
+	updated := make(chan int, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	n := 0
 	client := registry.NewClient([]string{l.Addr().String()}, random(), func(registry.Update) {
 		if n++; n == 10 || n == 10+rounds {
-			heard <- n
+			updated <- n
 		}
 	})
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
 	wg.Go(func() { client.Run(ctx, nil) })
-	<-heard
-	began := processor()
-	<-heard
-	return float64((processor() - began).Microseconds()) / rounds
+	<-updated
+	startTime := processorTime()
+	<-updated
+	return float64((processorTime() - startTime).Microseconds()) / rounds
 }
 
 func filledLedger(records, sessions int) *ledger.State {
--- a/internal/capacity/scoped_test.go
+++ b/internal/capacity/scoped_test.go
@@ -23,9 +23,9 @@
 	subscriptionSizes = []int{10, 30, 90, 270}
 )
 
-const subscribedScopes = 100 // of each subscription that is measured
+const scopesPerSubscription = 100
 
-// scopedQuantities are measured with scopes and subsets on.
+// scopedQuantities are the quantities with scopes and subsets.
 var scopedQuantities = []quantity{
 	{"scoped_feed_bytes_instance", "B by instances of one scope", 1.25, candidateSizes, 2, func(t testing.TB, n int) float64 {
 		list := parsedScoped(t, n)
@@ -61,14 +61,14 @@
 	{"service_bytes_subscription", "B of heap by subscriptions of 100 scopes each, all others'", 1.25, subscriptionSizes, 3, subscriptionBytes},
 	{"scoped_watch_wire", "B on the wire of a watch call with one change, both ways, by scopes of the reader", 1.2, scopeSizes, 2, scopedWatchWire},
 	{"scoped_change_allocations", "allocations of a change that concerns one of so many watchers, each with a subscription of its own", 1.5, watcherSizes[2:], 2, func(t testing.TB, n int) float64 {
-		return scopedChange(t, n, 8).allocations
+		return scopedChangeCost(t, n, 8).allocations
 	}},
 }
 
-// scopedTimes are of the processor.
+// scopedTimes are the processor times with scopes and subsets.
 var scopedTimes = []quantity{
 	{"scoped_change_us", "us of a change that concerns one of so many watchers, by watchers", 0, watcherSizes[2:], 0, func(t testing.TB, n int) float64 {
-		return scopedChange(t, n, 50).micros
+		return scopedChangeCost(t, n, 50).micros
 	}},
 	{"subset_us_change", "us of a change of a candidate, by candidates", 0, candidateSizes, 0, func(t testing.TB, n int) float64 {
 		list := parsedScoped(t, n)
@@ -83,20 +83,21 @@
 		})
 	}},
 	{"decision_us_subset", "us of a decision by backends of a subset", 0, []int{10, 30, 100, 300}, 0, func(t testing.TB, n int) float64 {
-		m := newModuleWith(unlimited(), n)
+		m := newModuleWith(settingsWithoutQuota(), n)
 		return micros(func() { m.mustServe(t) })
 	}},
 }
 
 func serviceName(n int) string { return fmt.Sprintf("service-%05d", n) }
 
-// scopedInstance is the n-th of a list that spreads over so many services.
+// scopedInstance returns the n-th instance of a list that is spread over a number of services.
 func scopedInstance(n, services int, started int64) registry.Instance {
 	i := instance(n, started)
 	i.Service, i.Region = serviceName(n%services), region
 	return i
 }
 
+// scopedStore returns a store with instances of a number of services that keeps a number of changes.
 func scopedStore(t testing.TB, instances, services, history int) *registry.Store {
 	limits := registry.Limits{Lease: time.Hour, Instances: instances, History: history, HistoryBytes: 1 << 40}
 	s := registry.NewStore(limits, "h", 1000, -limits.Lease)
@@ -106,7 +107,7 @@
 	return s
 }
 
-// scopesOf are so many services, each in the region.
+// scopesOf returns the scopes of the first services in the region.
 func scopesOf(services int) (scopes []registry.Scope) {
 	for n := range services {
 		scopes = append(scopes, registry.Scope{Service: serviceName(n), Region: region})
@@ -114,16 +115,18 @@
 	return scopes
 }
 
+// readScoped returns the body of the answer with the changes of scopes since a version, or of their
+// whole list for -1.
 func readScoped(t testing.TB, s *registry.Store, since int64, scopes []registry.Scope) []byte {
 	set, err := registry.NewScopeSet(scopes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := s.ReadScoped(0, registry.ScopedRead{Since: since, Scopes: set})
+	answer, err := s.ReadScoped(0, registry.ScopedRead{Since: since, Scopes: set})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a.Body
+	return answer.Body
 }
 
 func parsedScoped(t testing.TB, n int) registry.Listing {
@@ -135,93 +138,94 @@
 }
 
 func scopedFeed(t testing.TB, list registry.Listing) *registry.Feed {
-	f := registry.NewFeed([]string{"127.0.0.1:1"}, random())
-	f.SetScopes(scopesOf(1))
-	own := copied(list)
-	for n := range own.Instances {
-		own.Instances[n].Service, own.Instances[n].Region = strings.Clone(own.Instances[n].Service), strings.Clone(own.Instances[n].Region)
+	feed := registry.NewFeed([]string{"127.0.0.1:1"}, random())
+	feed.SetScopes(scopesOf(1))
+	clone := deepCopy(list)
+	for n := range clone.Instances {
+		clone.Instances[n].Service, clone.Instances[n].Region = strings.Clone(clone.Instances[n].Service), strings.Clone(clone.Instances[n].Region)
 	}
-	if _, err := f.Answered(own, "h", 0); err != nil {
+	if _, err := feed.Answered(clone, "h", 0); err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return feed
 }
 
 func newSelector() *subset.Selector {
 	return subset.New("gateway-17", subset.Settings{Size: 100, Coverage: 20, Fleet: 8700})
 }
 
-// subscriptionText names so many scopes, those from a first one on.
+// subscriptionText returns the request body that subscribes to a number of scopes from a first one on.
 func subscriptionText(first, scopes int) []byte {
-	var call struct {
+	var request struct {
 		Scopes []string `json:"scopes"`
 	}
 	for n := range scopes {
-		call.Scopes = append(call.Scopes, registry.Scope{Service: serviceName(first + n), Region: region}.String())
+		request.Scopes = append(request.Scopes, registry.Scope{Service: serviceName(first + n), Region: region}.String())
 	}
-	text, err := json.Marshal(call)
+	text, err := json.Marshal(request)
 	if err != nil {
 		panic(err)
 	}
 	return text
 }
 
-// post names scopes to a service and returns their id.
-func post(t testing.TB, conn net.Conn, text []byte) string {
-	in := make([]byte, 4096)
+// subscribe makes a subscription and returns its id.
+func subscribe(t testing.TB, conn net.Conn, text []byte) string {
+	buffer := make([]byte, 4096)
 	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", registry.SubscriptionsPath, len(text), text)
-	n, body, err := answered(conn, in)
+	n, body, err := readAnswer(conn, buffer)
 	var reply struct{ Subscription string }
 	if err == nil {
-		err = json.Unmarshal(in[body:n], &reply)
+		err = json.Unmarshal(buffer[body:n], &reply)
 	}
 	if err != nil || reply.Subscription == "" {
-		t.Fatalf("%v: %s", err, in[:n])
+		t.Fatalf("%v: %s", err, buffer[:n])
 	}
 	return reply.Subscription
 }
 
+// subscriptionBytes returns the heap bytes of subscriptions without a common scope.
 func subscriptionBytes(t testing.TB, n int) float64 {
 	s := newService(t, 10, 10)
 	defer s.close()
 	conn := dial(t, s.address)
 	defer conn.Close()
-	post(t, conn, subscriptionText(0, subscribedScopes))
+	subscribe(t, conn, subscriptionText(0, scopesPerSubscription))
 	before := heapInUse()
 	for k := range n {
-		post(t, conn, subscriptionText((k+1)*subscribedScopes, subscribedScopes))
+		subscribe(t, conn, subscriptionText((k+1)*scopesPerSubscription, scopesPerSubscription))
 	}
 	return float64(heapInUse() - before)
 }
 
-// scopedChange is what a change costs with so many watchers, each of a service of its own,
-// where it concerns one of them.
-func scopedChange(t testing.TB, watchers, changes int) (c cost) {
+// scopedChangeCost returns the cost of a change that concerns one of a number of watchers, each of
+// which has another service.
+func scopedChangeCost(t testing.TB, watchers, changes int) (result cost) {
 	s := newScopedService(t, watchers, 2*watchers+10)
 	defer s.close()
-	told := make(chan struct{}, watchers)
+	notified := make(chan struct{}, watchers)
 	caller := dial(t, s.address)
 	defer caller.Close()
 	for n := range watchers {
-		w := newScopedWatcher(t, s.address, post(t, caller, subscriptionText(n, 1)), s.version)
+		w := newScopedWatcher(t, s.address, subscribe(t, caller, subscriptionText(n, 1)), s.version)
 		defer w.Close()
-		go w.run(told)
+		go w.run(notified)
 	}
 	s.awaitWatchers(t, watchers)
 	writer := dial(t, s.address)
 	defer writer.Close()
 	var mallocsBefore float64
-	var began time.Duration
-	for n := range changesFirst + changes {
-		if n == changesFirst {
-			mallocsBefore, began = mallocs(), processor()
+	var startTime time.Duration
+	for n := range warmUpChanges + changes {
+		if n == warmUpChanges {
+			mallocsBefore, startTime = mallocs(), processorTime()
 		}
 		changeScoped(t, writer, n%watchers, watchers, int64(n+2))
-		<-told
+		<-notified
 	}
-	c.allocations = (mallocs() - mallocsBefore) / float64(changes)
-	c.micros = float64((processor() - began).Microseconds()) / float64(changes)
-	return c
+	result.allocations = (mallocs() - mallocsBefore) / float64(changes)
+	result.micros = float64((processorTime() - startTime).Microseconds()) / float64(changes)
+	return result
 }
 
 func newScopedService(t testing.TB, services, connections int) *service {
@@ -233,21 +237,22 @@
 }
 
 func newScopedWatcher(t testing.TB, address, id string, version int64) *watcher {
-	w := &watcher{Conn: dial(t, address), in: make([]byte, 4096), request: make([]byte, 0, 256), prefix: "subscription=" + id + "&history=h&"}
-	if err := w.ask(version); err != nil {
+	w := &watcher{Conn: dial(t, address), buffer: make([]byte, 4096), request: make([]byte, 0, 256), prefix: "subscription=" + id + "&history=h&"}
+	if err := w.watch(version); err != nil {
 		t.Fatal(err)
 	}
 	return w
 }
 
-// changeScoped registers another start of an instance.
+// changeScoped registers an instance with another start time.
 func changeScoped(t testing.TB, writer net.Conn, n, services int, started int64) {
 	i := scopedInstance(n, services, started)
 	body := fmt.Sprintf(`{"hostPort":%q,"zone":%q,"machineType":"std","service":%q,"region":%q,"startedAtMs":%d}`, i.HostPort, i.Zone, i.Service, i.Region, i.StartedAtMs)
 	put(t, writer, i.ID, body)
 }
 
-// scopedWatchWire is what a watch call of the real client with so many scopes comes to.
+// scopedWatchWire returns the bytes on the wire of a watch call of a client with scopes and one
+// change.
 func scopedWatchWire(t testing.TB, scopes int) float64 {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -257,15 +262,15 @@
 	services := max(scopes, 100)
 	s := newServiceOf(t, counted, scopedStore(t, services, services, 20_000), 10)
 	defer s.close()
-	heard := make(chan struct{}, 1)
+	updated := make(chan struct{}, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	client := registry.NewClient([]string{s.address}, random(), func(registry.Update) { heard <- struct{}{} })
+	client := registry.NewClient([]string{s.address}, random(), func(registry.Update) { updated <- struct{}{} })
 	client.SetScopes(scopesOf(scopes))
 	wg.Go(func() { client.Run(ctx, nil) })
-	<-heard
+	<-updated
 	writer := dial(t, s.address)
 	defer writer.Close()
 	const rounds = 10
@@ -275,7 +280,8 @@
 			before = counted.bytes.Load()
 		}
 		changeScoped(t, writer, 0, services, int64(n+2))
-		<-heard
+		<-updated
 	}
-	return float64(counted.bytes.Load()-before) / rounds // the next call may have begun before or after
+	// The next request of the client may already be counted.
+	return float64(counted.bytes.Load()-before) / rounds
 }
--- a/internal/gateway/slopes_test.go
+++ b/internal/gateway/slopes_test.go
@@ -60,8 +60,8 @@
 // the values in docs/CAPACITY.md.
 func TestSlopes(t *testing.T) {
 	const command = "CAPACITY_FULL=1 go test -run TestSlopes -v ./internal/gateway"
-	memory := capacity.Measured{Name: "gateway_bytes_backend", Unit: "B by backends: module, list without its texts, and pools", Within: 1.25, Command: command}
-	view := capacity.Measured{Name: "view_bytes_backend", Unit: "B of /control/backends by backends", Within: 1.2, Command: command}
+	memory := capacity.Measurement{Name: "gateway_bytes_backend", Unit: "B by backends: module, list without its texts, and pools", Tolerance: 1.25, Command: command}
+	view := capacity.Measurement{Name: "view_bytes_backend", Unit: "B of /control/backends by backends", Tolerance: 1.2, Command: command}
 	for i, size := range listSizes {
 		if i >= shortRunSizes && !measureAll {
 			break
@@ -77,9 +77,9 @@
 		}
 		view.Points = append(view.Points, capacity.Point{Size: size, Value: float64(len(text))})
 	}
-	for _, measured := range []capacity.Measured{memory, view} {
+	for _, measured := range []capacity.Measurement{memory, view} {
 		t.Log(measured.Row())
-		if err := measured.Hold(capacityPage, updateCapacity); err != nil {
+		if err := measured.CompareOrUpdate(capacityPage, updateCapacity); err != nil {
 			t.Error(err)
 		}
 	}
@@ -87,7 +87,7 @@
 
 // BenchmarkRound measures the processor time of a round of housekeeping in the loop.
 func BenchmarkRound(b *testing.B) {
-	round := capacity.Measured{Name: "round_us_backend", Unit: "us of a round of housekeeping, module and loop, by backends",
+	round := capacity.Measurement{Name: "round_us_backend", Unit: "us of a round of housekeeping, module and loop, by backends",
 		Command: "go test -run - -bench Round -benchtime 1x ./internal/gateway"}
 	for _, size := range listSizes {
 		loop := largeLoop(b, largeList(size))
@@ -106,7 +106,7 @@
 	}
 	b.Log(round.Row())
 	if updateCapacity {
-		if err := round.Hold(capacityPage, true); err != nil {
+		if err := round.CompareOrUpdate(capacityPage, true); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/membership/slopes_test.go
+++ b/internal/membership/slopes_test.go
@@ -117,10 +117,10 @@
 	if !update && os.Getenv("CAPACITY_FULL") == "" {
 		sizes = sizes[:defaultSizes]
 	}
-	memory := capacity.Measured{Name: "member_bytes", Unit: "B of memory by members", Within: 1.25, Command: slopesCommand}
-	bytes := capacity.Measured{Name: "member_bytes_sent", Unit: "B of datagrams that a member sends in a second, by members", Within: 1.3, Command: slopesCommand}
-	datagrams := capacity.Measured{Name: "member_datagrams_sent", Unit: "datagrams that a member sends in a second, by members", Within: 1.3, Command: slopesCommand}
-	processorUse := capacity.Measured{Name: "member_us", Unit: "us of a second of a member without its socket, by members", Command: slopesCommand}
+	memory := capacity.Measurement{Name: "member_bytes", Unit: "B of memory by members", Tolerance: 1.25, Command: slopesCommand}
+	bytes := capacity.Measurement{Name: "member_bytes_sent", Unit: "B of datagrams that a member sends in a second, by members", Tolerance: 1.3, Command: slopesCommand}
+	datagrams := capacity.Measurement{Name: "member_datagrams_sent", Unit: "datagrams that a member sends in a second, by members", Tolerance: 1.3, Command: slopesCommand}
+	processorUse := capacity.Measurement{Name: "member_us", Unit: "us of a second of a member without its socket, by members", Command: slopesCommand}
 	for _, size := range sizes {
 		nodes := make([]*Node, measuredNodes)
 		before := heapInUse()
@@ -144,13 +144,13 @@
 	}
 	t.Log(processorUse.Row())
 	if update {
-		if err := processorUse.Hold(capacityPage, true); err != nil {
+		if err := processorUse.CompareOrUpdate(capacityPage, true); err != nil {
 			t.Error(err)
 		}
 	}
-	for _, m := range []capacity.Measured{memory, bytes, datagrams} {
+	for _, m := range []capacity.Measurement{memory, bytes, datagrams} {
 		t.Log(m.Row())
-		if err := m.Hold(capacityPage, update); err != nil {
+		if err := m.CompareOrUpdate(capacityPage, update); err != nil {
 			t.Error(err)
 		}
 	}
--- a/rules/slopes_test.go
+++ b/rules/slopes_test.go
@@ -26,7 +26,7 @@
 	if update || os.Getenv("CAPACITY_FULL") != "" {
 		sizes = append(sizes, 66_667, 200_000)
 	}
-	measured := capacity.Measured{Name: "decision_backends", Unit: "backends weighed by a decision, by backends", Within: 1.1,
+	measured := capacity.Measurement{Name: "decision_backends", Unit: "backends weighed by a decision, by backends", Tolerance: 1.1,
 		Command: "CAPACITY_FULL=1 go test -run TestSlopes -v ./rules"}
 	for _, size := range sizes {
 		settings := testSettings()
@@ -40,7 +40,7 @@
 		measured.Points = append(measured.Points, capacity.Point{Size: size, Value: float64(source.draws)})
 	}
 	t.Log(measured.Row())
-	if err := measured.Hold("../docs/CAPACITY.md", update); err != nil {
+	if err := measured.CompareOrUpdate("../docs/CAPACITY.md", update); err != nil {
 		t.Error(err)
 	}
 }
