--- a/internal/referee/attempts.go
+++ b/internal/referee/attempts.go
@@ -48,7 +48,7 @@
 	case !known:
 		r.violate(arrived.FirstByteAt, Unknown, arrived.Gateway, rec, "no list has named backend b-%d to this gateway", arrived.Backend)
 	case notice.state != Ready && late > 0:
-		r.violate(arrived.FirstByteAt, Drain, arrived.Gateway, rec, "sent to backend b-%d %v after its drain was told, %v too late",
+		r.violate(arrived.FirstByteAt, Drain, arrived.Gateway, rec, "sent to backend b-%d %v after the gateway received its drain, %v too late",
 			arrived.Backend, (arrived.FirstByteAt - notice.at).Round(time.Millisecond), late.Round(time.Millisecond))
 	}
 	for _, notice := range r.gateways[arrived.Gateway].backends {
