--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -29,12 +29,12 @@
 type backoff struct{ delay time.Duration }
 
 // reset starts again from minRetryDelay, after a success.
-func (p *backoff) reset() { p.delay = 0 }
+func (b *backoff) reset() { b.delay = 0 }
 
 // nextDelay returns the delay before the next retry.
-func (p *backoff) nextDelay() time.Duration {
-	p.delay = min(max(2*p.delay, minRetryDelay), maxRetryDelay)
-	return p.delay
+func (b *backoff) nextDelay() time.Duration {
+	b.delay = min(max(2*b.delay, minRetryDelay), maxRetryDelay)
+	return b.delay
 }
 
 // retryingListener retries after temporary accept errors, which would otherwise end an
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -133,7 +133,7 @@
 	return units
 }
 
-// errorOutcome returns the outcome for a connection error: a time-out or a broken
+// errorOutcome returns the outcome for a connection error: a timeout or a broken
 // connection.
 func errorOutcome(err error) rules.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -249,9 +249,9 @@
 		defer client.Close()
 		listener.conns <- server
 		io.WriteString(client, requestText("GET", "lookup", ""))
-		exch := (<-front.loop.inbox).(requestArrived).exchange
+		exchange := (<-front.loop.inbox).(requestArrived).exchange
 		start := time.Now()
-		exch.reply <- response{status: http.StatusOK, fromBackend: true, header: http.Header{}, body: make([]byte, 5000)}
+		exchange.responses <- response{status: http.StatusOK, fromBackend: true, header: http.Header{}, body: make([]byte, 5000)}
 		for front.clients.counts().Open > 0 {
 			time.Sleep(100 * time.Millisecond) // synctest time
 			if time.Since(start) > 6*time.Second {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -39,7 +39,8 @@
 	// upgrade:
 	Inherited   string // descriptor of the clients' socket
 	HandoverDir string // directory of the hand-over socket
-	wire.Deployment
+
+	wire.Deployment // the key "settings" of the file
 
 	document any                   // the file as decoded JSON, for checkReload
 	observe  func(registry.Update) // set for a Hollow, see NewHollow
@@ -66,11 +67,11 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := parseConfig(text)
+	config, err := parseConfig(text)
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return c, nil
+	return config, nil
 }
 
 // parseConfig parses and checks the text of a configuration.
@@ -114,15 +115,15 @@
 		return Config{}, err
 	}
 	if raw.Membership {
-		var peers struct {
+		var membership struct {
 			FamilyInfo struct {
 				InboxPerS float64 `json:"inboxPerS"`
 			} `json:"familyInfo"`
 		}
-		if err := json.Unmarshal(raw.Settings, &peers); err != nil {
+		if err := json.Unmarshal(raw.Settings, &membership); err != nil {
 			return Config{}, err
 		}
-		config.Members = membershipConfig{true, raw.PeerListen, raw.Peers, peers.FamilyInfo.InboxPerS}
+		config.Members = membershipConfig{true, raw.PeerListen, raw.Peers, membership.FamilyInfo.InboxPerS}
 		if _, err := config.agentConfig(); err != nil {
 			return Config{}, err
 		}
@@ -238,10 +239,10 @@
 	case c.Fleet < 1 || c.Rank < 0 || c.Rank >= c.Fleet:
 		return fmt.Errorf("settings: rank %d is out of range for a fleet of %d gateways", c.Rank, c.Fleet)
 	case c.Tick <= 0 || c.ConnectTimeout <= 0 || c.KeepAlive <= 0:
-		return fmt.Errorf("settings: tick of %g s, connect time-out of %g s and keep-alive of %g s must be above 0",
+		return fmt.Errorf("settings: tick of %g s, connect timeout of %g s and keep-alive of %g s must be above 0",
 			c.Tick, c.ConnectTimeout, c.KeepAlive)
 	case c.Settings.Counter && c.CounterTimeout <= 0:
-		return fmt.Errorf("settings: counter time-out of %g s must be above 0", c.CounterTimeout)
+		return fmt.Errorf("settings: counter timeout of %g s must be above 0", c.CounterTimeout)
 	}
 	return c.Scopes.check(len(c.Registries))
 }
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -105,7 +105,7 @@
 		return false
 	}
 	// The read deadline of the last use may have expired since. Without this, peeking
-	// at a healthy connection would fail with a time-out.
+	// at a healthy connection would fail with a timeout.
 	conn.SetReadDeadline(time.Time{})
 	quiet := false
 	err = raw.Read(func(fd uintptr) bool {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -23,7 +23,7 @@
 	applyOverride func(id string, offline bool) (known bool, err error)
 	connectivity  *connectivity // nil: membership is off
 	loop          *Loop
-	hasPeer       func() bool // a sibling process is connected
+	hasSibling    func() bool // a sibling process is connected
 }
 
 // server returns the HTTP server, which serves GET /control/ready, /control/counters,
@@ -40,7 +40,7 @@
 		c.metrics.write(w)
 		writeMembershipMetrics(w, c.connectivity)
 	})
-	mux.HandleFunc("GET /control/backends", backendsHandler(c.loop, c.hasPeer))
+	mux.HandleFunc("GET /control/backends", backendsHandler(c.loop, c.hasSibling))
 	mux.HandleFunc("GET /control/members", membersHandler(c.connectivity))
 	for action, offline := range map[string]bool{"offline": true, "online": false} {
 		mux.HandleFunc("POST /control/backends/{id}/"+action, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -53,7 +53,7 @@
 	readers  sync.WaitGroup // one for each connection
 }
 
-// counterEndpoint is the counter's address and the time-out of a call to it.
+// counterEndpoint is the counter's address and the timeout of a call to it.
 type counterEndpoint struct {
 	address string
 	timeout time.Duration
@@ -68,7 +68,7 @@
 	return c
 }
 
-// setEndpoint sets the address and the time-out of later calls.
+// setEndpoint sets the address and the timeout of later calls.
 func (c *counter) setEndpoint(address string, timeout time.Duration) {
 	c.endpoint.Store(&counterEndpoint{address, timeout})
 }
@@ -178,7 +178,7 @@
 	return err
 }
 
-// drain waits up to the time-out for the replies to outstanding calls, and closes the
+// drain waits up to the timeout for the replies to outstanding calls, and closes the
 // connection. It is used when the counter's address changes.
 func (c *counterConn) drain(timeout time.Duration) {
 	c.closeOnce.Do(func() { close(c.unanswered) })
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -103,7 +103,7 @@
 }
 
 // A call with an incomplete reply was added, and does not delay later calls for longer than the
-// time-out of a call.
+// timeout of a call.
 func TestCounterReplyCutShort(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n1", "\x00\x01garbage"} {
 		server := newPeer(t)
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -312,7 +312,7 @@
 		loop := newLoop(&config, service, metrics, pools, nil, func() {})
 		loop.applyList(newListing(true, "Ready", backend), rules.FullList)
 		exchange := &exchange{service: service, class: &service.Classes[0], counts: service.counts[0], plan: service.PlanNames[0], method: "GET", uri: "/lookup",
-			host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, reply: make(chan response, 2),
+			host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, responses: make(chan response, 2),
 			request: rules.Request{Customer: 7, Units: 1, GatewayCount: 2, FirstGateway: 1, Sent: loop.clock.now(), Deadline: loop.clock.now() + 15}}
 		loop.dispatch(requestArrived{exchange})
 		wait(t, dials, "dial")
--- a/internal/gateway/dial.go
+++ b/internal/gateway/dial.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// dial opens a connection to a target within the time-out, unless ctx ends or the target is
+// dial opens a connection to a target within the timeout, unless ctx ends or the target is
 // retired first.
 func dial(ctx context.Context, target *target, timeout time.Duration) (*backendConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/gateway/download_test.go
+++ b/internal/gateway/download_test.go
@@ -297,7 +297,7 @@
 				defer client.Close()
 				listener.conns <- server
 				io.WriteString(client, requestText("GET", "lookup", ""))
-				exch := (<-front.loop.inbox).(requestArrived).exchange
+				exchange := (<-front.loop.inbox).(requestArrived).exchange
 				near, far := net.Pipe()
 				conn := newBackendConn(near, nil)
 				conn.remaining.N = noReadLimit
@@ -311,7 +311,7 @@
 				}
 				download := &download{body: resp.Body, length: 100000, conn: conn, prefix: newBodyPrefix(resp.Body, 100000, 0), window: window{budget: &front.metrics.bodyBudget},
 					metrics: front.metrics, done: make(chan rules.Outcome, 1)}
-				exch.reply <- response{status: 200, fromBackend: true, header: resp.Header, length: 100000, download: download}
+				exchange.responses <- response{status: 200, fromBackend: true, header: resp.Header, length: 100000, download: download}
 				start, readerDone := time.Now(), make(chan struct{})
 				go func() {
 					defer close(readerDone)
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -94,9 +94,9 @@
 	classes []*classCounts
 }
 
-func newMetrics(c *Config) *metrics {
-	m := &metrics{bodyBudget: budget{total: bodyMemory(c.MemoryMB)}}
-	if c.Scopes.subset.Enabled() {
+func newMetrics(config *Config) *metrics {
+	m := &metrics{bodyBudget: budget{total: bodyMemory(config.MemoryMB)}}
+	if config.Scopes.subset.Enabled() {
 		m.subset = &subsetMetrics{}
 	}
 	return m
@@ -116,14 +116,14 @@
 
 // countsOf returns the counts of a class. The caller must hold the lock.
 func (m *metrics) countsOf(name string) *classCounts {
-	for _, c := range m.classes {
-		if c.name == name {
-			return c
+	for _, counts := range m.classes {
+		if counts.name == name {
+			return counts
 		}
 	}
-	c := &classCounts{name: name}
-	m.classes = append(m.classes, c)
-	return c
+	counts := &classCounts{name: name}
+	m.classes = append(m.classes, counts)
+	return counts
 }
 
 // write writes the metrics, one per line.
@@ -158,8 +158,8 @@
 	}
 	m.subset.write(w)
 	m.clients.writeMetrics(w)
-	used, limit := m.bodyBudget.usage()
-	fmt.Fprintf(w, "app.transfers.memory:%d|g\napp.transfers.memory_most:%d|g\n", used, limit)
+	used, peak := m.bodyBudget.usage()
+	fmt.Fprintf(w, "app.transfers.memory:%d|g\napp.transfers.memory_most:%d|g\n", used, peak)
 }
 
 // serviceConfig holds the settings that one load of the configuration made active. It does not
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -52,9 +52,9 @@
 	announcedTrailers []string    // names from the Trailer header
 	trailer           http.Header // trailers of a complete body; nil: none
 
-	// reply receives at most one 1xx response and then the final response. It has room
+	// responses receives at most one 1xx response and then the final response. It has room
 	// for both, so that the loop never blocks on it.
-	reply chan response
+	responses chan response
 
 	service *serviceConfig // configuration that the request was parsed with
 	class   *rules.Class   // class, counts and plan belong to service
@@ -71,12 +71,12 @@
 	rejectReason    string // empty if the request was not rejected
 }
 
-// discardReplies discards responses whose handler has returned.
-func (x *exchange) discardReplies(budget *budget) {
+// discardResponses discards responses whose handler has returned.
+func (x *exchange) discardResponses(budget *budget) {
 	for {
 		select {
-		case reply := <-x.reply:
-			reply.discard(budget)
+		case unsent := <-x.responses:
+			unsent.discard(budget)
 		default:
 			return
 		}
@@ -192,7 +192,7 @@
 		control.EnableFullDuplex()
 		control.SetReadDeadline(requestStart(r).Add(readTimeout))
 	}
-	exch, status, err := f.read(r, control)
+	exchange, status, err := f.read(r, control)
 	if err != nil {
 		if r.ContentLength != 0 {
 			w.Header().Set("Connection", "close") // the rest of the body may still arrive
@@ -204,20 +204,20 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	defer func() { f.metrics.bodyBudget.release(exch.reservedMemory) }()
-	if exch.upload != nil {
-		defer exch.upload.releaseMemory()
+	defer func() { f.metrics.bodyBudget.release(exchange.reservedMemory) }()
+	if exchange.upload != nil {
+		defer exchange.upload.releaseMemory()
 	}
-	if !f.loop.post(requestArrived{exch}) {
+	if !f.loop.post(requestArrived{exchange}) {
 		http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		return
 	}
-	f.awaitResponse(w, r, exch, control)
+	f.awaitResponse(w, r, exchange, control)
 }
 
 // awaitResponse sends the client the responses of the loop. It notifies the loop if the
 // client disconnects first.
-func (f *frontend) awaitResponse(w http.ResponseWriter, r *http.Request, exch *exchange, control *http.ResponseController) {
+func (f *frontend) awaitResponse(w http.ResponseWriter, r *http.Request, exchange *exchange, control *http.ResponseController) {
 	var peerClosed <-chan struct{}
 	conn := connOf(r)
 	if conn != nil {
@@ -225,40 +225,40 @@
 	}
 	for {
 		select {
-		case reply := <-exch.reply:
-			if reply.interim() {
+		case response := <-exchange.responses:
+			if response.interim() {
 				if r.ProtoAtLeast(1, 1) {
 					control.SetWriteDeadline(time.Now().Add(writeTimeout))
-					reply.writeInterim(w)
+					response.writeInterim(w)
 				}
 				continue
 			}
 			w.Header().Del("Connection")
-			if f.shuttingDown.Load() && (conn == nil || !conn.pipelined()) || !exch.upload.complete() || conn != nil && conn.readAhead.full() {
+			if f.shuttingDown.Load() && (conn == nil || !conn.pipelined()) || !exchange.upload.complete() || conn != nil && conn.readAhead.full() {
 				w.Header().Set("Connection", "close")
 			}
 			control.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if conn != nil && !r.ProtoAtLeast(1, 1) {
 				conn.closeDelimited.Store(true)
 			}
-			err := f.writeResponse(reply, exch.header.Get(idHeader), w, control)
-			if exch.upload != nil {
-				exch.upload.close(control)
+			err := f.writeResponse(response, exchange.header.Get(idHeader), w, control)
+			if exchange.upload != nil {
+				exchange.upload.close(control)
 			}
 			if err != nil {
 				abortConnection(r)
 			}
 		case <-peerClosed:
-			if !f.loop.post(clientGone{exch}) {
-				exch.discardReplies(&f.metrics.bodyBudget)
+			if !f.loop.post(clientGone{exchange}) {
+				exchange.discardResponses(&f.metrics.bodyBudget)
 			}
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
-			if !f.loop.post(clientGone{exch}) {
-				exch.discardReplies(&f.metrics.bodyBudget)
+			if !f.loop.post(clientGone{exchange}) {
+				exchange.discardResponses(&f.metrics.bodyBudget)
 			}
 		case <-f.loop.stopped:
-			exch.discardReplies(&f.metrics.bodyBudget)
+			exchange.discardResponses(&f.metrics.bodyBudget)
 			http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		}
 		return
@@ -287,14 +287,14 @@
 // it returns the status of the response.
 func (f *frontend) read(r *http.Request, control *http.ResponseController) (*exchange, int, error) {
 	now := f.loop.clock.now()
-	exch := &exchange{method: r.Method, uri: originForm(r.RequestURI), host: r.Host, reply: make(chan response, 2)}
-	exch.service = f.service.Load()
-	request, err := exch.service.parseRequest(r)
+	exchange := &exchange{method: r.Method, uri: originForm(r.RequestURI), host: r.Host, responses: make(chan response, 2)}
+	exchange.service = f.service.Load()
+	request, err := exchange.service.parseRequest(r)
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
-	class := &exch.service.Classes[request.Class]
-	exch.request, exch.class, exch.counts, exch.plan = request, class, exch.service.counts[request.Class], exch.service.PlanNames[request.Plan]
+	class := &exchange.service.Classes[request.Class]
+	exchange.request, exchange.class, exchange.counts, exchange.plan = request, class, exchange.service.counts[request.Class], exchange.service.PlanNames[request.Plan]
 	switch key := r.Header.Get(idempotencyHeader); {
 	case class.Effect == rules.Repeatable && r.Method != http.MethodGet && r.Method != http.MethodHead,
 		class.Effect != rules.Repeatable && r.Method != http.MethodPost:
@@ -303,25 +303,25 @@
 		return nil, http.StatusBadRequest, errors.New(idempotencyHeader + " is missing")
 	case len(key) > maxIDBytes:
 		return nil, http.StatusBadRequest, errors.New(idempotencyHeader + " is too long")
-	case exch.service.maxBodyBytes > 0 && r.ContentLength > exch.service.maxBodyBytes:
+	case exchange.service.maxBodyBytes > 0 && r.ContentLength > exchange.service.maxBodyBytes:
 		return nil, http.StatusRequestEntityTooLarge, errBodyTooLong
 	}
 	if r.ContentLength != 0 {
-		if status, err := f.readBody(exch, r, control); err != nil {
+		if status, err := f.readBody(exchange, r, control); err != nil {
 			return nil, status, err
 		}
 		now = f.loop.clock.now() // the client timeout counts from the last byte
 	}
-	exch.request.Sent = now
-	exch.request.Deadline += now - responseMargin
-	exch.header = endToEndHeaders(r.Header)
-	delete(exch.header, timeLeftHeader) // each attempt sets its own
-	return exch, 0, nil
+	exchange.request.Sent = now
+	exchange.request.Deadline += now - responseMargin
+	exchange.header = endToEndHeaders(r.Header)
+	delete(exchange.header, timeLeftHeader) // each attempt sets its own
+	return exchange, 0, nil
 }
 
 // readBody reads the body of a request until it is complete or has to be streamed. On an
 // error it returns the status of the response.
-func (f *frontend) readBody(exch *exchange, r *http.Request, control *http.ResponseController) (int, error) {
+func (f *frontend) readBody(exchange *exchange, r *http.Request, control *http.ResponseController) (int, error) {
 	long := r.ContentLength > maxHeldBody
 	held := int(r.ContentLength)
 	memory := held
@@ -333,14 +333,14 @@
 	}
 	if memory > uncountedBytes {
 		if err := f.metrics.bodyBudget.reserve(r.Context(), memory); err != nil {
-			exch.counts.dropped.Add(1)
+			exchange.counts.dropped.Add(1)
 			f.metrics.uploads.ended[noMemory].Add(1)
 			return http.StatusServiceUnavailable, err
 		}
 	} else {
 		memory = 0
 	}
-	remainder := newClientBody(r, control, exch.service.maxBodyBytes, &f.metrics.uploads.bytes)
+	remainder := newClientBody(r, control, exchange.service.maxBodyBytes, &f.metrics.uploads.bytes)
 	prefix := newBodyPrefix(remainder, r.ContentLength, held)
 	complete, err := false, error(nil)
 	switch {
@@ -356,16 +356,16 @@
 		return uploadStatus(err), fmt.Errorf("body: %w", err)
 	}
 	for name := range r.Trailer {
-		exch.announcedTrailers = append(exch.announcedTrailers, name)
+		exchange.announcedTrailers = append(exchange.announcedTrailers, name)
 	}
 	if complete {
-		exch.body, exch.trailer, exch.reservedMemory = prefix.held, forwardableTrailers(r.Trailer), f.metrics.bodyBudget.shrink(memory, len(prefix.held))
+		exchange.body, exchange.trailer, exchange.reservedMemory = prefix.held, forwardableTrailers(r.Trailer), f.metrics.bodyBudget.shrink(memory, len(prefix.held))
 		return 0, nil
 	}
-	exch.request.BodyPending = true
-	exch.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(exch.request.Deadline), budget: &f.metrics.bodyBudget,
+	exchange.request.BodyPending = true
+	exchange.upload = &upload{request: r, length: r.ContentLength, clientTimeout: seconds(exchange.request.Deadline), budget: &f.metrics.bodyBudget,
 		prefix: prefix, remainder: remainder, reservedMemory: held, window: window{budget: &f.metrics.bodyBudget, prepaid: minWindow}}
-	exch.upload.onComplete = func(until time.Time) { f.loop.post(bodyComplete{exch, until}) }
+	exchange.upload.onComplete = func(until time.Time) { f.loop.post(bodyComplete{exchange, until}) }
 	return 0, nil
 }
 
@@ -517,47 +517,47 @@
 
 // writeResponse writes a final response. An error means that the response is incomplete
 // and that the client cannot tell so far.
-func (f *frontend) writeResponse(reply response, id string, w http.ResponseWriter, control *http.ResponseController) error {
-	defer f.metrics.bodyBudget.release(reply.reservedMemory)
+func (f *frontend) writeResponse(response response, id string, w http.ResponseWriter, control *http.ResponseController) error {
+	defer f.metrics.bodyBudget.release(response.reservedMemory)
 	header := w.Header()
-	for name, values := range reply.header {
+	for name, values := range response.header {
 		header[name] = values
 	}
-	if !reply.fromBackend {
-		if reply.retryAfter > 0 {
-			header["Retry-After"] = []string{strconv.FormatFloat(math.Ceil(reply.retryAfter*1000)/1000, 'f', -1, 64)}
+	if !response.fromBackend {
+		if response.retryAfter > 0 {
+			header["Retry-After"] = []string{strconv.FormatFloat(math.Ceil(response.retryAfter*1000)/1000, 'f', -1, 64)}
 		}
 		header["Content-Length"] = []string{"0"}
-		w.WriteHeader(reply.status)
+		w.WriteHeader(response.status)
 		return nil
 	}
 	if _, typed := header["Content-Type"]; !typed {
 		header["Content-Type"] = nil // prevents content sniffing
 	}
-	if reply.length < 0 && reply.download == nil && reply.trailer == nil {
-		reply.length = int64(len(reply.body))
+	if response.length < 0 && response.download == nil && response.trailer == nil {
+		response.length = int64(len(response.body))
 	}
-	if reply.length >= 0 && reply.status != http.StatusNoContent && reply.status != http.StatusNotModified {
-		header["Content-Length"] = []string{strconv.FormatInt(reply.length, 10)}
+	if response.length >= 0 && response.status != http.StatusNoContent && response.status != http.StatusNotModified {
+		header["Content-Length"] = []string{strconv.FormatInt(response.length, 10)}
 	}
-	if reply.download == nil {
-		addTrailers(header, reply.trailer) // before the header, so that the body is sent in chunks
-		w.WriteHeader(reply.status)
-		w.Write(reply.body) // an error means that the client has disconnected
+	if response.download == nil {
+		addTrailers(header, response.trailer) // before the header, so that the body is sent in chunks
+		w.WriteHeader(response.status)
+		w.Write(response.body) // an error means that the client has disconnected
 		return nil
 	}
-	return f.streamResponse(reply, id, w, control)
+	return f.streamResponse(response, id, w, control)
 }
 
 // streamResponse writes a response whose body is still arriving from the backend.
-func (f *frontend) streamResponse(reply response, id string, w http.ResponseWriter, control *http.ResponseController) error {
-	download := reply.download
+func (f *frontend) streamResponse(response response, id string, w http.ResponseWriter, control *http.ResponseController) error {
+	download := response.download
 	if !download.claim() {
 		return errTransferAborted // the loop discarded it because the client disconnected
 	}
 	f.metrics.downloads.streaming.Add(1)
 	defer f.metrics.downloads.streaming.Add(-1)
-	w.WriteHeader(reply.status)
+	w.WriteHeader(response.status)
 	outcome, err := rules.Cancelled, control.Flush()
 	if err == nil {
 		outcome, err = download.copyTo(w, control)
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -94,14 +94,14 @@
 				defer client.Close()
 				listener.conns <- server
 				io.WriteString(client, text)
-				exch := (<-front.loop.inbox).(requestArrived).exchange
+				exchange := (<-front.loop.inbox).(requestArrived).exchange
 				time.Sleep(10 * time.Second) // synctest time
 				select {
 				case message := <-front.loop.inbox:
 					t.Fatalf("the loop received a %T while the client waited", message)
 				default:
 				}
-				exch.reply <- response{status: http.StatusOK, fromBackend: true, body: []byte("booked")}
+				exchange.responses <- response{status: http.StatusOK, fromBackend: true, body: []byte("booked")}
 				resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 				if err != nil || resp.StatusCode != http.StatusOK {
 					t.Fatalf("response %v, %v; want status 200", resp, err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -62,8 +62,8 @@
 		pools.setMaxOpen(backends)
 		metrics.bodyBudget.setTotal(memory)
 	}}
-	limits.setPaired(false)
-	handover := &handover{loop: front.loop, noPredecessor: make(chan struct{}), setPaired: limits.setPaired}
+	limits.setSiblingRunning(false)
+	handover := &handover{loop: front.loop, noPredecessor: make(chan struct{}), setSiblingRunning: limits.setSiblingRunning}
 	front.loop.receiveListing(listUpdate{listing: config.Scopes.filterListing(config.Known), kind: rules.CachedList})
 	if config.HandoverDir != "" {
 		imported, err := handover.join(ctx, config.HandoverDir)
@@ -149,7 +149,7 @@
 	wg.Go(func() { serverErrors <- server.Serve(front.clients) })
 	handover.notifyServing()
 	if operators != nil {
-		operatorServer := (&controlServer{metrics: metrics, ready: front.acceptsClients, applyOverride: handover.applyOverride, connectivity: connectivity, loop: front.loop, hasPeer: handover.hasPeer}).server()
+		operatorServer := (&controlServer{metrics: metrics, ready: front.acceptsClients, applyOverride: handover.applyOverride, connectivity: connectivity, loop: front.loop, hasSibling: handover.hasSibling}).server()
 		wg.Go(func() { serverErrors <- operatorServer.Serve(newRetryingListener(operators, "operators")) })
 		defer operatorServer.Close() // operators may call until the end
 	}
@@ -166,16 +166,16 @@
 type resourceLimits struct {
 	apply func(clients, backends, memory int) // limits of connections, and bytes for bodies
 
-	mu     sync.Mutex
-	config *Config
-	paired bool
+	mu             sync.Mutex
+	config         *Config
+	siblingRunning bool
 }
 
-// setPaired sets whether a sibling process runs.
-func (l *resourceLimits) setPaired(paired bool) {
+// setSiblingRunning sets whether a sibling process runs.
+func (l *resourceLimits) setSiblingRunning(running bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.paired = paired
+	l.siblingRunning = running
 	l.divide()
 }
 
@@ -190,7 +190,7 @@
 // divide applies the limits of this process. The caller holds mu.
 func (l *resourceLimits) divide() {
 	sockets, memory := l.config.Sockets-reservedDescriptors, l.config.MemoryMB
-	if l.paired {
+	if l.siblingRunning {
 		sockets, memory = l.config.Sockets/2-reservedDescriptors/2, memory/2
 	}
 	clients, backends := splitDescriptors(sockets)
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -24,7 +24,7 @@
 	joinRetryInterval     = 20 * time.Millisecond
 	successorTimeout      = 6 * time.Second        // for a successor to serve; the platform waits no longer
 	servingNoticeTimeout  = 200 * time.Millisecond // for a Serving message that may still be in transit
-	peerCallTimeout       = 700 * time.Millisecond // below the 1 s that an operator's call waits
+	siblingCallTimeout    = 700 * time.Millisecond // below the 1 s that an operator's call waits
 	clockToleranceSeconds = 0.05                   // by which the processes' clocks may differ without a wall clock step
 )
 
@@ -55,8 +55,8 @@
 	Known   bool
 }
 
-// peerConn is the connection to the sibling process.
-type peerConn struct {
+// siblingConn is the connection to the sibling process.
+type siblingConn struct {
 	conn    net.Conn
 	decoder *json.Decoder
 
@@ -69,72 +69,72 @@
 	closed  chan struct{} // closed once nothing is received on it any more
 }
 
-func newPeerConn(conn net.Conn) *peerConn {
-	return &peerConn{conn: conn, decoder: json.NewDecoder(conn), encoder: json.NewEncoder(conn), pendingCalls: map[int]chan bool{},
+func newSiblingConn(conn net.Conn) *siblingConn {
+	return &siblingConn{conn: conn, decoder: json.NewDecoder(conn), encoder: json.NewEncoder(conn), pendingCalls: map[int]chan bool{},
 		serving: make(chan struct{}), closed: make(chan struct{})}
 }
 
-func (p *peerConn) send(message handoverMessage) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.conn.SetWriteDeadline(time.Now().Add(peerCallTimeout)) // a stalled sibling must not block the sender
-	return p.encoder.Encode(message)
+func (s *siblingConn) send(message handoverMessage) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conn.SetWriteDeadline(time.Now().Add(siblingCallTimeout)) // a stalled sibling must not block the sender
+	return s.encoder.Encode(message)
 }
 
-var errNoPeerReply = errors.New("the sibling process did not answer an operator override")
+var errNoSiblingReply = errors.New("the sibling process did not answer an operator override")
 
-// forwardOverride sends an operator override and waits for its result. It returns errNoPeerReply
-// if none comes within peerCallTimeout or before the connection ends.
-func (p *peerConn) forwardOverride(id string, offline bool) (known bool, err error) {
+// forwardOverride sends an operator override and waits for its result. It returns errNoSiblingReply
+// if none comes within siblingCallTimeout or before the connection ends.
+func (s *siblingConn) forwardOverride(id string, offline bool) (known bool, err error) {
 	done := make(chan bool, 1)
-	p.mu.Lock()
-	p.lastCallNumber++
-	number := p.lastCallNumber
-	p.pendingCalls[number] = done
-	p.mu.Unlock()
+	s.mu.Lock()
+	s.lastCallNumber++
+	number := s.lastCallNumber
+	s.pendingCalls[number] = done
+	s.mu.Unlock()
 	defer func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		delete(p.pendingCalls, number)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.pendingCalls, number)
 	}()
-	if err := p.send(handoverMessage{Override: &overrideMessage{Number: number, ID: id, Offline: offline}}); err != nil {
+	if err := s.send(handoverMessage{Override: &overrideMessage{Number: number, ID: id, Offline: offline}}); err != nil {
 		return false, err
 	}
-	timeout := time.NewTimer(peerCallTimeout)
+	timeout := time.NewTimer(siblingCallTimeout)
 	defer timeout.Stop()
 	select {
 	case known, ok := <-done:
 		if !ok {
-			return false, errNoPeerReply
+			return false, errNoSiblingReply
 		}
 		return known, nil
 	case <-timeout.C:
-		return false, errNoPeerReply
+		return false, errNoSiblingReply
 	}
 }
 
 // completeOverride delivers the result of an override to the forwardOverride that waits for it.
-func (p *peerConn) completeOverride(result overrideMessage) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if done := p.pendingCalls[result.Number]; done != nil {
+func (s *siblingConn) completeOverride(result overrideMessage) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if done := s.pendingCalls[result.Number]; done != nil {
 		done <- result.Known
-		delete(p.pendingCalls, result.Number)
+		delete(s.pendingCalls, result.Number)
 	}
 }
 
 // handover makes this process and its predecessor or successor act as one gateway.
 type handover struct {
-	loop          *Loop
-	setPaired     func(bool)    // whether a sibling process shares the limits on descriptors and memory
-	noPredecessor chan struct{} // closed once this process has no predecessor
+	loop              *Loop
+	setSiblingRunning func(bool)    // whether a sibling process shares the limits on descriptors and memory
+	noPredecessor     chan struct{} // closed once this process has no predecessor
 
-	mu               sync.Mutex
-	peer             *peerConn // nil: there is no sibling process
-	peerIsSuccessor  bool
-	successorServing bool
-	closed           bool
-	readers          sync.WaitGroup
+	mu                 sync.Mutex
+	sibling            *siblingConn // nil: there is no sibling process
+	siblingIsSuccessor bool
+	successorServing   bool
+	closed             bool
+	readers            sync.WaitGroup
 }
 
 // join requests the state of the predecessor process in dir, and retries for joinTimeout, since
@@ -168,13 +168,13 @@
 	if err != nil {
 		return nil, nil // a process that was killed may have left its socket file
 	}
-	peer := newPeerConn(conn)
+	sibling := newSiblingConn(conn)
 	var reply handoverMessage
 	deadline, _ := ctx.Deadline()
 	conn.SetReadDeadline(deadline)
 	requestedAt := h.loop.clock.now()
-	if err = peer.send(handoverMessage{Join: true}); err == nil {
-		err = peer.decoder.Decode(&reply)
+	if err = sibling.send(handoverMessage{Join: true}); err == nil {
+		err = sibling.decoder.Decode(&reply)
 	}
 	if err == nil && reply.Snapshot == nil {
 		err = errors.New("the reply to a join has no state")
@@ -185,77 +185,77 @@
 	}
 	conn.SetReadDeadline(time.Time{})
 	reply.Snapshot.Rules.ShiftTimes(clockStep(reply.Snapshot.At, requestedAt, h.loop.clock.now()))
-	h.setPeer(peer, false)
+	h.setSibling(sibling, false)
 	return reply.Snapshot, nil
 }
 
 // clockStep returns by how many seconds the local clock is ahead of the clock of a process that
-// read it as peerTime between requestedAt and repliedAt, or 0 if the two may agree. Each clock
+// read it as siblingTime between requestedAt and repliedAt, or 0 if the two may agree. Each clock
 // starts at the wall clock, which may have been stepped between the starts of the processes.
-func clockStep(peerTime, requestedAt, repliedAt float64) float64 {
-	if peerTime == 0 || peerTime >= requestedAt-clockToleranceSeconds && peerTime <= repliedAt+clockToleranceSeconds {
+func clockStep(siblingTime, requestedAt, repliedAt float64) float64 {
+	if siblingTime == 0 || siblingTime >= requestedAt-clockToleranceSeconds && siblingTime <= repliedAt+clockToleranceSeconds {
 		return 0
 	}
-	return repliedAt - peerTime
+	return repliedAt - siblingTime
 }
 
-// setPeer makes peer the connection to the sibling process and starts to read from it. It returns
+// setSibling keeps the connection to the sibling process and starts to read from it. It returns
 // false if this process has a sibling already, or is closing.
-func (h *handover) setPeer(peer *peerConn, isSuccessor bool) bool {
+func (h *handover) setSibling(sibling *siblingConn, isSuccessor bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.peer != nil || h.closed {
+	if h.sibling != nil || h.closed {
 		return false
 	}
-	h.peer, h.peerIsSuccessor = peer, isSuccessor
-	h.setPaired(true)
-	h.readers.Go(func() { h.readMessages(peer) })
+	h.sibling, h.siblingIsSuccessor = sibling, isSuccessor
+	h.setSiblingRunning(true)
+	h.readers.Go(func() { h.readMessages(sibling) })
 	return true
 }
 
 // readMessages handles the messages of the sibling process until the connection ends.
-func (h *handover) readMessages(peer *peerConn) {
-	defer close(peer.closed)
+func (h *handover) readMessages(sibling *siblingConn) {
+	defer close(sibling.closed)
 	for {
 		var message handoverMessage
-		if err := peer.decoder.Decode(&message); err != nil {
+		if err := sibling.decoder.Decode(&message); err != nil {
 			break
 		}
 		switch {
 		case message.Override != nil:
 			message.Override.Known = h.loop.override(message.Override.ID, message.Override.Offline)
-			peer.send(handoverMessage{OverrideResult: message.Override})
+			sibling.send(handoverMessage{OverrideResult: message.Override})
 		case message.OverrideResult != nil:
-			peer.completeOverride(*message.OverrideResult)
+			sibling.completeOverride(*message.OverrideResult)
 		case message.Serving:
 			h.mu.Lock()
 			if !h.successorServing {
 				h.successorServing = true
-				close(peer.serving)
+				close(sibling.serving)
 			}
 			h.mu.Unlock()
 		case message.Leaving:
 			h.loop.post(moduleEvent{rules.SiblingDraining})
 		}
 	}
-	peer.conn.Close()
+	sibling.conn.Close()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	peer.mu.Lock()
-	for _, done := range peer.pendingCalls {
+	sibling.mu.Lock()
+	for _, done := range sibling.pendingCalls {
 		close(done)
 	}
-	clear(peer.pendingCalls)
-	peer.mu.Unlock()
-	if h.peer = nil; !h.closed {
-		slog.Info("the other process has ended", "successor", h.peerIsSuccessor)
-		h.setPaired(false)
+	clear(sibling.pendingCalls)
+	sibling.mu.Unlock()
+	if h.sibling = nil; !h.closed {
+		slog.Info("the other process has ended", "successor", h.siblingIsSuccessor)
+		h.setSiblingRunning(false)
 		h.loop.post(moduleEvent{rules.SiblingAbsent})
-		if !h.peerIsSuccessor {
+		if !h.siblingIsSuccessor {
 			close(h.noPredecessor)
 		}
 	}
-	h.peerIsSuccessor, h.successorServing = false, false
+	h.siblingIsSuccessor, h.successorServing = false, false
 }
 
 // serveSuccessors exports the state to each successor process until ctx ends. Once the predecessor
@@ -297,21 +297,21 @@
 
 // sendState exports the state to a successor process that requests it.
 func (h *handover) sendState(conn net.Conn) error {
-	peer := newPeerConn(conn)
+	sibling := newSiblingConn(conn)
 	conn.SetReadDeadline(time.Now().Add(joinTimeout))
 	var request handoverMessage
-	if err := peer.decoder.Decode(&request); err != nil {
+	if err := sibling.decoder.Decode(&request); err != nil {
 		return err
 	}
 	if !request.Join {
 		return errors.New("the first message of a successor process is not a join")
 	}
 	conn.SetReadDeadline(time.Time{})
-	// Danger: an operator override must reach both processes. From setPeer on, each is applied
+	// Danger: an operator override must reach both processes. From setSibling on, each is applied
 	// here and sent to the successor; the lock keeps it behind the state.
-	peer.mu.Lock()
-	defer peer.mu.Unlock()
-	if !h.setPeer(peer, true) {
+	sibling.mu.Lock()
+	defer sibling.mu.Unlock()
+	if !h.setSibling(sibling, true) {
 		return errors.New("this process has a sibling process already, or is stopping")
 	}
 	exported := make(chan snapshot, 1)
@@ -320,44 +320,44 @@
 	}
 	select {
 	case state := <-exported:
-		conn.SetWriteDeadline(time.Now().Add(peerCallTimeout))
-		if err := peer.encoder.Encode(handoverMessage{Snapshot: &state}); err != nil {
+		conn.SetWriteDeadline(time.Now().Add(siblingCallTimeout))
+		if err := sibling.encoder.Encode(handoverMessage{Snapshot: &state}); err != nil {
 			return err
 		}
 	case <-h.loop.stopped:
 		return errors.New("this process has stopped")
 	}
 	slog.Info("state exported")
-	time.AfterFunc(successorTimeout, func() { h.dropIfNotServing(peer) })
+	time.AfterFunc(successorTimeout, func() { h.dropIfNotServing(sibling) })
 	return nil
 }
 
 // notifyServing tells the predecessor process, if any, that this one accepts clients.
 func (h *handover) notifyServing() {
 	h.mu.Lock()
-	peer, isSuccessor := h.peer, h.peerIsSuccessor
+	sibling, isSuccessor := h.sibling, h.siblingIsSuccessor
 	h.mu.Unlock()
-	if peer != nil && !isSuccessor {
-		peer.send(handoverMessage{Serving: true})
+	if sibling != nil && !isSuccessor {
+		sibling.send(handoverMessage{Serving: true})
 	}
 }
 
 // dropIfNotServing disconnects a successor process that does not serve, so that this process may
 // use all of the gateway's resources again.
-func (h *handover) dropIfNotServing(peer *peerConn) {
+func (h *handover) dropIfNotServing(sibling *siblingConn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.peer == peer && !h.successorServing {
+	if h.sibling == sibling && !h.successorServing {
 		slog.Error("the new process does not serve")
-		peer.conn.Close()
+		sibling.conn.Close()
 	}
 }
 
-// hasPeer reports whether a sibling process is connected.
-func (h *handover) hasPeer() bool {
+// hasSibling reports whether a sibling process is connected.
+func (h *handover) hasSibling() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.peer != nil
+	return h.sibling != nil
 }
 
 // applyOverride applies an operator override in both processes of the gateway. It returns an error
@@ -365,30 +365,30 @@
 func (h *handover) applyOverride(id string, offline bool) (known bool, err error) {
 	known = h.loop.override(id, offline)
 	h.mu.Lock()
-	peer, starting := h.peer, h.peerIsSuccessor && !h.successorServing
+	sibling, starting := h.sibling, h.siblingIsSuccessor && !h.successorServing
 	h.mu.Unlock()
-	if peer == nil {
+	if sibling == nil {
 		return known, nil
 	}
 	if starting {
 		// No reply is awaited: the successor applies this before it serves, or never serves.
-		peer.send(handoverMessage{Override: &overrideMessage{ID: id, Offline: offline}})
+		sibling.send(handoverMessage{Override: &overrideMessage{ID: id, Offline: offline}})
 		return known, nil
 	}
-	knownToPeer, err := peer.forwardOverride(id, offline)
+	knownToSibling, err := sibling.forwardOverride(id, offline)
 	if err != nil {
-		if !errors.Is(err, errNoPeerReply) && !errors.Is(err, os.ErrDeadlineExceeded) {
-			peer.conn.Close()
-			<-peer.closed // the sibling has ended, which its reader may not have noticed yet
+		if !errors.Is(err, errNoSiblingReply) && !errors.Is(err, os.ErrDeadlineExceeded) {
+			sibling.conn.Close()
+			<-sibling.closed // the sibling has ended, which its reader may not have noticed yet
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.peer != peer {
+		if h.sibling != sibling {
 			return known, nil // a sibling that has ended does not need the override
 		}
 		return false, err
 	}
-	return known || knownToPeer, nil
+	return known || knownToSibling, nil
 }
 
 // notifyLeaving tells the successor process that this one accepts no more clients. It reports
@@ -398,29 +398,29 @@
 // Without the wait, this process would close connections that it should keep.
 func (h *handover) notifyLeaving() bool {
 	h.mu.Lock()
-	peer, isSuccessor := h.peer, h.peerIsSuccessor
+	sibling, isSuccessor := h.sibling, h.siblingIsSuccessor
 	h.mu.Unlock()
-	if peer != nil && isSuccessor {
+	if sibling != nil && isSuccessor {
 		timeout := time.NewTimer(servingNoticeTimeout)
 		defer timeout.Stop()
 		select {
-		case <-peer.serving:
-		case <-peer.closed:
+		case <-sibling.serving:
+		case <-sibling.closed:
 		case <-timeout.C:
 		}
 	}
 	h.mu.Lock()
-	serving := h.peer == peer && h.peerIsSuccessor && h.successorServing
+	serving := h.sibling == sibling && h.siblingIsSuccessor && h.successorServing
 	h.mu.Unlock()
-	return peer != nil && serving && peer.send(handoverMessage{Leaving: true}) == nil
+	return sibling != nil && serving && sibling.send(handoverMessage{Leaving: true}) == nil
 }
 
 // close ends the connection to the sibling process and waits for its reader.
 func (h *handover) close() {
 	h.mu.Lock()
 	h.closed = true
-	if h.peer != nil {
-		h.peer.conn.Close()
+	if h.sibling != nil {
+		h.sibling.conn.Close()
 	}
 	h.mu.Unlock()
 	h.readers.Wait()
@@ -433,7 +433,7 @@
 		state.Rules.Customers = nil // plan numbers have changed their meaning
 	}
 	for _, backend := range state.Rules.Backends {
-		if backend.Banned {
+		if backend.Offline {
 			l.offline[backend.ID] = true
 		}
 	}
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -184,7 +184,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	stalled := newPeerConn(conn)
+	stalled := newSiblingConn(conn)
 	var message handoverMessage
 	if err := stalled.send(handoverMessage{Join: true}); err != nil {
 		t.Fatal(err)
@@ -220,7 +220,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	next := newPeerConn(conn)
+	next := newSiblingConn(conn)
 	var message handoverMessage
 	if err := next.send(handoverMessage{Join: true}); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -18,9 +18,9 @@
 const (
 	inboxSize        = 1024
 	responseMargin   = 0.005 // seconds of a deadline reserved for delivering the response
-	timeoutTolerance = 0.001 // seconds; a cancel this close to the attempt's deadline counts as a time-out
+	timeoutTolerance = 0.001 // seconds; a cancel this close to the attempt's deadline counts as a timeout
 
-	// counterTimeoutFactor is the number of counter time-outs that the loop waits for a
+	// counterTimeoutFactor is the number of counter timeouts that the loop waits for a
 	// reply. A counter under load replies late, and units added by an abandoned call are
 	// lost to all gateways for the rest of the window.
 	counterTimeoutFactor = 4
@@ -152,7 +152,7 @@
 	return known
 }
 
-// awaitListRetry reports to the decision module that discovery refused a call, and returns
+// awaitListRetry reports to the decision module that discovery rejected a call, and returns
 // when the module wants the next call.
 func (l *Loop) awaitListRetry(ctx context.Context) {
 	select {
@@ -203,18 +203,18 @@
 			l.trace(message.exchange, "client left")
 			l.abandon(message.exchange)
 		}
-		message.exchange.discardReplies(&l.metrics.bodyBudget) // its handler has returned
+		message.exchange.discardResponses(&l.metrics.bodyBudget) // its handler has returned
 	case bodyComplete:
 		l.completeBody(message.exchange, message.deadline)
 	case responseStarted:
 		message.accepted <- l.startResponse(message.attempt, message.response)
 	case interimResponse:
-		if exchange := message.attempt.exchange; exchange.inProgress && !exchange.responseStarted && !message.attempt.ended && len(exchange.reply) == 0 {
-			exchange.reply <- message.response // the second slot is reserved for the final response
+		if exchange := message.attempt.exchange; exchange.inProgress && !exchange.responseStarted && !message.attempt.ended && len(exchange.responses) == 0 {
+			exchange.responses <- message.response // the second slot is reserved for the final response
 		}
 	case attemptDone:
 		if exchange := message.attempt.exchange; message.result.bodyErr != nil && exchange.inProgress && !exchange.responseStarted {
-			exchange.reply <- response{status: uploadStatus(message.result.bodyErr)}
+			exchange.responses <- response{status: uploadStatus(message.result.bodyErr)}
 			l.abandon(exchange)
 		}
 		l.endAttempt(message.attempt, message.result)
@@ -260,12 +260,12 @@
 func (l *Loop) arrive(exchange *exchange) {
 	if exchange.service != l.service && !l.carryOver(exchange) {
 		exchange.counts.dropped.Add(1)
-		exchange.reply <- response{status: http.StatusServiceUnavailable}
+		exchange.responses <- response{status: http.StatusServiceUnavailable}
 		return
 	}
 	if l.service.MaxInProgress > 0 && len(l.live) >= l.service.MaxInProgress {
 		exchange.counts.dropped.Add(1)
-		exchange.reply <- response{status: http.StatusServiceUnavailable} // nothing has been sent to a backend
+		exchange.responses <- response{status: http.StatusServiceUnavailable} // nothing has been sent to a backend
 		return
 	}
 	for inUse := true; inUse; _, inUse = l.live[l.nextID] {
@@ -280,21 +280,21 @@
 }
 
 // accept counts a request whose last byte has arrived as in progress.
-func (l *Loop) accept(x *exchange) {
-	x.accepted = true
+func (l *Loop) accept(exchange *exchange) {
+	exchange.accepted = true
 	l.metrics.inProgress.Add(1)
 }
 
 // finish marks an exchange as answered. It cancels attempts that are still dialing: if the
 // settings allow no cancellation, the decision module leaves attempts in flight, and one
 // that is not connected yet would run without a client.
-func (l *Loop) finish(x *exchange) {
-	if x.inProgress = false; x.accepted {
+func (l *Loop) finish(exchange *exchange) {
+	if exchange.inProgress = false; exchange.accepted {
 		l.metrics.inProgress.Add(-1)
 	}
-	for _, a := range x.attempts {
-		if !a.ended {
-			a.abortDial()
+	for _, attempt := range exchange.attempts {
+		if !attempt.ended {
+			attempt.abortDial()
 		}
 	}
 }
@@ -344,7 +344,7 @@
 	if l.clock.now()-exchange.request.Sent > exchange.class.Aim {
 		l.trace(exchange, "served late")
 	}
-	exchange.reply <- response // buffered, and receives only one final response
+	exchange.responses <- response // buffered, and receives only one final response
 	return true
 }
 
@@ -358,10 +358,10 @@
 // carryOver adapts a request that was read under earlier settings to the current ones,
 // whose class and plan indexes may differ. The request keeps its class; the quota is that
 // of the plan's current settings. It returns false if the plan no longer exists.
-func (l *Loop) carryOver(x *exchange) bool {
-	x.request.ClassOverride = x.class
-	x.request.Plan = slices.Index(l.service.PlanNames, x.plan)
-	return x.request.Plan >= 0
+func (l *Loop) carryOver(exchange *exchange) bool {
+	exchange.request.ClassOverride = exchange.class
+	exchange.request.Plan = slices.Index(l.service.PlanNames, exchange.plan)
+	return exchange.request.Plan >= 0
 }
 
 // applyOverride takes a backend offline or online. The connections change before the
@@ -558,8 +558,8 @@
 
 // reject sends a final response that no backend produced.
 func (l *Loop) reject(id rules.RequestID, reason rules.Reason, response response) {
-	if x := l.live[id]; x != nil && x.inProgress {
-		x.rejectReason = reason.String()
+	if exchange := l.live[id]; exchange != nil && exchange.inProgress {
+		exchange.rejectReason = reason.String()
 		l.metrics.rejected[reason].Add(1)
 	}
 	l.respond(id, response)
@@ -585,14 +585,14 @@
 		exchange.counts.badGateway.Add(1)
 		l.trace(exchange, "not served")
 	}
-	exchange.reply <- response // buffered, and receives only one final response
+	exchange.responses <- response // buffered, and receives only one final response
 	l.forget(exchange)
 }
 
 // forget removes a request that has its response and no attempt in flight.
-func (l *Loop) forget(x *exchange) {
-	if !x.inProgress && x.inFlight == 0 {
-		delete(l.live, x.request.ID)
+func (l *Loop) forget(exchange *exchange) {
+	if !exchange.inProgress && exchange.inFlight == 0 {
+		delete(l.live, exchange.request.ID)
 	}
 }
 
@@ -661,7 +661,7 @@
 	}
 }
 
-// timerEntry is a timer of the decision module, or the time-out of an attempt or a counter
+// timerEntry is a timer of the decision module, or the timeout of an attempt or a counter
 // call.
 type timerEntry struct {
 	at      float64         // seconds on the loop's clock
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// The loop waits for a counter reply beyond the counter time-out, since the units that the call
+// The loop waits for a counter reply beyond the counter timeout, since the units that the call
 // added would be lost to all gateways, but not for longer than counterTimeoutFactor times that.
 func TestLateCounterReplyIsAwaited(t *testing.T) {
 	settings := strings.Replace(testSettings, `"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.05`, 1)
@@ -63,7 +63,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go loop.run(ctx)
 		defer func() { cancel(); <-loop.stopped }()
-		exchange := &exchange{service: service, class: &service.Classes[0], counts: service.counts[0], plan: "basic", reply: make(chan response, 2),
+		exchange := &exchange{service: service, class: &service.Classes[0], counts: service.counts[0], plan: "basic", responses: make(chan response, 2),
 			request: rules.Request{Customer: 7, Units: 2, GatewayCount: 2, FirstGateway: 1, Sent: loop.clock.now(), Deadline: loop.clock.now() + 15}}
 		loop.post(requestArrived{exchange})
 		synctest.Wait()
@@ -79,12 +79,12 @@
 		time.Sleep(190 * time.Millisecond)
 		synctest.Wait()
 		if call.abandoned.Load() {
-			t.Error("call abandoned before counterTimeoutFactor time-outs")
+			t.Error("call abandoned before counterTimeoutFactor timeouts")
 		}
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
 		if !call.abandoned.Load() {
-			t.Error("call not abandoned after counterTimeoutFactor time-outs")
+			t.Error("call not abandoned after counterTimeoutFactor timeouts")
 		}
 	})
 }
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -118,7 +118,7 @@
 		next := newLoop(&config, metrics.newService(config.Deployment, 0), metrics, newPools(time.Second, time.Minute, 8, metrics), nil, func() {})
 		next.clock.startUnix += step.Seconds()
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
-		handover := &handover{loop: next, noPredecessor: make(chan struct{}), setPaired: func(bool) {}}
+		handover := &handover{loop: next, noPredecessor: make(chan struct{}), setSiblingRunning: func(bool) {}}
 		state, err := handover.join(ctx, dir)
 		cancel()
 		if err != nil || state == nil {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -94,7 +94,7 @@
 	Members       []Member `json:"members"`
 }
 
-// membersHandler answers with a MembersView, or with status 404 if c is nil.
+// membersHandler serves a MembersView to operators, or status 404 if c is nil.
 func membersHandler(c *connectivity) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if c == nil {
@@ -102,9 +102,9 @@
 			return
 		}
 		view := c.agent.View()
-		state, since, reason := c.state(time.Now())
+		state, stateAge, reason := c.state(time.Now())
 		answer := MembersView{Self: view.Self, On: view.Active, Superseded: view.Superseded, Digest: fmt.Sprintf("%016x", view.Digest), AgreeingViews: view.Agreeing, ReceivedViews: view.Reporting,
-			State: state.String(), StateForMs: since.Milliseconds(), Reason: reason}
+			State: state.String(), StateForMs: stateAge.Milliseconds(), Reason: reason}
 		for _, member := range view.Members {
 			answer.Members = append(answer.Members, Member{member.Number, member.State.String(), member.Incarnation, member.Start, (view.Now - member.Since).Milliseconds()})
 		}
@@ -119,7 +119,7 @@
 		return
 	}
 	view := c.agent.View()
-	state, since, _ := c.state(time.Now())
+	state, stateAge, _ := c.state(time.Now())
 	states := map[membership.State]int64{}
 	for _, member := range view.Members {
 		states[member.State]++
@@ -136,7 +136,7 @@
 	}{{"alive", states[membership.Alive], "g"}, {"suspect", states[membership.Suspect], "g"}, {"dead", states[membership.Dead], "g"}, {"left", states[membership.Left], "g"},
 		{"unknown", states[membership.Unknown], "g"}, {"differing", int64(stats.Differing), "g"}, {"health", int64(stats.Health), "g"}, {"sent", stats.Sent, "c"}, {"sent_bytes", stats.SentBytes, "c"},
 		{"received", stats.Received, "c"}, {"dropped", stats.Dropped, "c"}, {"garbled", stats.Malformed, "c"}, {"stale", stats.Stale, "c"}, {"refuted", stats.Refuted, "c"},
-		{"suspected", stats.Suspected, "c"}, {"declared", stats.DeclaredDead, "c"}, {"superseded", superseded, "g"}, {"standing", int64(state), "g"}, {"standing_ms", since.Milliseconds(), "g"}} {
+		{"suspected", stats.Suspected, "c"}, {"declared", stats.DeclaredDead, "c"}, {"superseded", superseded, "g"}, {"standing", int64(state), "g"}, {"standing_ms", stateAge.Milliseconds(), "g"}} {
 		fmt.Fprintf(w, "app.members.%s:%d|%s\n", metric.name, metric.value, metric.kind)
 	}
 }
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -70,7 +70,7 @@
 	p.maxOpen = maxOpen
 }
 
-// setTimeouts sets the time-outs of connections that are opened or returned from now on.
+// setTimeouts sets the timeouts of connections that are opened or returned from now on.
 func (p *pools) setTimeouts(connectTimeout, keepAlive time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -71,11 +71,11 @@
 // process the client repeats it on a new connection, so idle connections are closed at once and
 // the listener later. With a successor, new connections go to that process, and connections of
 // this one are closed after their next response, or after idlePeriod.
-func shutdown(front *frontend, server *http.Server, sibling *handover) error {
+func shutdown(front *frontend, server *http.Server, handover *handover) error {
 	sequence := &shutdownSequence{frontend: front, startedAt: time.Now()}
 	sequence.notifyModule()
 	front.shuttingDown.Store(true)
-	hasSuccessor := sibling.notifyLeaving()
+	hasSuccessor := handover.notifyLeaving()
 	sequence.log("stopping", "successor", hasSuccessor, "answers_due", sequence.schedule().answersDue, "exit_due", sequence.schedule().exit)
 	if hasSuccessor {
 		front.clients.Close()
--- a/internal/gateway/standing.go
+++ b/internal/gateway/standing.go
@@ -51,6 +51,8 @@
 	}
 }
 
+// state reports whether the counter answers, or Unknown if no call has ended within
+// counterCallWindow.
 func (c *counterContact) state(now time.Time) reach.Contact {
 	lastCall, lastAnswer := time.Unix(0, c.lastCall.Load()), time.Unix(0, c.lastAnswer.Load())
 	switch {
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -117,22 +117,22 @@
 				listener.conns <- server
 				const length = 480 << 10
 				io.WriteString(client, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(length)))
-				exch := (<-front.loop.inbox).(requestArrived).exchange
+				exchange := (<-front.loop.inbox).(requestArrived).exchange
 				start, ended := time.Now(), make(chan time.Time, 1)
 				go func() {
 					var attempt attempt
-					exch.upload.assign(&attempt)
+					exchange.upload.assign(&attempt)
 					var err error
 					for offset := 0; err == nil; {
 						var piece []byte
-						piece, err = exch.upload.next(&attempt, offset)
+						piece, err = exchange.upload.next(&attempt, offset)
 						offset += len(piece)
 					}
 					if (err != io.EOF) != test.aborted {
 						t.Errorf("the body ended with %v, want an abort: %t", err, test.aborted)
 					}
 					ended <- time.Now()
-					exch.reply <- response{status: http.StatusTooManyRequests}
+					exchange.responses <- response{status: http.StatusTooManyRequests}
 				}()
 				go io.Copy(io.Discard, client)
 				for sent := 0; sent < length; sent += test.piece {
--- a/rules/operator_test.go
+++ b/rules/operator_test.go
@@ -279,7 +279,7 @@
 func TestSnapshotKeepsItsEncodedNames(t *testing.T) {
 	snapshot := Snapshot{ConcurrencyLimit: 1, Latency: 2, Spread: 3, Pressure: 4, CounterFailureRate: 5, WarmSendRate: 6,
 		Backends: []BackendRecord{{Backend: Backend{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: Ready, Weight: 6, StartedAt: 7},
-			Banned: true, FailureRate: 8, Latency: 9, LastServed: 10, TrialAt: 11, TrialInterval: 12, ColdBudget: 13,
+			Offline: true, FailureRate: 8, Latency: 9, LastServed: 10, TrialAt: 11, TrialInterval: 12, ColdBudget: 13,
 			ColdBudgetAt: 14, ColdSince: 15}},
 		Customers: []CustomerRecord{{ID: 1, Plan: 2, Gateways: 3, Index: 4, Demand: 5, LastSeen: 6, Units: 7, Expires: 8,
 			LeaseWindow: 9, Window: 10, KnownTotal: 11, TotalReceived: true, ExhaustedUntil: 12, Backoff: 13,
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -55,8 +55,9 @@
 
 	// Health of backends.
 	failureGain          = 0.25 // weight of the newest outcome in the failure rate
+	meanLatencyGain      = 0.02 // weight of the newest latency in the mean over all backends
 	ejectFailureRate     = 0.4  // a backend with this failure rate gets trial attempts only
-	latencyGain          = 0.15 // weight of the newest latency
+	latencyGain          = 0.15 // weight of the newest latency in the mean of one backend
 	maxLatencyRatio      = 8.0  // limit of a backend's latency relative to the mean
 	initialTrialInterval = 0.5  // doubles with each trial
 	maxTrialInterval     = 4.0
@@ -69,7 +70,11 @@
 	handOverFraction = 0.5 // fraction of the gateway's local allowances for each of two sibling processes
 	drainingFraction = 0.2 // the same for a process that accepts no more clients
 
-	coldCostFactor = 0.9 // factor on the cost of a cold backend that may get an attempt
+	// Cost of a backend for the next attempt.
+	coldCostFactor    = 0.9  // factor on the cost of a cold backend that may get an attempt
+	lowerLevelLoad    = 0.1  // load of an attempt below the level of the request
+	lastBackendCost   = 1e3  // added to the cost of the backend of the last attempt
+	costRandomization = 0.05 // largest random increase, as a fraction of the cost
 
 	preferredRangeGateways    = 8.0 // gateways that have the same backend in their preferred range of the list
 	newConnectionCost         = 0.3 // relative cost of a new connection outside that range
@@ -351,16 +356,16 @@
 // all backends are used by equally many gateways; a short range at that position counts as connected, so
 // that no backend is used by too few.
 func (g *Gateway) backendCost(backend *backendStatus, request *pendingRequest, index int) float64 {
-	higher := 0
+	atLeastLevel := 0 // attempts in flight of at least the request's level
 	for _, count := range backend.inFlightByLevel[request.level:] {
-		higher += count
+		atLeastLevel += count
 	}
 	latencyRatio := 1.0
 	if backend.latency > 0 && g.latency > 0 {
 		latencyRatio = min(max(backend.latency/g.latency, 1/maxLatencyRatio), maxLatencyRatio)
 	}
 	successRate := 1 - min(backend.failureRate, 0.9)
-	load := float64(higher) + 0.1*float64(backend.inFlight)
+	load := float64(atLeastLevel) + lowerLevelLoad*float64(backend.inFlight)
 	if fraction := g.capacityFraction(backend); fraction < 1 {
 		// Its budget allows an attempt (coldBudgetAvailable), so prefer it to idle warm backends. In a large
 		// fleet each gateway has fewer requests than backends: some warm one is always idle.
@@ -378,9 +383,9 @@
 		cost *= 1 + g.settings.CrossZonePrice
 	}
 	if count := len(request.attempts); count > 0 && request.attempts[count-1].target == backend {
-		cost += 1e3 // avoid the backend of the last attempt if there is another
+		cost += lastBackendCost // avoid the backend of the last attempt if there is another
 	}
-	return cost * (1 + 0.05*g.rng.Float64())
+	return cost * (1 + costRandomization*g.rng.Float64())
 }
 
 // hasIdleConnection reports whether an idle connection to the backend is likely to exist.
@@ -637,8 +642,8 @@
 		if g.latency == 0 {
 			g.latency, g.spread = took, took/2
 		}
-		g.spread += 0.02 * (math.Abs(took-g.latency) - g.spread)
-		g.latency += 0.02 * (took - g.latency)
+		g.spread += meanLatencyGain * (math.Abs(took-g.latency) - g.spread)
+		g.latency += meanLatencyGain * (took - g.latency)
 		g.adjustLimit(took / request.class.Aim)
 	case Errored, Broken, ConnectFailed:
 		g.recordFailure(backend)
@@ -730,17 +735,17 @@
 }
 
 // usable reports whether the backend may get attempts at all.
-func (s *backendStatus) usable() bool { return s.State == Ready && !s.banned }
+func (s *backendStatus) usable() bool { return s.State == Ready && !s.offline }
 
 // overrideBackend takes a backend out of use, or puts it back. Operators restart backends while these are
 // out of use, and discovery may report the new start late. So a backend counts as started when it is put
 // back, unless a later start is known.
 func (g *Gateway) overrideBackend(override OperatorOverride) {
 	backend := g.backendByID[override.Backend]
-	if backend == nil || backend.banned == override.Offline {
+	if backend == nil || backend.offline == override.Offline {
 		return
 	}
-	if backend.banned = override.Offline; !backend.banned {
+	if backend.offline = override.Offline; !backend.offline {
 		backend.StartedAt = max(backend.StartedAt, g.now)
 		g.resetColdStart(backend, g.now)
 	}
--- a/rules/state.go
+++ b/rules/state.go
@@ -98,7 +98,7 @@
 // backendStatus is the state of one backend as seen by this gateway.
 type backendStatus struct {
 	Backend
-	banned                   bool  // by operator override
+	offline                  bool  // by operator override
 	inFlightByLevel          []int // attempts of this process
 	inFlight                 int   // sum of inFlightByLevel
 	abandoned                []abandonedAttempt
@@ -319,7 +319,7 @@
 // Knows reports whether a backend is on the list, or was when an operator took it out of use.
 func (g *Gateway) Knows(id BackendID) bool {
 	backend := g.backendByID[id]
-	return backend != nil && (backend.State != Gone || backend.banned)
+	return backend != nil && (backend.State != Gone || backend.offline)
 }
 
 // BackendCounts returns the number of backends on the list, and how many of them get no regular requests
@@ -341,7 +341,7 @@
 // kept while its backend is gone.
 func (g *Gateway) removeGoneBackends() {
 	g.backendList = slices.DeleteFunc(g.backendList, func(backend *backendStatus) bool {
-		unused := backend.State == Gone && backend.inFlight == 0 && !backend.banned
+		unused := backend.State == Gone && backend.inFlight == 0 && !backend.offline
 		if unused {
 			delete(g.backendByID, backend.ID)
 		}
--- a/rules/transfer.go
+++ b/rules/transfer.go
@@ -14,7 +14,7 @@
 	for _, backend := range g.backendList {
 		backend.coldBudget /= 2
 		snapshot.Backends = append(snapshot.Backends,
-			BackendRecord{Backend: backend.Backend, Banned: backend.banned, FailureRate: backend.failureRate,
+			BackendRecord{Backend: backend.Backend, Offline: backend.offline, FailureRate: backend.failureRate,
 				Latency: backend.latency, LastServed: backend.lastServed, TrialAt: backend.trialAt,
 				TrialInterval: backend.trialInterval,
 				ColdBudget:    backend.coldBudget, ColdBudgetAt: backend.coldBudgetAt, ColdSince: backend.coldSince})
@@ -49,8 +49,8 @@
 		if backend.coldSince = record.ColdSince; backend.coldSince == 0 && backend.StartedAt > 0 {
 			backend.coldSince = min(backend.StartedAt, g.now) // a writer of an older version does not set it
 		}
-		backend.banned, backend.failureRate, backend.latency, backend.lastServed =
-			record.Banned, record.FailureRate, record.Latency, record.LastServed
+		backend.offline, backend.failureRate, backend.latency, backend.lastServed =
+			record.Offline, record.FailureRate, record.Latency, record.LastServed
 		backend.trialAt, backend.trialInterval, backend.coldBudget, backend.coldBudgetAt =
 			record.TrialAt, record.TrialInterval, record.ColdBudget, record.ColdBudgetAt
 	}
--- a/rules/types.go
+++ b/rules/types.go
@@ -1,9 +1,12 @@
 // Package rules decides, for one gateway, what happens to each request and to each attempt at a backend.
 // It does no input or output: the caller passes events to a Gateway and carries out the actions it returns.
+//
+// All times and durations are in seconds, and times are on the caller's clock. A unit is the measure of quotas:
+// each request takes a number of units from its customer's quota. A request's worth, the worth of its class
+// times the price of its plan, is its priority.
 package rules
 
-// The interface of the package: settings, events and actions. Times and durations are in seconds; times are
-// on the caller's clock.
+// The interface of the package: settings, events and actions.
 
 // RequestID identifies one client request at one gateway.
 type RequestID uint32
@@ -39,12 +42,12 @@
 	Aim          float64 // latency objective: an answer within it earns the full worth
 	AimStretch   float64 // the aim is extended by this multiple of the request's own service time
 	Deadline     float64 // total client timeout, over the first request and all client retries
-	Worth        float64
+	Worth        float64 // of an answer within the aim; requests of higher worth are served first
 	LateWorth    float64 // fraction of the worth earned by an answer between aim and deadline
 	Effect       Effect
 	Scope        DedupeScope
 	DedupeWindow float64 // how long the scope remembers a key
-	Streamed     bool
+	Streamed     bool    // answers are streamed; see Established
 }
 
 // Plan describes the quota that a customer has bought. A rate or limit of 0 means unlimited.
@@ -96,7 +99,7 @@
 
 	Counter        bool    // a shared counter is available
 	CounterTimeout float64 // of one call
-	CounterPrice   float64
+	CounterPrice   float64 // of one call
 	MaxUnits       float64 // units of the largest request
 	UnitsEstimated bool    // a request's units are an estimate until it is answered
 
@@ -178,7 +181,8 @@
 	Entries []Backend
 }
 
-// Request is a request received from a client. The gateway owes it exactly one final answer.
+// Request is a request received from a client. Unless the client leaves, it gets exactly one final answer: that
+// of a backend, a Refuse or a Fail.
 type Request struct {
 	ID            RequestID
 	Customer      CustomerID
@@ -303,7 +307,7 @@
 // BackendRecord is the state of one backend in a Snapshot.
 type BackendRecord struct {
 	Backend
-	Banned        bool    // by operator override
+	Offline       bool    `json:"Banned"` // by operator override
 	FailureRate   float64 `json:"Fail"`
 	Latency       float64 // mean; 0 if there has been no answer
 	LastServed    float64 `json:"LastOK"` // time of the last successful answer
@@ -392,18 +396,18 @@
 	Request RequestID // 0 means none
 }
 
-// Count adds Amount to a number on the shared counter and asks for the total. A number starts at 0 with its
-// first Count; the counter deletes it after TTL.
+// Count adds Amount to a total on the shared counter and asks for the new total in a CounterReply. A total
+// starts at 0 with its first Count; the counter deletes it after TTL.
 type Count struct {
-	Name   uint64
-	Amount float64
+	Name   uint64  // of the total
+	Amount float64 // units or slots; may be negative
 	TTL    float64
 }
 
-// Probe asks a backend for its load.
+// Probe asks a backend for its load. The answer is a Probed event.
 type Probe struct{ Backend BackendID }
 
-// Subscribe asks discovery for updates.
+// Subscribe asks discovery for updates, which come as Backends events.
 type Subscribe struct{}
 
 // Exported answers an Export.
