--- a/internal/group/config.go
+++ b/internal/group/config.go
@@ -31,8 +31,8 @@
 	// RestoreList replaces the list by that of a snapshot.
 	RestoreList(lines [][]byte) error
 	// SetWriter names the writer by the address of its registry, or "" if none is known.
-	// here says that this member is the writer and has applied all earlier entries.
-	SetWriter(here bool, address string)
+	// isSelf means that this member is the writer and has applied all earlier entries.
+	SetWriter(isSelf bool, address string)
 	// BackendStates returns the states of the backends in the records.
 	BackendStates(records [][]byte) []budget.BackendState
 }
--- a/internal/registry/admission.go
+++ b/internal/registry/admission.go
@@ -7,8 +7,8 @@
 
 // ServerLimits bounds the load on a Server.
 type ServerLimits struct {
-	Connections       int
-	Watchers          int
+	Connections       int     // open connections of readers and writers
+	Watchers          int     // concurrent reads that wait for changes
 	ListingsPerSecond float64 // full listings; a scoped listing counts as the fraction of the list that it examines
 
 	// Limits on the scopes that readers register; 0 means the default.
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -26,8 +26,8 @@
 
 // Listing is a full list of instances or, if Reset is false, the changes since a version.
 type Listing struct {
-	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // Instances is the full list, not only changes
+	Generation int64      `json:"generation"` // version of the list
+	Reset      bool       `json:"reset"`      // Instances is the full list, not only changes
 	Instances  []Instance `json:"instances"`
 
 	// Unknown holds the requested scopes whose service is unknown. Only in answers to
@@ -67,10 +67,10 @@
 	Region      string    `json:"region,omitempty"`
 }
 
-// Lifecycle is the state of an instance.
+// Lifecycle is the state of an instance in the list.
 type Lifecycle string
 
-// The lifecycles. Gone appears only in changes.
+// The lifecycles. A Terminating instance is draining. Gone appears only in changes.
 const (
 	Ready       Lifecycle = "Ready"
 	Terminating Lifecycle = "Terminating"
--- a/internal/registry/keeper_test.go
+++ b/internal/registry/keeper_test.go
@@ -269,7 +269,7 @@
 	}
 	writer.stopAndWait(t)
 
-	// A writer queries its peers before it accepts writes, and a fence writer can become a follower.
+	// A writer queries its peers before it accepts writes, and a fenced writer can become a follower.
 	follower.stopAndWait(t)
 	follower, _ = startPersistent(t, followerDir, "127.0.0.1:0", "127.0.0.1:1")
 	if listing := follower.list(t, ""); len(listing.Instances) != 3 {
@@ -296,7 +296,7 @@
 		t.Errorf("fence: %d %s", code, text)
 	}
 	if code := promote(); code != 409 {
-		t.Errorf("promotion of a fence writer: status %d", code)
+		t.Errorf("promotion of a fenced writer: status %d", code)
 	}
 }
 
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -7,10 +7,10 @@
 
 // Limits bounds a Store.
 type Limits struct {
-	Lease        time.Duration
-	Instances    int // instances in the list
-	History      int // changes kept
-	HistoryBytes int // encoded bytes of the changes kept
+	Lease        time.Duration // from a registration or renewal until the instance expires
+	Instances    int           // instances in the list
+	History      int           // changes kept
+	HistoryBytes int           // encoded bytes of the changes kept
 
 	EmptyServices int // known services without instances; 0 means 4096
 }
@@ -23,8 +23,9 @@
 	maxCachedAnswers       = 64
 )
 
-// Store is the state machine of the list and its history. All times are readings of the
-// caller's monotonic clock. It is not safe for concurrent use.
+// Store is the state machine of the list and its history, the sequence of its changes by
+// version. A new history begins when changes of the previous one may be lost. All times are
+// readings of the caller's monotonic clock. It is not safe for concurrent use.
 type Store struct {
 	limits   Limits
 	history  string
--- a/internal/world/links_test.go
+++ b/internal/world/links_test.go
@@ -62,31 +62,31 @@
 	em := New(s)
 	em.Begin(0)
 	conditions := map[relayDirection]link.Condition{}
-	service := func(k int) Endpoint { return Endpoint{scenario.Registries, k} }
+	registry := func(n int) Endpoint { return Endpoint{scenario.Registries, n} }
 	gateway := func(n int) Endpoint { return Endpoint{scenario.Gateways, n} }
-	backends := ProcessLink{Endpoint{scenario.Backends, 0}, service(0)}
+	backends := ProcessLink{Endpoint{scenario.Backends, 0}, registry(0)}
 	for _, test := range []struct {
-		at   time.Duration
-		wire ProcessLink
-		way  link.Direction
-		want link.Kind
+		at          time.Duration
+		processLink ProcessLink
+		direction   link.Direction
+		want        link.Kind
 	}{
-		{900 * time.Millisecond, ProcessLink{service(1), service(0)}, link.Forward, ""},
-		{1500 * time.Millisecond, ProcessLink{service(1), service(0)}, link.Forward, link.Dropped},
-		{1500 * time.Millisecond, ProcessLink{service(2), service(0)}, link.Reverse, link.Dropped},
-		{2500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Reverse, link.Slow},
+		{900 * time.Millisecond, ProcessLink{registry(1), registry(0)}, link.Forward, ""},
+		{1500 * time.Millisecond, ProcessLink{registry(1), registry(0)}, link.Forward, link.Dropped},
+		{1500 * time.Millisecond, ProcessLink{registry(2), registry(0)}, link.Reverse, link.Dropped},
+		{2500 * time.Millisecond, ProcessLink{gateway(1), registry(2)}, link.Reverse, link.Slow},
 		{2500 * time.Millisecond, ProcessLink{Endpoint{scenario.Operators, 0}, gateway(0)}, link.Forward, link.Refused},
 		{2500 * time.Millisecond, ProcessLink{Endpoint{scenario.Operators, 0}, gateway(1)}, link.Forward, ""},
-		{2500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Forward, ""},
-		{2500 * time.Millisecond, ProcessLink{gateway(0), service(2)}, link.Reverse, ""},
-		{3500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Reverse, link.Stalled},
-		{3500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Forward, link.Stalled},
-		{3500 * time.Millisecond, ProcessLink{gateway(1), service(1)}, link.Reverse, link.Slow},
-		{4500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Reverse, link.Slow},
-		{4500 * time.Millisecond, ProcessLink{gateway(1), service(2)}, link.Forward, link.Up},
-		{7 * time.Second, ProcessLink{gateway(1), service(2)}, link.Reverse, link.Up},
-		{7 * time.Second, ProcessLink{service(1), service(0)}, link.Forward, link.Dropped},
-		{12 * time.Second, ProcessLink{service(1), service(0)}, link.Forward, link.Up},
+		{2500 * time.Millisecond, ProcessLink{gateway(1), registry(2)}, link.Forward, ""},
+		{2500 * time.Millisecond, ProcessLink{gateway(0), registry(2)}, link.Reverse, ""},
+		{3500 * time.Millisecond, ProcessLink{gateway(1), registry(2)}, link.Reverse, link.Stalled},
+		{3500 * time.Millisecond, ProcessLink{gateway(1), registry(2)}, link.Forward, link.Stalled},
+		{3500 * time.Millisecond, ProcessLink{gateway(1), registry(1)}, link.Reverse, link.Slow},
+		{4500 * time.Millisecond, ProcessLink{gateway(1), registry(2)}, link.Reverse, link.Slow},
+		{4500 * time.Millisecond, ProcessLink{gateway(1), registry(2)}, link.Forward, link.Up},
+		{7 * time.Second, ProcessLink{gateway(1), registry(2)}, link.Reverse, link.Up},
+		{7 * time.Second, ProcessLink{registry(1), registry(0)}, link.Forward, link.Dropped},
+		{12 * time.Second, ProcessLink{registry(1), registry(0)}, link.Forward, link.Up},
 		{20200 * time.Millisecond, backends, link.Forward, link.Cut},
 		{20200 * time.Millisecond, backends, link.Reverse, ""},
 		{20700 * time.Millisecond, backends, link.Forward, link.Up},
@@ -96,8 +96,8 @@
 		if other := runUntil(em, test.at, conditions); len(other) > 0 {
 			t.Errorf("%v: %v", test.at, other)
 		}
-		if got := conditions[relayDirection{test.wire, test.way}].Kind; got != test.want {
-			t.Errorf("at %v, %v, way %d: %q, not %q", test.at, test.wire, test.way, got, test.want)
+		if got := conditions[relayDirection{test.processLink, test.direction}].Kind; got != test.want {
+			t.Errorf("at %v, %v, direction %d: %q, want %q", test.at, test.processLink, test.direction, got, test.want)
 		}
 	}
 	for at, condition := range conditions {
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -282,7 +282,7 @@
 
 // Guards against an offered load that depends on the gateways' answers.
 func TestArrivalsAreIndependentOfAnswers(t *testing.T) {
-	arrivals := func(defect string) (all []Request) {
+	arrivals := func(answers string) (all []Request) {
 		s := faultyScenario(2)
 		s.Load.Retries = 0
 		em := New(s)
@@ -294,7 +294,7 @@
 				if send, ok := a.Operation.(Send); ok {
 					send.Gateway = 0 // the load balancer's choice depends on the gateways' states
 					all = append(all, send.Request)
-					if defect != "" {
+					if answers != "" {
 						em.Step(a.Due, Answered{ID: send.ID, Status: 503, Complete: true})
 					}
 				}
@@ -306,13 +306,13 @@
 		}
 		return all
 	}
-	a, b := arrivals(""), arrivals("refused")
-	if len(a) != len(b) || len(a) < 3000 {
-		t.Fatalf("%d and %d", len(a), len(b))
+	unanswered, refused := arrivals(""), arrivals("refused")
+	if len(unanswered) != len(refused) || len(unanswered) < 3000 {
+		t.Fatalf("got %d and %d arrivals, want equal numbers of at least 3000", len(unanswered), len(refused))
 	}
-	for i := range a {
-		if a[i] != b[i] {
-			t.Fatalf("%d: %+v and %+v", i, a[i], b[i])
+	for i := range unanswered {
+		if unanswered[i] != refused[i] {
+			t.Fatalf("arrival %d: %+v and %+v", i, unanswered[i], refused[i])
 		}
 	}
 }
@@ -321,10 +321,10 @@
 // does not reject requests when its queue is full.
 func TestBackendThroughputFollowsCapacity(t *testing.T) {
 	const work, duration, cores = 0.1, 10 * time.Second, 2
-	// served keeps atOnce requests in progress at the backend.
-	served := func(started time.Duration, atOnce int, overfull float64) (done, rejected int) {
+	// served keeps as many requests as concurrency says in progress at the backend.
+	served := func(started time.Duration, concurrency int, overloadLoss float64) (done, rejected int) {
 		s := scenario.Default()
-		s.Backend.Cores, s.Backend.Slots, s.Backend.Queue, s.Backend.OverloadLoss = cores, 8, 8, overfull
+		s.Backend.Cores, s.Backend.Slots, s.Backend.Queue, s.Backend.OverloadLoss = cores, 8, 8, overloadLoss
 		s.Backend.ColdFrom, s.Backend.ColdDuration, s.Backend.ColdMultiple, s.Backend.Handshake = 0.25, 3600*second, 1000, 0
 		s.Network.Delay, s.Network.CrossZone = 0, 0
 		s.Fleet.Backends, s.Fleet.ListServices = 1, 0
@@ -339,7 +339,7 @@
 			return append(em.Step(now, Opened{Conn(lastID), 0, 0}), em.Step(now, Arrived{Conn: Conn(lastID), ID: lastID, FirstByte: now, Class: s.Classes[0].Name, Unchanged: true})...)
 		}
 		var queue []Action
-		for range atOnce {
+		for range concurrency {
 			queue = append(queue, send(0)...)
 		}
 		for next, ok := em.Next(); ok && next < duration && rejected < 20; next, ok = em.Next() {
@@ -361,13 +361,13 @@
 	}
 	full := cores * duration.Seconds() / work
 	for _, test := range []struct {
-		name     string
-		started  time.Duration
-		atOnce   int
-		overfull float64
-		want     float64
+		name         string
+		started      time.Duration
+		concurrency  int
+		overloadLoss float64
+		want         float64
 	}{{"warm", -1, 2, 0, full}, {"one alone has one core", -1, 1, 0, full / 2}, {"cold", 0, 2, 0, full / 4}, {"overfull", -1, 8, 0.5, full / 2}} {
-		if done, rejected := served(test.started, test.atOnce, test.overfull); float64(done) < test.want*0.95 || float64(done) > test.want*1.03 || rejected > 0 {
+		if done, rejected := served(test.started, test.concurrency, test.overloadLoss); float64(done) < test.want*0.95 || float64(done) > test.want*1.03 || rejected > 0 {
 			t.Errorf("%s: %d served, %d rejected, want %.0f served", test.name, done, rejected, test.want)
 		}
 	}
