--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -113,7 +113,9 @@
 	return fmt.Errorf("%w: %w", ErrUnknown, err)
 }
 
-// Add adds a member as a learner. The leader promotes it to a voter once it has caught up.
+// Add adds a member as a learner. The leader promotes it to a voter once it has caught up. The errors
+// of Add, Remove and Transfer include *RefusedError, *NotLeaderError, ErrNoLeader, ErrBusy and
+// ErrUnknown, after which the change may still be made.
 func (g *Group) Add(ctx context.Context, number uint64, member Member) error {
 	return g.changeMember(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
 		kind := raftpb.ConfChangeType_ConfChangeAddLearnerNode
@@ -133,8 +135,8 @@
 	})
 }
 
-// Remove removes a member for good. It fails if fewer than a majority of the remaining voters
-// are active.
+// Remove removes a member for good. It returns a *RefusedError for the leader, and if fewer than a
+// majority of the remaining voters are active.
 func (g *Group) Remove(ctx context.Context, number uint64) error {
 	return g.changeMember(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
 		kind := raftpb.ConfChangeType_ConfChangeRemoveNode
--- a/internal/group/client.go
+++ b/internal/group/client.go
@@ -66,7 +66,7 @@
 
 var errUnresponsive = errors.New("redirected to a member that did not respond")
 
-// Close closes the client's idle connections.
+// Close closes the client's idle connections. It does not end calls or sessions.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // nextAddress returns the first address that is not marked unresponsive, or the first of all.
--- a/internal/group/config.go
+++ b/internal/group/config.go
@@ -16,7 +16,7 @@
 	RegistryAddresses map[uint64]string // addresses of their registries, if the group replicates the list
 	Join              bool              // the group exists, and this member is added to it
 	Dir               string            // folder of the log and its snapshots
-	DataMB            int               // limit of the size of all files in Dir
+	DataMB            int               // limit in MiB of the size of all files in Dir; at least 64
 	Limits            ledger.Limits
 	List              List // replicated beside the ledger; nil: none
 }
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -175,7 +175,7 @@
 	isConfChange bool
 }
 
-// Errors of a folder that a member must not start from.
+// Errors of a member that must not run, or whose folder is incomplete.
 var (
 	// ErrTerminated says that the member has left its group for good.
 	ErrTerminated     = errors.New("group: this member must not speak any more")
--- a/internal/registry/scope_model_test.go
+++ b/internal/registry/scope_model_test.go
@@ -58,20 +58,20 @@
 
 // scopedModel is a writer, a chain of two followers, and readers of all three.
 type scopedModel struct {
-	t              *testing.T
-	random         *rand.Rand
-	defect         string
-	now            time.Duration
-	writer         *Server
-	followers      map[string]*scopedFollower
-	readers        []*scopedReader
-	listsByVersion map[string]modelList
-	services       map[string]bool // currently known services
-	histories      int
-	err            error // the first violation
-	moves          int
-	scopeAdditions int
-	refused        int
+	t               *testing.T
+	random          *rand.Rand
+	defect          string
+	now             time.Duration
+	writer          *Server
+	followers       map[string]*scopedFollower
+	readers         []*scopedReader
+	listsByVersion  map[string]modelList
+	services        map[string]bool // currently known services
+	histories       int
+	err             error // the first violation
+	moves           int
+	scopeAdditions  int
+	rejectedAnswers int
 }
 
 var scopedLimits = Limits{Lease: 10 * time.Second, Instances: 50, History: 40, HistoryBytes: 1 << 20}
@@ -238,9 +238,9 @@
 		if c.version <= since {
 			continue
 		}
-		if f, there := first[c.id]; there {
-			f.version = c.version
-			folded[n] = f
+		if kept, seen := first[c.id]; seen {
+			kept.version = c.version
+			folded[n] = kept
 		} else {
 			first[c.id] = c
 		}
@@ -321,7 +321,7 @@
 	revision := feed.revision
 	changes, err := feed.AnsweredTo(request, listing, history, 0)
 	if err != nil {
-		w.refused++
+		w.rejectedAnswers++
 		feed.Failed(0)
 		return
 	}
@@ -557,7 +557,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		moves, scopeAdditions, refused = moves+model.moves, scopeAdditions+model.scopeAdditions, refused+model.refused
+		moves, scopeAdditions, refused = moves+model.moves, scopeAdditions+model.scopeAdditions, refused+model.rejectedAnswers
 	}
 	t.Logf("%d moves, %d requests that add scopes, %d answers rejected", moves, scopeAdditions, refused)
 	if moves < 500 || scopeAdditions < 400 || refused < 80 {
