--- a/cmd/dunlintray/main.go
+++ b/cmd/dunlintray/main.go
@@ -69,13 +69,13 @@
 
 type upCmd struct {
 	fleetFlags
-	Members  bool          `help:"Gateways tell each other who is present."`
-	Lists    int           `name:"list-services" help:"Number of list services. 3 or 5 agree on the list and choose who writes; of 1 or 2 the first does." default:"2"`
-	Gateways int           `help:"Number of gateways." default:"3"`
-	Backends int           `help:"Number of backends." default:"6"`
-	Rate     float64       `help:"Requests a second." default:"300"`
-	For      time.Duration `help:"End after this time; without it, at Ctrl-C."`
-	Seed     uint64        `help:"Of all that is drawn." default:"1"`
+	Members    bool          `help:"Gateways tell each other who is present."`
+	Registries int           `name:"list-services" help:"Number of list services. 3 or 5 agree on the list and choose who writes; of 1 or 2 the first does." default:"2"`
+	Gateways   int           `help:"Number of gateways." default:"3"`
+	Backends   int           `help:"Number of backends." default:"6"`
+	Rate       float64       `help:"Requests a second." default:"300"`
+	For        time.Duration `help:"End after this time; without it, at Ctrl-C."`
+	Seed       uint64        `help:"Of all that is drawn." default:"1"`
 }
 
 // maxUpDuration ends a fleet that is not interrupted.
@@ -85,7 +85,7 @@
 	s := scenario.Default()
 	s.Name, s.Seed = "up", c.Seed
 	s.Fleet.Gateways, s.Fleet.Backends, s.Fleet.Membership = c.Gateways, c.Backends, c.Members
-	s.Fleet.ListServices, s.Fleet.Group = c.Lists, c.Lists >= 3
+	s.Fleet.ListServices, s.Fleet.Group = c.Registries, c.Registries >= 3
 	for i := range s.Plans {
 		s.Plans[i].Spread = min(s.Plans[i].Spread, c.Gateways)
 	}
--- a/cmd/dunlintray/main_test.go
+++ b/cmd/dunlintray/main_test.go
@@ -372,20 +372,20 @@
 		t.Cleanup(server.Close)
 		return strings.TrimPrefix(server.URL, "http://")
 	}
-	a, b := gateway(0, "alive suspect dead"), gateway(1, "alive alive left")
-	c, off := gateway(2, "dead dead alive"), gateway(-1, "")
+	gateway0, gateway1 := gateway(0, "alive suspect dead"), gateway(1, "alive alive left")
+	gateway2, off := gateway(2, "dead dead alive"), gateway(-1, "")
 	for _, test := range []struct {
 		args   []string
 		status int
 		want   string
 	}{
-		{[]string{a}, 0, "suspect  0s"},
-		{[]string{a}, 0, "divided for 1.5s: hears little\n"},
-		{[]string{a, b}, 0, "n0: divided for 1.5s: hears little\nn1: divided for 1.5s: hears little\npresent in no view: n2\nall 2 agree\n"},
-		{[]string{a, c, b}, 0, "likely cut: n0 n1 | n2\n"},
-		{[]string{a, off, b}, 1, off + " did not answer: status 404"},
-		{[]string{a, b, gateway(1, "alive alive alive")}, 1, "both say that they are n1; only the first is compared\npresent in no view: n2\nall 2 agree"},
-		{[]string{"--json", a, c}, 0, `{"self":2`},
+		{[]string{gateway0}, 0, "suspect  0s"},
+		{[]string{gateway0}, 0, "divided for 1.5s: hears little\n"},
+		{[]string{gateway0, gateway1}, 0, "n0: divided for 1.5s: hears little\nn1: divided for 1.5s: hears little\npresent in no view: n2\nall 2 agree\n"},
+		{[]string{gateway0, gateway2, gateway1}, 0, "likely cut: n0 n1 | n2\n"},
+		{[]string{gateway0, off, gateway1}, 1, off + " did not answer: status 404"},
+		{[]string{gateway0, gateway1, gateway(1, "alive alive alive")}, 1, "both say that they are n1; only the first is compared\npresent in no view: n2\nall 2 agree"},
+		{[]string{"--json", gateway0, gateway2}, 0, `{"self":2`},
 		{[]string{off}, 1, "membership is off"},
 	} {
 		status, text := runCommand(t.Context(), append([]string{"members"}, test.args...)...)
--- a/cmd/dunlintray/permits_test.go
+++ b/cmd/dunlintray/permits_test.go
@@ -81,29 +81,29 @@
 
 func newDrainFleet(t *testing.T, n int) *drainFleet {
 	t.Helper()
-	d := &drainFleet{t: t, registry: testnet.TCP(t), member: testnet.TCP(t), backends: map[string]*pausableBackend{"b-0": newPausableBackend(t), "b-1": newPausableBackend(t)}}
-	registry, err := json.Marshal(map[string]any{"listen": d.registry, "lease_ms": 500, "group": map[string]any{"name": "g", "self": 1, "listen": d.member, "members": map[string]string{"1": d.member},
-		"lists": map[string]string{"1": d.registry}, "data_dir": t.TempDir()}})
+	fleet := &drainFleet{t: t, registry: testnet.TCP(t), member: testnet.TCP(t), backends: map[string]*pausableBackend{"b-0": newPausableBackend(t), "b-1": newPausableBackend(t)}}
+	registryConfig, err := json.Marshal(map[string]any{"listen": fleet.registry, "lease_ms": 500, "group": map[string]any{"name": "g", "self": 1, "listen": fleet.member, "members": map[string]string{"1": fleet.member},
+		"lists": map[string]string{"1": fleet.registry}, "data_dir": t.TempDir()}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	startDaemon(t, "registry", registry)
+	startDaemon(t, "registry", registryConfig)
 	s := scenario.Default()
 	s.Fleet.Gateways = n
 	for k := range s.Classes { // so that a paused request outlives every call
 		s.Classes[k].Aim, s.Classes[k].Deadline = scenario.Duration(waitTimeout), scenario.Duration(waitTimeout)
 	}
 	for k := range n {
-		d.listen, d.control = append(d.listen, testnet.TCP(t)), append(d.control, testnet.TCP(t))
-		config, err := s.GatewayConfig(k, scenario.Addresses{Listen: d.listen[k], Control: d.control[k], Counter: testnet.TCP(t), Registries: []string{d.registry}}, nil)
+		fleet.listen, fleet.control = append(fleet.listen, testnet.TCP(t)), append(fleet.control, testnet.TCP(t))
+		config, err := s.GatewayConfig(k, scenario.Addresses{Listen: fleet.listen[k], Control: fleet.control[k], Counter: testnet.TCP(t), Registries: []string{fleet.registry}}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.gateways = append(d.gateways, startDaemon(t, "gateway", config))
+		fleet.gateways = append(fleet.gateways, startDaemon(t, "gateway", config))
 	}
-	instancesURL := "http://" + d.registry + "/registry/instances/"
+	instancesURL := "http://" + fleet.registry + "/registry/instances/"
 	waitFor(t, "backends are registered", func() bool {
-		for id, b := range d.backends {
+		for id, b := range fleet.backends {
 			req, _ := http.NewRequest(http.MethodPut, instancesURL+id, strings.NewReader(fmt.Sprintf(`{"hostPort":%q,"zone":"a","machineType":"m","startedAtMs":5}`, b.Listener.Addr())))
 			resp, err := http.DefaultClient.Do(req)
 			if err != nil {
@@ -120,7 +120,7 @@
 	t.Cleanup(renewals.Stop)
 	go func() {
 		for range renewals.C {
-			for id := range d.backends {
+			for id := range fleet.backends {
 				if resp, err := http.Post(instancesURL+id+"/renew", "application/json", strings.NewReader(`{"startedAtMs":5}`)); err == nil {
 					resp.Body.Close()
 				}
@@ -129,7 +129,7 @@
 	}()
 	for k := range n {
 		waitFor(t, "the gateway has both backends as Ready", func() bool {
-			resp, err := http.Get("http://" + d.control[k] + "/control/backends")
+			resp, err := http.Get("http://" + fleet.control[k] + "/control/backends")
 			if err != nil {
 				return false
 			}
@@ -139,7 +139,7 @@
 			return strings.Count(body.String(), `"Ready"`) == 2
 		})
 	}
-	return d
+	return fleet
 }
 
 // runCommand runs the tool and checks its exit status and that its output contains want. In args,
@@ -163,23 +163,23 @@
 	if n == 0 {
 		t.Skip("DRAIN_GATEWAYS is not set")
 	}
-	d := newDrainFleet(t, n)
+	fleet := newDrainFleet(t, n)
 	for range 5 {
 		startedAt := time.Now()
-		text := d.runCommand(0, "drained", "drain AT LISTS GW --as ann b-0")
+		text := fleet.runCommand(0, "drained", "drain AT LISTS GW --as ann b-0")
 		t.Logf("%d gateways: %v from the call to the end; %s", n, time.Since(startedAt).Round(time.Millisecond), text[strings.Index(text, "drained"):])
-		d.runCommand(0, "is ready", "undrain AT LISTS --as ann b-0")
+		fleet.runCommand(0, "is ready", "undrain AT LISTS --as ann b-0")
 	}
 }
 
 // Two operators drain backends of a real fleet. No more are unavailable than the rule allows, and a
 // backend is only reported as drained once each gateway has the change and no requests in flight.
 func TestDrainWaitsForAllGateways(t *testing.T) {
-	d := newDrainFleet(t, 2)
-	backends, control, runCommand := d.backends, d.control, d.runCommand
+	fleet := newDrainFleet(t, 2)
+	backends, control, runCommand := fleet.backends, fleet.control, fleet.runCommand
 	var requestNumber atomic.Int64
 	send := func(gateway int) (status int) {
-		req, _ := http.NewRequest(http.MethodPost, "http://"+d.listen[gateway]+"/pay", strings.NewReader("x")) // a class without retries
+		req, _ := http.NewRequest(http.MethodPost, "http://"+fleet.listen[gateway]+"/pay", strings.NewReader("x")) // a class without retries
 		for name, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%016x", requestNumber.Add(1)), "X-Service-Class": "pay", "X-Tier": "basic", "X-Api-Key": fmt.Sprintf("%016x", requestNumber.Load()),
 			"X-Time-Left-Ms": "15000", "X-Call-Terms": "units=1,spread=1,first=1"} {
 			req.Header.Set(name, value)
@@ -243,11 +243,11 @@
 	runCommand(0, "0 of 2 units are unavailable", "permits AT")
 
 	// A gateway that does not answer is named, and the drain stays unconfirmed.
-	if err := d.gateways[1].Process.Signal(syscall.SIGSTOP); err != nil {
+	if err := fleet.gateways[1].Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	runCommand(1, control[1]+": no answer", "drain AT LISTS GW --as bob --within 500ms "+idle)
-	if err := d.gateways[1].Process.Signal(syscall.SIGCONT); err != nil {
+	if err := fleet.gateways[1].Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	runCommand(0, "drained: 2 gateways", "drain AT LISTS GW --as bob "+idle)
--- a/cmd/dunlintray/scale.go
+++ b/cmd/dunlintray/scale.go
@@ -29,25 +29,25 @@
 	JSON     string `name:"json" help:"File for the results, a line of JSON for each run." placeholder:"FILE"`
 	Quiet    bool   `help:"Show nothing while it runs."`
 
-	Gateways    *int           `help:"Hollow gateways."`
-	Real        *int           `name:"real-gateways" help:"Real gateways, under a little load."`
-	Backends    *int           `help:"Hollow backends."`
-	Services    *int           `help:"Services that the backends are spread over."`
-	Regions     *int           `help:"Regions."`
-	Zones       *int           `help:"Zones of each region."`
-	Members     *int           `help:"List services that agree on the list: 1, 3 or 5."`
-	Followers   *int           `help:"Followers in each region; 0: gateways read from the members."`
-	Changes     *float64       `help:"Changes of the list in a second: backends that drain, leave and register anew."`
-	Lease       *time.Duration `help:"Lease of a backend."`
-	Length      *time.Duration `help:"Length of the measurement."`
-	Register    *float64       `help:"Registrations in a second at the start."`
-	Membership  *bool          `help:"Gateways tell each other who is present." negatable:""`
-	Scopes      *int           `help:"Services that each gateway reads; 0: the whole list."`
-	Within      *string        `help:"Of a service's backends, those that a gateway reads: all, region or zone."`
-	Subset      *int           `help:"Backends that a gateway uses of those that it reads; 0: all."`
-	Seed        *uint64        `help:"Of all that is drawn."`
-	GatewaysPer *int           `name:"gateways-in-process" help:"Hollow gateways in one process, at most."`
-	BackendsPer *int           `name:"backends-in-process" help:"Hollow backends in one process, at most."`
+	Gateways           *int           `help:"Hollow gateways."`
+	RealGateways       *int           `name:"real-gateways" help:"Real gateways, under a little load."`
+	Backends           *int           `help:"Hollow backends."`
+	Services           *int           `help:"Services that the backends are spread over."`
+	Regions            *int           `help:"Regions."`
+	Zones              *int           `help:"Zones of each region."`
+	Members            *int           `help:"List services that agree on the list: 1, 3 or 5."`
+	Followers          *int           `help:"Followers in each region; 0: gateways read from the members."`
+	Changes            *float64       `help:"Changes of the list in a second: backends that drain, leave and register anew."`
+	Lease              *time.Duration `help:"Lease of a backend."`
+	Length             *time.Duration `help:"Length of the measurement."`
+	Register           *float64       `help:"Registrations in a second at the start."`
+	Membership         *bool          `help:"Gateways tell each other who is present." negatable:""`
+	Scopes             *int           `help:"Services that each gateway reads; 0: the whole list."`
+	Within             *string        `help:"Of a service's backends, those that a gateway reads: all, region or zone."`
+	Subset             *int           `help:"Backends that a gateway uses of those that it reads; 0: all."`
+	Seed               *uint64        `help:"Of all that is drawn."`
+	GatewaysPerProcess *int           `name:"gateways-in-process" help:"Hollow gateways in one process, at most."`
+	BackendsPerProcess *int           `name:"backends-in-process" help:"Hollow backends in one process, at most."`
 }
 
 // override sets target to the value of flag, if flag was given.
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	override(&s.Fleet.Gateways, c.Gateways)
-	override(&s.Fleet.RealGateways, c.Real)
+	override(&s.Fleet.RealGateways, c.RealGateways)
 	override(&s.Fleet.Backends, c.Backends)
 	override(&s.Fleet.Services, c.Services)
 	override(&s.Fleet.Regions, c.Regions)
@@ -80,8 +80,8 @@
 	override(&s.Reading.Within, c.Within)
 	override(&s.Reading.Subset, c.Subset)
 	override(&s.Seed, c.Seed)
-	override(&s.Hosts.Gateways, c.GatewaysPer)
-	override(&s.Hosts.Backends, c.BackendsPer)
+	override(&s.Hosts.Gateways, c.GatewaysPerProcess)
+	override(&s.Hosts.Backends, c.BackendsPerProcess)
 	return s, s.Check()
 }
 
@@ -182,10 +182,10 @@
 }
 
 type scaleSweepCmd struct {
-	Quantity string    `arg:"" help:"What is varied: ${quantities}."`
-	Sizes    []float64 `help:"Its sizes." required:""`
-	Against  string    `help:"Another quantity that is varied beside it; each figure is then fitted to both."`
-	Others   []float64 `name:"against-sizes" help:"Its sizes."`
+	Quantity     string    `arg:"" help:"What is varied: ${quantities}."`
+	Sizes        []float64 `help:"Its sizes." required:""`
+	Against      string    `help:"Another quantity that is varied beside it; each figure is then fitted to both."`
+	AgainstSizes []float64 `name:"against-sizes" help:"Its sizes."`
 	scaleFlags
 }
 
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	sweep := scale.Sweep{Quantity: c.Quantity, Sizes: c.Sizes, Against: c.Against, AgainstSizes: c.Others}
+	sweep := scale.Sweep{Quantity: c.Quantity, Sizes: c.Sizes, Against: c.Against, AgainstSizes: c.AgainstSizes}
 	if err := sweep.Check(s); err != nil {
 		return err
 	}
