--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -26,19 +26,19 @@
 // testTimeout bounds every wait of a test. No test is expected to reach it.
 const testTimeout = 20 * time.Second
 
-// peer accepts connections and passes them to the test. It closes them when the test ends.
-type peer struct {
+// testServer accepts connections and passes them to the test. It closes them when the test ends.
+type testServer struct {
 	listener net.Listener
 	conns    chan net.Conn
 }
 
-func newPeer(t testing.TB) *peer {
+func newTestServer(t testing.TB) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer := &peer{listener: listener, conns: make(chan net.Conn, 64)}
+	server := &testServer{listener: listener, conns: make(chan net.Conn, 64)}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -47,18 +47,18 @@
 				return
 			}
 			t.Cleanup(func() { conn.Close() })
-			peer.conns <- conn
+			server.conns <- conn
 		}
 	}()
-	return peer
+	return server
 }
 
-func (p *peer) address() string { return p.listener.Addr().String() }
+func (s *testServer) address() string { return s.listener.Addr().String() }
 
 // accept waits for the next connection.
-func (p *peer) accept(t testing.TB) (net.Conn, *bufio.Reader) {
+func (s *testServer) accept(t testing.TB) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	conn := wait(t, p.conns, "a connection")
+	conn := wait(t, s.conns, "a connection")
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	return conn, bufio.NewReader(conn)
 }
@@ -139,7 +139,7 @@
 		{"not HTTP", "SSH-2.0\r\n\r\n", rules.Broken, "", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			pools := newTestPools(t, backend.address())
 			done := startAttempt(pools, newAttempt(testTimeout))
 			conn, reader := backend.accept(t)
@@ -156,7 +156,7 @@
 			}
 			pools.mu.Lock()
 			defer pools.mu.Unlock()
-			if kept := len(pools.targets[1].idle) == 1 && pools.openCount == 1; kept != test.kept {
+			if kept := len(pools.byBackend[1].idle) == 1 && pools.openCount == 1; kept != test.kept {
 				t.Errorf("connection kept: %t, %d open", kept, pools.openCount)
 			}
 		})
@@ -166,7 +166,7 @@
 // The units that a backend reports are part of the result; an invalid header counts as none.
 func TestReportedUnits(t *testing.T) {
 	for text, want := range map[string]float64{"3": 3, "2.5": 2.5, "": 0, "x": 0, "NaN": 0, "inf": 0, "-1": 0} {
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		done := startAttempt(newTestPools(t, backend.address()), newAttempt(testTimeout))
 		conn, reader := backend.accept(t)
 		readRequest(t, reader)
@@ -179,7 +179,7 @@
 
 // A request reaches the backend with its method, target, headers and body unchanged.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	attempt := newAttempt(testTimeout)
 	attempt.exchange.header[idempotencyHeader] = []string{"key-1"}
@@ -197,7 +197,7 @@
 
 // A refused connection and an unknown backend prove that nothing has run.
 func TestConnectFailed(t *testing.T) {
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	backend.listener.Close()
 	if got := pools.runAttempt(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed {
@@ -212,7 +212,7 @@
 // The deadline ends an attempt at a backend that keeps its connection open and never responds,
 // and closes the connection.
 func TestSilentBackendTimesOut(t *testing.T) {
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	got := pools.runAttempt(newAttempt(50 * time.Millisecond))
 	if got.outcome != rules.TimedOut || pools.openCount != 0 {
@@ -228,7 +228,7 @@
 // Once abort has returned, no byte of the request leaves the gateway, neither on a connection
 // that is established later nor on the current one.
 func TestAbortedAttemptSendsNothing(t *testing.T) {
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	attempt := newAttempt(testTimeout)
 	attempt.abort()
@@ -257,7 +257,7 @@
 // A request must not be written to an idle connection that the backend has closed: it would end
 // in a reset, after which it could not be retried.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	done := startAttempt(pools, newAttempt(testTimeout))
 	conn, reader := backend.accept(t)
@@ -266,7 +266,7 @@
 	wait(t, done, "result")
 	conn.Close()
 	until := time.Now().Add(testTimeout)
-	for idle := pools.targets[1].idle[0]; alive(idle.Conn) && time.Now().Before(until); {
+	for idle := pools.byBackend[1].idle[0]; alive(idle.Conn) && time.Now().Before(until); {
 		time.Sleep(time.Millisecond) // until the kernel has delivered the end of the connection
 	}
 	done = startAttempt(pools, newAttempt(testTimeout))
@@ -281,7 +281,7 @@
 // After a restart or a move of a backend, requests use new connections, and those in flight at
 // the former process end.
 func TestRestartedBackendGetsNewConnections(t *testing.T) {
-	backend, moved := newPeer(t), newPeer(t)
+	backend, moved := newTestServer(t), newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	inFlight := startAttempt(pools, newAttempt(testTimeout))
 	_, reader := backend.accept(t)
@@ -293,7 +293,7 @@
 	for i, address := range []string{backend.address(), moved.address()} {
 		pools.update(1, address, 5)
 		done := startAttempt(pools, newAttempt(testTimeout))
-		conn, reader := []*peer{backend, moved}[i].accept(t)
+		conn, reader := []*testServer{backend, moved}[i].accept(t)
 		readRequest(t, reader)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		if got := wait(t, done, "result"); got.outcome != rules.Served || pools.openCount != 1 {
@@ -304,7 +304,7 @@
 
 // A draining backend gets no new request, and may finish those in flight.
 func TestDrainingBackendFinishesRequestsInFlight(t *testing.T) {
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	inFlight := startAttempt(pools, newAttempt(testTimeout))
 	conn, reader := backend.accept(t)
@@ -321,7 +321,7 @@
 
 // An idle connection can be reused after the deadlines of its earlier attempts have passed.
 func TestIdleConnectionOutlivesDeadlines(t *testing.T) {
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	done := startAttempt(pools, newAttempt(testTimeout))
 	conn, reader := backend.accept(t)
@@ -331,7 +331,7 @@
 		if got := wait(t, done, "result"); got.outcome != rules.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
-		pools.targets[1].idle[0].SetDeadline(time.Now().Add(-time.Second)) // as if the deadline had passed
+		pools.byBackend[1].idle[0].SetDeadline(time.Now().Add(-time.Second)) // as if the deadline had passed
 		if i == 0 {
 			done = startAttempt(pools, newAttempt(testTimeout))
 		}
@@ -344,7 +344,7 @@
 // An attempt beyond the limit of connections is not started, and only connections beyond the
 // idle limit are closed.
 func TestIdleLimitAndMaxOpen(t *testing.T) {
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	pools.maxOpen = 1
 	first := startAttempt(pools, newAttempt(testTimeout))
@@ -358,10 +358,10 @@
 	wait(t, first, "result")
 	pools.mu.Lock()
 	defer pools.mu.Unlock()
-	if pools.closeIdleSince(pools.targets[1], time.Now().Add(-time.Hour)); pools.openCount != 1 {
+	if pools.closeIdleSince(pools.byBackend[1], time.Now().Add(-time.Hour)); pools.openCount != 1 {
 		t.Errorf("a fresh connection was closed")
 	}
-	if pools.closeIdleSince(pools.targets[1], time.Now().Add(time.Hour)); pools.openCount != 0 || len(pools.targets[1].idle) != 0 {
+	if pools.closeIdleSince(pools.byBackend[1], time.Now().Add(time.Hour)); pools.openCount != 0 || len(pools.byBackend[1].idle) != 0 {
 		t.Errorf("%d open after the idle limit", pools.openCount)
 	}
 }
@@ -369,7 +369,7 @@
 // A dial that fails for want of a descriptor closes the longest idle connection and is retried.
 func TestDialWithoutDescriptorIsRetried(t *testing.T) {
 	for name, failures := range map[string]int{"once": 1, "on": 1000} {
-		idleBackend, backend := newPeer(t), newPeer(t)
+		idleBackend, backend := newTestServer(t), newTestServer(t)
 		pools := newTestPools(t, backend.address())
 		pools.update(2, idleBackend.address(), 0)
 		t.Cleanup(func() { pools.remove(2) })
@@ -381,11 +381,11 @@
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		wait(t, done, "result")
 		dials, dial := 0, pools.dial
-		pools.dial = func(ctx context.Context, target *target, within time.Duration) (*backendConn, error) {
+		pools.dial = func(ctx context.Context, pool *backendPool, within time.Duration) (*backendConn, error) {
 			if dials++; dials <= failures {
 				return nil, &net.OpError{Op: "dial", Err: syscall.EMFILE}
 			}
-			return dial(ctx, target, within)
+			return dial(ctx, pool, within)
 		}
 		done = startAttempt(pools, newAttempt(testTimeout))
 		if _, err := reader.ReadByte(); err != io.EOF {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -12,7 +12,7 @@
 
 // pipelineBackend starts a backend that answers every request with the same bytes, without
 // allocating.
-func pipelineBackend(b *testing.B, bodyLength int, response []byte) *peer {
+func pipelineBackend(b *testing.B, bodyLength int, response []byte) *testServer {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 			}()
 		}
 	}()
-	return &peer{listener: listener}
+	return &testServer{listener: listener}
 }
 
 // BenchmarkShort measures the allocations of the gateway for one request with short bodies.
@@ -92,7 +92,7 @@
 func BenchmarkLongAnswer(b *testing.B) {
 	for _, chunked := range []bool{false, true} {
 		b.Run(fmt.Sprintf("chunked=%t", chunked), func(b *testing.B) {
-			backend := newPeer(b)
+			backend := newTestServer(b)
 			gateway := newTestGateway(b, backend)
 			piece, framing, end := bytes.Repeat([]byte("x"), 1<<20), fmt.Sprintf("Content-Length: %d\r\n\r\n", b.N<<20), ""
 			if chunked {
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -21,7 +21,7 @@
 var errNoBodyMemory = errors.New("no memory for a body")
 
 // budget limits the memory that the bodies of requests and responses take. Reservations that
-// have to wait are served in order. Who waits holds no memory, so that waiters cannot
+// have to wait are served in order. A waiting transfer holds no memory, so that waiters cannot
 // deadlock. It is safe for concurrent use.
 type budget struct {
 	mu      sync.Mutex
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -226,8 +226,8 @@
 
 // Accept implements net.Listener. It waits for a free place before it accepts: while all
 // places are taken by requests, connections stay in the accept queue, where another process
-// may accept them. A connection whose source has its share already is rejected at once, so
-// that it does not hold up the queue behind it.
+// may accept them. A connection from an address that already has its share of the places is
+// rejected at once, so that it does not hold up the queue behind it.
 func (l *clientListener) Accept() (net.Conn, error) {
 	var acceptBackoff backoff
 	for {
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -124,7 +124,7 @@
 // a new one, and the others, idle or in a request, still work.
 func TestIdleConnectionIsEvictedForNew(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	busy, heldResponses := gateway.request(t, requestText("POST", "booking", "held"))
 	upstream, reader := backend.accept(t)
@@ -137,7 +137,7 @@
 		// The connection may become idle later than its response arrives.
 		gateway.awaitMetrics(t, fmt.Sprintf("app.clients.idle:%d|g", n+1), "app.clients.busy:1|g")
 	}
-	gateway.figures.clients.setLimit(4)
+	gateway.metrics.clients.setLimit(4)
 	_, responses := gateway.request(t, requestText("GET", "lookup", "", idHeader, ""))
 	wait(t, responses, "response")
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil {
@@ -159,7 +159,7 @@
 // suffices evicts none.
 func TestReloadAppliesConnectionLimits(t *testing.T) {
 	t.Parallel()
-	gateway := newTestGateway(t, newPeer(t))
+	gateway := newTestGateway(t, newTestServer(t))
 	for range 80 {
 		_, responses := gateway.request(t, requestText("GET", "lookup", "", idHeader, ""))
 		wait(t, responses, "response")
@@ -169,11 +169,11 @@
 		sockets string
 		idle    string
 	}{{"512", "app.clients.idle:80|g"}, {"128", "app.clients.idle:35|g"}, {"1024", "app.clients.idle:35|g"}} {
-		config, err := parseConfig([]byte(strings.Replace(configText(gateway.registry.address(), testSettings), `"sockets": 1024`, `"sockets": `+step.sockets, 1)))
+		config, err := parseConfig([]byte(strings.Replace(configText(gateway.discovery.address(), testSettings), `"sockets": 1024`, `"sockets": `+step.sockets, 1)))
 		gateway.reloads <- Reload{Config: config, Err: err}
 		gateway.awaitMetrics(t, step.idle)
 	}
-	config, err := parseConfig([]byte(strings.Replace(configText(gateway.registry.address(), testSettings), `"sockets": 1024`, `"sockets": 3`, 1)))
+	config, err := parseConfig([]byte(strings.Replace(configText(gateway.discovery.address(), testSettings), `"sockets": 1024`, `"sockets": 3`, 1)))
 	if err == nil {
 		t.Error("a configuration with 3 sockets was accepted")
 	}
@@ -185,7 +185,7 @@
 // a close.
 func TestStopUnderLoadEndsEveryRequest(t *testing.T) {
 	t.Parallel()
-	backend := &registeredBackend{id: "b", backend: newPeer(t)}
+	backend := &registeredBackend{id: "b", backend: newTestServer(t)}
 	go backend.serveRequests()
 	gateway := newTestGatewayWith(t, func(text string) string { return strings.Replace(text, `"sockets": 1024`, `"sockets": 128`, 1) }, backend.backend)
 	var wg sync.WaitGroup
@@ -227,8 +227,8 @@
 
 // The silence timeout can be set on a real socket.
 func TestSilenceTimeoutIsSet(t *testing.T) {
-	peer := newPeer(t)
-	conn, err := net.Dial("tcp", peer.address())
+	server := newTestServer(t)
+	conn, err := net.Dial("tcp", server.address())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -19,15 +19,15 @@
 	reader    *bufio.Reader      // reads from remaining, which reads from the connection
 	writer    *bufio.Writer
 	framing   framingScanner // checks that the framing of the response is unambiguous
-	target    *target        // the pool that the connection belongs to
+	pool      *backendPool   // the pool that the connection belongs to
 	idleSince time.Time      // zero: in use
 	requests  int            // requests so far, including the current one
 	idleFor   time.Duration  // idle time before the current request
 }
 
-// newBackendConn wraps a connection that belongs to the target.
-func newBackendConn(conn net.Conn, target *target) *backendConn {
-	c := &backendConn{Conn: conn, writer: bufio.NewWriter(conn), target: target}
+// newBackendConn wraps a connection that belongs to the pool.
+func newBackendConn(conn net.Conn, pool *backendPool) *backendConn {
+	c := &backendConn{Conn: conn, writer: bufio.NewWriter(conn), pool: pool}
 	c.remaining = &io.LimitedReader{R: c}
 	c.reader = bufio.NewReader(c.remaining)
 	c.raw = rawConn(conn)
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -60,7 +60,7 @@
 // The metrics must follow requests in progress and their final answers.
 func TestMetricsFollowRequests(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	gateway.awaitMetrics(t, "app.handled.booking.passed:0|c", "app.known_backends:1|g", "app.skipped_backends:0|g", "app.loads:0|c")
 	_, first := gateway.request(t, requestText("POST", "booking", "x"))
@@ -68,16 +68,16 @@
 	readRequest(t, reader)
 	gateway.awaitMetrics(t, "app.in_progress:1|g", "app.upstream_tries:1|c")
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	wait(t, first, "answer")
+	wait(t, first, "response")
 	_, second := gateway.request(t, requestText("POST", "payment", "x"))
 	readRequest(t, reader)
 	conn.Close() // the request may have taken effect
-	wait(t, second, "answer")
+	wait(t, second, "response")
 	gateway.awaitMetrics(t, "app.handled.booking.passed:1|c", "app.handled.payment.bad_gateway:1|c", "app.handled.lookup.passed:0|c",
 		"app.handled.payment.dropped:0|c", "app.in_progress:0|g", "app.upstream_tries:2|c")
 	backend.listener.Close()
 	_, third := gateway.request(t, requestText("GET", "glance", ""))
-	wait(t, third, "answer")
+	wait(t, third, "response")
 	gateway.awaitMetrics(t, "app.handled.glance.dropped:1|c", "app.upstream_tries:2|c")
 }
 
@@ -85,7 +85,7 @@
 // the shutdown.
 func TestSilentControlConnectionsBlockNobody(t *testing.T) {
 	t.Parallel()
-	gateway := newTestGateway(t, newPeer(t))
+	gateway := newTestGateway(t, newTestServer(t))
 	for range maxControlConns / 2 {
 		conn, err := net.Dial("tcp", gateway.control)
 		if err != nil {
@@ -121,10 +121,10 @@
 // call puts it back online.
 func TestOverrideWinsOverDiscovery(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
-	wait(t, gateway.registry.calls, "first list")
-	wait(t, gateway.registry.calls, "watch")
+	wait(t, gateway.discovery.calls, "first list")
+	wait(t, gateway.discovery.calls, "watch")
 	path := "/control/backends/" + backend.address()
 	for _, call := range []struct {
 		path   string
@@ -146,11 +146,11 @@
 	}
 	expectView(true)
 	for _, state := range []string{"Gone", "Ready"} {
-		gateway.registry.answers <- newListing(false, state, backend)
-		wait(t, gateway.registry.calls, "next watch") // shows that the list was received
+		gateway.discovery.answers <- newListing(false, state, backend)
+		wait(t, gateway.discovery.calls, "next watch") // shows that the list was received
 	}
 	_, rejected := gateway.request(t, requestText("GET", "glance", ""))
-	if resp := wait(t, rejected, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
+	if resp := wait(t, rejected, "response"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the offline backend", resp.StatusCode, len(backend.conns))
 	}
 	if status, _ := gateway.callControl(t, "POST", path+"/online"); status != 200 {
@@ -159,7 +159,7 @@
 	expectView(false)
 	_, served := gateway.request(t, requestText("GET", "lookup", ""))
 	serveOne(t, backend, "ok")
-	if resp := wait(t, served, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, served, "response"); resp.StatusCode != 200 {
 		t.Errorf("status %d once the backend is online", resp.StatusCode)
 	}
 	gateway.awaitMetrics(t, "app.skipped_backends:0|g")
@@ -169,10 +169,10 @@
 // if the gateway does not know it.
 func TestBackendsViewOfOneBackend(t *testing.T) {
 	t.Parallel()
-	first, second := newPeer(t), newPeer(t)
+	first, second := newTestServer(t), newTestServer(t)
 	gateway := newTestGateway(t, first, second)
-	wait(t, gateway.registry.calls, "first list")
-	wait(t, gateway.registry.calls, "watch")
+	wait(t, gateway.discovery.calls, "first list")
+	wait(t, gateway.discovery.calls, "watch")
 	_, served := gateway.request(t, requestText("GET", "lookup", ""))
 	busy := first
 	select {
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -46,7 +46,7 @@
 // Calls are pipelined, and each gets the reply to itself or, after the connection has ended, an
 // outcome that tells whether it may have been added.
 func TestCounterPipeline(t *testing.T) {
-	server := newPeer(t)
+	server := newTestServer(t)
 	_, add, replies := startCounter(t, server.address(), testTimeout)
 	abandoned := add(1)
 	add(-2.5)
@@ -106,7 +106,7 @@
 // timeout of a call.
 func TestCounterReplyCutShort(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n1", "\x00\x01garbage"} {
-		server := newPeer(t)
+		server := newTestServer(t)
 		_, add, replies := startCounter(t, server.address(), 250*time.Millisecond)
 		add(1)
 		conn, reader := server.accept(t)
@@ -127,7 +127,7 @@
 
 // If the counter can't be reached, the outcome proves that nothing was added.
 func TestCounterUnreachable(t *testing.T) {
-	server := newPeer(t)
+	server := newTestServer(t)
 	server.listener.Close()
 	_, add, replies := startCounter(t, server.address(), testTimeout)
 	add(1)
@@ -138,7 +138,7 @@
 
 // A call that was abandoned before it was written is not written later.
 func TestAbandonedCallIsNotWritten(t *testing.T) {
-	server := newPeer(t)
+	server := newTestServer(t)
 	counter := newCounter(server.address(), testTimeout)
 	reported := make(chan rules.Outcome, 2)
 	report := func(_ *counterCall, outcome rules.Outcome, _ float64) { reported <- outcome }
@@ -162,7 +162,7 @@
 // A connection that the counter may have closed is not used, since the result of a call on it
 // would be unknown.
 func TestClosedIdleCounterConnectionIsNotUsed(t *testing.T) {
-	server := newPeer(t)
+	server := newTestServer(t)
 	counter := newCounter(server.address(), testTimeout)
 	conn, err := counter.dial(context.Background())
 	if err != nil {
@@ -190,7 +190,7 @@
 // After a change of address, later calls go to the new one, and outstanding calls still get their
 // replies first, so that the replies for one name arrive in the order of the calls.
 func TestCounterAddressChange(t *testing.T) {
-	old, next := newPeer(t), newPeer(t)
+	old, next := newTestServer(t), newTestServer(t)
 	counter, add, replies := startCounter(t, old.address(), testTimeout)
 	add(1)
 	conn, reader := old.accept(t)
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -30,7 +30,7 @@
 	for name, served := range map[string]bool{"on a new connection": false, "on a reused connection": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			gateway := newTestGateway(t, backend)
 			first, rest := splitHead(requestText("POST", "booking", "pickup"))
 			conn := gateway.send(t, "")
@@ -137,7 +137,7 @@
 // close would not tell its client that it did not run.
 func TestEvictionDuringRead(t *testing.T) {
 	t.Parallel()
-	for name, giveUp := range map[string]func(listener *clientListener){
+	for name, evict := range map[string]func(listener *clientListener){
 		"at the stop":      func(listener *clientListener) { listener.setPhase(phaseClosingNew) },
 		"for a new limit":  func(listener *clientListener) { listener.setLimit(0) },
 		"for a new client": func(listener *clientListener) { listener.admit(new(net.TCPConn)) },
@@ -147,7 +147,7 @@
 			server, client := net.Pipe()
 			conn := &hookedConn{Conn: server}
 			tracked := listener.admit(conn)
-			answer := make(chan string, 1)
+			response := make(chan string, 1)
 			go func() {
 				if served {
 					io.WriteString(client, requestText("GET", "lookup", ""))
@@ -155,7 +155,7 @@
 				io.WriteString(client, requestText("GET", "lookup", ""))
 				client.SetDeadline(time.Now().Add(testTimeout))
 				got, _ := io.ReadAll(client)
-				answer <- string(got)
+				response <- string(got)
 			}()
 			if served {
 				tracked.Read(make([]byte, 4096))
@@ -164,12 +164,12 @@
 			} else {
 				listener.startedAt = listener.startedAt.Add(-connlimit.NewGrace) // it may be evicted for another
 			}
-			conn.afterRead = func() { giveUp(listener) }
+			conn.afterRead = func() { evict(listener) }
 			if n, err := tracked.Read(make([]byte, 4096)); n != 0 || err == nil {
 				t.Errorf("%s, served %t: %d bytes were passed on, %v", name, served, n, err)
 			}
 			tracked.Close()
-			if got := wait(t, answer, "end"); got != unavailableResponse {
+			if got := wait(t, response, "end"); got != unavailableResponse {
 				t.Errorf("%s, served %t: a request that was read got %q", name, served, got)
 			}
 			client.Close()
@@ -181,7 +181,7 @@
 // the close.
 func TestStopAnswersPipelinedRequests(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	conn := gateway.send(t, requestText("POST", "booking", "first")+requestText("POST", "booking", "second", idempotencyHeader, "k2")+requestText("GET", "lookup", ""))
 	upstream, reader := backend.accept(t)
@@ -236,7 +236,7 @@
 // response.
 func TestCloseWithUnreadBytesKeepsResponse(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	dialer := net.Dialer{}
 	conn, err := dialer.Dial("tcp", gateway.address)
@@ -263,15 +263,15 @@
 
 // A retry whose connection is established after its key window has ended is not written, since
 // the backend might run it twice.
-func TestRepeatIsNotSentAfterKeyWindow(t *testing.T) {
+func TestRetryIsNotSentAfterKeyWindow(t *testing.T) {
 	for name, length := range map[string]int{"a short request": 6, "a long request": 1 << 20} {
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		pools := newTestPools(t, backend.address())
 		attempt := newAttempt(testTimeout)
 		attempt.exchange.body = make([]byte, length)
 		dial, dialed := pools.dial, make(chan struct{})
-		pools.dial = func(ctx context.Context, target *target, within time.Duration) (*backendConn, error) {
-			conn, err := dial(ctx, target, within)
+		pools.dial = func(ctx context.Context, pool *backendPool, within time.Duration) (*backendConn, error) {
+			conn, err := dial(ctx, pool, within)
 			<-dialed
 			return conn, err
 		}
@@ -293,7 +293,7 @@
 // if the settings allow no cancellation.
 func TestClientLeavesDuringDial(t *testing.T) {
 	for _, cancel := range []string{"true", "false"} {
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		settings := strings.Replace(testSettings, `"cancel": true`, `"cancel": `+cancel, 1)
 		config, err := parseConfig([]byte(configText("127.0.0.1:1", settings)))
 		if err != nil {
@@ -304,10 +304,10 @@
 		pools := newPools(testTimeout, time.Minute, 8, metrics)
 		dials, dialed := make(chan struct{}, 1), make(chan struct{})
 		dial := pools.dial
-		pools.dial = func(_ context.Context, target *target, within time.Duration) (*backendConn, error) {
+		pools.dial = func(_ context.Context, pool *backendPool, within time.Duration) (*backendConn, error) {
 			dials <- struct{}{}
 			<-dialed
-			return dial(context.Background(), target, within) // succeeds although the attempt was cancelled
+			return dial(context.Background(), pool, within) // succeeds although the attempt was cancelled
 		}
 		loop := newLoop(&config, service, metrics, pools, nil, func() {})
 		loop.applyList(newListing(true, "Ready", backend), rules.FullList)
@@ -337,7 +337,7 @@
 // Surplus bytes that a backend sends shortly after a response are not taken for the response to
 // the next request.
 func TestSurplusResponseIsDiscarded(t *testing.T) {
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	pools := newTestPools(t, backend.address())
 	pools.settle = testTimeout // shortened below
 	done := startAttempt(pools, newAttempt(testTimeout))
@@ -354,7 +354,7 @@
 		t.Errorf("outcome %d, %q", got.outcome, got.response.body)
 	}
 	// Once the surplus has arrived, the connection is not used any more.
-	idle := pools.targets[1].idle[0]
+	idle := pools.byBackend[1].idle[0]
 	for end := time.Now().Add(testTimeout); alive(idle.Conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // until the kernel has delivered it
 	}
@@ -367,8 +367,8 @@
 	}
 }
 
-// Nothing is written to a connection whose target was retired during the dial.
-func TestTargetRetiredDuringDial(t *testing.T) {
+// Nothing is written to a connection whose pool was retired during the dial.
+func TestPoolRetiredDuringDial(t *testing.T) {
 	for name, change := range map[string]func(pools *pools, address string){
 		"drains":        func(pools *pools, _ string) { pools.remove(1) },
 		"is overridden": func(pools *pools, _ string) { pools.renew(1) },
@@ -380,11 +380,11 @@
 			pools.sweep(ctx)
 		},
 	} {
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		pools := newTestPools(t, backend.address())
 		dial, dialed := pools.dial, make(chan struct{})
-		pools.dial = func(ctx context.Context, target *target, within time.Duration) (*backendConn, error) {
-			conn, err := dial(ctx, target, within)
+		pools.dial = func(ctx context.Context, pool *backendPool, within time.Duration) (*backendConn, error) {
+			conn, err := dial(ctx, pool, within)
 			<-dialed
 			return conn, err
 		}
@@ -410,7 +410,7 @@
 		"many requests": strings.Repeat(requestText("GET", "lookup", ""), 30), "a flood": strings.Repeat(requestText("GET", "lookup", ""), 40000)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			gateway := newTestGateway(t, backend)
 			conn, _ := gateway.request(t, requestText("POST", "booking", "x"))
 			upstream, reader := backend.accept(t)
@@ -440,7 +440,7 @@
 	t.Parallel()
 	for name, text := range map[string]string{"held": "abc", "streamed": strings.Repeat("x", 2*maxHeldBody)} {
 		for _, class := range []string{"lookup", "payment"} {
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			gateway := newTestGateway(t, backend)
 			method := map[string]string{"lookup": "GET", "payment": "POST"}[class]
 			_, answer := gateway.sendAndRead(t, requestText(method, class, "", idempotencyHeader, ""))
--- a/internal/gateway/dial.go
+++ b/internal/gateway/dial.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// dial opens a connection to a target within the timeout, unless ctx ends or the target is
+// dial opens a connection to a backend within the timeout, unless ctx ends or its pool is
 // retired first.
-func dial(ctx context.Context, target *target, timeout time.Duration) (*backendConn, error) {
+func dial(ctx context.Context, pool *backendPool, timeout time.Duration) (*backendConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	defer context.AfterFunc(target.ctx, cancel)()
+	defer context.AfterFunc(pool.ctx, cancel)()
 	var dialer net.Dialer
-	conn, err := dialer.DialContext(ctx, "tcp", target.address)
+	conn, err := dialer.DialContext(ctx, "tcp", pool.address)
 	if err != nil {
 		return nil, err
 	}
 	setSilenceTimeout(conn) // a peer may vanish without closing
-	return newBackendConn(conn, target), nil
+	return newBackendConn(conn, pool), nil
 }
 
 // outOfResources reports whether the system has run out of descriptors or buffers.
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -20,8 +20,10 @@
 	"dunlintray/rules"
 )
 
+// A watch is a request for the changes since a version, which discovery answers at the next
+// change or after watchDuration.
 const (
-	watchDuration    = 2 * time.Second         // for which discovery may hold a watch open
+	watchDuration    = 2 * time.Second
 	watchGrace       = 500 * time.Millisecond  // for the response header after watchDuration
 	listTimeout      = 2 * time.Second         // for the response header to a request for the full list
 	catchUpTimeout   = 1 * time.Second         // for the response header to the request after a failed one
@@ -68,7 +70,7 @@
 	case instance.ID == "" || !known:
 		return rules.Backend{}, fmt.Errorf("instance %q: lifecycle %q is not known", instance.ID, instance.Lifecycle)
 	case zone < 0 && state != rules.Gone:
-		// Danger: two unknown zones must not count as one zone that drops repeats.
+		// Danger: two unknown zones must not count as one zone that drops duplicates.
 		return rules.Backend{}, fmt.Errorf("instance %q: zone %q is not known", instance.ID, instance.Zone)
 	case math.IsNaN(instance.Weight) || instance.StartedAtMs < 0:
 		return rules.Backend{}, fmt.Errorf("instance %q: weight %g or start %d ms is not valid", instance.ID, instance.Weight, instance.StartedAtMs)
@@ -80,18 +82,18 @@
 // listFollower keeps the loop's list of backends up to date, from discovery or from service
 // registries.
 type listFollower struct {
-	watcher          *discoveryWatcher // nil with service registries
-	registryClient   *registry.Client  // nil with discovery
-	discoveryAddress string
-	registries       []string         // addresses
-	scopes           []registry.Scope // of the configuration
-	scopeChange      scopeChange
-	discoveryMoves   chan string   // new addresses of discovery
-	registryMoves    chan []string // new addresses of the service registries
+	watcher             *discoveryWatcher // nil with service registries
+	registryClient      *registry.Client  // nil with discovery
+	discoveryAddress    string
+	registries          []string         // addresses
+	scopes              []registry.Scope // of the configuration
+	scopeChange         scopeChange
+	newDiscoveryAddress chan string
+	newRegistries       chan []string // addresses
 }
 
 func newListFollower(config *Config, loop *Loop) *listFollower {
-	follower := &listFollower{discoveryAddress: config.Discovery, registries: config.Registries, scopes: config.Scopes.scopes, discoveryMoves: make(chan string), registryMoves: make(chan []string)}
+	follower := &listFollower{discoveryAddress: config.Discovery, registries: config.Registries, scopes: config.Scopes.scopes, newDiscoveryAddress: make(chan string), newRegistries: make(chan []string)}
 	notify := func(listing Listing, history string) {
 		kind := rules.Delta
 		if listing.Reset {
@@ -125,10 +127,10 @@
 // run follows the list until ctx ends.
 func (f *listFollower) run(ctx context.Context) {
 	if f.registryClient != nil {
-		f.registryClient.Run(ctx, f.registryMoves)
+		f.registryClient.Run(ctx, f.newRegistries)
 		return
 	}
-	f.watcher.run(ctx, f.discoveryMoves)
+	f.watcher.run(ctx, f.newDiscoveryAddress)
 }
 
 // reconfigure applies the addresses and scopes of a new configuration. The choice between
@@ -142,13 +144,13 @@
 	case f.registryClient != nil && len(next.Registries) > 0 && !slices.Equal(f.registries, next.Registries):
 		f.registries = next.Registries
 		select {
-		case f.registryMoves <- next.Registries:
+		case f.newRegistries <- next.Registries:
 		case <-ctx.Done():
 		}
 	case f.registryClient == nil && next.Discovery != f.discoveryAddress:
 		f.discoveryAddress = next.Discovery
 		select {
-		case f.discoveryMoves <- next.Discovery:
+		case f.newDiscoveryAddress <- next.Discovery:
 		case <-ctx.Done():
 		}
 	}
@@ -172,9 +174,9 @@
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 2}}}
 }
 
-// run follows discovery until ctx ends. At each address from moves it starts with the full list,
-// since another agent may count versions differently.
-func (w *discoveryWatcher) run(ctx context.Context, moves <-chan string) {
+// run follows discovery until ctx ends. At each address from newAddresses it starts with the full list,
+// since another discovery service may count versions differently.
+func (w *discoveryWatcher) run(ctx context.Context, newAddresses <-chan string) {
 	for {
 		inner, cancel := context.WithCancel(ctx)
 		var wg sync.WaitGroup
@@ -182,7 +184,7 @@
 		address := ""
 		select {
 		case <-ctx.Done():
-		case address = <-moves:
+		case address = <-newAddresses:
 		}
 		cancel()
 		wg.Wait()
--- a/internal/gateway/download_test.go
+++ b/internal/gateway/download_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			gateway := newTestGateway(t, backend)
 			_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
 			upstream, reader := backend.accept(t)
@@ -68,7 +68,7 @@
 func TestTruncatedDownloadIsNotRetried(t *testing.T) {
 	t.Parallel()
 	for _, head := range []string{"Content-Length: 1000000", "Transfer-Encoding: chunked"} {
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		gateway := newTestGateway(t, backend)
 		_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
 		upstream, reader := backend.accept(t)
@@ -92,7 +92,7 @@
 // A client that disconnects during its response frees the backend connection.
 func TestDisconnectDuringDownloadFreesBackend(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	conn, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
 	upstream, reader := backend.accept(t)
@@ -112,7 +112,7 @@
 // event before the next is sent.
 func TestSlowChunkedDownloadIsStreamed(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
 	upstream, reader := backend.accept(t)
@@ -144,7 +144,7 @@
 func TestTruncatedHeldResponseIsRetried(t *testing.T) {
 	t.Parallel()
 	for _, framing := range []string{"Content-Length: 20", "Transfer-Encoding: chunked"} {
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		gateway := newTestGateway(t, backend)
 		_, responses := gateway.request(t, requestText("GET", "lookup", ""))
 		upstream, reader := backend.accept(t)
@@ -187,7 +187,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			gateway := newTestGateway(t, backend)
 			conn := gateway.send(t, test.request)
 			for range 2 { // twice on the same connections
@@ -213,7 +213,7 @@
 // An interim response is forwarded at once and does not replace the final one.
 func TestInterimResponses(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	conn := gateway.send(t, requestText("GET", "lookup", ""))
 	upstream, reader := backend.accept(t)
@@ -233,7 +233,7 @@
 // response with an ambiguous length fails and is not retried, since the request may have run.
 func TestAmbiguousLengthIsRejected(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	for name, text := range map[string]string{
 		"a length and chunks": requestText("POST", "booking", "", "Content-Length", "5", "Transfer-Encoding", "chunked") + "0\r\n\r\n",
@@ -267,7 +267,7 @@
 // truncated response must end with a reset.
 func TestTruncatedDownloadResetsHTTP10(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	_, readHead := gateway.sendAndRead(t, strings.Replace(requestText("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1))
 	upstream, reader := backend.accept(t)
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -30,10 +30,10 @@
 	idHeader          = "X-Correlation-Id"
 	classHeader       = "X-Service-Class"
 	planHeader        = "X-Tier"
-	customerHeader    = "X-Api-Key"
+	customerHeader    = "X-Api-Key" // customer id, 16 hexadecimal digits
 	idempotencyHeader = "Idempotency-Key"
-	termsHeader       = "X-Call-Terms"
-	repeatHeader      = "X-Repeat"
+	termsHeader       = "X-Call-Terms" // units of the request, and the gateways that serve its customer
+	clientRetryHeader = "X-Repeat"     // "1" if the client sends the request again
 
 	customerIDLimit = 1 << 33 // exclusive
 )
@@ -435,12 +435,11 @@
 		return request, errors.New(timeLeftHeader + " is not a time in milliseconds")
 	}
 	request.Deadline = float64(timeLeft) / 1000 // seconds after the last byte
-	request.ClientRetry = header.Get(repeatHeader) == "1"
+	request.ClientRetry = header.Get(clientRetryHeader) == "1"
 	return request, s.parseTerms(&request, header.Get(termsHeader))
 }
 
-// parseTerms parses the units of a request and the gateways that its customer is spread
-// over.
+// parseTerms parses the units of a request and the gateways that serve its customer.
 func (s *serviceConfig) parseTerms(request *rules.Request, text string) error {
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,26 +17,26 @@
 
 // testGateway is a complete gateway that serves on loopback sockets.
 type testGateway struct {
-	address  string
-	control  string
-	registry *fakeDiscovery
-	stop     context.CancelFunc
-	reloads  chan Reload
-	ended    chan error
-	figures  *metrics
+	address   string
+	control   string
+	discovery *fakeDiscovery
+	stop      context.CancelFunc
+	reloads   chan Reload
+	ended     chan error
+	metrics   *metrics
 }
 
 // newTestGateway starts a gateway with the given backends and waits until it is ready.
-func newTestGateway(t testing.TB, backends ...*peer) *testGateway {
+func newTestGateway(t testing.TB, backends ...*testServer) *testGateway {
 	t.Helper()
 	return newTestGatewayWith(t, func(text string) string { return text }, backends...)
 }
 
 // newTestGatewayWith does so with a changed configuration.
-func newTestGatewayWith(t testing.TB, change func(config string) string, backends ...*peer) *testGateway {
+func newTestGatewayWith(t testing.TB, change func(config string) string, backends ...*testServer) *testGateway {
 	t.Helper()
-	gateway := &testGateway{registry: newFakeDiscovery(t), ended: make(chan error, 1)}
-	config, err := parseConfig([]byte(change(configText(gateway.registry.address(), testSettings))))
+	gateway := &testGateway{discovery: newFakeDiscovery(t), ended: make(chan error, 1)}
+	config, err := parseConfig([]byte(change(configText(gateway.discovery.address(), testSettings))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,10 +45,10 @@
 		t.Fatal(err)
 	}
 	gateway.serve(t, &config, listener)
-	if got := gateway.ready(t); got != http.StatusServiceUnavailable {
+	if got := gateway.readinessStatus(t); got != http.StatusServiceUnavailable {
 		t.Errorf("ready before the list has arrived: status %d", got)
 	}
-	gateway.registry.answers <- newListing(true, "Ready", backends...)
+	gateway.discovery.answers <- newListing(true, "Ready", backends...)
 	gateway.awaitReadiness(t, http.StatusOK)
 	return gateway
 }
@@ -65,19 +65,19 @@
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
 	done := make(chan struct{})
-	g.reloads, g.figures = make(chan Reload), newMetrics(config)
+	g.reloads, g.metrics = make(chan Reload), newMetrics(config)
 	go func() {
 		defer close(done)
-		g.ended <- serve(ctx, config, g.reloads, listener, operators, g.figures)
+		g.ended <- serve(ctx, config, g.reloads, listener, operators, g.metrics)
 	}()
 	t.Cleanup(func() {
 		stop()
 		<-done
 		// No transfer may leave memory, counts or connections behind.
 		for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-			used, _ := g.figures.bodyBudget.usage()
-			up, down := g.figures.uploads.streaming.Load(), g.figures.downloads.streaming.Load()
-			open := g.figures.clients.counts().Open
+			used, _ := g.metrics.bodyBudget.usage()
+			up, down := g.metrics.uploads.streaming.Load(), g.metrics.downloads.streaming.Load()
+			open := g.metrics.clients.counts().Open
 			if used == 0 && up == 0 && down == 0 && open == 0 {
 				break
 			}
@@ -90,17 +90,17 @@
 }
 
 // newListing returns a list or a change with the given backends.
-func newListing(reset bool, lifecycle string, backends ...*peer) Listing {
+func newListing(reset bool, lifecycle string, backends ...*testServer) Listing {
 	listing := Listing{Generation: 1, Reset: reset}
-	for _, b := range backends {
-		listing.Instances = append(listing.Instances, Instance{ID: b.address(), HostPort: b.address(), Zone: "a", MachineType: "m",
+	for _, backend := range backends {
+		listing.Instances = append(listing.Instances, Instance{ID: backend.address(), HostPort: backend.address(), Zone: "a", MachineType: "m",
 			Lifecycle: registry.Lifecycle(lifecycle), Weight: 1})
 	}
 	return listing
 }
 
-// ready returns the status of the readiness check.
-func (g *testGateway) ready(t testing.TB) int {
+// readinessStatus returns the status of the readiness check.
+func (g *testGateway) readinessStatus(t testing.TB) int {
 	t.Helper()
 	resp, err := http.Get("http://" + g.address + readyPath)
 	if err != nil {
@@ -113,7 +113,7 @@
 // awaitReadiness waits until the readiness check has the status.
 func (g *testGateway) awaitReadiness(t testing.TB, status int) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); g.ready(t) != status; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); g.readinessStatus(t) != status; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("readiness never became %d", status)
 		}
@@ -162,17 +162,17 @@
 func (g *testGateway) request(t testing.TB, text string) (net.Conn, <-chan *http.Response) {
 	t.Helper()
 	conn := g.send(t, text)
-	answers := make(chan *http.Response, 1)
+	responses := make(chan *http.Response, 1)
 	go func() {
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
-			answers <- resp
+			responses <- resp
 		}
 	}()
-	return conn, answers
+	return conn, responses
 }
 
 // serveOne answers the backend's next request on a new connection.
-func serveOne(t testing.TB, backend *peer, body string) {
+func serveOne(t testing.TB, backend *testServer, body string) {
 	t.Helper()
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
@@ -182,11 +182,11 @@
 // A backend's response reaches the client without the headers meant for gateways.
 func TestResponseReachesClient(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
-	_, answers := gateway.request(t, requestText("POST", "booking", "pickup"))
+	_, responses := gateway.request(t, requestText("POST", "booking", "pickup"))
 	serveOne(t, backend, "booked\n")
-	resp := wait(t, answers, "answer")
+	resp := wait(t, responses, "response")
 	body, err := io.ReadAll(resp.Body)
 	if resp.StatusCode != 200 || string(body) != "booked\n" || err != nil || resp.Header.Get("Content-Type") != "text/x" || resp.Header.Get(loadHeader) != "" {
 		t.Errorf("%d %q %v %v", resp.StatusCode, body, resp.Header, err)
@@ -197,7 +197,7 @@
 // request that must not run twice.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	t.Parallel()
-	gateway := newTestGatewayWith(t, func(text string) string { return strings.Replace(text, `"cores"`, `"body_mb": 5, "cores"`, 1) }, newPeer(t))
+	gateway := newTestGatewayWith(t, func(text string) string { return strings.Replace(text, `"cores"`, `"body_mb": 5, "cores"`, 1) }, newTestServer(t))
 	for _, test := range []struct {
 		name, text string
 		status     int
@@ -224,8 +224,8 @@
 		{"a body in bad chunks", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "x\r\n", 400},
 		{"endless headers", requestText("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431},
 	} {
-		_, answers := gateway.request(t, test.text)
-		if resp := wait(t, answers, "answer to "+test.name); resp.StatusCode != test.status {
+		_, responses := gateway.request(t, test.text)
+		if resp := wait(t, responses, "response to "+test.name); resp.StatusCode != test.status {
 			t.Errorf("%s: status %d, want %d", test.name, resp.StatusCode, test.status)
 		}
 	}
@@ -236,16 +236,16 @@
 func TestConnectionBrokenAfterLastByte(t *testing.T) {
 	t.Parallel()
 	for class, status := range map[string]int{"payment": 502, "booking": 200} {
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		gateway := newTestGateway(t, backend)
-		_, answers := gateway.request(t, requestText("POST", class, "x"))
+		_, responses := gateway.request(t, requestText("POST", class, "x"))
 		conn, reader := backend.accept(t)
 		readRequest(t, reader)
 		conn.Close()
 		if status == 200 {
 			serveOne(t, backend, "ok") // within its key scope and window a keyed request may be retried
 		}
-		if resp := wait(t, answers, "answer"); resp.StatusCode != status {
+		if resp := wait(t, responses, "response"); resp.StatusCode != status {
 			t.Errorf("%s: status %d, want %d", class, resp.StatusCode, status)
 		}
 		if n := len(backend.conns); n > 0 {
@@ -258,12 +258,12 @@
 // reaches no client.
 func TestSilentBackendDoesNotHoldRequests(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
-	conn, answers := gateway.request(t, requestText("GET", "glance", ""))
+	conn, responses := gateway.request(t, requestText("GET", "glance", ""))
 	_, reader := backend.accept(t)
 	readRequest(t, reader)
-	resp := wait(t, answers, "answer")
+	resp := wait(t, responses, "response")
 	if resp.StatusCode != 429 || resp.Header.Get("Retry-After") != "0.5" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
@@ -283,18 +283,18 @@
 }
 
 // A silent counter does not block customers within their quotas: the call times out and the
-// gateway's local share is used.
+// gateway's local allowance is used.
 func TestSilentCounterDoesNotBlockRequests(t *testing.T) {
 	t.Parallel()
-	backend, counter := newPeer(t), newPeer(t)
+	backend, counter := newTestServer(t), newTestServer(t)
 	gateway := newTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 5, "depth": 20}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 1`).Replace, backend)
-	_, answers := gateway.request(t, requestText("GET", "lookup", ""))
+	_, responses := gateway.request(t, requestText("GET", "lookup", ""))
 	_, calls := counter.accept(t)
 	readRequest(t, calls)
 	serveOne(t, backend, "ok")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -302,7 +302,7 @@
 // The units that a backend reports reach the decision module, which settles the quota.
 func TestReportedUnitsAreSettled(t *testing.T) {
 	t.Parallel()
-	backend, counter := newPeer(t), newPeer(t)
+	backend, counter := newTestServer(t), newTestServer(t)
 	gateway := newTestGatewayWith(t, func(text string) string {
 		text = strings.Replace(text, "127.0.0.1:1\"", counter.address()+"\"", 1)
 		text = strings.Replace(text, `"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 4}`, 1)
@@ -315,7 +315,7 @@
 	upstream, requests := backend.accept(t)
 	readRequest(t, requests)
 	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nX-Cost-Units: 4\r\nContent-Length: 0\r\n\r\n")
-	wait(t, first, "answer")
+	wait(t, first, "response")
 	gateway.request(t, requestText("GET", "lookup", ""))
 	readRequest(t, calls) // the remaining two were settled on the first request
 }
@@ -323,7 +323,7 @@
 // A client that leaves aborts its attempt.
 func TestLeavingClientAbortsAttempt(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	conn, _ := gateway.request(t, requestText("POST", "booking", "x"))
 	_, reader := backend.accept(t)
@@ -337,25 +337,25 @@
 // Requests are retried when a backend refuses connections, and none goes to a draining backend.
 func TestRefusedConnectionAndDrain(t *testing.T) {
 	t.Parallel()
-	dead, backend := newPeer(t), newPeer(t)
+	dead, backend := newTestServer(t), newTestServer(t)
 	gateway := newTestGateway(t, dead, backend)
 	dead.listener.Close()
 	for range 4 { // whichever backend is chosen first
-		_, answers := gateway.request(t, requestText("POST", "payment", "x"))
+		_, responses := gateway.request(t, requestText("POST", "payment", "x"))
 		conn, reader := backend.accept(t)
 		readRequest(t, reader)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-		if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+		if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
 	// The next call to discovery shows that the gateway has received the drain.
-	wait(t, gateway.registry.calls, "first list")
-	wait(t, gateway.registry.calls, "watch")
-	gateway.registry.answers <- newListing(false, "Terminating", backend)
-	wait(t, gateway.registry.calls, "next watch")
-	_, answers := gateway.request(t, requestText("GET", "glance", ""))
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
+	wait(t, gateway.discovery.calls, "first list")
+	wait(t, gateway.discovery.calls, "watch")
+	gateway.discovery.answers <- newListing(false, "Terminating", backend)
+	wait(t, gateway.discovery.calls, "next watch")
+	_, responses := gateway.request(t, requestText("GET", "glance", ""))
+	if resp := wait(t, responses, "response"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.conns))
 	}
 }
@@ -363,7 +363,7 @@
 // After a stop, requests in progress are answered, and new ones are accepted for a while.
 func TestStopAnswersRequestsInProgress(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	_, held := gateway.request(t, requestText("POST", "booking", "held"))
 	upstream, reader := backend.accept(t)
@@ -374,7 +374,7 @@
 	}
 	defer unused.Close()
 	idle, first := gateway.request(t, requestText("GET", "lookup", "", idHeader, ""))
-	wait(t, first, "answer") // leaves an idle connection behind
+	wait(t, first, "response") // leaves an idle connection behind
 	idle.SetReadDeadline(time.Now().Add(testTimeout))
 	gateway.stop()
 	if _, err := io.ReadAll(idle); err != nil {
@@ -383,7 +383,7 @@
 	gateway.awaitReadiness(t, http.StatusServiceUnavailable)
 	_, late := gateway.request(t, requestText("POST", "booking", "late"))
 	serveOne(t, backend, "late")
-	if resp := wait(t, late, "answer"); resp.StatusCode != 200 || !resp.Close {
+	if resp := wait(t, late, "response"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("a late request: status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -397,7 +397,7 @@
 		}
 	}
 	io.WriteString(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, held, "response"); resp.StatusCode != 200 {
 		t.Errorf("the held request: status %d", resp.StatusCode)
 	}
 	if err := wait(t, gateway.ended, "end"); err != nil {
@@ -408,7 +408,7 @@
 // reload passes the gateway another configuration, as SIGHUP does.
 func (g *testGateway) reload(t testing.TB, settings string) {
 	t.Helper()
-	config, err := parseConfig([]byte(configText(g.registry.address(), settings)))
+	config, err := parseConfig([]byte(configText(g.discovery.address(), settings)))
 	select {
 	case g.reloads <- Reload{Config: config, Err: err}:
 	case <-time.After(testTimeout):
@@ -420,7 +420,7 @@
 // is removed.
 func TestReloadedSettings(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	_, open := gateway.request(t, requestText("POST", "payment", "open"))
 	conn, reader := backend.accept(t)
@@ -432,7 +432,7 @@
 	gateway.reload(t, strings.Replace(changed, `"mostTries": 4`, `"mostTries": 0`, 1))
 	gateway.awaitMetrics(t, "app.loads:1|c", "app.load_errors:1|c")
 	_, dropped := gateway.request(t, requestText("POST", "payment", "x"))
-	if resp := wait(t, dropped, "answer"); resp.StatusCode != http.StatusBadRequest {
+	if resp := wait(t, dropped, "response"); resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("a removed class: status %d", resp.StatusCode)
 	}
 	conn.Close() // the request in progress may have run, and must not run twice
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -27,7 +27,7 @@
 
 // newSiblings starts two processes of a gateway on one listening socket. The older one has an idle
 // client connection, kept.
-func newSiblings(t *testing.T, backend *peer) (old, next *testGateway, kept net.Conn) {
+func newSiblings(t *testing.T, backend *testServer) (old, next *testGateway, kept net.Conn) {
 	t.Helper()
 	listener, dir := newSharedListener(t)
 	// The socket file of a killed process must do no harm.
@@ -35,16 +35,16 @@
 		t.Fatal(err)
 	}
 	old = newTestGatewayOn(t, listener, dir, backend)
-	kept, answers := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
-	wait(t, answers, "answer") // an error response, which leaves the connection open
+	kept, responses := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
+	wait(t, responses, "response") // an error response, which leaves the connection open
 	return old, newTestGatewayOn(t, listener, dir, backend), kept
 }
 
 // newTestGatewayOn starts one process of a gateway on a shared listening socket.
-func newTestGatewayOn(t *testing.T, shared net.Listener, dir string, backends ...*peer) *testGateway {
+func newTestGatewayOn(t *testing.T, shared net.Listener, dir string, backends ...*testServer) *testGateway {
 	t.Helper()
-	gateway := &testGateway{registry: newFakeDiscovery(t), ended: make(chan error, 1)}
-	config, err := parseConfig([]byte(configText(gateway.registry.address(), testSettings)))
+	gateway := &testGateway{discovery: newFakeDiscovery(t), ended: make(chan error, 1)}
+	config, err := parseConfig([]byte(configText(gateway.discovery.address(), testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,9 +59,9 @@
 		t.Fatal(err)
 	}
 	gateway.serve(t, &config, listener)
-	wait(t, gateway.registry.calls, "list")
-	gateway.registry.answers <- newListing(true, "Ready", backends...)
-	wait(t, gateway.registry.calls, "watch")
+	wait(t, gateway.discovery.calls, "list")
+	gateway.discovery.answers <- newListing(true, "Ready", backends...)
+	wait(t, gateway.discovery.calls, "watch")
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if status, _ := gateway.callControl(t, "GET", "/control/ready"); status == http.StatusOK {
 			return gateway
@@ -76,7 +76,7 @@
 // process was started.
 func TestOverrideReachesBothProcesses(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	listener, dir := newSharedListener(t)
 	old := newTestGatewayOn(t, listener, dir, backend)
 	path := "/control/backends/" + backend.address()
@@ -108,12 +108,12 @@
 // those on new ones. No connection may be closed while its client may be sending a request.
 func TestOldProcessServesOpenConnections(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	old, next, kept := newSiblings(t, backend)
 	memory := func(process *testGateway) int {
-		process.figures.bodyBudget.mu.Lock()
-		defer process.figures.bodyBudget.mu.Unlock()
-		return process.figures.bodyBudget.total
+		process.metrics.bodyBudget.mu.Lock()
+		defer process.metrics.bodyBudget.mu.Unlock()
+		return process.metrics.bodyBudget.total
 	}
 	for _, process := range []*testGateway{old, next} {
 		for deadline := time.Now().Add(testTimeout); memory(process) != bodyMemory(192)/2; time.Sleep(time.Millisecond) {
@@ -125,11 +125,11 @@
 	old.stop()
 	old.awaitNotReady(t)
 	for range 8 { // no connection is refused
-		_, answers := next.request(t, requestText("POST", "booking", "x"))
+		_, responses := next.request(t, requestText("POST", "booking", "x"))
 		backendConn, backendReader := backend.accept(t)
 		readRequest(t, backendReader)
 		backendConn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
-		if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+		if resp := wait(t, responses, "response"); resp.StatusCode != http.StatusOK {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
@@ -161,7 +161,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
 	t.Cleanup(func() { slog.SetDefault(previous) })
 	listener, dir := newSharedListener(t)
-	gateway := newTestGatewayOn(t, listener, filepath.Join(dir, strings.Repeat("x", 120)), newPeer(t)) // longer than the path of a socket may be
+	gateway := newTestGatewayOn(t, listener, filepath.Join(dir, strings.Repeat("x", 120)), newTestServer(t)) // longer than the path of a socket may be
 	gateway.stop()
 	if err := wait(t, gateway.ended, "end"); err != nil {
 		t.Error(err)
@@ -175,7 +175,7 @@
 // shutdown of the old process.
 func TestStalledSuccessorBlocksNothing(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	listener, dir := newSharedListener(t)
 	old := newTestGatewayOn(t, listener, dir, backend)
 	conn, err := net.Dial("unix", filepath.Join(dir, handoverSocketName))
@@ -209,11 +209,11 @@
 // kept for their next request.
 func TestLateServingMessageKeepsIdleConnections(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	listener, dir := newSharedListener(t)
 	old := newTestGatewayOn(t, listener, dir, backend)
-	kept, answers := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
-	wait(t, answers, "answer")
+	kept, responses := old.request(t, requestText("GET", "lookup", "", idHeader, ""))
+	wait(t, responses, "response")
 	conn, err := net.Dial("unix", filepath.Join(dir, handoverSocketName))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -52,7 +52,7 @@
 	for name, act := range hostileClients {
 		for _, times := range []int{1, 10, 100} {
 			t.Run(name, func(t *testing.T) {
-				backend := &registeredBackend{id: "b", backend: newPeer(t)}
+				backend := &registeredBackend{id: "b", backend: newTestServer(t)}
 				go backend.serveRequests()
 				gateway := newTestGatewayWith(t, func(text string) string {
 					return strings.Replace(text, `"sockets": 1024`, `"sockets": 256`, 1) // 105 of them for clients
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -36,8 +36,8 @@
 // gateway.
 func TestAcceptSurvivesTransientErrors(t *testing.T) {
 	t.Parallel()
-	gateway := &testGateway{registry: newFakeDiscovery(t), ended: make(chan error, 1)}
-	config, err := parseConfig([]byte(configText(gateway.registry.address(), testSettings)))
+	gateway := &testGateway{discovery: newFakeDiscovery(t), ended: make(chan error, 1)}
+	config, err := parseConfig([]byte(configText(gateway.discovery.address(), testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,14 +73,14 @@
 	t.Parallel()
 	for _, failure := range []error{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM} {
 		for name, failures := range map[string]int{"briefly": 3, "permanently": 1000} {
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			pools := newTestPools(t, backend.address())
 			dials, dial := 0, pools.dial
-			pools.dial = func(ctx context.Context, target *target, within time.Duration) (*backendConn, error) {
+			pools.dial = func(ctx context.Context, pool *backendPool, within time.Duration) (*backendConn, error) {
 				if dials++; dials <= failures {
 					return nil, &net.OpError{Op: "dial", Err: failure}
 				}
-				return dial(ctx, target, within)
+				return dial(ctx, pool, within)
 			}
 			done := startAttempt(pools, newAttempt(testTimeout))
 			want := rules.NotStarted
@@ -104,12 +104,12 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	t.Cleanup(func() { slog.SetDefault(previous) })
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		listener, dir := newSharedListener(t)
 		old := newTestGatewayOn(t, listener, dir, backend)
-		_, answers := old.request(t, requestText("GET", "lookup", ""))
+		_, responses := old.request(t, requestText("GET", "lookup", ""))
 		serveOne(t, backend, "ok")
-		wait(t, answers, "answer")
+		wait(t, responses, "response")
 		config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 		if err != nil {
 			t.Fatal(err)
@@ -130,7 +130,7 @@
 			t.Fatalf("%d backends, %d customers", len(state.Rules.Backends), len(state.Rules.Customers))
 		}
 		for what, at := range map[string]float64{"last answer": state.Rules.Backends[0].LastServed, "last request": state.Rules.Customers[0].LastSeen,
-			"local share": state.Rules.Customers[0].LocalUnitsAt} {
+			"local allowance": state.Rules.Customers[0].LocalUnitsAt} {
 			if age := now - at; age < -0.1 || age > 5 {
 				t.Errorf("step %v: the %s was %.1f s ago", step, what, age)
 			}
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -23,23 +23,23 @@
 // shorten it.
 var settleTime = 50 * time.Millisecond
 
-// target is the pool of connections to one backend process at one address. Retiring the
-// target closes its idle connections and cancels its dials.
-type target struct {
+// backendPool is the pool of connections to one backend process at one address. Retiring the
+// pool closes its idle connections and cancels its dials.
+type backendPool struct {
 	address   string
 	startedAt float64         // start of the backend process in Unix seconds, as discovery reports it
-	ctx       context.Context // cancelled when the target is retired; dials stop with it
+	ctx       context.Context // cancelled when the pool is retired; dials stop with it
 	cancel    context.CancelFunc
 	conns     map[*backendConn]struct{} // all, idle or in use
 	idle      []*backendConn            // most recently used last
 	retired   bool
 }
 
-// newTarget returns an empty pool for a backend process.
-func newTarget(address string, startedAt float64) *target {
-	t := &target{address: address, startedAt: startedAt, conns: map[*backendConn]struct{}{}}
-	t.ctx, t.cancel = context.WithCancel(context.Background())
-	return t
+// newBackendPool returns an empty pool for a backend process.
+func newBackendPool(address string, startedAt float64) *backendPool {
+	pool := &backendPool{address: address, startedAt: startedAt, conns: map[*backendConn]struct{}{}}
+	pool.ctx, pool.cancel = context.WithCancel(context.Background())
+	return pool
 }
 
 // pools holds the connections to all backends. It is safe for concurrent use.
@@ -50,17 +50,17 @@
 	maxOpen        int           // limit of connections and dials over all backends
 	metrics        *metrics
 	logLimit       logLimiter // for log lines about local failures
-	dial           func(context.Context, *target, time.Duration) (*backendConn, error)
+	dial           func(context.Context, *backendPool, time.Duration) (*backendConn, error)
 
 	mu        sync.Mutex
-	targets   map[rules.BackendID]*target
-	openCount int // connections and dials over all targets
+	byBackend map[rules.BackendID]*backendPool
+	openCount int // connections and dials over all backends
 }
 
 // newPools returns pools without backends.
 func newPools(connectTimeout, keepAlive time.Duration, maxOpen int, metrics *metrics) *pools {
 	return &pools{connectTimeout: connectTimeout, idleLimit: idleLimit(keepAlive),
-		settle: settleTime, maxOpen: maxOpen, metrics: metrics, logLimit: logLimiter{max: 1}, dial: dial, targets: map[rules.BackendID]*target{}}
+		settle: settleTime, maxOpen: maxOpen, metrics: metrics, logLimit: logLimiter{max: 1}, dial: dial, byBackend: map[rules.BackendID]*backendPool{}}
 }
 
 // setMaxOpen sets the limit of connections over all backends.
@@ -86,7 +86,7 @@
 func (p *pools) update(id rules.BackendID, address string, startedAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	existing := p.targets[id]
+	existing := p.byBackend[id]
 	if existing != nil && existing.address == address && existing.startedAt >= startedAt {
 		return
 	}
@@ -94,7 +94,7 @@
 		// Requests in flight at an earlier process will never be answered.
 		p.retire(existing, existing.startedAt < startedAt)
 	}
-	p.targets[id] = newTarget(address, startedAt)
+	p.byBackend[id] = newBackendPool(address, startedAt)
 }
 
 // renew cancels the dials and closes the idle connections to a backend, and keeps its
@@ -102,9 +102,9 @@
 func (p *pools) renew(id rules.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t := p.targets[id]; t != nil {
-		p.retire(t, false)
-		p.targets[id] = newTarget(t.address, t.startedAt)
+	if pool := p.byBackend[id]; pool != nil {
+		p.retire(pool, false)
+		p.byBackend[id] = newBackendPool(pool.address, pool.startedAt)
 	}
 }
 
@@ -113,26 +113,26 @@
 func (p *pools) remove(id rules.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t := p.targets[id]; t != nil {
-		p.retire(t, false)
-		delete(p.targets, id)
+	if pool := p.byBackend[id]; pool != nil {
+		p.retire(pool, false)
+		delete(p.byBackend, id)
 	}
 }
 
-// retire closes the idle connections of a target and cancels its dials; with inUse it
+// retire closes the idle connections of a pool and cancels its dials; with inUse it
 // closes the connections in use as well. The caller holds mu.
-func (p *pools) retire(t *target, inUse bool) {
-	t.retired = true
-	t.cancel()
-	for c := range t.conns {
-		if inUse || !c.idleSince.IsZero() {
-			c.Close()
+func (p *pools) retire(pool *backendPool, inUse bool) {
+	pool.retired = true
+	pool.cancel()
+	for conn := range pool.conns {
+		if inUse || !conn.idleSince.IsZero() {
+			conn.Close()
 		}
 	}
-	for _, c := range t.idle {
-		p.forget(c)
+	for _, conn := range pool.idle {
+		p.forget(conn)
 	}
-	t.idle = nil
+	pool.idle = nil
 }
 
 var (
@@ -145,20 +145,20 @@
 // acquire returns an idle connection to the backend, or dials a new one.
 func (p *pools) acquire(ctx context.Context, id rules.BackendID) (*backendConn, error) {
 	p.mu.Lock()
-	target := p.targets[id]
-	if target == nil {
+	pool := p.byBackend[id]
+	if pool == nil {
 		p.mu.Unlock()
 		return nil, errNoConn
 	}
 	// A backend may send surplus bytes some milliseconds after a response. On a reused
 	// connection they would be taken for the next response; on one that settles first, alive
 	// detects them. A connection is reused at once only if the limit allows no new one.
-	for i := len(target.idle) - 1; i >= 0; i-- {
-		conn := target.idle[i]
+	for i := len(pool.idle) - 1; i >= 0; i-- {
+		conn := pool.idle[i]
 		if conn.idleFor = time.Since(conn.idleSince); conn.idleFor < p.settle && p.openCount < p.maxOpen {
 			continue
 		}
-		target.idle = slices.Delete(target.idle, i, i+1)
+		pool.idle = slices.Delete(pool.idle, i, i+1)
 		if conn.idleFor < p.idleLimit && alive(conn.Conn) {
 			conn.idleSince = time.Time{}
 			p.mu.Unlock()
@@ -174,10 +174,10 @@
 	p.openCount++
 	connectTimeout := p.connectTimeout
 	p.mu.Unlock()
-	conn, err := p.dialWithRetry(ctx, target, connectTimeout)
+	conn, err := p.dialWithRetry(ctx, pool, connectTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err == nil && target.retired {
+	if err == nil && pool.retired {
 		conn.Close()
 		err = errNoConn
 	}
@@ -185,16 +185,16 @@
 		p.openCount--
 		return nil, err
 	}
-	target.conns[conn] = struct{}{}
+	pool.conns[conn] = struct{}{}
 	return conn, nil
 }
 
 // dialWithRetry dials, and retries after a pause for up to localFailureRetryTime while the
 // failure is local.
-func (p *pools) dialWithRetry(ctx context.Context, target *target, timeout time.Duration) (*backendConn, error) {
+func (p *pools) dialWithRetry(ctx context.Context, pool *backendPool, timeout time.Duration) (*backendConn, error) {
 	var pause backoff
 	for start := time.Now(); ; {
-		conn, err := p.dial(ctx, target, timeout)
+		conn, err := p.dial(ctx, pool, timeout)
 		if !localFailure(err) {
 			return conn, err
 		}
@@ -215,13 +215,13 @@
 func (p *pools) put(conn *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if conn.target.retired {
+	if conn.pool.retired {
 		conn.Close()
 		p.forget(conn)
 		return
 	}
 	conn.idleSince = time.Now()
-	conn.target.idle = append(conn.target.idle, conn)
+	conn.pool.idle = append(conn.pool.idle, conn)
 }
 
 // discard closes a connection that must not be reused.
@@ -232,10 +232,10 @@
 	p.forget(conn)
 }
 
-// forget removes a closed connection from its target. The caller holds mu.
+// forget removes a closed connection from its pool. The caller holds mu.
 func (p *pools) forget(conn *backendConn) {
-	if _, open := conn.target.conns[conn]; open {
-		delete(conn.target.conns, conn)
+	if _, open := conn.pool.conns[conn]; open {
+		delete(conn.pool.conns, conn)
 		p.openCount--
 	}
 }
@@ -250,15 +250,15 @@
 		case <-ctx.Done():
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			for id, target := range p.targets {
-				p.retire(target, true)
-				delete(p.targets, id)
+			for id, pool := range p.byBackend {
+				p.retire(pool, true)
+				delete(p.byBackend, id)
 			}
 			return
 		case <-ticker.C:
 			p.mu.Lock()
-			for _, target := range p.targets {
-				p.closeIdleSince(target, time.Now().Add(-p.idleLimit))
+			for _, pool := range p.byBackend {
+				p.closeIdleSince(pool, time.Now().Add(-p.idleLimit))
 			}
 			p.mu.Unlock()
 		}
@@ -267,23 +267,23 @@
 
 // closeIdleSince closes the connections that have been idle since before the cutoff. The
 // caller holds mu.
-func (p *pools) closeIdleSince(target *target, cutoff time.Time) {
+func (p *pools) closeIdleSince(pool *backendPool, cutoff time.Time) {
 	n := 0
-	for ; n < len(target.idle) && target.idle[n].idleSince.Before(cutoff); n++ {
-		target.idle[n].Close()
-		p.forget(target.idle[n])
+	for ; n < len(pool.idle) && pool.idle[n].idleSince.Before(cutoff); n++ {
+		pool.idle[n].Close()
+		p.forget(pool.idle[n])
 	}
-	target.idle = append(target.idle[:0], target.idle[n:]...)
+	pool.idle = append(pool.idle[:0], pool.idle[n:]...)
 }
 
 // closeLongestIdle closes the connection that has been idle longest over all backends.
 func (p *pools) closeLongestIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var oldest *target
-	for _, target := range p.targets {
-		if len(target.idle) > 0 && (oldest == nil || target.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
-			oldest = target
+	var oldest *backendPool
+	for _, pool := range p.byBackend {
+		if len(pool.idle) > 0 && (oldest == nil || pool.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
+			oldest = pool
 		}
 	}
 	if oldest != nil {
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -80,7 +80,7 @@
 	id        string
 	mu        sync.Mutex
 	writer    string
-	backend   *peer
+	backend   *testServer
 	lifecycle string
 	served    atomic.Int64
 }
@@ -156,7 +156,7 @@
 	defer stop()
 	var backends []*registeredBackend
 	for count := range 3 {
-		backend := &registeredBackend{id: fmt.Sprint("b", count), writer: writer.address, backend: newPeer(t), lifecycle: "Ready"}
+		backend := &registeredBackend{id: fmt.Sprint("b", count), writer: writer.address, backend: newTestServer(t), lifecycle: "Ready"}
 		backends = append(backends, backend)
 		wg.Go(func() { backend.renewUntil(ctx) })
 		go backend.serveRequests()
@@ -177,8 +177,8 @@
 	expectServed := func(when string) {
 		t.Helper()
 		for range 20 {
-			_, answers := gateway.request(t, requestText("GET", "lookup", ""))
-			if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+			_, responses := gateway.request(t, requestText("GET", "lookup", ""))
+			if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
 				t.Fatalf("%s: status %d", when, resp.StatusCode)
 			}
 		}
--- a/internal/gateway/scopes_test.go
+++ b/internal/gateway/scopes_test.go
@@ -167,8 +167,8 @@
 		before[id] = backend.served.Load()
 	}
 	for range count {
-		_, answers := gateway.request(t, requestText("GET", "lookup", ""))
-		if wait(t, answers, "answer").StatusCode == http.StatusOK {
+		_, responses := gateway.request(t, requestText("GET", "lookup", ""))
+		if wait(t, responses, "response").StatusCode == http.StatusOK {
 			served++
 		}
 	}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -50,7 +50,7 @@
 	}
 	listener := newClientListener(inner, 8)
 	const queued = 20 // more than the listener's limit
-	answers := make(chan string, queued)
+	responses := make(chan string, queued)
 	for range queued {
 		conn, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
@@ -62,10 +62,10 @@
 			conn.SetDeadline(time.Now().Add(testTimeout))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				answers <- err.Error()
+				responses <- err.Error()
 				return
 			}
-			answers <- resp.Status
+			responses <- resp.Status
 		}()
 	}
 	server := &http.Server{ConnState: listener.connState, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -82,8 +82,8 @@
 	listener.drainQueue()
 	wait(t, ended, "end of accepting")
 	for range queued {
-		if got := wait(t, answers, "answer"); !strings.HasPrefix(got, "200") && !strings.HasPrefix(got, "503") {
-			t.Errorf("answer on a queued connection: %s", got)
+		if got := wait(t, responses, "response"); !strings.HasPrefix(got, "200") && !strings.HasPrefix(got, "503") {
+			t.Errorf("response on a queued connection: %s", got)
 		}
 	}
 	if conn, err := net.Dial("tcp", inner.Addr().String()); err == nil {
@@ -96,7 +96,7 @@
 // response without a length must end with a reset, so that its client does not take it as complete.
 func TestStopEndsWhatIsIncomplete(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGatewayWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
 	head, _ := splitHead(requestText("POST", "booking", "x"))
 	inHead := gateway.send(t, head)
--- a/internal/gateway/stream_memory_test.go
+++ b/internal/gateway/stream_memory_test.go
@@ -21,7 +21,7 @@
 	t.Parallel()
 	const transfers = 4
 	for _, size := range []int{1 << 20, 256 << 20} {
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		gateway := newTestGateway(t, backend)
 		piece := make([]byte, 1<<20)
 		var wg sync.WaitGroup
@@ -42,7 +42,7 @@
 			})
 		}
 		wg.Wait()
-		if _, peak := gateway.figures.bodyBudget.usage(); peak > transfers*maxWindow {
+		if _, peak := gateway.metrics.bodyBudget.usage(); peak > transfers*maxWindow {
 			t.Errorf("%d transfers of %d bytes took %d bytes of memory, limit %d", transfers, size, peak, transfers*maxWindow)
 		}
 	}
@@ -53,9 +53,9 @@
 func TestUploadsBeyondMemoryAreRejected(t *testing.T) {
 	t.Parallel()
 	const fit = 8
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
-	gateway.figures.bodyBudget.setTotal(fit * minWindow)
+	gateway.metrics.bodyBudget.setTotal(fit * minWindow)
 	size := 64 * maxHeldBody
 	type firstResponse struct {
 		conn   net.Conn
@@ -104,7 +104,7 @@
 		case first.resp.StatusCode != http.StatusServiceUnavailable || first.resp.Header.Get("Retry-After") != "1":
 			t.Errorf("status %d, Retry-After %q; want 503 and 1", first.resp.StatusCode, first.resp.Header.Get("Retry-After"))
 		}
-		if used, peak := gateway.figures.bodyBudget.usage(); peak > fit*minWindow {
+		if used, peak := gateway.metrics.bodyBudget.usage(); peak > fit*minWindow {
 			t.Errorf("%d bytes reserved, peak %d, limit %d", used, peak, fit*minWindow)
 		}
 	}
@@ -130,9 +130,9 @@
 func TestDownloadsBeyondMemoryComplete(t *testing.T) {
 	t.Parallel()
 	const fit = 4
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
-	gateway.figures.bodyBudget.setTotal(fit * maxHeldBody)
+	gateway.metrics.bodyBudget.setTotal(fit * maxHeldBody)
 	body := randomBody(1, 8<<20)
 	var readHeads []func() *http.Response
 	for range 10 * fit {
@@ -157,7 +157,7 @@
 		})
 	}
 	wg.Wait()
-	if _, peak := gateway.figures.bodyBudget.usage(); peak > fit*maxHeldBody {
+	if _, peak := gateway.metrics.bodyBudget.usage(); peak > fit*maxHeldBody {
 		t.Errorf("peak of %d bytes, limit %d", peak, fit*maxHeldBody)
 	}
 }
@@ -166,9 +166,9 @@
 // a complete response or a rejection with a Retry-After header.
 func TestTransfersInBothDirectionsDoNotDeadlock(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
-	gateway.figures.bodyBudget.setTotal(4 * minWindow)
+	gateway.metrics.bodyBudget.setTotal(4 * minWindow)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -216,7 +216,7 @@
 	if served.Load() == 0 {
 		t.Errorf("no request served, %d rejected", rejected.Load())
 	}
-	if _, peak := gateway.figures.bodyBudget.usage(); peak > 4*minWindow {
+	if _, peak := gateway.metrics.bodyBudget.usage(); peak > 4*minWindow {
 		t.Errorf("peak of %d bytes, limit %d", peak, 4*minWindow)
 	}
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			gateway := newTestGateway(t, backend)
 			// A class without retries: a second attempt would hide the outcome of the first.
 			conn, readHead := gateway.sendAndRead(t, requestText("POST", "payment", "", "Content-Length", "1000000")+strings.Repeat("x", 2*maxHeldBody))
@@ -71,7 +71,7 @@
 // A response is streamed while the upload of its request continues.
 func TestResponseStreamsDuringUpload(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	conn, readHead := gateway.sendAndRead(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked")+"1\r\na\r\n")
 	upstream, reader := backend.accept(t)
@@ -134,7 +134,7 @@
 // truncated body is never taken for a complete one.
 func TestRandomBodiesPassUnchanged(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	size := func(random *rand.Rand) int { return random.IntN(1 << (1 + random.IntN(20))) }
 	for seed := range uint64(60) {
@@ -220,7 +220,7 @@
 // A download that ends within the time of a stop completes.
 func TestStopLetsStreamsEnd(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
 	upstream, reader := backend.accept(t)
@@ -241,7 +241,7 @@
 // A download that lasts longer than a stop is aborted in a way that the client notices.
 func TestStopCutsStreams(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGatewayWith(t, func(text string) string { return strings.ReplaceAll(text, `"deadlineS": 20`, `"deadlineS": 1`) }, backend)
 	_, readHead := gateway.sendAndRead(t, requestText("GET", "lookup", ""))
 	upstream, reader := backend.accept(t)
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -21,7 +21,7 @@
 	for name, chunked := range map[string]bool{"of known length": false, "in chunks": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			gateway := newTestGateway(t, backend)
 			name, value, piece, tail := "Content-Length", strconv.Itoa(len(body)), func(s string) string { return s }, ""
 			if chunked {
@@ -58,7 +58,7 @@
 // the backend is not blamed.
 func TestTruncatedUploadIsNotRetried(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	conn, _ := gateway.sendAndRead(t, requestText("POST", "booking", "", "Content-Length", "1000000")+strings.Repeat("x", 2*maxHeldBody))
 	_, reader := backend.accept(t)
@@ -207,7 +207,7 @@
 // A slow upload of unknown length is streamed piece by piece, and its trailer after it.
 func TestSlowChunkedUploadIsStreamed(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	conn, responses := gateway.request(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked", "Trailer", "X-Sum")+"3\r\nabc\r\n")
 	upstream, reader := backend.accept(t)
@@ -244,7 +244,7 @@
 // Both connections are reused after a streamed upload has completed.
 func TestConnectionIsReusedAfterStreamedUpload(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	body := strings.Repeat("x", 2*maxHeldBody)
 	conn := gateway.send(t, requestText("POST", "booking", body))
--- a/internal/gateway/upload_time_test.go
+++ b/internal/gateway/upload_time_test.go
@@ -15,7 +15,7 @@
 	t.Parallel()
 	const elapsed, clientTimeout = 400 * time.Millisecond, 15 * time.Second
 	// timeLeftOfNext reads the next request at the backend and returns its remaining time.
-	timeLeftOfNext := func(t *testing.T, backend *peer) (time.Duration, net.Conn) {
+	timeLeftOfNext := func(t *testing.T, backend *testServer) (time.Duration, net.Conn) {
 		t.Helper()
 		conn, reader := backend.accept(t)
 		req, _ := readRequest(t, reader)
@@ -27,7 +27,7 @@
 	}
 	t.Run("retry after a failed attempt", func(t *testing.T) {
 		t.Parallel()
-		backend := newPeer(t)
+		backend := newTestServer(t)
 		gateway := newTestGateway(t, backend)
 		conn := gateway.send(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked")+"4\r\npick\r\n")
 		time.Sleep(2 * maxHoldTime) // the body is released for streaming
@@ -42,7 +42,7 @@
 	for name, chunked := range map[string]bool{"queued with a length": false, "queued in chunks": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			gateway := newTestGateway(t, backend)
 			var busy []net.Conn
 			for range 3 { // as many as may be in flight at once
@@ -71,7 +71,7 @@
 // has held its prefix.
 func TestIncompleteUploadForwardsWholeTimeout(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	body := strings.Repeat("x", 2*maxHeldBody)
 	conn := gateway.send(t, strings.TrimSuffix(requestText("POST", "booking", body), "x"))
