--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -58,7 +58,7 @@
 	discovery := newFakeDiscovery(t)
 	received := make(chan Listing, 64)
 	rejections := make(chan chan struct{}, 1)
-	watcher := newDiscoveryWatcher(discovery.address(), func(l Listing) { received <- l }, func(context.Context) {
+	watcher := newDiscoveryWatcher(discovery.address(), func(listing Listing) { received <- listing }, func(context.Context) {
 		retry := make(chan struct{})
 		rejections <- retry
 		<-retry
@@ -116,17 +116,17 @@
 func TestWatchMovesToNewAddress(t *testing.T) {
 	old, next := newFakeDiscovery(t), newFakeDiscovery(t)
 	received := make(chan Listing, 64)
-	watcher := newDiscoveryWatcher(old.address(), func(l Listing) { received <- l }, nil)
+	watcher := newDiscoveryWatcher(old.address(), func(listing Listing) { received <- listing }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
-	moves := make(chan string)
+	newAddresses := make(chan string)
 	var wg sync.WaitGroup
-	wg.Go(func() { watcher.run(ctx, moves) })
+	wg.Go(func() { watcher.run(ctx, newAddresses) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	wait(t, old.calls, "first call")
 	old.answers <- Listing{Generation: 41, Reset: true}
 	wait(t, received, "list")
 	wait(t, old.calls, "watch")
-	moves <- next.address()
+	newAddresses <- next.address()
 	if got := wait(t, next.calls, "call at the new address"); got != "" {
 		t.Errorf("call %q, want a request for the full list", got)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,9 +18,10 @@
 )
 
 // Run serves clients until ctx ends, then answers the requests in progress and returns. From
-// a reloaded configuration it applies the settings and the addresses of discovery and of the
-// counter; other changes need a restart. An invalid configuration is logged and ignored. Run
-// returns an error if it can't open its sockets, join the membership or finish in time.
+// a reloaded configuration it applies the settings, limits, scopes and subset, and the addresses
+// of discovery, service registries and counter; other changes need a restart. An invalid
+// configuration is logged and ignored. Run returns an error if it can't open its sockets, join
+// the membership or finish in time.
 func Run(ctx context.Context, config *Config, reloads <-chan Reload) error {
 	var operators net.Listener
 	if config.Control != "" {
@@ -37,8 +38,8 @@
 	return serve(ctx, config, reloads, listener, operators, newMetrics(config))
 }
 
-// serve runs a gateway on sockets that are open. Without an address for operators, the
-// operators' listener is nil.
+// serve runs a gateway on open listeners. The listener for operators is nil if the configuration
+// has no address for them.
 func serve(ctx context.Context, config *Config, reloads <-chan Reload, listener, operators net.Listener, metrics *metrics) error {
 	_, backends := splitDescriptors(config.Sockets - reservedDescriptors)
 	pools := newPools(seconds(config.ConnectTimeout), seconds(config.KeepAlive), backends, metrics)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -422,7 +422,7 @@
 	t.Parallel()
 	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
-	_, open := gateway.request(t, requestText("POST", "payment", "open"))
+	_, inProgress := gateway.request(t, requestText("POST", "payment", "open"))
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
 	changed := strings.Replace(testSettings, `{"name": "payment", "objectiveS": 10, "deadlineS": 20, "points": 3, "effect": "once"},`,
@@ -436,12 +436,12 @@
 		t.Errorf("a removed class: status %d", resp.StatusCode)
 	}
 	conn.Close() // the request in progress may have run, and must not run twice
-	if resp := wait(t, open, "answer"); resp.StatusCode != http.StatusBadGateway || len(backend.conns) != 0 {
+	if resp := wait(t, inProgress, "response"); resp.StatusCode != http.StatusBadGateway || len(backend.conns) != 0 {
 		t.Errorf("the request in progress: status %d, %d more connections", resp.StatusCode, len(backend.conns))
 	}
 	_, added := gateway.request(t, requestText("POST", "audit", "x"))
 	serveOne(t, backend, "ok")
-	if resp := wait(t, added, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, added, "response"); resp.StatusCode != 200 {
 		t.Errorf("an added class: status %d", resp.StatusCode)
 	}
 	gateway.awaitMetrics(t, "app.handled.audit.passed:1|c", "app.handled.payment.bad_gateway:1|c")
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -50,9 +50,9 @@
 }
 
 // setAnswerFault sets the fault that the relay applies to the registry's answers.
-func (s *registryService) setAnswerFault(t *testing.T, how fault.Condition) {
+func (s *registryService) setAnswerFault(t *testing.T, condition fault.Condition) {
 	t.Helper()
-	if err := s.relay.Set(fault.Reverse, how); err != nil {
+	if err := s.relay.Set(fault.Reverse, condition); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/rules/counter_test.go
+++ b/rules/counter_test.go
@@ -85,7 +85,8 @@
 		plan                 Plan
 		gateways             int
 		perSecond            float64 // requests of 1 to maxUnits units
-		least, most          float64 // units admitted; least as a fraction of the requested ones
+		minAdmitted          float64 // fraction of the requested units
+		maxAdmitted          float64 // units
 		maxUnits, startAfter float64
 	}{
 		{Plan{Price: 1, Rate: 3, Burst: 15}, 60, 1, 0.9, 1e9, 4, 0},
@@ -130,7 +131,7 @@
 		for now := start; now < start+silence; now += 1 / test.perSecond {
 			request(now)
 		}
-		if admitted < test.least*requested || admitted > test.most {
+		if admitted < test.minAdmitted*requested || admitted > test.maxAdmitted {
 			t.Errorf("%+v at %d gateways: admitted %v of %v units in %v s", test.plan, test.gateways, admitted, requested, silence)
 		}
 	}
--- a/rules/drive_test.go
+++ b/rules/drive_test.go
@@ -42,8 +42,8 @@
 	return backends
 }
 
-func (harness *gatewayHarness) handle(ev Event) []Action {
-	harness.last = harness.gateway.Handle(harness.now, ev, nil)
+func (harness *gatewayHarness) handle(event Event) []Action {
+	harness.last = harness.gateway.Handle(harness.now, event, nil)
 	return harness.last
 }
 
@@ -59,8 +59,8 @@
 
 // answerCalls grants the full amount of each counter call and returns the resulting actions.
 func (harness *gatewayHarness) answerCalls(actions []Action) (replies []Action) {
-	for _, c := range actionsOf[Count](actions) {
-		replies = append(replies, harness.gateway.Handle(harness.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
+	for _, call := range actionsOf[Count](actions) {
+		replies = append(replies, harness.gateway.Handle(harness.now, CounterReply{Name: call.Name, Total: call.Amount}, nil)...)
 	}
 	return replies
 }
--- a/rules/types.go
+++ b/rules/types.go
@@ -208,7 +208,7 @@
 // Established reports that a streamed answer has begun.
 type Established struct {
 	Request RequestID
-	Attempt int
+	Attempt int // number of the attempt, from 0
 	Backend BackendID
 	Took    float64 // time since the attempt was sent
 	Units   float64 // actual units; 0 if unknown
@@ -217,7 +217,7 @@
 // AttemptEnd reports the end of an attempt. Each attempt ends exactly once.
 type AttemptEnd struct {
 	Request       RequestID
-	Attempt       int
+	Attempt       int // number of the attempt, from 0
 	Backend       BackendID
 	Outcome       Outcome
 	Took          float64 // time since the attempt was sent
@@ -321,7 +321,7 @@
 // CustomerRecord is the quota state of one customer in a Snapshot.
 type CustomerRecord struct {
 	ID             CustomerID
-	Plan           int
+	Plan           int     // index into Settings.Plans
 	Gateways       int     // number of gateways that serve the customer
 	Index          int     // position of this gateway among them
 	Demand         float64 // units per second at this gateway
@@ -368,10 +368,10 @@
 	WriteDeadline float64 // time from which the attempt must not be written to the backend; 0 means none
 }
 
-// Cancel abandons an attempt.
+// Cancel abandons an attempt, which still ends with an AttemptEnd.
 type Cancel struct {
 	Request RequestID
-	Attempt int
+	Attempt int // number of the attempt, from 0
 }
 
 // Refuse is a final answer after which a client retry is safe: the request had no effect, or repeating it
