--- a/cmd/registry/scoped_test.go
+++ b/cmd/registry/scoped_test.go
@@ -262,7 +262,7 @@
 		}
 		r.mu.Lock()
 		for id := range r.view {
-			if _, there := f.instances[id]; !there {
+			if _, listed := f.instances[id]; !listed {
 				r.mu.Unlock()
 				return fmt.Sprintf("reader %d has %s, which has been removed", n, id)
 			}
@@ -290,9 +290,9 @@
 	}
 }
 
-func (f *scopedFleet) setLink(r *link.Relay, way link.Direction, kind link.Kind) {
+func (f *scopedFleet) setLink(relay *link.Relay, direction link.Direction, kind link.Kind) {
 	f.t.Helper()
-	if err := r.Set(way, link.Condition{Kind: kind}); err != nil {
+	if err := relay.Set(direction, link.Condition{Kind: kind}); err != nil {
 		f.t.Fatal(err)
 	}
 }
