--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,9 +18,10 @@
 )
 
 // Run serves clients until ctx ends, then answers the requests in progress and returns. From
-// a reloaded configuration it applies the settings and the addresses of discovery and of the
-// counter; other changes need a restart. An invalid configuration is logged and ignored. Run
-// returns an error if it can't open its sockets, join the membership or finish in time.
+// a reloaded configuration it applies the settings, limits, scopes and subset, and the addresses
+// of discovery, service registries and counter; other changes need a restart. An invalid
+// configuration is logged and ignored. Run returns an error if it can't open its sockets, join
+// the membership or finish in time.
 func Run(ctx context.Context, config *Config, reloads <-chan Reload) error {
 	var operators net.Listener
 	if config.Control != "" {
@@ -37,8 +38,8 @@
 	return serve(ctx, config, reloads, listener, operators, newMetrics(config))
 }
 
-// serve runs a gateway on sockets that are open. Without an address for operators, the
-// operators' listener is nil.
+// serve runs a gateway on open listeners. The listener for operators is nil if the configuration
+// has no address for them.
 func serve(ctx context.Context, config *Config, reloads <-chan Reload, listener, operators net.Listener, metrics *metrics) error {
 	_, backends := splitDescriptors(config.Sockets - reservedDescriptors)
 	pools := newPools(seconds(config.ConnectTimeout), seconds(config.KeepAlive), backends, metrics)
@@ -62,8 +63,8 @@
 		pools.setMaxOpen(backends)
 		metrics.bodyBudget.setTotal(memory)
 	}}
-	limits.setPaired(false)
-	handover := &handover{loop: front.loop, noPredecessor: make(chan struct{}), setPaired: limits.setPaired}
+	limits.setSiblingRunning(false)
+	handover := &handover{loop: front.loop, noPredecessor: make(chan struct{}), setSiblingRunning: limits.setSiblingRunning}
 	front.loop.receiveListing(listUpdate{listing: config.Scopes.filterListing(config.Known), kind: rules.CachedList})
 	if config.HandoverDir != "" {
 		imported, err := handover.join(ctx, config.HandoverDir)
@@ -149,7 +150,7 @@
 	wg.Go(func() { serverErrors <- server.Serve(front.clients) })
 	handover.notifyServing()
 	if operators != nil {
-		operatorServer := (&controlServer{metrics: metrics, ready: front.acceptsClients, applyOverride: handover.applyOverride, connectivity: connectivity, loop: front.loop, hasPeer: handover.hasPeer}).server()
+		operatorServer := (&controlServer{metrics: metrics, ready: front.acceptsClients, applyOverride: handover.applyOverride, connectivity: connectivity, loop: front.loop, hasSibling: handover.hasSibling}).server()
 		wg.Go(func() { serverErrors <- operatorServer.Serve(newRetryingListener(operators, "operators")) })
 		defer operatorServer.Close() // operators may call until the end
 	}
@@ -166,16 +167,16 @@
 type resourceLimits struct {
 	apply func(clients, backends, memory int) // limits of connections, and bytes for bodies
 
-	mu     sync.Mutex
-	config *Config
-	paired bool
+	mu             sync.Mutex
+	config         *Config
+	siblingRunning bool
 }
 
-// setPaired sets whether a sibling process runs.
-func (l *resourceLimits) setPaired(paired bool) {
+// setSiblingRunning sets whether a sibling process runs.
+func (l *resourceLimits) setSiblingRunning(running bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.paired = paired
+	l.siblingRunning = running
 	l.divide()
 }
 
@@ -190,7 +191,7 @@
 // divide applies the limits of this process. The caller holds mu.
 func (l *resourceLimits) divide() {
 	sockets, memory := l.config.Sockets-reservedDescriptors, l.config.MemoryMB
-	if l.paired {
+	if l.siblingRunning {
 		sockets, memory = l.config.Sockets/2-reservedDescriptors/2, memory/2
 	}
 	clients, backends := splitDescriptors(sockets)
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -21,7 +21,7 @@
 	for name, chunked := range map[string]bool{"of known length": false, "in chunks": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newPeer(t)
+			backend := newTestServer(t)
 			gateway := newTestGateway(t, backend)
 			name, value, piece, tail := "Content-Length", strconv.Itoa(len(body)), func(s string) string { return s }, ""
 			if chunked {
@@ -58,7 +58,7 @@
 // the backend is not blamed.
 func TestTruncatedUploadIsNotRetried(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	conn, _ := gateway.sendAndRead(t, requestText("POST", "booking", "", "Content-Length", "1000000")+strings.Repeat("x", 2*maxHeldBody))
 	_, reader := backend.accept(t)
@@ -117,22 +117,22 @@
 				listener.conns <- server
 				const length = 480 << 10
 				io.WriteString(client, requestText("POST", "booking", "", "Content-Length", strconv.Itoa(length)))
-				exch := (<-front.loop.inbox).(requestArrived).exchange
+				exchange := (<-front.loop.inbox).(requestArrived).exchange
 				start, ended := time.Now(), make(chan time.Time, 1)
 				go func() {
 					var attempt attempt
-					exch.upload.assign(&attempt)
+					exchange.upload.assign(&attempt)
 					var err error
 					for offset := 0; err == nil; {
 						var piece []byte
-						piece, err = exch.upload.next(&attempt, offset)
+						piece, err = exchange.upload.next(&attempt, offset)
 						offset += len(piece)
 					}
 					if (err != io.EOF) != test.aborted {
 						t.Errorf("the body ended with %v, want an abort: %t", err, test.aborted)
 					}
 					ended <- time.Now()
-					exch.reply <- response{status: http.StatusTooManyRequests}
+					exchange.responses <- response{status: http.StatusTooManyRequests}
 				}()
 				go io.Copy(io.Discard, client)
 				for sent := 0; sent < length; sent += test.piece {
@@ -207,7 +207,7 @@
 // A slow upload of unknown length is streamed piece by piece, and its trailer after it.
 func TestSlowChunkedUploadIsStreamed(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	conn, responses := gateway.request(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked", "Trailer", "X-Sum")+"3\r\nabc\r\n")
 	upstream, reader := backend.accept(t)
@@ -244,7 +244,7 @@
 // Both connections are reused after a streamed upload has completed.
 func TestConnectionIsReusedAfterStreamedUpload(t *testing.T) {
 	t.Parallel()
-	backend := newPeer(t)
+	backend := newTestServer(t)
 	gateway := newTestGateway(t, backend)
 	body := strings.Repeat("x", 2*maxHeldBody)
 	conn := gateway.send(t, requestText("POST", "booking", body))
--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -54,8 +54,8 @@
 
 // notLeader returns the error of a call that only the leader can process.
 func (g *Group) notLeader() error {
-	if at := g.members.Members[g.leader].Address; at != "" {
-		return &NotLeaderError{at}
+	if address := g.members.Members[g.leader].Address; address != "" {
+		return &NotLeaderError{address}
 	}
 	return ErrNoLeader
 }
@@ -113,7 +113,9 @@
 	return fmt.Errorf("%w: %w", ErrUnknown, err)
 }
 
-// Add adds a member as a learner. The leader promotes it to a voter once it has caught up.
+// Add adds a member as a learner. The leader promotes it to a voter once it has caught up. The errors
+// of Add, Remove and Transfer include *RefusedError, *NotLeaderError, ErrNoLeader, ErrBusy and
+// ErrUnknown, after which the change may still be made.
 func (g *Group) Add(ctx context.Context, number uint64, member Member) error {
 	return g.changeMember(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
 		kind := raftpb.ConfChangeType_ConfChangeAddLearnerNode
@@ -133,8 +135,8 @@
 	})
 }
 
-// Remove removes a member for good. It fails if fewer than a majority of the remaining voters
-// are active.
+// Remove removes a member for good. It returns a *RefusedError for the leader, and if fewer than a
+// majority of the remaining voters are active.
 func (g *Group) Remove(ctx context.Context, number uint64) error {
 	return g.changeMember(ctx, func() (bool, raftpb.ConfChangeType, uint64, Member, error) {
 		kind := raftpb.ConfChangeType_ConfChangeRemoveNode
@@ -259,7 +261,8 @@
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&request); err != nil || request.Number == 0 || request.Address == "" {
-			http.Error(w, fmt.Sprintf("invalid member: a number from 1 and an address are required: %v", err), http.StatusBadRequest)
+			http.Error(w, fmt.Sprintf("invalid member: a number from 1 and an address are required: %v",
+				cmp.Or(err, fmt.Errorf("got number %d and address %.80q", request.Number, request.Address))), http.StatusBadRequest)
 			return
 		}
 		err = g.Add(ctx, request.Number, request.Member)
--- a/internal/group/config.go
+++ b/internal/group/config.go
@@ -16,7 +16,7 @@
 	RegistryAddresses map[uint64]string // addresses of their registries, if the group replicates the list
 	Join              bool              // the group exists, and this member is added to it
 	Dir               string            // folder of the log and its snapshots
-	DataMB            int               // limit of the size of all files in Dir
+	DataMB            int               // limit in MiB of the size of all files in Dir; at least 64
 	Limits            ledger.Limits
 	List              List // replicated beside the ledger; nil: none
 }
@@ -31,8 +31,8 @@
 	// RestoreList replaces the list by that of a snapshot.
 	RestoreList(lines [][]byte) error
 	// SetWriter names the writer by the address of its registry, or "" if none is known.
-	// here says that this member is the writer and has applied all earlier entries.
-	SetWriter(here bool, address string)
+	// isSelf means that this member is the writer and has applied all earlier entries.
+	SetWriter(isSelf bool, address string)
 	// BackendStates returns the states of the backends in the records.
 	BackendStates(records [][]byte) []budget.BackendState
 }
