--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -252,7 +252,7 @@
 	const role, steady = "ledger", "steady state"
 	permitsPerS := target.RestartsPerDay * assumption(drainedFraction) * assumption(peakOverMean) / secondsPerDay
 	return []Estimate{
-		{"", role, steady, "units: backends and gateways", target.Backends + target.Gateways, "units", maxLedgerUnits, budgetByProgram, "mostUnits of internal/budget", noMechanism, needsLimits},
+		{"", role, steady, "units: backends and gateways", target.Backends + target.Gateways, "units", maxLedgerUnits, budgetByProgram, "maxUnits of internal/budget", noMechanism, needsLimits},
 		{"", role, steady, "sessions, one for each gateway", target.Gateways, "sessions", maxLedgerSessions, budgetByProgram, "ledger.DefaultLimits", noMechanism, needsLimits},
 		{"", role, steady, "memory of sessions", slopes.At("ledger_bytes_session", target.Gateways), "B", assumption(machineBytes), budgetByMachine, "ledger_bytes_session", "bounds", ""},
 		{"permits", role, "80,000 restarts a day, peak", "grants and returns of permits", 2 * permitsPerS, "a second", 1e6 / slopes.At("group_us_write", 100), budgetByProgram, "group_us_write", "several calls share a sync", ""},
